--- a/crates/daemon/src/duties.rs
+++ b/crates/daemon/src/duties.rs
@@ -8,7 +8,7 @@
 use reeddock_forwarder::limits::Allowance;
 use reeddock_forwarder::Post;
 use reeddock_protocol::{Entry, ListPart};
-use reeddock_terms::{terms, Reach, Shape};
+use reeddock_settings::{terms, Reach, Shape};
 use serde_json::Value;
 use tokio::sync::watch;
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use owed::View;
-use reeddock_ledger::Sync;
+use reeddock_wal::Sync;
 use tokio::signal::unix::{signal, SignalKind};
 use tracing::level_filters::LevelFilter;
 
--- a/crates/daemon/src/owed.rs
+++ b/crates/daemon/src/owed.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use reeddock_ledger::{Books, Findings, Unended};
+use reeddock_wal::{Books, Findings, Unended};
 use reeddock_protocol::GivenUp;
 use serde_json::json;
 
@@ -51,7 +51,7 @@
 
 /// Tells it; false where something is damaged.
 pub fn tell(folder: &Path, view: View) -> Result<bool, String> {
-    let (books, findings) = reeddock_ledger::look(folder)
+    let (books, findings) = reeddock_wal::look(folder)
         .map_err(|e| format!("cannot read the ledger in {}: {e}", folder.display()))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros();
     let now = u64::try_from(now).unwrap_or(u64::MAX);
--- a/crates/daemon/tests/restarts.rs
+++ b/crates/daemon/tests/restarts.rs
@@ -13,7 +13,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use reeddock_ledger::look;
+use reeddock_wal::look;
 use serde_json::json;
 use stand_ins::{entry, serve, until, Request, PAUSE};
 
--- a/crates/daemon/tests/ledger.rs
+++ b/crates/daemon/tests/wal_command.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use reeddock_ledger::{Ledger, Record, Sync, Taken};
+use reeddock_wal::{Ledger, Record, Sync, Taken};
 use reeddock_protocol::GivenUp;
 
 fn reeddock(arguments: &[&str]) -> Output {
--- a/crates/lab/src/draw.rs
+++ b/crates/experiments/src/draw.rs
@@ -2,13 +2,13 @@
 //! asked for.
 
 use rand::{RngExt, SeedableRng};
-use reeddock_emulator::figure::{Amount, Chance, Figure, Share, Span, Spread};
-use reeddock_emulator::scenario::{
+use reeddock_simulation::figure::{Amount, Chance, Figure, Share, Span, Spread};
+use reeddock_simulation::scenario::{
     Category, Decay, EffectTerms, Fleet, Kind, Limit, ListTerms, Network, Notes, Program, Returning,
     Scheduled, Traffic, Weights, VERSION,
 };
-use reeddock_emulator::trouble::{Trouble, Which, Whom};
-use reeddock_emulator::Scenario;
+use reeddock_simulation::trouble::{Trouble, Which, Whom};
+use reeddock_simulation::Scenario;
 
 struct Draw(Chance);
 
--- a/crates/lab/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -14,7 +14,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use reeddock_emulator::Known;
+use reeddock_simulation::Known;
 
 pub use draw::draw;
 pub use page::page;
@@ -44,8 +44,8 @@
 
 impl std::error::Error for Fault {}
 
-impl From<reeddock_emulator::Fault> for Fault {
-    fn from(fault: reeddock_emulator::Fault) -> Fault {
+impl From<reeddock_simulation::Fault> for Fault {
+    fn from(fault: reeddock_simulation::Fault) -> Fault {
         Fault::line(fault)
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `reeddock-lab`. All figures that it prints are emulated.
+//! The program `reeddock-experiment`. All figures that it prints are emulated.
 
 mod studies;
 
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use reeddock_lab::{Comparison, Fault, Lab, Policies, RecordingRun, Search, Setting, StreamRun, Sweep};
+use reeddock_experiments::{Comparison, Fault, Lab, Policies, RecordingRun, Search, Setting, StreamRun, Sweep};
 use reeddock_recorder::Form;
 
 /// Plays fleets of forwarders in simulated time and says what they earn, cost and break.
 #[derive(Parser)]
-#[command(name = "reeddock-lab", version)]
+#[command(name = "reeddock-experiment", version)]
 struct Line {
     /// Results as JSON, for machines; progress goes to standard error in any case.
     #[arg(long, global = true)]
@@ -130,7 +130,7 @@
 
 fn record(lab: &Lab, what: Record, json: bool) -> Result<ExitCode, Fault> {
     if let Some([left, right]) = what.compare.as_deref() {
-        return reeddock_lab::compare_recordings(left, right)?.print(json);
+        return reeddock_experiments::compare_recordings(left, right)?.print(json);
     }
     let form = if what.digest { Form::Digest } else { Form::Full };
     let (out, seed) = (what.out, what.seed);
@@ -158,7 +158,7 @@
 }
 
 fn told(fault: &Fault) -> ExitCode {
-    eprintln!("reeddock-lab: {fault}");
+    eprintln!("reeddock-experiment: {fault}");
     ExitCode::from(2)
 }
 
@@ -193,7 +193,7 @@
         Command::Record(what) => record(lab, what, json),
         Command::Report { folder, to } => {
             let to = to.unwrap_or_else(|| folder.join("report.html"));
-            let plots = reeddock_lab::page(&folder, &to)?;
+            let plots = reeddock_experiments::page(&folder, &to)?;
             println!("{}: {plots} plots", to.display());
             Ok(ExitCode::SUCCESS)
         }
--- a/crates/lab/src/page.rs
+++ b/crates/experiments/src/page.rs
@@ -5,8 +5,8 @@
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 use plotters::coord::Shift;
 use plotters::prelude::*;
-use reeddock_emulator::report::Watched;
-use reeddock_emulator::Report;
+use reeddock_simulation::report::Watched;
+use reeddock_simulation::Report;
 
 use crate::results::{Result, Row, SweepRow};
 use crate::Fault;
@@ -80,7 +80,7 @@
     let line = |r: &Report| {
         let asked = r.seconds.iter().rposition(|s| s.credit.asked > 0.0).map_or(0, |n| n + 1);
         let spans = r.seconds[..asked].windows(SMOOTH.min(asked.max(1))).enumerate();
-        let share = |(n, span): (usize, &[reeddock_emulator::account::Second])| {
+        let share = |(n, span): (usize, &[reeddock_simulation::account::Second])| {
             let asked: f64 = span.iter().map(|s| s.credit.asked).sum();
             let earned: f64 = span.iter().map(|s| s.credit.earned).sum();
             (n as f64 + SMOOTH as f64 / 2.0, if asked > 0.0 { earned / asked } else { 1.0 })
@@ -110,7 +110,7 @@
 fn against_capacity(watched: &Watched) -> std::result::Result<String, Fault> {
     let last = watched.seconds.iter().rposition(|l| l.capacity > 0.0).map_or(0, |n| n + 1);
     let seconds = &watched.seconds[..last];
-    let line = |name: &str, of: &dyn Fn(&reeddock_emulator::account::Load) -> f64| {
+    let line = |name: &str, of: &dyn Fn(&reeddock_simulation::account::Load) -> f64| {
         (name.to_owned(), seconds.iter().enumerate().map(|(n, load)| (n as f64, of(load))).collect())
     };
     let mut all: Vec<Line> = vec![
--- a/crates/lab/src/ramp.rs
+++ b/crates/experiments/src/ramp.rs
@@ -6,9 +6,9 @@
 
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use reeddock_emulator::observed::Ramp;
-use reeddock_emulator::report::rounded;
-use reeddock_emulator::{observe, Known, Scenario};
+use reeddock_simulation::observed::Ramp;
+use reeddock_simulation::report::rounded;
+use reeddock_simulation::{observe, Known, Scenario};
 use serde::Serialize;
 
 use crate::results::Spread;
--- a/crates/lab/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -5,8 +5,8 @@
 
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use reeddock_emulator::report::rounded;
-use reeddock_emulator::Report;
+use reeddock_simulation::report::rounded;
+use reeddock_simulation::Report;
 use serde::{Deserialize, Serialize};
 
 use crate::Fault;
--- a/crates/lab/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -6,7 +6,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use rayon::{ThreadPool, ThreadPoolBuilder};
-use reeddock_emulator::{run, Known, Report, Scenario};
+use reeddock_simulation::{run, Known, Report, Scenario};
 
 use crate::results::{Result, Row, SweepRow};
 use crate::{Fault, Policies, Setting};
--- a/crates/lab/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -7,9 +7,9 @@
 
 use rayon::prelude::*;
 use rayon::BroadcastContext;
-use reeddock_emulator::oracles::Rule;
-use reeddock_emulator::scenario::Found;
-use reeddock_emulator::{run, Known, Scenario};
+use reeddock_simulation::oracles::Rule;
+use reeddock_simulation::scenario::Found;
+use reeddock_simulation::{run, Known, Scenario};
 
 use crate::draw::draw;
 use crate::results::{Finding, Result};
--- a/crates/lab/src/sharing.rs
+++ b/crates/experiments/src/sharing.rs
@@ -10,12 +10,12 @@
 use comfy_table::Table;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock_emulator::figure::Span;
-use reeddock_emulator::observed::SentToDown;
-use reeddock_emulator::policies::sharing::{circuit, Exchange};
-use reeddock_emulator::scenario::Scheduled;
-use reeddock_emulator::trouble::{Trouble, Whom};
-use reeddock_emulator::{observe, Known, Scenario};
+use reeddock_simulation::figure::Span;
+use reeddock_simulation::observed::SentToDown;
+use reeddock_simulation::policies::sharing::{circuit, Exchange};
+use reeddock_simulation::scenario::Scheduled;
+use reeddock_simulation::trouble::{Trouble, Whom};
+use reeddock_simulation::{observe, Known, Scenario};
 use serde::Serialize;
 
 use crate::results::Spread;
--- a/crates/lab/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -1,9 +1,9 @@
 //! A found scenario, cut down to what it takes to see the same again.
 
-use reeddock_emulator::figure::{Amount, Share, Span};
-use reeddock_emulator::oracles::Rule;
-use reeddock_emulator::trouble::Trouble;
-use reeddock_emulator::{run, Known, Report, Scenario};
+use reeddock_simulation::figure::{Amount, Share, Span};
+use reeddock_simulation::oracles::Rule;
+use reeddock_simulation::trouble::Trouble;
+use reeddock_simulation::{run, Known, Report, Scenario};
 
 /// What a smaller scenario must still show.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/lab/src/studies.rs
+++ b/crates/experiments/src/studies.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use reeddock_lab::{Comparison, Fault, Lab, Policies, Setting, Sharing};
+use reeddock_experiments::{Comparison, Fault, Lab, Policies, Setting, Sharing};
 
 /// Sums of calls to destinations that come back cold.
 #[derive(Args)]
--- a/crates/lab/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -3,15 +3,15 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use reeddock_emulator::{run, Known, Scenario};
-use reeddock_lab::{draw, shrink, Comparison, Lab, Policies, Setting, Sweep, Want};
+use reeddock_simulation::{run, Known, Scenario};
+use reeddock_experiments::{draw, shrink, Comparison, Lab, Policies, Setting, Sweep, Want};
 
 fn scenario() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/first-morning.toml")
 }
 
 fn program(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_reeddock-lab")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_reeddock-experiment")).args(arguments).output().unwrap()
 }
 
 #[test]
@@ -57,7 +57,7 @@
 
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("found.toml");
-    small.found = Some(reeddock_emulator::scenario::Found {
+    small.found = Some(reeddock_simulation::scenario::Found {
         seed,
         rule: None,
         credit: run(&small, seed, Known::Module).credit,
@@ -69,7 +69,7 @@
     let text = String::from_utf8(replayed.stdout).unwrap();
     assert!(replayed.status.success() && text.contains("seen again"), "{text}");
     // A rule that is not broken there is not seen, and the exit code says so.
-    small.found.as_mut().unwrap().rule = Some(reeddock_emulator::oracles::Rule::Interface);
+    small.found.as_mut().unwrap().rule = Some(reeddock_simulation::oracles::Rule::Interface);
     std::fs::write(&file, small.to_text()).unwrap();
     assert_eq!(program(&["replay", file.to_str().unwrap()]).status.code(), Some(1));
 }
@@ -82,7 +82,7 @@
     let compared = lab.compare(&scenario(), &Comparison { policies, seeds: 1 }).unwrap();
     compared.keep(Some(folder.path())).unwrap();
     let page = folder.path().join("page.html");
-    let plots = reeddock_lab::page(folder.path(), &page).unwrap();
+    let plots = reeddock_experiments::page(folder.path(), &page).unwrap();
     let text = std::fs::read_to_string(page).unwrap();
     assert!(plots >= 4 && text.matches("<svg").count() == plots, "{plots} plots");
     assert!(text.contains("emulated") && text.contains("first-morning"));
--- a/crates/lab/tests/recordings.rs
+++ b/crates/experiments/tests/recordings.rs
@@ -9,7 +9,7 @@
 }
 
 fn program(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_reeddock-lab")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_reeddock-experiment")).args(arguments).output().unwrap()
 }
 
 fn record(folder: &Path, arguments: &[&str]) -> String {
--- a/crates/lab/tests/studies.rs
+++ b/crates/experiments/tests/studies.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use reeddock_lab::{Comparison, Lab, Policies, Setting, Sharing};
+use reeddock_experiments::{Comparison, Lab, Policies, Setting, Sharing};
 
 fn scenario(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -50,7 +50,7 @@
 use std::time::Duration;
 
 use reeddock::{Forwarder, Terms};
-use reeddock_ledger::Ledger;
+use reeddock_wal::Ledger;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{interval, sleep, Instant};
@@ -81,7 +81,7 @@
     /// What comes in is told to the module at most this often.
     pub tick: Duration,
     /// When the ledger is made to outlast the machine.
-    pub sync: reeddock_ledger::Sync,
+    pub sync: reeddock_wal::Sync,
     /// A connection that is not up by then is none, and one that stands idle for so long is closed.
     pub connect_within: Duration,
     pub closed_after: Duration,
--- a/crates/forwarder/src/owner/admission.rs
+++ b/crates/forwarder/src/owner/admission.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use reeddock::EnvelopeId;
-use reeddock_ledger::{Ledger, Taken};
+use reeddock_wal::{Ledger, Taken};
 use reeddock_protocol::{Answer, HandIn};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
--- a/crates/forwarder/src/owner/ledger_writing.rs
+++ b/crates/forwarder/src/owner/ledger_writing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reeddock::{DestinationId, EnvelopeId, KeyId, Past};
-use reeddock_ledger::{Record, Taken, Unended};
+use reeddock_wal::{Record, Taken, Unended};
 use reeddock_protocol::{GivenUp, Notice};
 
 use super::admission::Fresh;
--- a/crates/forwarder/src/owner/mod.rs
+++ b/crates/forwarder/src/owner/mod.rs
@@ -18,7 +18,7 @@
 
 use bytes::Bytes;
 use reeddock::{DispatchNo, EnvelopeId, Forwarder, Host};
-use reeddock_ledger::{Ledger, Record};
+use reeddock_wal::{Ledger, Record};
 use reeddock_protocol::{Answer, Ending, Notice};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::yield_now;
--- a/crates/forwarder/src/owner/orders.rs
+++ b/crates/forwarder/src/owner/orders.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reeddock::{DispatchNo, EnvelopeId, Host, PeerId, Spans, TargetId};
-use reeddock_ledger::Record;
+use reeddock_wal::Record;
 use reeddock_protocol::{Answer, GivenUp, Letter, Notice};
 
 use super::State;
--- a/crates/forwarder/src/owner/outcomes.rs
+++ b/crates/forwarder/src/owner/outcomes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reeddock::{DispatchNo, EnvelopeId, Outcome, TargetId};
-use reeddock_ledger::Record;
+use reeddock_wal::Record;
 use reeddock_protocol::Ending;
 
 use super::{Owner, State, IDS_KEPT};
--- a/crates/forwarder/tests/loopback/crossings.rs
+++ b/crates/forwarder/tests/loopback/crossings.rs
@@ -11,7 +11,7 @@
 use reeddock_forwarder::connections::Connections;
 use reeddock_forwarder::crowding::Crowding;
 use reeddock_forwarder::events::Event;
-use reeddock_ledger::{Ledger, Record, Taken};
+use reeddock_wal::{Ledger, Record, Taken};
 use reeddock_protocol::{Ending, GivenUp};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/forwarder/tests/loopback/stand_ins.rs
+++ b/crates/forwarder/tests/loopback/stand_ins.rs
@@ -13,7 +13,7 @@
 use reeddock_forwarder::calls::{Call, Dispatched};
 use reeddock_forwarder::limits::Allowance;
 use reeddock_forwarder::{serve_on, Post};
-use reeddock_ledger::look;
+use reeddock_wal::look;
 use reeddock_protocol::{Letter, ListPart};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/scale/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -1,22 +1,22 @@
-//! The program `reeddock-scale`.
+//! The program `reeddock-scale-test`.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use reeddock_scale::fault::Fault;
-use reeddock_scale::fit::{fit, slopes};
-use reeddock_scale::report::Results;
-use reeddock_scale::run::{run, Options};
-use reeddock_scale::scenario::Scenario;
+use reeddock_scale_test::fault::Fault;
+use reeddock_scale_test::fit::{fit, slopes};
+use reeddock_scale_test::report::Results;
+use reeddock_scale_test::run::{run, Options};
+use reeddock_scale_test::scenario::Scenario;
 use tokio::signal::unix::{signal, SignalKind};
 
 /// Plays real and hollow forwarders against a control side on loopback, and measures them.
 ///
 /// Exit codes: 0 if every check passed, 1 if one failed, 2 if there is no result.
 #[derive(Parser)]
-#[command(name = "reeddock-scale", version, args_conflicts_with_subcommands = true)]
+#[command(name = "reeddock-scale-test", version, args_conflicts_with_subcommands = true)]
 struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
@@ -49,7 +49,7 @@
         Ok(line) => line,
         Err(told) if !told.use_stderr() => told.exit(),
         Err(fault) => {
-            eprintln!("reeddock-scale: {}", in_one_line(&fault.to_string()));
+            eprintln!("reeddock-scale-test: {}", in_one_line(&fault.to_string()));
             return ExitCode::from(2);
         }
     };
@@ -71,7 +71,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(fault) => {
-            eprintln!("reeddock-scale: {}", fault.to_string().replace('\n', " "));
+            eprintln!("reeddock-scale-test: {}", fault.to_string().replace('\n', " "));
             ExitCode::from(2)
         }
     }
@@ -124,7 +124,7 @@
     Ok(outcome.runs.iter().all(|run| run.sound()))
 }
 
-fn append_slopes(file: &Path, fitted: &[reeddock_scale::fit::Fitted]) -> Result<(), Fault> {
+fn append_slopes(file: &Path, fitted: &[reeddock_scale_test::fit::Fitted]) -> Result<(), Fault> {
     let broken =
         |e: std::io::Error| Fault::broken(format!("slopes can't be written to {}", file.display()), e);
     let mut to = std::fs::File::options().create(true).append(true).open(file).map_err(broken)?;
--- a/crates/scale/src/stage.rs
+++ b/crates/scale-test/src/stage.rs
@@ -103,7 +103,7 @@
                 return Err(Fault::input("--forwarder", expected, found));
             }
         };
-        let folder = tempfile::Builder::new().prefix("reeddock-scale-").tempdir();
+        let folder = tempfile::Builder::new().prefix("reeddock-scale-test-").tempdir();
         let folder = folder.map_err(|e| Fault::broken("no folder for temporary files", e))?;
         let targets_worker = Worker::start("targets")?;
         let targets = targets_worker.run(Targets::open()).await?;
--- a/crates/scale/tests/list.rs
+++ b/crates/scale-test/tests/list.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use reeddock_scale::decode::{Decoder, Entry, Part, Unreadable};
-use reeddock_scale::hollow::{Difference, Known, BYTES_A_TARGET};
-use reeddock_scale::truth::{name_of, place_of, Truth};
+use reeddock_scale_test::decode::{Decoder, Entry, Part, Unreadable};
+use reeddock_scale_test::hollow::{Difference, Known, BYTES_A_TARGET};
+use reeddock_scale_test::truth::{name_of, place_of, Truth};
 
 fn address(place: u32) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), 9000 + place as u16)
--- a/crates/scale/tests/ports.rs
+++ b/crates/scale-test/tests/ports.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::TcpListener;
 
-use reeddock_scale::ports;
+use reeddock_scale_test::ports;
 
 #[test]
 fn no_port_is_given_out_twice_and_blocks_follow_each_other() {
--- a/crates/scale/tests/program.rs
+++ b/crates/scale-test/tests/program.rs
@@ -8,8 +8,8 @@
 use procfs::process::{all_processes, Process};
 use rustix::process::{kill_process, Pid, Signal};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_reeddock-scale");
-const FORWARDER: &str = env!("CARGO_BIN_EXE_reeddock-scale-forwarder");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_reeddock-scale-test");
+const FORWARDER: &str = env!("CARGO_BIN_EXE_reeddock-scale-test-forwarder");
 
 fn scenarios() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/scale")
@@ -124,7 +124,7 @@
 fn all_scenarios_of_the_folder_can_be_read() {
     for entry in std::fs::read_dir(scenarios()).unwrap() {
         let path = entry.unwrap().path();
-        reeddock_scale::scenario::Scenario::read(&path).unwrap();
+        reeddock_scale_test::scenario::Scenario::read(&path).unwrap();
     }
 }
 
--- a/crates/scale/tests/runs.rs
+++ b/crates/scale-test/tests/runs.rs
@@ -2,10 +2,10 @@
 
 use std::path::{Path, PathBuf};
 
-use reeddock_scale::control::LostChange;
-use reeddock_scale::report::{Line, Results};
-use reeddock_scale::run::{run, Faults, Options};
-use reeddock_scale::scenario::Scenario;
+use reeddock_scale_test::control::LostChange;
+use reeddock_scale_test::report::{Line, Results};
+use reeddock_scale_test::run::{run, Faults, Options};
+use reeddock_scale_test::scenario::Scenario;
 
 const STATES: &str = "hollow forwarders have the control side's list";
 const COUNTS: &str = "no change is missing at a hollow forwarder";
@@ -29,7 +29,7 @@
 }
 
 fn play(scenario: Scenario, faults: Faults) -> Results {
-    let program = Some(PathBuf::from(env!("CARGO_BIN_EXE_reeddock-scale-forwarder")));
+    let program = Some(PathBuf::from(env!("CARGO_BIN_EXE_reeddock-scale-test-forwarder")));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.unwrap().block_on(run(scenario, Options { program, faults })).unwrap()
 }
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale-test/tests/slopes.rs
@@ -1,6 +1,6 @@
 //! Least squares on points whose fit is known.
 
-use reeddock_scale::fit::least_squares;
+use reeddock_scale_test::fit::least_squares;
 
 fn near(value: f64, expected: f64) {
     assert!((value - expected).abs() < 1e-9 * expected.abs().max(1.0), "{value}, expected {expected}");
--- a/crates/scale/tests/troubles.rs
+++ b/crates/scale-test/tests/troubles.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use reeddock_scale::troubles::Outages;
+use reeddock_scale_test::troubles::Outages;
 
 #[test]
 fn what_is_made_while_a_forwarder_catches_up_counts_to_the_trouble_and_no_more() {
--- a/crates/wirehost/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -10,7 +10,7 @@
     DestinationId, DispatchNo, EnvelopeId, Forwarder, Host, KeyId, Listing, Outcome, PeerId, Spans, Standing,
     TargetId,
 };
-use reeddock_terms::{terms, ReportFields};
+use reeddock_settings::{terms, ReportFields};
 use serde_json::{json, Value};
 
 /// What is wrong with a batch, in one line.
--- a/crates/wirehost/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use reeddock_wirehost::Wire;
+use reeddock_sim_adapter::Wire;
 
 fn main() -> ExitCode {
     // A panic of the module is told on the wire; the usual report of it would be a second one.
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire, batch by batch: odd but legal ones are answered, malformed ones end with one plain line.
 
-use reeddock_wirehost::Wire;
+use reeddock_sim_adapter::Wire;
 use serde_json::{json, Value};
 
 const ID: &str = "5d3a91c4-99e5-4cdd-ad37-efdbeadb10f2";
--- a/crates/emulator/tests/emulator/returning.rs
+++ b/crates/simulation/tests/simulation/returning.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use reeddock_emulator::layout::TargetNo;
-use reeddock_emulator::layout::{ForwarderNo, Layout};
-use reeddock_emulator::oracles::Oracles;
-use reeddock_emulator::partner::{falls_over, Partner};
-use reeddock_emulator::Scenario;
+use reeddock_simulation::layout::TargetNo;
+use reeddock_simulation::layout::{ForwarderNo, Layout};
+use reeddock_simulation::oracles::Oracles;
+use reeddock_simulation::partner::{falls_over, Partner};
+use reeddock_simulation::Scenario;
 
 const WORLD: &str = r#"
 version = 1
--- a/crates/emulator/tests/emulator/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -2,8 +2,8 @@
 //! when it is not.
 
 use crate::spoilt::{Defect, Spoilt};
-use reeddock_emulator::oracles::Rule;
-use reeddock_emulator::{run_with, Report, Scenario};
+use reeddock_simulation::oracles::Rule;
+use reeddock_simulation::{run_with, Report, Scenario};
 
 /// Three forwarders, destinations with told waits, and room for each trouble.
 const WORLD: &str = r#"
--- a/crates/emulator/tests/emulator/sharing.rs
+++ b/crates/simulation/tests/simulation/sharing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reeddock::{Outcome, TargetId};
-use reeddock_emulator::policies::sharing::{Exchange, Leave};
+use reeddock_simulation::policies::sharing::{Exchange, Leave};
 
 const TARGET: TargetId = TargetId(7);
 
--- a/crates/emulator/tests/emulator/spoilt.rs
+++ b/crates/simulation/tests/simulation/spoilt.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use reeddock::{DispatchNo, EnvelopeId, Host, Outcome, Past, PeerId, Spans, Standing, TargetId, Terms};
-use reeddock_emulator::policies::Module;
-use reeddock_emulator::policy::{HandIn, ListLine, Policy, Sight};
+use reeddock_simulation::policies::Module;
+use reeddock_simulation::policy::{HandIn, ListLine, Policy, Sight};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
--- a/crates/emulator/tests/emulator/worlds.rs
+++ b/crates/simulation/tests/simulation/worlds.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::spoilt::{Defect, Spoilt};
-use reeddock_emulator::agenda::Agenda;
-use reeddock_emulator::{run, run_with, Known, Report, Scenario};
+use reeddock_simulation::agenda::Agenda;
+use reeddock_simulation::{run, run_with, Known, Report, Scenario};
 
 /// Every figure told and none drawn but the arrivals: an answer comes 108 ms after its dispatch where a
 /// connection is made for it, and 102 ms after it where one stood.
--- a/crates/ledger/examples/appends.rs
+++ b/crates/wal/examples/appends.rs
@@ -1,13 +1,13 @@
 //! How long appends take while the ledger is compacted, and a start with what is owed: on a real folder.
 //!
-//!     cargo run --release -p reeddock-ledger --example appends -- FOLDER OWED_MB BODY_BYTES SECONDS
+//!     cargo run --release -p reeddock-wal --example appends -- FOLDER OWED_MB BODY_BYTES SECONDS
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use reeddock_ledger::{Ledger, Record, Sync, Taken};
+use reeddock_wal::{Ledger, Record, Sync, Taken};
 
 fn main() {
     let words: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/ledger/examples/owed.rs
+++ b/crates/wal/examples/owed.rs
@@ -2,16 +2,16 @@
 //! beside new ones. Each command prints one JSON line; run each in a process of its own, as memory is read from
 //! the process.
 //!
-//!     cargo run --release -p reeddock-ledger --example owed -- fill FOLDER COUNT BODY_BYTES [DESTINATIONS]
-//!     cargo run --release -p reeddock-ledger --example owed -- start FOLDER COUNT BODY_BYTES
-//!     cargo run --release -p reeddock-ledger --example owed -- drain FOLDER COUNT BODY_BYTES NEW_FOR_EACH_ENDED
+//!     cargo run --release -p reeddock-wal --example owed -- fill FOLDER COUNT BODY_BYTES [DESTINATIONS]
+//!     cargo run --release -p reeddock-wal --example owed -- start FOLDER COUNT BODY_BYTES
+//!     cargo run --release -p reeddock-wal --example owed -- drain FOLDER COUNT BODY_BYTES NEW_FOR_EACH_ENDED
 
 use std::path::Path;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use reeddock_ledger::{Ledger, Record, Sync, Taken};
+use reeddock_wal::{Ledger, Record, Sync, Taken};
 
 /// Envelopes in one append.
 const GROUP: u64 = 16;
--- a/crates/ledger/tests/processes.rs
+++ b/crates/wal/tests/processes.rs
@@ -7,10 +7,10 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock_ledger::{look, Ledger, Record, Sync};
+use reeddock_wal::{look, Ledger, Record, Sync};
 
 #[allow(dead_code)]
-#[path = "ledger/load.rs"]
+#[path = "wal/load.rs"]
 mod load;
 
 use load::{begun, taken};
--- a/crates/ledger/tests/ledger/crashes.rs
+++ b/crates/wal/tests/wal/crashes.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 
-use reeddock_ledger::memory::{Faults, Memory};
-use reeddock_ledger::{Folder, Ledger, Sync};
+use reeddock_wal::memory::{Faults, Memory};
+use reeddock_wal::{Folder, Ledger, Sync};
 
 use crate::load::{taken, Load, Model};
 
--- a/crates/ledger/tests/ledger/damage.rs
+++ b/crates/wal/tests/wal/damage.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use reeddock::EnvelopeId;
-use reeddock_ledger::memory::{Faults, Memory};
-use reeddock_ledger::{Begun, Carried, Folder, Ledger, Record, Sync, Taken, Unended};
+use reeddock_wal::memory::{Faults, Memory};
+use reeddock_wal::{Begun, Carried, Folder, Ledger, Record, Sync, Taken, Unended};
 use reeddock_protocol::GivenUp;
 use serde::Serialize;
 
--- a/crates/ledger/tests/ledger/load.rs
+++ b/crates/wal/tests/wal/load.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock_ledger::{Books, Ledger, Record, Taken};
+use reeddock_wal::{Books, Ledger, Record, Taken};
 use reeddock_protocol::GivenUp;
 
 /// Open envelopes with how their dispatches ended, and notices that are owed.
--- a/crates/ledger/tests/ledger/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -1,8 +1,8 @@
 //! Random steps against the plain reference: appends, restarts after kills, restarts after losses.
 
 use proptest::prelude::*;
-use reeddock_ledger::memory::Memory;
-use reeddock_ledger::{Ledger, Sync};
+use reeddock_wal::memory::Memory;
+use reeddock_wal::{Ledger, Sync};
 
 use crate::load::{Load, Model};
 
@@ -43,7 +43,7 @@
                 Move::Lapse => {
                     // All that is open ends at once, as after a long stop.
                     let ends: Vec<_> = load.model.open.keys().map(|id| {
-                        reeddock_ledger::Record::Ended { id: id.clone(), notice: None }
+                        reeddock_wal::Record::Ended { id: id.clone(), notice: None }
                     }).collect();
                     ends.iter().for_each(|r| load.model.apply(r));
                     ledger.append(&ends, Default::default()).unwrap();
--- a/crates/ledger/tests/ledger/stories.rs
+++ b/crates/wal/tests/wal/stories.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use reeddock_ledger::{Ledger, Record, Sync, Taken};
+use reeddock_wal::{Ledger, Record, Sync, Taken};
 use reeddock_protocol::GivenUp;
 
 const MOST: u64 = 60_000;
@@ -14,7 +14,7 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("reeddock-ledger-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("reeddock-wal-{}-{name}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         Folder(folder)
     }
--- a/docs/measure/start_with_owed.py
+++ b/docs/measure/start_with_owed.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """Starts a real forwarder on a ledger with many owed envelopes and measures its start, on loopback.
 
-    cargo build --release -p reeddock-daemon -p reeddock-ledger --example owed --bin reeddock
+    cargo build --release -p reeddock-daemon -p reeddock-wal --example owed --bin reeddock
     docs/measure/start_with_owed.py target/release/reeddock target/release/examples/owed 320000 75000 150000 1200000
 
 The first number is of the destinations that the envelopes are spread over. For each further number of envelopes (bodies of 440 bytes) prints one JSON line: seconds from the start of the process until
