--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -1,4 +1,4 @@
-//! A forwarder under load, for the benches: it holds envelopes for destinations that ask it to wait, while others
+//! A forwarder under load, for the benches: it holds messages for destinations that ask it to wait, while others
 //! are served.
 
 use std::collections::{HashMap, VecDeque};
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     pub held: usize,
-    /// Each has one target.
+    /// Each has one endpoint.
     pub destinations: u64,
     pub slots: u64,
 }
@@ -27,124 +27,142 @@
 /// A host that only remembers what was sent.
 #[derive(Default)]
 struct Sent {
-    out: VecDeque<(EnvelopeId, DispatchNo)>,
-    dispatches: HashMap<Arc<str>, u32>,
+    out: VecDeque<(MessageId, AttemptNumber)>,
+    attempts: HashMap<Arc<str>, u32>,
 }
 
-impl Host for Sent {
-    fn dispatch(&mut self, envelope: &EnvelopeId, _: TargetId, _: Spans) {
-        let no = self.dispatches.entry(envelope.0.clone()).or_default();
-        self.out.push_back((envelope.clone(), DispatchNo(*no)));
+impl PolicyHost for Sent {
+    fn start_attempt(&mut self, message: &MessageId, _: EndpointId, _: AttemptTimeouts) {
+        let no = self.attempts.entry(message.0.clone()).or_default();
+        self.out.push_back((message.clone(), AttemptNumber(*no)));
         *no += 1;
     }
-    fn call_off(&mut self, _: &EnvelopeId, _: DispatchNo) {}
-    fn shed(&mut self, _: &EnvelopeId, _: Option<Duration>) {}
-    fn break_off(&mut self, _: &EnvelopeId) {}
-    fn wake(&mut self, _: Duration) {}
-    fn probe(&mut self, _: TargetId) {}
-    fn tell(&mut self, _: Option<PeerId>, _: &[u8]) {}
+    fn cancel(&mut self, _: &MessageId, _: AttemptNumber) {}
+    fn reject(&mut self, _: &MessageId, _: Option<Duration>) {}
+    fn fail(&mut self, _: &MessageId) {}
+    fn set_timer(&mut self, _: Duration) {}
+    fn start_health_check(&mut self, _: EndpointId) {}
+    fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn subscribe(&mut self, _: bool) {}
-    fn fetch_list(&mut self) {}
+    fn fetch_endpoint_list(&mut self) {}
     fn log(&mut self, _: &str) {}
 }
 
 pub struct Load {
-    forwarder: Forwarder,
+    forwarder: DeliveryPolicy,
     host: Sent,
     now: Duration,
     size: Size,
-    envelopes: usize,
+    messages: usize,
     /// Destinations that are served, from number 0 up; those behind them wait.
     busy: u64,
 }
 
-fn terms(slots: u64) -> Terms {
-    let category = CategoryTerms {
+fn terms(slots: u64) -> Settings {
+    let class = MessageClass {
         name: "note".into(),
-        effect: Some(Effect::Pure),
-        promised: Some(LIMIT / 2),
-        outer_limit: Some(LIMIT),
+        idempotency: Some(Idempotency::Idempotent),
+        latency_objective: Some(LIMIT / 2),
+        deadline: Some(LIMIT),
         ..Default::default()
     };
-    Terms {
+    Settings {
         seed: 1,
         forwarders: Some(1),
-        categories: vec![category],
-        kinds: vec![("one".into(), false, Some(1))],
-        slots: Some(slots),
-        answers_report: true,
+        classes: vec![class],
+        endpoint_kinds: vec![EndpointKind {
+            name: "one".into(),
+            circuit_per_endpoint: false,
+            max_batch: Some(1),
+        }],
+        max_in_flight: Some(slots),
+        responses_carry_load_reports: true,
         ..Default::default()
     }
 }
 
-fn target(destination: u64) -> TargetId {
-    TargetId(destination as u32 + 1)
+fn endpoint(destination: u64) -> EndpointId {
+    EndpointId(destination as u32 + 1)
 }
 
 impl Load {
     /// A forwarder that knows its terms and no list yet.
     pub fn open(size: Size) -> Load {
         let mut host = Sent::default();
-        let forwarder = Forwarder::open(Duration::ZERO, terms(size.slots), &mut host);
+        let forwarder = DeliveryPolicy::new(Duration::ZERO, terms(size.slots), &mut host);
         let busy = size.destinations.div_ceil(2);
-        Load { forwarder, host, now: TICK, size, envelopes: 0, busy }
+        Load { forwarder, host, now: TICK, size, messages: 0, busy }
     }
 
     /// Tells the whole list.
     pub fn list(&mut self) {
-        self.forwarder.list_begins(true);
+        self.forwarder.begin_endpoint_list(true);
         for n in 0..self.size.destinations {
-            self.forwarder.listed(Listing {
-                target: target(n),
+            self.forwarder.update_endpoint(EndpointUpdate {
+                endpoint: endpoint(n),
                 destination: DestinationId(n + 1),
-                standing: Standing::Active,
+                state: EndpointState::Active,
                 weight: None,
                 zone: "z",
                 kind: "one",
             });
         }
-        self.forwarder.list_ends();
+        self.forwarder.finish_endpoint_list();
     }
 
-    /// Destinations that ask to wait: half of them, or as many as there are envelopes to hold.
+    /// Destinations that ask to wait: half of them, or as many as there are messages to hold.
     pub fn waiting(&self) -> u64 {
         (self.size.destinations - self.busy).min(self.size.held as u64).max(1)
     }
 
-    /// Has those destinations ask to wait, and hands in what is held for them. No turn is needed for it, as an
+    /// Has those destinations ask to wait, and submits what is held for them. No turn is needed for it, as an
     /// answer that refuses nothing may ask for a wait.
     pub fn hold(&mut self) {
         let waiting = self.waiting();
         for n in 0..waiting {
             // A report makes the route known; this one tells of no limit.
-            self.forwarder.reported(target(self.busy + n), LimitReport { left: 1.0, limit: 0.0 });
-            self.forwarder.told_to_wait(self.now, target(self.busy + n), WAIT);
+            self.forwarder.load_reported(endpoint(self.busy + n), LoadReport { left: 1.0, limit: 0.0 });
+            self.forwarder.retry_after_received(self.now, endpoint(self.busy + n), WAIT);
         }
         for n in 0..self.size.held as u64 {
-            self.hand_in(self.busy + n % waiting);
+            self.submit(self.busy + n % waiting);
         }
     }
 
-    fn hand_in(&mut self, destination: u64) {
-        let id =
-            EnvelopeId(Arc::from(format!("{:08x}-4c1e-4a2b-9d3f-{:012x}", self.envelopes, self.envelopes)));
-        self.envelopes += 1;
+    fn submit(&mut self, destination: u64) {
+        let id = MessageId(Arc::from(format!("{:08x}-4c1e-4a2b-9d3f-{:012x}", self.messages, self.messages)));
+        self.messages += 1;
         let to = DestinationId(destination + 1);
-        self.forwarder.hand_in(self.now, id, "note", None, None, self.now + LIMIT, to, &mut self.host);
+        let message = NewMessage {
+            id,
+            class: "note",
+            tenant: None,
+            ordering_key: None,
+            deadline: self.now + LIMIT,
+            destination: to,
+        };
+        self.forwarder.submit(self.now, message, &mut self.host);
     }
 
-    /// Sixteen answers, sixteen envelopes, one turn.
+    /// Sixteen answers, sixteen messages, one turn.
     pub fn turn(&mut self) {
         self.now += TICK;
         for _ in 0..IN_A_TURN {
             let Some((id, no)) = self.host.out.pop_front() else { break };
-            self.host.dispatches.remove(&id.0);
-            self.forwarder.settled(self.now, &id, no, Outcome::Completed, true, &mut self.host);
+            self.host.attempts.remove(&id.0);
+            self.forwarder.attempt_finished(
+                self.now,
+                &id,
+                no,
+                AttemptOutcome::Completed,
+                true,
+                &mut self.host,
+            );
         }
         for n in 0..IN_A_TURN as u64 {
-            self.hand_in(n % self.busy);
+            self.submit(n % self.busy);
         }
-        self.forwarder.turn(self.now, &mut self.host);
+        self.forwarder.run_due_work(self.now, &mut self.host);
     }
 
     /// Some turns, after which the calls that are out stay the same in number.
--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -1,5 +1,5 @@
-//! What the module keeps in memory for each listed target and each held envelope, as resident memory of a process
-//! of its own for each size (Linux). An envelope's figure has its id in it, 36 bytes.
+//! What the delivery policy keeps in memory for each listed endpoint and each held message, as resident memory of a process
+//! of its own for each size (Linux). A message's figure has its id in it, 36 bytes.
 
 mod load;
 
@@ -35,8 +35,8 @@
 }
 
 fn row(cells: [String; 7]) -> String {
-    let [held, destinations, list, target, all, envelope, peak] = cells;
-    format!("{held:>9} {destinations:>12} {list:>9} {target:>12} {all:>9} {envelope:>14} {peak:>9}")
+    let [held, destinations, list, endpoint, all, message, peak] = cells;
+    format!("{held:>9} {destinations:>12} {list:>9} {endpoint:>12} {all:>9} {message:>14} {peak:>9}")
 }
 
 /// Bytes for each, of a difference in kilobytes.
--- a/benches/turns.rs
+++ b/benches/turns.rs
@@ -1,7 +1,7 @@
-//! What a turn of the module costs, by what it holds, by destinations and by slots.
+//! What a turn of the delivery policy costs, by what it holds, by destinations and by slots.
 //!
-//! A forwarder holds envelopes for destinations that ask it to wait, while others are served: each turn tells
-//! sixteen answers, hands sixteen envelopes in, and lets the module decide.
+//! A forwarder holds messages for destinations that ask it to wait, while others are served: each turn tells
+//! sixteen answers, hands sixteen messages in, and lets the delivery policy decide.
 
 mod load;
 
--- a/crates/daemon/examples/long_list.rs
+++ b/crates/daemon/examples/long_list.rs
@@ -1,7 +1,7 @@
-//! Measures a real forwarder under a long list of targets: a stand-in for discovery and one target on loopback, and
-//! a client that hands envelopes in all the while.
+//! Measures a real forwarder under a long list of endpoints: a stand-in for discovery and one endpoint on loopback, and
+//! a client that submits messages all the while.
 //!
-//! `cargo run --release --example long_list -- target/release/reeddock 320000 [known]`
+//! `cargo run --release --example long_list -- endpoint/release/reeddock 320000 [known]`
 //!
 //! With `known` the list stands in the configuration instead, and discovery tells changes only. Prints one JSON object a line. Ends the forwarder that it
 //! started.
@@ -31,12 +31,12 @@
 const GIVE_UP: Duration = Duration::from_secs(120);
 
 /// The forwarder that is measured; ended with this.
-struct Forwarder {
+struct ForwarderProcess {
     child: Child,
     folder: PathBuf,
 }
 
-impl Drop for Forwarder {
+impl Drop for ForwarderProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -44,7 +44,7 @@
     }
 }
 
-impl Forwarder {
+impl ForwarderProcess {
     /// Kilobytes from the system's account of the process.
     fn kilobytes(&self, field: &str) -> Fallible<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
@@ -71,11 +71,11 @@
     SocketAddr::from(([10, (number >> 16) as u8, (number >> 8) as u8, number as u8], 9000))
 }
 
-/// Writes a whole list in pieces; all but the first entry are of targets that nobody sends to.
-fn write_list(to: &mut impl Write, targets: usize, first: SocketAddr) -> std::io::Result<u64> {
+/// Writes a whole list in pieces; all but the first entry are of endpoints that nobody sends to.
+fn write_list(to: &mut impl Write, endpoints: usize, first: SocketAddr) -> std::io::Result<u64> {
     let mut bytes = 0;
     let mut text = r#"{"generation":41,"reset":true,"instances":["#.to_owned();
-    for number in 0..targets {
+    for number in 0..endpoints {
         text += if number == 0 { "" } else { "," };
         text += &entry(number, if number == 0 { first } else { address(number) }, "Ready");
         if text.len() > 60_000 {
@@ -126,8 +126,8 @@
     Some(format!("{} {}", first.trim(), String::from_utf8_lossy(&body).trim()))
 }
 
-/// A target that answers all that it gets.
-fn target() -> Fallible<SocketAddr> {
+/// An endpoint that answers all that it gets.
+fn endpoint() -> Fallible<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let at = listener.local_addr()?;
     thread::spawn(move || {
@@ -145,15 +145,15 @@
     Ok(at)
 }
 
-/// One envelope that was handed in, and when that was since the client began.
-struct HandIn {
+/// One message that was submitted, and when that was since the client began.
+struct Submission {
     status: u16,
     took: Duration,
     at: Duration,
 }
 
-/// Hands envelopes in until told to end; says how long each answer took.
-fn client(at: SocketAddr, ends: Arc<AtomicBool>) -> Vec<HandIn> {
+/// Hands messages in until told to end; says how long each answer took.
+fn client(at: SocketAddr, ends: Arc<AtomicBool>) -> Vec<Submission> {
     let (mut answers, began) = (Vec::new(), Instant::now());
     let Ok(stream) = TcpStream::connect(at) else { return answers };
     let _ = stream.set_nodelay(true);
@@ -173,7 +173,7 @@
         }
         let Some(answer) = read_message(&mut reader) else { break };
         let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default();
-        answers.push(HandIn { status, took: start.elapsed(), at: start - began });
+        answers.push(Submission { status, took: start.elapsed(), at: start - began });
         thread::sleep(HAND_IN_EVERY.saturating_sub(start.elapsed()));
     }
     answers
@@ -190,7 +190,7 @@
     discovery: SocketAddr,
     listen: SocketAddr,
     known: Option<(usize, SocketAddr)>,
-) -> Fallible<Forwarder> {
+) -> Fallible<ForwarderProcess> {
     let folder = std::env::temp_dir().join(format!("reeddock-long-list-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("state"))?;
     let file = folder.join("config.json");
@@ -203,9 +203,9 @@
         "familyInfo":{{"maxCalls":64,"batchByKind":[1],"kindApart":[false]}},
         "policyLimits":{{"openCap":1000,"attemptsCap":8,"mayDuplicate":false,"connIdleUs":15000000}}}}"#
     )?;
-    if let Some((targets, first)) = known {
+    if let Some((endpoints, first)) = known {
         write!(config, r#","known":"#)?;
-        write_list(&mut config, targets, first)?;
+        write_list(&mut config, endpoints, first)?;
     }
     write!(config, "}}")?;
     drop(config);
@@ -215,19 +215,19 @@
         .arg(folder.join("state"))
         .stdin(Stdio::null())
         .spawn()?;
-    Ok(Forwarder { child, folder })
+    Ok(ForwarderProcess { child, folder })
 }
 
 fn main() -> Fallible<()> {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let [program, targets, rest @ ..] = &words[..] else {
+    let [program, endpoints, rest @ ..] = &words[..] else {
         return Err("usage: long_list PROGRAM TARGETS [known]".into());
     };
-    let targets: usize = targets.parse()?;
-    let first = target()?;
+    let endpoints: usize = endpoints.parse()?;
+    let first = endpoint()?;
     let discovery = TcpListener::bind("127.0.0.1:0")?;
     let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-    let known = (rest == ["known"]).then_some((targets, first));
+    let known = (rest == ["known"]).then_some((endpoints, first));
     let started = Instant::now();
     let forwarder = start(Path::new(program), discovery.local_addr()?, listen, known)?;
     let mut watch = watched(&discovery)?;
@@ -245,7 +245,7 @@
         forwarder.processor()?.as_millis()
     );
     if known.is_none() {
-        load(&forwarder, &mut watch, targets, first, listen)?;
+        load(&forwarder, &mut watch, endpoints, first, listen)?;
     }
     changes(&forwarder, &mut watch)?;
     idle(&forwarder, &mut watch)
@@ -265,9 +265,9 @@
 }
 
 fn load(
-    forwarder: &Forwarder,
+    forwarder: &ForwarderProcess,
     watch: &mut TcpStream,
-    targets: usize,
+    endpoints: usize,
     first: SocketAddr,
     listen: SocketAddr,
 ) -> Fallible<()> {
@@ -280,7 +280,7 @@
     let (told, bytes) = mpsc::channel();
     let writer = watch.try_clone()?;
     thread::spawn(move || {
-        let written = write_list(&mut Chunked(&writer), targets, first);
+        let written = write_list(&mut Chunked(&writer), endpoints, first);
         // The line's end tells the forwarder that the list is whole.
         let ended = Chunked(&writer).write_all(b"\n");
         let _ = told.send(written.and_then(|bytes| ended.map(|()| bytes)));
@@ -298,14 +298,14 @@
     let processor = forwarder.processor()? - processor;
     ends.store(true, Ordering::Relaxed);
     let answers = client.join().map_err(|_| "the client failed")?;
-    let refused = answers.iter().filter(|hand_in| hand_in.status != 202).count();
-    let mut spans: Vec<Duration> = answers.iter().map(|hand_in| hand_in.took).collect();
+    let refused = answers.iter().filter(|submit| submit.status != 202).count();
+    let mut spans: Vec<Duration> = answers.iter().map(|submit| submit.took).collect();
     spans.sort();
     let at = |share: f64| {
         spans.get((spans.len() as f64 * share) as usize).or(spans.last()).copied().unwrap_or_default()
     };
     println!(
-        r#"{{"targets":{targets},"bytes":{bytes},"written_ms":{},"in_force_ms":{},"processor_ms":{},"rss_kb":{},"peak_kb":{},"hand_ins":{},"not_202":{refused},"p50_ms":{:.2},"p99_ms":{:.2},"worst_ms":{:.2},"worst_at_ms":{}}}"#,
+        r#"{{"targets":{endpoints},"bytes":{bytes},"written_ms":{},"in_force_ms":{},"processor_ms":{},"rss_kb":{},"peak_kb":{},"hand_ins":{},"not_202":{refused},"p50_ms":{:.2},"p99_ms":{:.2},"worst_ms":{:.2},"worst_at_ms":{}}}"#,
         written.as_millis(),
         in_force.as_millis(),
         processor.as_millis(),
@@ -315,7 +315,7 @@
         at(0.5).as_secs_f64() * 1e3,
         at(0.99).as_secs_f64() * 1e3,
         spans.last().copied().unwrap_or_default().as_secs_f64() * 1e3,
-        answers.iter().max_by_key(|hand_in| hand_in.took).map_or(0, |worst| worst.at.as_millis()),
+        answers.iter().max_by_key(|submit| submit.took).map_or(0, |worst| worst.at.as_millis()),
     );
     Ok(())
 }
@@ -329,7 +329,7 @@
 }
 
 /// What one change costs, told one by one; and what as long a time without any costs.
-fn changes(forwarder: &Forwarder, watch: &mut TcpStream) -> Fallible<()> {
+fn changes(forwarder: &ForwarderProcess, watch: &mut TcpStream) -> Fallible<()> {
     let span = CHANGE_EVERY * CHANGES as u32;
     let before = forwarder.processor()?;
     rest(watch, span)?;
@@ -351,7 +351,7 @@
 }
 
 /// What the forwarder costs with a change each so often and nothing else.
-fn idle(forwarder: &Forwarder, watch: &mut TcpStream) -> Fallible<()> {
+fn idle(forwarder: &ForwarderProcess, watch: &mut TcpStream) -> Fallible<()> {
     let (before, start) = (forwarder.processor()?, Instant::now());
     for round in 0..IDLE_ROUNDS {
         change(watch, 1000 + u64::from(round))?;
--- a/crates/daemon/src/known.rs
+++ b/crates/daemon/src/config_file.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration without holding its list of targets, which may be most of the file.
+//! Reads a configuration without holding its list of endpoints, which may be most of the file.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::Value;
 
-/// The parts of a configuration that have a meaning, beside the list of targets.
+/// The parts of a configuration that have a meaning, beside the list of endpoints.
 const PARTS: [&str; 5] = ["listen", "discovery", "seed", "limits", "settings"];
 
 /// What stands in a configuration.
@@ -18,18 +18,18 @@
 pub struct Contents {
     /// Of [`PARTS`], those that are there.
     pub parts: BTreeMap<String, Value>,
-    /// The generation of the list of targets and how many entries it has, if there is one.
+    /// The generation of the list of endpoints and how many entries it has, if there is one.
     pub known: Option<Known>,
 }
 
-/// What a list of targets comes down to whose entries were handed on.
+/// What a list of endpoints comes down to whose entries were handed on.
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
     pub generation: u64,
     pub entries: usize,
 }
 
-/// Reads a file, and hands on each entry of its list of targets. An error names the file and the place in it.
+/// Reads a file, and hands on each entry of its list of endpoints. An error names the file and the place in it.
 pub fn read(file: &Path, each: &mut dyn FnMut(Entry)) -> Result<Contents, String> {
     let name = file.display();
     let opened = File::open(file).map_err(|e| format!("cannot read {name}: {e}"))?;
@@ -78,7 +78,7 @@
     }
 }
 
-/// The list of targets, or null.
+/// The list of endpoints, or null.
 struct List<'e> {
     each: &'e mut dyn FnMut(Entry),
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,18 +1,18 @@
 //! The program `reeddock`: one forwarder on sockets.
 
-mod duties;
-mod known;
-mod owed;
+mod config_file;
+mod startup;
+mod wal_command;
 
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-use owed::View;
 use reeddock_wal::Sync;
 use tokio::signal::unix::{signal, SignalKind};
 use tracing::level_filters::LevelFilter;
+use wal_command::View;
 
 const HELP: &str = "\
 reeddock - delivers envelopes to other firms' systems
@@ -54,7 +54,7 @@
     view: View,
 }
 
-/// When the ledger is synced, as the command line has it.
+/// When the write-ahead log is synced, as the command line has it.
 fn sync(word: &str) -> Result<Sync, String> {
     match word {
         "never" => Ok(Sync::Never),
@@ -111,7 +111,7 @@
         Some("serve") => serve(order).map(|()| ExitCode::SUCCESS),
         Some("check") => check(order).map(|()| ExitCode::SUCCESS),
         Some("ledger") => {
-            let sound = owed::tell(order.state()?.as_ref(), order.view)?;
+            let sound = wal_command::tell(order.state()?.as_ref(), order.view)?;
             Ok(ExitCode::from(u8::from(order.view == View::Verify && !sound)))
         }
         Some("version") => {
@@ -140,11 +140,11 @@
         let told = |kind| signal(kind).map_err(|e| format!("cannot wait for signals: {e}"));
         let (mut term, mut hangup) = (told(SignalKind::terminate())?, told(SignalKind::hangup())?);
         let (file, state) = (PathBuf::from(order.config()?), PathBuf::from(order.state()?));
-        let (mut post, moves, started) = duties::read(&file, state)?;
-        post.sync = order.sync;
+        let (mut options, moves, started) = startup::read(&file, state)?;
+        options.sync = order.sync;
         let rereading = async {
             while hangup.recv().await.is_some() {
-                match duties::read_again(&file).await {
+                match startup::read_again(&file).await {
                     Ok(now) => {
                         let needs_restart = now.needs_restart(&started);
                         tracing::info!(discovery = %now.discovery, ?needs_restart, "read the configuration again");
@@ -161,27 +161,34 @@
             }
         };
         tokio::select! {
-            served = reeddock_forwarder::serve(post, stop) => served.map_err(|e| e.to_string()),
+            served = reeddock_forwarder::serve(options, stop) => served.map_err(|e| e.to_string()),
             () = rereading => Err("signals are not told any more".into()),
         }
     })
 }
 
 fn check(order: Order) -> Result<(), String> {
-    let (post, _, started) = duties::read(order.config()?.as_ref(), Default::default())?;
-    let limits = reeddock_forwarder::limits::Limits::derive(post.allowance);
-    println!("listens on {}, discovery and notices at {}", post.listen, started.discovery);
-    println!("{} targets known, generation {}", post.known.targets, post.known.generation);
-    for category in &post.terms.categories {
-        let (name, effect) = (&category.name, category.effect);
-        let effect = effect.map_or("effect not understood, so effectful".into(), |e| format!("{e:?}"));
+    let (options, _, started) = startup::read(order.config()?.as_ref(), Default::default())?;
+    let limits = reeddock_forwarder::limits::Limits::derive(options.resources);
+    println!("listens on {}, discovery and notices at {}", options.listen, started.discovery);
+    println!(
+        "{} targets known, generation {}",
+        options.cached_list.endpoints, options.cached_list.generation
+    );
+    for class in &options.settings.classes {
+        let (name, idempotency) = (&class.name, class.idempotency);
+        let idempotency =
+            idempotency.map_or("effect not understood, so effectful".into(), |e| format!("{e:?}"));
         println!(
-            "category {name}: {effect}, promised {:?}, outer limit {:?}",
-            category.promised, category.outer_limit
+            "category {name}: {idempotency}, promised {:?}, outer limit {:?}",
+            class.latency_objective, class.deadline
         );
     }
     println!("shape {}", started.shape);
-    println!("slots {:?}, room for {:?} envelopes", post.terms.slots, post.terms.room);
+    println!(
+        "slots {:?}, room for {:?} envelopes",
+        options.settings.max_in_flight, options.settings.capacity
+    );
     println!("{limits:?}");
     Ok(())
 }
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -14,7 +14,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use reeddock_forwarder::limits::{Allowance, Limits, RESERVE};
+use reeddock_forwarder::limits::{Limits, ResourceLimits, RESERVE};
 use serde_json::json;
 use stand_ins::{entry, serve, until, Request, PAUSE};
 
@@ -24,7 +24,7 @@
 const AT_ONCE: usize = 100;
 /// After discovery is back, its list is known by then.
 const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// Each has a target of its own, to which a connection stands idle.
+/// Each has an endpoint of its own, to which a connection stands idle.
 const DESTINATIONS: RangeInclusive<u64> = 3..=42;
 const LOG: &str = "log";
 
@@ -35,7 +35,7 @@
     list: Arc<Mutex<String>>,
     /// When the list was told first.
     told: Arc<Mutex<Option<Instant>>>,
-    /// Ids of the calls that the target got.
+    /// Ids of the calls that the endpoint got.
     calls: Arc<Mutex<Vec<String>>>,
     notices: Arc<Mutex<String>>,
 }
@@ -60,20 +60,20 @@
 }
 
 /// Breaks under bookings, and completes the rest.
-fn target(shared: &Shared, request: &Request, stream: &mut TcpStream) -> bool {
+fn endpoint(shared: &Shared, request: &Request, stream: &mut TcpStream) -> bool {
     shared.calls.lock().unwrap().push(request.id.clone());
     !request.id.starts_with("booking")
         && stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").is_ok()
 }
 
 /// The program, ended with the test, however that goes.
-struct Forwarder {
+struct ForwarderProcess {
     child: Child,
     folder: PathBuf,
     address: SocketAddr,
 }
 
-impl Drop for Forwarder {
+impl Drop for ForwarderProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -81,19 +81,19 @@
     }
 }
 
-impl Forwarder {
+impl ForwarderProcess {
     /// With no more descriptors than it is told of.
-    fn start(discovery: SocketAddr, known: SocketAddr) -> Forwarder {
+    fn start(discovery: SocketAddr, known: SocketAddr) -> ForwarderProcess {
         let folder = std::env::temp_dir().join(format!("reeddock-descriptors-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         // Free a moment ago, and handed out to nobody else so soon.
         let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let class = |name: &str, effect: &str| json!({"name": name, "effect": effect, "onTimeUs": 2000000, "giveUpUs": 20000000});
-        let targets: Vec<_> = DESTINATIONS.map(|n| entry(&format!("t{n}"), known, n)).collect();
+        let class = |name: &str, idempotency: &str| json!({"name": name, "effect": idempotency, "onTimeUs": 2000000, "giveUpUs": 20000000});
+        let endpoints: Vec<_> = DESTINATIONS.map(|n| entry(&format!("t{n}"), known, n)).collect();
         let configuration = json!({
             "listen": address.to_string(), "discovery": discovery.to_string(), "seed": "1f",
             "limits": {"memory_mb": 48, "sockets": DESCRIPTORS, "disk_mb": 3},
-            "known": {"generation": 1, "reset": true, "instances": targets},
+            "known": {"generation": 1, "reset": true, "instances": endpoints},
             "settings": {
                 "balancers": 1, "az": "a", "kinds": ["partner"], "weights": "rough",
                 "classes": [class("update", "idempotent"), class("booking", "at_most_once")],
@@ -115,7 +115,7 @@
             .stderr(File::create(folder.join(LOG)).unwrap())
             .spawn()
             .unwrap();
-        let forwarder = Forwarder { child, folder, address };
+        let forwarder = ForwarderProcess { child, folder, address };
         until("it listens", || TcpStream::connect(address).ok());
         forwarder
     }
@@ -129,15 +129,15 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
-    /// Hands an envelope in until it is taken on: in a crowd a connection may be closed unread.
-    fn hand_in(&self, id: &str, category: &str, destination: u64) {
+    /// Hands a message in until it is accepted: in a crowd a connection may be closed unread.
+    fn submit(&self, id: &str, class: &str, destination: u64) {
         let mut tries = 0;
         until(id, || {
             tries += 1;
             let mut stream = TcpStream::connect(self.address).ok()?;
             stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
             let request = format!(
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}-{tries}\r\nX-Call-Class: {category}\r\n\
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}-{tries}\r\nX-Call-Class: {class}\r\n\
                  X-Budget: 15\r\nX-Route-To: dest={destination}\r\nContent-Length: 0\r\n\r\n"
             );
             stream.write_all(request.as_bytes()).ok()?;
@@ -160,7 +160,7 @@
     }
 
     /// More of them, all there before the first is accepted.
-    fn come_at_once(&mut self, forwarder: &Forwarder) {
+    fn come_at_once(&mut self, forwarder: &ForwarderProcess) {
         forwarder.signal("-STOP");
         let first = self.clients.len();
         self.clients.extend((first..first + AT_ONCE).map(|number| Crowd::client(self.at, number)));
@@ -196,23 +196,23 @@
 fn clients_that_fill_the_descriptors_keep_neither_list_nor_notices_nor_calls_away() {
     let shared = Shared::default();
     let platform = serve(&shared, platform);
-    let target = serve(&shared, target);
-    let forwarder = Forwarder::start(platform, target);
+    let endpoint = serve(&shared, endpoint);
+    let forwarder = ForwarderProcess::start(platform, endpoint);
     for destination in DESTINATIONS {
         let id = format!("update-{destination}");
-        forwarder.hand_in(&id, "update", destination);
+        forwarder.submit(&id, "update", destination);
     }
     let all_called = || (shared.calls.lock().unwrap().len() >= DESTINATIONS.count()).then_some(());
     until("a connection to each target", all_called);
     let mut crowd = Crowd::come(forwarder.address);
     // Those that came before it have been accepted.
-    forwarder.hand_in("update-last-in-line", "update", *DESTINATIONS.start());
+    forwarder.submit("update-last-in-line", "update", *DESTINATIONS.start());
     crowd.come_at_once(&forwarder);
     let goes_on = AtomicBool::new(true);
     let most_open = std::thread::scope(|scope| {
         scope.spawn(|| crowd.stay(&goes_on));
         // However this ends, the crowd goes home.
-        let day = AssertUnwindSafe(|| crowded_day(&forwarder, &shared, target));
+        let day = AssertUnwindSafe(|| crowded_day(&forwarder, &shared, endpoint));
         let ended = catch_unwind(day);
         goes_on.store(false, Ordering::SeqCst);
         ended
@@ -224,8 +224,9 @@
 }
 
 /// What has to go on among the crowd; says how many descriptors were seen open at most.
-fn crowded_day(forwarder: &Forwarder, shared: &Shared, target: SocketAddr) -> usize {
-    let allowance = Allowance { memory_bytes: 48_000_000, descriptors: DESCRIPTORS, disk_bytes: 3_000_000 };
+fn crowded_day(forwarder: &ForwarderProcess, shared: &Shared, endpoint: SocketAddr) -> usize {
+    let allowance =
+        ResourceLimits { memory_bytes: 48_000_000, descriptors: DESCRIPTORS, disk_bytes: 3_000_000 };
     let filled = Limits::derive(allowance).clients;
     until("the places for clients are filled", || (forwarder.open_descriptors() >= filled).then_some(()));
     let mut most_open = forwarder.open_descriptors();
@@ -235,19 +236,19 @@
             shared.calls.lock().unwrap().iter().any(|call| call.starts_with(id)).then_some(())
         });
     };
-    forwarder.hand_in("update-while-down", "update", 3);
+    forwarder.submit("update-while-down", "update", 3);
     called("update-while-down");
-    forwarder.hand_in("booking-while-down", "booking", 3);
+    forwarder.submit("booking-while-down", "booking", 3);
     called("booking-while-down");
     until("a notice", || shared.notices.lock().unwrap().contains("booking-while-down").then_some(()));
     assert!(shared.told.lock().unwrap().is_none(), "discovery is down until now");
-    let list = json!({"generation": 2, "reset": false, "instances": [entry("new", target, 99)]});
+    let list = json!({"generation": 2, "reset": false, "instances": [entry("new", endpoint, 99)]});
     *shared.list.lock().unwrap() = list.to_string();
     let back = Instant::now();
     shared.discovery_answers.store(true, Ordering::SeqCst);
     let told = until("a watch", || *shared.told.lock().unwrap());
     assert!(told - back < TOLD_AFTER, "{:?}", told - back);
-    forwarder.hand_in("update-after-it", "update", 99);
+    forwarder.submit("update-after-it", "update", 99);
     called("update-after-it");
     most_open
 }
--- a/crates/daemon/tests/known.rs
+++ b/crates/daemon/tests/known.rs
@@ -1,4 +1,4 @@
-//! The list of targets in a configuration, short and long, sound and not.
+//! The list of endpoints in a configuration, short and long, sound and not.
 
 use std::process::{Command, Output};
 
--- a/crates/daemon/tests/lists.rs
+++ b/crates/daemon/tests/lists.rs
@@ -1,4 +1,4 @@
-//! What the program says of the list of targets in its log.
+//! What the program says of the list of endpoints in its log.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -23,13 +23,13 @@
 }
 
 impl Running {
-    /// Serves with a known list of so many targets, and a discovery that refuses connections.
-    fn start(name: &str, targets: usize) -> Running {
+    /// Serves with a known list of so many endpoints, and a discovery that refuses connections.
+    fn start(name: &str, endpoints: usize) -> Running {
         let folder = std::env::temp_dir().join(format!("reeddock-lists-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let file = folder.join("config.json");
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let entries: Vec<String> = (0..targets)
+        let entries: Vec<String> = (0..endpoints)
             .map(|n| {
                 format!(r#"{{"instanceId":"s-{n}","hostPort":"127.0.0.1:9","cell":{n},"lifecycle":"Ready"}}"#)
             })
@@ -84,7 +84,7 @@
 fn a_long_list_has_one_line_and_not_one_for_each_target() {
     let running = Running::start("long", 300);
     let lines = running.log_until("serving");
-    assert_eq!(count(&lines, "listed: TargetId("), 100);
+    assert_eq!(count(&lines, "listed: EndpointId("), 100);
     assert_eq!(count(&lines, "a list of targets is in force generation=4 whole=true entries=300 new=300"), 1);
     let answer = health(lines.last().unwrap());
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("\r\n\r\nok\n"), "{answer}");
--- a/crates/daemon/tests/restarts.rs
+++ b/crates/daemon/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! The real program killed with envelopes in its ledger, and started again.
+//! The real program killed with messages in its ledger, and started again.
 
 mod stand_ins;
 
@@ -13,18 +13,18 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use reeddock_wal::look;
+use reeddock_wal::inspect;
 use serde_json::json;
 use stand_ins::{entry, serve, until, Request, PAUSE};
 
-/// Each has a target of its own at the one stand-in, so that a call to one does not keep those to others waiting.
+/// Each has an endpoint of its own at the one stand-in, so that a call to one does not keep those to others waiting.
 const DESTINATIONS: u64 = 3;
 /// From the start of a process until it may be used. It takes some hundredths; a busy machine is not to decide.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Repeats of a category with a short window begin in it.
+/// Repeats of a class with a short window begin in it.
 const SHORT_WINDOW: Duration = Duration::from_secs(1);
 const LONG_WINDOW: Duration = Duration::from_secs(60);
-/// Every time limit on sockets is that much longer; and what the target's thread may take to look at its clock
+/// Every time limit on sockets is that much longer; and what the endpoint's thread may take to look at its clock
 /// on a busy machine.
 const TOLERANCE: Duration = Duration::from_millis(50 + 150);
 const FORWARDERS: usize = 10;
@@ -35,7 +35,7 @@
 /// More than fit into a window.
 const MANY_KILLS: usize = 1000;
 
-/// What the target does with a call, once it has been written down.
+/// What the endpoint does with a call, once it has been written down.
 #[derive(Clone, Copy)]
 enum Mood {
     Silent,
@@ -51,7 +51,7 @@
     completed: bool,
 }
 
-/// The platform and one target, which outlive the processes of a test.
+/// The platform and one endpoint, which outlive the processes of a test.
 #[derive(Clone, Default)]
 struct Shared {
     mood: Arc<AtomicU8>,
@@ -76,7 +76,7 @@
         self.calls().into_iter().filter(|call| call.id == id).collect()
     }
 
-    /// Ids of the envelopes that notices have ended.
+    /// Ids of the messages that notices have ended.
     fn noticed(&self) -> BTreeSet<String> {
         let notices = self.notices.lock().unwrap().clone();
         let id = |line: &str| {
@@ -96,7 +96,7 @@
     stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").is_ok()
 }
 
-fn target(shared: &Shared, request: &Request, stream: &mut TcpStream) -> bool {
+fn endpoint(shared: &Shared, request: &Request, stream: &mut TcpStream) -> bool {
     let seen = CallSeen { id: request.id.clone(), at: Instant::now(), completed: shared.is(Mood::Completes) };
     shared.calls.lock().unwrap().push(seen.clone());
     if seen.completed {
@@ -117,12 +117,12 @@
 }
 
 impl Place {
-    fn new(platform: SocketAddr, target: SocketAddr) -> Place {
+    fn new(platform: SocketAddr, endpoint: SocketAddr) -> Place {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("reeddock-restarts-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let class = |name: &str, effect: &str| json!({"name": name, "effect": effect, "onTimeUs": 2000000, "giveUpUs": 20000000});
+        let class = |name: &str, idempotency: &str| json!({"name": name, "effect": idempotency, "onTimeUs": 2000000, "giveUpUs": 20000000});
         let deduplicated = |name: &str, window: Duration, scope: &str| {
             let mut class = class(name, "deduplicated");
             class["windowUs"] = json!(window.as_micros() as u64);
@@ -130,7 +130,7 @@
             class
         };
         let known_target = |destination: u64| {
-            let mut known = entry(&format!("t{destination}"), target, destination);
+            let mut known = entry(&format!("t{destination}"), endpoint, destination);
             known["weight"] = json!(2000.0);
             known
         };
@@ -157,7 +157,7 @@
     }
 
     /// Starts a process, and returns once its health check has answered 200.
-    fn start(&self) -> Forwarder {
+    fn start(&self) -> ForwarderProcess {
         let started = Instant::now();
         let mut child = Command::new(env!("CARGO_BIN_EXE_reeddock"))
             .args(["serve".as_ref(), "--config".as_ref(), self.folder.join("configuration.json").as_os_str()])
@@ -173,7 +173,8 @@
                 listen.map(|at: SocketAddr| serving.send(at));
             }
         });
-        let mut forwarder = Forwarder { child, address: ([127, 0, 0, 1], 0).into(), ready_in: READY_WITHIN };
+        let mut forwarder =
+            ForwarderProcess { child, address: ([127, 0, 0, 1], 0).into(), ready_in: READY_WITHIN };
         forwarder.address = address.recv_timeout(READY_WITHIN).expect("it says where it listens");
         let mut stream = TcpStream::connect(forwarder.address).unwrap();
         stream.set_read_timeout(Some(READY_WITHIN)).unwrap();
@@ -187,43 +188,43 @@
     }
 
     fn owed(&self) -> usize {
-        look(&self.folder).unwrap().0.counts().0
+        inspect(&self.folder).unwrap().0.counts().0
     }
 
     /// Until nothing is owed, and no notice either.
-    fn settled(&self) {
-        until("nothing is owed", || (look(&self.folder).unwrap().0.counts() == (0, 0)).then_some(()));
+    fn attempt_finished(&self) {
+        until("nothing is owed", || (inspect(&self.folder).unwrap().0.counts() == (0, 0)).then_some(()));
     }
 }
 
 /// One process, ended with the test, however that goes.
-struct Forwarder {
+struct ForwarderProcess {
     child: Child,
     address: SocketAddr,
     ready_in: Duration,
 }
 
-impl Drop for Forwarder {
+impl Drop for ForwarderProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-impl Forwarder {
+impl ForwarderProcess {
     /// With SIGKILL.
     fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Hands envelopes in on one connection, for each destination in turn; each is taken on.
-    fn hand_in(&self, envelopes: &[(String, &str)]) {
+    /// Hands messages in on one connection, for each destination in turn; each is accepted.
+    fn submit(&self, messages: &[(String, &str)]) {
         let mut stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(READY_WITHIN)).unwrap();
         let mut answers = BufReader::new(stream.try_clone().unwrap());
-        for ((id, category), destination) in envelopes.iter().zip((0..DESTINATIONS).cycle()) {
+        for ((id, class), destination) in messages.iter().zip((0..DESTINATIONS).cycle()) {
             let request = format!(
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}\r\nX-Call-Class: {category}\r\n\
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
                  X-Budget: 15\r\nX-Route-To: dest={destination}\r\nContent-Length: 0\r\n\r\n"
             );
             stream.write_all(request.as_bytes()).unwrap();
@@ -239,25 +240,25 @@
 fn with_stand_ins() -> (Shared, SocketAddr, SocketAddr) {
     let shared = Shared::default();
     shared.set(Mood::Silent);
-    let (platform, target) = (serve(&shared, platform), serve(&shared, target));
-    (shared, platform, target)
+    let (platform, endpoint) = (serve(&shared, platform), serve(&shared, endpoint));
+    (shared, platform, endpoint)
 }
 
 /// All of them killed behind the last 202 and started again at once.
 #[test]
 fn ten_killed_forwarders_are_ready_in_time_and_end_what_they_owe() {
-    let (shared, platform, target) = with_stand_ins();
-    let places: Vec<Place> = (0..FORWARDERS).map(|_| Place::new(platform, target)).collect();
-    let categories = ["update", "booking", "long"];
+    let (shared, platform, endpoint) = with_stand_ins();
+    let places: Vec<Place> = (0..FORWARDERS).map(|_| Place::new(platform, endpoint)).collect();
+    let classes = ["update", "booking", "long"];
     let envelopes_of = |at: usize| -> Vec<(String, &str)> {
-        let envelope = |n: usize| (format!("{}-{at}-{n}", categories[n % 3]), categories[n % 3]);
-        (0..OWED_BY_EACH).map(envelope).collect()
+        let message = |n: usize| (format!("{}-{at}-{n}", classes[n % 3]), classes[n % 3]);
+        (0..OWED_BY_EACH).map(message).collect()
     };
     std::thread::scope(|scope| {
         for (at, place) in places.iter().enumerate() {
             scope.spawn(move || {
                 let mut forwarder = place.start();
-                forwarder.hand_in(&envelopes_of(at));
+                forwarder.submit(&envelopes_of(at));
                 forwarder.kill();
             });
         }
@@ -265,37 +266,37 @@
     let owed: Vec<usize> = places.iter().map(Place::owed).collect();
     assert!(owed.iter().all(|owed| *owed >= OWED_AT_LEAST), "{owed:?}");
     shared.set(Mood::Completes);
-    let restarted: Vec<Forwarder> = std::thread::scope(|scope| {
+    let restarted: Vec<ForwarderProcess> = std::thread::scope(|scope| {
         let starts: Vec<_> = places.iter().map(|place| scope.spawn(|| place.start())).collect();
         starts.into_iter().map(|start| start.join().unwrap()).collect()
     });
     let ready: Vec<Duration> = restarted.iter().map(|forwarder| forwarder.ready_in).collect();
     println!("owed {owed:?}; ready after {ready:?}");
-    places.iter().for_each(Place::settled);
+    places.iter().for_each(Place::attempt_finished);
     let (calls, noticed) = (shared.calls(), shared.noticed());
     let delivered: BTreeSet<&str> = calls.iter().filter(|c| c.completed).map(|c| c.id.as_str()).collect();
     let called = |id: &str| calls.iter().filter(|call| call.id == id).count();
-    for (id, category) in (0..FORWARDERS).flat_map(envelopes_of) {
+    for (id, class) in (0..FORWARDERS).flat_map(envelopes_of) {
         assert!(delivered.contains(&*id) || noticed.contains(&id), "{id} has no end");
-        assert!(category != "booking" || called(&id) <= 1, "{id} was sent {} times", called(&id));
+        assert!(class != "booking" || called(&id) <= 1, "{id} was sent {} times", called(&id));
     }
 }
 
 #[test]
 fn what_was_out_at_a_kill_is_not_repeated_after_its_window_but_ended() {
-    let (shared, platform, target) = with_stand_ins();
-    let place = Place::new(platform, target);
+    let (shared, platform, endpoint) = with_stand_ins();
+    let place = Place::new(platform, endpoint);
     let mut forwarder = place.start();
-    let envelopes = ["short", "short-in-zone", "long"].map(|name| (name.to_owned(), name));
-    forwarder.hand_in(&envelopes);
-    until("all are out", || (shared.calls().len() == envelopes.len()).then_some(()));
+    let messages = ["short", "short-in-zone", "long"].map(|name| (name.to_owned(), name));
+    forwarder.submit(&messages);
+    until("all are out", || (shared.calls().len() == messages.len()).then_some(()));
     forwarder.kill();
     // The window is over for what was sent last, too.
     let last = shared.calls().iter().map(|call| call.at).max().unwrap();
     sleep((last + SHORT_WINDOW).saturating_duration_since(Instant::now()));
     shared.set(Mood::Completes);
     let _forwarder = place.start();
-    place.settled();
+    place.attempt_finished();
     let short = ["short", "short-in-zone"];
     assert_eq!(shared.noticed(), short.map(str::to_owned).into());
     for id in short {
@@ -310,15 +311,15 @@
 /// counts from the first of them.
 #[test]
 fn however_often_it_restarts_inside_a_window_no_repeat_comes_after_it() {
-    let (shared, platform, target) = with_stand_ins();
+    let (shared, platform, endpoint) = with_stand_ins();
     shared.set(Mood::Breaks);
-    let place = Place::new(platform, target);
-    for (category, most_kills) in
+    let place = Place::new(platform, endpoint);
+    for (class, most_kills) in
         [("short", 1), ("short", MANY_KILLS), ("short-in-zone", 1), ("short-in-zone", MANY_KILLS)]
     {
         let mut forwarder = place.start();
-        let id = &format!("{category}-{most_kills}");
-        forwarder.hand_in(&[(id.clone(), category)]);
+        let id = &format!("{class}-{most_kills}");
+        forwarder.submit(&[(id.clone(), class)]);
         let first = until("the first call", || shared.calls_of(id).first().cloned()).at;
         // Were it repeated after its window, it would be so until then.
         let may_repeat = || first.elapsed() < 3 * SHORT_WINDOW && !shared.noticed().contains(id);
@@ -333,7 +334,7 @@
             }
         }
         until("its end", || shared.noticed().contains(id).then_some(()));
-        place.settled();
+        place.attempt_finished();
         let after: Vec<Duration> = shared.calls_of(id).iter().map(|call| call.at - first).collect();
         println!("{id}: {} calls, {kills} kills, last call after {:?}", after.len(), after.iter().max());
         assert!(after.iter().all(|after| *after <= SHORT_WINDOW + TOLERANCE), "{after:?}");
--- a/crates/daemon/tests/stand_ins/mod.rs
+++ b/crates/daemon/tests/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform and for targets, on loopback.
+//! Stand-ins for the platform and for endpoints, on loopback.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -62,7 +62,7 @@
     address
 }
 
-/// A target in a list, in discovery's form.
+/// An endpoint in a list, in discovery's form.
 pub fn entry(name: &str, address: SocketAddr, destination: u64) -> serde_json::Value {
     json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": "partner",
            "cell": destination, "lifecycle": "Ready", "weight": 50.0, "startedAtMs": 0})
--- a/crates/daemon/tests/wal_command.rs
+++ b/crates/daemon/tests/wal_command.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use reeddock_wal::{Ledger, Record, Sync, Taken};
-use reeddock_protocol::GivenUp;
+use reeddock_protocol::FinalAnswer;
+use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
 
 fn reeddock(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_reeddock")).args(arguments).output().unwrap()
@@ -17,15 +17,15 @@
     (String::from_utf8(text).unwrap(), output.status.code())
 }
 
-fn taken(id: &str, category: &str, destination: u64) -> Record {
-    Record::Taken(Taken {
+fn taken(id: &str, class: &str, destination: u64) -> Record {
+    Record::Accepted(Accepted {
         idempotency_key: None,
         id: id.into(),
-        category: category.into(),
+        class: class.into(),
         tenant: None,
         key: None,
         destination,
-        outer_limit: 1,
+        deadline: 1,
         body: "a body".into(),
     })
 }
@@ -34,9 +34,9 @@
 fn it_tells_what_is_owed_and_what_is_damaged() {
     let folder = std::env::temp_dir().join(format!("reeddock-owed-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let mut writer = Ledger::open(&folder, 100_000, Sync::Never).unwrap();
-    let begun = Record::Begun { id: "order-1".into(), no: 0, target: "t".into(), at: 5 };
-    let ended = Record::Ended { id: "note-2".into(), notice: Some(GivenUp::BrokenOff) };
+    let mut writer = WriteAheadLog::open(&folder, 100_000, Sync::Never).unwrap();
+    let begun = Record::AttemptStarted { id: "order-1".into(), no: 0, endpoint: "t".into(), at: 5 };
+    let ended = Record::Finished { id: "note-2".into(), notice: Some(FinalAnswer::Failed) };
     let records =
         [taken("order-1", "order", 7), taken("note-1", "note", 8), taken("note-2", "note", 8), begun, ended];
     writer.append(&records, Duration::ZERO).unwrap();
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use reeddock_experiments::{Comparison, Fault, Lab, Policies, RecordingRun, Search, Setting, StreamRun, Sweep};
+use reeddock_experiments::{
+    Comparison, Fault, Lab, Policies, RecordingRun, Search, Setting, StreamRun, Sweep,
+};
 use reeddock_recorder::Form;
 
 /// Plays fleets of forwarders in simulated time and says what they earn, cost and break.
--- a/crates/experiments/src/record.rs
+++ b/crates/experiments/src/record.rs
@@ -13,13 +13,15 @@
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
 use rayon::prelude::*;
-use reeddock::{DispatchNo, EnvelopeId, Host, Listing, Outcome, Past, PeerId, TargetId};
-use reeddock_simulation::policy::{HandIn, ListLine, Policy, Sight};
-use reeddock_simulation::{run_with, Known, Scenario};
+use reeddock::{
+    AttemptNumber, AttemptOutcome, EndpointId, EndpointUpdate, MessageId, PeerId, PolicyHost, PreviousAttempt,
+};
 use reeddock_recorder::compare::{compare, Difference, Pair, Verdict};
 use reeddock_recorder::line::Input;
 use reeddock_recorder::recording::locked;
 use reeddock_recorder::{streams, Form, Recording, Summary, Tape, Tee};
+use reeddock_simulation::policy::{ListLine, Policy, Sight, Submission};
+use reeddock_simulation::{run_with, Known, Scenario};
 use serde::Serialize;
 
 use crate::runs::progress;
@@ -75,20 +77,25 @@
 
 impl RecordedPolicy {
     /// Notes a call, and has it made with a host that notes each request.
-    fn call(&mut self, input: Input, host: &mut dyn Host, call: impl FnOnce(&mut dyn Policy, &mut dyn Host)) {
+    fn call(
+        &mut self,
+        input: Input,
+        host: &mut dyn PolicyHost,
+        call: impl FnOnce(&mut dyn Policy, &mut dyn PolicyHost),
+    ) {
         self.tape.note(input);
         call(self.module.as_mut(), &mut Tee { tape: &self.tape, host });
     }
 }
 
 impl Policy for RecordedPolicy {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn Host) {
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost) {
         self.tape.note(Input::ListBegins { whole });
         for line in lines {
-            self.tape.note(Input::Listed(&Listing {
-                target: line.target,
+            self.tape.note(Input::EndpointUpdated(&EndpointUpdate {
+                endpoint: line.target,
                 destination: line.destination,
-                standing: line.standing,
+                state: line.standing,
                 weight: line.weight,
                 zone: &line.zone,
                 kind: &line.kind,
@@ -97,58 +104,64 @@
         self.call(Input::ListEnds, host, |module, host| module.list(now, whole, lines, host));
     }
 
-    fn hand_in(&mut self, now: Duration, e: &HandIn, host: &mut dyn Host) {
-        let input = Input::HandIn {
+    fn submit(&mut self, now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
+        let input = Input::Submission {
             now,
             id: &e.id,
-            category: &e.category,
+            class: &e.category,
             tenant: Some(&e.program),
             key: e.key,
-            outer_limit: e.outer_limit,
+            deadline: e.outer_limit,
             destination: e.destination,
         };
-        self.call(input, host, |module, host| module.hand_in(now, e, host));
+        self.call(input, host, |module, host| module.submit(now, e, host));
     }
 
-    fn recall(&mut self, now: Duration, id: &EnvelopeId, past: &[Past], host: &mut dyn Host) {
+    fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        past: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
         let input = Input::Recall { now, id, past };
-        self.call(input, host, |module, host| module.recall(now, id, past, host));
+        self.call(input, host, |module, host| module.restore(now, id, past, host));
     }
 
-    fn settled(
+    fn attempt_finished(
         &mut self,
         now: Duration,
-        id: &EnvelopeId,
-        no: DispatchNo,
-        outcome: Outcome,
+        id: &MessageId,
+        no: AttemptNumber,
+        outcome: AttemptOutcome,
         over: bool,
-        host: &mut dyn Host,
+        host: &mut dyn PolicyHost,
     ) {
         let input = Input::Settled { now, id, no, outcome, over };
-        self.call(input, host, |module, host| module.settled(now, id, no, outcome, over, host));
+        self.call(input, host, |module, host| module.attempt_finished(now, id, no, outcome, over, host));
     }
 
-    fn withdrawn(&mut self, id: &EnvelopeId, host: &mut dyn Host) {
-        self.call(Input::Withdrawn { id }, host, |module, host| module.withdrawn(id, host));
+    fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
+        self.call(Input::Withdrawn { id }, host, |module, host| module.withdraw(id, host));
     }
 
-    fn alarm(&mut self, now: Duration) {
+    fn timer_fired(&mut self, now: Duration) {
         self.tape.note(Input::Alarm { now });
-        self.module.alarm(now);
+        self.module.timer_fired(now);
     }
 
-    fn probed(&mut self, now: Duration, target: TargetId, well: bool) {
-        self.tape.note(Input::Probed { now, target, well });
-        self.module.probed(now, target, well);
+    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool) {
+        self.tape.note(Input::Probed { now, endpoint: target, well });
+        self.module.health_checked(now, target, well);
     }
 
-    fn told(&mut self, now: Duration, from: PeerId, note: &[u8]) {
+    fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]) {
         self.tape.note(Input::Told { now, from, note });
-        self.module.told(now, from, note);
+        self.module.gossip_received(now, from, note);
     }
 
-    fn turn(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn Host) {
-        self.call(Input::Turn { now }, host, |module, host| module.turn(now, sight, host));
+    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost) {
+        self.call(Input::Turn { now }, host, |module, host| module.run_due_work(now, sight, host));
     }
 }
 
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use reeddock_simulation::{run, Known, Scenario};
 use reeddock_experiments::{draw, shrink, Comparison, Lab, Policies, Setting, Sweep, Want};
+use reeddock_simulation::{run, Known, Scenario};
 
 fn scenario() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/first-morning.toml")
--- a/crates/forwarder/examples/target_tables.rs
+++ b/crates/forwarder/examples/target_tables.rs
@@ -1,14 +1,14 @@
-//! Measures what the network side keeps for each listed target: names, numbers, addresses, batches and kinds.
+//! Measures what the network side keeps for each listed endpoint: names, numbers, addresses, batches and kinds.
 //!
 //! `cargo run --release -p reeddock-forwarder --example target_tables -- 320000` prints one JSON object: resident
-//! bytes for each target by the system's account, names of ten bytes among them.
+//! bytes for each endpoint by the system's account, names of ten bytes among them.
 
 use std::error::Error;
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use reeddock_forwarder::crowding::Crowding;
-use reeddock_forwarder::targets::{Place, TargetTable};
+use reeddock_forwarder::endpoints::{Place, TargetTable};
+use reeddock_forwarder::idle_permits::IdlePermits;
 
 const KINDS: [&str; 3] = ["m1", "m2", "m3"];
 
@@ -20,21 +20,21 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let targets: u32 = std::env::args().nth(1).ok_or("usage: target_tables TARGETS")?.parse()?;
+    let endpoints: u32 = std::env::args().nth(1).ok_or("usage: target_tables TARGETS")?.parse()?;
     let (before, start) = (resident()?, Instant::now());
-    let (mut table, mut crowding) = (TargetTable::default(), Crowding::default());
-    for number in 0..targets {
+    let (mut table, mut idle_permits) = (TargetTable::default(), IdlePermits::default());
+    for number in 0..endpoints {
         let id = table.number(&format!("s-{number:08x}"));
         let address = SocketAddr::from((number.to_be_bytes(), 9000));
         table.place(id, Place { address, batch: 1 });
-        crowding.listed(id, KINDS[number as usize % KINDS.len()]);
+        idle_permits.listed(id, KINDS[number as usize % KINDS.len()]);
     }
     let (filled, bytes) = (start.elapsed(), resident()? - before);
     println!(
-        r#"{{"targets":{targets},"bytes":{bytes},"bytes_each":{:.1},"nanoseconds_each":{:.0}}}"#,
-        bytes as f64 / f64::from(targets),
-        filled.as_nanos() as f64 / f64::from(targets)
+        r#"{{"targets":{endpoints},"bytes":{bytes},"bytes_each":{:.1},"nanoseconds_each":{:.0}}}"#,
+        bytes as f64 / f64::from(endpoints),
+        filled.as_nanos() as f64 / f64::from(endpoints)
     );
-    drop((table, crowding));
+    drop((table, idle_permits));
     Ok(())
 }
--- a/crates/forwarder/src/known_list.rs
+++ b/crates/forwarder/src/cached_endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of targets as it was last known, for the start of a process.
+//! The list of endpoints as it was last known, for the start of a process.
 
 use reeddock_protocol::{Entry, Fault, ListPart};
 
@@ -6,20 +6,20 @@
 pub type Entries = Box<dyn FnOnce(&mut dyn FnMut(Entry)) -> Result<(), Fault> + Send>;
 
 /// A list that is read entry by entry as it is applied, so that it need not be in memory whole.
-pub struct KnownList {
+pub struct CachedEndpointList {
     pub generation: u64,
-    pub targets: usize,
+    pub endpoints: usize,
     entries: Entries,
 }
 
-impl KnownList {
-    pub fn new(generation: u64, targets: usize, entries: Entries) -> KnownList {
-        KnownList { generation, targets, entries }
+impl CachedEndpointList {
+    pub fn new(generation: u64, endpoints: usize, entries: Entries) -> CachedEndpointList {
+        CachedEndpointList { generation, endpoints, entries }
     }
 
     /// Where nothing is known.
-    pub fn none() -> KnownList {
-        KnownList::new(0, 0, Box::new(|_| Ok(())))
+    pub fn none() -> CachedEndpointList {
+        CachedEndpointList::new(0, 0, Box::new(|_| Ok(())))
     }
 
     /// Hands each entry on. An error says that the list is not as it was when it was found.
@@ -28,12 +28,12 @@
     }
 }
 
-impl From<ListPart> for KnownList {
-    fn from(part: ListPart) -> KnownList {
-        let (generation, targets) = (part.generation, part.entries.len());
-        KnownList::new(
+impl From<ListPart> for CachedEndpointList {
+    fn from(part: ListPart) -> CachedEndpointList {
+        let (generation, endpoints) = (part.generation, part.entries.len());
+        CachedEndpointList::new(
             generation,
-            targets,
+            endpoints,
             Box::new(|each| {
                 part.entries.into_iter().for_each(each);
                 Ok(())
--- a/crates/forwarder/src/clock.rs
+++ b/crates/forwarder/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time as the module knows it, a span that only grows; and wall-clock time, for what is stored or told.
+//! Time as the delivery policy knows it, a span that only grows; and wall-clock time, for what is stored or told.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -35,8 +35,8 @@
     /// The next moment of a grid this wide; at once where it has no width.
     pub fn next(&self, width: Duration) -> Instant {
         let passed = self.start.elapsed();
-        let over = passed.as_nanos().checked_rem(width.as_nanos()).unwrap_or_default();
-        let left = if over == 0 { Duration::ZERO } else { width - Duration::from_nanos(over as u64) };
+        let finished = passed.as_nanos().checked_rem(width.as_nanos()).unwrap_or_default();
+        let left = if finished == 0 { Duration::ZERO } else { width - Duration::from_nanos(finished as u64) };
         self.start + passed + left
     }
 
--- a/crates/forwarder/src/connections.rs
+++ b/crates/forwarder/src/connections.rs
@@ -17,16 +17,16 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
-use reeddock::TargetId;
-use reeddock_protocol::Ending;
+use reeddock::EndpointId;
+use reeddock_protocol::AttemptResult;
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-use crate::crowding::Crowding;
-use crate::passage::{Arrival, Departure};
+use crate::http_progress::{RequestProgress, StatusLine};
+use crate::idle_permits::IdlePermits;
 
 pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -37,20 +37,20 @@
 
 /// What one request and its answer have come to on their connection.
 #[derive(Default)]
-struct Passage {
-    departure: Mutex<Departure>,
-    arrival: Mutex<Arrival>,
+struct ExchangeProgress {
+    departure: Mutex<RequestProgress>,
+    arrival: Mutex<StatusLine>,
     /// A first line has come whole.
     told: Notify,
 }
 
 /// A stream that notes what passes on it.
-struct Noted {
+struct ObservedStream {
     stream: TokioIo<TcpStream>,
-    passage: Arc<Passage>,
+    http_progress: Arc<ExchangeProgress>,
 }
 
-impl Noted {
+impl ObservedStream {
     /// Whether nothing waits to be read: what has come before a request is no answer to it, and would be taken
     /// for one. Asked of the system, which may know of bytes before this program does.
     fn silent(&self) -> bool {
@@ -59,12 +59,12 @@
     }
 }
 
-impl Read for Noted {
+impl Read for ObservedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: ReadBufCursor) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         read_through(&mut this.stream, cx, buf, |bytes| {
-            if locked(&this.passage.arrival).come(bytes) {
-                this.passage.told.notify_one();
+            if locked(&this.http_progress.arrival).come(bytes) {
+                this.http_progress.told.notify_one();
             }
         })
     }
@@ -86,15 +86,15 @@
     Poll::Ready(Ok(()))
 }
 
-impl Write for Noted {
+impl Write for ObservedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if !locked(&this.passage.departure).begun() && !this.silent() {
+        if !locked(&this.http_progress.departure).begun() && !this.silent() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let written = Pin::new(&mut this.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(n)) = written {
-            locked(&this.passage.departure).gone(&bytes[..n]);
+            locked(&this.http_progress.departure).gone(&bytes[..n]);
         }
         written
     }
@@ -120,7 +120,7 @@
 /// One open connection. Dropping it closes it, whatever is under way on it.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    passage: Arc<Passage>,
+    http_progress: Arc<ExchangeProgress>,
     /// Sent on it so far.
     requests: u32,
     /// How long it had stood idle before the last of them.
@@ -133,21 +133,21 @@
         to: SocketAddr,
         within: Duration,
         seat: Option<OwnedSemaphorePermit>,
-    ) -> Result<Self, Ending> {
+    ) -> Result<Self, AttemptResult> {
         let stream = match timeout(within, TcpStream::connect(to)).await {
-            Err(_) => return Err(Ending::NeverUp),
+            Err(_) => return Err(AttemptResult::ConnectTimedOut),
             Ok(Err(e)) if e.raw_os_error().is_some() && out_of_descriptors(&e) => {
-                return Err(Ending::NotBegun)
+                return Err(AttemptResult::NotSent)
             }
-            Ok(Err(_)) => return Err(Ending::Refused),
+            Ok(Err(_)) => return Err(AttemptResult::ConnectionRefused),
             Ok(Ok(stream)) => stream,
         };
         // A small request must not wait for the answer to the one before.
         let _ = stream.set_nodelay(true);
-        let passage = Arc::<Passage>::default();
-        let noted = Noted { stream: TokioIo::new(stream), passage: passage.clone() };
+        let http_progress = Arc::<ExchangeProgress>::default();
+        let noted = ObservedStream { stream: TokioIo::new(stream), http_progress: http_progress.clone() };
         let handshake = http1::Builder::new().max_buf_size(LONGEST_HEAD).handshake(noted).await;
-        let (sender, connection) = handshake.map_err(|_| Ending::CutShort)?;
+        let (sender, connection) = handshake.map_err(|_| AttemptResult::ResetWhileSending)?;
         let driver = tokio::spawn(async move {
             // How it ended reaches whoever has a request on it.
             let _ = connection.await;
@@ -155,7 +155,7 @@
         });
         Ok(Connection {
             sender,
-            passage,
+            http_progress,
             requests: 0,
             idle: Duration::ZERO,
             _driver: Driver(driver.abort_handle()),
@@ -163,19 +163,19 @@
     }
 
     /// Sends one request, once. What goes wrong is told by whether its last byte had left.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Ending> {
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, AttemptResult> {
         let length = request.body().size_hint().exact().unwrap_or(u64::MAX);
-        locked(&self.passage.departure).begin(usize::try_from(length).unwrap_or(usize::MAX));
-        *locked(&self.passage.arrival) = Arrival::default();
+        locked(&self.http_progress.departure).begin(usize::try_from(length).unwrap_or(usize::MAX));
+        *locked(&self.http_progress.arrival) = StatusLine::default();
         let sent = self.sender.send_request(request).await;
         self.requests += 1;
         sent.map_err(|fault| {
-            let left = locked(&self.passage.departure).complete();
+            let left = locked(&self.http_progress.departure).complete();
             tracing::debug!(%fault, left, earlier = self.requests - 1, idle = ?self.idle, "a request got no answer");
             match (left, fault.is_parse()) {
-                (false, _) => Ending::CutShort,
-                (true, false) => Ending::Broken,
-                (true, true) => Ending::Spoilt,
+                (false, _) => AttemptResult::ResetWhileSending,
+                (true, false) => AttemptResult::ConnectionReset,
+                (true, true) => AttemptResult::MalformedResponse,
             }
         })
     }
@@ -188,20 +188,20 @@
     /// Whether nothing of the last request was written, on a connection that had served before: it had ended
     /// between two requests, and that says nothing of the other side.
     pub fn was_over(&self) -> bool {
-        self.requests > 1 && !locked(&self.passage.departure).begun()
+        self.requests > 1 && !locked(&self.http_progress.departure).begun()
     }
 
     /// Whether the first line of the answer says that the call was completed.
     pub fn said_ok(&self) -> bool {
-        locked(&self.passage.arrival).says_ok()
+        locked(&self.http_progress.arrival).says_ok()
     }
 
     /// Comes once the first line of the answer says that the call was completed, whatever follows it.
     pub fn says_ok(&self) -> impl Future<Output = ()> {
-        let passage = self.passage.clone();
+        let http_progress = self.http_progress.clone();
         async move {
-            while !locked(&passage.arrival).says_ok() {
-                passage.told.notified().await;
+            while !locked(&http_progress.arrival).says_ok() {
+                http_progress.told.notified().await;
             }
         }
     }
@@ -226,7 +226,7 @@
 /// A connection that has stood idle for less than this is always used again.
 const SURELY_KEPT: Duration = Duration::from_millis(50);
 /// Of so many uses of connections that had stood longer, so many breaks make wary, and so few end that. Resets of
-/// one connection or one target stay under it.
+/// one connection or one endpoint stay under it.
 const USES_KEPT: usize = 64;
 const BREAKS_WARY: usize = 6;
 const BREAKS_USUAL: usize = 1;
@@ -237,7 +237,7 @@
 
 /// How kept connections fare when they are used again. Some die without a word, as when something on the way drops
 /// them: they break under the next request, before any byte of an answer. What was sent on them may have run, so
-/// that an effectful envelope is lost by each.
+/// that an non-idempotent message is lost by each.
 #[derive(Default)]
 struct Uses {
     /// The last ones, and whether they broke.
@@ -272,17 +272,17 @@
     }
 }
 
-/// Connections to targets. Idle ones are kept for the next call, for less time than the target keeps them, and
-/// for that target alone: its address may pass to another.
+/// Connections to endpoints. Idle ones are kept for the next call, for less time than the endpoint keeps them, and
+/// for that endpoint alone: its address may pass to another.
 #[derive(Clone)]
 pub struct Connections {
-    idle: Arc<Mutex<BTreeMap<TargetId, VecDeque<Idle>>>>,
+    idle: Arc<Mutex<BTreeMap<EndpointId, VecDeque<Idle>>>>,
     uses: Arc<Mutex<Uses>>,
-    /// Until when targets asked to be left alone.
-    rests: Arc<Mutex<BTreeMap<TargetId, Instant>>>,
-    /// Targets that the list calls leaving or gone.
-    left: Arc<Mutex<BTreeSet<TargetId>>>,
-    crowding: Arc<Mutex<Crowding>>,
+    /// Until when endpoints asked to be left alone.
+    rests: Arc<Mutex<BTreeMap<EndpointId, Instant>>>,
+    /// Endpoints that the list calls leaving or gone.
+    left: Arc<Mutex<BTreeSet<EndpointId>>>,
+    idle_permits: Arc<Mutex<IdlePermits>>,
     seats: Arc<Semaphore>,
     connect_within: Duration,
     idle_for: Duration,
@@ -295,18 +295,18 @@
             uses: Arc::default(),
             rests: Arc::default(),
             left: Arc::default(),
-            crowding: Arc::default(),
+            idle_permits: Arc::default(),
             seats: Arc::new(Semaphore::new(most)),
             connect_within,
-            // A request must arrive before the target closes, which counts from when it wrote its answer.
+            // A request must arrive before the endpoint closes, which counts from when it wrote its answer.
             idle_for: closed_after - closed_after / 8,
         }
     }
 
-    /// A connection to this target: the idle one that was used last, else a new one to its address.
-    pub async fn take(&self, target: TargetId, to: SocketAddr) -> Result<Connection, Ending> {
+    /// A connection to this endpoint: the idle one that was used last, else a new one to its address.
+    pub async fn take(&self, endpoint: EndpointId, to: SocketAddr) -> Result<Connection, AttemptResult> {
         let trusted = locked(&self.uses).trusted().min(self.idle_for);
-        while let Some(idle) = locked(&self.idle).get_mut(&target).and_then(VecDeque::pop_back) {
+        while let Some(idle) = locked(&self.idle).get_mut(&endpoint).and_then(VecDeque::pop_back) {
             let stood = idle.since.elapsed();
             if stood < trusted && idle.connection.sender.is_ready() {
                 return Ok(Connection { idle: stood, ..idle.connection });
@@ -318,61 +318,61 @@
             tokio::task::yield_now().await;
             seat = self.seats.clone().try_acquire_owned();
         }
-        let seat = seat.map_err(|_| Ending::NotBegun)?;
+        let seat = seat.map_err(|_| AttemptResult::NotSent)?;
         Connection::open(to, self.connect_within, Some(seat)).await
     }
 
     /// Takes back a connection whose answer has been read.
-    pub fn put(&self, target: TargetId, connection: Connection) {
-        let has_room = locked(&self.crowding).has_room(target, Instant::now());
+    pub fn put(&self, endpoint: EndpointId, connection: Connection) {
+        let has_room = locked(&self.idle_permits).has_room(endpoint, Instant::now());
         if has_room && connection.sender.is_ready() {
             let idle = Idle { connection, since: Instant::now() };
-            locked(&self.idle).entry(target).or_default().push_back(idle);
+            locked(&self.idle).entry(endpoint).or_default().push_back(idle);
         }
     }
 
-    /// The target asked to be left alone until then. A call that has begun may still wait for its connection, for
-    /// up to a second where the target takes few or can't be reached, and must not go once that is up.
-    pub fn rest(&self, target: TargetId, until: Instant) {
+    /// The endpoint asked to be left alone until then. A call that has begun may still wait for its connection, for
+    /// up to a second where the endpoint takes few or can't be reached, and must not go once that is up.
+    pub fn rest(&self, endpoint: EndpointId, until: Instant) {
         let mut rests = locked(&self.rests);
-        let at = rests.entry(target).or_insert(until);
+        let at = rests.entry(endpoint).or_insert(until);
         *at = until.max(*at);
     }
 
-    /// What the list says of a target. The same calls must not go to one that leaves, however long they waited.
-    pub fn listed(&self, target: TargetId, kind: &str, active: bool) {
-        locked(&self.crowding).listed(target, kind);
+    /// What the list says of an endpoint. The same calls must not go to one that leaves, however long they waited.
+    pub fn listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
+        locked(&self.idle_permits).listed(endpoint, kind);
         let mut left = locked(&self.left);
         if active {
-            left.remove(&target);
+            left.remove(&endpoint);
         } else {
-            left.insert(target);
+            left.insert(endpoint);
         }
     }
 
-    /// The target is gone, or a whole list does not name it any more.
-    pub fn gone(&self, target: TargetId) {
-        locked(&self.left).insert(target);
-        self.close_idle(target);
+    /// The endpoint is gone, or a whole list does not name it any more.
+    pub fn gone(&self, endpoint: EndpointId) {
+        locked(&self.left).insert(endpoint);
+        self.close_idle(endpoint);
     }
 
-    /// Forgets what the list said of targets that nothing is known of any more.
-    pub fn forget(&self, targets: &[TargetId]) {
-        let (mut left, mut crowding) = (locked(&self.left), locked(&self.crowding));
-        for target in targets {
-            left.remove(target);
-            crowding.forget(*target);
+    /// Forgets what the list said of endpoints that nothing is known of any more.
+    pub fn forget(&self, endpoints: &[EndpointId]) {
+        let (mut left, mut idle_permits) = (locked(&self.left), locked(&self.idle_permits));
+        for endpoint in endpoints {
+            left.remove(endpoint);
+            idle_permits.forget(*endpoint);
         }
     }
 
     /// Whether a call that has waited for its connection may still begin.
-    pub fn open_to(&self, target: TargetId) -> Result<(), Ending> {
-        if locked(&self.left).contains(&target) {
-            return Err(Ending::TargetLeaves);
+    pub fn open_to(&self, endpoint: EndpointId) -> Result<(), AttemptResult> {
+        if locked(&self.left).contains(&endpoint) {
+            return Err(AttemptResult::EndpointDraining);
         }
-        let resting = locked(&self.rests).get(&target).is_some_and(|until| *until > Instant::now());
+        let resting = locked(&self.rests).get(&endpoint).is_some_and(|until| *until > Instant::now());
         if resting {
-            Err(Ending::ToldToWait)
+            Err(AttemptResult::RetryAfterActive)
         } else {
             Ok(())
         }
@@ -380,20 +380,20 @@
 
     /// The last request on this connection was answered, or has broken it.
     pub fn used(&self, connection: &Connection, answered: bool) {
-        let broke = !answered && locked(&connection.passage.arrival).is_empty();
+        let broke = !answered && locked(&connection.http_progress.arrival).is_empty();
         locked(&self.uses).saw(connection.idle, broke);
     }
 
-    /// The target turned this connection away as it has too many: idle ones to its kind are closed for others.
-    pub fn turned_away(&self, target: TargetId) {
+    /// The endpoint turned this connection away as it has too many: idle ones to its kind are closed for others.
+    pub fn turned_away(&self, endpoint: EndpointId) {
         let now = Instant::now();
-        let mut crowding = locked(&self.crowding);
-        crowding.turned_away(target, now);
-        locked(&self.idle).retain(|target, _| crowding.has_room(*target, now));
+        let mut idle_permits = locked(&self.idle_permits);
+        idle_permits.turned_away(endpoint, now);
+        locked(&self.idle).retain(|endpoint, _| idle_permits.has_room(*endpoint, now));
     }
 
-    pub fn close_idle(&self, target: TargetId) {
-        locked(&self.idle).remove(&target);
+    pub fn close_idle(&self, endpoint: EndpointId) {
+        locked(&self.idle).remove(&endpoint);
     }
 
     /// Closes what has stood idle for too long, or has been closed by the other side.
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -1,14 +1,14 @@
-//! The table of targets as the network knows them: names, numbers and addresses.
+//! The table of endpoints as the network knows them: names, numbers and addresses.
 
 use std::hash::BuildHasher;
 use std::net::{SocketAddr, SocketAddrV4, SocketAddrV6};
 
 use hashbrown::{DefaultHashBuilder, HashTable};
 use indexmap::IndexMap;
-use reeddock::TargetId;
+use reeddock::EndpointId;
 use smol_str::SmolStr;
 
-/// An address in 16 bytes: there is one for each target that the list names, and nearly all are of the short form.
+/// An address in 16 bytes: there is one for each endpoint that the list names, and nearly all are of the short form.
 enum Address {
     /// The list has told none so far.
     Untold,
@@ -39,15 +39,15 @@
     batch: u32,
 }
 
-/// Where a target is.
+/// Where an endpoint is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     pub address: SocketAddr,
-    /// Envelopes in one call at most.
+    /// Messages in one call at most.
     pub batch: usize,
 }
 
-/// What became of the place of a target.
+/// What became of the place of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlaceChange {
     New,
@@ -59,7 +59,7 @@
 /// hundred thousand of them that would take longer than an event may.
 struct Named {
     hash: u32,
-    id: TargetId,
+    id: EndpointId,
 }
 
 impl Named {
@@ -69,7 +69,7 @@
     }
 }
 
-/// All targets that were heard of and are not forgotten. Nothing here costs more where there are more of them.
+/// All endpoints that were heard of and are not forgotten. Nothing here costs more where there are more of them.
 #[derive(Default)]
 pub struct TargetTable {
     /// By number.
@@ -83,23 +83,23 @@
 }
 
 impl TargetTable {
-    /// The number of a target, which it has until it is forgotten; no other gets the same.
-    pub fn number(&mut self, name: &str) -> TargetId {
+    /// The number of an endpoint, which it has until it is forgotten; no other gets the same.
+    pub fn number(&mut self, name: &str) -> EndpointId {
         let TargetTable { rows, names, hashes, numbered, .. } = self;
-        let name_of = |id: &TargetId| rows.get(&id.0).map_or("", |row| row.name.as_str());
+        let name_of = |id: &EndpointId| rows.get(&id.0).map_or("", |row| row.name.as_str());
         let hash = hashes.hash_one(name) as u32;
         if let Some(named) = names.find(Named::spread(hash), |named| name_of(&named.id) == name) {
             return named.id;
         }
-        let id = TargetId(*numbered);
+        let id = EndpointId(*numbered);
         *numbered += 1;
         names.insert_unique(Named::spread(hash), Named { hash, id }, |named| Named::spread(named.hash));
         rows.insert(id.0, Row { name: name.into(), address: Address::Untold, batch: 1 });
         id
     }
 
-    /// The list tells where a target is.
-    pub fn place(&mut self, id: TargetId, place: Place) -> PlaceChange {
+    /// The list tells where an endpoint is.
+    pub fn place(&mut self, id: EndpointId, place: Place) -> PlaceChange {
         let Some(row) = self.rows.get_mut(&id.0) else { return PlaceChange::Same };
         row.batch = u32::try_from(place.batch).unwrap_or(u32::MAX);
         match row.address.get() {
@@ -116,12 +116,12 @@
         }
     }
 
-    pub fn name(&self, id: TargetId) -> Option<&str> {
+    pub fn name(&self, id: EndpointId) -> Option<&str> {
         self.rows.get(&id.0).map(|row| row.name.as_str())
     }
 
-    /// Where a target is, once the list has told.
-    pub fn get(&self, id: TargetId) -> Option<Place> {
+    /// Where an endpoint is, once the list has told.
+    pub fn get(&self, id: EndpointId) -> Option<Place> {
         let row = self.rows.get(&id.0)?;
         Some(Place { address: row.address.get()?, batch: row.batch as usize })
     }
@@ -131,8 +131,8 @@
         self.placed
     }
 
-    /// Nothing is known of the target any more; should it come again, it gets another number.
-    pub fn forget(&mut self, id: TargetId) {
+    /// Nothing is known of the endpoint any more; should it come again, it gets another number.
+    pub fn forget(&mut self, id: EndpointId) {
         let Some(row) = self.rows.swap_remove(&id.0) else { return };
         self.placed -= usize::from(row.address.get().is_some());
         let hash = self.hashes.hash_one(row.name.as_str()) as u32;
--- a/crates/forwarder/src/owner/listing.rs
+++ b/crates/forwarder/src/event_loop/listing.rs
@@ -1,14 +1,14 @@
-//! The list of targets, told to the module entry by entry.
+//! The list of endpoints, told to the delivery policy entry by entry.
 
-use reeddock::{Listing, Standing, TargetId};
+use reeddock::{EndpointId, EndpointState, EndpointUpdate};
 use reeddock_protocol::{Entry, Fault, ListEvent};
 
-use super::Owner;
-use crate::known_list::KnownList;
-use crate::targets::{Place, PlaceChange};
-use crate::unreadable_list::UnreadableList;
+use super::EventLoop;
+use crate::cached_endpoint_list::CachedEndpointList;
+use crate::endpoints::{Place, PlaceChange};
+use crate::malformed_list::MalformedList;
 
-/// Targets that one part of the list may bring with a line in the log for each; further ones are in the debug log.
+/// Endpoints that one part of the list may bring with a line in the log for each; further ones are in the debug log.
 const NEW_TARGETS_LOGGED: usize = 100;
 
 /// How far a part of the list has been told.
@@ -16,46 +16,46 @@
     generation: u64,
     whole: bool,
     entries: usize,
-    /// Targets that were not known before.
+    /// Endpoints that were not known before.
     new: usize,
 }
 
-impl Owner {
+impl EventLoop {
     /// Applies some of what a watch tells.
     pub(super) fn hear_list(&mut self, piece: Vec<ListEvent>) {
         for event in piece {
             match event {
-                ListEvent::Begins { generation, whole } => self.list_begins(generation, whole),
-                ListEvent::Listed(entry) => self.listed(entry),
-                ListEvent::Ends => self.list_ends(),
+                ListEvent::Begins { generation, whole } => self.begin_endpoint_list(generation, whole),
+                ListEvent::EndpointUpdated(entry) => self.listed(entry),
+                ListEvent::Ends => self.finish_endpoint_list(),
                 ListEvent::Heartbeat => {}
             }
         }
     }
 
     /// Applies the list as it was last known, before anything else is heard. One without entries is none.
-    pub fn known_list(&mut self, known: KnownList) -> Result<(), Fault> {
-        if known.targets == 0 {
+    pub fn cached_endpoint_list(&mut self, cached_list: CachedEndpointList) -> Result<(), Fault> {
+        if cached_list.endpoints == 0 {
             tracing::info!("no list of targets is known at the start; what comes waits for discovery's");
             return Ok(());
         }
-        self.list_begins(known.generation, true);
-        known.each(|entry| self.listed(entry))?;
-        self.list_ends();
+        self.begin_endpoint_list(cached_list.generation, true);
+        cached_list.each(|entry| self.listed(entry))?;
+        self.finish_endpoint_list();
         Ok(())
     }
 
-    fn list_begins(&mut self, generation: u64, whole: bool) {
+    fn begin_endpoint_list(&mut self, generation: u64, whole: bool) {
         // The watch that told the one before was left in the middle of it.
-        self.list_broken();
-        self.forwarder.list_begins(whole);
+        self.abort_endpoint_list();
+        self.policy.begin_endpoint_list(whole);
         self.state.listing = Some(Progress { generation, whole, entries: 0, new: 0 });
     }
 
     /// The rest of a list that is being told will not come: what it did not name stays.
-    pub(super) fn list_broken(&mut self) {
+    pub(super) fn abort_endpoint_list(&mut self) {
         let Some(progress) = self.state.listing.take() else { return };
-        self.forwarder.list_broken();
+        self.policy.abort_endpoint_list();
         let Progress { generation, whole, entries, .. } = progress;
         tracing::warn!(
             generation,
@@ -66,8 +66,8 @@
     }
 
     /// A list that can't be read has come: the one before stands.
-    pub(super) fn list_unreadable(&mut self, list: &UnreadableList) {
-        self.list_broken();
+    pub(super) fn list_unreadable(&mut self, list: &MalformedList) {
+        self.abort_endpoint_list();
         self.list_status.unreadable(&list.fault);
         if let Some(more) = self.state.unreadable_lists.now() {
             let (fault, bytes) = (&list.fault, list.bytes);
@@ -76,9 +76,9 @@
     }
 
     /// The watch has ended, perhaps before it told any list.
-    pub(super) fn list_failed(&mut self) {
-        self.list_broken();
-        self.forwarder.list_failed(self.clock.now());
+    pub(super) fn discovery_failed(&mut self) {
+        self.abort_endpoint_list();
+        self.policy.discovery_failed(self.clock.now());
         if self.list_status.has_list() {
             return;
         }
@@ -89,19 +89,19 @@
     }
 
     fn listed(&mut self, entry: Entry) {
-        let target = self.state.targets.number(&entry.name);
-        let active = entry.standing == Standing::Active;
-        self.forwarder.listed(Listing {
-            target,
+        let endpoint = self.state.endpoints.number(&entry.name);
+        let active = entry.state == EndpointState::Active;
+        self.policy.update_endpoint(EndpointUpdate {
+            endpoint,
             destination: entry.destination,
-            standing: entry.standing,
+            state: entry.state,
             weight: entry.weight,
             zone: &entry.zone,
             kind: &entry.kind,
         });
-        self.courier.connections.listed(target, &entry.kind, active);
-        if entry.standing == Standing::Gone {
-            self.courier.connections.gone(target);
+        self.request_sender.connections.listed(endpoint, &entry.kind, active);
+        if entry.state == EndpointState::Removed {
+            self.request_sender.connections.gone(endpoint);
         }
         if let Some(progress) = &mut self.state.listing {
             progress.entries += 1;
@@ -109,58 +109,58 @@
         // One that is gone may still be spoken of, though its address is not told any more.
         let Some(address) = entry.address else { return };
         let batch = self.batches.get(&entry.kind).copied().unwrap_or(1);
-        match self.state.targets.place(target, Place { address, batch }) {
-            PlaceChange::New => self.log_new(target, &entry),
+        match self.state.endpoints.place(endpoint, Place { address, batch }) {
+            PlaceChange::New => self.log_new(endpoint, &entry),
             // Whoever is there now.
-            PlaceChange::Moved => self.courier.connections.close_idle(target),
+            PlaceChange::Moved => self.request_sender.connections.close_idle(endpoint),
             PlaceChange::Same => {}
         }
     }
 
-    /// The module's lines name targets by number.
-    fn log_new(&mut self, target: TargetId, entry: &Entry) {
+    /// The delivery policy's lines name endpoints by number.
+    fn log_new(&mut self, endpoint: EndpointId, entry: &Entry) {
         let new = self.state.listing.as_mut().map_or(1, |progress| {
             progress.new += 1;
             progress.new
         });
         let (name, at, destination) = (&entry.name, entry.address, entry.destination.0);
         if new <= NEW_TARGETS_LOGGED {
-            tracing::info!(name, ?at, destination, "listed: {target:?}");
+            tracing::info!(name, ?at, destination, "listed: {endpoint:?}");
         } else {
-            tracing::debug!(name, ?at, destination, "listed: {target:?}");
+            tracing::debug!(name, ?at, destination, "listed: {endpoint:?}");
         }
     }
 
-    fn list_ends(&mut self) {
-        let dropped = self.forwarder.list_ends();
-        for target in &dropped {
-            self.courier.connections.gone(*target);
+    fn finish_endpoint_list(&mut self) {
+        let dropped = self.policy.finish_endpoint_list();
+        for endpoint in &dropped {
+            self.request_sender.connections.gone(*endpoint);
         }
         let Some(Progress { generation, whole, entries, new }) = self.state.listing.take() else { return };
         if whole || new > NEW_TARGETS_LOGGED {
-            let (dropped, targets) = (dropped.len(), self.state.targets.placed());
+            let (dropped, endpoints) = (dropped.len(), self.state.endpoints.placed());
             tracing::info!(
                 generation,
                 whole,
                 entries,
                 new,
                 dropped,
-                targets,
+                endpoints,
                 "a list of targets is in force"
             );
         }
         self.list_status.in_force();
     }
 
-    /// What the module has forgotten is not kept here either: where targets are replaced all day under new names,
+    /// What the delivery policy has forgotten is not kept here either: where endpoints are replaced all day under new names,
     /// these would fill the memory.
     pub(super) fn forget_targets(&mut self) {
-        let forgotten = self.forwarder.take_forgotten();
-        for target in &forgotten {
-            self.state.targets.forget(*target);
+        let forgotten = self.policy.take_removed_endpoints();
+        for endpoint in &forgotten {
+            self.state.endpoints.forget(*endpoint);
         }
         if !forgotten.is_empty() {
-            self.courier.connections.forget(&forgotten);
+            self.request_sender.connections.forget(&forgotten);
         }
     }
 }
--- a/crates/forwarder/src/passage.rs
+++ b/crates/forwarder/src/http_progress.rs
@@ -3,20 +3,20 @@
 
 /// Finds the blank line that ends a head, however its bytes come.
 #[derive(Default)]
-pub struct HeadEnd {
+pub struct HeadScanner {
     /// Bytes of the blank line seen so far.
     blank: usize,
-    over: bool,
+    finished: bool,
 }
 
-impl HeadEnd {
+impl HeadScanner {
     /// What of these bytes stands behind the head.
     pub fn skip<'b>(&mut self, mut bytes: &'b [u8]) -> &'b [u8] {
         const BLANK: &[u8] = b"\r\n\r\n";
-        while let (false, Some((byte, rest))) = (self.over, bytes.split_first()) {
+        while let (false, Some((byte, rest))) = (self.finished, bytes.split_first()) {
             self.blank =
                 if *byte == BLANK[self.blank] { self.blank + 1 } else { usize::from(*byte == b'\r') };
-            self.over = self.blank == BLANK.len();
+            self.finished = self.blank == BLANK.len();
             bytes = rest;
         }
         bytes
@@ -26,16 +26,16 @@
 /// How much of a request has been handed to the system: what a library still holds back has not left, and a call
 /// that has not left whole cannot have run.
 #[derive(Default)]
-pub struct Departure {
+pub struct RequestProgress {
     begun: bool,
-    head: HeadEnd,
+    head: HeadScanner,
     body_left: usize,
 }
 
-impl Departure {
+impl RequestProgress {
     /// A request with so long a body is about to leave.
     pub fn begin(&mut self, body: usize) {
-        *self = Departure { body_left: body, ..Departure::default() };
+        *self = RequestProgress { body_left: body, ..RequestProgress::default() };
     }
 
     /// These bytes of it have left.
@@ -49,28 +49,28 @@
     }
 
     pub fn complete(&self) -> bool {
-        self.head.over && self.body_left == 0
+        self.head.finished && self.body_left == 0
     }
 }
 
 /// The first line of an answer: a library that can't read what follows it hides it, and it may have said that the
 /// call was completed. Lines of 1xx answers in front don't count.
 #[derive(Default)]
-pub struct Arrival {
+pub struct StatusLine {
     line: Vec<u8>,
     /// In the rest of a 1xx answer's head.
     aside: bool,
     whole: bool,
 }
 
-impl Arrival {
+impl StatusLine {
     /// Longer first lines are noise.
     const LONGEST: usize = 256;
 
     /// These bytes have come; says whether the first line has come whole with them.
     pub fn come(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
-            if self.whole || self.line.len() > Arrival::LONGEST {
+            if self.whole || self.line.len() > StatusLine::LONGEST {
                 return false;
             }
             self.line.push(*byte);
--- a/crates/forwarder/src/intake.rs
+++ b/crates/forwarder/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Where clients hand envelopes in.
+//! Where clients submit messages.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -21,7 +21,7 @@
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
 use hyper_util::service::TowerToHyperService;
-use reeddock_protocol::{Answer, HandIn, MOST_BODY};
+use reeddock_protocol::{ClientResponse, Submission, MAX_BODY_BYTES};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch, Notify, OwnedSemaphorePermit, Semaphore};
@@ -30,10 +30,10 @@
 
 use crate::connections::{locked, out_of_descriptors, read_through};
 use crate::events::Event;
+use crate::http_progress::HeadScanner;
 use crate::limits::Limits;
 use crate::list_status::ListStatus;
-use crate::passage::HeadEnd;
-use crate::seldom::Seldom;
+use crate::log_throttle::LogThrottle;
 
 /// A first request whose head has not come by then, and a body that has not come so long after its head, are
 /// not waited for: together less than three seconds, and far more than a client waits for its answer.
@@ -53,17 +53,17 @@
 
 /// What all connections of clients share.
 #[derive(Default)]
-pub struct Door {
+pub struct ClientConnections {
     leaving: AtomicBool,
-    guests: Mutex<BTreeMap<u64, Arc<Guest>>>,
+    guests: Mutex<BTreeMap<u64, Arc<ClientConnection>>>,
     closing: watch::Sender<bool>,
     list: ListStatus,
 }
 
 /// One client's connection.
-struct Guest {
-    seen: Mutex<Seen>,
-    tally: Mutex<Tally>,
+struct ClientConnection {
+    seen: Mutex<ConnectionPhase>,
+    tally: Mutex<RequestBytes>,
     /// Its place is wanted for another.
     out: Notify,
 }
@@ -71,13 +71,13 @@
 /// What has come of a client's request, read from the bytes themselves: more than its length says is a wrong
 /// length, or another request inside it, as clients send one at a time.
 #[derive(Default)]
-struct Tally {
+struct RequestBytes {
     begun: bool,
-    head: HeadEnd,
+    head: HeadScanner,
     past_head: usize,
 }
 
-impl Tally {
+impl RequestBytes {
     fn come(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
         self.past_head += self.head.skip(bytes).len();
@@ -87,7 +87,7 @@
 /// A client's stream, of which a tally is kept.
 struct Tallied {
     stream: TokioIo<TcpStream>,
-    guest: Arc<Guest>,
+    guest: Arc<ClientConnection>,
 }
 
 impl Read for Tallied {
@@ -113,7 +113,7 @@
 
 /// What a connection has shown of its client.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Seen {
+enum ConnectionPhase {
     /// No whole head yet, since it was accepted.
     Nothing(Instant),
     /// Answered, and no whole head since.
@@ -122,52 +122,52 @@
     Asking,
 }
 
-impl Seen {
+impl ConnectionPhase {
     /// When to close it, if nothing more is seen.
     fn closes(self) -> Option<Instant> {
         match self {
-            Seen::Nothing(since) => Some(since + HEAD_WITHIN),
-            Seen::Answered(since) => Some(since + IDLE_WITHIN),
-            Seen::Asking => None,
+            ConnectionPhase::Nothing(since) => Some(since + HEAD_WITHIN),
+            ConnectionPhase::Answered(since) => Some(since + IDLE_WITHIN),
+            ConnectionPhase::Asking => None,
         }
     }
 
     /// What can best be spared comes first: clients that have long said nothing, then idle ones.
     fn spared(self) -> Option<(bool, Instant)> {
         match self {
-            Seen::Nothing(since) => Some((false, since)).filter(|_| since.elapsed() >= JUST_COME),
-            Seen::Answered(since) => Some((true, since)),
-            Seen::Asking => None,
+            ConnectionPhase::Nothing(since) => Some((false, since)).filter(|_| since.elapsed() >= JUST_COME),
+            ConnectionPhase::Answered(since) => Some((true, since)),
+            ConnectionPhase::Asking => None,
         }
     }
 }
 
-impl Guest {
-    fn seen(&self) -> Seen {
+impl ClientConnection {
+    fn seen(&self) -> ConnectionPhase {
         *locked(&self.seen)
     }
 
     /// Whether a part of its next head has come.
     fn begins(&self) -> bool {
-        self.was_answered() && self.seen() != Seen::Asking && locked(&self.tally).begun
+        self.was_answered() && self.seen() != ConnectionPhase::Asking && locked(&self.tally).begun
     }
 
     fn was_answered(&self) -> bool {
-        !matches!(self.seen(), Seen::Nothing(_))
+        !matches!(self.seen(), ConnectionPhase::Nothing(_))
     }
 
-    fn now(&self, seen: Seen) {
-        if seen != Seen::Asking {
-            *locked(&self.tally) = Tally::default();
+    fn now(&self, seen: ConnectionPhase) {
+        if seen != ConnectionPhase::Asking {
+            *locked(&self.tally) = RequestBytes::default();
         }
         *locked(&self.seen) = seen;
     }
 }
 
-impl Door {
+impl ClientConnections {
     /// Clients that ask for its health are told of the list.
-    pub fn new(list: ListStatus) -> Door {
-        Door { list, ..Door::default() }
+    pub fn new(list: ListStatus) -> ClientConnections {
+        ClientConnections { list, ..ClientConnections::default() }
     }
 
     /// From here on clients are asked to go elsewhere.
@@ -185,7 +185,7 @@
         self.guests().is_empty()
     }
 
-    fn guests(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<Guest>>> {
+    fn guests(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
         locked(&self.guests)
     }
 
@@ -206,10 +206,10 @@
 
 /// The service that answers clients.
 #[derive(Clone)]
-pub struct Intake {
-    door: Arc<Door>,
-    guest: Arc<Guest>,
-    owner: mpsc::Sender<Event>,
+pub struct Ingress {
+    clients: Arc<ClientConnections>,
+    guest: Arc<ClientConnection>,
+    event_loop: mpsc::Sender<Event>,
     /// This connection is one too many: it is told so and closed.
     too_many: bool,
     /// With more connections than these, each is closed once its client is answered.
@@ -218,7 +218,7 @@
     lingering: Arc<Semaphore>,
 }
 
-impl Service<Request<Incoming>> for Intake {
+impl Service<Request<Incoming>> for Ingress {
     type Response = Response<Full<Bytes>>;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Infallible>> + Send>>;
@@ -228,72 +228,82 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
-        let intake = self.clone();
-        intake.guest.now(Seen::Asking);
+        let ingress = self.clone();
+        ingress.guest.now(ConnectionPhase::Asking);
         Box::pin(async move {
-            let answer = intake.answer(request).await;
-            intake.guest.now(Seen::Answered(Instant::now()));
-            let unread =
-                matches!(answer, Answer::TooLarge | Answer::TooSlow | Answer::NoLength | Answer::WrongLength);
-            let crowded = intake.door.guests().len() > intake.kept;
-            Ok(answer.encode(intake.too_many || unread || crowded || intake.door.leaving()))
+            let answer = ingress.answer(request).await;
+            ingress.guest.now(ConnectionPhase::Answered(Instant::now()));
+            let unread = matches!(
+                answer,
+                ClientResponse::TooLarge
+                    | ClientResponse::RequestTimeout
+                    | ClientResponse::LengthRequired
+                    | ClientResponse::LengthMismatch
+            );
+            let crowded = ingress.clients.guests().len() > ingress.kept;
+            Ok(answer.encode(ingress.too_many || unread || crowded || ingress.clients.leaving()))
         })
     }
 }
 
-impl Intake {
-    async fn answer(&self, request: Request<Incoming>) -> Answer {
+impl Ingress {
+    async fn answer(&self, request: Request<Incoming>) -> ClientResponse {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/healthz") if self.door.leaving() => Answer::Leaving,
-            (&Method::GET, "/healthz") => Answer::Healthy(self.door.list.trouble()),
-            (&Method::POST, "/api") => self.hand_in(request).await,
-            _ => Answer::NotFound,
+            (&Method::GET, "/healthz") if self.clients.leaving() => ClientResponse::ShuttingDown,
+            (&Method::GET, "/healthz") => ClientResponse::Healthy(self.clients.list.trouble()),
+            (&Method::POST, "/api") => self.submit(request).await,
+            _ => ClientResponse::NotFound,
         }
     }
 
-    async fn hand_in(&self, request: Request<Incoming>) -> Answer {
+    async fn submit(&self, request: Request<Incoming>) -> ClientResponse {
         let (parts, body) = request.into_parts();
         // A body whose end two sides may see in different places can hide a request in it.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
-            return Answer::NoLength;
+            return ClientResponse::LengthRequired;
         }
-        if body.size_hint().lower() > MOST_BODY as u64 {
-            return Answer::TooLarge;
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+            return ClientResponse::TooLarge;
         }
-        let body = match timeout(BODY_WITHIN, Limited::new(body, MOST_BODY).collect()).await {
+        let body = match timeout(BODY_WITHIN, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => return Answer::TooLarge,
-            Ok(Err(e)) => return Answer::Malformed(format!("body: {e}")),
-            Err(_) => return Answer::TooSlow,
+            Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => return ClientResponse::TooLarge,
+            Ok(Err(e)) => return ClientResponse::Malformed(format!("body: {e}")),
+            Err(_) => return ClientResponse::RequestTimeout,
         };
         if locked(&self.guest.tally).past_head > body.len() {
-            return Answer::WrongLength;
+            return ClientResponse::LengthMismatch;
         }
         let at = Instant::now();
-        let hand_in = match HandIn::decode(&parts, body) {
-            Ok(hand_in) => hand_in,
-            Err(fault) => return Answer::Malformed(fault),
+        let submit = match Submission::decode(&parts, body) {
+            Ok(submit) => submit,
+            Err(fault) => return ClientResponse::Malformed(fault),
         };
         if self.too_many {
-            return Answer::NoRoom;
+            return ClientResponse::NoCapacity;
         }
         let (reply, answered) = oneshot::channel();
-        if self.owner.try_send(Event::HandIn { hand_in, at, reply }).is_err() {
-            return Answer::NoRoom;
+        if self.event_loop.try_send(Event::Submission { submit, at, reply }).is_err() {
+            return ClientResponse::NoCapacity;
         }
-        answered.await.unwrap_or(Answer::NoRoom)
+        answered.await.unwrap_or(ClientResponse::NoCapacity)
     }
 }
 
 /// Accepts and serves clients until the door closes and nobody waits before it; connections that are open then are
 /// served on.
-pub async fn accept(listener: TcpListener, limits: Limits, door: Arc<Door>, owner: mpsc::Sender<Event>) {
-    let mut seldom = Seldom::default();
-    let mut closing = door.closing.subscribe();
+pub async fn accept(
+    listener: TcpListener,
+    limits: Limits,
+    clients: Arc<ClientConnections>,
+    event_loop: mpsc::Sender<Event>,
+) {
+    let mut log_throttle = LogThrottle::default();
+    let mut closing = clients.closing.subscribe();
     let lingering = Arc::new(Semaphore::new(limits.lingering));
     let places = Arc::new(Semaphore::new(limits.accepted));
     for number in 0.. {
-        let place = free_place(&places, &door).await;
+        let place = free_place(&places, &clients).await;
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
@@ -307,7 +317,7 @@
             Ok(accepted) => accepted,
             Err(e) => {
                 if out_of_descriptors(&e) {
-                    if let Some(more) = seldom.now() {
+                    if let Some(more) = log_throttle.now() {
                         tracing::warn!(%e, more, "no descriptor for a client's connection");
                     }
                     sleep(ACCEPT_AGAIN).await;
@@ -316,55 +326,55 @@
             }
         };
         let _ = stream.set_nodelay(true);
-        let too_many = door.guests().len() >= limits.clients && !door.spare_one();
-        let guest = Arc::new(Guest {
-            seen: Mutex::new(Seen::Nothing(Instant::now())),
+        let too_many = clients.guests().len() >= limits.clients && !clients.spare_one();
+        let guest = Arc::new(ClientConnection {
+            seen: Mutex::new(ConnectionPhase::Nothing(Instant::now())),
             tally: Mutex::default(),
             out: Notify::new(),
         });
-        door.guests().insert(number, guest.clone());
-        let intake = Intake {
-            door: door.clone(),
+        clients.guests().insert(number, guest.clone());
+        let ingress = Ingress {
+            clients: clients.clone(),
             guest,
-            owner: owner.clone(),
+            event_loop: event_loop.clone(),
             too_many,
             kept: limits.kept,
             lingering: lingering.clone(),
         };
-        let door = door.clone();
+        let clients = clients.clone();
         tokio::spawn(async move {
-            let stream = Tallied { stream: TokioIo::new(stream), guest: intake.guest.clone() };
-            serve(stream, from, intake, place).await;
-            door.guests().remove(&number);
+            let stream = Tallied { stream: TokioIo::new(stream), guest: ingress.guest.clone() };
+            serve(stream, from, ingress, place).await;
+            clients.guests().remove(&number);
         });
     }
 }
 
 /// A place for one more connection, once there is one. It is taken until the descriptor is closed, which may be a while
 /// after its client was spared for another.
-async fn free_place(places: &Arc<Semaphore>, door: &Door) -> Option<OwnedSemaphorePermit> {
+async fn free_place(places: &Arc<Semaphore>, clients: &ClientConnections) -> Option<OwnedSemaphorePermit> {
     loop {
         if let Ok(place) = places.clone().try_acquire_owned() {
             return Some(place);
         }
-        door.spare_one();
+        clients.spare_one();
         if let Ok(place) = timeout(ACCEPT_AGAIN, places.clone().acquire_owned()).await {
             return place.ok();
         }
     }
 }
 
-type Serving = http1::Connection<Tallied, TowerToHyperService<Intake>>;
+type Serving = http1::Connection<Tallied, TowerToHyperService<Ingress>>;
 
 /// Serves a connection to its end, which gives its place back.
 async fn serve(
     stream: Tallied,
     from: SocketAddr,
-    intake: Intake,
+    ingress: Ingress,
     client_place: Option<OwnedSemaphorePermit>,
 ) {
-    let guest = intake.guest.clone();
-    let mut closing = intake.door.closing.subscribe();
+    let guest = ingress.guest.clone();
+    let mut closing = ingress.clients.closing.subscribe();
     let told = async {
         tokio::select! {
             _ = closing.wait_for(|closing| *closing) => true,
@@ -372,8 +382,8 @@
             () = idle(&guest) => false,
         }
     };
-    let lingering = intake.lingering.clone();
-    let service = TowerToHyperService::new(intake);
+    let lingering = ingress.lingering.clone();
+    let service = TowerToHyperService::new(ingress);
     let mut serving: Serving =
         http1::Builder::new().max_buf_size(16 * 1024).serve_connection(stream, service);
     let served = tokio::select! {
@@ -404,20 +414,20 @@
 }
 
 /// Closes a connection, once a request that has begun is answered.
-async fn close(serving: &mut Serving, guest: &Guest, all: bool) -> hyper::Result<()> {
+async fn close(serving: &mut Serving, guest: &ClientConnection, all: bool) -> hyper::Result<()> {
     Pin::new(&mut *serving).graceful_shutdown();
     loop {
         let nothing = !all && !guest.was_answered();
         let patience = if nothing { Duration::ZERO } else { LAST_REQUEST };
         match timeout(patience, &mut *serving).await {
             Ok(served) => return served,
-            Err(_) if !all && guest.seen() != Seen::Asking => return Ok(()),
+            Err(_) if !all && guest.seen() != ConnectionPhase::Asking => return Ok(()),
             Err(_) => {}
         }
     }
 }
 
-/// Ends the writing side and throws away what still comes: none of it is taken on.
+/// Ends the writing side and throws away what still comes: none of it is accepted.
 async fn linger(mut stream: TcpStream) {
     let drained = async {
         stream.shutdown().await?;
@@ -427,7 +437,7 @@
 }
 
 /// Until no request has been open on the connection for as long as one may stand idle.
-async fn idle(guest: &Guest) {
+async fn idle(guest: &ClientConnection) {
     loop {
         match guest.seen().closes() {
             Some(at) if at <= Instant::now() => return,
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -3,7 +3,7 @@
 
 /// What a forwarder is told of its machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct ResourceLimits {
     pub memory_bytes: u64,
     pub descriptors: usize,
     pub disk_bytes: u64,
@@ -20,11 +20,11 @@
     pub kept: usize,
     /// Closed connections of clients that are still read from.
     pub lingering: usize,
-    /// Connections to targets, idle ones counted.
-    pub calls: usize,
-    /// Hand-ins that wait for the owner of the module.
+    /// Connections to endpoints, idle ones counted.
+    pub requests: usize,
+    /// Hand-ins that wait for the owner of the delivery policy.
     pub queue: usize,
-    /// Bytes of envelopes that are kept in memory.
+    /// Bytes of messages that are kept in memory.
     pub bodies: u64,
 }
 
@@ -37,7 +37,7 @@
     pub runtime: usize,
     pub listener: usize,
     /// Its lock, the segments that are open, one that is read or made beside them, and its folder.
-    pub ledger: usize,
+    pub log: usize,
     /// The configuration, as it is read again.
     pub configuration: usize,
     /// The watch on the list, and one that is being closed.
@@ -52,7 +52,7 @@
     standard_streams: 3,
     runtime: 8,
     listener: 1,
-    ledger: 8,
+    log: 8,
     configuration: 1,
     watch: 2,
     notices: 2,
@@ -64,7 +64,7 @@
         self.standard_streams
             + self.runtime
             + self.listener
-            + self.ledger
+            + self.log
             + self.configuration
             + self.watch
             + self.notices
@@ -73,8 +73,8 @@
 }
 
 impl Limits {
-    pub fn derive(allowance: Allowance) -> Limits {
-        let free = allowance.descriptors.saturating_sub(RESERVE.total()).max(8);
+    pub fn derive(resources: ResourceLimits) -> Limits {
+        let free = resources.descriptors.saturating_sub(RESERVE.total()).max(8);
         // Clients that ask once and stay, or never ask, take more places than calls do.
         let places = free * 3 / 5;
         let lingering = places / 8;
@@ -84,10 +84,10 @@
             accepted,
             lingering,
             kept: places / 8,
-            calls: free - places,
+            requests: free - places,
             queue: 1024,
             // The rest is for connections, each with the body that it is reading, and for the program.
-            bodies: allowance.memory_bytes / 4,
+            bodies: resources.memory_bytes / 4,
         }
     }
 }
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -14,7 +14,7 @@
 
 use crate::connections::Connection;
 use crate::events::Event;
-use crate::unreadable_list::UnreadableList;
+use crate::malformed_list::MalformedList;
 use crate::watch_schedule::Loss;
 
 /// Events of a list that the owner applies in one step at most, a few microseconds each.
@@ -22,16 +22,16 @@
 /// Pieces that wait for the owner at most; the reader waits beyond that, and so does discovery.
 pub const PIECES_WAITING: usize = 2;
 
-/// Reads until the watch ends; says why it did. `known` is the generation of the last part that the owner has
+/// Reads until the watch ends; says why it did. `cached_list` is the generation of the last part that the owner has
 /// whole; `heard` is set once any line has come to its end. After a list that can't be read the connection is
 /// closed, and a rest is kept before this returns. Nothing for `silent_after` is a silence.
 pub(crate) async fn read(
     connection: Connection,
     mut body: Incoming,
-    known: &mut u64,
+    cached_list: &mut u64,
     heard: &mut bool,
     silent_after: Duration,
-    owner: &mpsc::Sender<Event>,
+    event_loop: &mpsc::Sender<Event>,
 ) -> Loss {
     let mut reading = Reading { decoder: ListDecoder::default(), generation: None, piece: Vec::new() };
     loop {
@@ -42,12 +42,12 @@
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(bytes) = frame.into_data() else { continue };
-        match reading.take(&bytes, known, heard, owner).await {
+        match reading.take(&bytes, cached_list, heard, event_loop).await {
             Ok(()) => {}
             Err(Stop::OwnerGone) => return Loss::Broken("the forwarder stops".into()),
             Err(Stop::Unreadable(list)) => {
                 drop((connection, body));
-                return rest_after(list, owner).await;
+                return rest_after(list, event_loop).await;
             }
         }
     }
@@ -56,16 +56,16 @@
 /// Why a watch is not read any further.
 enum Stop {
     OwnerGone,
-    Unreadable(UnreadableList),
+    Unreadable(MalformedList),
 }
 
 /// Tells the owner of a list that can't be read, and lets it rest by what it cost.
-async fn rest_after(list: UnreadableList, owner: &mpsc::Sender<Event>) -> Loss {
+async fn rest_after(list: MalformedList, event_loop: &mpsc::Sender<Event>) -> Loss {
     let loss = Loss::Broken(format!("a list that can't be read: {}", list.fault));
     // Only keeps forwarders apart.
     let drawn = RandomState::new().hash_one(list.bytes) as f64 / u64::MAX as f64;
     let rest = list.rest(drawn);
-    let _ = owner.send(Event::Unreadable(list)).await;
+    let _ = event_loop.send(Event::Unreadable(list)).await;
     sleep(rest).await;
     loss
 }
@@ -84,17 +84,17 @@
     async fn take(
         &mut self,
         mut bytes: &[u8],
-        known: &mut u64,
+        cached_list: &mut u64,
         heard: &mut bool,
-        owner: &mpsc::Sender<Event>,
+        event_loop: &mpsc::Sender<Event>,
     ) -> Result<(), Stop> {
         loop {
             let event = match self.decoder.next(&mut bytes) {
                 Ok(Some(event)) => event,
-                Ok(None) => return self.hand_on(known, owner).await,
+                Ok(None) => return self.hand_on(cached_list, event_loop).await,
                 Err(fault) => {
                     let bytes = self.decoder.bytes();
-                    return Err(Stop::Unreadable(UnreadableList { fault, bytes }));
+                    return Err(Stop::Unreadable(MalformedList { fault, bytes }));
                 }
             };
             *heard |= matches!(event, ListEvent::Ends | ListEvent::Heartbeat);
@@ -102,12 +102,12 @@
                 self.piece.push(event);
             }
             if self.piece.len() >= LIST_PIECE {
-                self.hand_on(known, owner).await?;
+                self.hand_on(cached_list, event_loop).await?;
             }
         }
     }
 
-    async fn hand_on(&mut self, known: &mut u64, owner: &mpsc::Sender<Event>) -> Result<(), Stop> {
+    async fn hand_on(&mut self, cached_list: &mut u64, event_loop: &mpsc::Sender<Event>) -> Result<(), Stop> {
         if self.piece.is_empty() {
             return Ok(());
         }
@@ -120,11 +120,11 @@
             }
         }
         let piece = mem::take(&mut self.piece);
-        if owner.send(Event::List(piece)).await.is_err() {
+        if event_loop.send(Event::List(piece)).await.is_err() {
             return Err(Stop::OwnerGone);
         }
         // Only now: a watch that is left for another address before this asks for it again.
-        *known = ended.unwrap_or(*known);
+        *cached_list = ended.unwrap_or(*cached_list);
         Ok(())
     }
 }
--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -1,4 +1,4 @@
-//! What the health check says of the list of targets.
+//! What the health check says of the list of endpoints.
 
 use std::sync::{Arc, Mutex};
 
--- a/crates/forwarder/src/seldom.rs
+++ b/crates/forwarder/src/log_throttle.rs
@@ -7,12 +7,12 @@
 const APART: Duration = Duration::from_secs(5);
 
 #[derive(Default)]
-pub struct Seldom {
+pub struct LogThrottle {
     last: Option<Instant>,
     unsaid: u32,
 }
 
-impl Seldom {
+impl LogThrottle {
     /// Whether to write a line now; if so, how many were left out since the last.
     pub fn now(&mut self) -> Option<u32> {
         if self.last.is_some_and(|last| last.elapsed() < APART) {
--- a/crates/forwarder/src/unreadable_list.rs
+++ b/crates/forwarder/src/malformed_list.rs
@@ -9,14 +9,14 @@
 
 /// A list that came and can't be read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UnreadableList {
+pub struct MalformedList {
     /// Place and expectation, in one line.
     pub fault: String,
     /// Bytes that were read of its watch.
     pub bytes: u64,
 }
 
-impl UnreadableList {
+impl MalformedList {
     /// How long to rest before a list is asked for again, by what this one cost: the next is as long, as a rule, and
     /// can't be read either. `drawn` is from 0 to 1 and keeps forwarders apart that read the same list together.
     pub fn rest(&self, drawn: f64) -> Duration {
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -6,14 +6,14 @@
 
 use http::StatusCode;
 use http_body_util::BodyExt;
-use reeddock_protocol::{notices, Notice};
+use reeddock_protocol::{notices, DeliveryNotice};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
 use crate::connections::Connection;
 use crate::discovery::moved;
 use crate::events::Event;
-use crate::seldom::Seldom;
+use crate::log_throttle::LogThrottle;
 
 /// Notices in one message at most, well inside what a body may hold.
 const TOGETHER: usize = 128;
@@ -28,16 +28,16 @@
 /// Sends what comes in, in its order, to wherever the platform is then.
 pub async fn tell(
     mut at: watch::Receiver<SocketAddr>,
-    mut ended: mpsc::UnboundedReceiver<Notice>,
-    owner: mpsc::Sender<Event>,
+    mut ended: mpsc::UnboundedReceiver<DeliveryNotice>,
+    event_loop: mpsc::Sender<Event>,
 ) {
     let mut connection: Option<Connection> = None;
-    let mut seldom = Seldom::default();
+    let mut log_throttle = LogThrottle::default();
     let mut batch = Vec::new();
     while ended.recv_many(&mut batch, TOGETHER).await > 0 {
         let mut parts = VecDeque::from([std::mem::take(&mut batch)]);
         while let Some(mut part) = parts.pop_front() {
-            if !accepted(&mut at, &mut connection, &mut seldom, &part).await {
+            if !accepted(&mut at, &mut connection, &mut log_throttle, &part).await {
                 if part.len() > 1 {
                     // One of them can't be read, and the others are not to go with it.
                     let behind = part.split_off(part.len() / 2);
@@ -45,7 +45,7 @@
                     parts.push_front(part);
                     continue;
                 }
-                for Notice { id, end } in &part {
+                for DeliveryNotice { id, end } in &part {
                     // It would never be read, and those behind it must not wait.
                     tracing::error!(
                         id = &*id.0,
@@ -55,7 +55,7 @@
                 }
             }
             let told = part.into_iter().map(|n| n.id).collect();
-            if owner.send(Event::Told(told)).await.is_err() {
+            if event_loop.send(Event::Told(told)).await.is_err() {
                 return;
             }
         }
@@ -66,8 +66,8 @@
 async fn accepted(
     at: &mut watch::Receiver<SocketAddr>,
     connection: &mut Option<Connection>,
-    seldom: &mut Seldom,
-    batch: &[Notice],
+    log_throttle: &mut LogThrottle,
+    batch: &[DeliveryNotice],
 ) -> bool {
     let mut again = AGAIN_FIRST;
     loop {
@@ -89,7 +89,7 @@
             Ok(Err(fault)) => fault,
             Err(_) => "no answer".into(),
         };
-        if let Some(more) = seldom.now() {
+        if let Some(more) = log_throttle.now() {
             tracing::warn!(%fault, more, count = batch.len(), "notices are sent again");
         }
         *connection = None;
@@ -103,7 +103,7 @@
 async fn send(
     discovery: SocketAddr,
     kept: &mut Option<Connection>,
-    batch: &[Notice],
+    batch: &[DeliveryNotice],
 ) -> Result<StatusCode, String> {
     let mut connection = match kept.take() {
         Some(connection) => connection,
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! When the watch on the list of targets is opened again after it was lost, and by when a call that opens it is
+//! When the watch on the list of endpoints is opened again after it was lost, and by when a call that opens it is
 //! given up. Decides alone, without I/O: it is told times and losses, and answers with times.
 //!
 //! The deadline comes from the terms on which the list is told:
@@ -81,7 +81,7 @@
     /// An open watch on which nothing has come for [`Periods::silent_after`].
     Silent,
     /// No answer by the time at which the call was to be given up.
-    GivenUp,
+    FinalAnswer,
     /// Discovery answered that it will not, perhaps with a wait that it asks for.
     Refused(String, Option<Duration>),
 }
@@ -91,7 +91,7 @@
         match self {
             Loss::Broken(fault) | Loss::Refused(fault, _) => f.write_str(fault),
             Loss::Silent => f.write_str("silent"),
-            Loss::GivenUp => f.write_str("no answer"),
+            Loss::FinalAnswer => f.write_str("no answer"),
         }
     }
 }
@@ -163,7 +163,7 @@
             _ => self.second_call = None,
         }
         match loss {
-            Loss::GivenUp => now,
+            Loss::FinalAnswer => now,
             Loss::Refused(_, Some(asked)) => {
                 let wait = (*asked).min(self.periods.between_calls() / 2);
                 self.moment(Window { from: from.max(now + wait).min(by), by })
--- a/crates/forwarder/tests/loopback/lists.rs
+++ b/crates/forwarder/tests/loopback/lists.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use reeddock_forwarder::unreadable_list::BYTES_A_SECOND;
+use reeddock_forwarder::malformed_list::BYTES_A_SECOND;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Instant};
@@ -53,7 +53,7 @@
     }
 }
 
-/// Entries of targets that nobody sends to.
+/// Entries of endpoints that nobody sends to.
 fn others(count: usize) -> String {
     let entry =
         |n: usize| listed(&format!("other-{n}"), "127.0.0.1:9".parse().unwrap(), 100 + n as u64, "Ready");
@@ -66,16 +66,16 @@
 }
 
 async fn delivered(life: &Life, at: &StandIn, id: &str) {
-    assert_eq!(hand_in(life, id, "note").await, 202);
+    assert_eq!(submit(life, id, "note").await, 202);
     until(id, || at.got().into_iter().find(|m| m.id() == id)).await;
 }
 
-/// Until envelopes for destination 3 reach a target at this place.
+/// Until messages for destination 3 reach an endpoint at this place.
 async fn reaches(life: &Life, at: &StandIn) {
     let start = Instant::now();
     for n in 0.. {
         let id = format!("reaches-{n}-{}", at.address.port());
-        assert_eq!(hand_in(life, &id, "note").await, 202);
+        assert_eq!(submit(life, &id, "note").await, 202);
         if timeout(ms(50), until(&id, || at.got().into_iter().find(|m| m.id() == id))).await.is_ok() {
             return;
         }
@@ -93,13 +93,13 @@
         let mut life = world.forwarder_knowing(list(1, true, &[])).await;
         assert_eq!(health(&life).await, (200, "ok; no target list yet: discovery has told none\n".into()));
         let mut watch = discovery.watched().await;
-        let t = listed("t", world.target.address, 3, "Ready");
+        let t = listed("t", world.endpoint.address, 3, "Ready");
         let others = others(5000);
         let (head, tail) = others.split_at(others.len() / 2);
         watch.write(&format!("{{\"generation\":7,\"reset\":true,\"instances\":[{t},{head}")).await;
         // What has come of it holds, though it has not come to its end.
         for n in 0..3 {
-            delivered(&life, &world.target, &format!("meanwhile-{n}")).await;
+            delivered(&life, &world.endpoint, &format!("meanwhile-{n}")).await;
         }
         assert!(health(&life).await.1.starts_with("ok; no target list yet"));
         watch.write(tail).await;
@@ -112,7 +112,7 @@
         watch
             .write(&format!("{}\n{}\n", list(9, true, std::slice::from_ref(&t)), list(10, true, &[t])))
             .await;
-        reaches(&life, &world.target).await;
+        reaches(&life, &world.endpoint).await;
         drop(watch);
         assert_eq!(discovery.watched().await.after, 10);
         life.kill();
@@ -143,7 +143,7 @@
         // Asked for anew, as if nothing of it had come.
         let mut watch = discovery.watched().await;
         assert_eq!(watch.after, 1);
-        delivered(&life, &world.target, "after-the-break").await;
+        delivered(&life, &world.endpoint, "after-the-break").await;
         let whole = list(8, true, &[listed("u", elsewhere.address, 3, "Ready")]);
         let (head, tail) = whole.split_at(whole.len() / 2);
         watch.write(head).await;
@@ -152,7 +152,7 @@
         world.moves.send_replace(moved.address);
         let mut watch = moved.watched().await;
         assert_eq!(watch.after, 1);
-        delivered(&life, &world.target, "after-the-move").await;
+        delivered(&life, &world.endpoint, "after-the-move").await;
         watch.write(head).await;
         watch.write(&format!("{tail}\n")).await;
         reaches(&life, &elsewhere).await;
@@ -169,7 +169,7 @@
         let mut life = world.forwarder().await;
         let mut watch = discovery.watched().await;
         watch.write(&format!("{{\"generation\":7,\"reset\":true,\"instances\":[{}", others(1000))).await;
-        delivered(&life, &world.target, "before").await;
+        delivered(&life, &world.endpoint, "before").await;
         life.stop.take();
         let thread = life.thread.take().unwrap();
         until("its end", || thread.is_finished().then_some(())).await;
@@ -197,14 +197,16 @@
         let mean = ms(bytes * 1000 / BYTES_A_SECOND);
         assert!(rest >= mean / 2 && rest <= mean * 3 / 2 + ms(5000), "{rest:?}, on average {mean:?}");
         assert_eq!(watch.after, 1);
-        watch.write(&format!("{}\n", list(8, true, &[listed("t", world.target.address, 3, "Ready")]))).await;
+        watch
+            .write(&format!("{}\n", list(8, true, &[listed("t", world.endpoint.address, 3, "Ready")])))
+            .await;
         until_health(&life, "ok\n").await;
-        delivered(&life, &world.target, "then").await;
+        delivered(&life, &world.endpoint, "then").await;
         // The list that is in force stays in force under one that can't be read.
         watch.write("{\"generation\":9,\"instances\":7}\n").await;
         let told = until_trouble(&life).await;
         assert!(told.starts_with("ok; the newest target list can't be read: byte "), "{told}");
-        delivered(&life, &world.target, "under-it").await;
+        delivered(&life, &world.endpoint, "under-it").await;
         life.kill();
     });
 }
--- a/crates/forwarder/tests/loopback/stand_ins.rs
+++ b/crates/forwarder/tests/loopback/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for targets, the platform and clients on loopback, and a forwarder among them.
+//! Stand-ins for endpoints, the platform and clients on loopback, and a forwarder among them.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -9,12 +9,15 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use reeddock::{CategoryTerms, DispatchNo, Effect, EnvelopeId, Group, TargetId, Terms, Weights};
-use reeddock_forwarder::calls::{Call, Dispatched};
-use reeddock_forwarder::limits::Allowance;
-use reeddock_forwarder::{serve_on, Post};
-use reeddock_wal::look;
-use reeddock_protocol::{Letter, ListPart};
+use reeddock::{
+    AttemptNumber, EndpointId, EndpointKind, Idempotency, KeyScope, ListedWeights, MessageClass, MessageId,
+    Settings,
+};
+use reeddock_forwarder::limits::ResourceLimits;
+use reeddock_forwarder::request_sender::{EndpointRequest, PendingAttempt};
+use reeddock_forwarder::{serve_on, ForwarderOptions};
+use reeddock_protocol::{ListPart, OutgoingMessage};
+use reeddock_wal::inspect;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch};
@@ -176,21 +179,21 @@
     }
 }
 
-/// All that outlives a forwarder: its folder, the platform and one target.
+/// All that outlives a forwarder: its folder, the platform and one endpoint.
 pub struct World {
     pub folder: PathBuf,
     pub platform: StandIn,
     pub moves: watch::Sender<SocketAddr>,
-    pub target: StandIn,
-    pub allowance: Allowance,
+    pub endpoint: StandIn,
+    pub resources: ResourceLimits,
     pub closed_after: Duration,
     pub tick: Duration,
     /// Lists are asked for, and answers tell of limits.
     pub asking: bool,
-    /// An envelope may have two dispatches out.
+    /// A message may have two attempts out.
     pub copies: bool,
-    pub clients_come_for: Duration,
-    pub categories: Vec<(&'static str, Effect)>,
+    pub accept_grace: Duration,
+    pub classes: Vec<(&'static str, Idempotency)>,
 }
 
 impl Drop for World {
@@ -216,24 +219,25 @@
         let folder = std::env::temp_dir().join(format!("reeddock-story-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let platform = StandIn::start(as_platform);
-        let allowance = Allowance { memory_bytes: 192_000_000, descriptors: 1024, disk_bytes: 3_000_000 };
-        let (platform, target) = (platform.await, StandIn::start(script).await);
+        let resources =
+            ResourceLimits { memory_bytes: 192_000_000, descriptors: 1024, disk_bytes: 3_000_000 };
+        let (platform, endpoint) = (platform.await, StandIn::start(script).await);
         let moves = watch::Sender::new(platform.address);
         World {
             folder,
             platform,
             moves,
-            target,
-            allowance,
+            endpoint,
+            resources,
             closed_after: ms(5000),
             tick: ms(5),
             asking: false,
             copies: true,
-            clients_come_for: ms(1000),
-            categories: vec![
-                ("note", Effect::Pure),
-                ("order", Effect::Effectful),
-                ("mark", Effect::Receipted { window: ms(5000), group: Group::All }),
+            accept_grace: ms(1000),
+            classes: vec![
+                ("note", Idempotency::Idempotent),
+                ("order", Idempotency::NonIdempotent),
+                ("mark", Idempotency::WithKey { window: ms(5000), scope: KeyScope::Region }),
             ],
         }
     }
@@ -252,58 +256,62 @@
     }
 
     /// Until its ledger says that nothing is owed, and no notice either.
-    pub async fn settled(&self) {
+    pub async fn attempt_finished(&self) {
         let nothing = || {
-            let (books, _) = look(&self.folder).unwrap();
-            (books.counts() == (0, 0)).then_some(())
+            let (index, _) = inspect(&self.folder).unwrap();
+            (index.counts() == (0, 0)).then_some(())
         };
         until("nothing is owed", nothing).await;
     }
 
-    /// A forwarder that knows the target as destination 3.
+    /// A forwarder that knows the endpoint as destination 3.
     pub async fn forwarder(&self) -> Life {
-        self.forwarder_knowing(list(1, true, &[listed("t", self.target.address, 3, "Ready")])).await
+        self.forwarder_knowing(list(1, true, &[listed("t", self.endpoint.address, 3, "Ready")])).await
     }
 
     pub async fn forwarder_knowing(&self, known: String) -> Life {
-        let category = |(name, effect): &(&str, Effect)| CategoryTerms {
+        let class = |(name, idempotency): &(&str, Idempotency)| MessageClass {
             name: (*name).into(),
-            effect: Some(*effect),
-            promised: Some(ms(500)),
-            outer_limit: Some(ms(20_000)),
+            idempotency: Some(*idempotency),
+            latency_objective: Some(ms(500)),
+            deadline: Some(ms(20_000)),
             ..Default::default()
         };
-        let terms = Terms {
+        let settings = Settings {
             seed: 7,
             forwarders: Some(1),
-            categories: self.categories.iter().map(category).collect(),
-            kinds: vec![("many".into(), false, Some(4))],
-            slots: Some(8),
-            room: Some(50),
-            dispatch_cap: Some(6),
-            may_duplicate: self.copies,
-            come_back: Some(ms(3000)),
-            weights: if self.asking { Weights::Rates } else { Weights::RoughRates },
-            answers_report: self.asking,
-            ask_within: self.asking.then_some(ms(10_000)),
+            classes: self.classes.iter().map(class).collect(),
+            endpoint_kinds: vec![EndpointKind {
+                name: "many".into(),
+                circuit_per_endpoint: false,
+                max_batch: Some(4),
+            }],
+            max_in_flight: Some(8),
+            capacity: Some(50),
+            max_attempts: Some(6),
+            hedging_allowed: self.copies,
+            max_retry_after: Some(ms(3000)),
+            listed_weights: if self.asking { ListedWeights::Rates } else { ListedWeights::ApproximateRates },
+            responses_carry_load_reports: self.asking,
+            poll_interval_limit: self.asking.then_some(ms(10_000)),
             ..Default::default()
         };
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         listener.set_nonblocking(true).unwrap();
-        let post = Post {
+        let post = ForwarderOptions {
             listen: address,
             discovery: self.moves.subscribe(),
             state: self.folder.clone(),
-            allowance: self.allowance,
-            known: ListPart::decode(known.as_bytes()).unwrap().into(),
-            terms,
+            resources: self.resources,
+            cached_list: ListPart::decode(known.as_bytes()).unwrap().into(),
+            settings,
             tick: self.tick,
             sync: Default::default(),
             connect_within: ms(1000),
             closed_after: self.closed_after,
-            leave_within: ms(3000),
-            clients_come_for: self.clients_come_for,
+            shutdown_grace: ms(3000),
+            accept_grace: self.accept_grace,
         };
         let ((kill, killed), (stop, stopped)) = (oneshot::channel::<()>(), oneshot::channel::<()>());
         let thread = std::thread::spawn(move || {
@@ -327,17 +335,17 @@
     read_message(&mut stream).await.expect("an answer")
 }
 
-pub fn envelope(id: &str, category: &str, seconds: f64, body: &str) -> String {
+pub fn message(id: &str, class: &str, seconds: f64, body: &str) -> String {
     format!(
-        "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {id}\r\nX-Call-Class: {category}\r\n\
+        "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
          X-Budget: {seconds}\r\nX-Route-To: dest=3\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// Hands an envelope in and says how it was answered.
-pub async fn hand_in(life: &Life, id: &str, category: &str) -> u16 {
-    status(&ask(life.address, envelope(id, category, 15.0, "body of it")).await)
+/// Hands a message in and says how it was answered.
+pub async fn submit(life: &Life, id: &str, class: &str) -> u16 {
+    status(&ask(life.address, message(id, class, 15.0, "body of it")).await)
 }
 
 pub fn status(answer: &Message) -> u16 {
@@ -349,35 +357,41 @@
     runtime.block_on(async { timeout(ms(60_000), told).await.expect("a story of a minute at most") });
 }
 
-pub fn call_to(target: &StandIn, id: &str) -> Call {
-    call(target.address, &[(id, ms(5000))])
+pub fn call_to(endpoint: &StandIn, id: &str) -> EndpointRequest {
+    call(endpoint.address, &[(id, ms(5000))])
 }
 
-/// One call with these envelopes, each waited for so long.
-pub fn call(to: SocketAddr, envelopes: &[(&str, Duration)]) -> Call {
-    let letter =
-        |id: &str| Letter { id: EnvelopeId(id.into()), idempotency_key: None, body: Default::default() };
+/// One call with these messages, each waited for so long.
+pub fn call(to: SocketAddr, messages: &[(&str, Duration)]) -> EndpointRequest {
+    let message = |id: &str| OutgoingMessage {
+        id: MessageId(id.into()),
+        idempotency_key: None,
+        body: Default::default(),
+    };
     let now = tokio::time::Instant::now();
-    Call {
-        target: TargetId(1),
+    EndpointRequest {
+        endpoint: EndpointId(1),
         to,
-        letters: envelopes.iter().map(|(id, _)| letter(id)).collect(),
-        until: envelopes.iter().map(|(_, wait)| now + *wait).collect(),
-        boarding: Default::default(),
+        messages: messages.iter().map(|(id, _)| message(id)).collect(),
+        until: messages.iter().map(|(_, wait)| now + *wait).collect(),
+        departure: Default::default(),
     }
 }
 
-/// The same envelopes as the owner sends them out, with what calls each off.
-pub fn dispatched(call: &Call, begin_within: Duration) -> (Vec<Dispatched>, Vec<oneshot::Sender<()>>) {
-    let begin_by = tokio::time::Instant::now() + begin_within;
-    let one = |letter: &Letter| {
-        let (stop, called_off) = oneshot::channel();
-        (Dispatched { envelope: letter.id.clone(), no: DispatchNo(0), begin_by, called_off }, stop)
+/// The same messages as the owner sends them out, with what calls each off.
+pub fn dispatched(
+    call: &EndpointRequest,
+    start_within: Duration,
+) -> (Vec<PendingAttempt>, Vec<oneshot::Sender<()>>) {
+    let begin_by = tokio::time::Instant::now() + start_within;
+    let single_request = |message: &OutgoingMessage| {
+        let (stop, cancelled) = oneshot::channel();
+        (PendingAttempt { message: message.id.clone(), no: AttemptNumber(0), begin_by, cancelled }, stop)
     };
-    call.letters.iter().map(one).unzip()
+    call.messages.iter().map(single_request).unzip()
 }
 
-/// A target whose places are all taken: connections come up once it opens.
+/// An endpoint whose places are all taken: connections come up once it opens.
 pub struct Crowded {
     pub address: SocketAddr,
     listener: std::net::TcpListener,
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use reeddock_forwarder::clock::Clock;
-use reeddock_forwarder::limits::{Allowance, Limits, RESERVE};
-use reeddock_forwarder::passage::{Arrival, Departure};
-use reeddock_forwarder::targets::{Place, PlaceChange, TargetTable};
-use reeddock_forwarder::unreadable_list::{UnreadableList, BYTES_A_SECOND, LONGEST_REST};
+use reeddock_forwarder::endpoints::{Place, PlaceChange, TargetTable};
+use reeddock_forwarder::http_progress::{RequestProgress, StatusLine};
+use reeddock_forwarder::limits::{Limits, ResourceLimits, RESERVE};
+use reeddock_forwarder::malformed_list::{MalformedList, BYTES_A_SECOND, LONGEST_REST};
 use tokio::time::Instant;
 
 #[test]
@@ -23,7 +23,7 @@
         ("noise\r\nHTTP/1.1 200 OK\r\n", false),
     ] {
         for split in 0..answer.len() {
-            let mut arrival = Arrival::default();
+            let mut arrival = StatusLine::default();
             arrival.come(&answer.as_bytes()[..split]);
             arrival.come(&answer.as_bytes()[split..]);
             assert_eq!(arrival.says_ok(), ok, "{answer:?} {split}");
@@ -35,14 +35,14 @@
 fn a_call_has_left_with_the_last_byte_of_its_body_and_not_before() {
     let request = b"POST / HTTP/1.1\r\na: \r\r\n\r\n12345\r\n\r\n";
     for split in 0..request.len() {
-        let mut departure = Departure::default();
+        let mut departure = RequestProgress::default();
         departure.begin(9);
         departure.gone(&request[..split]);
         assert!(!departure.complete(), "{split}");
         departure.gone(&request[split..]);
         assert!(departure.complete());
     }
-    let mut empty = Departure::default();
+    let mut empty = RequestProgress::default();
     empty.begin(0);
     empty.gone(b"POST / HTTP/1.1\r\n\r");
     assert!(!empty.complete());
@@ -54,8 +54,8 @@
 fn what_is_kept_back_and_all_shares_fit_into_the_descriptors() {
     for descriptors in 64..=1024 {
         let limits =
-            Limits::derive(Allowance { memory_bytes: 32_000_000, descriptors, disk_bytes: 3_000_000 });
-        let taken = RESERVE.total() + limits.accepted + limits.lingering + limits.calls;
+            Limits::derive(ResourceLimits { memory_bytes: 32_000_000, descriptors, disk_bytes: 3_000_000 });
+        let taken = RESERVE.total() + limits.accepted + limits.lingering + limits.requests;
         assert_eq!(taken, descriptors);
         assert!(limits.clients < limits.accepted, "some are told that there is no room");
     }
@@ -86,7 +86,7 @@
         (u64::MAX, 1_800_000),
     ];
     for (bytes, millis) in table {
-        let list = UnreadableList { fault: "x".into(), bytes };
+        let list = MalformedList { fault: "x".into(), bytes };
         let mean = Duration::from_millis(millis);
         assert_eq!(list.rest(0.5), mean, "{bytes}");
         assert_eq!((list.rest(0.0), list.rest(1.0)), (mean / 2, mean + mean / 2), "{bytes}");
--- a/crates/forwarder/tests/watch_schedule.rs
+++ b/crates/forwarder/tests/watch_schedule.rs
@@ -81,7 +81,7 @@
             Fate::RefusedForLong => (began + ROUND_TRIP, refused(Some(LONG_WAIT)), None),
             Fate::ConnectionRefused => (began, broken(), None),
             Fate::ConnectionNeverUp => (began + periods.connect, broken(), None),
-            Fate::Unanswered => (give_up_at, Loss::GivenUp, None),
+            Fate::Unanswered => (give_up_at, Loss::FinalAnswer, None),
             Fate::BrokenWhileOpening => (began + SLOW_ANSWER, broken(), None),
             Fate::SilentAfterSlowHead => (began + SLOW_ANSWER + periods.silent_after, Loss::Silent, None),
             Fate::BrokenAfter(stood) => (began + stood, broken(), Some(began + stood)),
@@ -229,8 +229,9 @@
         let calls = calls_after(FLEET, common, then, Duration::from_secs(60));
         let times = most_within(WINDOW, &calls) as f64 / mean;
         assert!(times <= most, "after {common:?}, {then:?}: {times} times the mean");
-        let settled: Vec<Duration> = calls.into_iter().filter(|c| *c > Duration::from_secs(130)).collect();
-        let times = most_within(WINDOW, &settled) as f64 / mean;
+        let attempt_finished: Vec<Duration> =
+            calls.into_iter().filter(|c| *c > Duration::from_secs(130)).collect();
+        let times = most_within(WINDOW, &attempt_finished) as f64 / mean;
         assert!(times <= 2.0, "half a minute after {common:?}, {then:?}: {times} times the mean");
     }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,19 +1,20 @@
 //! The messages of a forwarder on sockets, as small typed values: each is decoded once and encoded once. The
 //! names on the wire end here. There is no input or output in this package, and nothing is decided.
 
-mod call;
-mod ending;
-mod hand_in;
+mod attempt_result;
 mod list;
 mod notice;
+mod request;
+mod submission;
 
-pub use call::{
-    bundle, bundles, ending_of, endings_of_bundle, one, report_of, turns_connection_away, wait_of, Letter,
-};
-pub use ending::Ending;
-pub use hand_in::{Answer, HandIn, MOST_BODY};
+pub use attempt_result::AttemptResult;
 pub use list::{watch, Bounds, Entry, ListDecoder, ListEvent, ListPart};
-pub use notice::{notices, GivenUp, Notice};
+pub use notice::{notices, DeliveryNotice, FinalAnswer};
+pub use request::{
+    attempt_result_of, attempt_results_of_batch, batch_request, load_report_of, rejects_connection,
+    retry_after_of, single_request, split_into_batches, OutgoingMessage,
+};
+pub use submission::{ClientResponse, Submission, MAX_BODY_BYTES};
 
 /// What is wrong with a message, in one line.
 pub type Fault = String;
@@ -21,7 +22,7 @@
 /// No span is read as longer: sums of times stay far from where they overflow.
 const LONGEST: f64 = 1e9;
 
-/// Where a receipted envelope carries the mark by which a repeat is known.
+/// Where a keyed message carries the mark by which a repeat is known.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Seconds with decimals, as spans travel in headers.
--- a/crates/protocol/src/list/decoder.rs
+++ b/crates/protocol/src/list/decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes a watch on the list of targets from bytes that come in any pieces, one entry at a time. No I/O.
+//! Decodes a watch on the list of endpoints from bytes that come in any pieces, one entry at a time. No I/O.
 
 use std::borrow::Cow;
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
     /// A part begins: all of the list, or what changed.
     Begins { generation: u64, whole: bool },
     /// One entry of the part.
-    Listed(Entry),
+    EndpointUpdated(Entry),
     /// The part has come to its end, and so has its line.
     Ends,
     /// An empty line between parts.
@@ -311,7 +311,7 @@
         };
         part.begun = true;
         self.ready.push_back(ListEvent::Begins { generation, whole });
-        self.ready.extend(part.early.drain(..).map(ListEvent::Listed));
+        self.ready.extend(part.early.drain(..).map(ListEvent::EndpointUpdated));
     }
 
     fn end_entry(&mut self) -> Result<(), Fault> {
@@ -324,7 +324,7 @@
         self.place = Place::AfterEntry;
         self.part.entries += 1;
         if self.part.begun {
-            self.ready.push_back(ListEvent::Listed(entry));
+            self.ready.push_back(ListEvent::EndpointUpdated(entry));
             return Ok(());
         }
         self.part.early_bytes += bytes;
--- a/crates/protocol/src/list/mod.rs
+++ b/crates/protocol/src/list/mod.rs
@@ -1,4 +1,4 @@
-//! The list of targets, whole or in part, as discovery tells it.
+//! The list of endpoints, whole or in part, as discovery tells it.
 
 mod decoder;
 mod value_scan;
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use http::Request;
 use http_body_util::Full;
-use reeddock::{DestinationId, Standing};
+use reeddock::{DestinationId, EndpointState};
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
@@ -24,15 +24,15 @@
     pub entries: Vec<Entry>,
 }
 
-/// What the list says of one target.
+/// What the list says of one endpoint.
 #[derive(Debug, PartialEq)]
 pub struct Entry {
     /// The same at every forwarder and at each start.
     pub name: String,
-    /// None where it is told no more, as the target is gone.
+    /// None where it is told no more, as the endpoint is gone.
     pub address: Option<SocketAddr>,
     pub destination: DestinationId,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub weight: Option<f64>,
     pub zone: String,
     pub kind: String,
@@ -59,21 +59,21 @@
     type Error = Fault;
 
     fn try_from(instance: Instance) -> Result<Entry, Fault> {
-        let standing = match instance.lifecycle.as_ref() {
-            "Ready" => Standing::Active,
-            "Terminating" => Standing::Leaving,
-            "Gone" => Standing::Gone,
+        let state = match instance.lifecycle.as_ref() {
+            "Ready" => EndpointState::Active,
+            "Terminating" => EndpointState::Draining,
+            "Gone" => EndpointState::Removed,
             other => return Err(format!("unknown lifecycle {other:?}")),
         };
         let address = instance.host_port.parse().ok();
-        if address.is_none() && standing != Standing::Gone {
+        if address.is_none() && state != EndpointState::Removed {
             return Err(format!("{:?} is no address", instance.host_port));
         }
         Ok(Entry {
             name: instance.instance_id,
             address,
             destination: DestinationId(instance.cell),
-            standing,
+            state,
             weight: instance.weight,
             zone: instance.zone,
             kind: instance.machine_type,
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -1,4 +1,4 @@
-//! Notices: how the platform hears of the end of an envelope that was taken on and not delivered.
+//! Notices: how the platform hears of the end of a message that was accepted and not delivered.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,35 +6,37 @@
 use bytes::Bytes;
 use http::Request;
 use http_body_util::Full;
-use reeddock::EnvelopeId;
+use reeddock::MessageId;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
 use crate::Fault;
 
-/// How an envelope ended that was not delivered.
+/// How a message ended that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GivenUp {
+pub enum FinalAnswer {
     /// Handing it in again is harmless, best after this time.
-    Shed(Option<Duration>),
-    BrokenOff,
+    Rejected {
+        retry_after: Option<Duration>,
+    },
+    Failed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Notice {
-    pub id: EnvelopeId,
-    pub end: GivenUp,
+pub struct DeliveryNotice {
+    pub id: MessageId,
+    pub end: FinalAnswer,
 }
 
 /// One message with all of these notices.
-pub fn notices(discovery: SocketAddr, notices: &[Notice]) -> Result<Request<Full<Bytes>>, Fault> {
+pub fn notices(discovery: SocketAddr, notices: &[DeliveryNotice]) -> Result<Request<Full<Bytes>>, Fault> {
     let mut body = String::new();
-    for Notice { id, end } in notices {
+    for DeliveryNotice { id, end } in notices {
         let id = &*id.0;
         let line = match end {
-            GivenUp::BrokenOff => json!({"id": id, "status": "undeliverable"}),
-            GivenUp::Shed(None) => json!({"id": id, "status": "deferred"}),
-            GivenUp::Shed(Some(again)) => {
+            FinalAnswer::Failed => json!({"id": id, "status": "undeliverable"}),
+            FinalAnswer::Rejected { retry_after: None } => json!({"id": id, "status": "deferred"}),
+            FinalAnswer::Rejected { retry_after: Some(again) } => {
                 let again = u64::try_from(again.as_millis()).unwrap_or(u64::MAX);
                 json!({"id": id, "status": "deferred", "again_ms": again})
             }
--- a/crates/protocol/src/hand_in.rs
+++ b/crates/protocol/src/submission.rs
@@ -1,4 +1,4 @@
-//! What a client hands in, and what it is answered.
+//! What a client submits, and what it is answered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 use http::header::{CONNECTION, RETRY_AFTER};
 use http::{request, HeaderValue, Response, StatusCode};
 use http_body_util::Full;
-use reeddock::{DestinationId, EnvelopeId, KeyId};
+use reeddock::{DestinationId, MessageId, OrderingKey};
 
 use crate::{header, span_in, Fault, IDEMPOTENCY_KEY};
 
 /// Bytes in a body at most.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// One envelope as it is handed in.
+/// One message as it is submitted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HandIn {
-    pub id: EnvelopeId,
-    pub category: String,
+pub struct Submission {
+    pub id: MessageId,
+    pub class: String,
     pub tenant: Option<String>,
-    pub key: Option<KeyId>,
+    pub key: Option<OrderingKey>,
     pub destination: DestinationId,
     /// How long it may still be delivered.
     pub time_left: Duration,
@@ -29,12 +29,12 @@
     pub body: Bytes,
 }
 
-impl HandIn {
-    pub fn decode(parts: &request::Parts, body: Bytes) -> Result<HandIn, Fault> {
+impl Submission {
+    pub fn decode(parts: &request::Parts, body: Bytes) -> Result<Submission, Fault> {
         let named = |name: &str| {
             header(&parts.headers, name).filter(|v| !v.is_empty()).ok_or_else(|| format!("{name} is missing"))
         };
-        // Both stand in lines of a bundle, and the id in notices, where these would break it.
+        // Both stand in lines of a batch, and the id in notices, where these would break it.
         let word =
             |name: &str, text: &str| match text.len() > 128 || text.bytes().any(|b| !b.is_ascii_graphic()) {
                 true => Err(format!("{name} is malformed")),
@@ -49,11 +49,11 @@
         let destination = destination.and_then(|d| d.trim().parse().ok());
         let key = header(&parts.headers, "x-route-hash");
         let key = key.map(|k| k.rsplit('=').next().unwrap_or(k).trim().parse());
-        Ok(HandIn {
-            id: EnvelopeId(Arc::from(id)),
-            category: named("x-call-class")?.to_owned(),
+        Ok(Submission {
+            id: MessageId(Arc::from(id)),
+            class: named("x-call-class")?.to_owned(),
             tenant: header(&parts.headers, "x-caller").map(str::to_owned),
-            key: key.transpose().map_err(|_| "x-route-hash is malformed")?.map(KeyId),
+            key: key.transpose().map_err(|_| "x-route-hash is malformed")?.map(OrderingKey),
             destination: DestinationId(destination.ok_or("x-route-to names no destination")?),
             idempotency_key: idempotency_key.map(str::to_owned),
             time_left: span_in(named("x-budget")?).ok_or("x-budget is malformed")?,
@@ -65,64 +65,67 @@
 
 /// What a forwarder answers a client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    /// It owes the envelope its end from here on.
-    TakenOn,
+pub enum ClientResponse {
+    /// It owes the message its end from here on.
+    Accepted,
     /// Shed: handing it in again is harmless, best after this time.
-    Shed(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Broken off at once.
-    BrokenOff,
-    /// No room on this machine; nothing was taken on.
-    NoRoom,
+    Failed,
+    /// No room on this machine; nothing was accepted.
+    NoCapacity,
     Malformed(Fault),
     TooLarge,
-    TooSlow,
+    RequestTimeout,
     /// A body with no plain length.
-    NoLength,
+    LengthRequired,
     /// More came than its length says.
-    WrongLength,
-    /// Its id is that of another envelope, of now or of a moment ago.
-    IdTaken,
-    /// The list knows no such destination, or not yet; nothing was taken on.
-    NoDestination,
+    LengthMismatch,
+    /// Its id is that of another message, of now or of a moment ago.
+    DuplicateId,
+    /// The list knows no such destination, or not yet; nothing was accepted.
+    UnknownDestination,
     NotFound,
-    /// It takes envelopes on; with what staff should know all the same.
+    /// It takes messages on; with what staff should know all the same.
     Healthy(Option<Fault>),
     /// Asked for its health while it stops.
-    Leaving,
+    ShuttingDown,
 }
 
-impl Answer {
+impl ClientResponse {
     /// `last` asks the client to use another connection from now on.
     pub fn encode(self, last: bool) -> Response<Full<Bytes>> {
         let status = match &self {
-            Answer::TakenOn => StatusCode::ACCEPTED,
-            Answer::Shed(_) => StatusCode::TOO_MANY_REQUESTS,
-            Answer::BrokenOff => StatusCode::UNPROCESSABLE_ENTITY,
-            Answer::NoRoom | Answer::NoDestination | Answer::Leaving => StatusCode::SERVICE_UNAVAILABLE,
-            Answer::Malformed(_) | Answer::WrongLength => StatusCode::BAD_REQUEST,
-            Answer::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Answer::TooSlow => StatusCode::REQUEST_TIMEOUT,
-            Answer::NoLength => StatusCode::LENGTH_REQUIRED,
-            Answer::IdTaken => StatusCode::CONFLICT,
-            Answer::NotFound => StatusCode::NOT_FOUND,
-            Answer::Healthy(_) => StatusCode::OK,
+            ClientResponse::Accepted => StatusCode::ACCEPTED,
+            ClientResponse::Rejected(_) => StatusCode::TOO_MANY_REQUESTS,
+            ClientResponse::Failed => StatusCode::UNPROCESSABLE_ENTITY,
+            ClientResponse::NoCapacity
+            | ClientResponse::UnknownDestination
+            | ClientResponse::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
+            ClientResponse::Malformed(_) | ClientResponse::LengthMismatch => StatusCode::BAD_REQUEST,
+            ClientResponse::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            ClientResponse::RequestTimeout => StatusCode::REQUEST_TIMEOUT,
+            ClientResponse::LengthRequired => StatusCode::LENGTH_REQUIRED,
+            ClientResponse::DuplicateId => StatusCode::CONFLICT,
+            ClientResponse::NotFound => StatusCode::NOT_FOUND,
+            ClientResponse::Healthy(_) => StatusCode::OK,
         };
-        let mut come_back = None;
+        let mut retry_after = None;
         let body = match self {
-            Answer::Shed(wait) => {
-                come_back = wait;
+            ClientResponse::Rejected(wait) => {
+                retry_after = wait;
                 Bytes::new()
             }
-            Answer::Malformed(fault) => Bytes::from(fault + "\n"),
-            Answer::Healthy(None) => Bytes::from_static(b"ok\n"),
-            Answer::Healthy(Some(trouble)) => Bytes::from(format!("ok; {trouble}\n")),
+            ClientResponse::Malformed(fault) => Bytes::from(fault + "\n"),
+            ClientResponse::Healthy(None) => Bytes::from_static(b"ok\n"),
+            ClientResponse::Healthy(Some(trouble)) => Bytes::from(format!("ok; {trouble}\n")),
             _ => Bytes::new(),
         };
         let mut response = Response::new(Full::new(body));
         *response.status_mut() = status;
         let headers = response.headers_mut();
-        if let Some(Ok(value)) = come_back.map(|w| HeaderValue::try_from(format!("{:.3}", w.as_secs_f64()))) {
+        if let Some(Ok(value)) = retry_after.map(|w| HeaderValue::try_from(format!("{:.3}", w.as_secs_f64())))
+        {
             headers.insert(RETRY_AFTER, value);
         }
         if last {
--- a/crates/protocol/tests/list_decoder.rs
+++ b/crates/protocol/tests/list_decoder.rs
@@ -1,8 +1,8 @@
-//! The list of targets, decoded one entry at a time from bytes that come in any pieces.
+//! The list of endpoints, decoded one entry at a time from bytes that come in any pieces.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock::{DestinationId, Standing};
+use reeddock::{DestinationId, EndpointState};
 use reeddock_protocol::{Bounds, Entry, ListDecoder, ListEvent, ListPart};
 
 /// All events of these pieces, and the fault that ended them.
@@ -35,7 +35,7 @@
 /// What a part that is there whole comes down to.
 fn events_of(part: ListPart) -> Vec<ListEvent> {
     let mut events = vec![ListEvent::Begins { generation: part.generation, whole: part.whole }];
-    events.extend(part.entries.into_iter().map(ListEvent::Listed));
+    events.extend(part.entries.into_iter().map(ListEvent::EndpointUpdated));
     events.push(ListEvent::Ends);
     events
 }
@@ -74,12 +74,12 @@
         name: "a".into(),
         address: None,
         destination: DestinationId(1),
-        standing: Standing::Gone,
+        state: EndpointState::Removed,
         weight: None,
         zone: String::new(),
         kind: String::new(),
     };
-    let expected = vec![ListEvent::Begins { generation: 7, whole: true }, ListEvent::Listed(entry)];
+    let expected = vec![ListEvent::Begins { generation: 7, whole: true }, ListEvent::EndpointUpdated(entry)];
     assert_eq!(decode(&[begun.as_bytes()], Bounds::default()), (expected, None));
     let whole = format!("{begun}]}}");
     assert_eq!(decode(&[whole.as_bytes()], Bounds::default()).0.len(), 2);
@@ -216,8 +216,9 @@
         format!("\"other\":{}", any(chance, &["1", "\"}\"", "[[],{\"a\":[]}]", "null", "-0.5e-3"])),
     ];
     for _ in 0..chance.random_range(0..3) {
-        let (one, other) = (chance.random_range(0..keys.len()), chance.random_range(0..keys.len()));
-        keys.swap(one, other);
+        let (single_request, other) =
+            (chance.random_range(0..keys.len()), chance.random_range(0..keys.len()));
+        keys.swap(single_request, other);
     }
     keys.truncate(chance.random_range(2..=4));
     let mut text = format!("{{{}}}", keys.join(",\n\t"));
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,12 +1,12 @@
 //! Recordings of the decision module: every call into it and every request that it makes of its host, one line
-//! each, in order. Two builds of the module decide alike where their recordings are equal, byte for byte.
+//! each, in order. Two builds of the delivery policy decide alike where their recordings are equal, byte for byte.
 //!
-//! A recording depends on the module's public interface alone and on nothing that it keeps inside:
+//! A recording depends on the delivery policy's public interface alone and on nothing that it keeps inside:
 //!
 //! - [`line`] has the typed lines and their text;
 //! - [`recording`] writes them, in full or as digests of blocks;
 //! - [`tee`] records the requests on their way to a host;
-//! - [`streams`] plays random event streams at the module, without sockets and without the emulator;
+//! - [`streams`] plays random event streams at the delivery policy, without sockets and without the emulator;
 //! - [`compare`] finds the first line in which two folders of recordings differ.
 
 pub mod compare;
@@ -16,4 +16,4 @@
 pub mod tee;
 
 pub use recording::{Form, Recording, Summary, Tape};
-pub use tee::{RecordedForwarder, Tee};
+pub use tee::{RecordedPolicy, Tee};
--- a/crates/recorder/src/recording.rs
+++ b/crates/recorder/src/recording.rs
@@ -112,7 +112,7 @@
         self.keep_failure(written);
     }
 
-    /// Keeps the first failure for [`Recording::finish`]: the module that is recorded can't be told of it.
+    /// Keeps the first failure for [`Recording::finish`]: the delivery policy that is recorded can't be told of it.
     fn keep_failure(&mut self, written: io::Result<()>) {
         if let Err(fault) = written {
             self.failed.get_or_insert(fault);
--- a/crates/recorder/src/streams/model.rs
+++ b/crates/recorder/src/streams/model.rs
@@ -1,15 +1,15 @@
-//! A slow model of what the module owes its host and the destinations. It shares no code with the module: it knows
+//! A slow model of what the delivery policy owes its host and the destinations. It shares no code with the delivery policy: it knows
 //! what was told and asked through the public interface, walks all of it, and names each rule that was broken.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use reeddock::{
-    CallNo, DestinationId, DispatchNo, Effect, EnvelopeId, Group, Listing, Outcome, Past, Spans, Standing,
-    TargetId,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DestinationId, EndpointId, EndpointState, EndpointUpdate,
+    Idempotency, KeyScope, MessageId, PreviousAttempt, RequestId,
 };
 
-use crate::tee::HandIn;
+use crate::tee::Submission;
 
 /// A wake is asked for no sooner than this.
 const LEAST_WAKE: Duration = Duration::from_millis(1);
@@ -23,34 +23,34 @@
 
 /// What the terms promise, in the form that rules need.
 pub struct Rules {
-    /// Effect and whether it is ordered, by the name of the category.
-    pub categories: BTreeMap<String, (Effect, bool)>,
+    /// Effect and whether it is ordered, by the name of the class.
+    pub classes: BTreeMap<String, (Idempotency, bool)>,
     pub slots: u64,
     pub room: u64,
-    pub dispatch_cap: u64,
-    pub key_rest: Duration,
+    pub max_attempts: u64,
+    pub ordering_hold_off: Duration,
 }
 
-/// A dispatch that has no outcome yet.
+/// An attempt that has no outcome yet.
 struct Sent {
-    target: TargetId,
-    /// How often the target had moved when it was sent.
+    endpoint: EndpointId,
+    /// How often the endpoint had moved when it was sent.
     moves: u64,
     at: Duration,
-    call: CallNo,
+    call: RequestId,
 }
 
-/// An envelope that has no final answer yet, or still has a dispatch out.
+/// A message that has no final answer yet, or still has an attempt out.
 struct Owed {
     number: u64,
-    effect: Effect,
+    idempotency: Idempotency,
     key: Option<u64>,
     destination: DestinationId,
-    outer_limit: Duration,
-    dispatches: u64,
-    out: BTreeMap<DispatchNo, Sent>,
-    /// When the first dispatch left that may have had an effect, and where the last such one went.
-    may_have_run: Option<(Duration, TargetId)>,
+    deadline: Duration,
+    attempts: u64,
+    out: BTreeMap<AttemptNumber, Sent>,
+    /// When the first attempt left that may have had an effect, and where the last such one went.
+    may_have_run: Option<(Duration, EndpointId)>,
     over: bool,
 }
 
@@ -61,26 +61,26 @@
 
     /// Until when a repeat is recognized as one, if it needs to be.
     fn receipt_until(&self) -> Option<Duration> {
-        match (self.effect, self.may_have_run) {
-            (Effect::Receipted { window, .. }, Some((first, _))) => Some(first + window),
+        match (self.idempotency, self.may_have_run) {
+            (Idempotency::WithKey { window, .. }, Some((first, _))) => Some(first + window),
             _ => None,
         }
     }
 }
 
-/// What the list told of a target.
+/// What the list told of an endpoint.
 struct Told {
     destination: DestinationId,
     kind: String,
     zone: String,
-    standing: Standing,
+    state: EndpointState,
     moves: u64,
     /// Something was sent to it since it moved last.
     met: bool,
     wait_until: Duration,
 }
 
-/// The rest of a key after a dispatch whose end is unsure, and the envelope that it does not hold for.
+/// The rest of a key after an attempt whose end is unsure, and the message that it does not hold for.
 struct Rest {
     until: Duration,
     owner: u64,
@@ -88,10 +88,10 @@
 
 pub struct Model {
     rules: Rules,
-    owed: BTreeMap<EnvelopeId, Owed>,
-    targets: BTreeMap<TargetId, Told>,
-    /// Targets named so far by a whole list.
-    naming: Option<BTreeSet<TargetId>>,
+    owed: BTreeMap<MessageId, Owed>,
+    endpoints: BTreeMap<EndpointId, Told>,
+    /// Endpoints named so far by a whole list.
+    naming: Option<BTreeSet<EndpointId>>,
     rests: BTreeMap<u64, Rest>,
     leaves_by: Option<Duration>,
     handed_in: u64,
@@ -104,7 +104,7 @@
         Model {
             rules,
             owed: BTreeMap::new(),
-            targets: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             naming: None,
             rests: BTreeMap::new(),
             leaves_by: None,
@@ -120,32 +120,32 @@
         }
     }
 
-    // # What the module is told.
+    // # What the delivery policy is told.
 
     pub fn time(&mut self, now: Duration) {
         self.now = now;
     }
 
-    pub fn list_begins(&mut self, whole: bool) {
+    pub fn begin_endpoint_list(&mut self, whole: bool) {
         self.naming = whole.then(BTreeSet::new);
     }
 
-    pub fn listed(&mut self, line: &Listing) {
-        let Listing { target, destination, standing, kind, zone, .. } = *line;
+    pub fn listed(&mut self, line: &EndpointUpdate) {
+        let EndpointUpdate { endpoint, destination, state, kind, zone, .. } = *line;
         if let Some(named) = &mut self.naming {
-            named.insert(target);
+            named.insert(endpoint);
         }
-        let told = self.targets.entry(target).or_insert_with(|| Told {
+        let told = self.endpoints.entry(endpoint).or_insert_with(|| Told {
             destination,
             kind: kind.to_owned(),
             zone: zone.to_owned(),
-            standing,
+            state,
             moves: 0,
             met: false,
             wait_until: Duration::ZERO,
         });
         // One that was gone may have been forgotten, and its waits with it.
-        if told.destination != destination || told.kind != kind || told.standing == Standing::Gone {
+        if told.destination != destination || told.kind != kind || told.state == EndpointState::Removed {
             told.moves += 1;
             told.met = false;
             told.wait_until = Duration::ZERO;
@@ -153,82 +153,94 @@
         told.destination = destination;
         kind.clone_into(&mut told.kind);
         zone.clone_into(&mut told.zone);
-        told.standing = standing;
+        told.state = state;
     }
 
-    pub fn list_ends(&mut self) {
+    pub fn finish_endpoint_list(&mut self) {
         let Some(named) = self.naming.take() else { return };
-        for (_, told) in self.targets.iter_mut().filter(|(id, _)| !named.contains(id)) {
-            told.standing = Standing::Gone;
+        for (_, told) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
+            told.state = EndpointState::Removed;
         }
     }
 
-    pub fn list_broken(&mut self) {
+    pub fn abort_endpoint_list(&mut self) {
         self.naming = None;
     }
 
-    pub fn hand_in(&mut self, envelope: &HandIn) {
+    pub fn submit(&mut self, message: &Submission) {
         self.handed_in += 1;
-        let unknown = (Effect::Effectful, false);
-        let (effect, ordered) = self.rules.categories.get(&envelope.category).copied().unwrap_or(unknown);
+        let unknown = (Idempotency::NonIdempotent, false);
+        let (idempotency, ordered) = self.rules.classes.get(&message.class).copied().unwrap_or(unknown);
         let owed = Owed {
             number: self.handed_in,
-            effect,
-            key: envelope.key.map(|k| k.0).filter(|_| ordered),
-            destination: envelope.destination,
-            outer_limit: envelope.outer_limit,
-            dispatches: 0,
+            idempotency,
+            key: message.key.map(|k| k.0).filter(|_| ordered),
+            destination: message.destination,
+            deadline: message.deadline,
+            attempts: 0,
             out: BTreeMap::new(),
             may_have_run: None,
             over: false,
         };
-        self.owed.insert(envelope.id.clone(), owed);
+        self.owed.insert(message.id.clone(), owed);
     }
 
-    pub fn recall(&mut self, id: &EnvelopeId, past: &[Past]) {
-        let until = self.now + self.rules.key_rest;
+    pub fn restore(&mut self, id: &MessageId, past: &[PreviousAttempt]) {
+        let until = self.now + self.rules.ordering_hold_off;
         let Some(owed) = self.owed.get_mut(id) else { return };
-        owed.dispatches = past.len() as u64;
-        owed.may_have_run =
-            past.iter().filter(|p| !p.never_ran).map(|p| (p.sent, p.target)).min_by_key(|p| p.0);
+        owed.attempts = past.len() as u64;
+        owed.may_have_run = past
+            .iter()
+            .filter(|p| !p.proves_not_executed)
+            .map(|p| (p.started_at, p.endpoint))
+            .min_by_key(|p| p.0);
         if let Some(key) = owed.key.filter(|_| owed.may_have_run.is_some()) {
             self.rests.insert(key, Rest { until, owner: owed.number });
         }
     }
 
-    pub fn settled(&mut self, id: &EnvelopeId, no: DispatchNo, outcome: Outcome, over: bool) {
-        let until = self.now + self.rules.key_rest;
+    pub fn attempt_finished(
+        &mut self,
+        id: &MessageId,
+        no: AttemptNumber,
+        outcome: AttemptOutcome,
+        over: bool,
+    ) {
+        let until = self.now + self.rules.ordering_hold_off;
         let Some(owed) = self.owed.get_mut(id) else { return };
         let Some(sent) = owed.out.remove(&no) else { return };
         owed.over |= over;
-        if !outcome.never_ran() {
+        if !outcome.proves_not_executed() {
             let first = owed.may_have_run.map_or(sent.at, |(first, _)| first.min(sent.at));
-            owed.may_have_run = Some((first, sent.target));
+            owed.may_have_run = Some((first, sent.endpoint));
         }
-        let unsure = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::CalledOff);
+        let unsure = matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
+        );
         if let Some(key) = owed.key.filter(|_| unsure) {
             self.rests.insert(key, Rest { until, owner: owed.number });
         }
         self.close(id);
-        if let Outcome::Full(Some(wait)) = outcome {
-            self.wait(sent.target, Some(sent.moves), wait);
+        if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
+            self.wait(sent.endpoint, Some(sent.moves), wait);
         }
     }
 
-    pub fn told_to_wait(&mut self, target: TargetId, wait: Duration) {
-        self.wait(target, None, wait);
+    pub fn retry_after_received(&mut self, endpoint: EndpointId, wait: Duration) {
+        self.wait(endpoint, None, wait);
     }
 
-    /// A wait holds for a target that was sent something, and has not moved since that was sent.
-    fn wait(&mut self, target: TargetId, moves: Option<u64>, wait: Duration) {
+    /// A wait holds for an endpoint that was sent something, and has not moved since that was sent.
+    fn wait(&mut self, endpoint: EndpointId, moves: Option<u64>, wait: Duration) {
         let until = self.now + wait;
-        let Some(told) = self.targets.get_mut(&target) else { return };
+        let Some(told) = self.endpoints.get_mut(&endpoint) else { return };
         if told.met && moves.is_none_or(|moves| moves == told.moves) {
             told.wait_until = told.wait_until.max(until);
         }
     }
 
-    pub fn withdrawn(&mut self, id: &EnvelopeId) {
+    pub fn withdraw(&mut self, id: &MessageId) {
         self.end(id);
     }
 
@@ -236,120 +248,128 @@
         self.leaves_by = Some(by);
     }
 
-    fn end(&mut self, id: &EnvelopeId) {
+    fn end(&mut self, id: &MessageId) {
         if let Some(owed) = self.owed.get_mut(id) {
             owed.over = true;
         }
         self.close(id);
     }
 
-    /// Forgets an envelope that is over and has nothing out.
-    fn close(&mut self, id: &EnvelopeId) {
+    /// Forgets a message that is over and has nothing out.
+    fn close(&mut self, id: &MessageId) {
         if self.owed.get(id).is_some_and(|o| o.over && o.out.is_empty()) {
             self.owed.remove(id);
         }
     }
 
-    // # What the module asks for.
+    // # What the delivery policy asks for.
 
-    pub fn dispatched(&mut self, id: &EnvelopeId, target: TargetId, spans: Spans) {
+    pub fn dispatched(&mut self, id: &MessageId, endpoint: EndpointId, spans: AttemptTimeouts) {
         let now = self.now;
-        let mut broken = self.broken_by_dispatch(id, target, spans);
+        let mut broken = self.broken_by_dispatch(id, endpoint, spans);
         let Some(owed) = self.owed.get_mut(id) else { return };
-        let told = self.targets.get_mut(&target);
+        let told = self.endpoints.get_mut(&endpoint);
         let moves = told.map_or(0, |told| {
             told.met = true;
             told.moves
         });
-        let no = DispatchNo(owed.dispatches as u32);
-        owed.dispatches += 1;
-        owed.out.insert(no, Sent { target, moves, at: now, call: spans.call });
-        let calls: BTreeSet<CallNo> =
+        let no = AttemptNumber(owed.attempts as u32);
+        owed.attempts += 1;
+        owed.out.insert(no, Sent { endpoint, moves, at: now, call: spans.request });
+        let calls: BTreeSet<RequestId> =
             self.owed.values().flat_map(|o| o.out.values()).map(|s| s.call).collect();
         if calls.len() as u64 > self.rules.slots {
             broken.push("over its slots");
         }
         for what in broken {
-            self.check(false, || format!("{:?} to {target:?}: {what}", id.0));
+            self.check(false, || format!("{:?} to {endpoint:?}: {what}", id.0));
         }
     }
 
-    fn broken_by_dispatch(&self, id: &EnvelopeId, target: TargetId, spans: Spans) -> Vec<&'static str> {
+    fn broken_by_dispatch(
+        &self,
+        id: &MessageId,
+        endpoint: EndpointId,
+        spans: AttemptTimeouts,
+    ) -> Vec<&'static str> {
         let now = self.now;
         let Some(owed) = self.owed.get(id) else { return vec!["sent, and was not owed"] };
-        let told = self.targets.get(&target);
-        let left = owed.outer_limit.saturating_sub(now);
+        let told = self.endpoints.get(&endpoint);
+        let left = owed.deadline.saturating_sub(now);
         let leaves_in = self.leaves_by.map_or(Duration::MAX, |by| by.saturating_sub(now));
         let rest = owed.key.and_then(|key| self.rests.get(&key));
         let before = |other: &Owed| owed.key.is_some() && other.key == owed.key && other.number < owed.number;
         let rules = [
             (owed.held(), "sent while out or over"),
-            (owed.dispatches < self.rules.dispatch_cap, "over its cap of dispatches"),
-            (told.is_some_and(|t| t.standing == Standing::Active), "its target is not active"),
+            (owed.attempts < self.rules.max_attempts, "over its cap of dispatches"),
+            (told.is_some_and(|t| t.state == EndpointState::Active), "its target is not active"),
             (told.is_some_and(|t| t.destination == owed.destination), "its target is another destination's"),
             (told.is_none_or(|t| now >= t.wait_until), "its target asked to wait"),
             // Past its limit nothing is left, and one with no time to begin never leaves.
-            (spans.time_out <= left, "it outlives its limit"),
-            (spans.begin_within <= spans.time_out.min(leaves_in), "it may begin too late"),
-            (owed.effect != Effect::Effectful || owed.may_have_run.is_none(), "an effect may come twice"),
+            (spans.response_within <= left, "it outlives its limit"),
+            (spans.start_within <= spans.response_within.min(leaves_in), "it may begin too late"),
             (
-                owed.receipt_until().is_none_or(|until| now + spans.begin_within <= until),
+                owed.idempotency != Idempotency::NonIdempotent || owed.may_have_run.is_none(),
+                "an effect may come twice",
+            ),
+            (
+                owed.receipt_until().is_none_or(|until| now + spans.start_within <= until),
                 "its receipt runs out",
             ),
-            (self.recognized(owed, target), "a target of another zone would not know it again"),
+            (self.recognized(owed, endpoint), "a target of another zone would not know it again"),
             (!self.owed.values().any(before), "an earlier one of its key is not over"),
             (rest.is_none_or(|r| now >= r.until || r.owner == owed.number), "its key rests"),
         ];
         rules.into_iter().filter(|(holds, _)| !holds).map(|(_, what)| what).collect()
     }
 
-    /// Whether the target would know an envelope again that may have run elsewhere.
-    fn recognized(&self, owed: &Owed, target: TargetId) -> bool {
-        let in_zone = matches!(owed.effect, Effect::Receipted { group: Group::Zone, .. });
+    /// Whether the endpoint would know a message again that may have run elsewhere.
+    fn recognized(&self, owed: &Owed, endpoint: EndpointId) -> bool {
+        let in_zone = matches!(owed.idempotency, Idempotency::WithKey { scope: KeyScope::Zone, .. });
         let Some((_, ran_at)) = owed.may_have_run.filter(|_| in_zone) else { return true };
-        let zone = |id| self.targets.get(&id).map(|t| &t.zone);
-        ran_at == target || zone(ran_at) == zone(target)
+        let zone = |id| self.endpoints.get(&id).map(|t| &t.zone);
+        ran_at == endpoint || zone(ran_at) == zone(endpoint)
     }
 
-    pub fn called_off(&mut self, id: &EnvelopeId, no: DispatchNo) {
+    pub fn called_off(&mut self, id: &MessageId, no: AttemptNumber) {
         let out = self.owed.get(id).is_some_and(|o| o.out.contains_key(&no));
         self.check(out, || format!("{:?}: dispatch {} called off, and was not out", id.0, no.0));
     }
 
-    pub fn shed(&mut self, id: &EnvelopeId) {
+    pub fn shed(&mut self, id: &MessageId) {
         let now = self.now;
         let harmless = self.owed.get(id).is_some_and(|o| {
             let unrun = o.may_have_run.is_none() && o.out.is_empty();
-            let repeatable = match o.effect {
-                Effect::Pure => true,
-                Effect::Receipted { group, .. } => {
-                    group == Group::All && o.receipt_until().is_some_and(|until| now < until)
+            let repeatable = match o.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::WithKey { scope, .. } => {
+                    scope == KeyScope::Region && o.receipt_until().is_some_and(|until| now < until)
                 }
-                Effect::Effectful => false,
+                Idempotency::NonIdempotent => false,
             };
-            (unrun || repeatable) && now < o.outer_limit
+            (unrun || repeatable) && now < o.deadline
         });
         self.check(harmless, || format!("{:?}: shed, and handing it in again may do harm", id.0));
         self.answered(id);
     }
 
-    pub fn broken_off(&mut self, id: &EnvelopeId) {
+    pub fn broken_off(&mut self, id: &MessageId) {
         self.answered(id);
     }
 
-    fn answered(&mut self, id: &EnvelopeId) {
+    fn answered(&mut self, id: &MessageId) {
         let owed = self.owed.get(id).is_some_and(|o| !o.over);
         self.check(owed, || format!("{:?}: answered, and no answer was owed", id.0));
         self.end(id);
     }
 
-    /// The module has taken its turn; these alarms are to come.
+    /// The delivery policy has taken its turn; these alarms are to come.
     pub fn turned(&mut self, alarms: &BTreeSet<Duration>) {
         let now = self.now;
         let open = self.owed.values().filter(|o| !o.over).count() as u64;
         let held: Vec<&Owed> = self.owed.values().filter(|o| o.held()).collect();
-        let late = held.iter().filter(|o| now >= o.outer_limit).count();
-        let end = held.iter().map(|o| o.outer_limit).min();
+        let late = held.iter().filter(|o| now >= o.deadline).count();
+        let end = held.iter().map(|o| o.deadline).min();
         let any_held = !held.is_empty();
         let first = alarms.first().copied();
         let woken = end.is_none_or(|end| first.is_some_and(|at| at <= end.max(now) + LEAST_WAKE));
