--- a/crates/recorder/src/streams/player.rs
+++ b/crates/recorder/src/streams/player.rs
@@ -1,4 +1,4 @@
-//! Plays the steps of a stream: time goes on, events come in a drawn order, and the module takes its turn.
+//! Plays the steps of a stream: time goes on, events come in a drawn order, and the delivery policy takes its turn.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -7,30 +7,30 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use reeddock::{
-    CallNo, DestinationId, DispatchNo, EnvelopeId, Host, KeyId, LimitReport, Listing, Outcome, Past, PeerId,
-    Spans, TargetId,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DestinationId, EndpointId, EndpointUpdate, LoadReport,
+    MessageId, OrderingKey, PeerId, PolicyHost, PreviousAttempt, RequestId,
 };
 
-use super::listing::{wait, Line, Targets};
+use super::listing::{wait, Endpoints, Line};
 use super::model::{Model, Violation};
 use super::setting::{millis, rounded, Setting, KEYS};
 use crate::recording::Tape;
-use crate::tee::{HandIn, RecordedForwarder};
+use crate::tee::{RecordedPolicy, Submission};
 
 /// A wake comes late by no more than a host's timer is, and may come this early, as timers round down.
 const EARLY: Duration = Duration::from_micros(600);
 const HOUR: Duration = Duration::from_secs(3_600);
-/// Added to some limits: the module answers so long before one, and that is to meet other deadlines.
+/// Added to some limits: the delivery policy answers so long before one, and that is to meet other deadlines.
 const MOMENT: Duration = Duration::from_millis(10);
 /// Most lines of a list that are told in one step, where it is told in pieces.
 const PIECE: usize = 40;
 
-/// What the module asked for, for the player to act upon.
+/// What the delivery policy asked for, for the player to act upon.
 enum Asked {
-    Dispatch(EnvelopeId, TargetId, Spans),
-    CallOff(EnvelopeId, DispatchNo),
-    Shed(EnvelopeId),
-    BreakOff(EnvelopeId),
+    Attempt(MessageId, EndpointId, AttemptTimeouts),
+    CallOff(MessageId, AttemptNumber),
+    Shed(MessageId),
+    BreakOff(MessageId),
     Wake(Duration),
     Subscribe,
 }
@@ -38,44 +38,44 @@
 #[derive(Default)]
 struct Requests(Vec<Asked>);
 
-impl Host for Requests {
-    fn dispatch(&mut self, envelope: &EnvelopeId, target: TargetId, spans: Spans) {
-        self.0.push(Asked::Dispatch(envelope.clone(), target, spans));
+impl PolicyHost for Requests {
+    fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, spans: AttemptTimeouts) {
+        self.0.push(Asked::Attempt(message.clone(), endpoint, spans));
     }
-    fn call_off(&mut self, envelope: &EnvelopeId, dispatch: DispatchNo) {
-        self.0.push(Asked::CallOff(envelope.clone(), dispatch));
+    fn cancel(&mut self, message: &MessageId, dispatch: AttemptNumber) {
+        self.0.push(Asked::CallOff(message.clone(), dispatch));
     }
-    fn shed(&mut self, envelope: &EnvelopeId, _: Option<Duration>) {
-        self.0.push(Asked::Shed(envelope.clone()));
+    fn reject(&mut self, message: &MessageId, _: Option<Duration>) {
+        self.0.push(Asked::Shed(message.clone()));
     }
-    fn break_off(&mut self, envelope: &EnvelopeId) {
-        self.0.push(Asked::BreakOff(envelope.clone()));
+    fn fail(&mut self, message: &MessageId) {
+        self.0.push(Asked::BreakOff(message.clone()));
     }
-    fn wake(&mut self, after: Duration) {
+    fn set_timer(&mut self, after: Duration) {
         self.0.push(Asked::Wake(after));
     }
-    fn probe(&mut self, _: TargetId) {}
-    fn tell(&mut self, _: Option<PeerId>, _: &[u8]) {}
+    fn start_health_check(&mut self, _: EndpointId) {}
+    fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn subscribe(&mut self, _: bool) {
         self.0.push(Asked::Subscribe);
     }
-    fn fetch_list(&mut self) {}
+    fn fetch_endpoint_list(&mut self) {}
     fn log(&mut self, _: &str) {}
 }
 
-/// A dispatch that has no outcome yet.
+/// An attempt that has no outcome yet.
 struct Out {
-    id: EnvelopeId,
-    no: DispatchNo,
-    target: TargetId,
-    call: CallNo,
+    id: MessageId,
+    no: AttemptNumber,
+    endpoint: EndpointId,
+    call: RequestId,
     due: Duration,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
 }
 
 /// A list that is being told in pieces.
 struct Telling {
-    lines: VecDeque<(TargetId, Line)>,
+    lines: VecDeque<(EndpointId, Line)>,
     /// The connection is lost before its end.
     breaks: bool,
 }
@@ -84,15 +84,15 @@
     chance: Pcg32,
     setting: Setting,
     now: Duration,
-    module: RecordedForwarder,
+    module: RecordedPolicy,
     model: Model,
     requests: Requests,
-    targets: Targets,
+    endpoints: Endpoints,
     telling: Option<Telling>,
     /// When discovery is expected to answer a call for the list.
     list_due: Option<Duration>,
-    /// Envelopes without a final answer, with the dispatches made for each.
-    open: BTreeMap<EnvelopeId, u32>,
+    /// Messages without a final answer, with the attempts made for each.
+    open: BTreeMap<MessageId, u32>,
     /// In the order in which they were sent.
     out: Vec<Out>,
     alarms: BTreeSet<Duration>,
@@ -103,10 +103,10 @@
     pub fn open(seed: u64, tape: Tape) -> Player {
         let mut chance = Pcg32::seed_from_u64(seed);
         let (setting, terms) = Setting::draw(&mut chance);
-        let targets = Targets::draw(&setting, &mut chance);
+        let endpoints = Endpoints::draw(&setting, &mut chance);
         let mut requests = Requests::default();
         let now = if chance.random_bool(0.3) { Duration::ZERO } else { millis(&mut chance, 1, 100_000) };
-        let module = RecordedForwarder::open(now, terms, tape, &mut requests);
+        let module = RecordedPolicy::new(now, terms, tape, &mut requests);
         let model = Model::new(setting.rules(), now);
         let mut player = Player {
             chance,
@@ -115,7 +115,7 @@
             module,
             model,
             requests,
-            targets,
+            endpoints,
             telling: None,
             list_due: None,
             open: BTreeMap::new(),
@@ -129,7 +129,7 @@
 
     pub fn play(mut self, most_steps: usize) -> Vec<Violation> {
         let steps = self.setting.steps;
-        // The list may come after the first envelopes.
+        // The list may come after the first messages.
         let list_at = if self.one_in(4) { self.below(12) } else { 0 };
         let leaves_at = if self.one_in(6) { steps * 3 / 4 } else { usize::MAX };
         for step in 0..steps.min(most_steps) {
@@ -141,7 +141,7 @@
             }
             if step == leaves_at {
                 let by = self.now + millis(&mut self.chance, 0, 20_000);
-                self.module.leaving(by);
+                self.module.begin_shutdown(by);
                 self.model.leaving(by);
             }
             self.step();
@@ -170,10 +170,10 @@
         self.hand_in_some();
         self.withdraw_some();
         if self.one_in(8) {
-            self.targets.change_moods(&mut self.chance);
+            self.endpoints.change_moods(&mut self.chance);
         }
         self.ask_module();
-        self.module.turn(self.now, &mut self.requests);
+        self.module.run_due_work(self.now, &mut self.requests);
         self.carry_out();
         self.model.turned(&self.alarms);
     }
@@ -197,7 +197,7 @@
     fn sound_alarms(&mut self) {
         while let Some(at) = self.alarms.first().copied().filter(|at| *at <= self.now + EARLY) {
             self.alarms.remove(&at);
-            self.module.alarm(self.now);
+            self.module.timer_fired(self.now);
         }
     }
 
@@ -214,32 +214,42 @@
     }
 
     fn settle(&mut self, ended: Out) {
-        let answered = matches!(ended.outcome, Outcome::Completed | Outcome::Error | Outcome::Full(_));
-        if answered && (self.setting.answers_report || self.one_in(20)) {
-            self.report(ended.target);
+        let answered = matches!(
+            ended.outcome,
+            AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
+        );
+        if answered && (self.setting.responses_carry_load_reports || self.one_in(20)) {
+            self.report(ended.endpoint);
         }
-        let over = ended.outcome == Outcome::Completed || !self.open.contains_key(&ended.id);
+        let over = ended.outcome == AttemptOutcome::Completed || !self.open.contains_key(&ended.id);
         if over {
             self.open.remove(&ended.id);
         }
         if self.one_in(10) {
             self.module.note_sent_to(&ended.id, ended.no);
         }
-        self.model.settled(&ended.id, ended.no, ended.outcome, over);
-        self.module.settled(self.now, &ended.id, ended.no, ended.outcome, over, &mut self.requests);
+        self.model.attempt_finished(&ended.id, ended.no, ended.outcome, over);
+        self.module.attempt_finished(self.now, &ended.id, ended.no, ended.outcome, over, &mut self.requests);
         self.carry_out();
         if self.one_in(200) {
             // Told twice, as a host might in a race.
-            self.module.settled(self.now, &ended.id, ended.no, ended.outcome, true, &mut self.requests);
+            self.module.attempt_finished(
+                self.now,
+                &ended.id,
+                ended.no,
+                ended.outcome,
+                true,
+                &mut self.requests,
+            );
             self.carry_out();
         }
     }
 
-    fn report(&mut self, target: TargetId) {
+    fn report(&mut self, endpoint: EndpointId) {
         let left = self.chance.random_range(0.0..1.1);
         let limit = if self.one_in(5) { 0.0 } else { self.chance.random_range(0.5..80.0) };
-        if let Some(report) = LimitReport::told(Some(left), Some(limit)) {
-            self.module.reported(target, report);
+        if let Some(report) = LoadReport::new(Some(left), Some(limit)) {
+            self.module.load_reported(endpoint, report);
         }
     }
 
@@ -248,11 +258,11 @@
         if !self.one_in(25) {
             return;
         }
-        let Some(target) = self.targets.any(&mut self.chance) else { return };
+        let Some(endpoint) = self.endpoints.any(&mut self.chance) else { return };
         let wait = wait(&mut self.chance, self.setting.grain);
-        self.model.told_to_wait(target, wait);
-        self.module.told_to_wait(self.now, target, wait);
-        self.module.note_waits_with(target);
+        self.model.retry_after_received(endpoint, wait);
+        self.module.retry_after_received(self.now, endpoint, wait);
+        self.module.note_waits_with(endpoint);
     }
 
     // # The list.
@@ -264,7 +274,7 @@
         }
         if self.list_due.take_if(|at| *at <= self.now).is_some() {
             if self.one_in(3) {
-                self.module.list_failed(self.now);
+                self.module.discovery_failed(self.now);
             } else {
                 self.begin_list(true, false);
             }
@@ -274,19 +284,19 @@
             0..=4 => self.begin_list(false, false),
             5 => self.begin_list(true, false),
             6 => {
-                self.targets.drop_most(&mut self.chance);
+                self.endpoints.drop_most(&mut self.chance);
                 self.begin_list(true, false);
                 // What was lost is made up for, partly, by the next list.
-                let added = self.below(self.setting.targets as usize + 1);
+                let added = self.below(self.setting.endpoints as usize + 1);
                 for _ in 0..added {
-                    self.targets.add(&self.setting, &mut self.chance);
+                    self.endpoints.add(&self.setting, &mut self.chance);
                 }
             }
             7..=8 => {
                 let whole = self.one_in(2);
                 self.begin_list(whole, true);
             }
-            9 => self.module.list_failed(self.now),
+            9 => self.module.discovery_failed(self.now),
             _ => {}
         }
     }
@@ -295,20 +305,20 @@
         if self.telling.take().is_some() {
             self.break_list();
         }
-        let mut lines: VecDeque<(TargetId, Line)> = if whole {
-            self.targets.lines.iter().map(|(id, line)| (*id, line.clone())).collect()
+        let mut lines: VecDeque<(EndpointId, Line)> = if whole {
+            self.endpoints.lines.iter().map(|(id, line)| (*id, line.clone())).collect()
         } else {
             let count = 1 + self.below(4);
-            let changed: Vec<TargetId> =
-                (0..count).map(|_| self.targets.change(&self.setting, &mut self.chance)).collect();
-            changed.into_iter().map(|id| (id, self.targets.lines[&id].clone())).collect()
+            let changed: Vec<EndpointId> =
+                (0..count).map(|_| self.endpoints.change(&self.setting, &mut self.chance)).collect();
+            changed.into_iter().map(|id| (id, self.endpoints.lines[&id].clone())).collect()
         };
         if breaks {
             let told = self.below(lines.len());
             lines.truncate(told);
         }
-        self.model.list_begins(whole);
-        self.module.list_begins(whole);
+        self.model.begin_endpoint_list(whole);
+        self.module.begin_endpoint_list(whole);
         self.telling = Some(Telling { lines, breaks });
         if !self.one_in(4) {
             self.tell_rest();
@@ -332,17 +342,17 @@
     fn tell_lines(&mut self, most: usize) {
         let Some(telling) = &mut self.telling else { return };
         let count = telling.lines.len().min(most);
-        for (target, line) in telling.lines.drain(..count) {
-            let listing = Listing {
-                target,
+        for (endpoint, line) in telling.lines.drain(..count) {
+            let listing = EndpointUpdate {
+                endpoint,
                 destination: line.destination,
-                standing: line.standing,
+                state: line.state,
                 weight: line.weight,
                 zone: line.zone,
                 kind: &line.kind,
             };
             self.model.listed(&listing);
-            self.module.listed(listing);
+            self.module.update_endpoint(listing);
         }
     }
 
@@ -350,19 +360,19 @@
         match self.telling.take() {
             Some(told) if told.breaks => self.break_list(),
             Some(_) => {
-                self.model.list_ends();
-                self.module.list_ends();
+                self.model.finish_endpoint_list();
+                self.module.finish_endpoint_list();
             }
             None => {}
         }
     }
 
     fn break_list(&mut self) {
-        self.model.list_broken();
-        self.module.list_broken();
+        self.model.abort_endpoint_list();
+        self.module.abort_endpoint_list();
     }
 
-    // # Envelopes.
+    // # Messages.
 
     fn hand_in_some(&mut self) {
         let burst = self.setting.burst as usize;
@@ -375,12 +385,12 @@
         let together = self.any_destination();
         for _ in 0..count {
             let destination = if count > burst { together } else { self.any_destination() };
-            let envelope = self.envelope(destination);
-            self.hand_in(&envelope);
+            let message = self.message(destination);
+            self.submit(&message);
         }
     }
 
-    /// One that most envelopes are for, or any; seldom one that no list names.
+    /// One that most messages are for, or any; seldom one that no list names.
     fn any_destination(&mut self) -> DestinationId {
         let all = self.setting.destinations as usize;
         let number = match self.below(20) {
@@ -391,37 +401,37 @@
         DestinationId(number as u64 + 1)
     }
 
-    fn envelope(&mut self, destination: DestinationId) -> HandIn {
+    fn message(&mut self, destination: DestinationId) -> Submission {
         self.handed_in += 1;
-        let number = self.below(self.setting.categories.len());
-        let category = &self.setting.categories[number];
-        let (name, outer_limit, ordered) = (category.name.clone(), category.outer_limit, category.ordered);
+        let number = self.below(self.setting.classes.len());
+        let class = &self.setting.classes[number];
+        let (name, deadline, ordered) = (class.name.clone(), class.deadline, class.ordered);
         let strange = self.setting.strange_names && self.one_in(20);
-        // A client's repeat shares the limit of its first hand-in.
+        // A client's repeat shares the limit of its first submission.
         let gone = if self.one_in(5) {
-            outer_limit.mul_f64(self.chance.random_range(0.0..1.0))
+            deadline.mul_f64(self.chance.random_range(0.0..1.0))
         } else {
             Duration::ZERO
         };
         let odd = if self.one_in(4) { MOMENT } else { Duration::ZERO };
         let tenant = self.below(self.setting.tenants.len() + 1);
-        HandIn {
-            id: EnvelopeId(Arc::from(format!("e{:06}", self.handed_in))),
-            category: if strange { "unknown".to_owned() } else { name },
+        Submission {
+            id: MessageId(Arc::from(format!("e{:06}", self.handed_in))),
+            class: if strange { "unknown".to_owned() } else { name },
             tenant: self.setting.tenants.get(tenant).cloned(),
-            key: (ordered || self.one_in(10)).then(|| KeyId(self.chance.random_range(0..KEYS))),
-            outer_limit: self.now + (outer_limit - gone) + odd,
+            key: (ordered || self.one_in(10)).then(|| OrderingKey(self.chance.random_range(0..KEYS))),
+            deadline: self.now + (deadline - gone) + odd,
             destination,
         }
     }
 
-    fn hand_in(&mut self, envelope: &HandIn) {
+    fn submit(&mut self, message: &Submission) {
         if self.one_in(20) {
-            self.module.note_knows(envelope.destination);
+            self.module.note_knows(message.destination);
         }
-        self.open.insert(envelope.id.clone(), 0);
-        self.model.hand_in(envelope);
-        self.module.hand_in(self.now, envelope, &mut self.requests);
+        self.open.insert(message.id.clone(), 0);
+        self.model.submit(message);
+        self.module.submit(self.now, message, &mut self.requests);
         self.carry_out();
     }
 
@@ -430,28 +440,28 @@
         let count = self.below(12);
         for _ in 0..count {
             let destination = self.any_destination();
-            let envelope = self.envelope(destination);
-            self.hand_in(&envelope);
-            if !self.open.contains_key(&envelope.id) {
+            let message = self.message(destination);
+            self.submit(&message);
+            if !self.open.contains_key(&message.id) {
                 continue;
             }
             let past = self.past();
-            self.open.insert(envelope.id.clone(), past.len() as u32);
-            self.model.recall(&envelope.id, &past);
-            self.module.recall(self.now, &envelope.id, &past, &mut self.requests);
+            self.open.insert(message.id.clone(), past.len() as u32);
+            self.model.restore(&message.id, &past);
+            self.module.restore(self.now, &message.id, &past, &mut self.requests);
             self.carry_out();
         }
     }
 
-    fn past(&mut self) -> Vec<Past> {
+    fn past(&mut self) -> Vec<PreviousAttempt> {
         let count = self.below(4);
         let mut past = Vec::new();
         for _ in 0..count {
             let ago = millis(&mut self.chance, 0, 6_000);
-            past.push(Past {
-                target: self.targets.any(&mut self.chance).unwrap_or(TargetId(0)),
-                sent: self.now.saturating_sub(ago),
-                never_ran: self.one_in(2),
+            past.push(PreviousAttempt {
+                endpoint: self.endpoints.any(&mut self.chance).unwrap_or(EndpointId(0)),
+                started_at: self.now.saturating_sub(ago),
+                proves_not_executed: self.one_in(2),
             });
         }
         past
@@ -464,8 +474,8 @@
         let at = self.below(self.open.len());
         let Some(id) = self.open.keys().nth(at).cloned() else { return };
         self.open.remove(&id);
-        self.model.withdrawn(&id);
-        self.module.end(&id, &mut self.requests);
+        self.model.withdraw(&id);
+        self.module.withdraw(&id, &mut self.requests);
         self.carry_out();
     }
 
@@ -474,22 +484,22 @@
         match self.below(60) {
             0 => {
                 let well = self.one_in(2);
-                if let Some(target) = self.targets.any(&mut self.chance) {
-                    self.module.probed(self.now, target, well);
+                if let Some(endpoint) = self.endpoints.any(&mut self.chance) {
+                    self.module.health_checked(self.now, endpoint, well);
                 }
             }
-            1 => self.module.told(self.now, PeerId(1), b"note"),
+            1 => self.module.gossip_received(self.now, PeerId(1), b"note"),
             _ => {}
         }
     }
 
-    // # What the module asked for.
+    // # What the delivery policy asked for.
 
     fn carry_out(&mut self) {
         for asked in std::mem::take(&mut self.requests.0) {
             match asked {
-                Asked::Dispatch(id, target, spans) => self.send(id, target, spans),
-                Asked::CallOff(id, no) => self.call_off(&id, no),
+                Asked::Attempt(id, endpoint, spans) => self.send(id, endpoint, spans),
+                Asked::CallOff(id, no) => self.cancel(&id, no),
                 Asked::Shed(id) => {
                     self.model.shed(&id);
                     self.open.remove(&id);
@@ -507,33 +517,34 @@
         }
     }
 
-    fn send(&mut self, id: EnvelopeId, target: TargetId, spans: Spans) {
-        self.model.dispatched(&id, target, spans);
-        let Some(dispatches) = self.open.get_mut(&id) else { return };
-        let no = DispatchNo(*dispatches);
-        *dispatches += 1;
-        let (outcome, after) = self.targets.answer(target, spans.time_out, &self.setting, &mut self.chance);
+    fn send(&mut self, id: MessageId, endpoint: EndpointId, spans: AttemptTimeouts) {
+        self.model.dispatched(&id, endpoint, spans);
+        let Some(attempts) = self.open.get_mut(&id) else { return };
+        let no = AttemptNumber(*attempts);
+        *attempts += 1;
+        let (outcome, after) =
+            self.endpoints.answer(endpoint, spans.response_within, &self.setting, &mut self.chance);
         let mut due = self.now + after;
         let mut ends_as = outcome;
         // What travels together mostly ends together.
-        let companion = self.out.iter().rfind(|o| o.call == spans.call);
+        let companion = self.out.iter().rfind(|o| o.call == spans.request);
         if let Some((companion_due, companion_outcome)) = companion.map(|c| (c.due, c.outcome)) {
             if !self.one_in(6) {
                 (due, ends_as) = (companion_due, companion_outcome);
             }
         }
-        self.out.push(Out { id, no, target, call: spans.call, due, outcome: ends_as });
+        self.out.push(Out { id, no, endpoint, call: spans.request, due, outcome: ends_as });
     }
 
     /// Ends shortly after, unless its answer is on its way.
-    fn call_off(&mut self, id: &EnvelopeId, no: DispatchNo) {
+    fn cancel(&mut self, id: &MessageId, no: AttemptNumber) {
         self.model.called_off(id, no);
         let late = self.one_in(10);
         let due = self.now + millis(&mut self.chance, 0, 5);
         let Some(out) = self.out.iter_mut().find(|o| o.id == *id && o.no == no) else { return };
         out.due = due;
         if !late {
-            out.outcome = Outcome::CalledOff;
+            out.outcome = AttemptOutcome::Cancelled;
         }
     }
 }
--- a/crates/recorder/src/streams/setting.rs
+++ b/crates/recorder/src/streams/setting.rs
@@ -5,15 +5,18 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngExt};
 use rand_pcg::Pcg32;
-use reeddock::{CategoryTerms, Effect, Group, Terms, Weights};
+use reeddock::{
+    EndpointKind, Idempotency, KeyScope, LateDecay, ListedWeights, MessageClass, Settings, TenantQuota,
+    ZoneFee,
+};
 
 use super::model::Rules;
 
 pub const ZONES: [&str; 3] = ["north", "south", "west"];
-/// Most keys that the ordered envelopes of a stream are about.
+/// Most keys that the ordered messages of a stream are about.
 pub const KEYS: u64 = 4;
 
-/// Coarse ones are as long as much that the module derives from its terms, so that its deadlines meet.
+/// Coarse ones are as long as much that the delivery policy derives from its terms, so that its deadlines meet.
 const GRAINS: [Duration; 4] = [
     Duration::from_nanos(1),
     Duration::from_millis(1),
@@ -27,30 +30,30 @@
     Duration::from_millis(1_500),
 ];
 
-/// A category as the programs of a stream know it.
+/// A class as the programs of a stream know it.
 pub struct Category {
     pub name: String,
-    pub outer_limit: Duration,
+    pub deadline: Duration,
     pub ordered: bool,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// What a stream is played with.
 pub struct Setting {
-    pub categories: Vec<Category>,
+    pub classes: Vec<Category>,
     pub kinds: Vec<String>,
     pub tenants: Vec<String>,
     pub slots: u64,
     pub room: u64,
-    pub dispatch_cap: u64,
-    pub key_rest: Duration,
-    pub answers_report: bool,
+    pub max_attempts: u64,
+    pub ordering_hold_off: Duration,
+    pub responses_carry_load_reports: bool,
     pub steps: usize,
     pub destinations: u64,
-    pub targets: u32,
-    /// Most envelopes of one usual hand-in.
+    pub endpoints: u32,
+    /// Most messages of one usual submission.
     pub burst: u32,
-    /// A program also hands in what it takes no part in, and names that nobody knows.
+    /// A program also submits what it takes no part in, and names that nobody knows.
     pub strange_names: bool,
     /// Spans that the stream draws are multiples of this one: the coarser, the more times are equal.
     pub grain: Duration,
@@ -78,37 +81,37 @@
     chance.random_bool(0.5).then(|| draw(chance))
 }
 
-fn effect(chance: &mut Pcg32) -> Option<Effect> {
+fn idempotency(chance: &mut Pcg32) -> Option<Idempotency> {
     let window = millis(chance, 200, 8_000);
     let effects = [
-        Some(Effect::Pure),
-        Some(Effect::Pure),
-        Some(Effect::Effectful),
-        Some(Effect::Receipted { window, group: Group::All }),
-        Some(Effect::Receipted { window, group: Group::Zone }),
+        Some(Idempotency::Idempotent),
+        Some(Idempotency::Idempotent),
+        Some(Idempotency::NonIdempotent),
+        Some(Idempotency::WithKey { window, scope: KeyScope::Region }),
+        Some(Idempotency::WithKey { window, scope: KeyScope::Zone }),
         None,
     ];
     let drawn = chance.random_range(0..effects.len());
-    // Untold is rare, as it is treated as effectful.
-    effects[drawn].or_else(|| chance.random_bool(0.7).then_some(Effect::Pure))
+    // Untold is rare, as it is treated as non-idempotent.
+    effects[drawn].or_else(|| chance.random_bool(0.7).then_some(Idempotency::Idempotent))
 }
 
-fn category(chance: &mut Pcg32, number: usize, grain: Duration) -> (Category, CategoryTerms) {
-    let outer_limit = rounded(millis(chance, 500, 30_000), grain);
+fn class(chance: &mut Pcg32, number: usize, grain: Duration) -> (Category, MessageClass) {
+    let deadline = rounded(millis(chance, 500, 30_000), grain);
     let name = format!("c{number}");
     let ordered = chance.random_bool(0.3);
-    let terms = CategoryTerms {
+    let terms = MessageClass {
         name: name.clone(),
-        effect: effect(chance),
-        promised: perhaps(chance, |c| rounded(outer_limit.mul_f64(c.random_range(0.05..1.2)), grain)),
-        outer_limit: chance.random_bool(0.95).then_some(outer_limit),
-        credit: perhaps(chance, |c| f64::from(c.random_range(0_u32..5)) / 2.0),
-        late_credit: perhaps(chance, |c| f64::from(c.random_range(0_u32..10)) / 10.0),
+        idempotency: idempotency(chance),
+        latency_objective: perhaps(chance, |c| rounded(deadline.mul_f64(c.random_range(0.05..1.2)), grain)),
+        deadline: chance.random_bool(0.95).then_some(deadline),
+        priority_weight: perhaps(chance, |c| f64::from(c.random_range(0_u32..5)) / 2.0),
+        late_weight: perhaps(chance, |c| f64::from(c.random_range(0_u32..10)) / 10.0),
         ordered,
     };
     // What is untold is treated as what allows least.
-    let effect = terms.effect.unwrap_or(Effect::Effectful);
-    (Category { name, outer_limit, ordered, effect }, terms)
+    let idempotency = terms.idempotency.unwrap_or(Idempotency::NonIdempotent);
+    (Category { name, deadline, ordered, idempotency }, terms)
 }
 
 fn kinds(chance: &mut Pcg32) -> Vec<(String, bool, Option<u64>)> {
@@ -138,7 +141,7 @@
     }
 }
 
-/// Few forwarders, or more than one of them has slots: the module decides otherwise where these are many.
+/// Few forwarders, or more than one of them has slots: the delivery policy decides otherwise where these are many.
 fn forwarders(chance: &mut Pcg32, slots: u64) -> u64 {
     if chance.random_bool(0.5) {
         return chance.random_range(1..=slots.min(3));
@@ -155,13 +158,13 @@
     }
 }
 
-/// Steps, destinations, targets and envelopes of a burst.
+/// Steps, destinations, endpoints and messages of a burst.
 fn size(chance: &mut Pcg32) -> (usize, u64, u32, u32) {
     match chance.random_range(0..100_u32) {
         0..=89 => {
             let destinations = chance.random_range(1..=8_u64);
-            let targets = chance.random_range(1..=16_u32).max(destinations as u32);
-            (chance.random_range(40..=240), destinations, targets, 3)
+            let endpoints = chance.random_range(1..=16_u32).max(destinations as u32);
+            (chance.random_range(40..=240), destinations, endpoints, 3)
         }
         90..=98 => (chance.random_range(40..=120), 30, 120, 8),
         _ => (24, 300, 2_000, 60),
@@ -169,69 +172,83 @@
 }
 
 impl Setting {
-    /// What the module promises under these terms.
+    /// What the delivery policy promises under these terms.
     pub fn rules(&self) -> Rules {
-        let category = |c: &Category| (c.name.clone(), (c.effect, c.ordered));
+        let class = |c: &Category| (c.name.clone(), (c.idempotency, c.ordered));
         Rules {
-            categories: self.categories.iter().map(category).collect(),
+            classes: self.classes.iter().map(class).collect(),
             slots: self.slots,
             room: self.room,
-            dispatch_cap: self.dispatch_cap,
-            key_rest: self.key_rest,
+            max_attempts: self.max_attempts,
+            ordering_hold_off: self.ordering_hold_off,
         }
     }
 
-    pub fn draw(chance: &mut Pcg32) -> (Setting, Terms) {
-        let (steps, destinations, targets, burst) = size(chance);
+    pub fn draw(chance: &mut Pcg32) -> (Setting, Settings) {
+        let (steps, destinations, endpoints, burst) = size(chance);
         let count = chance.random_range(1..=4_usize);
         let grain = pick(chance, &GRAINS).unwrap_or(GRAINS[0]);
-        let (categories, of_categories): (Vec<_>, Vec<_>) =
-            (0..count).map(|n| category(chance, n, grain)).unzip();
+        let (classes, of_categories): (Vec<_>, Vec<_>) = (0..count).map(|n| class(chance, n, grain)).unzip();
         let (kinds, tenants, slots) = (kinds(chance), tenants(chance), slots(chance));
-        let weights = [Weights::Untold, Weights::RoughRates, Weights::Rates];
-        let terms = Terms {
+        let weights = [ListedWeights::Unspecified, ListedWeights::ApproximateRates, ListedWeights::Rates];
+        let terms = Settings {
             seed: chance.next_u64(),
             forwarders: Some(forwarders(chance, slots)),
             zone: ZONES[0].to_owned(),
-            categories: of_categories,
-            kinds: kinds.clone(),
-            tenants: tenants.clone(),
-            over_share_credit: perhaps(chance, |c| c.random_range(0.0..1.0)),
-            halving: chance.random_bool(0.5),
-            slots: Some(slots),
-            room: room(chance, u64::from(burst)),
-            dispatch_cap: chance.random_bool(0.8).then(|| chance.random_range(1..=6)),
-            may_duplicate: chance.random_bool(0.3),
-            come_back: perhaps(chance, |c| millis(c, 100, 10_000)),
-            cold_from: perhaps(chance, |c| c.random_range(0.05..1.0)),
-            warm_within: perhaps(chance, |c| millis(c, 0, 15_000)),
-            fall_multiple: perhaps(chance, |c| c.random_range(0.5..4.0)),
-            tip_after: perhaps(chance, |c| millis(c, 100, 4_000)),
-            key_rest: perhaps(chance, |c| millis(c, 0, 4_000)),
-            ask_within: perhaps(chance, |c| millis(c, 500, 20_000)),
-            weights: pick(chance, &weights).unwrap_or_default(),
-            answers_report: chance.random_bool(0.4),
-            connection_idle: perhaps(chance, |c| millis(c, 0, 5_000)),
+            classes: of_categories,
+            endpoint_kinds: kinds
+                .iter()
+                .cloned()
+                .map(|(name, circuit_per_endpoint, max_batch)| EndpointKind {
+                    name,
+                    circuit_per_endpoint,
+                    max_batch,
+                })
+                .collect(),
+            tenants: tenants
+                .iter()
+                .cloned()
+                .map(|(tenant, messages_per_second)| TenantQuota { tenant, messages_per_second })
+                .collect(),
+            over_quota_weight: perhaps(chance, |c| c.random_range(0.0..1.0)),
+            late_decay: match chance.random_bool(0.5) {
+                true => LateDecay::Exponential,
+                false => LateDecay::Linear,
+            },
+            max_in_flight: Some(slots),
+            capacity: room(chance, u64::from(burst)),
+            max_attempts: chance.random_bool(0.8).then(|| chance.random_range(1..=6)),
+            hedging_allowed: chance.random_bool(0.3),
+            max_retry_after: perhaps(chance, |c| millis(c, 100, 10_000)),
+            slow_start_floor: perhaps(chance, |c| c.random_range(0.05..1.0)),
+            slow_start_duration: perhaps(chance, |c| millis(c, 0, 15_000)),
+            overload_multiple: perhaps(chance, |c| c.random_range(0.5..4.0)),
+            overload_window: perhaps(chance, |c| millis(c, 100, 4_000)),
+            ordering_hold_off: perhaps(chance, |c| millis(c, 0, 4_000)),
+            poll_interval_limit: perhaps(chance, |c| millis(c, 500, 20_000)),
+            listed_weights: pick(chance, &weights).unwrap_or_default(),
+            responses_carry_load_reports: chance.random_bool(0.4),
+            connection_idle_timeout: perhaps(chance, |c| millis(c, 0, 5_000)),
             cross_zone_price: perhaps(chance, |c| c.random_range(0.0..0.1)),
             connection_price: perhaps(chance, |c| c.random_range(0.0..0.1)),
             zone_fees: ZONES
                 .iter()
                 .skip(1)
-                .map(|z| ((*z).to_owned(), chance.random_range(0.0..0.2)))
+                .map(|z| ZoneFee { zone: (*z).to_owned(), fee: chance.random_range(0.0..0.2) })
                 .collect(),
         };
         let setting = Setting {
-            categories,
+            classes,
             kinds: kinds.into_iter().map(|k| k.0).collect(),
             tenants: tenants.into_iter().map(|t| t.0).collect(),
             slots,
-            room: terms.room.unwrap_or(u64::MAX),
-            dispatch_cap: terms.dispatch_cap.unwrap_or(u64::MAX),
-            key_rest: terms.key_rest.unwrap_or_default(),
-            answers_report: terms.answers_report,
+            room: terms.capacity.unwrap_or(u64::MAX),
+            max_attempts: terms.max_attempts.unwrap_or(u64::MAX),
+            ordering_hold_off: terms.ordering_hold_off.unwrap_or_default(),
+            responses_carry_load_reports: terms.responses_carry_load_reports,
             steps,
             destinations,
-            targets,
+            endpoints,
             burst,
             strange_names: chance.random_bool(0.2),
             grain,
--- a/crates/recorder/src/tee.rs
+++ b/crates/recorder/src/tee.rs
@@ -1,10 +1,11 @@
-//! Records what passes between the module and its host, in both directions.
+//! Records what passes between the delivery policy and its host, in both directions.
 
 use std::time::Duration;
 
 use reeddock::{
-    DestinationId, DispatchNo, EnvelopeId, Forwarder, Host, KeyId, LimitReport, Listing, Outcome, Past,
-    PeerId, Spans, TargetId, Terms,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DeliveryPolicy, DestinationId, EndpointId,
+    EndpointUpdate, LoadReport, MessageId, NewMessage, OrderingKey, PeerId, PolicyHost, PreviousAttempt,
+    Settings,
 };
 
 use crate::line::{Input, Request, Returned};
@@ -13,45 +14,45 @@
 /// A host that records each request and hands it on.
 pub struct Tee<'a> {
     pub tape: &'a Tape,
-    pub host: &'a mut dyn Host,
+    pub host: &'a mut dyn PolicyHost,
 }
 
-impl Host for Tee<'_> {
-    fn dispatch(&mut self, id: &EnvelopeId, target: TargetId, spans: Spans) {
-        self.tape.note(Request::Dispatch { id, target, spans });
-        self.host.dispatch(id, target, spans);
+impl PolicyHost for Tee<'_> {
+    fn start_attempt(&mut self, id: &MessageId, endpoint: EndpointId, spans: AttemptTimeouts) {
+        self.tape.note(Request::Attempt { id, endpoint, spans });
+        self.host.start_attempt(id, endpoint, spans);
     }
-    fn call_off(&mut self, id: &EnvelopeId, no: DispatchNo) {
+    fn cancel(&mut self, id: &MessageId, no: AttemptNumber) {
         self.tape.note(Request::CallOff { id, no });
-        self.host.call_off(id, no);
+        self.host.cancel(id, no);
     }
-    fn shed(&mut self, id: &EnvelopeId, come_back: Option<Duration>) {
-        self.tape.note(Request::Shed { id, come_back });
-        self.host.shed(id, come_back);
+    fn reject(&mut self, id: &MessageId, retry_after: Option<Duration>) {
+        self.tape.note(Request::Shed { id, retry_after });
+        self.host.reject(id, retry_after);
     }
-    fn break_off(&mut self, id: &EnvelopeId) {
+    fn fail(&mut self, id: &MessageId) {
         self.tape.note(Request::BreakOff { id });
-        self.host.break_off(id);
+        self.host.fail(id);
     }
-    fn wake(&mut self, after: Duration) {
+    fn set_timer(&mut self, after: Duration) {
         self.tape.note(Request::Wake { after });
-        self.host.wake(after);
+        self.host.set_timer(after);
     }
-    fn probe(&mut self, target: TargetId) {
-        self.tape.note(Request::Probe { target });
-        self.host.probe(target);
+    fn start_health_check(&mut self, endpoint: EndpointId) {
+        self.tape.note(Request::Probe { endpoint });
+        self.host.start_health_check(endpoint);
     }
-    fn tell(&mut self, peer: Option<PeerId>, note: &[u8]) {
+    fn send_gossip(&mut self, peer: Option<PeerId>, note: &[u8]) {
         self.tape.note(Request::Tell { peer, note });
-        self.host.tell(peer, note);
+        self.host.send_gossip(peer, note);
     }
     fn subscribe(&mut self, on: bool) {
         self.tape.note(Request::Subscribe { on });
         self.host.subscribe(on);
     }
-    fn fetch_list(&mut self) {
+    fn fetch_endpoint_list(&mut self) {
         self.tape.note(Request::FetchList);
-        self.host.fetch_list();
+        self.host.fetch_endpoint_list();
     }
     fn log(&mut self, line: &str) {
         self.tape.note(Request::Log { line });
@@ -59,153 +60,166 @@
     }
 }
 
-/// An envelope as it is handed in.
+/// A message as it is submitted.
 #[derive(Clone, Debug)]
-pub struct HandIn {
-    pub id: EnvelopeId,
-    pub category: String,
+pub struct Submission {
+    pub id: MessageId,
+    pub class: String,
     pub tenant: Option<String>,
-    pub key: Option<KeyId>,
-    pub outer_limit: Duration,
+    pub key: Option<OrderingKey>,
+    pub deadline: Duration,
     pub destination: DestinationId,
 }
 
-/// An instance of the module whose calls, requests and returned values are recorded.
-pub struct RecordedForwarder {
-    module: Forwarder,
+/// An instance of the delivery policy whose calls, requests and returned values are recorded.
+pub struct RecordedPolicy {
+    module: DeliveryPolicy,
     tape: Tape,
 }
 
-fn sorted(mut targets: Vec<TargetId>) -> Vec<TargetId> {
-    targets.sort();
-    targets
+fn sorted(mut endpoints: Vec<EndpointId>) -> Vec<EndpointId> {
+    endpoints.sort();
+    endpoints
 }
 
-impl RecordedForwarder {
-    pub fn open(now: Duration, terms: Terms, tape: Tape, host: &mut dyn Host) -> RecordedForwarder {
+impl RecordedPolicy {
+    pub fn new(now: Duration, terms: Settings, tape: Tape, host: &mut dyn PolicyHost) -> RecordedPolicy {
         tape.note(Input::Open { now, terms: &terms });
-        let module = Forwarder::open(now, terms, &mut Tee { tape: &tape, host });
-        RecordedForwarder { module, tape }
+        let module = DeliveryPolicy::new(now, terms, &mut Tee { tape: &tape, host });
+        RecordedPolicy { module, tape }
     }
 
-    pub fn list_begins(&mut self, whole: bool) {
+    pub fn begin_endpoint_list(&mut self, whole: bool) {
         self.tape.note(Input::ListBegins { whole });
-        self.module.list_begins(whole);
+        self.module.begin_endpoint_list(whole);
     }
 
-    pub fn listed(&mut self, listing: Listing) {
-        self.tape.note(Input::Listed(&listing));
-        self.module.listed(listing);
+    pub fn update_endpoint(&mut self, listing: EndpointUpdate) {
+        self.tape.note(Input::EndpointUpdated(&listing));
+        self.module.update_endpoint(listing);
     }
 
-    pub fn list_ends(&mut self) {
+    pub fn finish_endpoint_list(&mut self) {
         self.tape.note(Input::ListEnds);
-        let dropped = self.module.list_ends();
+        let dropped = self.module.finish_endpoint_list();
         self.tape.note(Returned::Dropped(sorted(dropped)));
     }
 
-    pub fn list_broken(&mut self) {
+    pub fn abort_endpoint_list(&mut self) {
         self.tape.note(Input::ListBroken);
-        self.module.list_broken();
+        self.module.abort_endpoint_list();
     }
 
-    pub fn list_failed(&mut self, now: Duration) {
+    pub fn discovery_failed(&mut self, now: Duration) {
         self.tape.note(Input::ListFailed { now });
-        self.module.list_failed(now);
+        self.module.discovery_failed(now);
     }
 
-    pub fn hand_in(&mut self, now: Duration, e: &HandIn, host: &mut dyn Host) {
+    pub fn submit(&mut self, now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
         let tenant = e.tenant.as_deref();
-        self.tape.note(Input::HandIn {
+        self.tape.note(Input::Submission {
             now,
             id: &e.id,
-            category: &e.category,
+            class: &e.class,
             tenant,
             key: e.key,
-            outer_limit: e.outer_limit,
+            deadline: e.deadline,
             destination: e.destination,
         });
-        let host = &mut Tee { tape: &self.tape, host };
-        let (id, limit) = (e.id.clone(), e.outer_limit);
-        self.module.hand_in(now, id, &e.category, tenant, e.key, limit, e.destination, host);
+        let message = NewMessage {
+            id: e.id.clone(),
+            class: &e.class,
+            tenant,
+            ordering_key: e.key,
+            deadline: e.deadline,
+            destination: e.destination,
+        };
+        self.module.submit(now, message, &mut Tee { tape: &self.tape, host });
     }
 
-    pub fn recall(&mut self, now: Duration, id: &EnvelopeId, past: &[Past], host: &mut dyn Host) {
+    pub fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        past: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
         self.tape.note(Input::Recall { now, id, past });
-        self.module.recall(now, id, past, &mut Tee { tape: &self.tape, host });
+        self.module.restore(now, id, past, &mut Tee { tape: &self.tape, host });
     }
 
-    pub fn settled(
+    pub fn attempt_finished(
         &mut self,
         now: Duration,
-        id: &EnvelopeId,
-        no: DispatchNo,
-        outcome: Outcome,
+        id: &MessageId,
+        no: AttemptNumber,
+        outcome: AttemptOutcome,
         over: bool,
-        host: &mut dyn Host,
+        host: &mut dyn PolicyHost,
     ) {
         self.tape.note(Input::Settled { now, id, no, outcome, over });
-        self.module.settled(now, id, no, outcome, over, &mut Tee { tape: &self.tape, host });
+        self.module.attempt_finished(now, id, no, outcome, over, &mut Tee { tape: &self.tape, host });
     }
 
-    pub fn reported(&mut self, target: TargetId, report: LimitReport) {
-        self.tape.note(Input::Reported { target, report });
-        self.module.reported(target, report);
+    pub fn load_reported(&mut self, endpoint: EndpointId, report: LoadReport) {
+        self.tape.note(Input::Reported { endpoint, report });
+        self.module.load_reported(endpoint, report);
     }
 
-    pub fn told_to_wait(&mut self, now: Duration, target: TargetId, wait: Duration) {
-        self.tape.note(Input::ToldToWait { now, target, wait });
-        self.module.told_to_wait(now, target, wait);
+    pub fn retry_after_received(&mut self, now: Duration, endpoint: EndpointId, wait: Duration) {
+        self.tape.note(Input::ToldToWait { now, endpoint, wait });
+        self.module.retry_after_received(now, endpoint, wait);
     }
 
-    /// Withdraws an envelope.
-    pub fn end(&mut self, id: &EnvelopeId, host: &mut dyn Host) {
+    /// Withdraws a message.
+    pub fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
         self.tape.note(Input::Withdrawn { id });
-        self.module.end(id, &mut Tee { tape: &self.tape, host });
+        self.module.withdraw(id, &mut Tee { tape: &self.tape, host });
     }
 
-    pub fn leaving(&mut self, by: Duration) {
+    pub fn begin_shutdown(&mut self, by: Duration) {
         self.tape.note(Input::Leaving { by });
-        self.module.leaving(by);
+        self.module.begin_shutdown(by);
     }
 
-    pub fn alarm(&mut self, now: Duration) {
+    pub fn timer_fired(&mut self, now: Duration) {
         self.tape.note(Input::Alarm { now });
-        self.module.alarm(now);
+        self.module.timer_fired(now);
     }
 
-    pub fn probed(&mut self, now: Duration, target: TargetId, well: bool) {
-        self.tape.note(Input::Probed { now, target, well });
-        self.module.probed(now, target, well);
+    pub fn health_checked(&mut self, now: Duration, endpoint: EndpointId, well: bool) {
+        self.tape.note(Input::Probed { now, endpoint, well });
+        self.module.health_checked(now, endpoint, well);
     }
 
-    pub fn told(&mut self, now: Duration, from: PeerId, note: &[u8]) {
+    pub fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]) {
         self.tape.note(Input::Told { now, from, note });
-        self.module.told(now, from, note);
+        self.module.gossip_received(now, from, note);
     }
 
-    /// Lets the module decide, and notes which targets it has forgotten since.
-    pub fn turn(&mut self, now: Duration, host: &mut dyn Host) {
+    /// Lets the delivery policy decide, and notes which endpoints it has forgotten since.
+    pub fn run_due_work(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         self.tape.note(Input::Turn { now });
-        self.module.turn(now, &mut Tee { tape: &self.tape, host });
-        let forgotten = self.module.take_forgotten();
+        self.module.run_due_work(now, &mut Tee { tape: &self.tape, host });
+        let forgotten = self.module.take_removed_endpoints();
         if !forgotten.is_empty() {
             self.tape.note(Returned::Forgotten(sorted(forgotten)));
         }
     }
 
-    /// Notes the targets that a wait told by this one holds for.
-    pub fn note_waits_with(&self, target: TargetId) {
-        self.tape.note(Returned::WaitsWith(target, sorted(self.module.waits_with(target))));
+    /// Notes the endpoints that a wait told by this one holds for.
+    pub fn note_waits_with(&self, endpoint: EndpointId) {
+        self.tape
+            .note(Returned::WaitsWith(endpoint, sorted(self.module.endpoints_sharing_circuit(endpoint))));
     }
 
-    /// Notes where a dispatch that is out went.
-    pub fn note_sent_to(&self, id: &EnvelopeId, no: DispatchNo) {
-        self.tape.note(Returned::SentTo(id.clone(), no, self.module.sent_to(id, no)));
+    /// Notes where an attempt that is out went.
+    pub fn note_sent_to(&self, id: &MessageId, no: AttemptNumber) {
+        self.tape.note(Returned::SentTo(id.clone(), no, self.module.attempt_endpoint(id, no)));
     }
 
     /// Notes whether the list has named a destination.
     pub fn note_knows(&self, destination: DestinationId) {
-        self.tape.note(Returned::Knows(destination, self.module.knows(destination)));
+        self.tape.note(Returned::Knows(destination, self.module.knows_destination(destination)));
     }
 }
--- a/crates/recorder/tests/recordings.rs
+++ b/crates/recorder/tests/recordings.rs
@@ -1,4 +1,4 @@
-//! Recordings of random event streams: the same bytes each time, reaching all of the module's interface, and
+//! Recordings of random event streams: the same bytes each time, reaching all of the delivery policy's interface, and
 //! compared to the first line that differs.
 
 use std::collections::BTreeMap;
@@ -98,7 +98,7 @@
     assert!(missing.is_empty(), "seldom or never: {missing:?}");
 }
 
-/// Stream, target and destination of each line of a list.
+/// Stream, endpoint and destination of each line of a list.
 fn listed(text: &str) -> impl Iterator<Item = (&str, &str, &str)> {
     text.lines().filter(|l| l.contains(" calls listed ")).map(|line| {
         let words: Vec<&str> = line.split(' ').collect();
@@ -111,8 +111,8 @@
     let (text, _) = recorded(1..=150, Form::Full);
     let mut moved = 0;
     let mut home: BTreeMap<(&str, &str), &str> = BTreeMap::new();
-    for (stream, target, destination) in listed(&text) {
-        let before = home.insert((stream, target), destination);
+    for (stream, endpoint, destination) in listed(&text) {
+        let before = home.insert((stream, endpoint), destination);
         moved += usize::from(before.is_some_and(|b| b != destination));
     }
     assert!(moved > 20, "{moved} targets moved to another destination");
@@ -121,13 +121,13 @@
     let many = text.lines().filter(dropped).filter(|l| l.matches(',').count() > 40).count();
     assert!(many > 2, "{many} whole lists dropped over 40 targets");
 
-    // Calls that carry several envelopes, over those of the same stream and call.
+    // Calls that carry several messages, over those of the same stream and call.
     let mut calls: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     for line in text.lines().filter(|l| l.contains(" asks dispatch ")) {
         let words: Vec<&str> = line.split(' ').collect();
         *calls.entry((words[0], words[5])).or_default() += 1;
     }
-    let full = calls.values().filter(|envelopes| **envelopes > 2).count();
+    let full = calls.values().filter(|messages| **messages > 2).count();
     assert!(full > 20, "{full} calls with over 2 envelopes");
 
     let turns: Vec<(&str, f64)> = text
--- a/crates/recorder/tests/rules.rs
+++ b/crates/recorder/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Random streams against the rules of the module and, in a build with debug assertions, against its own checks of
+//! Random streams against the rules of the delivery policy and, in a build with debug assertions, against its own checks of
 //! each index.
 
 use proptest::prelude::*;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,16 +1,19 @@
-//! The settings that a forwarder is handed, on the simulator's wire as on sockets, under the module's names.
+//! The settings that a forwarder is handed, on the simulator's wire as on sockets, under the delivery policy's names.
 //! Nothing is decided here: what is absent or of another type is passed on as untold.
 
 mod shape;
 
 use std::time::Duration;
 
-use reeddock::{CategoryTerms, Effect, Group, LimitReport, Terms, Weights};
+use reeddock::{
+    EndpointKind, Idempotency, KeyScope, LateDecay, ListedWeights, LoadReport, MessageClass, Settings,
+    TenantQuota, ZoneFee,
+};
 use serde_json::{Map, Value};
-pub use shape::{Rates, Shape};
+pub use shape::{DeploymentShape, Rates};
 
-/// What the module is told at start.
-pub fn terms(seed: u64, info: &Map<String, Value>) -> Terms {
+/// What the delivery policy is told at start.
+pub fn parse_settings(seed: u64, info: &Map<String, Value>) -> Settings {
     let empty = Map::new();
     let part = |name: &str| info.get(name).and_then(Value::as_object).unwrap_or(&empty);
     let list = |value: Option<&Value>| value.and_then(Value::as_array).cloned().unwrap_or_default();
@@ -22,65 +25,75 @@
     let (family, limits, guarantees) = (part("familyInfo"), part("policyLimits"), part("guarantees"));
     let batches = list(family.get("batchByKind"));
     let aparts = list(family.get("kindApart"));
-    let category = |c: &Value| CategoryTerms {
+    let class = |c: &Value| MessageClass {
         name: text(c.get("name")),
-        effect: match c.get("effect").and_then(Value::as_str) {
-            Some("idempotent") => Some(Effect::Pure),
-            Some("at_most_once") => Some(Effect::Effectful),
-            Some("deduplicated") => span(c.get("windowUs")).map(|window| Effect::Receipted {
+        idempotency: match c.get("effect").and_then(Value::as_str) {
+            Some("idempotent") => Some(Idempotency::Idempotent),
+            Some("at_most_once") => Some(Idempotency::NonIdempotent),
+            Some("deduplicated") => span(c.get("windowUs")).map(|window| Idempotency::WithKey {
                 window,
-                group: match c.get("dedupScope").and_then(Value::as_str) {
-                    Some("all") => Group::All,
-                    _ => Group::Zone,
+                scope: match c.get("dedupScope").and_then(Value::as_str) {
+                    Some("all") => KeyScope::Region,
+                    _ => KeyScope::Zone,
                 },
             }),
             _ => None,
         },
-        promised: span(c.get("onTimeUs")),
-        outer_limit: span(c.get("giveUpUs")),
-        credit: number(c.get("importance")),
-        late_credit: number(c.get("lateWorth")),
+        latency_objective: span(c.get("onTimeUs")),
+        deadline: span(c.get("giveUpUs")),
+        priority_weight: number(c.get("importance")),
+        late_weight: number(c.get("lateWorth")),
         ordered: flag(c.get("sequential")),
     };
-    Terms {
+    Settings {
         seed,
         forwarders: whole(info.get("balancers")),
         zone: text(info.get("az")),
-        categories: list(info.get("classes")).iter().map(category).collect(),
-        kinds: list(info.get("kinds"))
+        classes: list(info.get("classes")).iter().map(class).collect(),
+        endpoint_kinds: list(info.get("kinds"))
             .iter()
             .enumerate()
-            .map(|(n, kind)| (text(Some(kind)), flag(aparts.get(n)), whole(batches.get(n))))
+            .map(|(n, kind)| EndpointKind {
+                name: text(Some(kind)),
+                circuit_per_endpoint: flag(aparts.get(n)),
+                max_batch: whole(batches.get(n)),
+            })
             .collect(),
         tenants: list(info.get("realms"))
             .iter()
-            .map(|t| (text(t.get("name")), number(t.get("quotaPerS"))))
+            .map(|t| TenantQuota {
+                tenant: text(t.get("name")),
+                messages_per_second: number(t.get("quotaPerS")),
+            })
             .collect(),
-        over_share_credit: number(info.get("overShareWorth")),
-        halving: family.get("decay").and_then(Value::as_str) == Some("halving"),
-        slots: whole(family.get("maxCalls")),
-        room: whole(limits.get("openCap")),
-        dispatch_cap: whole(limits.get("attemptsCap")),
-        may_duplicate: flag(limits.get("mayDuplicate")),
-        come_back: span(limits.get("maxRetryAfterUs")).filter(|_| flag(limits.get("retryAfter"))),
-        cold_from: number(guarantees.get("coldFrom")),
-        warm_within: span(guarantees.get("warmWithinUs")),
-        fall_multiple: number(guarantees.get("fallMultiple")),
-        tip_after: span(guarantees.get("tipAfterUs")),
-        key_rest: span(guarantees.get("keyQuietUs")),
-        ask_within: span(guarantees.get("mustAskInUs"))
+        over_quota_weight: number(info.get("overShareWorth")),
+        late_decay: match family.get("decay").and_then(Value::as_str) {
+            Some("halving") => LateDecay::Exponential,
+            _ => LateDecay::Linear,
+        },
+        max_in_flight: whole(family.get("maxCalls")),
+        capacity: whole(limits.get("openCap")),
+        max_attempts: whole(limits.get("attemptsCap")),
+        hedging_allowed: flag(limits.get("mayDuplicate")),
+        max_retry_after: span(limits.get("maxRetryAfterUs")).filter(|_| flag(limits.get("retryAfter"))),
+        slow_start_floor: number(guarantees.get("coldFrom")),
+        slow_start_duration: span(guarantees.get("warmWithinUs")),
+        overload_multiple: number(guarantees.get("fallMultiple")),
+        overload_window: span(guarantees.get("tipAfterUs")),
+        ordering_hold_off: span(guarantees.get("keyQuietUs")),
+        poll_interval_limit: span(guarantees.get("mustAskInUs"))
             .filter(|_| info.get("discovery").and_then(Value::as_str) == Some("subscribe")),
-        weights: match info.get("weights").and_then(Value::as_str) {
-            Some("nominal") => Weights::Rates,
-            Some("rough") => Weights::RoughRates,
-            _ => Weights::Untold,
+        listed_weights: match info.get("weights").and_then(Value::as_str) {
+            Some("nominal") => ListedWeights::Rates,
+            Some("rough") => ListedWeights::ApproximateRates,
+            _ => ListedWeights::Unspecified,
         },
-        answers_report: ReportFields::of(info).is_some(),
-        connection_idle: span(limits.get("connIdleUs")),
+        responses_carry_load_reports: ReportFields::of(info).is_some(),
+        connection_idle_timeout: span(limits.get("connIdleUs")),
         cross_zone_price: number(part("tariffs").get("crossZone")),
         connection_price: number(part("tariffs").get("handshake")),
         zone_fees: (list(info.get("areas")).iter().zip(list(family.get("zoneFee"))))
-            .filter_map(|(zone, fee)| fee.as_f64().map(|fee| (text(Some(zone)), fee)))
+            .filter_map(|(zone, fee)| fee.as_f64().map(|fee| ZoneFee { zone: text(Some(zone)), fee }))
             .collect(),
     }
 }
@@ -102,31 +115,31 @@
         Some(ReportFields { left: place("x0")?, limit: place("x1")? }).filter(|_| told)
     }
 
-    pub fn read(self, values: &[Value]) -> Option<LimitReport> {
+    pub fn read(self, values: &[Value]) -> Option<LoadReport> {
         let at = |place: usize| values.get(place).and_then(Value::as_f64);
-        LimitReport::told(at(self.left), at(self.limit))
+        LoadReport::new(at(self.left), at(self.limit))
     }
 }
 
-/// How the network is to behave, which is no affair of the module.
+/// How the network is to behave, which is no affair of the delivery policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reach {
-    /// What has come in is told to the module at most this often, so that what came together is seen together.
+pub struct NetworkSettings {
+    /// What has come in is told to the delivery policy at most this often, so that what came together is seen together.
     pub tick: Option<Duration>,
     /// A connection not made by then is none.
     pub connect_within: Option<Duration>,
-    /// Targets close a connection that has stood idle for so long.
+    /// Endpoints close a connection that has stood idle for so long.
     pub idle: Option<Duration>,
 }
 
 /// Clients wait for less than half a second.
 const LONGEST_TICK: Duration = Duration::from_millis(100);
 
-impl Reach {
-    pub fn of(info: &Map<String, Value>) -> Reach {
+impl NetworkSettings {
+    pub fn of(info: &Map<String, Value>) -> NetworkSettings {
         let limit = |name: &str| info.get("policyLimits").and_then(|l| l.get(name)).and_then(Value::as_u64);
         let tick = info.get("tickUs").and_then(Value::as_u64).map(Duration::from_micros);
-        Reach {
+        NetworkSettings {
             tick: tick.filter(|t| *t <= LONGEST_TICK),
             connect_within: limit("connectTimeoutUs").map(Duration::from_micros),
             idle: limit("connIdleUs").map(Duration::from_micros),
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -7,15 +7,15 @@
 
 /// The parts of a layout, none of which follows from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct DeploymentShape {
     /// Answers tell how much of their route's limit is left, and the limit.
     pub limits_told: bool,
     pub rates: Rates,
     /// The list comes only when it is asked for.
     pub list_asked_for: bool,
-    /// An envelope may have two dispatches out.
+    /// A message may have two attempts out.
     pub copies: bool,
-    /// What routes apart take on has a price by zone.
+    /// What routes apart accept has a price by zone.
     pub zone_fees: bool,
 }
 
@@ -76,7 +76,8 @@
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct Limits {
-    may_duplicate: Option<bool>,
+    #[serde(rename = "mayDuplicate")]
+    hedging_allowed: Option<bool>,
 }
 
 #[derive(Default, Deserialize)]
@@ -91,9 +92,9 @@
     zone_fee: Vec<f64>,
 }
 
-impl Shape {
+impl DeploymentShape {
     /// How a configuration's settings lay a deployment out, or the key that is wrong and what is expected there.
-    pub fn of(settings: &Map<String, Value>) -> Result<Shape, String> {
+    pub fn of(settings: &Map<String, Value>) -> Result<DeploymentShape, String> {
         let keys: Keys =
             serde_path_to_error::deserialize(settings).map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
         let report = keys.report.unwrap_or_default();
@@ -119,7 +120,7 @@
                 "guarantees.mustAskInUs: expected microseconds over 0, as the list is asked for".into()
             );
         }
-        Ok(Shape {
+        Ok(DeploymentShape {
             // A report of other things than these is no word on limits.
             limits_told: report.how == How::Piggyback && ["x0", "x1"].iter().all(|name| told(name)),
             rates: match keys.weights {
@@ -128,13 +129,13 @@
                 Some(Weights::Silent | Weights::Live) | None => Rates::Untold,
             },
             list_asked_for,
-            copies: keys.policy_limits.unwrap_or_default().may_duplicate.unwrap_or_default(),
+            copies: keys.policy_limits.unwrap_or_default().hedging_allowed.unwrap_or_default(),
             zone_fees: fees.iter().any(|fee| *fee > 0.0),
         })
     }
 }
 
-impl std::fmt::Display for Shape {
+impl std::fmt::Display for DeploymentShape {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let of = |told, yes: &'static str, no| if told { yes } else { no };
         let rates = match self.rates {
--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! The JSON line wire, turned into calls on [`reeddock::Forwarder`] and back. Nothing is decided here.
+//! The JSON line wire, turned into calls on [`reeddock::DeliveryPolicy`] and back. Nothing is decided here.
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -7,10 +7,10 @@
 
 use base64::{engine::general_purpose::STANDARD, Engine};
 use reeddock::{
-    DestinationId, DispatchNo, EnvelopeId, Forwarder, Host, KeyId, Listing, Outcome, PeerId, Spans, Standing,
-    TargetId,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DeliveryPolicy, DestinationId, EndpointId, EndpointState,
+    EndpointUpdate, MessageId, NewMessage, OrderingKey, PeerId, PolicyHost,
 };
-use reeddock_settings::{terms, ReportFields};
+use reeddock_settings::{parse_settings, ReportFields};
 use serde_json::{json, Value};
 
 /// What is wrong with a batch, in one line.
@@ -24,16 +24,16 @@
 }
 
 struct Instance {
-    forwarder: Forwarder,
+    policy: DeliveryPolicy,
     fields: Option<ReportFields>,
 }
 
 impl Instance {
     /// What stands beside an outcome, told before it.
-    fn reported(&mut self, target: TargetId, usage: Option<&Value>) {
+    fn reported(&mut self, endpoint: EndpointId, usage: Option<&Value>) {
         let values = usage.and_then(Value::as_array);
         if let Some(report) = self.fields.zip(values).and_then(|(fields, values)| fields.read(values)) {
-            self.forwarder.reported(target, report);
+            self.policy.load_reported(endpoint, report);
         }
     }
 }
@@ -46,37 +46,37 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-impl Host for Actions {
-    fn dispatch(&mut self, envelope: &EnvelopeId, target: TargetId, spans: Spans) {
+impl PolicyHost for Actions {
+    fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, spans: AttemptTimeouts) {
         // The wire reads 0 as no time-out, and a negative one as none left.
-        let wait = match micros(spans.time_out) {
+        let wait = match micros(spans.response_within) {
             0 => json!(-1),
             some => json!(some),
         };
-        self.0.push(json!(["Try", &*envelope.0, wait, target.0]));
+        self.0.push(json!(["Try", &*message.0, wait, endpoint.0]));
     }
 
-    fn call_off(&mut self, envelope: &EnvelopeId, dispatch: DispatchNo) {
-        self.0.push(json!(["Revoke", &*envelope.0, dispatch.0]));
+    fn cancel(&mut self, message: &MessageId, dispatch: AttemptNumber) {
+        self.0.push(json!(["Revoke", &*message.0, dispatch.0]));
     }
 
-    fn shed(&mut self, envelope: &EnvelopeId, come_back: Option<Duration>) {
-        self.0.push(json!(["Shed", &*envelope.0, come_back.map(micros)]));
+    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+        self.0.push(json!(["Shed", &*message.0, retry_after.map(micros)]));
     }
 
-    fn break_off(&mut self, envelope: &EnvelopeId) {
-        self.0.push(json!(["RespondError", &*envelope.0]));
+    fn fail(&mut self, message: &MessageId) {
+        self.0.push(json!(["RespondError", &*message.0]));
     }
 
-    fn wake(&mut self, after: Duration) {
+    fn set_timer(&mut self, after: Duration) {
         self.0.push(json!(["Schedule", micros(after), "wake"]));
     }
 
-    fn probe(&mut self, target: TargetId) {
-        self.0.push(json!(["Ping", target.0]));
+    fn start_health_check(&mut self, endpoint: EndpointId) {
+        self.0.push(json!(["Ping", endpoint.0]));
     }
 
-    fn tell(&mut self, peer: Option<PeerId>, note: &[u8]) {
+    fn send_gossip(&mut self, peer: Option<PeerId>, note: &[u8]) {
         let to = peer.map_or(json!("all"), |p| json!(p.0));
         self.0.push(json!(["WritePeer", to, STANDARD.encode(note)]));
     }
@@ -85,7 +85,7 @@
         self.0.push(json!(["Tail", on]));
     }
 
-    fn fetch_list(&mut self) {
+    fn fetch_endpoint_list(&mut self) {
         self.0.push(json!(["Fetch"]));
     }
 
@@ -132,12 +132,12 @@
         u32::try_from(self.whole(place)?).map_err(|_| self.wrong(place))
     }
 
-    fn envelope(&self, place: usize) -> Result<EnvelopeId, Fault> {
-        self.text(place).map(|t| EnvelopeId(Arc::from(t)))
+    fn message(&self, place: usize) -> Result<MessageId, Fault> {
+        self.text(place).map(|t| MessageId(Arc::from(t)))
     }
 
-    fn target(&self, place: usize) -> Result<TargetId, Fault> {
-        self.small(place).map(TargetId)
+    fn endpoint(&self, place: usize) -> Result<EndpointId, Fault> {
+        self.small(place).map(EndpointId)
     }
 }
 
@@ -188,9 +188,9 @@
                 }
                 "Attach" => {
                     let info = event.at(1).and_then(Value::as_object).ok_or_else(|| event.wrong(1))?;
-                    let forwarder = Forwarder::open(now, terms(event.whole(0)?, info), host);
+                    let policy = DeliveryPolicy::new(now, parse_settings(event.whole(0)?, info), host);
                     let fields = ReportFields::of(info);
-                    self.instances.insert(instance, Instance { forwarder, fields });
+                    self.instances.insert(instance, Instance { policy, fields });
                 }
                 "Retire" => {
                     self.instances.remove(&instance);
@@ -206,7 +206,7 @@
             }
         }
         if let Some(attached) = self.instances.get_mut(&instance) {
-            attached.forwarder.turn(now, host);
+            attached.policy.run_due_work(now, host);
         }
         Ok(())
     }
@@ -221,74 +221,77 @@
 ) -> Result<(), Fault> {
     match event.0 {
         "Sync" => match event.text(0)? {
-            "X" => attached.forwarder.list_failed(now),
+            "X" => attached.policy.discovery_failed(now),
             how @ ("D" | "F" | "C") => {
                 let slot = event.whole(2)?;
                 let lines =
                     lists.get(&slot).ok_or_else(|| format!("Sync: list {slot} was never registered"))?;
-                attached.forwarder.list_begins(how != "D");
+                attached.policy.begin_endpoint_list(how != "D");
                 for line in lines {
                     let values = line.as_array().ok_or("Register: an entry is not an array")?;
                     let entry = Event("Register entry", values);
-                    let standing = match entry.text(4)? {
-                        "active" => Standing::Active,
-                        "leaving" => Standing::Leaving,
-                        "left" => Standing::Gone,
+                    let state = match entry.text(4)? {
+                        "active" => EndpointState::Active,
+                        "leaving" => EndpointState::Draining,
+                        "left" => EndpointState::Removed,
                         other => return Err(format!("Register entry: unknown health {other:?}")),
                     };
-                    attached.forwarder.listed(Listing {
-                        target: entry.target(0)?,
+                    attached.policy.update_endpoint(EndpointUpdate {
+                        endpoint: entry.endpoint(0)?,
                         destination: DestinationId(entry.whole(2)?),
-                        standing,
+                        state,
                         weight: entry.at(1).and_then(Value::as_f64),
                         zone: entry.at(5).and_then(Value::as_str).unwrap_or_default(),
                         kind: entry.at(6).and_then(Value::as_str).unwrap_or_default(),
                     });
                 }
-                attached.forwarder.list_ends();
+                attached.policy.finish_endpoint_list();
             }
             other => return Err(format!("Sync: unknown kind {other:?}")),
         },
-        "Demand" => attached.forwarder.hand_in(
-            now,
-            event.envelope(0)?,
-            event.text(1)?,
-            event.at(2).and_then(Value::as_str),
-            event.maybe_whole(3)?.map(KeyId),
-            event.span(4)?,
-            DestinationId(event.whole(6)?),
-            host,
-        ),
+        "Demand" => {
+            let message = NewMessage {
+                id: event.message(0)?,
+                class: event.text(1)?,
+                tenant: event.at(2).and_then(Value::as_str),
+                ordering_key: event.maybe_whole(3)?.map(OrderingKey),
+                deadline: event.span(4)?,
+                destination: DestinationId(event.whole(6)?),
+            };
+            attached.policy.submit(now, message, host);
+        }
         "Settled" => {
             let wait = event.maybe_whole(6)?.filter(|ms| *ms > 0).map(Duration::from_millis);
             let outcome = match event.text(4)? {
-                "delivered" => Outcome::Completed,
-                "app_error" => Outcome::Error,
-                "shed" => Outcome::Full(wait),
-                "expired" => Outcome::TimedOut,
-                "dial_failed" => Outcome::NoConnection,
-                "dropped" => Outcome::Broken,
-                "revoked" => Outcome::CalledOff,
-                "unused" => Outcome::Unsent,
+                "delivered" => AttemptOutcome::Completed,
+                "app_error" => AttemptOutcome::Error,
+                "shed" => AttemptOutcome::Rejected { retry_after: wait },
+                "expired" => AttemptOutcome::TimedOut,
+                "dial_failed" => AttemptOutcome::NoConnection,
+                "dropped" => AttemptOutcome::ConnectionReset,
+                "revoked" => AttemptOutcome::Cancelled,
+                "unused" => AttemptOutcome::NotSent,
                 other => return Err(format!("Settled: unknown outcome {other:?}")),
             };
             let over = event.at(5).and_then(Value::as_bool).unwrap_or_default();
-            let no = DispatchNo(event.small(1)?);
-            attached.reported(event.target(3)?, event.at(7));
-            attached.forwarder.settled(now, &event.envelope(0)?, no, outcome, over, host);
+            let no = AttemptNumber(event.small(1)?);
+            attached.reported(event.endpoint(3)?, event.at(7));
+            attached.policy.attempt_finished(now, &event.message(0)?, no, outcome, over, host);
         }
-        "Left" => attached.forwarder.end(&event.envelope(0)?, host),
-        "Alarm" => attached.forwarder.alarm(now),
+        "Left" => attached.policy.withdraw(&event.message(0)?, host),
+        "Alarm" => attached.policy.timer_fired(now),
         "HealthResult" => {
             let well = event.text(1)? == "delivered";
-            attached.reported(event.target(0)?, event.at(3));
-            attached.forwarder.probed(now, event.target(0)?, well);
+            attached.reported(event.endpoint(0)?, event.at(3));
+            attached.policy.health_checked(now, event.endpoint(0)?, well);
         }
         "FromPeer" => {
             let note = STANDARD.decode(event.text(1)?).map_err(|_| event.wrong(1))?;
-            attached.forwarder.told(now, PeerId(event.small(0)?), &note);
+            attached.policy.gossip_received(now, PeerId(event.small(0)?), &note);
+        }
+        "Accepted" => {
+            attached.policy.response_started(now, &event.message(0)?, AttemptNumber(event.small(3)?), host)
         }
-        "Accepted" => attached.forwarder.begun(now, &event.envelope(0)?, DispatchNo(event.small(3)?), host),
         other => return Err(format!("unknown event {other:?}")),
     }
     Ok(())
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -6,7 +6,7 @@
 use reeddock_sim_adapter::Wire;
 
 fn main() -> ExitCode {
-    // A panic of the module is told on the wire; the usual report of it would be a second one.
+    // A panic of the delivery policy is told on the wire; the usual report of it would be a second one.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -67,8 +67,9 @@
         for usage in
             [json!(null), json!([]), json!([5.0]), json!(["a", null]), json!([-1, 7]), json!([9.0, 0.3])]
         {
-            let settled = json!(["Settled", ID, 0, 18500, 7, "shed", false, null, usage]);
-            wire.answer(&batch(2, json!([settled, ["HealthResult", 7, "delivered", 1400, usage]]))).unwrap();
+            let attempt_finished = json!(["Settled", ID, 0, 18500, 7, "shed", false, null, usage]);
+            wire.answer(&batch(2, json!([attempt_finished, ["HealthResult", 7, "delivered", 1400, usage]])))
+                .unwrap();
         }
         wire.answer(&batch(3, json!([["Sync", "X", 0, null]]))).unwrap();
     }
--- a/crates/simulation/src/oracles.rs
+++ b/crates/simulation/src/oracles.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use reeddock::{Effect, Outcome, Standing};
+use reeddock::{AttemptOutcome, EndpointState, Idempotency};
 use serde::{Deserialize, Serialize};
 
 use crate::layout::{ForwarderNo, TargetNo};
@@ -78,7 +78,7 @@
 struct Sent {
     at: Duration,
     target: TargetNo,
-    ended: Option<(Outcome, Duration)>,
+    ended: Option<(AttemptOutcome, Duration)>,
 }
 
 impl Sent {
@@ -89,12 +89,17 @@
 }
 
 /// Ends that prove that nothing ran, as the rules have it; kept apart from the module's own list.
-pub fn proves_unrun(outcome: Outcome) -> bool {
+pub fn proves_unrun(outcome: AttemptOutcome) -> bool {
     match outcome {
-        Outcome::Full(_) | Outcome::NoConnection | Outcome::Unsent | Outcome::Unreadable => true,
-        Outcome::Completed | Outcome::Error | Outcome::TimedOut | Outcome::Broken | Outcome::CalledOff => {
-            false
-        }
+        AttemptOutcome::Rejected { .. }
+        | AttemptOutcome::NoConnection
+        | AttemptOutcome::NotSent
+        | AttemptOutcome::Malformed => true,
+        AttemptOutcome::Completed
+        | AttemptOutcome::Error
+        | AttemptOutcome::TimedOut
+        | AttemptOutcome::ConnectionReset
+        | AttemptOutcome::Cancelled => false,
     }
 }
 
@@ -120,7 +125,7 @@
 
 /// Effect and whether keys are kept in order, for each category.
 pub struct CategoryRules {
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub ordered: bool,
 }
 
@@ -130,7 +135,7 @@
     key_rest: Duration,
     slack: Duration,
     records: Vec<Record>,
-    lists: Vec<BTreeMap<TargetNo, (Standing, Duration)>>,
+    lists: Vec<BTreeMap<TargetNo, (EndpointState, Duration)>>,
     waits: BTreeMap<(ForwarderNo, Place), Duration>,
     lines: BTreeMap<(ForwarderNo, u64), Vec<EnvelopeNo>>,
     /// Forwarders that were told of a failed or refused call during the outage that stands, or stood last.
@@ -232,20 +237,20 @@
         let unsure: Vec<&Sent> = record.sent.iter().filter(|s| !s.proved_unrun()).collect();
         if let Some(first) = unsure.iter().map(|s| s.at).min() {
             match self.categories[record.category].effect {
-                Effect::Pure => {}
-                Effect::Effectful => {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
                     faults
                         .push((Rule::NoDoubleEffect, "effectful, sent again though it may have run".into()));
                 }
-                Effect::Receipted { window, .. } if now >= first + window => {
+                Idempotency::WithKey { window, .. } if now >= first + window => {
                     faults.push((Rule::NoDoubleEffect, "receipted, sent again after its window".into()));
                 }
-                Effect::Receipted { .. } => {}
+                Idempotency::WithKey { .. } => {}
             }
         }
         match self.lists[forwarder.0].get(&target) {
             None => faults.push((Rule::Drains, format!("target {} was in none of its lists", target.0))),
-            Some((Standing::Active, _)) => {}
+            Some((EndpointState::Active, _)) => {}
             Some((standing, since)) if now > *since + self.drain_grace => {
                 let since = since.as_secs_f64();
                 let what = format!("target {} is {standing:?}, told at {since:.6}", target.0);
@@ -281,7 +286,12 @@
         let line = self.lines.get_mut(&(forwarder, key))?;
         let rests = |record: &Record| {
             let ends = record.sent.iter().filter_map(|s| s.ended);
-            let unsure = |o| matches!(o, Outcome::TimedOut | Outcome::Broken | Outcome::CalledOff);
+            let unsure = |o| {
+                matches!(
+                    o,
+                    AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
+                )
+            };
             ends.filter(|(o, _)| unsure(*o)).map(|(_, at)| at + key_rest).max().unwrap_or_default()
         };
         let done = |r: &Record| (r.answer.is_some() || r.void) && r.sent.iter().all(|s| s.ended.is_some());
@@ -304,14 +314,14 @@
         now: Duration,
         envelope: EnvelopeNo,
         no: usize,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         place: Place,
     ) {
         let record = &mut self.records[envelope.0];
         if let Some(sent) = record.sent.get_mut(no) {
             sent.ended = Some((outcome, now));
         }
-        if let Outcome::Full(Some(wait)) = outcome {
+        if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
             let until = self.waits.entry((record.forwarder, place)).or_default();
             *until = (*until).max(now + wait);
         }
@@ -335,9 +345,9 @@
         if answer == Answer::Shed {
             let unsure = record.sent.iter().filter(|s| !s.proved_unrun()).map(|s| s.at).min();
             let harmful = match (self.categories[record.category].effect, unsure) {
-                (_, None) | (Effect::Pure, _) => None,
-                (Effect::Effectful, Some(_)) => Some("effectful, shed though it may have run"),
-                (Effect::Receipted { window, .. }, Some(first)) => (now >= first + window)
+                (_, None) | (Idempotency::Idempotent, _) => None,
+                (Idempotency::NonIdempotent, Some(_)) => Some("effectful, shed though it may have run"),
+                (Idempotency::WithKey { window, .. }, Some(first)) => (now >= first + window)
                     .then_some("receipted, shed after its window though it may have run"),
             };
             if let Some(what) = harmful {
@@ -361,7 +371,7 @@
     /// An effect was applied at a destination.
     pub fn applied(&mut self, now: Duration, envelope: EnvelopeNo) {
         let record = &self.records[envelope.0];
-        if self.categories[record.category].effect != Effect::Effectful {
+        if self.categories[record.category].effect != Idempotency::NonIdempotent {
             return;
         }
         let times = self.effects.entry(record.first_try).or_default();
@@ -372,10 +382,16 @@
         }
     }
 
-    pub fn listed(&mut self, now: Duration, forwarder: ForwarderNo, target: TargetNo, standing: Standing) {
+    pub fn listed(
+        &mut self,
+        now: Duration,
+        forwarder: ForwarderNo,
+        target: TargetNo,
+        standing: EndpointState,
+    ) {
         let entry = self.lists[forwarder.0].entry(target).or_insert((standing, now));
         // Told again of what it knew, its grace runs from the first time.
-        if entry.0 != standing && (standing == Standing::Active || entry.0 == Standing::Active) {
+        if entry.0 != standing && (standing == EndpointState::Active || entry.0 == EndpointState::Active) {
             *entry = (standing, now);
         }
         entry.0 = standing;
@@ -461,7 +477,7 @@
         let record = &mut self.records[envelope.0];
         record.answer_by = record.answer_by.max(now + slack);
         for sent in record.sent.iter_mut().filter(|s| s.ended.is_none()) {
-            sent.ended = Some((Outcome::Broken, now));
+            sent.ended = Some((AttemptOutcome::ConnectionReset, now));
         }
     }
 }
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/partner.rs
@@ -10,7 +10,7 @@
 
 /// One call on its way to, at, or from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallNo(pub usize);
+pub struct RequestId(pub usize);
 
 /// Calls that a cold target takes within the span that counts before it falls, where the terms allow it so many:
 /// what comes over that by chance is borne, and is counted over all forwarders, however many they are.
@@ -22,11 +22,11 @@
     pub plan: TargetPlan,
     pub gate: Gate,
     pub busy: usize,
-    pub queue: VecDeque<CallNo>,
-    pub serving: Vec<CallNo>,
+    pub queue: VecDeque<RequestId>,
+    pub serving: Vec<RequestId>,
     /// Taken while it hangs, and answers that wait for the end of it.
-    pub stuck: Vec<CallNo>,
-    pub stuck_answers: Vec<CallNo>,
+    pub stuck: Vec<RequestId>,
+    pub stuck_answers: Vec<RequestId>,
     /// Troubles that stand, by their place in the scenario.
     pub troubles: Vec<usize>,
     /// Outages among these.
@@ -144,12 +144,12 @@
     }
 
     /// All connections break; names the calls that were queued, served or stuck.
-    pub fn break_all(&mut self) -> Vec<CallNo> {
+    pub fn break_all(&mut self) -> Vec<RequestId> {
         self.life += 1;
         self.connections = 0;
         self.idle.clear();
         self.busy = 0;
-        let mut calls: Vec<CallNo> = self.queue.drain(..).collect();
+        let mut calls: Vec<RequestId> = self.queue.drain(..).collect();
         calls.append(&mut self.serving);
         calls.append(&mut self.stuck);
         calls.append(&mut self.stuck_answers);
--- a/crates/simulation/src/policies/desk.rs
+++ b/crates/simulation/src/policies/desk.rs
@@ -9,37 +9,37 @@
 
 use rand::SeedableRng;
 use reeddock::{
-    CallNo, DestinationId, DispatchNo, Effect, EnvelopeId, Host, KeyId, Outcome, Past, PeerId, Spans,
-    Standing, TargetId, Terms,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DestinationId, EndpointId, EndpointState, Idempotency,
+    MessageId, OrderingKey, PeerId, PolicyHost, PreviousAttempt, RequestId, Settings,
 };
 
 use crate::figure::Chance;
-use crate::policy::{HandIn, ListLine, Policy, Sight};
+use crate::policy::{ListLine, Policy, Sight, Submission};
 
 pub struct Held {
-    pub id: EnvelopeId,
+    pub id: MessageId,
     pub category: usize,
-    pub key: Option<KeyId>,
+    pub key: Option<OrderingKey>,
     pub destination: DestinationId,
     pub outer_limit: Duration,
     pub promised_by: Duration,
     pub dispatches: u32,
     pub not_before: Duration,
-    out: BTreeSet<DispatchNo>,
+    out: BTreeSet<AttemptNumber>,
     /// Where each dispatch went, when, and in which call.
-    sent: Vec<(TargetId, Duration, u64)>,
+    sent: Vec<(EndpointId, Duration, u64)>,
     may_have_run: Option<Duration>,
 }
 
 struct Left {
     call: u64,
     number: u64,
-    key: Option<KeyId>,
+    key: Option<OrderingKey>,
 }
 
 struct Known {
     destination: DestinationId,
-    standing: Standing,
+    standing: EndpointState,
     apart: bool,
     batch: usize,
     wait_until: Duration,
@@ -48,9 +48,9 @@
 /// What a habit may look at when it picks.
 pub struct View<'v> {
     /// Targets that the rules let the envelope go to.
-    pub able: &'v [TargetId],
+    pub able: &'v [EndpointId],
     /// Places left in calls that this turn has begun to fill.
-    pub forming: &'v BTreeMap<TargetId, usize>,
+    pub forming: &'v BTreeMap<EndpointId, usize>,
     pub now: Duration,
     pub sight: &'v dyn Sight,
 }
@@ -58,11 +58,11 @@
 /// How a baseline differs from the others.
 pub trait Habit: Send {
     /// Which of the able targets gets the envelope now; none: it stays.
-    fn pick(&mut self, envelope: &Held, view: &View, chance: &mut Chance) -> Option<TargetId>;
+    fn pick(&mut self, envelope: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId>;
     /// A dispatch has ended.
-    fn ended(&mut self, target: TargetId, outcome: Outcome, now: Duration);
+    fn ended(&mut self, target: EndpointId, outcome: AttemptOutcome, now: Duration);
     /// After how long an envelope whose dispatch so ended may go again; none: never.
-    fn again(&mut self, envelope: &Held, outcome: Outcome, chance: &mut Chance) -> Option<Duration>;
+    fn again(&mut self, envelope: &Held, outcome: AttemptOutcome, chance: &mut Chance) -> Option<Duration>;
     /// The order in which envelopes are taken up: first those with the least.
     fn urgency(&self, _envelope: &Held) -> Duration {
         Duration::ZERO
@@ -77,21 +77,21 @@
 pub struct Desk<H> {
     habit: H,
     chance: Chance,
-    terms: Terms,
+    terms: Settings,
     held: BTreeMap<u64, Held>,
-    numbers: BTreeMap<EnvelopeId, u64>,
+    numbers: BTreeMap<MessageId, u64>,
     /// Dispatches that are out for envelopes that have left.
-    left: BTreeMap<(EnvelopeId, DispatchNo), Left>,
+    left: BTreeMap<(MessageId, AttemptNumber), Left>,
     /// Held and not out, in the order in which they were taken.
     waiting: VecDeque<u64>,
-    known: BTreeMap<TargetId, Known>,
+    known: BTreeMap<EndpointId, Known>,
     /// Targets of each destination, and those that have told a wait.
-    by_destination: BTreeMap<DestinationId, BTreeSet<TargetId>>,
-    told_waits: BTreeSet<TargetId>,
+    by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
+    told_waits: BTreeSet<EndpointId>,
     /// Waits told by destinations whose targets share one.
     waits: BTreeMap<DestinationId, Duration>,
-    lines: BTreeMap<KeyId, VecDeque<u64>>,
-    rests: BTreeMap<KeyId, (Duration, u64)>,
+    lines: BTreeMap<OrderingKey, VecDeque<u64>>,
+    rests: BTreeMap<OrderingKey, (Duration, u64)>,
     /// Calls out, with the dispatches in each that have not ended.
     calls: BTreeMap<u64, u32>,
     call: u64,
@@ -100,7 +100,7 @@
 }
 
 impl<H: Habit> Desk<H> {
-    pub fn open(terms: Terms, habit: H) -> Desk<H> {
+    pub fn open(terms: Settings, habit: H) -> Desk<H> {
         Desk {
             habit,
             chance: Chance::seed_from_u64(terms.seed),
@@ -122,15 +122,15 @@
         }
     }
 
-    fn effect(&self, envelope: &Held) -> Effect {
-        self.terms.categories[envelope.category].effect.unwrap_or(Effect::Effectful)
+    fn effect(&self, envelope: &Held) -> Idempotency {
+        self.terms.classes[envelope.category].idempotency.unwrap_or(Idempotency::NonIdempotent)
     }
 
     fn may_run_again(&self, envelope: &Held, now: Duration) -> bool {
         match (self.effect(envelope), envelope.may_have_run) {
-            (_, None) | (Effect::Pure, _) => true,
-            (Effect::Receipted { window, .. }, Some(first)) => now < first + window,
-            (Effect::Effectful, Some(_)) => false,
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::WithKey { window, .. }, Some(first)) => now < first + window,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Takes an envelope out of its key's line once it is over and nothing is out for it.
-    fn leave_line(&mut self, key: Option<KeyId>, number: u64) {
+    fn leave_line(&mut self, key: Option<OrderingKey>, number: u64) {
         let open = self.held.contains_key(&number) || self.left.values().any(|l| l.number == number);
         if let Some(line) = key.and_then(|k| self.lines.get_mut(&k)).filter(|_| !open) {
             line.retain(|n| *n != number);
@@ -156,25 +156,28 @@
     }
 
     /// A key rests after an end that may still be running.
-    fn rest(&mut self, key: Option<KeyId>, number: u64, outcome: Outcome, now: Duration) {
-        let unsure = matches!(outcome, Outcome::TimedOut | Outcome::Broken | Outcome::CalledOff);
+    fn rest(&mut self, key: Option<OrderingKey>, number: u64, outcome: AttemptOutcome, now: Duration) {
+        let unsure = matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
+        );
         if let Some(key) = key.filter(|_| unsure) {
-            self.rests.insert(key, (now + self.terms.key_rest.unwrap_or_default(), number));
+            self.rests.insert(key, (now + self.terms.ordering_hold_off.unwrap_or_default(), number));
         }
     }
 
-    fn give_up(&mut self, number: u64, now: Duration, host: &mut dyn Host) {
+    fn give_up(&mut self, number: u64, now: Duration, host: &mut dyn PolicyHost) {
         let Some(envelope) = self.leave(number) else { return };
         let harmless = self.may_run_again(&envelope, now) && envelope.out.is_empty();
         if harmless && now < envelope.outer_limit {
             let until = self.waits.get(&envelope.destination).copied().unwrap_or_default();
-            let wait = self.terms.come_back.map(|most| until.saturating_sub(now).min(most));
-            host.shed(&envelope.id, wait.filter(|w| !w.is_zero()));
+            let wait = self.terms.max_retry_after.map(|most| until.saturating_sub(now).min(most));
+            host.reject(&envelope.id, wait.filter(|w| !w.is_zero()));
         } else {
-            host.break_off(&envelope.id);
+            host.fail(&envelope.id);
         }
         for no in &envelope.out {
-            host.call_off(&envelope.id, *no);
+            host.cancel(&envelope.id, *no);
         }
     }
 
@@ -195,10 +198,11 @@
         }
     }
 
-    fn able(&self, envelope: &Held, now: Duration) -> Vec<TargetId> {
+    fn able(&self, envelope: &Held, now: Duration) -> Vec<EndpointId> {
         let shared = self.waits.get(&envelope.destination).copied().unwrap_or_default();
-        let open =
-            |t: &Known| t.standing == Standing::Active && now >= if t.apart { t.wait_until } else { shared };
+        let open = |t: &Known| {
+            t.standing == EndpointState::Active && now >= if t.apart { t.wait_until } else { shared }
+        };
         let targets = self.by_destination.get(&envelope.destination).into_iter().flatten();
         targets.filter(|id| self.known.get(id).is_some_and(open)).copied().collect()
     }
@@ -215,13 +219,13 @@
 }
 
 impl<H: Habit> Policy for Desk<H> {
-    fn list(&mut self, _now: Duration, whole: bool, lines: &[ListLine], _host: &mut dyn Host) {
+    fn list(&mut self, _now: Duration, whole: bool, lines: &[ListLine], _host: &mut dyn PolicyHost) {
         if whole {
-            self.known.values_mut().for_each(|t| t.standing = Standing::Gone);
+            self.known.values_mut().for_each(|t| t.standing = EndpointState::Removed);
         }
         for line in lines {
-            let kind = self.terms.kinds.iter().find(|k| k.0 == line.kind);
-            let (apart, batch) = kind.map_or((false, None), |k| (k.1, k.2));
+            let kind = self.terms.endpoint_kinds.iter().find(|k| k.name == line.kind);
+            let (apart, batch) = kind.map_or((false, None), |k| (k.circuit_per_endpoint, k.max_batch));
             let known = self.known.entry(line.target).or_insert(Known {
                 destination: line.destination,
                 standing: line.standing,
@@ -234,14 +238,14 @@
         }
     }
 
-    fn hand_in(&mut self, _now: Duration, e: &HandIn, host: &mut dyn Host) {
-        let Some(category) = self.terms.categories.iter().position(|c| c.name == e.category) else {
-            return host.break_off(&e.id);
+    fn submit(&mut self, _now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
+        let Some(category) = self.terms.classes.iter().position(|c| c.name == e.category) else {
+            return host.fail(&e.id);
         };
         self.taken += 1;
         let number = self.taken;
-        let terms = &self.terms.categories[category];
-        let limit = terms.outer_limit.unwrap_or_default();
+        let terms = &self.terms.classes[category];
+        let limit = terms.deadline.unwrap_or_default();
         let key = e.key.filter(|_| terms.ordered);
         if let Some(key) = key {
             self.lines.entry(key).or_default().push_back(number);
@@ -252,7 +256,7 @@
             key,
             destination: e.destination,
             outer_limit: e.outer_limit,
-            promised_by: e.outer_limit.saturating_sub(limit) + terms.promised.unwrap_or(limit),
+            promised_by: e.outer_limit.saturating_sub(limit) + terms.latency_objective.unwrap_or(limit),
             dispatches: 0,
             not_before: Duration::ZERO,
             out: BTreeSet::new(),
@@ -264,13 +268,19 @@
         self.waiting.push_back(number);
     }
 
-    fn recall(&mut self, now: Duration, id: &EnvelopeId, past: &[Past], host: &mut dyn Host) {
+    fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        past: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
         let Some(number) = self.numbers.get(id).copied() else { return };
-        let rest = now + self.terms.key_rest.unwrap_or_default();
+        let rest = now + self.terms.ordering_hold_off.unwrap_or_default();
         let Some(envelope) = self.held.get_mut(&number) else { return };
         envelope.dispatches = past.len() as u32;
-        envelope.sent = past.iter().map(|p| (p.target, p.sent, 0)).collect();
-        envelope.may_have_run = past.iter().filter(|p| !p.never_ran).map(|p| p.sent).min();
+        envelope.sent = past.iter().map(|p| (p.endpoint, p.started_at, 0)).collect();
+        envelope.may_have_run = past.iter().filter(|p| !p.proves_not_executed).map(|p| p.started_at).min();
         if let (Some(key), Some(_)) = (envelope.key, envelope.may_have_run) {
             self.rests.insert(key, (rest, number));
         }
@@ -280,14 +290,14 @@
         }
     }
 
-    fn settled(
+    fn attempt_finished(
         &mut self,
         now: Duration,
-        id: &EnvelopeId,
-        no: DispatchNo,
-        outcome: Outcome,
+        id: &MessageId,
+        no: AttemptNumber,
+        outcome: AttemptOutcome,
         over: bool,
-        host: &mut dyn Host,
+        host: &mut dyn PolicyHost,
     ) {
         if let Some(left) = self.left.remove(&(id.clone(), no)) {
             self.close_part(left.call);
@@ -300,13 +310,13 @@
         let Some((target, sent, call)) = envelope.sent.get(no.0 as usize).copied() else { return };
         self.close_part(call);
         let Some(envelope) = self.held.get_mut(&number) else { return };
-        if !outcome.never_ran() {
+        if !outcome.proves_not_executed() {
             envelope.may_have_run = Some(envelope.may_have_run.map_or(sent, |first| first.min(sent)));
         }
         let key = envelope.key;
         self.rest(key, number, outcome, now);
         if let Some(known) = self.known.get_mut(&target) {
-            if let Outcome::Full(Some(wait)) = outcome {
+            if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
                 let until = if known.apart {
                     self.told_waits.insert(target);
                     &mut known.wait_until
@@ -321,7 +331,7 @@
             self.leave(number);
             return;
         }
-        let cap = self.terms.dispatch_cap.unwrap_or(u64::MAX);
+        let cap = self.terms.max_attempts.unwrap_or(u64::MAX);
         let left = self.held.get(&number).filter(|e| u64::from(e.dispatches) < cap);
         let again = left.and_then(|e| self.habit.again(e, outcome, &mut self.chance));
         let Some(envelope) = self.held.get_mut(&number) else { return };
@@ -337,24 +347,24 @@
         }
     }
 
-    fn withdrawn(&mut self, id: &EnvelopeId, host: &mut dyn Host) {
+    fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
         let Some(number) = self.numbers.get(id).copied() else { return };
         if let Some(envelope) = self.leave(number) {
             for no in &envelope.out {
-                host.call_off(id, *no);
+                host.cancel(id, *no);
             }
         }
     }
 
-    fn alarm(&mut self, _now: Duration) {
+    fn timer_fired(&mut self, _now: Duration) {
         self.wake_at = None;
     }
 
-    fn probed(&mut self, _now: Duration, _target: TargetId, _well: bool) {}
+    fn health_checked(&mut self, _now: Duration, _target: EndpointId, _well: bool) {}
 
-    fn told(&mut self, _now: Duration, _from: PeerId, _note: &[u8]) {}
+    fn gossip_received(&mut self, _now: Duration, _from: PeerId, _note: &[u8]) {}
 
-    fn turn(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn Host) {
+    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost) {
         self.rests.retain(|_, (until, _)| *until > now);
         let past =
             |n: &u64| self.held.get(n).is_none_or(|e| now >= e.outer_limit || !self.may_run_again(e, now));
@@ -362,12 +372,12 @@
         for number in hopeless {
             self.give_up(number, now, host);
         }
-        let room = self.terms.room.unwrap_or(u64::MAX) as usize;
+        let room = self.terms.capacity.unwrap_or(u64::MAX) as usize;
         while self.held.len() >= room {
             let Some(last) = self.waiting.back().copied() else { break };
             self.give_up(last, now, host);
         }
-        let slots = self.terms.slots.unwrap_or(u64::MAX) as usize;
+        let slots = self.terms.max_in_flight.unwrap_or(u64::MAX) as usize;
         let mut order: Vec<(Duration, usize, u64)> = Vec::new();
         if self.calls.len() < slots {
             let urgency = |n: &u64| self.held.get(n).map_or(Duration::MAX, |e| self.habit.urgency(e));
@@ -375,8 +385,8 @@
             order.sort();
         }
         // The call that this turn fills for each target, and the places left in it.
-        let mut numbers: BTreeMap<TargetId, u64> = BTreeMap::new();
-        let mut forming: BTreeMap<TargetId, usize> = BTreeMap::new();
+        let mut numbers: BTreeMap<EndpointId, u64> = BTreeMap::new();
+        let mut forming: BTreeMap<EndpointId, usize> = BTreeMap::new();
         for (_, _, number) in order {
             let Some(envelope) = self.held.get(&number) else { continue };
             if now < envelope.not_before || !self.key_free(number, envelope, now) {
@@ -391,10 +401,10 @@
             }
             let view = View { able: &able, forming: &forming, now, sight };
             let Some(target) = self.habit.pick(envelope, &view, &mut self.chance) else { continue };
-            let promised = self.terms.categories[envelope.category].promised.unwrap_or_default();
+            let promised = self.terms.classes[envelope.category].latency_objective.unwrap_or_default();
             let time_out = self.habit.time_out(promised).min(envelope.outer_limit - now);
             let Some(envelope) = self.held.get_mut(&number) else { continue };
-            envelope.out.insert(DispatchNo(envelope.dispatches));
+            envelope.out.insert(AttemptNumber(envelope.dispatches));
             envelope.dispatches += 1;
             let places = forming.entry(target).or_default();
             if *places == 0 {
@@ -408,11 +418,19 @@
             envelope.sent.push((target, now, call));
             let id = envelope.id.clone();
             self.waiting.retain(|n| *n != number);
-            host.dispatch(&id, target, Spans { call: CallNo(call), begin_within: time_out, time_out });
+            host.start_attempt(
+                &id,
+                target,
+                AttemptTimeouts {
+                    request: RequestId(call),
+                    start_within: time_out,
+                    response_within: time_out,
+                },
+            );
         }
         if let Some(at) = self.next_wake(now).filter(|at| self.wake_at.is_none_or(|w| *at < w || w <= now)) {
             self.wake_at = Some(at);
-            host.wake(at - now);
+            host.set_timer(at - now);
         }
     }
 }
--- a/crates/simulation/src/policies/habits.rs
+++ b/crates/simulation/src/policies/habits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use reeddock::{DestinationId, Outcome, TargetId};
+use reeddock::{AttemptOutcome, DestinationId, EndpointId};
 
 use super::desk::{Habit, Held, View};
 use crate::figure::Chance;
@@ -12,7 +12,7 @@
 /// Breakers open and room appears without anybody telling.
 const LOOK: Duration = Duration::from_millis(20);
 
-fn any(able: &[TargetId], chance: &mut Chance) -> Option<TargetId> {
+fn any(able: &[EndpointId], chance: &mut Chance) -> Option<EndpointId> {
     (!able.is_empty()).then(|| able[chance.random_range(0..able.len())])
 }
 
@@ -20,13 +20,13 @@
 pub struct OneTry;
 
 impl Habit for OneTry {
-    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<TargetId> {
+    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId> {
         any(view.able, chance)
     }
-    fn ended(&mut self, _: TargetId, _: Outcome, _: Duration) {}
-    fn again(&mut self, _: &Held, outcome: Outcome, _: &mut Chance) -> Option<Duration> {
+    fn ended(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
+    fn again(&mut self, _: &Held, outcome: AttemptOutcome, _: &mut Chance) -> Option<Duration> {
         // What never left the forwarder was no try.
-        (outcome == Outcome::Unsent).then_some(Duration::from_millis(50))
+        (outcome == AttemptOutcome::NotSent).then_some(Duration::from_millis(50))
     }
     fn time_out(&self, _: Duration) -> Duration {
         Duration::MAX
@@ -45,11 +45,11 @@
 pub struct BackOff;
 
 impl Habit for BackOff {
-    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<TargetId> {
+    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId> {
         any(view.able, chance)
     }
-    fn ended(&mut self, _: TargetId, _: Outcome, _: Duration) {}
-    fn again(&mut self, envelope: &Held, _: Outcome, chance: &mut Chance) -> Option<Duration> {
+    fn ended(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
+    fn again(&mut self, envelope: &Held, _: AttemptOutcome, chance: &mut Chance) -> Option<Duration> {
         (envelope.dispatches < 5).then(|| back_off(envelope.dispatches, chance))
     }
     fn looks_every(&self) -> Duration {
@@ -60,7 +60,7 @@
 /// Closed until five failures in a row, then open for five seconds, then half open for one call.
 #[derive(Default)]
 pub struct Breaker {
-    states: BTreeMap<TargetId, State>,
+    states: BTreeMap<EndpointId, State>,
     rounds: BTreeMap<DestinationId, usize>,
 }
 
@@ -75,7 +75,7 @@
 const OPEN_FOR: Duration = Duration::from_secs(5);
 
 impl Habit for Breaker {
-    fn pick(&mut self, envelope: &Held, view: &View, _: &mut Chance) -> Option<TargetId> {
+    fn pick(&mut self, envelope: &Held, view: &View, _: &mut Chance) -> Option<EndpointId> {
         let (able, now) = (view.able, view.now);
         let round = self.rounds.entry(envelope.destination).or_default();
         for step in 0..able.len() {
@@ -91,11 +91,13 @@
         None
     }
 
-    fn ended(&mut self, target: TargetId, outcome: Outcome, now: Duration) {
+    fn ended(&mut self, target: EndpointId, outcome: AttemptOutcome, now: Duration) {
         let state = self.states.entry(target).or_default();
         match outcome {
-            Outcome::Completed => *state = State::default(),
-            Outcome::CalledOff | Outcome::Unsent | Outcome::Unreadable => state.trial_out = false,
+            AttemptOutcome::Completed => *state = State::default(),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent | AttemptOutcome::Malformed => {
+                state.trial_out = false
+            }
             _ => {
                 state.failures += 1;
                 if state.trial_out || state.failures >= FAILURES {
@@ -106,7 +108,7 @@
         }
     }
 
-    fn again(&mut self, envelope: &Held, _: Outcome, chance: &mut Chance) -> Option<Duration> {
+    fn again(&mut self, envelope: &Held, _: AttemptOutcome, chance: &mut Chance) -> Option<Duration> {
         (envelope.dispatches < 5).then(|| back_off(envelope.dispatches, chance))
     }
     fn looks_every(&self) -> Duration {
@@ -124,9 +126,9 @@
 }
 
 impl Habit for Ceiling {
-    fn pick(&mut self, envelope: &Held, view: &View, _: &mut Chance) -> Option<TargetId> {
+    fn pick(&mut self, envelope: &Held, view: &View, _: &mut Chance) -> Option<EndpointId> {
         let (able, now, sight) = (view.able, view.now, view.sight);
-        let joins = |t: &&TargetId| view.forming.get(*t).is_some_and(|places| *places > 0);
+        let joins = |t: &&EndpointId| view.forming.get(*t).is_some_and(|places| *places > 0);
         if let Some(target) = able.iter().find(joins) {
             return Some(*target);
         }
@@ -136,13 +138,13 @@
         }
         let fresh = self.fresh.entry(envelope.destination).or_default();
         let open = able.iter().filter(|t| sight.would_take(**t, envelope.category, *fresh));
-        let cost = |t: &TargetId| (sight.burden(*t) + 1.0) * sight.slowness(*t);
+        let cost = |t: &EndpointId| (sight.burden(*t) + 1.0) * sight.slowness(*t);
         let pick = open.min_by(|a, b| cost(a).total_cmp(&cost(b))).copied();
         *fresh += u32::from(pick.is_some());
         pick
     }
-    fn ended(&mut self, _: TargetId, _: Outcome, _: Duration) {}
-    fn again(&mut self, _: &Held, _: Outcome, _: &mut Chance) -> Option<Duration> {
+    fn ended(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
+    fn again(&mut self, _: &Held, _: AttemptOutcome, _: &mut Chance) -> Option<Duration> {
         Some(Duration::from_millis(20))
     }
     fn urgency(&self, envelope: &Held) -> Duration {
--- a/crates/simulation/src/policies/mod.rs
+++ b/crates/simulation/src/policies/mod.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use reeddock::{Host, Terms};
+use reeddock::{PolicyHost, Settings};
 
 use crate::policy::Policy;
 
@@ -46,7 +46,7 @@
         Known::ALL.into_iter().find(|k| k.name() == name)
     }
 
-    pub fn open(self, now: Duration, terms: Terms, host: &mut dyn Host) -> Box<dyn Policy> {
+    pub fn open(self, now: Duration, terms: Settings, host: &mut dyn PolicyHost) -> Box<dyn Policy> {
         match self {
             Known::Module => Box::new(Module::open(now, terms, host)),
             Known::OneTry => Box::new(desk::Desk::open(terms, habits::OneTry)),
--- a/crates/simulation/src/policies/module.rs
+++ b/crates/simulation/src/policies/module.rs
@@ -2,72 +2,88 @@
 
 use std::time::Duration;
 
-use reeddock::{DispatchNo, EnvelopeId, Forwarder, Host, Listing, Outcome, Past, PeerId, TargetId, Terms};
+use reeddock::{
+    AttemptNumber, AttemptOutcome, DeliveryPolicy, EndpointId, EndpointUpdate, MessageId, NewMessage, PeerId,
+    PolicyHost, PreviousAttempt, Settings,
+};
 
-use crate::policy::{HandIn, ListLine, Policy, Sight};
+use crate::policy::{ListLine, Policy, Sight, Submission};
 
-pub struct Module(Forwarder);
+pub struct Module(DeliveryPolicy);
 
 impl Module {
-    pub fn open(now: Duration, terms: Terms, host: &mut dyn Host) -> Module {
-        Module(Forwarder::open(now, terms, host))
+    pub fn open(now: Duration, terms: Settings, host: &mut dyn PolicyHost) -> Module {
+        Module(DeliveryPolicy::new(now, terms, host))
     }
 }
 
 impl Policy for Module {
-    fn list(&mut self, _now: Duration, whole: bool, lines: &[ListLine], _host: &mut dyn Host) {
-        self.0.list_begins(whole);
+    fn list(&mut self, _now: Duration, whole: bool, lines: &[ListLine], _host: &mut dyn PolicyHost) {
+        self.0.begin_endpoint_list(whole);
         for line in lines {
-            self.0.listed(Listing {
-                target: line.target,
+            self.0.update_endpoint(EndpointUpdate {
+                endpoint: line.target,
                 destination: line.destination,
-                standing: line.standing,
+                state: line.standing,
                 weight: line.weight,
                 zone: &line.zone,
                 kind: &line.kind,
             });
         }
-        self.0.list_ends();
+        self.0.finish_endpoint_list();
     }
 
-    fn hand_in(&mut self, now: Duration, e: &HandIn, host: &mut dyn Host) {
-        let program = Some(e.program.as_str());
-        self.0.hand_in(now, e.id.clone(), &e.category, program, e.key, e.outer_limit, e.destination, host);
+    fn submit(&mut self, now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
+        let message = NewMessage {
+            id: e.id.clone(),
+            class: &e.category,
+            tenant: Some(e.program.as_str()),
+            ordering_key: e.key,
+            deadline: e.outer_limit,
+            destination: e.destination,
+        };
+        self.0.submit(now, message, host);
     }
 
-    fn recall(&mut self, now: Duration, id: &EnvelopeId, past: &[Past], host: &mut dyn Host) {
-        self.0.recall(now, id, past, host);
+    fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        past: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
+        self.0.restore(now, id, past, host);
     }
 
-    fn settled(
+    fn attempt_finished(
         &mut self,
         now: Duration,
-        id: &EnvelopeId,
-        no: DispatchNo,
-        outcome: Outcome,
+        id: &MessageId,
+        no: AttemptNumber,
+        outcome: AttemptOutcome,
         over: bool,
-        host: &mut dyn Host,
+        host: &mut dyn PolicyHost,
     ) {
-        self.0.settled(now, id, no, outcome, over, host);
+        self.0.attempt_finished(now, id, no, outcome, over, host);
     }
 
-    fn withdrawn(&mut self, id: &EnvelopeId, host: &mut dyn Host) {
-        self.0.end(id, host);
+    fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
+        self.0.withdraw(id, host);
     }
 
-    fn alarm(&mut self, now: Duration) {
-        self.0.alarm(now);
+    fn timer_fired(&mut self, now: Duration) {
+        self.0.timer_fired(now);
     }
 
-    fn probed(&mut self, now: Duration, target: TargetId, well: bool) {
-        self.0.probed(now, target, well);
+    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool) {
+        self.0.health_checked(now, target, well);
     }
 
-    fn told(&mut self, now: Duration, from: PeerId, note: &[u8]) {
-        self.0.told(now, from, note);
+    fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]) {
+        self.0.gossip_received(now, from, note);
     }
 
-    fn turn(&mut self, now: Duration, _sight: &dyn Sight, host: &mut dyn Host) {
-        self.0.turn(now, host);
+    fn run_due_work(&mut self, now: Duration, _sight: &dyn Sight, host: &mut dyn PolicyHost) {
+        self.0.run_due_work(now, host);
     }
 }
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use reeddock::{Host, Outcome, TargetId, Terms};
+use reeddock::{AttemptOutcome, EndpointId, PolicyHost, Settings};
 
 use super::desk::{Desk, Habit, Held, View};
 use super::habits::back_off;
@@ -52,7 +52,7 @@
 pub struct Exchange {
     delay: Duration,
     members: usize,
-    told: BTreeMap<TargetId, VecDeque<Told>>,
+    told: BTreeMap<EndpointId, VecDeque<Told>>,
 }
 
 impl Exchange {
@@ -67,7 +67,7 @@
         self.members - 1
     }
 
-    fn tell(&mut self, target: TargetId, at: Duration, from: usize, news: News) {
+    fn tell(&mut self, target: EndpointId, at: Duration, from: usize, news: News) {
         let told = self.told.entry(target).or_default();
         // Nothing is known against it, so that a success is no news.
         if news == News::Succeeded && told.is_empty() {
@@ -80,7 +80,7 @@
     }
 
     /// What the circuit of a target is at one member, by the news that have reached it.
-    pub fn leave(&self, target: TargetId, now: Duration, member: usize) -> Leave {
+    pub fn leave(&self, target: EndpointId, now: Duration, member: usize) -> Leave {
         let Some(told) = self.told.get(&target) else { return Leave::Send };
         let reached = told.iter().filter(|t| t.from == member || t.at + self.delay <= now);
         let mut failures: Vec<Duration> = Vec::new();
@@ -119,18 +119,24 @@
     }
 
     /// A dispatch is about to leave as a trial.
-    pub fn tried(&mut self, target: TargetId, now: Duration, member: usize) {
+    pub fn tried(&mut self, target: EndpointId, now: Duration, member: usize) {
         self.tell(target, now, member, News::Tried);
     }
 
     /// A dispatch has ended at one member.
-    pub fn ended(&mut self, target: TargetId, now: Duration, member: usize, outcome: Outcome) {
+    pub fn ended(&mut self, target: EndpointId, now: Duration, member: usize, outcome: AttemptOutcome) {
         match outcome {
-            Outcome::Completed => self.tell(target, now, member, News::Succeeded),
-            Outcome::Error | Outcome::TimedOut | Outcome::Broken | Outcome::NoConnection => {
+            AttemptOutcome::Completed => self.tell(target, now, member, News::Succeeded),
+            AttemptOutcome::Error
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectionReset
+            | AttemptOutcome::NoConnection => {
                 self.tell(target, now, member, News::Failed);
             }
-            Outcome::Full(_) | Outcome::CalledOff | Outcome::Unsent | Outcome::Unreadable => {}
+            AttemptOutcome::Rejected { .. }
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::Malformed => {}
         }
     }
 }
@@ -139,7 +145,7 @@
 pub type SharedExchange = Arc<Mutex<Exchange>>;
 
 /// Opens a forwarder whose circuits are fed by an exchange; by one of its own it knows only what it saw itself.
-pub fn circuit(exchange: &SharedExchange, terms: Terms, _host: &mut dyn Host) -> Box<dyn Policy> {
+pub fn circuit(exchange: &SharedExchange, terms: Settings, _host: &mut dyn PolicyHost) -> Box<dyn Policy> {
     let member = exchange.lock().unwrap_or_else(PoisonError::into_inner).join();
     Box::new(Desk::open(terms, FedCircuit { exchange: exchange.clone(), member }))
 }
@@ -150,10 +156,10 @@
 }
 
 impl Habit for FedCircuit {
-    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<TargetId> {
+    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId> {
         let mut exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner);
-        let leave = |t: &TargetId| exchange.leave(*t, view.now, self.member);
-        let open: Vec<TargetId> = view.able.iter().filter(|t| leave(t) == Leave::Send).copied().collect();
+        let leave = |t: &EndpointId| exchange.leave(*t, view.now, self.member);
+        let open: Vec<EndpointId> = view.able.iter().filter(|t| leave(t) == Leave::Send).copied().collect();
         if !open.is_empty() {
             return Some(open[chance.random_range(0..open.len())]);
         }
@@ -162,12 +168,12 @@
         Some(trial)
     }
 
-    fn ended(&mut self, target: TargetId, outcome: Outcome, now: Duration) {
+    fn ended(&mut self, target: EndpointId, outcome: AttemptOutcome, now: Duration) {
         let mut exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner);
         exchange.ended(target, now, self.member, outcome);
     }
 
-    fn again(&mut self, envelope: &Held, _: Outcome, chance: &mut Chance) -> Option<Duration> {
+    fn again(&mut self, envelope: &Held, _: AttemptOutcome, chance: &mut Chance) -> Option<Duration> {
         Some(back_off(envelope.dispatches, chance))
     }
 
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -4,15 +4,16 @@
 use std::time::Duration;
 
 use reeddock::{
-    DestinationId, DispatchNo, EnvelopeId, Host, KeyId, Outcome, Past, PeerId, Standing, TargetId, Terms,
+    AttemptNumber, AttemptOutcome, DestinationId, EndpointId, EndpointState, MessageId, OrderingKey, PeerId,
+    PolicyHost, PreviousAttempt, Settings,
 };
 
 /// One line of the list, as a forwarder is told it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListLine {
-    pub target: TargetId,
+    pub target: EndpointId,
     pub destination: DestinationId,
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub weight: Option<f64>,
     pub zone: String,
     pub kind: String,
@@ -20,11 +21,11 @@
 
 /// An envelope as it is handed in.
 #[derive(Clone, Debug)]
-pub struct HandIn {
-    pub id: EnvelopeId,
+pub struct Submission {
+    pub id: MessageId,
     pub category: String,
     pub program: String,
-    pub key: Option<KeyId>,
+    pub key: Option<OrderingKey>,
     pub outer_limit: Duration,
     pub destination: DestinationId,
 }
@@ -33,34 +34,34 @@
 pub trait Sight {
     /// Whether a call with an envelope of this category, sent now, would be taken and answered and push nothing
     /// over, with those on their way and so many more to its destination before it.
-    fn would_take(&self, target: TargetId, category: usize, before: u32) -> bool;
+    fn would_take(&self, target: EndpointId, category: usize, before: u32) -> bool;
     /// Work that it has taken and not finished, for each of its workers.
-    fn burden(&self, target: TargetId) -> f64;
+    fn burden(&self, target: EndpointId) -> f64;
     /// Times as long as usual that work takes there now.
-    fn slowness(&self, target: TargetId) -> f64;
+    fn slowness(&self, target: EndpointId) -> f64;
 }
 
 /// One instance that decides for one forwarder, called as the module is.
 pub trait Policy: Send {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn Host);
-    fn hand_in(&mut self, now: Duration, envelope: &HandIn, host: &mut dyn Host);
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost);
+    fn submit(&mut self, now: Duration, envelope: &Submission, host: &mut dyn PolicyHost);
     /// The host itself has handed in again what it owed before a start.
-    fn recall(&mut self, now: Duration, id: &EnvelopeId, past: &[Past], host: &mut dyn Host);
-    fn settled(
+    fn restore(&mut self, now: Duration, id: &MessageId, past: &[PreviousAttempt], host: &mut dyn PolicyHost);
+    fn attempt_finished(
         &mut self,
         now: Duration,
-        id: &EnvelopeId,
-        no: DispatchNo,
-        outcome: Outcome,
+        id: &MessageId,
+        no: AttemptNumber,
+        outcome: AttemptOutcome,
         over: bool,
-        host: &mut dyn Host,
+        host: &mut dyn PolicyHost,
     );
-    fn withdrawn(&mut self, id: &EnvelopeId, host: &mut dyn Host);
-    fn alarm(&mut self, now: Duration);
-    fn probed(&mut self, now: Duration, target: TargetId, well: bool);
-    fn told(&mut self, now: Duration, from: PeerId, note: &[u8]);
-    fn turn(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn Host);
+    fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost);
+    fn timer_fired(&mut self, now: Duration);
+    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool);
+    fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]);
+    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost);
 }
 
 /// Makes the instance of a forwarder that starts.
-pub type Maker<'a> = dyn Fn(Duration, Terms, &mut dyn Host) -> Box<dyn Policy> + Sync + 'a;
+pub type Maker<'a> = dyn Fn(Duration, Settings, &mut dyn PolicyHost) -> Box<dyn Policy> + Sync + 'a;
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use reeddock::{CategoryTerms, Effect, Group, Terms};
+use reeddock::{EndpointKind, Idempotency, KeyScope, LateDecay, MessageClass, Settings, TenantQuota};
 use serde::{Deserialize, Serialize};
 
 use crate::figure::{Amount, Figure, Share, Span};
@@ -553,34 +553,52 @@
     }
 
     /// What each forwarder is told when it starts.
-    pub fn terms(&self, seed: u64, zone: u32) -> Terms {
+    pub fn terms(&self, seed: u64, zone: u32) -> Settings {
         let fleet = &self.fleet;
-        Terms {
+        Settings {
             seed,
             forwarders: Some(fleet.forwarders.into()),
             zone: zone_name(zone),
-            categories: self.categories.iter().map(Category::terms).collect(),
-            kinds: self.kinds.iter().map(|k| (k.name.clone(), k.apart, Some(k.batch.into()))).collect(),
-            tenants: self.programs.iter().map(|p| (p.name.clone(), p.share_per_s.map(Amount::get))).collect(),
-            over_share_credit: Some(OVER_SHARE_CREDIT),
-            halving: self.categories.iter().any(|c| c.decay == Decay::Halves),
-            slots: Some(fleet.slots.into()),
-            room: Some(fleet.room.into()),
-            dispatch_cap: Some(fleet.dispatch_cap.into()),
-            may_duplicate: true,
-            come_back: fleet.come_back.map(|s| s.0),
-            cold_from: Some(self.returning.cold_from.get()),
-            warm_within: Some(self.returning.warm_within.0),
-            fall_multiple: Some(self.returning.fall_multiple.get()),
-            tip_after: Some(self.returning.tip_after.0),
-            key_rest: Some(fleet.key_rest.0),
-            ask_within: None,
-            weights: match self.list.weights {
-                Weights::Rates => reeddock::Weights::RoughRates,
-                _ => reeddock::Weights::Untold,
+            classes: self.categories.iter().map(Category::terms).collect(),
+            endpoint_kinds: self
+                .kinds
+                .iter()
+                .map(|k| EndpointKind {
+                    name: k.name.clone(),
+                    circuit_per_endpoint: k.apart,
+                    max_batch: Some(k.batch.into()),
+                })
+                .collect(),
+            tenants: self
+                .programs
+                .iter()
+                .map(|p| TenantQuota {
+                    tenant: p.name.clone(),
+                    messages_per_second: p.share_per_s.map(Amount::get),
+                })
+                .collect(),
+            over_quota_weight: Some(OVER_SHARE_CREDIT),
+            late_decay: match self.categories.iter().any(|c| c.decay == Decay::Halves) {
+                true => LateDecay::Exponential,
+                false => LateDecay::Linear,
             },
-            answers_report: false,
-            connection_idle: None,
+            max_in_flight: Some(fleet.slots.into()),
+            capacity: Some(fleet.room.into()),
+            max_attempts: Some(fleet.dispatch_cap.into()),
+            hedging_allowed: true,
+            max_retry_after: fleet.come_back.map(|s| s.0),
+            slow_start_floor: Some(self.returning.cold_from.get()),
+            slow_start_duration: Some(self.returning.warm_within.0),
+            overload_multiple: Some(self.returning.fall_multiple.get()),
+            overload_window: Some(self.returning.tip_after.0),
+            ordering_hold_off: Some(fleet.key_rest.0),
+            poll_interval_limit: None,
+            listed_weights: match self.list.weights {
+                Weights::Rates => reeddock::ListedWeights::ApproximateRates,
+                _ => reeddock::ListedWeights::Unspecified,
+            },
+            responses_carry_load_reports: false,
+            connection_idle_timeout: None,
             cross_zone_price: None,
             connection_price: None,
             zone_fees: Vec::new(),
@@ -596,22 +614,24 @@
 }
 
 impl Category {
-    pub fn effect(&self) -> Effect {
+    pub fn effect(&self) -> Idempotency {
         match self.effect {
-            EffectTerms::Pure => Effect::Pure,
-            EffectTerms::Receipted(window) => Effect::Receipted { window: window.0, group: Group::All },
-            EffectTerms::Effectful => Effect::Effectful,
+            EffectTerms::Pure => Idempotency::Idempotent,
+            EffectTerms::Receipted(window) => {
+                Idempotency::WithKey { window: window.0, scope: KeyScope::Region }
+            }
+            EffectTerms::Effectful => Idempotency::NonIdempotent,
         }
     }
 
-    fn terms(&self) -> CategoryTerms {
-        CategoryTerms {
+    fn terms(&self) -> MessageClass {
+        MessageClass {
             name: self.name.clone(),
-            effect: Some(self.effect()),
-            promised: Some(self.promised.0),
-            outer_limit: Some(self.outer_limit.0),
-            credit: Some(self.credit.get()),
-            late_credit: Some(self.late_credit.get()),
+            idempotency: Some(self.effect()),
+            latency_objective: Some(self.promised.0),
+            deadline: Some(self.outer_limit.0),
+            priority_weight: Some(self.credit.get()),
+            late_weight: Some(self.late_credit.get()),
             ordered: self.ordered_keys.is_some(),
         }
     }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -108,7 +108,7 @@
             over: false,
         });
         self.open += 1;
-        self.hand_in(first_try);
+        self.submit(first_try);
     }
 
     /// The forwarder that a client reaches: envelopes of one key come to one while it runs.
@@ -140,7 +140,7 @@
         (0..many).map(|step| (first + step) % many).find(runs).map(ForwarderNo)
     }
 
-    pub(super) fn hand_in(&mut self, first_try: TryNo) {
+    pub(super) fn submit(&mut self, first_try: TryNo) {
         let key = self.tries[first_try.0].key;
         let room = self.scenario.fleet.room as usize;
         let forwarder = self.reached_forwarder(key).filter(|f| self.stations[f.0].open < room);
@@ -182,7 +182,7 @@
         if t.over || self.now() >= limit {
             return self.try_over(first_try);
         }
-        self.hand_in(first_try);
+        self.submit(first_try);
     }
 
     pub(super) fn try_over(&mut self, first_try: TryNo) {
--- a/crates/simulation/src/world/forwarders.rs
+++ b/crates/simulation/src/world/forwarders.rs
@@ -6,23 +6,24 @@
 
 use rand::RngExt;
 use reeddock::{
-    DestinationId, DispatchNo, EnvelopeId, Host, KeyId, Outcome, Past, PeerId, Spans, Standing, TargetId,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DestinationId, EndpointId, EndpointState, MessageId,
+    OrderingKey, PeerId, PolicyHost, PreviousAttempt,
 };
 
 use super::{Event, World};
 use crate::layout::{one_way, DestinationNo, ForwarderNo, TargetNo};
 use crate::oracles::{proves_unrun, Answer, EnvelopeNo, Place, Rule, TryNo};
-use crate::partner::CallNo;
-use crate::policy::{HandIn, ListLine, Policy, Sight};
+use crate::partner::RequestId;
+use crate::policy::{ListLine, Policy, Sight, Submission};
 use crate::scenario::zone_name;
 use crate::trouble::Trouble;
 
 /// What a forwarder is told at its next turn.
 pub(crate) enum Notice {
-    List { whole: bool, changes: Vec<(TargetNo, Standing)> },
-    HandIn(EnvelopeNo),
+    List { whole: bool, changes: Vec<(TargetNo, EndpointState)> },
+    Submission(EnvelopeNo),
     Recall(EnvelopeNo),
-    Ended { envelope: EnvelopeNo, no: usize, outcome: Outcome, over: bool, place: Place },
+    Ended { envelope: EnvelopeNo, no: usize, outcome: AttemptOutcome, over: bool, place: Place },
     Withdrawn(EnvelopeNo),
     Alarm,
     Note { from: ForwarderNo, text: Vec<u8> },
@@ -31,7 +32,7 @@
 
 /// One hand-in to one forwarder, in the world's own book.
 pub(crate) struct Envelope {
-    pub id: EnvelopeId,
+    pub id: MessageId,
     pub first_try: TryNo,
     pub forwarder: ForwarderNo,
     pub start: u32,
@@ -44,8 +45,8 @@
     pub target: TargetNo,
     pub at: Duration,
     /// The call it went with, and its place in it; none where it never left.
-    pub call: Option<(CallNo, usize)>,
-    pub outcome: Option<Outcome>,
+    pub call: Option<(RequestId, usize)>,
+    pub outcome: Option<AttemptOutcome>,
     /// The forwarder has heard the outcome, and its ledger with it.
     pub told: bool,
 }
@@ -107,12 +108,12 @@
 
 /// What a policy asks for, in the order in which it does.
 enum Asked {
-    Dispatch(EnvelopeId, TargetId, Duration),
-    CallOff(EnvelopeId, DispatchNo),
-    Shed(EnvelopeId, Option<Duration>),
-    BreakOff(EnvelopeId),
+    Dispatch(MessageId, EndpointId, Duration),
+    CallOff(MessageId, AttemptNumber),
+    Shed(MessageId, Option<Duration>),
+    BreakOff(MessageId),
     Wake(Duration),
-    Probe(TargetId),
+    Probe(EndpointId),
     Tell(Option<PeerId>, Vec<u8>),
     Fetch,
 }
@@ -120,41 +121,41 @@
 #[derive(Default)]
 struct Wishes(Vec<Asked>);
 
-impl Host for Wishes {
-    fn dispatch(&mut self, envelope: &EnvelopeId, target: TargetId, spans: Spans) {
-        self.0.push(Asked::Dispatch(envelope.clone(), target, spans.time_out));
+impl PolicyHost for Wishes {
+    fn start_attempt(&mut self, envelope: &MessageId, target: EndpointId, spans: AttemptTimeouts) {
+        self.0.push(Asked::Dispatch(envelope.clone(), target, spans.response_within));
     }
-    fn call_off(&mut self, envelope: &EnvelopeId, dispatch: DispatchNo) {
+    fn cancel(&mut self, envelope: &MessageId, dispatch: AttemptNumber) {
         self.0.push(Asked::CallOff(envelope.clone(), dispatch));
     }
-    fn shed(&mut self, envelope: &EnvelopeId, come_back: Option<Duration>) {
+    fn reject(&mut self, envelope: &MessageId, come_back: Option<Duration>) {
         self.0.push(Asked::Shed(envelope.clone(), come_back));
     }
-    fn break_off(&mut self, envelope: &EnvelopeId) {
+    fn fail(&mut self, envelope: &MessageId) {
         self.0.push(Asked::BreakOff(envelope.clone()));
     }
-    fn wake(&mut self, after: Duration) {
+    fn set_timer(&mut self, after: Duration) {
         self.0.push(Asked::Wake(after));
     }
-    fn probe(&mut self, target: TargetId) {
+    fn start_health_check(&mut self, target: EndpointId) {
         self.0.push(Asked::Probe(target));
     }
-    fn tell(&mut self, peer: Option<PeerId>, note: &[u8]) {
+    fn send_gossip(&mut self, peer: Option<PeerId>, note: &[u8]) {
         self.0.push(Asked::Tell(peer, note.to_vec()));
     }
     fn subscribe(&mut self, _on: bool) {}
-    fn fetch_list(&mut self) {
+    fn fetch_endpoint_list(&mut self) {
         self.0.push(Asked::Fetch);
     }
     fn log(&mut self, _line: &str) {}
 }
 
 /// Targets and destinations have numbers of their own outside; 0 is left free, as hosts may.
-pub(crate) fn target_id(target: TargetNo) -> TargetId {
-    TargetId(target.0 as u32 + 1)
+pub(crate) fn target_id(target: TargetNo) -> EndpointId {
+    EndpointId(target.0 as u32 + 1)
 }
 
-fn target_no(id: TargetId) -> Option<TargetNo> {
+fn target_no(id: EndpointId) -> Option<TargetNo> {
     id.0.checked_sub(1).map(|n| TargetNo(n as usize))
 }
 
@@ -162,11 +163,11 @@
     DestinationId(destination.0 as u64 + 1)
 }
 
-fn envelope_id(envelope: EnvelopeNo) -> EnvelopeId {
-    EnvelopeId(Arc::from(format!("e{:08}", envelope.0)))
+fn envelope_id(envelope: EnvelopeNo) -> MessageId {
+    MessageId(Arc::from(format!("e{:08}", envelope.0)))
 }
 
-fn envelope_no(id: &EnvelopeId) -> Option<EnvelopeNo> {
+fn envelope_no(id: &MessageId) -> Option<EnvelopeNo> {
     id.0.strip_prefix('e').and_then(|n| n.parse().ok()).map(EnvelopeNo)
 }
 
@@ -174,15 +175,15 @@
 struct Eye<'w, 'a>(&'w World<'a>, ForwarderNo);
 
 impl Sight for Eye<'_, '_> {
-    fn would_take(&self, target: TargetId, category: usize, before: u32) -> bool {
+    fn would_take(&self, target: EndpointId, category: usize, before: u32) -> bool {
         target_no(target).is_some_and(|t| self.0.would_take(t, category, self.1, before))
     }
-    fn burden(&self, target: TargetId) -> f64 {
+    fn burden(&self, target: EndpointId) -> f64 {
         let Some(partner) = target_no(target).and_then(|t| self.0.partners.get(t.0)) else { return f64::MAX };
         let load = partner.busy + partner.queue.len() + partner.on_the_way as usize;
         load as f64 / partner.plan.workers as f64
     }
-    fn slowness(&self, target: TargetId) -> f64 {
+    fn slowness(&self, target: EndpointId) -> f64 {
         target_no(target).map_or(f64::MAX, |t| self.0.slowness(t))
     }
 }
@@ -205,7 +206,7 @@
         let start = station.start;
         let owed: Vec<EnvelopeNo> = station.owed.values().copied().collect();
         self.carry_out(forwarder, wishes);
-        let whole = self.listed.iter().enumerate().filter(|(_, s)| **s != Standing::Gone);
+        let whole = self.listed.iter().enumerate().filter(|(_, s)| **s != EndpointState::Removed);
         let changes = whole.map(|(n, s)| (TargetNo(n), *s)).collect();
         self.tell(forwarder, start, Notice::List { whole: true, changes });
         for envelope in owed {
@@ -235,7 +236,7 @@
         let calls: Vec<usize> = (0..self.calls.len()).filter(|n| mine(&self.calls[*n])).collect();
         for call in calls {
             self.calls[call].waiting.fill(false);
-            self.abandon(CallNo(call));
+            self.abandon(RequestId(call));
         }
         self.stations[forwarder.0].calls_out = 0;
         for partner in &mut self.partners {
@@ -252,7 +253,7 @@
             let unsure = e.dispatches.iter().any(|s| !s.told || s.outcome.is_none_or(|o| !proves_unrun(o)));
             let first_try = e.first_try;
             let effect = self.scenario.categories[self.tries[first_try.0].category].effect();
-            if unsure && effect != reeddock::Effect::Pure {
+            if unsure && effect != reeddock::Idempotency::Idempotent {
                 self.account.ends.lost += 1;
                 self.try_over(first_try);
             } else {
@@ -280,7 +281,7 @@
         }
     }
 
-    pub(super) fn list_due(&mut self, forwarder: ForwarderNo, changes: Vec<(TargetNo, Standing)>) {
+    pub(super) fn list_due(&mut self, forwarder: ForwarderNo, changes: Vec<(TargetNo, EndpointState)>) {
         let frozen = |n: &usize| matches!(self.scenario.troubles[*n].what, Trouble::ListFrozen {});
         if self.met.keys().any(frozen) {
             self.frozen.push((forwarder, changes));
@@ -291,10 +292,10 @@
     }
 
     /// The list has changed; each forwarder hears of it after a delay of its own, in order.
-    pub(super) fn list_changed(&mut self, changes: &[(TargetNo, Standing)]) {
+    pub(super) fn list_changed(&mut self, changes: &[(TargetNo, EndpointState)]) {
         for (target, standing) in changes {
             if self.listed.len() <= target.0 {
-                self.listed.resize(target.0 + 1, Standing::Gone);
+                self.listed.resize(target.0 + 1, EndpointState::Removed);
             }
             self.listed[target.0] = *standing;
         }
@@ -335,7 +336,7 @@
         station.open += 1;
         station.owed.insert(envelope.0, envelope);
         self.due(envelope);
-        self.tell(forwarder, start, Notice::HandIn(envelope));
+        self.tell(forwarder, start, Notice::Submission(envelope));
     }
 
     /// Looks whether an envelope has its answer once the time for that is past.
@@ -381,7 +382,7 @@
         for notice in inbox {
             self.hear(forwarder, notice, policy.as_mut(), &mut wishes);
         }
-        policy.turn(now, &Eye(self, forwarder), &mut wishes);
+        policy.run_due_work(now, &Eye(self, forwarder), &mut wishes);
         self.stations[forwarder.0].policy = Some(policy);
         self.carry_out(forwarder, wishes);
     }
@@ -394,7 +395,7 @@
                     // What a whole list does not name is gone.
                     let named: Vec<TargetNo> = changes.iter().map(|c| c.0).collect();
                     for n in (0..self.listed.len()).map(TargetNo).filter(|n| !named.contains(n)) {
-                        self.oracles.listed(now, forwarder, n, Standing::Gone);
+                        self.oracles.listed(now, forwarder, n, EndpointState::Removed);
                     }
                 }
                 let mut lines = Vec::new();
@@ -404,17 +405,17 @@
                 }
                 policy.list(now, whole, &lines, host);
             }
-            Notice::HandIn(envelope) => policy.hand_in(now, &self.hand_in_of(envelope), host),
+            Notice::Submission(envelope) => policy.submit(now, &self.hand_in_of(envelope), host),
             Notice::Recall(envelope) => {
-                policy.hand_in(now, &self.hand_in_of(envelope), host);
+                policy.submit(now, &self.hand_in_of(envelope), host);
                 let e = &self.envelopes[envelope.0];
-                let past = |s: &Sent| Past {
-                    target: target_id(s.target),
-                    sent: s.at,
-                    never_ran: s.told && s.outcome.is_some_and(proves_unrun),
+                let past = |s: &Sent| PreviousAttempt {
+                    endpoint: target_id(s.target),
+                    started_at: s.at,
+                    proves_not_executed: s.told && s.outcome.is_some_and(proves_unrun),
                 };
-                let past: Vec<Past> = e.dispatches.iter().map(past).collect();
-                policy.recall(now, &e.id, &past, host);
+                let past: Vec<PreviousAttempt> = e.dispatches.iter().map(past).collect();
+                policy.restore(now, &e.id, &past, host);
             }
             Notice::Ended { envelope, no, outcome, over, place } => {
                 let target = self.envelopes[envelope.0].dispatches.get(no).map(|s| s.target);
@@ -425,28 +426,31 @@
                 if let Some(target) = target {
                     let failed = !matches!(
                         outcome,
-                        Outcome::Completed | Outcome::CalledOff | Outcome::Unsent | Outcome::Unreadable
+                        AttemptOutcome::Completed
+                            | AttemptOutcome::Cancelled
+                            | AttemptOutcome::NotSent
+                            | AttemptOutcome::Malformed
                     );
                     if failed && self.partners[target.0].outages > 0 {
                         self.oracles.saw_trouble(forwarder, target);
                     }
                 }
                 let id = self.envelopes[envelope.0].id.clone();
-                policy.settled(now, &id, DispatchNo(no as u32), outcome, over, host);
+                policy.attempt_finished(now, &id, AttemptNumber(no as u32), outcome, over, host);
             }
-            Notice::Withdrawn(envelope) => policy.withdrawn(&self.envelopes[envelope.0].id, host),
-            Notice::Alarm => policy.alarm(now),
-            Notice::Note { from, text } => policy.told(now, PeerId(from.0 as u32), &text),
+            Notice::Withdrawn(envelope) => policy.withdraw(&self.envelopes[envelope.0].id, host),
+            Notice::Alarm => policy.timer_fired(now),
+            Notice::Note { from, text } => policy.gossip_received(now, PeerId(from.0 as u32), &text),
             Notice::Probed { target, well } => {
                 if !well && self.partners[target.0].outages > 0 {
                     self.oracles.saw_trouble(forwarder, target);
                 }
-                policy.probed(now, target_id(target), well);
+                policy.health_checked(now, target_id(target), well);
             }
         }
     }
 
-    fn list_line(&self, target: TargetNo, standing: Standing) -> ListLine {
+    fn list_line(&self, target: TargetNo, standing: EndpointState) -> ListLine {
         let plan = &self.partners[target.0].plan;
         let rates = self.scenario.list.weights == crate::scenario::Weights::Rates;
         ListLine {
@@ -459,14 +463,14 @@
         }
     }
 
-    fn hand_in_of(&self, envelope: EnvelopeNo) -> HandIn {
+    fn hand_in_of(&self, envelope: EnvelopeNo) -> Submission {
         let e = &self.envelopes[envelope.0];
         let t = &self.tries[e.first_try.0];
-        HandIn {
+        Submission {
             id: e.id.clone(),
             category: self.scenario.categories[t.category].name.clone(),
             program: self.scenario.programs[t.program].name.clone(),
-            key: t.key.map(KeyId),
+            key: t.key.map(OrderingKey),
             outer_limit: e.outer_limit,
             destination: destination_id(t.destination),
         }
@@ -475,8 +479,8 @@
     // # What a policy asks for.
 
     fn carry_out(&mut self, forwarder: ForwarderNo, wishes: Wishes) {
-        let mut forming: BTreeMap<TargetNo, CallNo> = BTreeMap::new();
-        let mut launched: Vec<CallNo> = Vec::new();
+        let mut forming: BTreeMap<TargetNo, RequestId> = BTreeMap::new();
+        let mut launched: Vec<RequestId> = Vec::new();
         let start = self.stations[forwarder.0].start;
         for asked in wishes.0 {
             match asked {
@@ -492,7 +496,7 @@
                             let what = format!("called off dispatch {} that was never made", no.0);
                             self.oracles.fault(Rule::Interface, self.now(), Some(envelope), what);
                         }
-                        Some(Some((call, part))) => self.stop_waiting(call, part, Outcome::CalledOff),
+                        Some(Some((call, part))) => self.stop_waiting(call, part, AttemptOutcome::Cancelled),
                         Some(None) => {}
                     }
                 }
@@ -505,7 +509,7 @@
                 Asked::Probe(target) => self.probe(forwarder, target),
                 Asked::Tell(to, text) => self.send_note(forwarder, to, text),
                 Asked::Fetch => {
-                    let whole = self.listed.iter().enumerate().filter(|(_, s)| **s != Standing::Gone);
+                    let whole = self.listed.iter().enumerate().filter(|(_, s)| **s != EndpointState::Removed);
                     let changes = whole.map(|(n, s)| (TargetNo(n), *s)).collect();
                     let at = self.now() + self.scenario.list.delay_s.span(&mut self.chances.list);
                     let notice = Notice::List { whole: true, changes };
@@ -519,7 +523,7 @@
     }
 
     /// An envelope that this start of the forwarder was given.
-    fn known(&mut self, forwarder: ForwarderNo, id: &EnvelopeId) -> Option<EnvelopeNo> {
+    fn known(&mut self, forwarder: ForwarderNo, id: &MessageId) -> Option<EnvelopeNo> {
         let start = self.stations[forwarder.0].start;
         let given = |e: &EnvelopeNo| {
             self.envelopes.get(e.0).is_some_and(|e| e.forwarder == forwarder && e.start == start)
@@ -535,7 +539,7 @@
     fn final_answer(
         &mut self,
         forwarder: ForwarderNo,
-        id: &EnvelopeId,
+        id: &MessageId,
         answer: Answer,
         come_back: Option<Duration>,
     ) {
@@ -589,11 +593,11 @@
     fn dispatch(
         &mut self,
         forwarder: ForwarderNo,
-        id: &EnvelopeId,
-        target: TargetId,
+        id: &MessageId,
+        target: EndpointId,
         time_out: Duration,
-        forming: &mut BTreeMap<TargetNo, CallNo>,
-    ) -> Option<CallNo> {
+        forming: &mut BTreeMap<TargetNo, RequestId>,
+    ) -> Option<RequestId> {
         let now = self.now();
         let envelope = self.known(forwarder, id)?;
         let Some(target) = target_no(target).filter(|t| t.0 < self.partners.len()) else {
@@ -625,19 +629,19 @@
                 target,
                 at: now,
                 call: None,
-                outcome: Some(Outcome::Unsent),
+                outcome: Some(AttemptOutcome::NotSent),
                 told: false,
             });
             self.account.dispatches.unsent += 1;
             let place = self.place_of(target);
             let over = self.envelopes[envelope.0].over;
-            let notice = Notice::Ended { envelope, no, outcome: Outcome::Unsent, over, place };
+            let notice = Notice::Ended { envelope, no, outcome: AttemptOutcome::NotSent, over, place };
             let at = now + fleet.tick.0;
             self.agenda.enter(at, Event::Notice(forwarder, start, notice));
             return None;
         }
         let call = joins.unwrap_or_else(|| {
-            let call = CallNo(self.calls.len());
+            let call = RequestId(self.calls.len());
             self.calls.push(Call {
                 forwarder,
                 start,
@@ -671,7 +675,7 @@
         Some(call)
     }
 
-    fn launch(&mut self, call: CallNo) {
+    fn launch(&mut self, call: RequestId) {
         let now = self.now();
         let (forwarder, target) = (self.calls[call.0].forwarder, self.calls[call.0].target);
         let across = self.stations[forwarder.0].zone != self.partners[target.0].plan.zone;
@@ -709,7 +713,7 @@
     }
 
     /// An answer, or the end of its connection, has come back to the forwarder.
-    pub(super) fn answer(&mut self, call: CallNo, outcome: Outcome) {
+    pub(super) fn answer(&mut self, call: RequestId, outcome: AttemptOutcome) {
         let parts = 0..self.calls[call.0].parts.len();
         for part in parts {
             if self.calls[call.0].waiting[part] {
@@ -719,7 +723,7 @@
     }
 
     /// The forwarder stops waiting for one envelope of a call, if it still does.
-    pub(super) fn stop_waiting(&mut self, call: CallNo, part: usize, outcome: Outcome) {
+    pub(super) fn stop_waiting(&mut self, call: RequestId, part: usize, outcome: AttemptOutcome) {
         if !self.calls[call.0].waiting[part] {
             return;
         }
@@ -730,7 +734,7 @@
     }
 
     /// One dispatch has its outcome.
-    fn settle(&mut self, call: CallNo, part: usize, outcome: Outcome) {
+    fn settle(&mut self, call: RequestId, part: usize, outcome: AttemptOutcome) {
         let now = self.now();
         self.calls[call.0].waiting[part] = false;
         let (envelope, no) = self.calls[call.0].parts[part];
@@ -739,20 +743,20 @@
         self.envelopes[envelope.0].dispatches[no].outcome = Some(outcome);
         let counts = &mut self.account.dispatches;
         match outcome {
-            Outcome::Completed => counts.completed += 1,
-            Outcome::Error => counts.errors += 1,
-            Outcome::Full(_) => counts.full += 1,
-            Outcome::TimedOut => counts.timed_out += 1,
-            Outcome::NoConnection => counts.no_connection += 1,
-            Outcome::Broken => counts.broken += 1,
-            Outcome::CalledOff => counts.called_off += 1,
-            Outcome::Unsent | Outcome::Unreadable => {}
-        }
-        if matches!(outcome, Outcome::Full(_)) {
+            AttemptOutcome::Completed => counts.completed += 1,
+            AttemptOutcome::Error => counts.errors += 1,
+            AttemptOutcome::Rejected { .. } => counts.full += 1,
+            AttemptOutcome::TimedOut => counts.timed_out += 1,
+            AttemptOutcome::NoConnection => counts.no_connection += 1,
+            AttemptOutcome::ConnectionReset => counts.broken += 1,
+            AttemptOutcome::Cancelled => counts.called_off += 1,
+            AttemptOutcome::NotSent | AttemptOutcome::Malformed => {}
+        }
+        if matches!(outcome, AttemptOutcome::Rejected { .. }) {
             self.account.second(now).refused += 1;
         }
         let mut over = self.envelopes[envelope.0].over;
-        if outcome == Outcome::Completed && !over {
+        if outcome == AttemptOutcome::Completed && !over {
             over = true;
             let first_try = self.envelopes[envelope.0].first_try;
             self.oracles.answered(now, envelope, Answer::Completed);
@@ -769,14 +773,17 @@
 
     /// A call has all its outcomes: its slot is free, and its connection is kept where the last one was an
     /// answer.
-    fn free_slot(&mut self, call: CallNo, outcome: Outcome) {
+    fn free_slot(&mut self, call: RequestId, outcome: AttemptOutcome) {
         let now = self.now();
         let c = &mut self.calls[call.0];
         let station = &mut self.stations[c.forwarder.0];
         station.calls_out = station.calls_out.saturating_sub(1);
         let until = now.min(self.scenario.lasts.0);
         self.account.slot_seconds += until.saturating_sub(c.begun).as_secs_f64();
-        let answered = matches!(outcome, Outcome::Completed | Outcome::Error | Outcome::Full(_));
+        let answered = matches!(
+            outcome,
+            AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
+        );
         let partner = &mut self.partners[c.target.0];
         if !std::mem::take(&mut c.connected) || c.life != partner.life {
             return;
@@ -788,7 +795,7 @@
         }
     }
 
-    fn probe(&mut self, forwarder: ForwarderNo, target: TargetId) {
+    fn probe(&mut self, forwarder: ForwarderNo, target: EndpointId) {
         let Some(target) = target_no(target).filter(|t| t.0 < self.partners.len()) else { return };
         self.account.probes += 1;
         let across = self.stations[forwarder.0].zone != self.partners[target.0].plan.zone;
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use reeddock::{Outcome, Standing};
+use reeddock::{AttemptOutcome, EndpointState};
 
 use crate::account::{Account, WATCHED};
 use crate::agenda::Agenda;
@@ -16,7 +16,7 @@
 use crate::layout::{chance, purpose, DestinationNo, ForwarderNo, Layout, TargetNo};
 use crate::observed::{Observed, SentToDown};
 use crate::oracles::{CategoryRules, EnvelopeNo, Oracles, Place, TryNo};
-use crate::partner::{CallNo, DestinationState, Partner};
+use crate::partner::{DestinationState, Partner, RequestId};
 use crate::policy::Maker;
 use crate::report::{rounded, Latency, Part, Report, Watched, WORST_SPAN};
 use crate::scenario::Scenario;
@@ -36,13 +36,13 @@
     Alarm(ForwarderNo, u32),
     Notice(ForwarderNo, u32, Notice),
     /// A list change is due at a forwarder.
-    ListDue(ForwarderNo, Vec<(TargetNo, Standing)>),
-    Reach(CallNo),
-    NotConnected(CallNo),
+    ListDue(ForwarderNo, Vec<(TargetNo, EndpointState)>),
+    Reach(RequestId),
+    NotConnected(RequestId),
     /// A worker of that life of the target is done.
-    Done(TargetNo, u32, CallNo),
-    Answer(CallNo, Outcome),
-    TimeOut(CallNo, usize),
+    Done(TargetNo, u32, RequestId),
+    Answer(RequestId, AttemptOutcome),
+    TimeOut(RequestId, usize),
     ProbeReaches(ForwarderNo, u32, TargetNo),
     TroubleBegins(usize),
     TroubleEnds(usize),
@@ -77,11 +77,11 @@
     partners: Vec<Partner>,
     destinations: Vec<DestinationState>,
     /// How the list has each target, whoever was told so yet.
-    listed: Vec<Standing>,
+    listed: Vec<EndpointState>,
     /// Targets that each trouble that stands has met.
     met: BTreeMap<usize, Vec<TargetNo>>,
     /// List changes that wait for the end of a freeze.
-    frozen: Vec<(ForwarderNo, Vec<(TargetNo, Standing)>)>,
+    frozen: Vec<(ForwarderNo, Vec<(TargetNo, EndpointState)>)>,
     oracles: Oracles,
     account: Account,
     down: SentToDown,
@@ -147,7 +147,7 @@
                 .iter()
                 .map(|d| DestinationState { gate: d.gate.clone(), targets: d.targets.clone() })
                 .collect(),
-            listed: vec![Standing::Active; layout.targets.len()],
+            listed: vec![EndpointState::Active; layout.targets.len()],
             met: BTreeMap::new(),
             frozen: Vec::new(),
             oracles,
@@ -241,10 +241,10 @@
             Event::Notice(forwarder, start, notice) => self.tell(forwarder, start, notice),
             Event::ListDue(forwarder, changes) => self.list_due(forwarder, changes),
             Event::Reach(call) => self.reach(call),
-            Event::NotConnected(call) => self.answer(call, Outcome::NoConnection),
+            Event::NotConnected(call) => self.answer(call, AttemptOutcome::NoConnection),
             Event::Done(target, life, call) => self.done(target, life, call),
             Event::Answer(call, outcome) => self.answer(call, outcome),
-            Event::TimeOut(call, part) => self.stop_waiting(call, part, Outcome::TimedOut),
+            Event::TimeOut(call, part) => self.stop_waiting(call, part, AttemptOutcome::TimedOut),
             Event::ProbeReaches(forwarder, start, target) => self.probe_reaches(forwarder, start, target),
             Event::TroubleBegins(n) => self.trouble_begins(n),
             Event::TroubleEnds(n) => self.trouble_ends(n),
--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use reeddock::{Effect, Outcome};
+use reeddock::{AttemptOutcome, Idempotency};
 
 use super::forwarders::Notice;
 use super::{Event, World};
 use crate::figure::to_span;
 use crate::layout::{one_way, DestinationNo, ForwarderNo, TargetNo};
 use crate::observed::{Ramp, Return};
-use crate::partner::{falls_over, CallNo, Fall};
+use crate::partner::{falls_over, Fall, RequestId};
 use crate::report::rounded;
 use crate::trouble::Trouble;
 
@@ -75,14 +75,14 @@
             && (load as f64) < bears.max(1.0) + 0.5 * partner.plan.queue as f64
     }
 
-    fn way_back(&mut self, call: CallNo) -> Duration {
+    fn way_back(&mut self, call: RequestId) -> Duration {
         let c = &self.calls[call.0];
         let across = self.stations[c.forwarder.0].zone != self.partners[c.target.0].plan.zone;
         one_way(self.scenario, across, &mut self.chances.network)
     }
 
     /// An answer leaves the target now.
-    fn reply(&mut self, call: CallNo, outcome: Outcome) {
+    fn reply(&mut self, call: RequestId, outcome: AttemptOutcome) {
         if self.stands(self.calls[call.0].target, |t| matches!(t, Trouble::Silent { .. })) {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Turned away, perhaps with the wait until there is room.
-    fn refuse(&mut self, call: CallNo, wait: Duration) {
+    fn refuse(&mut self, call: RequestId, wait: Duration) {
         let destination = self.partners[self.calls[call.0].target.0].plan.destination;
         let told = self.kind_of(destination).told_waits.strikes(&mut self.chances.service);
         if let Some(load) = self.account.load(destination, self.agenda.now()) {
@@ -99,7 +99,7 @@
         }
         // An honest wait, from when the forwarder hears of it.
         let wait = Some(wait).filter(|w| told && !w.is_zero());
-        self.reply(call, Outcome::Full(wait));
+        self.reply(call, AttemptOutcome::Rejected { retry_after: wait });
     }
 
     /// A target has been sent this much; where it is cold that may tip it over.
@@ -189,7 +189,7 @@
     pub(super) fn break_connections(&mut self, target: TargetNo) {
         for call in self.partners[target.0].break_all() {
             let at = self.now() + self.way_back(call);
-            self.agenda.enter(at, Event::Answer(call, Outcome::Broken));
+            self.agenda.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
         }
     }
 
@@ -204,7 +204,7 @@
         self.agenda.enter(at, Event::Notice(forwarder, start, Notice::Probed { target, well }));
     }
 
-    pub(super) fn reach(&mut self, call: CallNo) {
+    pub(super) fn reach(&mut self, call: RequestId) {
         let now = self.now();
         let (target, forwarder) = (self.calls[call.0].target, self.calls[call.0].forwarder);
         let destination = self.partners[target.0].plan.destination;
@@ -212,7 +212,7 @@
         if self.refuses_connections(target) || self.calls[call.0].life != self.partners[target.0].life {
             // The connection broke while it was on its way.
             let at = now + self.way_back(call);
-            self.agenda.enter(at, Event::Answer(call, Outcome::Broken));
+            self.agenda.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
             return;
         }
         if self.stands(target, |t| matches!(t, Trouble::Silent { .. })) {
@@ -226,7 +226,7 @@
         if self.refuses_connections(target) {
             // This call was the one too many, and its connection is gone with the others.
             let at = now + self.way_back(call);
-            self.agenda.enter(at, Event::Answer(call, Outcome::Broken));
+            self.agenda.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
             return;
         }
         let opens = self.shut_until(target);
@@ -234,7 +234,7 @@
             return self.refuse(call, until - now);
         }
         if self.fails_at_once(call, target) {
-            return self.reply(call, Outcome::Error);
+            return self.reply(call, AttemptOutcome::Error);
         }
         let use_up = self.kind_of(destination).refused_use_up;
         let passed = self.partners[target.0].gate.pass(now, use_up);
@@ -272,7 +272,7 @@
         here.filter(|t| matches!(t.what, Trouble::Shut { .. })).map(|t| t.ends()).max()
     }
 
-    fn fails_at_once(&mut self, call: CallNo, target: TargetNo) -> bool {
+    fn fails_at_once(&mut self, call: RequestId, target: TargetNo) -> bool {
         let categories: Vec<usize> = self.calls[call.0]
             .parts
             .iter()
@@ -291,7 +291,7 @@
         fails
     }
 
-    fn enqueue(&mut self, call: CallNo, target: TargetNo) {
+    fn enqueue(&mut self, call: RequestId, target: TargetNo) {
         let partner = &mut self.partners[target.0];
         if partner.busy < partner.plan.workers {
             self.begin_work(call, target);
@@ -303,7 +303,7 @@
         }
     }
 
-    fn begin_work(&mut self, call: CallNo, target: TargetNo) {
+    fn begin_work(&mut self, call: RequestId, target: TargetNo) {
         let now = self.now();
         let each =
             self.calls[call.0].parts.iter().map(|(e, _)| self.tries[self.envelopes[e.0].first_try.0].work);
@@ -348,7 +348,7 @@
         done
     }
 
-    pub(super) fn done(&mut self, target: TargetNo, life: u32, call: CallNo) {
+    pub(super) fn done(&mut self, target: TargetNo, life: u32, call: RequestId) {
         if self.partners[target.0].life != life {
             return;
         }
@@ -370,7 +370,7 @@
     }
 
     /// Work ends with an answer, or with a connection that breaks before it.
-    pub(super) fn send_result(&mut self, call: CallNo) {
+    pub(super) fn send_result(&mut self, call: RequestId) {
         let target = self.calls[call.0].target;
         let mut lost = false;
         for n in self.partners[target.0].troubles.clone() {
@@ -378,7 +378,7 @@
                 lost |= share.strikes(&mut self.chances.service);
             }
         }
-        self.reply(call, if lost { Outcome::Broken } else { Outcome::Completed });
+        self.reply(call, if lost { AttemptOutcome::ConnectionReset } else { AttemptOutcome::Completed });
     }
 
     pub(super) fn take_next(&mut self, target: TargetNo) {
@@ -391,7 +391,7 @@
     }
 
     /// The effects of a call's envelopes.
-    fn apply(&mut self, call: CallNo) {
+    fn apply(&mut self, call: RequestId) {
         let now = self.now();
         let parts = self.calls[call.0].parts.clone();
         let work = self.calls[call.0].work;
@@ -404,7 +404,7 @@
             let first_try = self.envelopes[envelope.0].first_try;
             let t = &mut self.tries[first_try.0];
             t.applied += 1;
-            if t.applied > 1 && self.scenario.categories[t.category].effect() != Effect::Effectful {
+            if t.applied > 1 && self.scenario.categories[t.category].effect() != Idempotency::NonIdempotent {
                 self.account.repeats_applied += 1;
             }
             self.oracles.applied(now, envelope);
@@ -412,7 +412,7 @@
     }
 
     /// Nobody waits for a call any more. It may run on: what has begun does, what still queues by chance.
-    pub(super) fn abandon(&mut self, call: CallNo) {
+    pub(super) fn abandon(&mut self, call: RequestId) {
         let target = self.calls[call.0].target;
         let destination = self.partners[target.0].plan.destination;
         let runs_on = self.kind_of(destination).runs_on.strikes(&mut self.chances.service);
--- a/crates/simulation/src/world/troubles.rs
+++ b/crates/simulation/src/world/troubles.rs
@@ -1,6 +1,6 @@
 //! Troubles begin and end.
 
-use reeddock::Standing;
+use reeddock::EndpointState;
 
 use super::World;
 use crate::layout::{chance, purpose, TargetNo};
@@ -23,7 +23,7 @@
             Trouble::Refused { .. } => met.iter().for_each(|t| self.break_connections(*t)),
             Trouble::Replaced { .. } => self.replace(&met),
             Trouble::Leaves { .. } => {
-                let changes: Vec<_> = met.iter().map(|t| (*t, Standing::Leaving)).collect();
+                let changes: Vec<_> = met.iter().map(|t| (*t, EndpointState::Draining)).collect();
                 self.list_changed(&changes);
             }
             Trouble::Killed { which } => {
@@ -52,7 +52,7 @@
                     self.partners[target.0].gone = true;
                     self.break_connections(*target);
                 }
-                let changes: Vec<_> = met.iter().map(|t| (*t, Standing::Gone)).collect();
+                let changes: Vec<_> = met.iter().map(|t| (*t, EndpointState::Removed)).collect();
                 self.list_changed(&changes);
             }
             Trouble::ListFrozen {} => {
@@ -85,8 +85,8 @@
             let new = TargetNo(self.partners.len());
             self.partners.push(Partner::new(plan));
             self.destinations[destination.0].targets.push(new);
-            changes.push((*target, Standing::Gone));
-            changes.push((new, Standing::Active));
+            changes.push((*target, EndpointState::Removed));
+            changes.push((new, EndpointState::Active));
         }
         self.list_changed(&changes);
     }
--- a/crates/simulation/tests/simulation/sharing.rs
+++ b/crates/simulation/tests/simulation/sharing.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use reeddock::{Outcome, TargetId};
+use reeddock::{AttemptOutcome, EndpointId};
 use reeddock_simulation::policies::sharing::{Exchange, Leave};
 
-const TARGET: TargetId = TargetId(7);
+const TARGET: EndpointId = EndpointId(7);
 
 fn at(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -16,7 +16,7 @@
     let mut exchange = Exchange::new(at(1.0));
     let members: Vec<usize> = (0..4).map(|_| exchange.join()).collect();
     for member in &members[..3] {
-        exchange.ended(TARGET, at(10.0), *member, Outcome::NoConnection);
+        exchange.ended(TARGET, at(10.0), *member, AttemptOutcome::NoConnection);
     }
     assert_eq!(exchange.leave(TARGET, at(10.5), members[3]), Leave::Send, "the news are on their way");
     assert_eq!(exchange.leave(TARGET, at(11.0), members[3]), Leave::Hold);
@@ -26,7 +26,7 @@
     assert_eq!(exchange.leave(TARGET, at(15.5), members[3]), Leave::Hold);
     assert_eq!(exchange.leave(TARGET, at(15.5), members[0]), Leave::Trial);
     assert_eq!(exchange.leave(TARGET, at(16.0), members[0]), Leave::Hold);
-    exchange.ended(TARGET, at(16.0), members[3], Outcome::Completed);
+    exchange.ended(TARGET, at(16.0), members[3], AttemptOutcome::Completed);
     assert_eq!(exchange.leave(TARGET, at(17.0), members[0]), Leave::Send);
 }
 
@@ -35,7 +35,7 @@
     let mut exchange = Exchange::new(Duration::ZERO);
     let member = exchange.join();
     for second in 1..=3 {
-        exchange.ended(TARGET, at(f64::from(second)), member, Outcome::TimedOut);
+        exchange.ended(TARGET, at(f64::from(second)), member, AttemptOutcome::TimedOut);
     }
     assert_eq!(exchange.leave(TARGET, at(4.0), member), Leave::Hold);
     assert_eq!(exchange.leave(TARGET, at(57.0), member), Leave::Trial);
--- a/crates/simulation/tests/simulation/spoilt.rs
+++ b/crates/simulation/tests/simulation/spoilt.rs
@@ -3,9 +3,12 @@
 
 use std::time::Duration;
 
-use reeddock::{DispatchNo, EnvelopeId, Host, Outcome, Past, PeerId, Spans, Standing, TargetId, Terms};
+use reeddock::{
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointState, MessageId, PeerId, PolicyHost,
+    PreviousAttempt, Settings,
+};
 use reeddock_simulation::policies::Module;
-use reeddock_simulation::policy::{HandIn, ListLine, Policy, Sight};
+use reeddock_simulation::policy::{ListLine, Policy, Sight, Submission};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
@@ -34,55 +37,60 @@
 }
 
 impl Spoilt {
-    pub fn open(defect: Defect, now: Duration, mut terms: Terms, host: &mut dyn Host) -> Box<dyn Policy> {
+    pub fn open(
+        defect: Defect,
+        now: Duration,
+        mut terms: Settings,
+        host: &mut dyn PolicyHost,
+    ) -> Box<dyn Policy> {
         if defect == Defect::PushesReturning {
-            terms.cold_from = Some(1.0);
-            terms.fall_multiple = Some(1000.0);
-            terms.warm_within = Some(Duration::from_millis(1));
+            terms.slow_start_floor = Some(1.0);
+            terms.overload_multiple = Some(1000.0);
+            terms.slow_start_duration = Some(Duration::from_millis(1));
         }
         Box::new(Spoilt { module: Module::open(now, terms, host), defect, taken: 0 })
     }
 }
 
 /// Sits on the host's side.
-struct Tap<'h>(&'h mut dyn Host, Defect);
+struct Tap<'h>(&'h mut dyn PolicyHost, Defect);
 
-impl Host for Tap<'_> {
-    fn dispatch(&mut self, envelope: &EnvelopeId, target: TargetId, mut spans: Spans) {
+impl PolicyHost for Tap<'_> {
+    fn start_attempt(&mut self, envelope: &MessageId, target: EndpointId, mut spans: AttemptTimeouts) {
         if let Defect::CutsShort(span) = self.1 {
-            spans.time_out = span;
+            spans.response_within = span;
         }
-        self.0.dispatch(envelope, target, spans);
+        self.0.start_attempt(envelope, target, spans);
     }
-    fn call_off(&mut self, envelope: &EnvelopeId, dispatch: DispatchNo) {
-        self.0.call_off(envelope, dispatch);
+    fn cancel(&mut self, envelope: &MessageId, dispatch: AttemptNumber) {
+        self.0.cancel(envelope, dispatch);
     }
-    fn shed(&mut self, envelope: &EnvelopeId, come_back: Option<Duration>) {
-        self.0.shed(envelope, come_back);
+    fn reject(&mut self, envelope: &MessageId, come_back: Option<Duration>) {
+        self.0.reject(envelope, come_back);
         if self.1 == Defect::AnswersTwice {
-            self.0.break_off(envelope);
+            self.0.fail(envelope);
         }
     }
-    fn break_off(&mut self, envelope: &EnvelopeId) {
-        self.0.break_off(envelope);
+    fn fail(&mut self, envelope: &MessageId) {
+        self.0.fail(envelope);
         if self.1 == Defect::AnswersTwice {
-            self.0.break_off(envelope);
+            self.0.fail(envelope);
         }
     }
-    fn wake(&mut self, after: Duration) {
-        self.0.wake(after);
+    fn set_timer(&mut self, after: Duration) {
+        self.0.set_timer(after);
     }
-    fn probe(&mut self, target: TargetId) {
-        self.0.probe(target);
+    fn start_health_check(&mut self, target: EndpointId) {
+        self.0.start_health_check(target);
     }
-    fn tell(&mut self, peer: Option<PeerId>, note: &[u8]) {
-        self.0.tell(peer, note);
+    fn send_gossip(&mut self, peer: Option<PeerId>, note: &[u8]) {
+        self.0.send_gossip(peer, note);
     }
     fn subscribe(&mut self, on: bool) {
         self.0.subscribe(on);
     }
-    fn fetch_list(&mut self) {
-        self.0.fetch_list();
+    fn fetch_endpoint_list(&mut self) {
+        self.0.fetch_endpoint_list();
     }
     fn log(&mut self, line: &str) {
         self.0.log(line);
@@ -90,67 +98,77 @@
 }
 
 impl Policy for Spoilt {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn Host) {
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost) {
         let mut lines = lines.to_vec();
         if self.defect == Defect::SendsPastDrains {
-            lines.iter_mut().for_each(|l| l.standing = Standing::Active);
+            lines.iter_mut().for_each(|l| l.standing = EndpointState::Active);
         }
         self.module.list(now, whole, &lines, &mut Tap(host, self.defect));
     }
 
-    fn hand_in(&mut self, now: Duration, envelope: &HandIn, host: &mut dyn Host) {
+    fn submit(&mut self, now: Duration, envelope: &Submission, host: &mut dyn PolicyHost) {
         self.taken += 1;
         if self.defect == Defect::ForgetsOne && self.taken.is_multiple_of(50) {
             return;
         }
         let mut envelope = envelope.clone();
         envelope.key = envelope.key.filter(|_| self.defect != Defect::IgnoresOrder);
-        self.module.hand_in(now, &envelope, &mut Tap(host, self.defect));
+        self.module.submit(now, &envelope, &mut Tap(host, self.defect));
     }
 
-    fn recall(&mut self, now: Duration, id: &EnvelopeId, past: &[Past], host: &mut dyn Host) {
-        self.module.recall(now, id, past, &mut Tap(host, self.defect));
+    fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        past: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
+        self.module.restore(now, id, past, &mut Tap(host, self.defect));
     }
 
-    fn settled(
+    fn attempt_finished(
         &mut self,
         now: Duration,
-        id: &EnvelopeId,
-        no: DispatchNo,
-        outcome: Outcome,
+        id: &MessageId,
+        no: AttemptNumber,
+        outcome: AttemptOutcome,
         over: bool,
-        host: &mut dyn Host,
+        host: &mut dyn PolicyHost,
     ) {
         let heard = match (self.defect, outcome) {
-            (Defect::DeafToWaits, Outcome::Full(_)) => Outcome::Full(None),
-            (Defect::SendsEffectfulAgain, Outcome::TimedOut | Outcome::Broken | Outcome::Error) => {
-                Outcome::NoConnection
-            }
-            (Defect::PushesReturning, Outcome::TimedOut | Outcome::Broken | Outcome::NoConnection) => {
-                Outcome::CalledOff
+            (Defect::DeafToWaits, AttemptOutcome::Rejected { .. }) => {
+                AttemptOutcome::Rejected { retry_after: None }
             }
+            (
+                Defect::SendsEffectfulAgain,
+                AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Error,
+            ) => AttemptOutcome::NoConnection,
+            (
+                Defect::PushesReturning,
+                AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::NoConnection,
+            ) => AttemptOutcome::Cancelled,
             _ => outcome,
         };
-        self.module.settled(now, id, no, heard, over, &mut Tap(host, self.defect));
+        self.module.attempt_finished(now, id, no, heard, over, &mut Tap(host, self.defect));
     }
 
-    fn withdrawn(&mut self, id: &EnvelopeId, host: &mut dyn Host) {
-        self.module.withdrawn(id, &mut Tap(host, self.defect));
+    fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
+        self.module.withdraw(id, &mut Tap(host, self.defect));
     }
 
-    fn alarm(&mut self, now: Duration) {
-        self.module.alarm(now);
+    fn timer_fired(&mut self, now: Duration) {
+        self.module.timer_fired(now);
     }
 
-    fn probed(&mut self, now: Duration, target: TargetId, well: bool) {
-        self.module.probed(now, target, well);
+    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool) {
+        self.module.health_checked(now, target, well);
     }
 
-    fn told(&mut self, now: Duration, from: PeerId, note: &[u8]) {
-        self.module.told(now, from, note);
+    fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]) {
+        self.module.gossip_received(now, from, note);
     }
 
-    fn turn(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn Host) {
-        self.module.turn(now, sight, &mut Tap(host, self.defect));
+    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost) {
+        self.module.run_due_work(now, sight, &mut Tap(host, self.defect));
     }
 }
--- a/crates/wal/examples/owed.rs
+++ b/crates/wal/examples/owed.rs
@@ -1,4 +1,4 @@
-//! What a large number of owed envelopes costs: memory and disk for each, a start with them, and ending them
+//! What a large number of owed messages costs: memory and disk for each, a start with them, and ending them
 //! beside new ones. Each command prints one JSON line; run each in a process of its own, as memory is read from
 //! the process.
 //!
@@ -11,26 +11,26 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use reeddock_wal::{Ledger, Record, Sync, Taken};
+use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
 
-/// Envelopes in one append.
+/// Messages in one append.
 const GROUP: u64 = 16;
-/// Destinations that envelopes are spread over, where none are named.
+/// Destinations that messages are spread over, where none are named.
 const DESTINATIONS: u64 = 320_000;
 
 fn id(number: u64) -> String {
     format!("{number:08x}-4c1e-4a2b-9d3f-{number:012x}")
 }
 
-fn taken(number: u64, body: &Bytes, destinations: u64) -> Taken {
-    Taken {
+fn accepted(number: u64, body: &Bytes, destinations: u64) -> Accepted {
+    Accepted {
         idempotency_key: None,
         id: id(number),
-        category: "order".into(),
+        class: "order".into(),
         tenant: None,
         key: None,
         destination: number % destinations,
-        outer_limit: u64::MAX / 2,
+        deadline: u64::MAX / 2,
         body: body.clone(),
     }
 }
@@ -49,35 +49,36 @@
     files.filter_map(|f| f.metadata().ok()).map(|m| m.len()).sum()
 }
 
-/// Takes envelopes on until so many are owed.
-fn fill(ledger: &mut Ledger, count: u64, body: &Bytes, destinations: u64) {
+/// Takes messages on until so many are owed.
+fn fill(log: &mut WriteAheadLog, count: u64, body: &Bytes, destinations: u64) {
     for first in (0..count).step_by(GROUP as usize) {
-        let group: Vec<Record> =
-            (first..count.min(first + GROUP)).map(|n| Record::Taken(taken(n, body, destinations))).collect();
-        ledger.append(&group, Duration::ZERO).expect("there is room");
+        let group: Vec<Record> = (first..count.min(first + GROUP))
+            .map(|n| Record::Accepted(accepted(n, body, destinations)))
+            .collect();
+        log.append(&group, Duration::ZERO).expect("there is room");
     }
 }
 
 /// Ends all that is owed, the oldest first, and takes so many new ones on for each that ends. Gives how many
-/// envelopes ended.
-fn drain(ledger: &mut Ledger, count: u64, body: &Bytes, new_for_each: f64) -> u64 {
+/// messages ended.
+fn drain(log: &mut WriteAheadLog, count: u64, body: &Bytes, new_for_each: f64) -> u64 {
     let (mut oldest, mut newest, mut due) = (0, count, 0.0);
-    let begun = Instant::now();
+    let started = Instant::now();
     while oldest < newest {
         let mut group = Vec::new();
         let last = newest.min(oldest + GROUP);
         for number in oldest..last {
-            group.push(Record::Begun { id: id(number), no: 0, target: "target".into(), at: 1 });
-            group.push(Record::Ended { id: id(number), notice: None });
+            group.push(Record::AttemptStarted { id: id(number), no: 0, endpoint: "target".into(), at: 1 });
+            group.push(Record::Finished { id: id(number), notice: None });
             due += new_for_each;
         }
         oldest = last;
         while due >= 1.0 {
-            group.push(Record::Taken(taken(newest, body, DESTINATIONS)));
+            group.push(Record::Accepted(accepted(newest, body, DESTINATIONS)));
             newest += 1;
             due -= 1.0;
         }
-        ledger.append(&group, begun.elapsed()).expect("there is room");
+        log.append(&group, started.elapsed()).expect("there is room");
     }
     oldest
 }
@@ -94,17 +95,17 @@
     let folder = Path::new(folder);
     let body = Bytes::from(vec![7; body_bytes as usize]);
     // What is owed may have two fifths of the folder.
-    let most = count * Ledger::size_of(&taken(0, &body, DESTINATIONS)) * 27 / 10 + 64_000_000;
+    let most = count * WriteAheadLog::size_of(&accepted(0, &body, DESTINATIONS)) * 27 / 10 + 64_000_000;
     std::fs::create_dir_all(folder).expect("the folder can be made");
     let before = memory("VmRSS");
     let at = Instant::now();
-    let mut ledger = Ledger::open(folder, most, Sync::Never).expect("the ledger opens");
+    let mut log = WriteAheadLog::open(folder, most, Sync::Never).expect("the ledger opens");
     let opened = at.elapsed().as_secs_f64();
     let at = Instant::now();
     let ended = match command.as_str() {
         "fill" => {
             let destinations = number(4).unwrap_or(DESTINATIONS).max(1);
-            fill(&mut ledger, count, &body, destinations);
+            fill(&mut log, count, &body, destinations);
             0
         }
         "drain" => {
@@ -113,7 +114,7 @@
                 eprintln!("owed: expected NEW_FOR_EACH_ENDED from 0 to under 1");
                 return ExitCode::from(2);
             };
-            drain(&mut ledger, count, &body, share)
+            drain(&mut log, count, &body, share)
         }
         "start" => 0,
         other => {
@@ -124,7 +125,7 @@
     println!(
         "{{\"command\":\"{command}\",\"count\":{count},\"body\":{body_bytes},\"owed\":{},\"ended\":{ended},\
          \"open_s\":{opened:.3},\"work_s\":{:.3},\"disk\":{},\"memory\":{},\"peak\":{}}}",
-        ledger.books().counts().0,
+        log.index().counts().0,
         at.elapsed().as_secs_f64(),
         disk(folder),
         memory("VmRSS").saturating_sub(before),
--- a/crates/wal/src/legacy.rs
+++ b/crates/wal/src/legacy.rs
@@ -1,8 +1,8 @@
 //! The single file of before: frames of length and checksum, one behind the other, with no head. It is read
 //! once, at the first start of a program that writes segments.
 
-use crate::books::{Books, Spot};
-use crate::record::{Taken, View};
+use crate::pending_index::{PendingIndex, RecordLocation};
+use crate::record::{Accepted, View};
 
 pub const NAME: &str = "ledger";
 const FRAME: usize = 8;
@@ -25,27 +25,27 @@
 }
 
 /// Reads all of it; places and lengths of what can't be read.
-pub fn read(bytes: &[u8], books: &mut Books) -> Vec<(u64, u64)> {
+pub fn read(bytes: &[u8], index: &mut PendingIndex) -> Vec<(u64, u64)> {
     let mut unread = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
         if let Some((record, length)) = whole(&bytes[at..]) {
-            books.apply(record, Spot { segment: 0, offset: at as u64, length });
+            index.apply(record, RecordLocation { segment: 0, offset: at as u64, length });
             at += length;
             continue;
         }
-        let begun = at;
+        let started = at;
         while at < bytes.len() && whole(&bytes[at..]).is_none() {
             at += 1;
         }
         // A torn tail and a damaged one can't be told apart here, where a length has no checksum.
-        books.gap();
-        unread.push((begun as u64, (at - begun) as u64));
+        index.gap();
+        unread.push((started as u64, (at - started) as u64));
     }
     unread
 }
 
-/// The envelope whose record stands here.
-pub fn taken_at(bytes: &[u8], spot: Spot) -> Option<Taken> {
-    whole(bytes.get(spot.offset as usize..)?)?.0.taken()
+/// The message whose record stands here.
+pub fn accepted_at(bytes: &[u8], spot: RecordLocation) -> Option<Accepted> {
+    whole(bytes.get(spot.offset as usize..)?)?.0.accepted()
 }
