--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,25 +1,25 @@
-//! What a forwarder has taken on and still owes, in a folder that outlasts its process.
+//! What a forwarder has accepted and still owes, in a folder that outlasts its process.
 //!
 //! # What holds
 //!
-//! - Once [`Ledger::append`] has returned, its records outlast the process, and the machine too as far as
+//! - Once [`WriteAheadLog::append`] has returned, its records outlast the process, and the machine too as far as
 //!   [`Sync`] promises.
 //! - Records stand in numbered segments, and are appended to the last. The first is emptied in bounded steps
 //!   that run behind appends, and dropped; which and how much is decided in [`plan`], which does no I/O. The
 //!   manifest says which segment is the first: it moves on after the copies stand and before the file goes.
-//! - What is owed always gets its end: each envelope's share of the room is counted when it is taken on, and a
+//! - What is owed always gets its end: each message's share of the room is counted when it is accepted, and a
 //!   reserve on the disk is given up for it when there is no space left.
 //! - At a start only what a cut write can have torn is cut. Anything else that can't be read is passed over,
-//!   told with its place, and kept; envelopes that were open at that place of the ledger count as ones that
-//!   may have run, as records of their dispatches may be among what is lost.
+//!   told with its place, and kept; messages that were open at that place of the write-ahead log count as ones that
+//!   may have run, as records of their attempts may be among what is lost.
 
-mod books;
-mod folder;
 mod legacy;
-pub mod memory;
+pub mod memory_storage;
+mod pending_index;
 pub mod plan;
 mod record;
 mod segment;
+mod storage;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -29,11 +29,11 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use books::{Books, Unended};
-pub use folder::{Disk, Folder};
-pub use record::{Begun, Carried, Record, Taken};
+pub use pending_index::{PendingIndex, PendingMessage};
+pub use record::{Accepted, AttemptStarted, Checkpoint, Record};
+pub use storage::{FileStorage, Storage};
 
-use books::Spot;
+use pending_index::RecordLocation;
 use plan::{whole_blocks, Plan, Step};
 use segment::{Head, Piece, Scan, HEAD, VERSION};
 
@@ -69,7 +69,7 @@
 
 /// A place that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damage {
+pub struct Corruption {
     pub file: String,
     pub offset: u64,
     /// 0 where a whole file is missing.
@@ -78,7 +78,7 @@
     pub hint: String,
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for Corruption {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self.bytes {
             0 => write!(to, "{} is missing", self.file)?,
@@ -93,10 +93,10 @@
 
 /// What a reading of the whole ledger found beside what is owed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Findings {
+pub struct VerificationReport {
     /// Bytes at the end that a cut write left.
     pub torn: u64,
-    pub damaged: Vec<Damage>,
+    pub damaged: Vec<Corruption>,
     /// Damaged places beyond those.
     pub more: u64,
     pub segments: u64,
@@ -104,10 +104,10 @@
     pub records: u64,
 }
 
-impl Findings {
+impl VerificationReport {
     fn damage(&mut self, file: &str, offset: u64, bytes: u64, hint: String) {
         if self.damaged.len() < PLACES_TOLD {
-            self.damaged.push(Damage { file: file.to_owned(), offset, bytes, hint });
+            self.damaged.push(Corruption { file: file.to_owned(), offset, bytes, hint });
         } else {
             self.more += 1;
         }
@@ -121,20 +121,20 @@
 /// What came of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Written {
-    /// Whether the envelopes among the records were taken on; where there was no space for them, all else was
-    /// written without them and their dispatches.
+    /// Whether the messages among the records were accepted; where there was no space for them, all else was
+    /// written without them and their attempts.
     pub taken_on: bool,
 }
 
-pub struct Ledger {
-    folder: Box<dyn Folder>,
+pub struct WriteAheadLog {
+    folder: Box<dyn Storage>,
     plan: Plan,
     sync: Sync,
-    books: Books,
-    findings: Findings,
+    index: PendingIndex,
+    verification: VerificationReport,
     /// The last segment must not be appended to: it ends in something that can't be read.
     sealed: bool,
-    /// Ends of envelopes that may stand in the ledger though they were not taken on, as a write that failed
+    /// Ends of messages that may stand in the write-ahead log though they were not accepted, as a write that failed
     /// could not be taken back. They go before anything else.
     void: Vec<Record>,
     /// Segments with bytes that were not synced.
@@ -167,7 +167,10 @@
     io::Error::new(io::ErrorKind::Unsupported, what)
 }
 
-fn read_manifest(folder: &dyn Folder, files: &BTreeMap<String, u64>) -> io::Result<Option<Option<Manifest>>> {
+fn read_manifest(
+    folder: &dyn Storage,
+    files: &BTreeMap<String, u64>,
+) -> io::Result<Option<Option<Manifest>>> {
     if !files.contains_key(MANIFEST) {
         return Ok(None);
     }
@@ -184,8 +187,8 @@
 
 /// All that a folder holds, read without a change.
 struct Reading {
-    books: Books,
-    findings: Findings,
+    index: PendingIndex,
+    verification: VerificationReport,
     /// Segments that count, with their sizes.
     segments: BTreeMap<u64, u64>,
     damaged: BTreeSet<u64>,
@@ -199,12 +202,12 @@
     last_is_older: bool,
 }
 
-fn read(folder: &dyn Folder) -> io::Result<Reading> {
+fn read(folder: &dyn Storage) -> io::Result<Reading> {
     let files = folder.files()?;
     let manifest = read_manifest(folder, &files)?;
     let mut reading = Reading {
-        books: Books::default(),
-        findings: Findings::default(),
+        index: PendingIndex::default(),
+        verification: VerificationReport::default(),
         segments: files.iter().filter_map(|(name, size)| Some((segment::number(name)?, *size))).collect(),
         damaged: BTreeSet::new(),
         torn_at: None,
@@ -226,10 +229,10 @@
         reading.past = std::mem::take(&mut reading.segments).into_keys().collect();
         let mut bytes = Vec::new();
         folder.reader(legacy::NAME)?.read_to_end(&mut bytes)?;
-        for (offset, length) in legacy::read(&bytes, &mut reading.books) {
-            reading.findings.damage(legacy::NAME, offset, length, String::new());
+        for (offset, length) in legacy::read(&bytes, &mut reading.index) {
+            reading.verification.damage(legacy::NAME, offset, length, String::new());
         }
-        reading.findings.bytes = bytes.len() as u64;
+        reading.verification.bytes = bytes.len() as u64;
         reading.old = Some(bytes);
         return Ok(reading);
     }
@@ -239,7 +242,7 @@
         other => {
             if other.is_some() || lowest.is_some() {
                 let bytes = files.get(MANIFEST).copied().unwrap_or_default();
-                reading.findings.damage(MANIFEST, 0, bytes, String::new());
+                reading.verification.damage(MANIFEST, 0, bytes, String::new());
             }
             lowest.unwrap_or(1)
         }
@@ -247,7 +250,7 @@
     reading.first = first;
     if reading.segments.range(first..).next().is_none() && first > 1 {
         // The last segment is never dropped.
-        reading.findings.damage(&segment::name(first), 0, 0, String::new());
+        reading.verification.damage(&segment::name(first), 0, 0, String::new());
     }
     reading.past = reading.segments.range(..first).map(|(n, _)| *n).collect();
     reading.segments = reading.segments.split_off(&first);
@@ -255,29 +258,29 @@
     let mut expected = first;
     for (number, size) in reading.segments.clone() {
         for missing in expected..number.min(expected + 1000) {
-            reading.findings.damage(&segment::name(missing), 0, 0, String::new());
-            reading.books.gap();
+            reading.verification.damage(&segment::name(missing), 0, 0, String::new());
+            reading.index.gap();
         }
         expected = number + 1;
-        reading.findings.segments += 1;
-        reading.findings.bytes += size;
+        reading.verification.segments += 1;
+        reading.verification.bytes += size;
         read_segment(folder, number, Some(number) == last, &mut reading)?;
     }
     Ok(reading)
 }
 
-fn read_segment(folder: &dyn Folder, number: u64, is_last: bool, to: &mut Reading) -> io::Result<()> {
+fn read_segment(folder: &dyn Storage, number: u64, is_last: bool, to: &mut Reading) -> io::Result<()> {
     let name = segment::name(number);
     let (mut scan, head) = Scan::begin(folder.reader(&name)?, number)?;
     let harm = |to: &mut Reading, offset, bytes, hint| {
-        to.findings.damage(&name, offset, bytes, hint);
-        to.books.gap();
+        to.verification.damage(&name, offset, bytes, hint);
+        to.index.gap();
         to.damaged.insert(number);
     };
     match head {
         Head::Short if is_last => {
             // Begun, and cut short before anything was written to it.
-            to.findings.torn += to.segments.get(&number).copied().unwrap_or_default();
+            to.verification.torn += to.segments.get(&number).copied().unwrap_or_default();
             to.torn_at = Some(0);
             return Ok(());
         }
@@ -290,15 +293,17 @@
     loop {
         match scan.next()? {
             Piece::Record { offset, length } => {
-                to.findings.records += 1;
+                to.verification.records += 1;
                 match scan.record() {
-                    Some(record) => to.books.apply(record, Spot { segment: number, offset, length }),
+                    Some(record) => {
+                        to.index.apply(record, RecordLocation { segment: number, offset, length })
+                    }
                     None => harm(to, offset, length as u64, String::new()),
                 }
             }
             Piece::Damaged { offset, bytes, hint } => harm(to, offset, bytes, hint),
             Piece::Torn { offset, bytes } if is_last => {
-                to.findings.torn += bytes;
+                to.verification.torn += bytes;
                 to.torn_at = Some(offset);
             }
             Piece::Torn { offset, bytes } => harm(to, offset, bytes, String::new()),
@@ -308,12 +313,12 @@
 }
 
 /// Reads what a folder's ledger says is owed, also beside the forwarder that writes it; changes nothing.
-pub fn look(folder: &Path) -> io::Result<(Books, Findings)> {
-    let disk = Disk::to_read(folder);
+pub fn inspect(folder: &Path) -> io::Result<(PendingIndex, VerificationReport)> {
+    let disk = FileStorage::to_read(folder);
     let mut tries = 0;
     loop {
         match read(&disk) {
-            Ok(reading) => return Ok((reading.books, reading.findings)),
+            Ok(reading) => return Ok((reading.index, reading.verification)),
             // A segment was dropped while it was being read: what it held stands further on.
             Err(e) if e.kind() == io::ErrorKind::NotFound && tries < 10 && folder.exists() => tries += 1,
             Err(e) => return Err(e),
@@ -321,20 +326,20 @@
     }
 }
 
-impl Ledger {
-    /// Opens the ledger of a folder that may hold `most_bytes`.
-    pub fn open(folder: &Path, most_bytes: u64, sync: Sync) -> io::Result<Ledger> {
-        Ledger::open_in(Box::new(Disk::to_write(folder)?), most_bytes, sync)
+impl WriteAheadLog {
+    /// Opens the write-ahead log of a folder that may hold `most_bytes`.
+    pub fn open(folder: &Path, most_bytes: u64, sync: Sync) -> io::Result<WriteAheadLog> {
+        WriteAheadLog::open_in(Box::new(FileStorage::to_write(folder)?), most_bytes, sync)
     }
 
-    pub fn open_in(folder: Box<dyn Folder>, most_bytes: u64, sync: Sync) -> io::Result<Ledger> {
+    pub fn open_in(folder: Box<dyn Storage>, most_bytes: u64, sync: Sync) -> io::Result<WriteAheadLog> {
         let reading = read(&*folder)?;
-        let mut ledger = Ledger {
+        let mut log = WriteAheadLog {
             folder,
             plan: Plan::new(most_bytes),
             sync,
-            books: reading.books,
-            findings: reading.findings,
+            index: reading.index,
+            verification: reading.verification,
             sealed: false,
             void: Vec::new(),
             unsynced: BTreeSet::new(),
@@ -347,40 +352,39 @@
             buffer: Vec::new(),
             quiet_until: Duration::ZERO,
         };
-        let files = ledger.folder.files()?;
-        ledger.aside =
-            files.iter().filter(|f| f.0.starts_with(ASIDE)).map(|(n, s)| (n.clone(), *s)).collect();
-        ledger.reserve = files.get(RESERVE).copied().unwrap_or_default();
+        let files = log.folder.files()?;
+        log.aside = files.iter().filter(|f| f.0.starts_with(ASIDE)).map(|(n, s)| (n.clone(), *s)).collect();
+        log.reserve = files.get(RESERVE).copied().unwrap_or_default();
         if files.contains_key(NEW_MANIFEST) {
-            ledger.folder.remove(NEW_MANIFEST)?;
+            log.folder.remove(NEW_MANIFEST)?;
         }
         for number in reading.past {
-            ledger.folder.remove(&segment::name(number))?;
+            log.folder.remove(&segment::name(number))?;
         }
-        ledger.tell_findings();
-        ledger.plan.begins_at(reading.first);
+        log.tell_findings();
+        log.plan.begins_at(reading.first);
         for (number, size) in &reading.segments {
-            ledger.plan.has(*number, *size);
+            log.plan.has(*number, *size);
         }
-        ledger.count_beside();
+        log.count_beside();
         match reading.old {
-            Some(bytes) => ledger.move_over(&bytes)?,
+            Some(bytes) => log.move_over(&bytes)?,
             None => {
-                if !reading.has_manifest || !ledger.findings.is_sound() {
-                    ledger.write_manifest(reading.first)?;
+                if !reading.has_manifest || !log.verification.is_sound() {
+                    log.write_manifest(reading.first)?;
                 }
                 // A start that moved the old file over did not live to remove it.
                 if files.contains_key(legacy::NAME) {
-                    ledger.folder.remove(legacy::NAME)?;
+                    log.folder.remove(legacy::NAME)?;
                 }
-                ledger.cut(reading.torn_at);
+                log.cut(reading.torn_at);
             }
         }
         // Nothing is ever written behind what can't be read.
-        let damaged = ledger.plan.last().is_some_and(|last| ledger.damaged.contains(&last));
-        ledger.sealed |= reading.last_is_older || damaged;
-        while ledger.reserve < ledger.plan.reserve() && ledger.keep_reserve() {}
-        Ok(ledger)
+        let damaged = log.plan.last().is_some_and(|last| log.damaged.contains(&last));
+        log.sealed |= reading.last_is_older || damaged;
+        while log.reserve < log.plan.reserve() && log.keep_reserve() {}
+        Ok(log)
     }
 
     /// Cuts what a killed process left torn at the end.
@@ -389,7 +393,7 @@
         if self.damaged.contains(&last) {
             return;
         }
-        tracing::warn!(bytes = self.findings.torn, "the ledger ends in a torn record, which is cut off");
+        tracing::warn!(bytes = self.verification.torn, "the ledger ends in a torn record, which is cut off");
         match self.folder.truncate(&segment::name(last), at) {
             Ok(()) if at == 0 => {
                 // Not even its head is whole.
@@ -407,15 +411,15 @@
     }
 
     fn tell_findings(&self) {
-        for damage in self.findings.damaged.iter().take(10) {
+        for damage in self.verification.damaged.iter().take(10) {
             tracing::error!("the ledger is damaged: {damage}");
         }
-        if !self.findings.is_sound() {
-            let lost = self.books.unended().iter().filter(|u| u.lost).count();
-            let (orphans, more) = self.books.orphans();
+        if !self.verification.is_sound() {
+            let lost = self.index.pending().iter().filter(|u| u.lost).count();
+            let (orphans, more) = self.index.orphans();
             let named: Vec<&str> = orphans.take(20).map(|id| &*id.0).collect();
             tracing::error!(
-                places = self.findings.damaged.len() as u64 + self.findings.more,
+                places = self.verification.damaged.len() as u64 + self.verification.more,
                 may_have_run = lost,
                 known_by_id_only = ?named,
                 more,
@@ -426,15 +430,15 @@
 
     /// The single file of before, written anew as segments.
     fn move_over(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let ids: Vec<_> = self.books.unended().iter().map(|u| u.id.clone()).collect();
-        let untold: Vec<_> = self.books.untold().map(|n| n.id).collect();
-        let old = std::mem::take(&mut self.books);
+        let ids: Vec<_> = self.index.pending().iter().map(|u| u.id.clone()).collect();
+        let unacknowledged_notices: Vec<_> = self.index.unacknowledged_notices().map(|n| n.id).collect();
+        let old = std::mem::take(&mut self.index);
         let mut group = Vec::new();
-        for id in ids.iter().chain(&untold) {
+        for id in ids.iter().chain(&unacknowledged_notices) {
             let Some(mut record) = old.carried(id) else { continue };
-            if let (Record::Carried(carried), Some(unended)) = (&mut record, old.get(id)) {
-                if let Some(taken) = legacy::taken_at(bytes, unended.spot()) {
-                    carried.taken = taken;
+            if let (Record::Checkpoint(carried), Some(pending)) = (&mut record, old.get(id)) {
+                if let Some(accepted) = legacy::accepted_at(bytes, pending.spot()) {
+                    carried.accepted = accepted;
                 }
             }
             group.push(record);
@@ -447,48 +451,48 @@
         self.sync_all()?;
         let first = self.plan.first().unwrap_or(1);
         self.write_manifest(first)?;
-        if self.findings.is_sound() {
+        if self.verification.is_sound() {
             self.folder.remove(legacy::NAME)?;
         } else {
             self.folder.rename(legacy::NAME, &format!("{ASIDE}{}", legacy::NAME))?;
             self.aside.insert(format!("{ASIDE}{}", legacy::NAME), bytes.len() as u64);
             self.count_beside();
         }
-        tracing::info!(owed = ids.len(), "the ledger was moved over from its old format");
+        tracing::info!(pending_bytes = ids.len(), "the ledger was moved over from its old format");
         Ok(())
     }
 
     /// All that is owed.
-    pub fn books(&self) -> &Books {
-        &self.books
+    pub fn index(&self) -> &PendingIndex {
+        &self.index
     }
 
     /// What the reading at the start found.
-    pub fn findings(&self) -> &Findings {
-        &self.findings
+    pub fn verification(&self) -> &VerificationReport {
+        &self.verification
     }
 
-    /// All that was written of an envelope that is owed, with its body.
-    pub fn taken(&self, unended: &Unended) -> io::Result<Taken> {
-        let spot = unended.spot();
+    /// All that was written of a message that is owed, with its body.
+    pub fn accepted(&self, pending: &PendingMessage) -> io::Result<Accepted> {
+        let spot = pending.spot();
         let name = segment::name(spot.segment);
         let bytes = self.folder.read_at(&name, spot.offset, spot.length)?;
         let rotten =
             || io::Error::new(io::ErrorKind::InvalidData, format!("{name} at {} is damaged", spot.offset));
         let record = record::value(&bytes).and_then(record::View::read).ok_or_else(rotten)?;
         let other = || io::Error::new(io::ErrorKind::InvalidData, "another record stands in its place");
-        record.taken().ok_or_else(other)
+        record.accepted().ok_or_else(other)
     }
 
-    /// Bytes that are free for what is taken on from here on.
+    /// Bytes that are free for what is accepted from here on.
     pub fn room(&self) -> u64 {
         // Without its reserve the end of what is owed already is not sure of its place.
         // Nor is a disk that was full asked again before some of what is owed is over.
-        let full = self.full_at.is_some_and(|at| self.books.owed() > at - at / 16);
+        let full = self.full_at.is_some_and(|at| self.index.pending_bytes() > at - at / 16);
         if full || self.reserve < self.plan.reserve() {
             return 0;
         }
-        self.plan.most_owed().saturating_sub(self.books.owed())
+        self.plan.most_owed().saturating_sub(self.index.pending_bytes())
     }
 
     /// Bytes that all files have, in whole blocks.
@@ -496,14 +500,14 @@
         self.plan.used()
     }
 
-    /// What an envelope takes up until it is over.
-    pub fn size_of(taken: &Taken) -> u64 {
-        record::size(&taken.view())
+    /// What a message takes up until it is over.
+    pub fn size_of(accepted: &Accepted) -> u64 {
+        record::size(&accepted.view())
     }
 
     /// Writes these records, and then empties the first segment by a step. All of them have outlasted this
     /// process once this returns; on an error none has. With no space left the reserve goes for what is owed
-    /// already, and nothing is taken on.
+    /// already, and nothing is accepted.
     pub fn append(&mut self, records: &[Record], now: Duration) -> io::Result<Written> {
         if records.is_empty() {
             return Ok(Written { taken_on: true });
@@ -512,7 +516,7 @@
         let bytes = match self.write_and_sync(records, now) {
             Ok(bytes) => bytes,
             Err(fault) if fault.kind() == io::ErrorKind::StorageFull => {
-                self.full_at = Some(self.books.owed());
+                self.full_at = Some(self.index.pending_bytes());
                 let musts = musts(records);
                 taken_on = musts.len() == records.len();
                 if musts.is_empty() {
@@ -591,7 +595,9 @@
         self.buffer = bytes;
         if result.is_err() && self.sealed {
             self.void.extend(records.iter().filter_map(|r| match r {
-                Record::Taken(taken) => Some(Record::Ended { id: taken.id.clone(), notice: None }),
+                Record::Accepted(accepted) => {
+                    Some(Record::Finished { id: accepted.id.clone(), notice: None })
+                }
                 _ => None,
             }));
         }
@@ -659,7 +665,7 @@
         for record in records {
             let Some((length, _)) = self.buffer.get(at..).and_then(record::head) else { return };
             let length = record::FRAME + length;
-            self.books.apply(record.view(), Spot { segment: last, offset, length });
+            self.index.apply(record.view(), RecordLocation { segment: last, offset, length });
             offset += length as u64;
             at += length;
         }
@@ -669,7 +675,7 @@
 
     /// Has room for so many bytes, by emptying the first segments if there is no other way.
     fn make_room(&mut self, bytes: u64) -> io::Result<()> {
-        let mut left = 4 * self.books.counts().0 + 1000;
+        let mut left = 4 * self.index.counts().0 + 1000;
         while !self.plan.fits(bytes) {
             let Step::Copy { segment, bytes } = self.plan.in_need() else { break };
             if left == 0 || !self.plan.fits(0) {
@@ -691,11 +697,11 @@
     fn step(&mut self, appended: u64, now: Duration) {
         // A disk that was full has less room than the plan was told of.
         let full = self.full_at.is_some() || self.reserve < self.plan.reserve();
-        let planned = self.plan.after_append(appended, self.books.owed());
+        let planned = self.plan.after_append(appended, self.index.pending_bytes());
         let step = match self.plan.in_need() {
             // Copies would take what is left, unless far more comes free than they need.
             Step::Copy { segment, .. } if full => {
-                let pays = 4 * self.books.live_bytes(segment) <= self.plan.size(segment);
+                let pays = 4 * self.index.live_bytes(segment) <= self.plan.size(segment);
                 if pays {
                     self.plan.in_need()
                 } else {
@@ -723,18 +729,18 @@
     fn empty(&mut self, segment: u64, bytes: u64) -> io::Result<u64> {
         let mut copied = 0;
         let mut group = Vec::new();
-        let mut next = self.books.live_from(segment, self.cursor);
+        let mut next = self.index.live_from(segment, self.cursor);
         while let Some((offset, id)) = next.take() {
-            let Some(mut record) = self.books.carried(&id) else { break };
-            if let (Record::Carried(carried), Some(unended)) = (&mut record, self.books.get(&id)) {
-                carried.taken = self.taken(unended)?;
-                copied += unended.spot().length as u64;
+            let Some(mut record) = self.index.carried(&id) else { break };
+            if let (Record::Checkpoint(carried), Some(pending)) = (&mut record, self.index.get(&id)) {
+                carried.accepted = self.accepted(pending)?;
+                copied += pending.spot().length as u64;
             } else {
                 copied += record::FRAME as u64 + id.0.len() as u64;
             }
             group.push(record);
             self.cursor = offset + 1;
-            next = self.books.live_from(segment, self.cursor);
+            next = self.index.live_from(segment, self.cursor);
             if copied >= bytes {
                 break;
             }
@@ -748,7 +754,7 @@
         }
         if done {
             self.cursor = 0;
-            if self.books.live_from(segment, 0).is_none() {
+            if self.index.live_from(segment, 0).is_none() {
                 self.drop_first(segment)?;
             }
         }
@@ -771,7 +777,7 @@
     }
 
     /// The first segment holds nothing that matters. Its copies outlast what it held before it goes, and the
-    /// manifest says so first: were a later segment's name gone and this one's not, what it tells of envelopes
+    /// manifest says so first: were a later segment's name gone and this one's not, what it tells of messages
     /// that ended there would stand again.
     fn drop_first(&mut self, segment: u64) -> io::Result<()> {
         self.sync_all()?;
@@ -843,16 +849,18 @@
     }
 }
 
-/// What must be written whatever else can't be: all but what is newly taken on, and its dispatches.
+/// What must be written whatever else can't be: all but what is newly accepted, and its attempts.
 fn musts(records: &[Record]) -> Vec<Record> {
-    let taken: BTreeSet<&str> = records
+    let accepted: BTreeSet<&str> = records
         .iter()
-        .filter_map(|r| if let Record::Taken(taken) = r { Some(taken.id.as_str()) } else { None })
+        .filter_map(|r| if let Record::Accepted(accepted) = r { Some(accepted.id.as_str()) } else { None })
         .collect();
     let must = |r: &&Record| match r {
-        Record::Taken(_) => false,
-        Record::Begun { id, .. } | Record::Returned { id, .. } => !taken.contains(id.as_str()),
-        Record::Ended { .. } | Record::Told { .. } | Record::Carried(_) => true,
+        Record::Accepted(_) => false,
+        Record::AttemptStarted { id, .. } | Record::AttemptFinished { id, .. } => {
+            !accepted.contains(id.as_str())
+        }
+        Record::Finished { .. } | Record::NoticeAcknowledged { .. } | Record::Checkpoint(_) => true,
     };
     records.iter().filter(must).cloned().collect()
 }
--- a/crates/wal/src/memory.rs
+++ b/crates/wal/src/memory_storage.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Read};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use crate::folder::Folder;
+use crate::storage::Storage;
 
 #[derive(Clone, Debug, Default)]
 struct Content {
@@ -41,13 +41,13 @@
 
 /// Handles share one folder, which outlasts them.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<Mutex<Inside>>);
+pub struct MemoryStorage(Arc<Mutex<Inside>>);
 
 fn dead() -> io::Error {
     io::Error::other("stopped here by the test")
 }
 
-impl Memory {
+impl MemoryStorage {
     fn inside(&self) -> MutexGuard<'_, Inside> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -72,18 +72,18 @@
     }
 
     /// The folder as the next process finds it once this one is killed.
-    pub fn after_a_kill(&self) -> Memory {
+    pub fn after_a_kill(&self) -> MemoryStorage {
         let files = self.inside().files.clone();
-        Memory(Arc::new(Mutex::new(Inside { names: files.clone(), files, ..Inside::default() })))
+        MemoryStorage(Arc::new(Mutex::new(Inside { names: files.clone(), files, ..Inside::default() })))
     }
 
     /// The folder as it is found once the machine was lost: what was not synced is gone.
-    pub fn after_a_loss(&self) -> Memory {
+    pub fn after_a_loss(&self) -> MemoryStorage {
         let mut files = self.inside().names.clone();
         for content in files.values_mut() {
             content.bytes.truncate(content.synced);
         }
-        Memory(Arc::new(Mutex::new(Inside { names: files.clone(), files, ..Inside::default() })))
+        MemoryStorage(Arc::new(Mutex::new(Inside { names: files.clone(), files, ..Inside::default() })))
     }
 
     /// Turns one bit of a file.
@@ -119,7 +119,7 @@
     }
 }
 
-impl Folder for Memory {
+impl Storage for MemoryStorage {
     fn files(&self) -> io::Result<BTreeMap<String, u64>> {
         Ok(self.inside().files.iter().map(|(name, f)| (name.clone(), f.bytes.len() as u64)).collect())
     }
--- a/crates/wal/src/plan.rs
+++ b/crates/wal/src/plan.rs
@@ -1,18 +1,18 @@
 //! What compaction does next, and what room there is: decided from sizes alone, with no file in sight.
 //!
-//! The ledger is a line of segments. Records are appended to the last; the first is emptied by copying to the
-//! end what of it still matters, and then dropped. Only ever the first: what ends an envelope stands behind
+//! The write-ahead log is a line of segments. Records are appended to the last; the first is emptied by copying to the
+//! end what of it still matters, and then dropped. Only ever the first: what ends a message stands behind
 //! what took it on, so that dropping from the front never leaves an end without its beginning the other way
 //! round, and no end has to be kept for the sake of an older segment.
 //!
 //! # What holds
 //!
 //! - All files together never have more than [`Plan::most`] bytes, counted in whole blocks.
-//! - What is taken on may fill two fifths of that. Compaction starts at [`Plan::starts_at`] and copies at least
+//! - What is accepted may fill two fifths of that. Compaction starts at [`Plan::starts_at`] and copies at least
 //!   [`COPIED_PER_BYTE`] bytes for each byte appended, so that it is through the line before the rest is full:
 //!   while two fifths are copied, the line grows by what is appended, two fifteenths, and one segment.
-//! - Ends and beginnings of what is owed always find room: each envelope's share of it is counted when it is
-//!   taken on ([`crate::record::size`]), and a reserve on the disk stands for it.
+//! - Ends and beginnings of what is owed always find room: each message's share of it is counted when it is
+//!   accepted ([`crate::record::size`]), and a reserve on the disk stands for it.
 
 use std::collections::BTreeMap;
 
@@ -46,7 +46,7 @@
     /// Bytes of files beside the segments: manifest, lock, what is kept aside.
     beside: u64,
     /// Bytes that may still be copied on account of what was appended.
-    credit: u64,
+    priority_weight: u64,
 }
 
 /// What to do after an append.
@@ -71,7 +71,7 @@
             begins_at: 1,
             sizes: BTreeMap::new(),
             beside: 0,
-            credit: 0,
+            priority_weight: 0,
         }
     }
 
@@ -91,8 +91,8 @@
 
     /// Bytes of all files, from which on the first segment is emptied. A large folder is not filled before:
     /// so much of it would be read at a start.
-    pub fn starts_at(&self, owed: u64) -> u64 {
-        (self.most * 11 / 20).min(2 * owed + 4 * self.segment)
+    pub fn starts_at(&self, pending_bytes: u64) -> u64 {
+        (self.most * 11 / 20).min(2 * pending_bytes + 4 * self.segment)
     }
 
     /// What is numbered lower was dropped once.
@@ -147,22 +147,22 @@
     }
 
     /// So many bytes were appended, and so many are owed: what to copy now.
-    pub fn after_append(&mut self, bytes: u64, owed: u64) -> Step {
-        if self.used() < self.starts_at(owed) {
-            self.credit = 0;
+    pub fn after_append(&mut self, bytes: u64, pending_bytes: u64) -> Step {
+        if self.used() < self.starts_at(pending_bytes) {
+            self.priority_weight = 0;
             return Step::Rest;
         }
-        self.credit = (self.credit + COPIED_PER_BYTE * bytes).clamp(LEAST_STEP, MOST_STEP);
-        let step = self.copy(self.credit);
+        self.priority_weight = (self.priority_weight + COPIED_PER_BYTE * bytes).clamp(LEAST_STEP, MOST_STEP);
+        let step = self.copy(self.priority_weight);
         if step == Step::Rest {
-            self.credit = 0;
+            self.priority_weight = 0;
         }
         step
     }
 
     /// So much of the credit was used.
     pub fn copied(&mut self, bytes: u64) {
-        self.credit = self.credit.saturating_sub(bytes);
+        self.priority_weight = self.priority_weight.saturating_sub(bytes);
     }
 
     /// There is no room for what must be written: empty the first segment, whatever waits for it.
@@ -212,11 +212,11 @@
         for most in [200_000, 3_000_000, 1 << 30] {
             let mut plan = Plan::new(most);
             plan.set_beside(plan.reserve() + 4 * BLOCK);
-            let owed = plan.most_owed();
+            let pending_bytes = plan.most_owed();
             let (mut live, mut copied_to) = (BTreeMap::new(), 0);
-            let mut left = owed;
+            let mut left = pending_bytes;
             // What is owed, then what is over, up to where compaction starts.
-            while plan.used() < plan.starts_at(owed) {
+            while plan.used() < plan.starts_at(pending_bytes) {
                 let n = plan.next();
                 let size = plan.segment.min(most / 40);
                 live.insert(n, left.min(size));
@@ -231,7 +231,7 @@
                 }
                 let last = plan.last().unwrap();
                 plan.has(last, plan.sizes[&last] + step);
-                if let Step::Copy { segment, bytes } = plan.after_append(step, owed) {
+                if let Step::Copy { segment, bytes } = plan.after_append(step, pending_bytes) {
                     let part = live.entry(segment).or_default();
                     let moved = bytes.min(*part);
                     *part -= moved;
@@ -251,7 +251,7 @@
                 }
                 assert!(plan.used() <= most, "{} of {most}", plan.used());
             }
-            assert!(copied_to > owed, "it went through the line, of {most}");
+            assert!(copied_to > pending_bytes, "it went through the line, of {most}");
         }
     }
 }
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,21 +1,21 @@
-//! One record of the ledger, and the frame that it stands in.
+//! One record of the write-ahead log, and the frame that it stands in.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
-use reeddock_protocol::GivenUp;
+use reeddock_protocol::FinalAnswer;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// What is written down of an envelope before its client hears that it was taken on.
+/// What is written down of a message before its client hears that it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct Accepted {
     pub id: String,
-    pub category: String,
+    pub class: String,
     pub tenant: Option<String>,
     pub key: Option<u64>,
     pub destination: u64,
     /// Microseconds of Unix time.
-    pub outer_limit: u64,
+    pub deadline: u64,
     pub body: Bytes,
     /// The mark by which its destination knows a repeat, where its client gave one.
     pub idempotency_key: Option<String>,
@@ -23,50 +23,50 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    Taken(Taken),
-    /// Written before the first byte of a dispatch.
-    Begun {
+    Accepted(Accepted),
+    /// Written before the first byte of an attempt.
+    AttemptStarted {
         id: String,
         no: u32,
-        target: String,
+        endpoint: String,
         at: u64,
     },
-    /// A dispatch has ended, and its envelope has not.
-    Returned {
+    /// An attempt has ended, and its message has not.
+    AttemptFinished {
         id: String,
         no: u32,
-        never_ran: bool,
+        proves_not_executed: bool,
     },
-    /// An envelope is over; where it was not delivered, the platform is to be told.
-    Ended {
+    /// A message is over; where it was not delivered, the platform is to be told.
+    Finished {
         id: String,
-        notice: Option<GivenUp>,
+        notice: Option<FinalAnswer>,
     },
     /// The platform has been told.
-    Told {
+    NoticeAcknowledged {
         id: String,
     },
-    /// An envelope that is owed, with all that is known of it, copied from a segment that is being emptied. It
-    /// stands for everything about this envelope before it.
-    Carried(Carried),
+    /// A message that is owed, with all that is known of it, copied from a segment that is being emptied. It
+    /// stands for everything about this message before it.
+    Checkpoint(Checkpoint),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Carried {
-    pub taken: Taken,
-    /// Its place among all that were taken on.
+pub struct Checkpoint {
+    pub accepted: Accepted,
+    /// Its place among all that were accepted.
     pub place: u64,
-    pub dispatches: Vec<Begun>,
-    /// Records of its dispatches may have been lost.
+    pub attempts: Vec<AttemptStarted>,
+    /// Records of its attempts may have been lost.
     pub lost: bool,
 }
 
-/// A dispatch that was begun.
+/// An attempt that was begun.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begun {
-    /// The target's name in the list, which outlasts a process; empty where that was lost.
+pub struct AttemptStarted {
+    /// The endpoint's name in the list, which outlasts a process; empty where that was lost.
     #[serde(with = "text")]
-    pub target: Arc<str>,
+    pub endpoint: Arc<str>,
     /// Microseconds of Unix time; 0 where that was lost.
     pub at: u64,
     /// Known to have ended, and whether that proves that it never ran.
@@ -84,56 +84,56 @@
 /// this list is its number there.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum View<'a> {
-    /// The two of version 1, which are read and not written: none of their envelopes had an idempotency key.
+    /// The two of version 1, which are read and not written: none of their messages had an idempotency key.
     #[serde(borrow)]
-    OldTaken(PlainView<'a>),
-    Begun {
+    AcceptedV1(AcceptedFieldsView<'a>),
+    AttemptStarted {
         id: &'a str,
         no: u32,
-        target: &'a str,
+        endpoint: &'a str,
         at: u64,
     },
-    Returned {
+    AttemptFinished {
         id: &'a str,
         no: u32,
-        never_ran: bool,
+        proves_not_executed: bool,
     },
-    Ended {
+    Finished {
         id: &'a str,
-        notice: Option<GivenUp>,
+        notice: Option<FinalAnswer>,
     },
-    Told {
+    NoticeAcknowledged {
         id: &'a str,
     },
-    OldCarried(CarriedView<PlainView<'a>>),
-    Taken(TakenView<'a>),
-    Carried(CarriedView<TakenView<'a>>),
+    CheckpointV1(CheckpointView<AcceptedFieldsView<'a>>),
+    Accepted(AcceptedView<'a>),
+    Checkpoint(CheckpointView<AcceptedView<'a>>),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct PlainView<'a> {
+pub struct AcceptedFieldsView<'a> {
     pub id: &'a str,
-    pub category: &'a str,
+    pub class: &'a str,
     pub tenant: Option<&'a str>,
     pub key: Option<u64>,
     pub destination: u64,
-    pub outer_limit: u64,
+    pub deadline: u64,
     #[serde(serialize_with = "bytes")]
     pub body: &'a [u8],
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct TakenView<'a> {
+pub struct AcceptedView<'a> {
     #[serde(borrow)]
-    pub plain: PlainView<'a>,
+    pub plain: AcceptedFieldsView<'a>,
     pub idempotency_key: Option<&'a str>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct CarriedView<T> {
-    pub taken: T,
+pub struct CheckpointView<T> {
+    pub accepted: T,
     pub place: u64,
-    pub dispatches: Vec<Begun>,
+    pub attempts: Vec<AttemptStarted>,
     pub lost: bool,
 }
 
@@ -145,43 +145,45 @@
 impl<'a> View<'a> {
     /// What stands here, whichever version wrote it; none where it makes no sense.
     pub fn read(bytes: &'a [u8]) -> Option<View<'a>> {
-        let without = |plain| TakenView { plain, idempotency_key: None };
+        let without = |plain| AcceptedView { plain, idempotency_key: None };
         Some(match postcard::from_bytes(bytes).ok()? {
-            View::OldTaken(plain) => View::Taken(without(plain)),
-            View::OldCarried(CarriedView { taken, place, dispatches, lost }) => {
-                View::Carried(CarriedView { taken: without(taken), place, dispatches, lost })
+            View::AcceptedV1(plain) => View::Accepted(without(plain)),
+            View::CheckpointV1(CheckpointView { accepted, place, attempts, lost }) => {
+                View::Checkpoint(CheckpointView { accepted: without(accepted), place, attempts, lost })
             }
             written_now => written_now,
         })
     }
 
-    /// The envelope that was taken on here.
-    pub fn taken(&self) -> Option<Taken> {
-        let (View::Taken(taken) | View::Carried(CarriedView { taken, .. })) = self else { return None };
-        let PlainView { id, category, tenant, key, destination, outer_limit, body } = taken.plain;
-        Some(Taken {
+    /// The message that was accepted here.
+    pub fn accepted(&self) -> Option<Accepted> {
+        let (View::Accepted(accepted) | View::Checkpoint(CheckpointView { accepted, .. })) = self else {
+            return None;
+        };
+        let AcceptedFieldsView { id, class, tenant, key, destination, deadline, body } = accepted.plain;
+        Some(Accepted {
             id: id.into(),
-            category: category.into(),
+            class: class.into(),
             tenant: tenant.map(str::to_owned),
             key,
             destination,
-            outer_limit,
+            deadline,
             body: Bytes::copy_from_slice(body),
-            idempotency_key: taken.idempotency_key.map(str::to_owned),
+            idempotency_key: accepted.idempotency_key.map(str::to_owned),
         })
     }
 }
 
-impl Taken {
-    pub(crate) fn view(&self) -> TakenView<'_> {
-        TakenView {
-            plain: PlainView {
+impl Accepted {
+    pub(crate) fn view(&self) -> AcceptedView<'_> {
+        AcceptedView {
+            plain: AcceptedFieldsView {
                 id: &self.id,
-                category: &self.category,
+                class: &self.class,
                 tenant: self.tenant.as_deref(),
                 key: self.key,
                 destination: self.destination,
-                outer_limit: self.outer_limit,
+                deadline: self.deadline,
                 body: &self.body,
             },
             idempotency_key: self.idempotency_key.as_deref(),
@@ -192,15 +194,19 @@
 impl Record {
     pub(crate) fn view(&self) -> View<'_> {
         match self {
-            Record::Taken(taken) => View::Taken(taken.view()),
-            Record::Begun { id, no, target, at } => View::Begun { id, no: *no, target, at: *at },
-            Record::Returned { id, no, never_ran } => View::Returned { id, no: *no, never_ran: *never_ran },
-            Record::Ended { id, notice } => View::Ended { id, notice: *notice },
-            Record::Told { id } => View::Told { id },
-            Record::Carried(c) => View::Carried(CarriedView {
-                taken: c.taken.view(),
+            Record::Accepted(accepted) => View::Accepted(accepted.view()),
+            Record::AttemptStarted { id, no, endpoint, at } => {
+                View::AttemptStarted { id, no: *no, endpoint, at: *at }
+            }
+            Record::AttemptFinished { id, no, proves_not_executed } => {
+                View::AttemptFinished { id, no: *no, proves_not_executed: *proves_not_executed }
+            }
+            Record::Finished { id, notice } => View::Finished { id, notice: *notice },
+            Record::NoticeAcknowledged { id } => View::NoticeAcknowledged { id },
+            Record::Checkpoint(c) => View::Checkpoint(CheckpointView {
+                accepted: c.accepted.view(),
                 place: c.place,
-                dispatches: c.dispatches.clone(),
+                attempts: c.attempts.clone(),
                 lost: c.lost,
             }),
         }
@@ -225,7 +231,7 @@
 /// length and checksum, and a checksum of these, so that a damaged length is told from a torn record.
 pub const FRAME: usize = 14;
 const MARKER: [u8; 2] = [0xd7, 0x5e];
-/// A body, and more dispatches than any envelope gets.
+/// A body, and more attempts than any message gets.
 pub const LONGEST: usize = 16 * 1024 * 1024;
 
 /// Puts any value in a frame behind what is there.
@@ -255,12 +261,12 @@
     (sound && 0 < length && length <= LONGEST).then_some((length, sum))
 }
 
-/// What an envelope takes up until it is over: itself, and some dispatches with their ends.
-pub fn size(taken: &TakenView) -> u64 {
+/// What a message takes up until it is over: itself, and some attempts with their ends.
+pub fn size(accepted: &AcceptedView) -> u64 {
     const DISPATCHES: u64 = 512;
-    let TakenView { plain, idempotency_key } = taken;
+    let AcceptedView { plain, idempotency_key } = accepted;
     let text = plain.id.len()
-        + plain.category.len()
+        + plain.class.len()
         + [plain.tenant, *idempotency_key].map(|t| t.map_or(0, str::len)).iter().sum::<usize>();
     (text + plain.body.len()) as u64 + DISPATCHES
 }
--- a/crates/wal/src/folder.rs
+++ b/crates/wal/src/storage.rs
@@ -1,4 +1,4 @@
-//! All file access of the ledger: the few operations it needs, on the real file system and on one in memory
+//! All file access of the write-ahead log: the few operations it needs, on the real file system and on one in memory
 //! that fails as it is told.
 
 use std::collections::BTreeMap;
@@ -6,8 +6,8 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// One flat folder. After an error of [`Folder::append`] any part of the bytes may stand in the file.
-pub trait Folder: Send {
+/// One flat folder. After an error of [`Storage::append`] any part of the bytes may stand in the file.
+pub trait Storage: Send {
     /// Names and lengths of its files.
     fn files(&self) -> io::Result<BTreeMap<String, u64>>;
     /// Appends to a file, which is made where there is none.
@@ -26,7 +26,7 @@
 }
 
 /// A folder on disk.
-pub struct Disk {
+pub struct FileStorage {
     path: PathBuf,
     /// Files that were appended to or read from, kept open: the newest and those being copied from.
     open: BTreeMap<String, File>,
@@ -37,17 +37,17 @@
 /// Files kept open at most.
 const MOST_OPEN: usize = 4;
 
-impl Disk {
+impl FileStorage {
     /// For one writer; a second one is refused.
-    pub fn to_write(path: &Path) -> io::Result<Disk> {
+    pub fn to_write(path: &Path) -> io::Result<FileStorage> {
         let lock = File::create(path.join("lock"))?;
         lock.try_lock().map_err(|_| io::Error::other("another process writes this ledger"))?;
-        Ok(Disk { path: path.to_owned(), open: BTreeMap::new(), _lock: Some(lock) })
+        Ok(FileStorage { path: path.to_owned(), open: BTreeMap::new(), _lock: Some(lock) })
     }
 
     /// Beside whoever writes.
-    pub fn to_read(path: &Path) -> Disk {
-        Disk { path: path.to_owned(), open: BTreeMap::new(), _lock: None }
+    pub fn to_read(path: &Path) -> FileStorage {
+        FileStorage { path: path.to_owned(), open: BTreeMap::new(), _lock: None }
     }
 
     fn opened(&mut self, name: &str) -> io::Result<&mut File> {
@@ -63,7 +63,7 @@
     }
 }
 
-impl Folder for Disk {
+impl Storage for FileStorage {
     fn files(&self) -> io::Result<BTreeMap<String, u64>> {
         let mut files = BTreeMap::new();
         for entry in fs::read_dir(&self.path)? {
--- a/crates/wal/tests/processes.rs
+++ b/crates/wal/tests/processes.rs
@@ -7,33 +7,33 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock_wal::{look, Ledger, Record, Sync};
+use reeddock_wal::{inspect, Record, Sync, WriteAheadLog};
 
 #[allow(dead_code)]
 #[path = "wal/load.rs"]
 mod load;
 
-use load::{begun, taken};
+use load::{accepted, started};
 
 const FOLDER: &str = "REEDDOCK_LEDGER_TEST_FOLDER";
 const MOST: u64 = 200_000;
 
-/// Not a test of its own: what the killed process runs. It says each line once the ledger has it.
+/// Not a test of its own: what the killed process runs. It says each line once the write-ahead log has it.
 #[test]
 fn the_process_that_is_killed() {
     let Some(folder) = std::env::var_os(FOLDER) else { return };
-    let mut ledger = Ledger::open(folder.as_ref(), MOST, Sync::Never).unwrap();
+    let mut log = WriteAheadLog::open(folder.as_ref(), MOST, Sync::Never).unwrap();
     let mut out = std::io::stdout().lock();
     let first = std::process::id();
     let mut open = std::collections::VecDeque::new();
     for n in 0..1_000_000u32 {
         let id = format!("p{first}-{n}");
-        ledger.append(&[taken(&id, 400), begun(&id, 0)], Duration::ZERO).unwrap();
+        log.append(&[accepted(&id, 400), started(&id, 0)], Duration::ZERO).unwrap();
         writeln!(out, "taken {id}").unwrap();
         open.push_back(id);
         if open.len() > 20 {
             let id = open.pop_front().unwrap();
-            ledger.append(&[Record::Ended { id: id.clone(), notice: None }], Duration::ZERO).unwrap();
+            log.append(&[Record::Finished { id: id.clone(), notice: None }], Duration::ZERO).unwrap();
             writeln!(out, "ended {id}").unwrap();
         }
     }
@@ -69,15 +69,15 @@
         }
         child.wait().unwrap();
         assert!(said >= most, "round {round}: it ended by itself");
-        let (books, findings) = look(folder.path()).unwrap();
-        assert!(findings.is_sound(), "round {round}: {findings:?}");
+        let (index, verification) = inspect(folder.path()).unwrap();
+        assert!(verification.is_sound(), "round {round}: {verification:?}");
         let found: std::collections::BTreeSet<String> =
-            books.unended().iter().map(|u| u.id.0.to_string()).collect();
+            index.pending().iter().map(|u| u.id.0.to_string()).collect();
         // One more may have been written, and its line not.
         let missing: Vec<_> = open.difference(&found).collect();
         let more: Vec<_> = found.difference(&open).collect();
         assert!(missing.len() <= 1 && more.len() <= 1, "round {round}: {missing:?} missing, {more:?} more");
-        assert!(books.unended().iter().all(|u| u.dispatches.len() == 1 && !u.lost));
+        assert!(index.pending().iter().all(|u| u.attempts.len() == 1 && !u.lost));
         open = found;
         // The next process takes this folder up.
         let size: u64 =
--- a/crates/wal/tests/wal/crashes.rs
+++ b/crates/wal/tests/wal/crashes.rs
@@ -3,29 +3,29 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 
-use reeddock_wal::memory::{Faults, Memory};
-use reeddock_wal::{Folder, Ledger, Sync};
+use reeddock_wal::memory_storage::{Faults, MemoryStorage};
+use reeddock_wal::{Storage, Sync, WriteAheadLog};
 
-use crate::load::{taken, Load, Model};
+use crate::load::{accepted, Load, Model};
 
 const MOST: u64 = 60_000;
 const GROUPS: usize = 200;
 const BODY: usize = 300;
 
-type Wrap = fn(Memory) -> Box<dyn Folder>;
+type Wrap = fn(MemoryStorage) -> Box<dyn Storage>;
 
-fn plain(memory: Memory) -> Box<dyn Folder> {
+fn plain(memory: MemoryStorage) -> Box<dyn Storage> {
     Box::new(memory)
 }
 
 /// Plays the load until the folder stops, and holds what the next start finds against the reference.
 fn crash(at: u64, tears_at: usize, sync: Sync, wrap: Wrap) -> Result<(), String> {
-    let memory = Memory::default();
+    let memory = MemoryStorage::default();
     memory.set(Faults { stops_after: Some(at), tears_at, ..Faults::default() });
     let mut load = Load::new(7, BODY);
-    let opened = Ledger::open_in(wrap(memory.clone()), MOST, sync);
+    let opened = WriteAheadLog::open_in(wrap(memory.clone()), MOST, sync);
     let played = match opened {
-        Ok(mut ledger) => load.play(&mut ledger, GROUPS).map_err(|(_, before, after)| (before, after)),
+        Ok(mut log) => load.play(&mut log, GROUPS).map_err(|(_, before, after)| (before, after)),
         Err(_) => Ok(()),
     };
     let (before, after) = match played {
@@ -33,27 +33,28 @@
         Err(both) => both,
     };
     let left = if sync == Sync::Each { memory.after_a_loss() } else { memory.after_a_kill() };
-    let mut ledger = Ledger::open_in(Box::new(left.clone()), MOST, sync).map_err(|e| e.to_string())?;
-    if !ledger.findings().is_sound() {
-        return Err(format!("damage where there was a crash: {:?}", ledger.findings().damaged));
+    let mut log = WriteAheadLog::open_in(Box::new(left.clone()), MOST, sync).map_err(|e| e.to_string())?;
+    if !log.verification().is_sound() {
+        return Err(format!("damage where there was a crash: {:?}", log.verification().damaged));
     }
-    Model::of(ledger.books()).between(&before, &after)?;
+    Model::of(log.index()).between(&before, &after)?;
     // And it goes on from there.
     let mut next = Load::new(8, BODY);
-    next.model = Model::of(ledger.books());
-    ledger.append(&[taken("later", 10)], Default::default()).map_err(|e| e.to_string())?;
+    next.model = Model::of(log.index());
+    log.append(&[accepted("later", 10)], Default::default()).map_err(|e| e.to_string())?;
     next.model.open.insert("later".into(), Vec::new());
-    drop(ledger);
-    let again = Ledger::open_in(Box::new(left.after_a_kill()), MOST, sync).map_err(|e| e.to_string())?;
-    Model::of(again.books()).between(&next.model, &next.model)
+    drop(log);
+    let again =
+        WriteAheadLog::open_in(Box::new(left.after_a_kill()), MOST, sync).map_err(|e| e.to_string())?;
+    Model::of(again.index()).between(&next.model, &next.model)
 }
 
 /// Operations of the whole load, and how many of them compaction did.
 fn operations(sync: Sync) -> (u64, usize) {
-    let memory = Memory::default();
-    let mut ledger = Ledger::open_in(Box::new(memory.clone()), MOST, sync).unwrap();
+    let memory = MemoryStorage::default();
+    let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), MOST, sync).unwrap();
     let opened = memory.operations();
-    Load::new(7, BODY).play(&mut ledger, GROUPS).unwrap();
+    Load::new(7, BODY).play(&mut log, GROUPS).unwrap();
     assert!(opened > 0);
     let log = memory.log();
     (memory.operations(), log.iter().filter(|l| l.starts_with("rename") || l.starts_with("remove")).count())
@@ -81,7 +82,7 @@
 
 /// Holds back one kind of operation until the next segment is removed, which swaps their order.
 struct Swapped {
-    inside: Memory,
+    inside: MemoryStorage,
     holds: fn(&str, &str) -> bool,
     held: Vec<Held>,
 }
@@ -103,7 +104,7 @@
     }
 }
 
-impl Folder for Swapped {
+impl Storage for Swapped {
     fn files(&self) -> io::Result<BTreeMap<String, u64>> {
         self.inside.files()
     }
--- a/crates/wal/tests/wal/load.rs
+++ b/crates/wal/tests/wal/load.rs
@@ -7,46 +7,46 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock_wal::{Books, Ledger, Record, Taken};
-use reeddock_protocol::GivenUp;
+use reeddock_protocol::FinalAnswer;
+use reeddock_wal::{Accepted, PendingIndex, Record, WriteAheadLog};
 
-/// Open envelopes with how their dispatches ended, and notices that are owed.
+/// Open messages with how their attempts ended, and notices that are owed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
     pub open: BTreeMap<String, Vec<Option<bool>>>,
-    pub untold: BTreeMap<String, GivenUp>,
+    pub unacknowledged_notices: BTreeMap<String, FinalAnswer>,
 }
 
 impl Model {
     pub fn apply(&mut self, record: &Record) {
         match record {
-            Record::Taken(taken) => drop(self.open.insert(taken.id.clone(), Vec::new())),
-            Record::Begun { id, .. } => self.open.get_mut(id).into_iter().for_each(|d| d.push(None)),
-            Record::Returned { id, no, never_ran } => {
+            Record::Accepted(accepted) => drop(self.open.insert(accepted.id.clone(), Vec::new())),
+            Record::AttemptStarted { id, .. } => self.open.get_mut(id).into_iter().for_each(|d| d.push(None)),
+            Record::AttemptFinished { id, no, proves_not_executed } => {
                 let dispatch = self.open.get_mut(id).and_then(|d| d.get_mut(*no as usize));
-                dispatch.into_iter().for_each(|d| *d = Some(*never_ran));
+                dispatch.into_iter().for_each(|d| *d = Some(*proves_not_executed));
             }
-            Record::Ended { id, notice } => {
+            Record::Finished { id, notice } => {
                 self.open.remove(id);
                 if let Some(end) = notice {
-                    self.untold.insert(id.clone(), *end);
+                    self.unacknowledged_notices.insert(id.clone(), *end);
                 }
             }
-            Record::Told { id } => drop(self.untold.remove(id)),
-            Record::Carried(_) => unreachable!("the ledger writes these itself"),
+            Record::NoticeAcknowledged { id } => drop(self.unacknowledged_notices.remove(id)),
+            Record::Checkpoint(_) => unreachable!("the ledger writes these itself"),
         }
     }
 
-    pub fn of(books: &Books) -> Model {
-        let open = books.unended().into_iter().map(|u| {
+    pub fn of(index: &PendingIndex) -> Model {
+        let open = index.pending().into_iter().map(|u| {
             assert!(!u.lost, "nothing was lost of {}", u.id.0);
-            (u.id.0.to_string(), u.dispatches.iter().map(|d| d.ended).collect())
+            (u.id.0.to_string(), u.attempts.iter().map(|d| d.ended).collect())
         });
-        let untold = books.untold().map(|n| (n.id.0.to_string(), n.end));
-        Model { open: open.collect(), untold: untold.collect() }
+        let unacknowledged_notices = index.unacknowledged_notices().map(|n| (n.id.0.to_string(), n.end));
+        Model { open: open.collect(), unacknowledged_notices: unacknowledged_notices.collect() }
     }
 
-    /// Whether each envelope stands as before a group of records or as after it.
+    /// Whether each message stands as before a group of records or as after it.
     pub fn between(&self, before: &Model, after: &Model) -> Result<(), String> {
         let ids = before.open.keys().chain(after.open.keys()).chain(self.open.keys());
         for id in ids {
@@ -55,9 +55,17 @@
                 return Err(format!("{id} is {now:?}, and was {a:?} or {b:?}"));
             }
         }
-        let ids = before.untold.keys().chain(after.untold.keys()).chain(self.untold.keys());
+        let ids = before
+            .unacknowledged_notices
+            .keys()
+            .chain(after.unacknowledged_notices.keys())
+            .chain(self.unacknowledged_notices.keys());
         for id in ids {
-            let (now, a, b) = (self.untold.get(id), before.untold.get(id), after.untold.get(id));
+            let (now, a, b) = (
+                self.unacknowledged_notices.get(id),
+                before.unacknowledged_notices.get(id),
+                after.unacknowledged_notices.get(id),
+            );
             if now != a && now != b {
                 return Err(format!("notice {id} is {now:?}, and was {a:?} or {b:?}"));
             }
@@ -66,69 +74,72 @@
     }
 }
 
-pub fn taken(id: &str, body: usize) -> Record {
-    Record::Taken(Taken {
+pub fn accepted(id: &str, body: usize) -> Record {
+    Record::Accepted(Accepted {
         idempotency_key: Some(format!("key of {id}")),
         id: id.into(),
-        category: "order".into(),
+        class: "order".into(),
         tenant: Some("t".into()),
         key: Some(9),
         destination: 3,
-        outer_limit: 77,
+        deadline: 77,
         body: Bytes::from(id.as_bytes().iter().copied().cycle().take(body).collect::<Vec<u8>>()),
     })
 }
 
-pub fn begun(id: &str, no: u32) -> Record {
-    Record::Begun { id: id.into(), no, target: format!("t{no}"), at: 5 }
+pub fn started(id: &str, no: u32) -> Record {
+    Record::AttemptStarted { id: id.into(), no, endpoint: format!("t{no}"), at: 5 }
 }
 
-/// Draws groups of records of which no two are about the same envelope.
+/// Draws groups of records of which no two are about the same message.
 pub struct Load {
     chance: Pcg32,
-    taken: u32,
+    accepted: u32,
     pub model: Model,
     body: usize,
 }
 
 impl Load {
     pub fn new(seed: u64, body: usize) -> Load {
-        Load { chance: Pcg32::seed_from_u64(seed), taken: 0, model: Model::default(), body }
+        Load { chance: Pcg32::seed_from_u64(seed), accepted: 0, model: Model::default(), body }
     }
 
     /// The next group, and what it leaves.
-    pub fn group(&mut self, ledger: &Ledger) -> Vec<Record> {
+    pub fn group(&mut self, log: &WriteAheadLog) -> Vec<Record> {
         let mut group = Vec::new();
         let mut used: Vec<String> = Vec::new();
         for _ in 0..self.chance.random_range(1..5) {
             let ids: Vec<String> = self.model.open.keys().filter(|id| !used.contains(id)).cloned().collect();
             let one = (!ids.is_empty()).then(|| ids[self.chance.random_range(0..ids.len())].clone());
-            let untold: Vec<&String> = self.model.untold.keys().filter(|id| !used.contains(id)).collect();
+            let unacknowledged_notices: Vec<&String> =
+                self.model.unacknowledged_notices.keys().filter(|id| !used.contains(id)).collect();
             let draw = self.chance.random_range(0..10);
             let record = match (draw, one) {
                 (0..4, _) | (_, None) => {
-                    self.taken += 1;
-                    let record = taken(&format!("e{:05}", self.taken), self.body);
-                    let Record::Taken(t) = &record else { unreachable!() };
-                    if Ledger::size_of(t) * 4 > ledger.room() {
+                    self.accepted += 1;
+                    let record = accepted(&format!("e{:05}", self.accepted), self.body);
+                    let Record::Accepted(t) = &record else { unreachable!() };
+                    if WriteAheadLog::size_of(t) * 4 > log.room() {
                         continue;
                     }
                     record
                 }
-                (4..6, Some(id)) => begun(&id, self.model.open[&id].len() as u32),
+                (4..6, Some(id)) => started(&id, self.model.open[&id].len() as u32),
                 (6, Some(id)) if self.model.open[&id].last() == Some(&None) => {
                     let no = self.model.open[&id].len() as u32 - 1;
-                    Record::Returned { id, no, never_ran: self.chance.random() }
+                    Record::AttemptFinished { id, no, proves_not_executed: self.chance.random() }
                 }
-                (7, _) if !untold.is_empty() => Record::Told { id: untold[0].clone() },
-                (8, Some(id)) => Record::Ended { id, notice: Some(GivenUp::BrokenOff) },
-                (_, Some(id)) => Record::Ended { id, notice: None },
+                (7, _) if !unacknowledged_notices.is_empty() => {
+                    Record::NoticeAcknowledged { id: unacknowledged_notices[0].clone() }
+                }
+                (8, Some(id)) => Record::Finished { id, notice: Some(FinalAnswer::Failed) },
+                (_, Some(id)) => Record::Finished { id, notice: None },
             };
             let id = match &record {
-                Record::Taken(t) => t.id.clone(),
-                Record::Begun { id, .. } | Record::Returned { id, .. } => id.clone(),
-                Record::Ended { id, .. } | Record::Told { id } => id.clone(),
-                Record::Carried(_) => unreachable!(),
+                Record::Accepted(t) => t.id.clone(),
+                Record::AttemptStarted { id, .. } | Record::AttemptFinished { id, .. } => id.clone(),
+                Record::Finished { id, .. } | Record::NoticeAcknowledged { id } => id.clone(),
+                Record::Checkpoint(_) => unreachable!(),
             };
             used.push(id);
             group.push(record);
@@ -137,12 +148,12 @@
     }
 
     /// Plays so many groups; on an error, the state before and after the group that failed.
-    pub fn play(&mut self, ledger: &mut Ledger, groups: usize) -> Result<(), (io::Error, Model, Model)> {
+    pub fn play(&mut self, log: &mut WriteAheadLog, groups: usize) -> Result<(), (io::Error, Model, Model)> {
         for n in 0..groups {
-            let group = self.group(ledger);
+            let group = self.group(log);
             let before = self.model.clone();
             group.iter().for_each(|r| self.model.apply(r));
-            if let Err(e) = ledger.append(&group, Duration::from_millis(n as u64)) {
+            if let Err(e) = log.append(&group, Duration::from_millis(n as u64)) {
                 return Err((e, before, self.model.clone()));
             }
         }
--- a/crates/wal/tests/wal/main.rs
+++ b/crates/wal/tests/wal/main.rs
@@ -1,4 +1,4 @@
-//! The ledger after kills, losses, damage and long use.
+//! The write-ahead log after kills, losses, damage and long use.
 
 mod crashes;
 mod damage;
--- a/crates/wal/tests/wal/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -1,8 +1,8 @@
 //! Random steps against the plain reference: appends, restarts after kills, restarts after losses.
 
 use proptest::prelude::*;
-use reeddock_wal::memory::Memory;
-use reeddock_wal::{Ledger, Sync};
+use reeddock_wal::memory_storage::MemoryStorage;
+use reeddock_wal::{Sync, WriteAheadLog};
 
 use crate::load::{Load, Model};
 
@@ -34,34 +34,34 @@
         most in 40_000..200_000u64,
         moves in moves(),
     ) {
-        let mut memory = Memory::default();
-        let mut ledger = Ledger::open_in(Box::new(memory.clone()), most, Sync::Each).unwrap();
+        let mut memory = MemoryStorage::default();
+        let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), most, Sync::Each).unwrap();
         let mut load = Load::new(seed, body);
         for step in moves {
             match step {
-                Move::Append(groups) => load.play(&mut ledger, groups).map_err(|e| e.0).unwrap(),
+                Move::Append(groups) => load.play(&mut log, groups).map_err(|e| e.0).unwrap(),
                 Move::Lapse => {
                     // All that is open ends at once, as after a long stop.
                     let ends: Vec<_> = load.model.open.keys().map(|id| {
-                        reeddock_wal::Record::Ended { id: id.clone(), notice: None }
+                        reeddock_wal::Record::Finished { id: id.clone(), notice: None }
                     }).collect();
                     ends.iter().for_each(|r| load.model.apply(r));
-                    ledger.append(&ends, Default::default()).unwrap();
+                    log.append(&ends, Default::default()).unwrap();
                 }
                 Move::Kill | Move::Lose => {
-                    drop(ledger);
+                    drop(log);
                     memory = if matches!(step, Move::Kill) { memory.after_a_kill() } else { memory.after_a_loss() };
-                    ledger = Ledger::open_in(Box::new(memory.clone()), most, Sync::Each).unwrap();
-                    prop_assert!(ledger.findings().is_sound());
+                    log = WriteAheadLog::open_in(Box::new(memory.clone()), most, Sync::Each).unwrap();
+                    prop_assert!(log.verification().is_sound());
                 }
             }
-            prop_assert_eq!(&Model::of(ledger.books()), &load.model);
-            prop_assert!(ledger.used() <= most, "{} of {}", ledger.used(), most);
+            prop_assert_eq!(&Model::of(log.index()), &load.model);
+            prop_assert!(log.used() <= most, "{} of {}", log.used(), most);
             prop_assert!(memory.size() <= most);
-            for unended in ledger.books().unended() {
-                let taken = ledger.taken(unended).unwrap();
-                prop_assert_eq!(taken.body.len(), body);
-                prop_assert_eq!(taken.idempotency_key, Some(format!("key of {}", unended.id.0)));
+            for pending in log.index().pending() {
+                let accepted = log.accepted(pending).unwrap();
+                prop_assert_eq!(accepted.body.len(), body);
+                prop_assert_eq!(accepted.idempotency_key, Some(format!("key of {}", pending.id.0)));
             }
         }
     }
--- a/crates/wal/tests/wal/stories.rs
+++ b/crates/wal/tests/wal/stories.rs
@@ -1,26 +1,26 @@
-//! What stands in the ledger after kills and long use.
+//! What stands in the write-ahead log after kills and long use.
 
 use std::fs::{self, OpenOptions};
 use std::path::PathBuf;
 use std::time::Duration;
 
 use bytes::Bytes;
-use reeddock_wal::{Ledger, Record, Sync, Taken};
-use reeddock_protocol::GivenUp;
+use reeddock_protocol::FinalAnswer;
+use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
 
 const MOST: u64 = 60_000;
 
-struct Folder(PathBuf);
+struct Storage(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl Storage {
+    fn new(name: &str) -> Storage {
         let folder = std::env::temp_dir().join(format!("reeddock-wal-{}-{name}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+        Storage(folder)
     }
 
-    fn open(&self) -> Ledger {
-        Ledger::open(&self.0, MOST, Sync::Never).unwrap()
+    fn open(&self) -> WriteAheadLog {
+        WriteAheadLog::open(&self.0, MOST, Sync::Never).unwrap()
     }
 
     fn size(&self) -> u64 {
@@ -28,104 +28,105 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for Storage {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn taken(id: &str) -> Record {
-    Record::Taken(Taken {
+fn accepted(id: &str) -> Record {
+    Record::Accepted(Accepted {
         idempotency_key: None,
         id: id.into(),
-        category: "order".into(),
+        class: "order".into(),
         tenant: None,
         key: Some(9),
         destination: 3,
-        outer_limit: 77,
+        deadline: 77,
         body: Bytes::from_static(b"\x00 any bytes \xff"),
     })
 }
 
-fn begun(id: &str, no: u32) -> Record {
-    Record::Begun { id: id.into(), no, target: format!("t{no}"), at: 5 }
+fn started(id: &str, no: u32) -> Record {
+    Record::AttemptStarted { id: id.into(), no, endpoint: format!("t{no}"), at: 5 }
 }
 
-fn ids(ledger: &Ledger) -> Vec<String> {
-    ledger.books().unended().iter().map(|u| u.id.0.to_string()).collect()
+fn ids(log: &WriteAheadLog) -> Vec<String> {
+    log.index().pending().iter().map(|u| u.id.0.to_string()).collect()
 }
 
 #[test]
 fn what_is_owed_is_found_again_in_its_order_with_its_dispatches() {
-    let folder = Folder::new("again");
-    let mut ledger = folder.open();
-    let returned = Record::Returned { id: "b".into(), no: 0, never_ran: true };
-    ledger
-        .append(&[taken("b"), taken("a"), taken("c"), begun("b", 0), returned, begun("b", 1)], Duration::ZERO)
+    let folder = Storage::new("again");
+    let mut log = folder.open();
+    let returned = Record::AttemptFinished { id: "b".into(), no: 0, proves_not_executed: true };
+    log.append(
+        &[accepted("b"), accepted("a"), accepted("c"), started("b", 0), returned, started("b", 1)],
+        Duration::ZERO,
+    )
+    .unwrap();
+    log.append(&[Record::Finished { id: "a".into(), notice: None }], Duration::ZERO).unwrap();
+    log.append(&[Record::Finished { id: "c".into(), notice: Some(FinalAnswer::Failed) }], Duration::ZERO)
         .unwrap();
-    ledger.append(&[Record::Ended { id: "a".into(), notice: None }], Duration::ZERO).unwrap();
-    ledger
-        .append(&[Record::Ended { id: "c".into(), notice: Some(GivenUp::BrokenOff) }], Duration::ZERO)
-        .unwrap();
-    assert!(Ledger::open(&folder.0, MOST, Sync::Never).is_err(), "one process writes at a time");
-    drop(ledger);
-    let mut ledger = folder.open();
-    assert_eq!(ids(&ledger), ["b"]);
-    let b = ledger.books().unended()[0].clone();
-    assert_eq!((&*b.category, b.key, b.destination, b.outer_limit), ("order", Some(9), 3, 77));
-    assert_eq!(ledger.taken(&b).unwrap().body, Bytes::from_static(b"\x00 any bytes \xff"));
-    let past: Vec<_> = b.dispatches.iter().map(|d| (&*d.target, d.ended)).collect();
+    assert!(WriteAheadLog::open(&folder.0, MOST, Sync::Never).is_err(), "one process writes at a time");
+    drop(log);
+    let mut log = folder.open();
+    assert_eq!(ids(&log), ["b"]);
+    let b = log.index().pending()[0].clone();
+    assert_eq!((&*b.class, b.key, b.destination, b.deadline), ("order", Some(9), 3, 77));
+    assert_eq!(log.accepted(&b).unwrap().body, Bytes::from_static(b"\x00 any bytes \xff"));
+    let past: Vec<_> = b.attempts.iter().map(|d| (&*d.endpoint, d.ended)).collect();
     assert_eq!(past, [("t0", Some(true)), ("t1", None)]);
-    assert_eq!(ledger.books().untold().map(|n| n.id.0.to_string()).collect::<Vec<_>>(), ["c"]);
-    ledger.append(&[Record::Told { id: "c".into() }], Duration::ZERO).unwrap();
-    drop(ledger);
-    assert_eq!(folder.open().books().untold().count(), 0);
+    assert_eq!(log.index().unacknowledged_notices().map(|n| n.id.0.to_string()).collect::<Vec<_>>(), ["c"]);
+    log.append(&[Record::NoticeAcknowledged { id: "c".into() }], Duration::ZERO).unwrap();
+    drop(log);
+    assert_eq!(folder.open().index().unacknowledged_notices().count(), 0);
 }
 
 #[test]
 fn a_torn_tail_is_cut_and_what_is_written_after_it_is_read() {
-    let folder = Folder::new("torn");
-    folder.open().append(&[taken("whole")], Duration::ZERO).unwrap();
+    let folder = Storage::new("torn");
+    folder.open().append(&[accepted("whole")], Duration::ZERO).unwrap();
     let name = folder.0.join("ledger-000000000001");
     let whole = fs::metadata(&name).unwrap().len();
-    folder.open().append(&[taken("torn")], Duration::ZERO).unwrap();
+    folder.open().append(&[accepted("torn")], Duration::ZERO).unwrap();
     for length in (whole + 1)..fs::metadata(&name).unwrap().len() {
-        let copy = Folder::new("torn-copy");
+        let copy = Storage::new("torn-copy");
         for file in fs::read_dir(&folder.0).unwrap() {
             let file = file.unwrap();
             fs::copy(file.path(), copy.0.join(file.file_name())).unwrap();
         }
         let torn = OpenOptions::new().write(true).open(copy.0.join("ledger-000000000001")).unwrap();
         torn.set_len(length).unwrap();
-        let mut ledger = copy.open();
-        assert!(ledger.findings().is_sound() && ledger.findings().torn > 0, "{length}");
-        ledger.append(&[taken("later")], Duration::ZERO).unwrap();
-        drop(ledger);
+        let mut log = copy.open();
+        assert!(log.verification().is_sound() && log.verification().torn > 0, "{length}");
+        log.append(&[accepted("later")], Duration::ZERO).unwrap();
+        drop(log);
         assert_eq!(ids(&copy.open()), ["whole", "later"], "{length}");
     }
 }
 
 #[test]
 fn long_use_stays_within_the_disk_and_loses_nothing() {
-    let folder = Folder::new("long");
-    let mut ledger = folder.open();
-    ledger.append(&[taken("first"), begun("first", 0)], Duration::ZERO).unwrap();
+    let folder = Storage::new("long");
+    let mut log = folder.open();
+    log.append(&[accepted("first"), started("first", 0)], Duration::ZERO).unwrap();
     for n in 0..3000 {
         let id = format!("e{n}");
-        ledger.append(&[taken(&id), begun(&id, 0)], Duration::ZERO).unwrap();
-        ledger.append(&[Record::Ended { id, notice: None }], Duration::ZERO).unwrap();
+        log.append(&[accepted(&id), started(&id, 0)], Duration::ZERO).unwrap();
+        log.append(&[Record::Finished { id, notice: None }], Duration::ZERO).unwrap();
         assert!(folder.size() <= MOST);
     }
-    drop(ledger);
-    let ledger = folder.open();
-    assert_eq!(ids(&ledger), ["first"]);
-    assert_eq!(ledger.books().unended()[0].dispatches.len(), 1);
+    drop(log);
+    let log = folder.open();
+    assert_eq!(ids(&log), ["first"]);
+    assert_eq!(log.index().pending()[0].attempts.len(), 1);
 }
 
 #[test]
 fn what_a_kill_during_compaction_left_is_cleared_away() {
-    let folder = Folder::new("left");
-    folder.open().append(&[taken("a")], Duration::ZERO).unwrap();
+    let folder = Storage::new("left");
+    folder.open().append(&[accepted("a")], Duration::ZERO).unwrap();
     fs::write(folder.0.join("ledger.manifest.new"), b"half of it").unwrap();
     assert_eq!(ids(&folder.open()), ["a"]);
     assert!(!folder.0.join("ledger.manifest.new").exists());
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,4 +1,4 @@
-//! A toy world for one forwarder: two targets of destination 3, and the platform with the list of targets and
+//! A toy world for one forwarder: two endpoints of destination 3, and the platform with the list of endpoints and
 //! an ear for notices. It answers by what is typed here, so that one can watch what the forwarder makes of it.
 //!
 //! It stands for other firms' systems and understands just enough HTTP for them.
@@ -18,7 +18,7 @@
       hang   take calls and answer nothing
       quit   end";
 
-/// How the targets answer now.
+/// How the endpoints answer now.
 type Mood = Arc<Mutex<String>>;
 
 struct Message {
@@ -31,7 +31,7 @@
     let mood: Mood = Arc::new(Mutex::new("up".into()));
     for (name, address) in TARGETS {
         let mood = mood.clone();
-        listen(address, move |stream| target(name, stream, &mood))?;
+        listen(address, move |stream| endpoint(name, stream, &mood))?;
     }
     listen(PLATFORM, platform)?;
     println!("targets on {} and {}, platform on {PLATFORM}\n{HELP}", TARGETS[0].1, TARGETS[1].1);
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-fn target(name: &str, mut stream: TcpStream, mood: &Mood) -> io::Result<()> {
+fn endpoint(name: &str, mut stream: TcpStream, mood: &Mood) -> io::Result<()> {
     let mut from = BufReader::new(stream.try_clone()?);
     while let Some(call) = read(&mut from)? {
         let mood = mood.lock().expect("no one panics").clone();
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// What a bundle is answered: a line for each envelope in it. A call with one envelope needs none.
+/// What a batch is answered: a line for each message in it. A call with one message needs none.
 fn accepted(call: &Message) -> String {
     let mut lines = String::new();
     let mut rest = &call.body[..];
--- a/src/holding.rs
+++ b/src/holding.rs
@@ -1,93 +1,93 @@
-//! What becomes of an envelope from hand-in to its final answer: it is held, indexed while it is held, and forgotten.
+//! What becomes of a message from submission to its final answer: it is held, indexed while it is held, and forgotten.
 
 #[cfg(debug_assertions)]
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::backlog::{Class, Filing, WorthClass};
-use crate::envelopes::EnvelopeKey;
 #[cfg(debug_assertions)]
-use crate::host::CallNo;
-use crate::host::{EnvelopeId, Host};
-use crate::state::{Envelope, Forwarder};
+use crate::interface::RequestId;
+use crate::interface::{MessageId, PolicyHost};
+use crate::messages::MessageKey;
+use crate::queue::{PriorityClass, QueueClass, QueuePosition};
+use crate::state::{DeliveryPolicy, Message};
 
-impl Forwarder {
-    /// Takes an envelope on and holds it. Another one with an id that is in use already is ignored.
-    pub(crate) fn take(&mut self, mut envelope: Envelope, now: Duration) {
-        if self.envelopes.contains(&envelope.id) {
+impl DeliveryPolicy {
+    /// Takes a message on and holds it. Another one with an id that is in use already is ignored.
+    pub(crate) fn take(&mut self, mut message: Message, now: Duration) {
+        if self.messages.contains(&message.id) {
             return;
         }
         self.counter += 1;
-        envelope.arrival = self.counter;
-        let (destination, key_id, arrival) = (envelope.destination, envelope.key, envelope.arrival);
-        let key = self.envelopes.insert(envelope);
+        message.arrival = self.counter;
+        let (destination, key_id, arrival) = (message.destination, message.key, message.arrival);
+        let key = self.messages.insert(message);
         if let Some(key_id) = key_id {
             self.keys.entry(key_id).or_default().line.insert(arrival, key);
         }
-        let span = self.card.warm_within / 2;
+        let span = self.parameters.slow_start_duration / 2;
         let traffic = self.destinations.entry(destination).or_default().traffic_mut();
         if traffic.arrivals == 0 {
             traffic.first_seen = now;
         }
         traffic.arrivals += 1;
-        traffic.lately = traffic.lately_at(now, span) + 1.0;
+        traffic.recent_rate = traffic.lately_at(now, span) + 1.0;
         traffic.reckoned = now;
         self.hold(key);
     }
 
-    /// Holds an envelope for its destination.
-    pub(crate) fn hold(&mut self, key: EnvelopeKey) {
-        self.holds += 1;
-        self.file(key, self.holds);
+    /// Holds a message for its destination.
+    pub(crate) fn hold(&mut self, key: MessageKey) {
+        self.enqueued_count += 1;
+        self.file(key, self.enqueued_count);
     }
 
-    fn file(&mut self, key: EnvelopeKey, held_as: u64) {
-        let Some(envelope) = self.envelopes.get(key) else { return };
-        let (destination, filing) = (envelope.destination, self.filing(envelope));
-        self.backlog.file(destination, key, &filing);
-        if let Some(envelope) = self.envelopes.get_mut(key) {
-            envelope.held = Some((held_as, filing));
+    fn file(&mut self, key: MessageKey, held_as: u64) {
+        let Some(message) = self.messages.get(key) else { return };
+        let (destination, queue_position) = (message.destination, self.queue_position(message));
+        self.queue.file(destination, key, &queue_position);
+        if let Some(message) = self.messages.get_mut(key) {
+            message.queued = Some((held_as, queue_position));
         }
     }
 
-    /// What an envelope is to be filed under.
-    pub(crate) fn filing(&self, envelope: &Envelope) -> Filing {
-        let until = self.receipt_until(envelope);
-        Filing {
-            class: Class {
-                worth: WorthClass { category: envelope.category, over_share: envelope.over_share },
-                errors: envelope.errors,
-                tried: envelope.dispatches > 0,
-                may_have_run: envelope.may_have_run.is_some(),
-                blocked: !self.first_of_key(envelope),
+    /// What a message is to be filed under.
+    pub(crate) fn queue_position(&self, message: &Message) -> QueuePosition {
+        let until = self.key_valid_until(message);
+        QueuePosition {
+            queue_class: QueueClass {
+                priority: PriorityClass { class: message.class, over_quota: message.over_quota },
+                errors: message.errors,
+                tried: message.attempts > 0,
+                possibly_executed: message.possibly_executed.is_some(),
+                blocked: !self.is_first_of_key(message),
             },
-            promised_by: envelope.promised_by,
-            arrival: envelope.arrival,
-            outer_limit: envelope.outer_limit,
-            receipt_until: Some(until).filter(|until| *until < Duration::MAX),
+            objective_at: message.objective_at,
+            arrival: message.arrival,
+            deadline: message.deadline,
+            key_valid_until: Some(until).filter(|until| *until < Duration::MAX),
         }
     }
 
-    /// The envelope is not held any more; returns its place in the order of all that were held.
-    pub(crate) fn unhold(&mut self, key: EnvelopeKey) -> Option<u64> {
-        let envelope = self.envelopes.get_mut(key)?;
-        let (held_as, filing) = envelope.held.take()?;
-        self.backlog.unfile(envelope.destination, key, &filing);
+    /// The message is not held any more; returns its place in the order of all that were held.
+    pub(crate) fn dequeue(&mut self, key: MessageKey) -> Option<u64> {
+        let message = self.messages.get_mut(key)?;
+        let (held_as, queue_position) = message.queued.take()?;
+        self.queue.remove(message.destination, key, &queue_position);
         Some(held_as)
     }
 
-    /// What an envelope is filed under has changed; one that is not held stays so.
-    pub(crate) fn refile(&mut self, key: EnvelopeKey) {
-        if let Some(held_as) = self.unhold(key) {
+    /// What a message is filed under has changed; one that is not held stays so.
+    pub(crate) fn requeue(&mut self, key: MessageKey) {
+        if let Some(held_as) = self.dequeue(key) {
             self.file(key, held_as);
         }
     }
 
     /// Renews the entries of lines that changed, before the indices over all lines are read.
-    pub(crate) fn renew_indices(&mut self) {
-        for destination in self.backlog.take_stale() {
-            let opens = self.opens(destination);
-            self.backlog.index(destination, opens);
+    pub(crate) fn refresh_indices(&mut self) {
+        for destination in self.queue.take_stale() {
+            let available_at = self.available_at(destination);
+            self.queue.index(destination, available_at);
         }
         #[cfg(debug_assertions)]
         self.check_indices();
@@ -98,43 +98,43 @@
     fn check_indices(&self) {
         const ALWAYS_UP_TO: usize = 64;
         const ELSE_ONE_IN: u64 = 64;
-        if self.envelopes.len() > ALWAYS_UP_TO && !self.holds.is_multiple_of(ELSE_ONE_IN) {
+        if self.messages.len() > ALWAYS_UP_TO && !self.enqueued_count.is_multiple_of(ELSE_ONE_IN) {
             return;
         }
-        let held =
-            self.envelopes.iter().filter_map(|(key, e)| Some((e.destination, key, e.held.as_ref()?.1)));
-        self.backlog.check(held);
-        for (_, e) in self.envelopes.iter() {
-            if let Some((_, filing)) = e.held {
-                assert_eq!(filing, self.filing(e), "filing of {:?}", e.id);
+        let queued =
+            self.messages.iter().filter_map(|(key, e)| Some((e.destination, key, e.queued.as_ref()?.1)));
+        self.queue.check(queued);
+        for (_, e) in self.messages.iter() {
+            if let Some((_, queue_position)) = e.queued {
+                assert_eq!(queue_position, self.queue_position(e), "filing of {:?}", e.id);
                 assert!(e.out.is_empty(), "{:?} is held and out", e.id);
             }
         }
-        for (route, circuit) in &self.circuits {
-            let open = self.dispatches.values().filter(|d| d.route == *route).map(|d| d.call);
-            let open: BTreeSet<CallNo> = open.collect();
-            assert!(open.iter().eq(circuit.out.iter().map(|(call, _)| call)), "calls out to {route:?}");
+        for (scope, circuit) in &self.circuits {
+            let open = self.attempts.values().filter(|d| d.scope == *scope).map(|d| d.call);
+            let open: BTreeSet<RequestId> = open.collect();
+            assert!(open.iter().eq(circuit.out.iter().map(|(call, _)| call)), "calls out to {scope:?}");
         }
     }
 
-    /// Drops an envelope that has its final answer; returns it with the dispatches that are still out for it.
-    pub(crate) fn forget(&mut self, key: EnvelopeKey) -> Option<Envelope> {
-        self.unhold(key);
-        let envelope = self.envelopes.remove(key)?;
-        self.leave_line(&envelope.id, envelope.key, envelope.arrival);
-        Some(envelope)
+    /// Drops a message that has its final answer; returns it with the attempts that are still out for it.
+    pub(crate) fn forget(&mut self, key: MessageKey) -> Option<Message> {
+        self.dequeue(key);
+        let message = self.messages.remove(key)?;
+        self.leave_ordering_queue(&message.id, message.key, message.arrival);
+        Some(message)
     }
 
-    /// Forgets an envelope that has its final answer or was withdrawn, and calls off what is out for it.
-    pub fn end(&mut self, id: &EnvelopeId, host: &mut dyn Host) {
-        if let Some(key) = self.envelopes.key_of(id) {
-            self.end_key(key, host);
+    /// Forgets a message that has its final answer or was withdrawn, and cancels what is out for it.
+    pub fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
+        if let Some(key) = self.messages.key_of(id) {
+            self.remove_message(key, host);
         }
     }
 
-    pub(crate) fn end_key(&mut self, key: EnvelopeKey, host: &mut dyn Host) {
-        if let Some(envelope) = self.forget(key) {
-            envelope.out.iter().for_each(|no| host.call_off(&envelope.id, *no));
+    pub(crate) fn remove_message(&mut self, key: MessageKey, host: &mut dyn PolicyHost) {
+        if let Some(message) = self.forget(key) {
+            message.out.iter().for_each(|no| host.cancel(&message.id, *no));
         }
     }
 }
--- /dev/null
+++ b/src/interface/commands.rs
@@ -0,0 +1,41 @@
+//! The commands that the policy gives its host.
+
+use std::time::Duration;
+
+use super::ids::{AttemptNumber, EndpointId, MessageId, PeerId, RequestId};
+
+/// The request that an attempt travels in, and how long it may take.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptTimeouts {
+    /// Attempts of the same request may travel as a batch; those of different requests never travel together.
+    pub request: RequestId,
+    /// The first byte is written within this span or never; without it the attempt ends as not sent. What the
+    /// decision rests on may not hold for longer: an idempotency key expires, or the program stops.
+    pub start_within: Duration,
+    /// How long the response is waited for.
+    pub response_within: Duration,
+}
+
+/// What a program has to do for the policy that it hosts. Each command takes effect at the time of its call.
+pub trait PolicyHost {
+    /// Starts the next attempt of a message.
+    fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts);
+    /// Stops waiting for an attempt.
+    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber);
+    /// Gives the final answer that the message was not delivered and that submitting it again is harmless.
+    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>);
+    /// Gives the final answer that the message was not delivered, with no promise about its effect.
+    fn fail(&mut self, message: &MessageId);
+    /// Calls [`DeliveryPolicy::timer_fired`](crate::DeliveryPolicy::timer_fired) once this span has passed.
+    fn set_timer(&mut self, after: Duration);
+    /// Starts a health check of an endpoint.
+    fn start_health_check(&mut self, endpoint: EndpointId);
+    /// Sends gossip to another forwarder, or to all if none is named.
+    fn send_gossip(&mut self, peer: Option<PeerId>, gossip: &[u8]);
+    /// Starts or stops to follow the endpoint list.
+    fn subscribe(&mut self, on: bool);
+    /// Asks for the whole endpoint list once.
+    fn fetch_endpoint_list(&mut self);
+    /// Writes a line to the log.
+    fn log(&mut self, line: &str);
+}
--- /dev/null
+++ b/src/interface/messages.rs
@@ -0,0 +1,33 @@
+//! Messages as the policy is told of them.
+
+use std::time::Duration;
+
+use super::ids::{DestinationId, EndpointId, MessageId, OrderingKey};
+
+/// A message that a client has submitted.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NewMessage<'a> {
+    /// The id that every command about the message names.
+    pub id: MessageId,
+    /// The name of its [`MessageClass`](crate::MessageClass).
+    pub class: &'a str,
+    /// Whose quota it counts against, if it names a tenant.
+    pub tenant: Option<&'a str>,
+    /// Heeded in ordered classes only.
+    pub ordering_key: Option<OrderingKey>,
+    /// When its final answer is due.
+    pub deadline: Duration,
+    /// Where it is to be delivered.
+    pub destination: DestinationId,
+}
+
+/// An attempt that was started before this start of the program.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PreviousAttempt {
+    /// Where it went.
+    pub endpoint: EndpointId,
+    /// When it was started; zero if that is not known.
+    pub started_at: Duration,
+    /// It is known to have ended in a way that proves that the message was not executed.
+    pub proves_not_executed: bool,
+}
--- /dev/null
+++ b/src/interface/mod.rs
@@ -0,0 +1,22 @@
+//! The interface between the delivery policy and the program that hosts it: identifiers, settings, what the
+//! policy is told, and the commands that it gives.
+//!
+//! The policy does no input or output. A program that hosts it implements [`PolicyHost`], which carries out
+//! the policy's commands, and calls a [`DeliveryPolicy`](crate::DeliveryPolicy) with what happens. All times
+//! are spans since one start that the host chooses.
+
+mod commands;
+mod endpoints;
+mod ids;
+mod messages;
+mod outcomes;
+mod settings;
+
+pub use commands::{AttemptTimeouts, PolicyHost};
+pub use endpoints::{EndpointState, EndpointUpdate, ListedWeights, LoadReport};
+pub use ids::{AttemptNumber, DestinationId, EndpointId, MessageId, OrderingKey, PeerId, RequestId};
+pub use messages::{NewMessage, PreviousAttempt};
+pub use outcomes::AttemptOutcome;
+pub use settings::{
+    EndpointKind, Idempotency, KeyScope, LateDecay, MessageClass, Settings, TenantQuota, ZoneFee,
+};
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use crate::host::{DispatchNo, EnvelopeId, KeyId};
-use crate::state::{Envelope, Forwarder, KeyLine};
+use crate::interface::{AttemptNumber, MessageId, OrderingKey};
+use crate::state::{DeliveryPolicy, Message, OrderingQueue};
 
-impl Forwarder {
-    /// Takes an envelope out of its key's line once it is over and none of its dispatches is out.
-    pub(crate) fn leave_line(&mut self, id: &EnvelopeId, key: Option<KeyId>, arrival: u64) {
+impl DeliveryPolicy {
+    /// Takes a message out of its key's line once it is over and none of its attempts is out.
+    pub(crate) fn leave_ordering_queue(&mut self, id: &MessageId, key: Option<OrderingKey>, arrival: u64) {
         let Some(key) = key else { return };
-        let mut dispatches = self.dispatches.range((id.clone(), DispatchNo(0))..);
-        if dispatches.next().is_some_and(|((i, _), _)| i == id) || self.envelopes.contains(id) {
+        let mut attempts = self.attempts.range((id.clone(), AttemptNumber(0))..);
+        if attempts.next().is_some_and(|((i, _), _)| i == id) || self.messages.contains(id) {
             return;
         }
         let Some(line) = self.keys.get_mut(&key) else { return };
@@ -19,14 +19,14 @@
             // The next one may be the first now.
             Some((_, next)) => {
                 let next = *next;
-                self.refile(next);
+                self.requeue(next);
             }
             None => self.emptied_keys.push(key),
         }
     }
 
-    /// Forgets keys that no envelope has, once nothing rests any more.
-    pub(crate) fn forget_keys(&mut self, now: Duration) {
+    /// Forgets keys that no message has, once nothing rests any more.
+    pub(crate) fn remove_idle_keys(&mut self, now: Duration) {
         for key in std::mem::take(&mut self.emptied_keys) {
             if let Some(line) = self.keys.get(&key) {
                 self.keys_due.insert((line.rest_until, key));
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Lets the key of an envelope rest for those behind it.
-    pub(crate) fn rest_line(&mut self, key: Option<KeyId>, arrival: u64, until: Duration) {
+    /// Lets the key of a message rest for those behind it.
+    pub(crate) fn hold_off_key(&mut self, key: Option<OrderingKey>, arrival: u64, until: Duration) {
         if let Some(line) = key.and_then(|k| self.keys.get_mut(&k)) {
             if line.line.contains_key(&arrival) {
                 (line.rest_until, line.rest_owner) = (until, arrival);
@@ -49,17 +49,17 @@
         }
     }
 
-    /// Whether no other envelope with its key comes first.
-    pub(crate) fn first_of_key(&self, envelope: &Envelope) -> bool {
-        let line = envelope.key.and_then(|k| self.keys.get(&k));
+    /// Whether no other message with its key comes first.
+    pub(crate) fn is_first_of_key(&self, message: &Message) -> bool {
+        let line = message.key.and_then(|k| self.keys.get(&k));
         let first = line.and_then(|l| l.line.first_key_value());
-        first.is_none_or(|(arrival, _)| *arrival == envelope.arrival)
+        first.is_none_or(|(arrival, _)| *arrival == message.arrival)
     }
 
-    /// Whether an envelope is the first of its key, and that does not rest.
-    pub(crate) fn key_free(&self, envelope: &Envelope, now: Duration) -> bool {
-        let rested = |l: &KeyLine| now >= l.rest_until || l.rest_owner == envelope.arrival;
-        let line = envelope.key.and_then(|k| self.keys.get(&k));
-        self.first_of_key(envelope) && line.is_none_or(rested)
+    /// Whether a message is the first of its key, and that does not rest.
+    pub(crate) fn ordering_key_free(&self, message: &Message, now: Duration) -> bool {
+        let rested = |l: &OrderingQueue| now >= l.rest_until || l.rest_owner == message.arrival;
+        let line = message.key.and_then(|k| self.keys.get(&k));
+        self.is_first_of_key(message) && line.is_none_or(rested)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,89 +1,96 @@
 //! reeddock decides how a forwarder delivers outbound messages to other firms' systems.
 //!
-//! All decisions stand in [`control`]. A program that hosts the module implements [`Host`], which carries out
-//! what is decided, and calls a [`Forwarder`] with what happens; time comes in with each call, as a span
+//! All decisions stand in [`control`]. A program that hosts the delivery policy implements [`PolicyHost`], which carries out
+//! what is decided, and calls a [`DeliveryPolicy`] with what happens; time comes in with each call, as a span
 //! since the start, and nothing else is read.
 //!
-//! # Hosting the module
+//! # Hosting the policy
 //!
 //! ```
 //! use std::time::Duration;
 //! use reeddock::*;
 //!
-//! /// A host that only prints what it is asked for; a real one sends, and tells later how it ended.
+//! /// A host that only prints its commands; a real one sends requests and reports how they end.
 //! #[derive(Default)]
 //! struct Printer {
-//!     sent: Vec<EnvelopeId>,
+//!     started: Vec<MessageId>,
 //! }
 //!
-//! impl Host for Printer {
-//!     fn dispatch(&mut self, envelope: &EnvelopeId, target: TargetId, spans: Spans) {
-//!         println!("send {envelope:?} to {target:?}, {spans:?}");
-//!         self.sent.push(envelope.clone());
+//! impl PolicyHost for Printer {
+//!     fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
+//!         println!("send {message:?} to {endpoint:?}, {timeouts:?}");
+//!         self.started.push(message.clone());
 //!     }
-//!     fn call_off(&mut self, _: &EnvelopeId, _: DispatchNo) {}
-//!     fn shed(&mut self, envelope: &EnvelopeId, _: Option<Duration>) {
-//!         println!("hand {envelope:?} back");
+//!     fn cancel(&mut self, _: &MessageId, _: AttemptNumber) {}
+//!     fn reject(&mut self, message: &MessageId, _: Option<Duration>) {
+//!         println!("reject {message:?}");
 //!     }
-//!     fn break_off(&mut self, envelope: &EnvelopeId) {
-//!         println!("give {envelope:?} up");
+//!     fn fail(&mut self, message: &MessageId) {
+//!         println!("fail {message:?}");
 //!     }
-//!     fn wake(&mut self, after: Duration) {
-//!         println!("call alarm and turn in {after:?}");
+//!     fn set_timer(&mut self, after: Duration) {
+//!         println!("call timer_fired and run_due_work in {after:?}");
 //!     }
-//!     fn probe(&mut self, _: TargetId) {}
-//!     fn tell(&mut self, _: Option<PeerId>, _: &[u8]) {}
+//!     fn start_health_check(&mut self, _: EndpointId) {}
+//!     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
 //!     fn subscribe(&mut self, _: bool) {}
-//!     fn fetch_list(&mut self) {}
+//!     fn fetch_endpoint_list(&mut self) {}
 //!     fn log(&mut self, line: &str) {
 //!         println!("{line}");
 //!     }
 //! }
 //!
 //! let mut host = Printer::default();
-//! let news = CategoryTerms {
+//! let news = MessageClass {
 //!     name: "news".into(),
-//!     effect: Some(Effect::Pure),
-//!     promised: Some(Duration::from_secs(2)),
-//!     outer_limit: Some(Duration::from_secs(20)),
+//!     idempotency: Some(Idempotency::Idempotent),
+//!     latency_objective: Some(Duration::from_secs(2)),
+//!     deadline: Some(Duration::from_secs(20)),
 //!     ..Default::default()
 //! };
-//! let terms = Terms { seed: 1, categories: vec![news], slots: Some(4), ..Default::default() };
+//! let settings = Settings { seed: 1, classes: vec![news], max_in_flight: Some(4), ..Default::default() };
 //! let start = Duration::ZERO;
-//! let mut forwarder = Forwarder::open(start, terms, &mut host);
+//! let mut policy = DeliveryPolicy::new(start, settings, &mut host);
 //!
-//! let (target, destination) = (TargetId(7), DestinationId(3));
-//! forwarder.list_begins(true);
-//! forwarder.listed(Listing {
-//!     target,
+//! let (endpoint, destination) = (EndpointId(7), DestinationId(3));
+//! policy.begin_endpoint_list(true);
+//! policy.update_endpoint(EndpointUpdate {
+//!     endpoint,
 //!     destination,
-//!     standing: Standing::Active,
+//!     state: EndpointState::Active,
 //!     weight: None,
 //!     zone: "here",
 //!     kind: "app",
 //! });
-//! forwarder.list_ends();
+//! policy.finish_endpoint_list();
 //!
-//! let id = EnvelopeId("first".into());
-//! let outer_limit = start + Duration::from_secs(20);
-//! forwarder.hand_in(start, id.clone(), "news", None, None, outer_limit, destination, &mut host);
-//! forwarder.turn(start, &mut host);
-//! assert_eq!(host.sent, [id.clone()]);
+//! let id = MessageId("first".into());
+//! let message = NewMessage {
+//!     id: id.clone(),
+//!     class: "news",
+//!     tenant: None,
+//!     ordering_key: None,
+//!     deadline: start + Duration::from_secs(20),
+//!     destination,
+//! };
+//! policy.submit(start, message, &mut host);
+//! policy.run_due_work(start, &mut host);
+//! assert_eq!(host.started, [id.clone()]);
 //!
 //! let later = start + Duration::from_millis(80);
-//! forwarder.settled(later, &id, DispatchNo(0), Outcome::Completed, true, &mut host);
-//! forwarder.turn(later, &mut host);
+//! policy.attempt_finished(later, &id, AttemptNumber(0), AttemptOutcome::Completed, true, &mut host);
+//! policy.run_due_work(later, &mut host);
 //! ```
 
-mod backlog;
+mod attempts;
 pub mod control;
-mod dispatches;
-pub mod envelopes;
+pub mod endpoints;
 mod holding;
-pub mod host;
+pub mod interface;
 mod keys;
+pub mod messages;
+mod queue;
 pub mod state;
-pub mod targets;
 
-pub use host::*;
-pub use state::Forwarder;
+pub use interface::*;
+pub use state::DeliveryPolicy;
--- a/tests/backlog.rs
+++ b/tests/backlog.rs
@@ -1,5 +1,5 @@
-//! Stories of long backlogs, long lists and odd clocks: what the indices over held envelopes have to bear. In debug
-//! builds the module compares each index with a full walk as it goes.
+//! Stories of long backlogs, long lists and odd clocks: what the indices over held messages have to bear. In debug
+//! builds the delivery policy compares each index with a full walk as it goes.
 
 mod fake;
 
@@ -8,17 +8,17 @@
 
 const ONE: &[(u32, u64, &str)] = &[(1, 9, "shared")];
 
-/// Room for a thousand envelopes and more.
-fn roomy(targets: &[(u32, u64, &str)]) -> Story {
-    let mut story = Story::new(Terms { room: Some(100_000), ..terms() });
-    story.list(true, targets, Standing::Active);
+/// Room for a thousand messages and more.
+fn roomy(endpoints: &[(u32, u64, &str)]) -> Story {
+    let mut story = Story::new(Settings { capacity: Some(100_000), ..settings() });
+    story.list(true, endpoints, EndpointState::Active);
     story
 }
 
 /// Hands so many notes in for a destination.
 fn hand_in_many(story: &mut Story, count: usize, destination: u64) {
     for n in 0..count {
-        story.hand_in(&format!("e{n:04}"), "note", destination);
+        story.submit(&format!("e{n:04}"), "note", destination);
     }
 }
 
@@ -31,12 +31,12 @@
 }
 
 /// Has a call to a destination answered, with a wait for those that follow.
-fn wait(story: &mut Story, target: u32, destination: u64, span: u64) {
-    let name = format!("answered {target}");
-    story.hand_in(&name, "note", destination);
+fn wait(story: &mut Story, endpoint: u32, destination: u64, span: u64) {
+    let name = format!("answered {endpoint}");
+    story.submit(&name, "note", destination);
     assert_eq!(story.sent_after(ms(0)), [name.as_str()]);
-    story.forwarder.told_to_wait(story.now, TargetId(target), ms(span));
-    story.ends(&name, 0, Outcome::Completed);
+    story.forwarder.retry_after_received(story.now, EndpointId(endpoint), ms(span));
+    story.ends(&name, 0, AttemptOutcome::Completed);
 }
 
 #[test]
@@ -45,10 +45,10 @@
     hand_in_many(&mut story, 1000, 9);
     let out = story.sent_after(ms(0));
     assert_eq!(out.len(), 8, "as many as there are slots");
-    story.list(false, ONE, Standing::Gone);
+    story.list(false, ONE, EndpointState::Removed);
     assert!(story.after(ms(10_000)).is_empty(), "held for a target that may come");
     for name in &out {
-        story.ends(name, 0, Outcome::NoConnection);
+        story.ends(name, 0, AttemptOutcome::NoConnection);
     }
     let asked = story.after(ms(10_000));
     let mut names = ended(&asked);
@@ -56,16 +56,16 @@
     names.sort();
     names.dedup();
     assert_eq!(names.len(), 1000, "one answer each");
-    assert!(story.forwarder.envelopes.is_empty());
+    assert!(story.forwarder.messages.is_empty());
 }
 
 #[test]
 fn a_target_that_comes_back_finds_what_was_held_for_it() {
     let mut story = Story::with(ONE);
-    story.list(false, ONE, Standing::Gone);
+    story.list(false, ONE, EndpointState::Removed);
     hand_in_many(&mut story, 40, 9);
     assert!(story.sent_after(ms(100)).is_empty());
-    story.list(false, ONE, Standing::Active);
+    story.list(false, ONE, EndpointState::Active);
     assert_eq!(story.sent_after(ms(0)).len(), 8);
 }
 
@@ -87,65 +87,65 @@
     let mut story = roomy(ONE);
     hand_in_many(&mut story, 20, 9);
     assert_eq!(story.sent_after(ms(0)).len(), 8);
-    story.forwarder.told_to_wait(story.now, TargetId(1), ms(30_000));
+    story.forwarder.retry_after_received(story.now, EndpointId(1), ms(30_000));
     let asked = story.after(ms(0));
     assert_eq!(ended(&asked).len(), 12, "their limit of 20 s is over before the wait is");
     // One that comes while the wait holds fares alike.
-    story.hand_in("late", "note", 9);
+    story.submit("late", "note", 9);
     assert_eq!(ended(&story.after(ms(0))), ["late"]);
 }
 
 #[test]
 fn a_whole_list_may_drop_ten_thousand_targets_at_once() {
-    let targets: Vec<(u32, u64, &str)> = (0..10_000).map(|n| (n, u64::from(n), "shared")).collect();
-    let mut story = roomy(&targets);
+    let endpoints: Vec<(u32, u64, &str)> = (0..10_000).map(|n| (n, u64::from(n), "shared")).collect();
+    let mut story = roomy(&endpoints);
     wait(&mut story, 5000, 5000, 10_000);
-    story.hand_in("a", "note", 5000);
+    story.submit("a", "note", 5000);
     assert!(story.after(ms(0)).is_empty());
-    story.forwarder.list_begins(true);
-    let dropped = story.forwarder.list_ends();
+    story.forwarder.begin_endpoint_list(true);
+    let dropped = story.forwarder.finish_endpoint_list();
     assert_eq!(dropped.len(), 10_000);
     let (mut forgotten, mut turns) = (0, 0);
     while forgotten < 10_000 {
         story.after(if turns == 0 { ms(0) } else { ms(30_000) });
-        let in_this_turn = story.forwarder.take_forgotten().len();
+        let in_this_turn = story.forwarder.take_removed_endpoints().len();
         assert!(in_this_turn <= 1_000, "{in_this_turn} in one turn");
         forgotten += in_this_turn;
         turns += 1;
         assert!(turns < 20, "{forgotten} forgotten");
     }
-    assert!(story.forwarder.targets.is_empty() && story.forwarder.envelopes.is_empty());
+    assert!(story.forwarder.endpoints.is_empty() && story.forwarder.messages.is_empty());
 }
 
 #[test]
 fn of_two_whole_lists_in_a_row_the_second_holds() {
     let mut story = roomy(&[(1, 9, "shared"), (2, 8, "shared")]);
-    let tell = |story: &mut Story, target: u32, destination: u64| {
-        let (target, destination) = (TargetId(target), DestinationId(destination));
-        let standing = Standing::Active;
-        story.forwarder.listed(Listing {
-            target,
+    let tell = |story: &mut Story, endpoint: u32, destination: u64| {
+        let (endpoint, destination) = (EndpointId(endpoint), DestinationId(destination));
+        let state = EndpointState::Active;
+        story.forwarder.update_endpoint(EndpointUpdate {
+            endpoint,
             destination,
-            standing,
+            state,
             weight: None,
             zone: "z",
             kind: "shared",
         });
     };
     // The first is begun and never ends.
-    story.forwarder.list_begins(true);
+    story.forwarder.begin_endpoint_list(true);
     tell(&mut story, 1, 9);
-    story.forwarder.list_begins(true);
+    story.forwarder.begin_endpoint_list(true);
     tell(&mut story, 2, 8);
-    assert_eq!(story.forwarder.list_ends(), [TargetId(1)]);
-    story.hand_in("nine", "note", 9);
-    story.hand_in("eight", "note", 8);
+    assert_eq!(story.forwarder.finish_endpoint_list(), [EndpointId(1)]);
+    story.submit("nine", "note", 9);
+    story.submit("eight", "note", 8);
     assert_eq!(story.sent_after(ms(0)), ["eight"]);
     // One that breaks off takes nothing along.
-    story.forwarder.list_begins(true);
-    story.forwarder.list_broken();
-    assert!(story.forwarder.list_ends().is_empty());
-    story.hand_in("again", "note", 8);
+    story.forwarder.begin_endpoint_list(true);
+    story.forwarder.abort_endpoint_list();
+    assert!(story.forwarder.finish_endpoint_list().is_empty());
+    story.submit("again", "note", 8);
     assert_eq!(story.sent_after(ms(0)), ["again"]);
 }
 
@@ -157,10 +157,10 @@
     assert!(story.sent_after(ms(0)).is_empty());
     assert_eq!(story.host.wakes.last(), Some(&ms(4000)), "asked for once, for the end of the wait");
     assert!(story.sent_after(ms(3900)).is_empty());
-    // Another target of the destination can be called now.
-    story.list(false, &[(2, 9, "apart")], Standing::Active);
+    // Another endpoint of the destination can be called now.
+    story.list(false, &[(2, 9, "apart")], EndpointState::Active);
     assert_eq!(story.sent_after(ms(0)), ["e0000"]);
-    story.ends("e0000", 0, Outcome::Full(Some(ms(1000))));
+    story.ends("e0000", 0, AttemptOutcome::Rejected { retry_after: Some(ms(1000)) });
     assert!(story.sent_after(ms(50)).is_empty(), "both wait");
     assert_eq!(story.sent_after(ms(100)), ["e0000"], "the first wait is over");
 }
@@ -169,58 +169,58 @@
 fn behind_the_first_of_a_key_a_thousand_wait_and_follow_in_order() {
     let mut story = roomy(ONE);
     for n in 0..1000 {
-        story.hand_in_key(&format!("e{n:04}"), "line", 9, Some(KeyId(7)));
+        story.hand_in_key(&format!("e{n:04}"), "line", 9, Some(OrderingKey(7)));
     }
-    story.hand_in("free", "note", 9);
+    story.submit("free", "note", 9);
     let mut sent = story.sent_after(ms(0));
     sent.sort();
     assert_eq!(sent, ["e0000", "free"]);
     // The first one ends with an answer, the second is withdrawn while it is blocked, the third goes.
-    story.forwarder.end(&id("e0001"), &mut story.host);
-    story.ends("e0000", 0, Outcome::Completed);
+    story.forwarder.withdraw(&id("e0001"), &mut story.host);
+    story.ends("e0000", 0, AttemptOutcome::Completed);
     assert_eq!(story.sent_after(ms(10)), ["e0002"]);
     // An unsure end rests the key; the same one may go again.
-    story.ends("e0002", 0, Outcome::TimedOut);
-    assert_eq!(story.forwarder.envelopes[&id("e0002")].dispatches, 1);
+    story.ends("e0002", 0, AttemptOutcome::TimedOut);
+    assert_eq!(story.forwarder.messages[&id("e0002")].attempts, 1);
     let next = story.sent_after(ms(1500));
     assert!(next.iter().all(|name| name == "e0002"), "{next:?}");
 }
 
 #[test]
 fn a_full_room_gives_up_the_last_promised_of_the_longest_line_and_of_late_ones_the_first() {
-    let mut story = Story::new(Terms { room: Some(6), slots: Some(1), ..terms() });
-    story.list(true, &[(1, 9, "shared"), (2, 8, "shared")], Standing::Active);
+    let mut story = Story::new(Settings { capacity: Some(6), max_in_flight: Some(1), ..settings() });
+    story.list(true, &[(1, 9, "shared"), (2, 8, "shared")], EndpointState::Active);
     wait(&mut story, 1, 9, 10_000);
     wait(&mut story, 2, 8, 10_000);
     for (name, destination) in [("a", 9), ("b", 9), ("c", 9), ("d", 8), ("e", 8)] {
-        story.hand_in(name, "note", destination);
+        story.submit(name, "note", destination);
         story.now += ms(10);
     }
     assert!(story.after(ms(0)).is_empty(), "one place is left");
-    story.hand_in("f", "note", 8);
+    story.submit("f", "note", 8);
     assert_eq!(ended(&story.after(ms(0))), ["f"], "of equal lines the one with the later promise");
     story.now += ms(2_500);
-    story.hand_in("g", "note", 9);
+    story.submit("g", "note", 9);
     assert_eq!(ended(&story.after(ms(0))), ["a"], "late by most");
 }
 
 #[test]
 fn circuits_that_were_not_used_for_ten_outer_limits_are_forgotten() {
-    let targets: Vec<(u32, u64, &str)> = (0..500).map(|n| (n, u64::from(n), "shared")).collect();
-    let mut story = roomy(&targets);
+    let endpoints: Vec<(u32, u64, &str)> = (0..500).map(|n| (n, u64::from(n), "shared")).collect();
+    let mut story = roomy(&endpoints);
     for n in 0..500 {
         let name = format!("e{n:04}");
-        story.hand_in(&name, "note", n);
+        story.submit(&name, "note", n);
         assert_eq!(story.sent_after(ms(100)), [name.as_str()]);
-        story.ends(&name, 0, Outcome::Completed);
+        story.ends(&name, 0, AttemptOutcome::Completed);
     }
     story.after(ms(0));
     assert_eq!(story.forwarder.circuits.len(), 500);
-    story.hand_in("kept", "note", 0);
+    story.submit("kept", "note", 0);
     assert_eq!(story.sent_after(ms(100_000)), ["kept"]);
-    story.ends("kept", 0, Outcome::Completed);
+    story.ends("kept", 0, AttemptOutcome::Completed);
     story.after(ms(150_000));
     assert_eq!(story.forwarder.circuits.len(), 1, "that which was used since");
-    story.hand_in("again", "note", 3);
+    story.submit("again", "note", 3);
     assert_eq!(story.sent_after(ms(0)), ["again"]);
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! The one fake host of the stories: it writes down what the module asks for and ends dispatches as told.
+//! The one fake host of the stories: it writes down what the delivery policy asks for and ends attempts as told.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,134 +19,162 @@
 pub struct Notebook {
     pub asked: Vec<Asked>,
     pub wakes: Vec<Duration>,
-    /// What the last dispatch of each envelope was sent with.
-    pub spans: BTreeMap<String, Spans>,
+    /// What the last attempt of each message was sent with.
+    pub spans: BTreeMap<String, AttemptTimeouts>,
 }
 
-impl Host for Notebook {
-    fn dispatch(&mut self, envelope: &EnvelopeId, target: TargetId, spans: Spans) {
-        self.asked.push(Asked::Sent(envelope.0.to_string(), target.0, spans.time_out));
-        self.spans.insert(envelope.0.to_string(), spans);
+impl PolicyHost for Notebook {
+    fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, spans: AttemptTimeouts) {
+        self.asked.push(Asked::Sent(message.0.to_string(), endpoint.0, spans.response_within));
+        self.spans.insert(message.0.to_string(), spans);
     }
-    fn call_off(&mut self, envelope: &EnvelopeId, dispatch: DispatchNo) {
-        self.asked.push(Asked::CalledOff(envelope.0.to_string(), dispatch.0));
+    fn cancel(&mut self, message: &MessageId, dispatch: AttemptNumber) {
+        self.asked.push(Asked::CalledOff(message.0.to_string(), dispatch.0));
     }
-    fn shed(&mut self, envelope: &EnvelopeId, come_back: Option<Duration>) {
-        self.asked.push(Asked::Shed(envelope.0.to_string(), come_back));
+    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+        self.asked.push(Asked::Shed(message.0.to_string(), retry_after));
     }
-    fn break_off(&mut self, envelope: &EnvelopeId) {
-        self.asked.push(Asked::BrokenOff(envelope.0.to_string()));
+    fn fail(&mut self, message: &MessageId) {
+        self.asked.push(Asked::BrokenOff(message.0.to_string()));
     }
-    fn wake(&mut self, after: Duration) {
+    fn set_timer(&mut self, after: Duration) {
         self.wakes.push(after);
     }
-    fn probe(&mut self, _target: TargetId) {}
-    fn tell(&mut self, _peer: Option<PeerId>, _note: &[u8]) {}
+    fn start_health_check(&mut self, _target: EndpointId) {}
+    fn send_gossip(&mut self, _peer: Option<PeerId>, _note: &[u8]) {}
     fn subscribe(&mut self, _on: bool) {
         self.asked.push(Asked::ListWanted);
     }
-    fn fetch_list(&mut self) {}
+    fn fetch_endpoint_list(&mut self) {}
     fn log(&mut self, _line: &str) {}
 }
 
-/// A forwarder with three categories (`note` pure, `order` effectful, `mark` receipted) and its notebook.
+/// A forwarder with three classes (`note` pure, `order` non-idempotent, `mark` keyed) and its notebook.
 pub struct Story {
-    pub forwarder: Forwarder,
+    pub forwarder: DeliveryPolicy,
     pub host: Notebook,
     pub now: Duration,
 }
 
-pub fn id(name: &str) -> EnvelopeId {
-    EnvelopeId(Arc::from(name))
+pub fn id(name: &str) -> MessageId {
+    MessageId(Arc::from(name))
 }
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-pub fn terms() -> Terms {
-    let category = |name: &str, effect| CategoryTerms {
+pub fn settings() -> Settings {
+    let class = |name: &str, idempotency| MessageClass {
         name: name.into(),
-        effect: Some(effect),
-        promised: Some(ms(2000)),
-        outer_limit: Some(ms(20_000)),
+        idempotency: Some(idempotency),
+        latency_objective: Some(ms(2000)),
+        deadline: Some(ms(20_000)),
         ordered: name == "line",
         ..Default::default()
     };
-    Terms {
+    Settings {
         seed: 7,
         forwarders: Some(1),
-        categories: vec![
-            category("note", Effect::Pure),
-            category("order", Effect::Effectful),
-            category("mark", Effect::Receipted { window: ms(5000), group: Group::All }),
-            category("line", Effect::Pure),
+        classes: vec![
+            class("note", Idempotency::Idempotent),
+            class("order", Idempotency::NonIdempotent),
+            class("mark", Idempotency::WithKey { window: ms(5000), scope: KeyScope::Region }),
+            class("line", Idempotency::Idempotent),
         ],
-        kinds: vec![
-            ("shared".into(), false, Some(1)),
-            ("apart".into(), true, Some(1)),
-            ("batch".into(), false, Some(4)),
-            ("wide".into(), false, Some(40)),
-            ("bundle".into(), true, Some(10)),
+        endpoint_kinds: vec![
+            kind("shared", false, 1),
+            kind("apart", true, 1),
+            kind("batch", false, 4),
+            kind("wide", false, 40),
+            kind("bundle", true, 10),
         ],
-        slots: Some(8),
-        room: Some(50),
-        dispatch_cap: Some(6),
-        come_back: Some(ms(3000)),
-        key_rest: Some(ms(3000)),
-        weights: Weights::RoughRates,
+        max_in_flight: Some(8),
+        capacity: Some(50),
+        max_attempts: Some(6),
+        max_retry_after: Some(ms(3000)),
+        ordering_hold_off: Some(ms(3000)),
+        listed_weights: ListedWeights::ApproximateRates,
         ..Default::default()
     }
 }
 
+fn kind(name: &str, circuit_per_endpoint: bool, max_batch: u64) -> EndpointKind {
+    EndpointKind { name: name.into(), circuit_per_endpoint, max_batch: Some(max_batch) }
+}
+
 impl Story {
-    pub fn new(terms: Terms) -> Story {
+    pub fn new(terms: Settings) -> Story {
         let mut host = Notebook::default();
-        let forwarder = Forwarder::open(ms(0), terms, &mut host);
+        let forwarder = DeliveryPolicy::new(ms(0), terms, &mut host);
         Story { forwarder, host, now: ms(1000) }
     }
 
-    /// A story in which targets are listed: number, destination, kind.
-    pub fn with(targets: &[(u32, u64, &str)]) -> Story {
-        let mut story = Story::new(terms());
-        story.list(true, targets, Standing::Active);
+    /// A story in which endpoints are listed: number, destination, kind.
+    pub fn with(endpoints: &[(u32, u64, &str)]) -> Story {
+        let mut story = Story::new(settings());
+        story.list(true, endpoints, EndpointState::Active);
         story
     }
 
-    pub fn list(&mut self, whole: bool, targets: &[(u32, u64, &str)], standing: Standing) {
-        self.list_in("z", whole, targets, standing);
+    pub fn list(&mut self, whole: bool, endpoints: &[(u32, u64, &str)], state: EndpointState) {
+        self.list_in("z", whole, endpoints, state);
     }
 
     /// The same, in a zone.
-    pub fn list_in(&mut self, zone: &str, whole: bool, targets: &[(u32, u64, &str)], standing: Standing) {
-        self.forwarder.list_begins(whole);
-        for (target, destination, kind) in targets {
-            let (target, destination) = (TargetId(*target), DestinationId(*destination));
-            let listing = Listing { target, destination, standing, weight: Some(6.0), zone, kind };
-            self.forwarder.listed(listing);
+    pub fn list_in(&mut self, zone: &str, whole: bool, endpoints: &[(u32, u64, &str)], state: EndpointState) {
+        self.forwarder.begin_endpoint_list(whole);
+        for (endpoint, destination, kind) in endpoints {
+            let (endpoint, destination) = (EndpointId(*endpoint), DestinationId(*destination));
+            let listing = EndpointUpdate { endpoint, destination, state, weight: Some(6.0), zone, kind };
+            self.forwarder.update_endpoint(listing);
         }
-        self.forwarder.list_ends();
+        self.forwarder.finish_endpoint_list();
+    }
+
+    pub fn submit(&mut self, name: &str, class: &str, destination: u64) {
+        self.hand_in_key(name, class, destination, None);
+    }
+
+    pub fn hand_in_key(&mut self, name: &str, class: &str, destination: u64, key: Option<OrderingKey>) {
+        let destination = DestinationId(destination);
+        self.submit_message(name, class, key, destination, self.now + ms(20_000));
     }
 
-    pub fn hand_in(&mut self, name: &str, category: &str, destination: u64) {
-        self.hand_in_key(name, category, destination, None);
+    /// A message with this deadline.
+    pub fn submit_until(&mut self, name: &str, class: &str, destination: DestinationId, deadline: Duration) {
+        self.submit_message(name, class, None, destination, deadline);
     }
 
-    pub fn hand_in_key(&mut self, name: &str, category: &str, destination: u64, key: Option<KeyId>) {
-        let (limit, to) = (self.now + ms(20_000), DestinationId(destination));
-        self.forwarder.hand_in(self.now, id(name), category, None, key, limit, to, &mut self.host);
+    fn submit_message(
+        &mut self,
+        name: &str,
+        class: &str,
+        ordering_key: Option<OrderingKey>,
+        destination: DestinationId,
+        deadline: Duration,
+    ) {
+        let message = NewMessage { id: id(name), class, tenant: None, ordering_key, deadline, destination };
+        self.forwarder.submit(self.now, message, &mut self.host);
     }
 
-    pub fn ends(&mut self, name: &str, no: u32, outcome: Outcome) {
-        let over = outcome == Outcome::Completed;
-        self.forwarder.settled(self.now, &id(name), DispatchNo(no), outcome, over, &mut self.host);
+    pub fn ends(&mut self, name: &str, no: u32, outcome: AttemptOutcome) {
+        let over = outcome == AttemptOutcome::Completed;
+        self.forwarder.attempt_finished(
+            self.now,
+            &id(name),
+            AttemptNumber(no),
+            outcome,
+            over,
+            &mut self.host,
+        );
     }
 
     /// Lets time pass, then takes a turn and returns what was asked for since the last one.
     pub fn after(&mut self, span: Duration) -> Vec<Asked> {
         self.now += span;
-        self.forwarder.alarm(self.now);
-        self.forwarder.turn(self.now, &mut self.host);
+        self.forwarder.timer_fired(self.now);
+        self.forwarder.run_due_work(self.now, &mut self.host);
         std::mem::take(&mut self.host.asked)
     }
 
