--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -49,7 +49,7 @@
 }
 
 pub struct Load {
-    forwarder: DeliveryPolicy,
+    policy: DeliveryPolicy,
     host: Sent,
     now: Duration,
     size: Size,
@@ -89,16 +89,16 @@
     /// A forwarder that knows its terms and no list yet.
     pub fn open(size: Size) -> Load {
         let mut host = Sent::default();
-        let forwarder = DeliveryPolicy::new(Duration::ZERO, terms(size.slots), &mut host);
+        let policy = DeliveryPolicy::new(Duration::ZERO, terms(size.slots), &mut host);
         let busy = size.destinations.div_ceil(2);
-        Load { forwarder, host, now: TICK, size, messages: 0, busy }
+        Load { policy, host, now: TICK, size, messages: 0, busy }
     }
 
     /// Tells the whole list.
     pub fn list(&mut self) {
-        self.forwarder.begin_endpoint_list(true);
+        self.policy.begin_endpoint_list(true);
         for n in 0..self.size.destinations {
-            self.forwarder.update_endpoint(EndpointUpdate {
+            self.policy.update_endpoint(EndpointUpdate {
                 endpoint: endpoint(n),
                 destination: DestinationId(n + 1),
                 state: EndpointState::Active,
@@ -107,7 +107,7 @@
                 kind: "one",
             });
         }
-        self.forwarder.finish_endpoint_list();
+        self.policy.finish_endpoint_list();
     }
 
     /// Destinations that ask to wait: half of them, or as many as there are messages to hold.
@@ -121,8 +121,8 @@
         let waiting = self.waiting();
         for n in 0..waiting {
             // A report makes the route known; this one tells of no limit.
-            self.forwarder.load_reported(endpoint(self.busy + n), LoadReport { left: 1.0, limit: 0.0 });
-            self.forwarder.retry_after_received(self.now, endpoint(self.busy + n), WAIT);
+            self.policy.load_reported(endpoint(self.busy + n), LoadReport { left: 1.0, limit: 0.0 });
+            self.policy.retry_after_received(self.now, endpoint(self.busy + n), WAIT);
         }
         for n in 0..self.size.held as u64 {
             self.submit(self.busy + n % waiting);
@@ -141,7 +141,7 @@
             deadline: self.now + LIMIT,
             destination: to,
         };
-        self.forwarder.submit(self.now, message, &mut self.host);
+        self.policy.submit(self.now, message, &mut self.host);
     }
 
     /// Sixteen answers, sixteen messages, one turn.
@@ -150,19 +150,12 @@
         for _ in 0..IN_A_TURN {
             let Some((id, no)) = self.host.out.pop_front() else { break };
             self.host.attempts.remove(&id.0);
-            self.forwarder.attempt_finished(
-                self.now,
-                &id,
-                no,
-                AttemptOutcome::Completed,
-                true,
-                &mut self.host,
-            );
+            self.policy.attempt_finished(self.now, &id, no, AttemptOutcome::Completed, true, &mut self.host);
         }
         for n in 0..IN_A_TURN as u64 {
             self.submit(n % self.busy);
         }
-        self.forwarder.run_due_work(self.now, &mut self.host);
+        self.policy.run_due_work(self.now, &mut self.host);
     }
 
     /// Some turns, after which the calls that are out stay the same in number.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -86,11 +86,13 @@
 pub mod control;
 pub mod endpoints;
 mod holding;
+mod inspection;
 pub mod interface;
 mod keys;
 pub mod messages;
 mod queue;
 pub mod state;
 
+pub use inspection::{MessageProgress, StateSize};
 pub use interface::*;
 pub use state::DeliveryPolicy;
--- a/tests/backlog.rs
+++ b/tests/backlog.rs
@@ -35,7 +35,7 @@
     let name = format!("answered {endpoint}");
     story.submit(&name, "note", destination);
     assert_eq!(story.sent_after(ms(0)), [name.as_str()]);
-    story.forwarder.retry_after_received(story.now, EndpointId(endpoint), ms(span));
+    story.policy.retry_after_received(story.now, EndpointId(endpoint), ms(span));
     story.ends(&name, 0, AttemptOutcome::Completed);
 }
 
@@ -56,7 +56,7 @@
     names.sort();
     names.dedup();
     assert_eq!(names.len(), 1000, "one answer each");
-    assert!(story.forwarder.messages.is_empty());
+    assert!((story.policy.state_size().messages == 0));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     let mut story = roomy(ONE);
     hand_in_many(&mut story, 20, 9);
     assert_eq!(story.sent_after(ms(0)).len(), 8);
-    story.forwarder.retry_after_received(story.now, EndpointId(1), ms(30_000));
+    story.policy.retry_after_received(story.now, EndpointId(1), ms(30_000));
     let asked = story.after(ms(0));
     assert_eq!(ended(&asked).len(), 12, "their limit of 20 s is over before the wait is");
     // One that comes while the wait holds fares alike.
@@ -102,19 +102,19 @@
     wait(&mut story, 5000, 5000, 10_000);
     story.submit("a", "note", 5000);
     assert!(story.after(ms(0)).is_empty());
-    story.forwarder.begin_endpoint_list(true);
-    let dropped = story.forwarder.finish_endpoint_list();
+    story.policy.begin_endpoint_list(true);
+    let dropped = story.policy.finish_endpoint_list();
     assert_eq!(dropped.len(), 10_000);
     let (mut forgotten, mut turns) = (0, 0);
     while forgotten < 10_000 {
         story.after(if turns == 0 { ms(0) } else { ms(30_000) });
-        let in_this_turn = story.forwarder.take_removed_endpoints().len();
+        let in_this_turn = story.policy.take_removed_endpoints().len();
         assert!(in_this_turn <= 1_000, "{in_this_turn} in one turn");
         forgotten += in_this_turn;
         turns += 1;
         assert!(turns < 20, "{forgotten} forgotten");
     }
-    assert!(story.forwarder.endpoints.is_empty() && story.forwarder.messages.is_empty());
+    assert!((story.policy.state_size().endpoints == 0) && (story.policy.state_size().messages == 0));
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let tell = |story: &mut Story, endpoint: u32, destination: u64| {
         let (endpoint, destination) = (EndpointId(endpoint), DestinationId(destination));
         let state = EndpointState::Active;
-        story.forwarder.update_endpoint(EndpointUpdate {
+        story.policy.update_endpoint(EndpointUpdate {
             endpoint,
             destination,
             state,
@@ -133,18 +133,18 @@
         });
     };
     // The first is begun and never ends.
-    story.forwarder.begin_endpoint_list(true);
+    story.policy.begin_endpoint_list(true);
     tell(&mut story, 1, 9);
-    story.forwarder.begin_endpoint_list(true);
+    story.policy.begin_endpoint_list(true);
     tell(&mut story, 2, 8);
-    assert_eq!(story.forwarder.finish_endpoint_list(), [EndpointId(1)]);
+    assert_eq!(story.policy.finish_endpoint_list(), [EndpointId(1)]);
     story.submit("nine", "note", 9);
     story.submit("eight", "note", 8);
     assert_eq!(story.sent_after(ms(0)), ["eight"]);
     // One that breaks off takes nothing along.
-    story.forwarder.begin_endpoint_list(true);
-    story.forwarder.abort_endpoint_list();
-    assert!(story.forwarder.finish_endpoint_list().is_empty());
+    story.policy.begin_endpoint_list(true);
+    story.policy.abort_endpoint_list();
+    assert!(story.policy.finish_endpoint_list().is_empty());
     story.submit("again", "note", 8);
     assert_eq!(story.sent_after(ms(0)), ["again"]);
 }
@@ -176,12 +176,12 @@
     sent.sort();
     assert_eq!(sent, ["e0000", "free"]);
     // The first one ends with an answer, the second is withdrawn while it is blocked, the third goes.
-    story.forwarder.withdraw(&id("e0001"), &mut story.host);
+    story.policy.withdraw(&id("e0001"), &mut story.host);
     story.ends("e0000", 0, AttemptOutcome::Completed);
     assert_eq!(story.sent_after(ms(10)), ["e0002"]);
     // An unsure end rests the key; the same one may go again.
     story.ends("e0002", 0, AttemptOutcome::TimedOut);
-    assert_eq!(story.forwarder.messages[&id("e0002")].attempts, 1);
+    assert_eq!(story.policy.message_progress(&id("e0002")).unwrap().attempts, 1);
     let next = story.sent_after(ms(1500));
     assert!(next.iter().all(|name| name == "e0002"), "{next:?}");
 }
@@ -215,12 +215,12 @@
         story.ends(&name, 0, AttemptOutcome::Completed);
     }
     story.after(ms(0));
-    assert_eq!(story.forwarder.circuits.len(), 500);
+    assert_eq!(story.policy.state_size().circuits, 500);
     story.submit("kept", "note", 0);
     assert_eq!(story.sent_after(ms(100_000)), ["kept"]);
     story.ends("kept", 0, AttemptOutcome::Completed);
     story.after(ms(150_000));
-    assert_eq!(story.forwarder.circuits.len(), 1, "that which was used since");
+    assert_eq!(story.policy.state_size().circuits, 1, "that which was used since");
     story.submit("again", "note", 3);
     assert_eq!(story.sent_after(ms(0)), ["again"]);
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -51,7 +51,7 @@
 
 /// A forwarder with three classes (`note` pure, `order` non-idempotent, `mark` keyed) and its notebook.
 pub struct Story {
-    pub forwarder: DeliveryPolicy,
+    pub policy: DeliveryPolicy,
     pub host: Notebook,
     pub now: Duration,
 }
@@ -106,8 +106,8 @@
 impl Story {
     pub fn new(terms: Settings) -> Story {
         let mut host = Notebook::default();
-        let forwarder = DeliveryPolicy::new(ms(0), terms, &mut host);
-        Story { forwarder, host, now: ms(1000) }
+        let policy = DeliveryPolicy::new(ms(0), terms, &mut host);
+        Story { policy, host, now: ms(1000) }
     }
 
     /// A story in which endpoints are listed: number, destination, kind.
@@ -123,13 +123,13 @@
 
     /// The same, in a zone.
     pub fn list_in(&mut self, zone: &str, whole: bool, endpoints: &[(u32, u64, &str)], state: EndpointState) {
-        self.forwarder.begin_endpoint_list(whole);
+        self.policy.begin_endpoint_list(whole);
         for (endpoint, destination, kind) in endpoints {
             let (endpoint, destination) = (EndpointId(*endpoint), DestinationId(*destination));
             let listing = EndpointUpdate { endpoint, destination, state, weight: Some(6.0), zone, kind };
-            self.forwarder.update_endpoint(listing);
+            self.policy.update_endpoint(listing);
         }
-        self.forwarder.finish_endpoint_list();
+        self.policy.finish_endpoint_list();
     }
 
     pub fn submit(&mut self, name: &str, class: &str, destination: u64) {
@@ -138,15 +138,11 @@
 
     pub fn hand_in_key(&mut self, name: &str, class: &str, destination: u64, key: Option<OrderingKey>) {
         let destination = DestinationId(destination);
-        self.submit_message(name, class, key, destination, self.now + ms(20_000));
+        self.submit_until(name, class, key, destination, self.now + ms(20_000));
     }
 
     /// A message with this deadline.
-    pub fn submit_until(&mut self, name: &str, class: &str, destination: DestinationId, deadline: Duration) {
-        self.submit_message(name, class, None, destination, deadline);
-    }
-
-    fn submit_message(
+    pub fn submit_until(
         &mut self,
         name: &str,
         class: &str,
@@ -155,26 +151,19 @@
         deadline: Duration,
     ) {
         let message = NewMessage { id: id(name), class, tenant: None, ordering_key, deadline, destination };
-        self.forwarder.submit(self.now, message, &mut self.host);
+        self.policy.submit(self.now, message, &mut self.host);
     }
 
     pub fn ends(&mut self, name: &str, no: u32, outcome: AttemptOutcome) {
         let over = outcome == AttemptOutcome::Completed;
-        self.forwarder.attempt_finished(
-            self.now,
-            &id(name),
-            AttemptNumber(no),
-            outcome,
-            over,
-            &mut self.host,
-        );
+        self.policy.attempt_finished(self.now, &id(name), AttemptNumber(no), outcome, over, &mut self.host);
     }
 
     /// Lets time pass, then takes a turn and returns what was asked for since the last one.
     pub fn after(&mut self, span: Duration) -> Vec<Asked> {
         self.now += span;
-        self.forwarder.timer_fired(self.now);
-        self.forwarder.run_due_work(self.now, &mut self.host);
+        self.policy.timer_fired(self.now);
+        self.policy.run_due_work(self.now, &mut self.host);
         std::mem::take(&mut self.host.asked)
     }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -67,7 +67,7 @@
         story.submit(&name, "note", 9);
         while let Some(Asked::Sent(_, to, _)) = story.after(ms(0)).pop() {
             to_one += u32::from(to == 1);
-            let no = story.forwarder.messages[&id(&name)].attempts - 1;
+            let no = story.policy.message_progress(&id(&name)).unwrap().attempts - 1;
             story.ends(
                 &name,
                 no,
@@ -217,7 +217,7 @@
     }
     assert_eq!(story.sent_after(ms(0)), ["a"]);
     story.ends("a", 0, AttemptOutcome::TimedOut);
-    story.forwarder.withdraw(&id("a"), &mut story.host);
+    story.policy.withdraw(&id("a"), &mut story.host);
     assert!(story.sent_after(ms(2990)).is_empty());
     assert_eq!(story.sent_after(ms(20)), ["b"]);
 }
@@ -385,7 +385,7 @@
         (0..messages).for_each(|n| story.submit(&format!("e{n}"), "note", 9));
         let sent = (0..100).find_map(|_| story.sent_after(ms(100)).pop()).unwrap();
         story.ends(&sent, 0, AttemptOutcome::Rejected { retry_after: None });
-        let spacing = story.forwarder.circuits.values().next().unwrap().pacing_interval;
+        let spacing = story.policy.pacing_intervals().next().unwrap();
         spacing
     };
     let (usual, busy) = (spacing(1), spacing(12));
@@ -458,9 +458,9 @@
             zone: "z",
             kind: "apart",
         };
-        story.forwarder.begin_endpoint_list(true);
-        story.forwarder.update_endpoint(listing);
-        story.forwarder.finish_endpoint_list();
+        story.policy.begin_endpoint_list(true);
+        story.policy.update_endpoint(listing);
+        story.policy.finish_endpoint_list();
         story.submit("a", "note", 9);
         let sent = (0..199).find_map(|_| story.sent_after(ms(100)).pop());
         assert_eq!(sent.as_deref(), Some("a"), "listed with {weight}");
@@ -473,7 +473,7 @@
     for story in &mut fleet {
         for name in ["a", "b", "c"] {
             story.submit(name, "note", 9);
-            story.forwarder.restore(story.now, &id(name), &[], &mut story.host);
+            story.policy.restore(story.now, &id(name), &[], &mut story.host);
         }
     }
     let mut sent_in = |span| fleet.iter_mut().map(|story| story.sent_after(span).len()).sum::<usize>();
@@ -532,14 +532,14 @@
 #[test]
 fn routes_apart_get_calls_by_their_listed_rates() {
     let mut story = Story::with(&[]);
-    story.forwarder.begin_endpoint_list(true);
+    story.policy.begin_endpoint_list(true);
     for (endpoint, rate) in [(1, 12.0), (2, 2.0)] {
         let (endpoint, destination, state) = (EndpointId(endpoint), DestinationId(9), EndpointState::Active);
         let listing =
             EndpointUpdate { endpoint, destination, state, weight: Some(rate), zone: "z", kind: "apart" };
-        story.forwarder.update_endpoint(listing);
+        story.policy.update_endpoint(listing);
     }
-    story.forwarder.finish_endpoint_list();
+    story.policy.finish_endpoint_list();
     let mut to_small = 0;
     for n in 0..100 {
         let name = format!("e{n}");
@@ -585,14 +585,14 @@
             &[(n, 9, "apart"), (1000 + n, 100 + u64::from(n), "shared")],
             EndpointState::Active,
         );
-        assert!(story.forwarder.knows_destination(DestinationId(9)), "also between two of its targets");
+        assert!(story.policy.knows_destination(DestinationId(9)), "also between two of its targets");
         story.submit(&name, "note", 9);
         assert_eq!(story.sent_after(ms(1000)), [name.as_str()]);
         story.ends(&name, 0, AttemptOutcome::Completed);
     }
-    assert!(story.forwarder.endpoints.contains_key(&EndpointId(190)));
-    let f = &story.forwarder;
-    let kept = [f.endpoints.len(), f.circuits.len(), f.destinations.len()];
+    assert!(story.policy.keeps_endpoint(EndpointId(190)));
+    let size = story.policy.state_size();
+    let kept = [size.endpoints, size.circuits, size.destinations];
     assert!(kept.iter().all(|kept| *kept < 80), "{kept:?}");
 }
 
@@ -609,7 +609,7 @@
     assert!(story.sent_after(ms(5000)).is_empty(), "its target has gone to another destination");
     story.list(false, &[(1, 9, "shared")], EndpointState::Active);
     assert_eq!(story.sent_after(ms(1000)), ["a"], "and has come back");
-    story.forwarder.withdraw(&id("never seen"), &mut story.host);
+    story.policy.withdraw(&id("never seen"), &mut story.host);
     story.ends("never seen", 3, AttemptOutcome::Completed);
     let asked = story.after(ms(100_000_000));
     assert_eq!(asked, [Asked::BrokenOff("nowhere".into())], "the clock jumped over its limit");
@@ -620,7 +620,7 @@
     }
     let asked = story.after(ms(0));
     let shed = asked.iter().filter(|a| matches!(a, Asked::Shed(..))).count();
-    assert_eq!(5000 - shed, story.forwarder.messages.len(), "each is held, sent or shed");
+    assert_eq!(5000 - shed, story.policy.state_size().messages, "each is held, sent or shed");
 }
 
 #[test]
@@ -664,7 +664,7 @@
         story.submit("a", class, 9);
         let past =
             PreviousAttempt { endpoint: EndpointId(1), started_at: story.now - ms(ago), proves_not_executed };
-        story.forwarder.restore(story.now, &id("a"), &[past], &mut story.host);
+        story.policy.restore(story.now, &id("a"), &[past], &mut story.host);
         story.after(ms(0))
     };
     let sent = |asked: Vec<Asked>| matches!(&asked[..], [Asked::Sent(..)]);
@@ -684,8 +684,8 @@
     story.submit("newcomer", "note", 9);
     let limit = story.now + ms(3000);
     let to = DestinationId(9);
-    story.submit_until("owed", "note", to, limit);
-    story.forwarder.restore(story.now, &id("owed"), &[], &mut story.host);
+    story.submit_until("owed", "note", None, to, limit);
+    story.policy.restore(story.now, &id("owed"), &[], &mut story.host);
     assert_eq!(story.sent_after(ms(0)), ["owed"]);
 }
 
@@ -697,8 +697,8 @@
         story.now = ms(60_000);
         let limit = story.now + ms(8000);
         let to = DestinationId(9);
-        story.submit_until("owed", "order", to, limit);
-        story.forwarder.restore(story.now, &id("owed"), &[], &mut story.host);
+        story.submit_until("owed", "order", None, to, limit);
+        story.policy.restore(story.now, &id("owed"), &[], &mut story.host);
         let sent = (0..41).any(|_| story.sent_after(ms(100)) == ["owed"]);
         assert!(sent, "seed {seed}: not in the nearer half of its time");
     }
@@ -711,7 +711,7 @@
     story.after(ms(0));
     story.now += ms(300);
     story.ends("first", 0, AttemptOutcome::Completed);
-    story.forwarder.begin_shutdown(story.now + ms(2000));
+    story.policy.begin_shutdown(story.now + ms(2000));
     story.submit("early", "order", 9);
     assert_eq!(story.sent_after(ms(0)), ["early"]);
     story.now += ms(1000);
@@ -739,7 +739,7 @@
     story.ends("mark", 0, AttemptOutcome::TimedOut);
     assert_eq!(story.sent_after(ms(0)), ["mark"]);
     assert_eq!(story.host.spans["mark"].start_within, ms(1000), "of the window of 5 s, 4 s have passed");
-    story.forwarder.begin_shutdown(story.now + ms(1500));
+    story.policy.begin_shutdown(story.now + ms(1500));
     story.submit("late", "note", 8);
     assert_eq!(story.sent_after(ms(100)), ["late"]);
     assert_eq!(story.host.spans["late"].start_within, ms(1400));
@@ -812,7 +812,7 @@
 }
 
 fn report(story: &mut Story, endpoint: u32, left: f64, limit: f64) {
-    story.forwarder.load_reported(EndpointId(endpoint), LoadReport { left, limit });
+    story.policy.load_reported(EndpointId(endpoint), LoadReport { left, limit });
 }
 
 #[test]
@@ -841,7 +841,7 @@
     assert!(again, "after a first refusal it goes again within the promise");
     report(&mut story, 1, left, limit);
     story.ends("a", 1, AttemptOutcome::Rejected { retry_after: None });
-    story.forwarder.circuits.values().map(|c| c.pacing_interval).fold(0.0, f64::max)
+    story.policy.pacing_intervals().fold(0.0, f64::max)
 }
 
 #[test]
@@ -866,8 +866,7 @@
         story.after(ms(0));
         report(&mut story, 1, 0.0, 6.0);
         story.ends("a", 0, AttemptOutcome::Rejected { retry_after: None });
-        let spacing =
-            |story: &Story| story.forwarder.circuits.values().map(|c| c.pacing_interval).fold(0.0, f64::max);
+        let spacing = |story: &Story| story.policy.pacing_intervals().fold(0.0, f64::max);
         let before = spacing(&story);
         report(&mut story, 1, left, 6.0);
         story.ends("b", 0, AttemptOutcome::Completed);
@@ -900,7 +899,7 @@
             report(&mut story, 1, 0.0, limit);
             story.ends("a", no, AttemptOutcome::Rejected { retry_after: None });
         }
-        story.forwarder.circuits.values().map(|c| c.pacing_interval).fold(0.0, f64::max)
+        story.policy.pacing_intervals().fold(0.0, f64::max)
     };
     assert!(spacing(0.5) > 1.5 * spacing(6.0), "{} and {}", spacing(0.5), spacing(6.0));
 }
@@ -957,8 +956,8 @@
     story.now += ms(500);
     story.ends("first", 0, AttemptOutcome::Completed);
     let (limit, to) = (story.now + ms(300), DestinationId(9));
-    story.submit_until("short", "note", to, limit);
-    assert_eq!(story.forwarder.messages[&id("short")].objective_at, limit, "wanted until then");
+    story.submit_until("short", "note", None, to, limit);
+    assert_eq!(story.policy.message_progress(&id("short")).unwrap().objective_at, limit, "wanted until then");
     assert_eq!(story.sent_after(ms(0)), ["short"], "some answers come in less than the mean");
 }
 
@@ -981,11 +980,11 @@
     let mut story = Story::new(Settings { poll_interval_limit: Some(ms(10_000)), ..settings() });
     story.after(ms(0));
     let mut asked = Vec::new();
-    story.forwarder.discovery_failed(story.now);
+    story.policy.discovery_failed(story.now);
     for n in 0..600 {
         if story.after(ms(100)).contains(&Asked::ListWanted) {
             asked.push(n);
-            story.forwarder.discovery_failed(story.now);
+            story.policy.discovery_failed(story.now);
         }
     }
     assert!((5..=12).contains(&asked.len()), "{asked:?} tenths of a second");
