--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::interface::{EndpointId, MessageId};
-use crate::state::DeliveryPolicy;
+use crate::policy::DeliveryPolicy;
 
 /// How many records of each kind a policy keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,28 +32,28 @@
     #[must_use]
     pub fn state_size(&self) -> StateSize {
         StateSize {
-            messages: self.messages.len(),
-            endpoints: self.endpoints.len(),
-            destinations: self.destinations.len(),
-            circuits: self.circuits.len(),
+            messages: self.messages().len(),
+            endpoints: self.endpoints().endpoint_count(),
+            destinations: self.endpoints().destination_count(),
+            circuits: self.circuits().len(),
         }
     }
 
     /// The progress of a message; none once it has its final answer.
     #[must_use]
     pub fn message_progress(&self, id: &MessageId) -> Option<MessageProgress> {
-        let message = self.messages.get(self.messages.key_of(id)?)?;
+        let message = self.messages().get(self.messages().key_of(id)?)?;
         Some(MessageProgress { attempts: message.attempts, objective_at: message.objective_at })
     }
 
     /// Whether an endpoint is kept, though it may have been removed from the list.
     #[must_use]
     pub fn keeps_endpoint(&self, endpoint: EndpointId) -> bool {
-        self.endpoints.contains_key(&endpoint)
+        self.endpoints().get(endpoint).is_some()
     }
 
     /// The least times between two requests, in seconds, of all circuits in their order.
     pub fn pacing_intervals(&self) -> impl Iterator<Item = f64> + '_ {
-        self.circuits.values().map(|circuit| circuit.pacing_interval)
+        self.circuits().iter().map(|(_, circuit)| circuit.pacing_interval)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! reeddock decides how a forwarder delivers outbound messages to other firms' systems.
 //!
-//! All decisions stand in [`control`]. A program that hosts the delivery policy implements [`PolicyHost`], which carries out
-//! what is decided, and calls a [`DeliveryPolicy`] with what happens; time comes in with each call, as a span
-//! since the start, and nothing else is read.
+//! All decisions are made in the modules of `src/policy/`, on the plain state of `src/state/` and `src/queue`. A
+//! program that hosts the policy implements [`PolicyHost`], which carries out what is decided, and calls a
+//! [`DeliveryPolicy`] with what happens; time comes in with each call, as a span since the start, and nothing else
+//! is read.
 //!
 //! # Hosting the policy
 //!
@@ -82,17 +83,13 @@
 //! policy.run_due_work(later, &mut host);
 //! ```
 
-mod attempts;
-pub mod control;
-pub mod endpoints;
-mod holding;
 mod inspection;
 pub mod interface;
-mod keys;
-pub mod messages;
+mod messages;
+mod policy;
 mod queue;
-pub mod state;
+mod state;
 
 pub use inspection::{MessageProgress, StateSize};
 pub use interface::*;
-pub use state::DeliveryPolicy;
+pub use policy::DeliveryPolicy;
--- /dev/null
+++ b/src/policy/admission.rs
@@ -0,0 +1,114 @@
+//! Whether a request may go to an endpoint now: the circuit breaker and the guards around it.
+
+use std::time::Duration;
+
+use super::{seconds, DeliveryPolicy};
+use crate::interface::DestinationId;
+use crate::state::{AdmittedEndpoint, CircuitBreaker, CircuitScope, Endpoint, NextWake};
+
+/// Whether a request may be sent.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Admission {
+    /// It may.
+    Admit,
+    /// It may, as the trial of a half-open circuit.
+    HalfOpenTrial,
+    /// Not before this time, and not before an event of the circuit; none: the latter alone.
+    Wait(Option<Duration>),
+    /// Not before this time as things stand, which may change by time alone.
+    Paced(Option<Duration>),
+}
+
+/// The endpoints of a destination that a request may go to now.
+pub(super) struct AdmittedEndpoints {
+    /// In ascending order of their ids.
+    pub(super) endpoints: Vec<AdmittedEndpoint>,
+    /// When the first of the others may be called.
+    pub(super) next_admission: NextWake,
+    /// One of the others is paced: what it waits for may change by time alone.
+    pub(super) some_are_paced: bool,
+}
+
+impl DeliveryPolicy {
+    /// Asks for each active endpoint of a destination whether a request may go to it.
+    pub(super) fn admitted_endpoints(&self, destination: DestinationId, now: Duration) -> AdmittedEndpoints {
+        let mut admitted = AdmittedEndpoints {
+            endpoints: Vec::new(),
+            next_admission: NextWake::default(),
+            some_are_paced: false,
+        };
+        for (id, endpoint) in self.endpoints.active(destination) {
+            let scope = self.endpoints.scope_of(id, endpoint);
+            let half_open_trial = match self.admit(scope, endpoint, now) {
+                Admission::Admit => false,
+                Admission::HalfOpenTrial => true,
+                Admission::Wait(at) => {
+                    admitted.next_admission.no_later_than(at);
+                    continue;
+                }
+                Admission::Paced(at) => {
+                    admitted.some_are_paced = true;
+                    admitted.next_admission.no_later_than(at);
+                    continue;
+                }
+            };
+            admitted.endpoints.push(AdmittedEndpoint { endpoint: id, scope, half_open_trial });
+        }
+        admitted
+    }
+
+    /// Whether a request may go to the endpoint now. What only an event can change is asked for first.
+    pub(super) fn admit(&self, scope: CircuitScope, endpoint: &Endpoint, now: Duration) -> Admission {
+        let circuit = self.circuits.get(scope);
+        let admission = circuit.map_or(Admission::Admit, |circuit| self.admit_by_circuit(circuit, now));
+        if matches!(admission, Admission::Wait(_)) {
+            return admission;
+        }
+        if let Some(at) = self.next_time_slot(scope, endpoint, now) {
+            return Admission::Paced(Some(at));
+        }
+        let Some(circuit) = circuit.filter(|_| admission == Admission::Admit) else { return admission };
+        if self.is_silent(circuit, now) {
+            return Admission::Paced(None);
+        }
+        match self.slow_start_budget(scope, endpoint, now) {
+            Ok(_) => Admission::Admit,
+            Err(at) => Admission::Paced(Some(at)),
+        }
+    }
+
+    /// What the circuit's own record allows: Retry-After, pacing, its state and the recovery ramp.
+    fn admit_by_circuit(&self, circuit: &CircuitBreaker, now: Duration) -> Admission {
+        if now < circuit.retry_after_until {
+            return Admission::Wait(Some(circuit.retry_after_until));
+        }
+        // Symptom: requests are rejected as over a limit, which rejected requests, trials too, may use up as
+        // well. Also covers full queues. It can harm by staying slow for some answers after a limit was met only
+        // once.
+        let after_last = circuit.last_sent + seconds(circuit.pacing_interval);
+        let paced_until = if self.parameters.sparse_traffic { circuit.paced_until } else { after_last };
+        let admission = circuit.admission(now);
+        if !matches!(admission, Admission::Wait(_)) && now < paced_until {
+            return Admission::Wait(Some(paced_until));
+        }
+        // Requests that nothing has answered since. Of those from before an answer, which hang or are long, none
+        // holds back the recovery.
+        let unanswered = || circuit.requests_since(circuit.last_answer);
+        if admission == Admission::Admit && circuit.recovery_ramp.is_some_and(|most| unanswered() >= most) {
+            return Admission::Wait(None);
+        }
+        admission
+    }
+
+    /// Symptom: requests are in flight and none has been answered for long. Against a silent or hanging
+    /// destination that takes all slots before its first timeout; also covers stalls and slowdowns, which it paces
+    /// by their own answers. It can harm by waiting behind one very long piece of work, hence two requests.
+    fn is_silent(&self, circuit: &CircuitBreaker, now: Duration) -> bool {
+        if circuit.in_flight.len() < 2 || circuit.requests_since(circuit.last_answer) == 0 {
+            return false;
+        }
+        let oldest = circuit.in_flight.front().map_or(now, |request| request.started_at);
+        let since = oldest.max(circuit.last_answer);
+        now.saturating_sub(since) > self.straggler_after(circuit)
+    }
+}
--- /dev/null
+++ b/src/policy/endpoint_selection.rs
@@ -0,0 +1,141 @@
+//! Which endpoint a request goes to.
+
+use std::time::Duration;
+
+use rand::seq::IndexedRandom;
+
+use super::DeliveryPolicy;
+use crate::interface::{EndpointId, EndpointState, Idempotency, KeyScope};
+use crate::messages::MessageKey;
+use crate::state::{CircuitBreaker, Endpoint, Message};
+
+/// Failures in a row beyond which an endpoint is not avoided more.
+const MAX_COUNTED_FAILURES: u32 = 3;
+/// Failures in a row beyond which an endpoint is not rested longer.
+const MAX_REST_DELAYS: u32 = 4;
+/// Prices are compared in millionths of a price point.
+const PRICE_STEPS: f64 = 1e6;
+/// The least mean response time, in seconds, that others are compared with.
+const MIN_MEAN_LATENCY: f64 = 0.001;
+
+/// Orders endpoints for the next request: the least is chosen. Compared in the order of the fields.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct EndpointBurden {
+    consecutive_failures: u32,
+    /// The power of two by which it is slower than the mean.
+    slowness: u64,
+    /// In millionths of a price point.
+    price: u64,
+    requests_in_flight: u32,
+}
+
+impl DeliveryPolicy {
+    /// Those of some endpoints that a message may go to.
+    pub(super) fn able_endpoints(
+        &self,
+        key: MessageKey,
+        endpoints: &[EndpointId],
+        now: Duration,
+    ) -> Vec<EndpointId> {
+        let may = |id: &&EndpointId| self.may_attempt(&self.messages[key], **id, &self.endpoints[**id], now);
+        endpoints.iter().filter(may).copied().collect()
+    }
+
+    /// Whether this message may go to that endpoint at all, by the rules and by the retry budget.
+    pub(super) fn may_attempt(
+        &self,
+        message: &Message,
+        id: EndpointId,
+        endpoint: &Endpoint,
+        now: Duration,
+    ) -> bool {
+        if endpoint.state != EndpointState::Active || endpoint.destination != message.destination {
+            return false;
+        }
+        if self.misses_idempotency_key(message, id, endpoint)
+            || now >= self.start_by(message, self.endpoints.scope_of(id, endpoint))
+        {
+            return false;
+        }
+        self.may_retry(message, endpoint, now)
+    }
+
+    /// Whether the endpoint may not recognise the idempotency key of a message that may have been executed:
+    /// keys are shared within a zone only, and that attempt went to another one.
+    fn misses_idempotency_key(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
+        let by_zone = matches!(self.idempotency(message), Idempotency::WithKey { scope: KeyScope::Zone, .. });
+        let in_same_zone = |other: EndpointId| {
+            id == other || self.endpoints.get(other).is_some_and(|other| other.is_in_zone_of(endpoint))
+        };
+        by_zone && message.possibly_executed.is_some_and(|attempt| !in_same_zone(attempt.endpoint))
+    }
+
+    /// How many times as long as any request one to this circuit takes; no less than once.
+    pub(super) fn slowness(&self, circuit: Option<&CircuitBreaker>) -> f64 {
+        let mean_latency = self.response_times.mean_latency.unwrap_or(1.0).max(MIN_MEAN_LATENCY);
+        (circuit.and_then(|circuit| circuit.mean_latency).unwrap_or(mean_latency) / mean_latency).max(1.0)
+    }
+
+    /// Price points that a request to the endpoint costs: its zone's fee, crossing zones, and a new connection.
+    fn price(&self, endpoint: &Endpoint, now: Duration) -> f64 {
+        let parameters = &self.parameters;
+        let zone = self.endpoints.zone_name(endpoint);
+        let own_circuit = self.endpoints.has_own_circuit(endpoint);
+        let fee = parameters.zone_fees.iter().find(|fee| fee.zone == zone && own_circuit);
+        let crossing = if zone == parameters.zone { 0.0 } else { parameters.cross_zone_price };
+        let connecting =
+            if self.has_idle_connection(endpoint, now) { 0.0 } else { parameters.connection_price };
+        fee.map_or(0.0, |fee| fee.fee) + crossing + connecting
+    }
+
+    /// Whether an idle connection to the endpoint is likely to be open.
+    fn has_idle_connection(&self, endpoint: &Endpoint, now: Duration) -> bool {
+        let usage = endpoint.usage();
+        usage.requests_in_flight == 0
+            && usage.answered.is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
+    }
+
+    /// Leaves out endpoints that failed this class and were called lately, if any other is left.
+    ///
+    /// Symptom: one endpoint of a destination fails, or fails one class, while what else answers keeps the
+    /// circuit closed. It can harm by resting an endpoint for a request that was lost alone.
+    pub(super) fn leave_out_failing(&self, able: &mut Vec<EndpointId>, class: usize, now: Duration) {
+        let rested = |id: &EndpointId| {
+            let endpoint = &self.endpoints[*id];
+            let delays = endpoint.consecutive_failures(class).min(MAX_REST_DELAYS);
+            now >= endpoint.usage().last_sent + self.parameters.recovery_delay * delays
+        };
+        if able.iter().any(rested) {
+            able.retain(rested);
+        }
+    }
+
+    /// Of two drawn at random, and those with an idle connection, the one that the forwarder's own counts
+    /// favour: without failures, not twice as slow, then by price.
+    pub(super) fn choose_endpoint(&mut self, able: &[EndpointId], class: usize, now: Duration) -> EndpointId {
+        // Departure from the design: where endpoints with circuits of their own have listed rates, they are drawn
+        // by these, as nothing else shows a forwarder that sees little of each that one takes a third of what its
+        // neighbour takes.
+        let rate = |endpoint: &Endpoint| {
+            self.listed_rate(endpoint).filter(|_| self.endpoints.has_own_circuit(endpoint)).unwrap_or(1.0)
+        };
+        let rated: Vec<_> = able.iter().map(|id| (*id, rate(&self.endpoints[*id]))).collect();
+        let random = self.random.general();
+        let mut draw = || rated.choose_weighted(random, |(_, rate)| *rate).map_or(able[0], |(id, _)| *id);
+        let drawn = [draw(), draw()];
+        let connected = able.iter().copied().filter(|id| self.has_idle_connection(&self.endpoints[*id], now));
+        let candidates = drawn.into_iter().chain(connected);
+        candidates.min_by_key(|id| self.burden(*id, class, now)).unwrap_or(able[0])
+    }
+
+    fn burden(&self, id: EndpointId, class: usize, now: Duration) -> EndpointBurden {
+        let endpoint = &self.endpoints[id];
+        let circuit = self.circuits.get(self.endpoints.scope_of(id, endpoint));
+        EndpointBurden {
+            consecutive_failures: endpoint.consecutive_failures(class).min(MAX_COUNTED_FAILURES),
+            slowness: self.slowness(circuit).log2() as u64,
+            price: (self.price(endpoint, now) * PRICE_STEPS) as u64,
+            requests_in_flight: endpoint.usage().requests_in_flight,
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/outcomes.rs
@@ -0,0 +1,225 @@
+//! What follows from the end of an attempt: for its circuit, its endpoint and its message.
+
+use std::time::Duration;
+
+use super::DeliveryPolicy;
+use crate::interface::{AttemptNumber, AttemptOutcome, MessageId, PolicyHost};
+use crate::state::{Attempt, AttemptKey, Endpoint, PossibleExecution};
+
+/// Weight of a new response time in a running mean.
+const MEAN_LATENCY_WEIGHT: f64 = 0.2;
+/// At most one log line about circuits in this span.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+
+impl DeliveryPolicy {
+    /// An attempt has ended; `finished` says that its message has its final answer, by this end or before it.
+    pub fn attempt_finished(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        number: AttemptNumber,
+        outcome: AttemptOutcome,
+        finished: bool,
+        host: &mut dyn PolicyHost,
+    ) {
+        let key = AttemptKey { message: id.clone(), number };
+        let Some((attempt, request_ended)) = self.end_attempt(&key) else { return };
+        if let Some(endpoint) = self.endpoints.get(attempt.endpoint) {
+            self.forget_stale_records(endpoint.destination, now);
+        }
+        if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
+            self.apply_retry_after(now, attempt.scope, wait);
+        }
+        let message_to_blame = self.count_error(&attempt, outcome);
+        // What travels together ends together, and counts once.
+        if request_ended && !message_to_blame {
+            self.record_and_log_outcome(&attempt, now, outcome, host);
+        }
+        if matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
+        ) {
+            let until = now + self.parameters.ordering_hold_off;
+            self.ordering.hold_off(attempt.ordering_key, attempt.arrival, until);
+        }
+        self.leave_ordering_queue(id, attempt.ordering_key, attempt.arrival);
+        if finished {
+            self.remove_message(attempt.message, host);
+        } else {
+            self.continue_message(&attempt, now, outcome, host);
+        }
+    }
+
+    /// Takes an ended attempt out of all records of what is in flight; says whether its request ended with it.
+    fn end_attempt(&mut self, key: &AttemptKey) -> Option<(Attempt, bool)> {
+        let ended = self.in_flight.end_attempt(key)?;
+        let attempt = ended.attempt;
+        if let Some(message) = self.messages.get_mut(attempt.message) {
+            message.in_flight.remove(&key.number);
+        }
+        self.wake_scope(attempt.scope);
+        if ended.request_ended {
+            if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
+                let usage = endpoint.usage_mut();
+                usage.requests_in_flight = usage.requests_in_flight.saturating_sub(1);
+            }
+        }
+        if let Some(circuit) = self.circuits.get_mut(attempt.scope) {
+            if ended.request_ended {
+                circuit.in_flight.retain(|request| request.id != attempt.request);
+            }
+            circuit.trial.take_if(|trial| trial == key);
+        }
+        Some((attempt, ended.request_ended))
+    }
+
+    /// Counts an answer with an error for the message; says whether the message, and not the endpoint, is to
+    /// blame.
+    ///
+    /// Symptom: one message is answered with errors wherever it goes, and as the trial keeps its destination's
+    /// circuit open. Its second error says something of the message and not of the destination. It can harm by
+    /// seeing an outage with errors later, where a single message is all that is sent.
+    fn count_error(&mut self, attempt: &Attempt, outcome: AttemptOutcome) -> bool {
+        if outcome != AttemptOutcome::Error {
+            return false;
+        }
+        let Some(message) = self.messages.get_mut(attempt.message) else { return false };
+        message.errors += 1;
+        message.errors > 1
+    }
+
+    /// Records what an outcome shows, and writes a log line if the circuit opened or closed by it.
+    fn record_and_log_outcome(
+        &mut self,
+        attempt: &Attempt,
+        now: Duration,
+        outcome: AttemptOutcome,
+        host: &mut dyn PolicyHost,
+    ) {
+        let scope = attempt.scope;
+        let is_closed =
+            |policy: &DeliveryPolicy| policy.circuits.get(scope).is_none_or(|circuit| circuit.is_closed());
+        let was_closed = is_closed(self);
+        self.record_outcome(attempt, now, outcome);
+        if was_closed != is_closed(self) && now >= self.next_log_at {
+            self.next_log_at = now + LOG_INTERVAL;
+            let change = if was_closed { "circuit opened" } else { "circuit closed" };
+            host.log(&format!("{change}: {scope:?}, after {outcome:?}"));
+        }
+    }
+
+    /// What one outcome shows of the circuit and the endpoint.
+    fn record_outcome(&mut self, attempt: &Attempt, now: Duration, outcome: AttemptOutcome) {
+        let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else { return };
+        let answered = matches!(
+            outcome,
+            AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
+        );
+        endpoint.usage_mut().answered = answered.then_some(now);
+        self.circuit_mut(attempt.scope);
+        match outcome {
+            AttemptOutcome::Cancelled | AttemptOutcome::Malformed => {}
+            AttemptOutcome::NotSent => self.record_not_sent(attempt, now),
+            AttemptOutcome::Completed => self.record_completion(attempt, now),
+            AttemptOutcome::Rejected { retry_after } => self.record_rejection(attempt, now, retry_after),
+            AttemptOutcome::Error
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::NoConnection
+            | AttemptOutcome::ConnectionReset => self.record_failure(attempt, now, outcome),
+        }
+    }
+
+    /// Symptom: a message uses up its attempts in an instant, as each comes back without being sent: a slot or a
+    /// connection that was given up still counts, or the write-ahead log fails. It can harm by a short pause.
+    fn record_not_sent(&mut self, attempt: &Attempt, now: Duration) {
+        let pause = self.parameters.recovery_delay / 4;
+        let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
+        circuit.retry_after_until = circuit.retry_after_until.max(now + pause);
+    }
+
+    fn record_completion(&mut self, attempt: &Attempt, now: Duration) {
+        let in_scope = self.endpoints.in_scope(attempt.scope);
+        let has_fault =
+            |id: &_| self.endpoints.get(*id).is_some_and(|endpoint| endpoint.usage().last_fault.is_some());
+        let had_faults = in_scope.iter().any(has_fault);
+        let parameters = &self.parameters;
+        let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
+        let recovered = !circuit.is_closed();
+        circuit.record_success(now);
+        circuit.shrink_pacing(parameters.sparse_traffic);
+        circuit.consecutive_timeouts = 0;
+        circuit.last_retry_after /= 2;
+        circuit.last_answer = now;
+        let latency = now.saturating_sub(attempt.started_at).as_secs_f64();
+        update_mean(&mut circuit.mean_latency, latency);
+        update_mean(&mut self.response_times.mean_latency, latency);
+        self.response_times.last_answer = now;
+        if circuit.recovery_ramp.is_some_and(|requests| requests >= parameters.max_in_flight) {
+            circuit.recovery_ramp = None;
+        }
+        if let Some(usage) = self.endpoints.get_mut(attempt.endpoint).map(Endpoint::usage_mut) {
+            usage.consecutive_failures.remove(&attempt.class);
+            usage.earn_retry_tokens(parameters.initial_retry_tokens);
+        }
+        // Whatever the circuit's endpoints showed before, they have only now recovered.
+        if recovered && had_faults {
+            self.endpoints.update_usage(&in_scope, |usage| usage.last_fault = Some(now));
+        }
+    }
+
+    fn record_failure(&mut self, attempt: &Attempt, now: Duration, outcome: AttemptOutcome) {
+        let Some(endpoint) = self.endpoints.get(attempt.endpoint) else { return };
+        let recovery_delay = self.recovery_delay(endpoint, now);
+        let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
+        let Some(usage) = self.endpoints.get_mut(attempt.endpoint).map(Endpoint::usage_mut) else { return };
+        circuit.record_failure(now, recovery_delay, &self.parameters);
+        *usage.consecutive_failures.entry(attempt.class).or_default() += 1;
+        match outcome {
+            // The request never reached the destination, and put no load on it.
+            AttemptOutcome::NoConnection => drop(usage.recent_load.pop_back()),
+            AttemptOutcome::TimedOut => circuit.consecutive_timeouts += 1,
+            _ => {}
+        }
+        // One broken connection between answers shows something of itself, and is no outage.
+        if outcome == AttemptOutcome::TimedOut || circuit.failures.len() > 1 {
+            usage.last_fault = Some(now);
+        }
+    }
+
+    /// What comes next for a message whose attempt has ended without a final answer: it is queued again where
+    /// its class and what is known of the attempt allow that; otherwise it gets a final answer.
+    fn continue_message(
+        &mut self,
+        attempt: &Attempt,
+        now: Duration,
+        outcome: AttemptOutcome,
+        host: &mut dyn PolicyHost,
+    ) {
+        let key = attempt.message;
+        let Some(message) = self.messages.get_mut(key) else { return };
+        if !outcome.proves_not_executed() {
+            let earlier = message.possibly_executed.map(|earlier| earlier.started_at);
+            message.possibly_executed = Some(PossibleExecution {
+                started_at: earlier.map_or(attempt.started_at, |at| at.min(attempt.started_at)),
+                endpoint: attempt.endpoint,
+            });
+        }
+        if !message.in_flight.is_empty() {
+            return;
+        }
+        if outcome == AttemptOutcome::Malformed {
+            // No endpoint will ever parse it, and whoever submits it again gets the same answer.
+            host.fail(&message.id);
+            self.remove_message(key, host);
+        } else if self.is_exhausted(key, now) {
+            self.finish_undelivered(key, now, host);
+        } else {
+            self.enqueue(key);
+        }
+    }
+}
+
+/// Takes a response time, in seconds, into a running mean.
+fn update_mean(mean: &mut Option<f64>, latency: f64) {
+    *mean = Some(mean.map_or(latency, |mean| mean + MEAN_LATENCY_WEIGHT * (latency - mean)));
+}
--- /dev/null
+++ b/src/policy/pacing.rs
@@ -0,0 +1,69 @@
+//! Pacing: the least time between two requests to a circuit that rejects them, and the time slots of large
+//! fleets.
+
+use std::time::Duration;
+
+use super::{seconds, DeliveryPolicy};
+use crate::state::{CircuitBreaker, CircuitScope, Endpoint, MIN_TIMER};
+
+/// The pacing interval grows by this factor with each rejection and shrinks with each answer.
+pub(super) const PACING_GROWTH: f64 = 1.6;
+const PACING_SHRINK: f64 = 0.93;
+/// The same shrinking where answers come once in seconds, and each shows as much as many do.
+const SPARSE_PACING_SHRINK: f64 = 0.75;
+/// How many times as high as the true rate an approximate listed rate may be. It is also the first interval after
+/// a rejection, in gaps between the requests that are one's share of a listed rate.
+pub(super) const APPROXIMATE_RATE_MARGIN: f64 = 1.5;
+/// The interval of time slots at an endpoint with a listed rate, where forwarders are many, in gaps between the
+/// requests that are one's share of it. Under 1, as some slots stay unused.
+const TIME_SLOT_GAPS: f64 = 0.8;
+/// The part of a time slot in which its request may begin, and its least in seconds: a host that runs due work on
+/// a coarse grid would find short ones closed each time.
+const TIME_SLOT_OPEN_SHARE: f64 = 0.3;
+const TIME_SLOT_OPEN_MIN_SECONDS: f64 = 0.1;
+
+impl DeliveryPolicy {
+    /// Symptom: many forwarders that were rejected nothing yet send what comes at once, and a burst that comes to
+    /// all of them is over a limit which rejected requests use up too, so that nothing passes for seconds.
+    /// Where no response reports limits, each has time slots at an endpoint with a listed rate, one request in
+    /// each; the slots of all lie apart by chance and are soon over, so that the unused ones are not saved for
+    /// the burst. It costs part of a latency objective where the limit is far. None: a request may go; otherwise
+    /// when the next slot begins.
+    pub(super) fn next_time_slot(
+        &self,
+        scope: CircuitScope,
+        endpoint: &Endpoint,
+        now: Duration,
+    ) -> Option<Duration> {
+        let has_slots = self.parameters.sparse_traffic
+            && self.endpoints.has_own_circuit(endpoint)
+            && !self.parameters.responses_carry_load_reports;
+        let listed = self.listed_rate(endpoint).filter(|_| has_slots)?;
+        let slot = self.time_slot_seconds(endpoint, listed, now);
+        let slots_passed = now.as_secs_f64() / slot + endpoint.slot_phase;
+        let began = now.saturating_sub(seconds(slots_passed.fract() * slot));
+        let used = self.circuits.get(scope).is_some_and(|circuit| circuit.last_sent > began);
+        let open = (TIME_SLOT_OPEN_SHARE * slot).max(TIME_SLOT_OPEN_MIN_SECONDS);
+        (used || slots_passed.fract() * slot > open).then(|| began + seconds(slot) + MIN_TIMER)
+    }
+
+    /// The length of this forwarder's time slots at an endpoint with a listed rate.
+    fn time_slot_seconds(&self, endpoint: &Endpoint, listed: f64, now: Duration) -> f64 {
+        // One that carries several times what others do has that many slots.
+        let times = (self.fair_share(endpoint, now) * self.parameters.forwarders / listed).round().max(1.0);
+        let gaps =
+            if self.listed_rate_counts_batches(endpoint) { APPROXIMATE_RATE_MARGIN } else { TIME_SLOT_GAPS };
+        let slot = gaps * self.parameters.forwarders / listed / times;
+        // Against rates that no one can mean, too high or too low.
+        slot.min(self.parameters.longest_deadline.as_secs_f64()).max(MIN_TIMER.as_secs_f64())
+    }
+}
+
+impl CircuitBreaker {
+    /// An attempt was completed: requests may follow each other sooner.
+    pub(super) fn shrink_pacing(&mut self, sparse_traffic: bool) {
+        let shrink = if sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
+        // What rejected requests use up as well needs fewer of them; what has capacity left needs no pacing.
+        self.pacing_interval *= self.limit_left.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
+    }
+}
--- /dev/null
+++ b/src/policy/parameters.rs
@@ -0,0 +1,107 @@
+//! How the parameters are derived from the settings.
+
+use std::time::Duration;
+
+use super::pacing::APPROXIMATE_RATE_MARGIN;
+use super::retry_budget::initial_retry_tokens;
+use crate::interface::{EndpointKind, Idempotency, ListedWeights, MessageClass, Settings, TenantQuota};
+use crate::state::{ClassParameters, KindParameters, PolicyParameters, TenantParameters};
+
+/// The deadline of a class for which the settings give none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
+/// The shortest latency objective where there is no class.
+const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(2);
+/// The recovery delay is no shorter, whatever a class promises.
+const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(50);
+/// The failure window in recovery delays.
+const FAILURE_WINDOW_DELAYS: u32 = 10;
+/// Greatest values that are told apart; what is greater counts as these.
+const MAX_REQUESTS_IN_FLIGHT: u64 = 1 << 20;
+const MAX_CAPACITY: u64 = 1 << 30;
+const MAX_ATTEMPTS: u64 = 1 << 20;
+const MAX_BATCH: u64 = 1000;
+
+impl From<Settings> for PolicyParameters {
+    fn from(settings: Settings) -> PolicyParameters {
+        let classes: Vec<_> = settings.classes.into_iter().map(ClassParameters::from).collect();
+        let shortest = classes.iter().map(|c| c.latency_objective).min().unwrap_or(DEFAULT_OBJECTIVE);
+        // A trial that succeeds within half the shortest objective still lets a queued message meet it.
+        let recovery_delay = (shortest / 2).max(MIN_RECOVERY_DELAY);
+        let forwarders = settings.forwarders.unwrap_or(1);
+        let max_in_flight = settings.max_in_flight.unwrap_or(u64::MAX);
+        PolicyParameters {
+            longest_deadline: classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
+            classes,
+            tenants: settings.tenants.into_iter().map(TenantParameters::from).collect(),
+            zone: settings.zone,
+            forwarders: forwarders.max(1) as f64,
+            initial_retry_tokens: initial_retry_tokens(forwarders.max(1) as f64),
+            sparse_traffic: forwarders > max_in_flight,
+            max_in_flight: max_in_flight.min(MAX_REQUESTS_IN_FLIGHT) as usize,
+            capacity: settings.capacity.unwrap_or(u64::MAX).clamp(2, MAX_CAPACITY) as usize,
+            hedging_allowed: settings.hedging_allowed,
+            max_attempts: settings.max_attempts.unwrap_or(u64::MAX).min(MAX_ATTEMPTS) as u32,
+            max_retry_after: settings.max_retry_after,
+            failure_window: recovery_delay * FAILURE_WINDOW_DELAYS,
+            recovery_delay,
+            slow_start_floor: non_negative_or(settings.slow_start_floor, 0.2).clamp(0.01, 1.0),
+            slow_start_duration: settings.slow_start_duration.unwrap_or(Duration::from_secs(10)),
+            overload_multiple: non_negative_or(settings.overload_multiple, 2.0).max(0.1),
+            overload_window: settings.overload_window.unwrap_or(Duration::from_secs(2)),
+            ordering_hold_off: settings.ordering_hold_off.unwrap_or_default(),
+            poll_interval_limit: settings.poll_interval_limit,
+            listed_rate_margin: match settings.listed_weights {
+                ListedWeights::Unspecified => None,
+                ListedWeights::ApproximateRates => Some(APPROXIMATE_RATE_MARGIN),
+                ListedWeights::Rates => Some(1.0),
+            },
+            responses_carry_load_reports: settings.responses_carry_load_reports,
+            late_decay: settings.late_decay,
+            over_quota_weight: non_negative_or(settings.over_quota_weight, 0.0).min(1.0),
+            connection_idle_timeout: settings.connection_idle_timeout.unwrap_or_default(),
+            cross_zone_price: non_negative_or(settings.cross_zone_price, 0.0),
+            connection_price: non_negative_or(settings.connection_price, 0.0),
+            zone_fees: settings.zone_fees,
+        }
+    }
+}
+
+impl From<MessageClass> for ClassParameters {
+    fn from(class: MessageClass) -> ClassParameters {
+        let deadline = class.deadline.unwrap_or(DEFAULT_DEADLINE);
+        ClassParameters {
+            name: class.name,
+            // Where the settings do not say, the class counts as the one that allows least.
+            idempotency: class.idempotency.unwrap_or(Idempotency::NonIdempotent),
+            latency_objective: class.latency_objective.unwrap_or(deadline).min(deadline),
+            deadline,
+            ordered: class.ordered,
+            priority_weight: non_negative_or(class.priority_weight, 1.0),
+            late_weight: non_negative_or(class.late_weight, 0.0).min(1.0),
+        }
+    }
+}
+
+impl From<EndpointKind> for KindParameters {
+    fn from(kind: EndpointKind) -> KindParameters {
+        KindParameters {
+            name: kind.name,
+            circuit_per_endpoint: kind.circuit_per_endpoint,
+            max_batch: kind.max_batch.unwrap_or(1).clamp(1, MAX_BATCH) as usize,
+        }
+    }
+}
+
+impl From<TenantQuota> for TenantParameters {
+    fn from(tenant: TenantQuota) -> TenantParameters {
+        TenantParameters {
+            name: tenant.tenant,
+            messages_per_second: non_negative_or(tenant.messages_per_second, f64::MAX),
+        }
+    }
+}
+
+/// A value of the settings if it is a finite number that is not negative; otherwise the default.
+fn non_negative_or(value: Option<f64>, default: f64) -> f64 {
+    value.filter(|v| v.is_finite() && *v >= 0.0).unwrap_or(default)
+}
--- /dev/null
+++ b/src/policy/request_selection.rs
@@ -0,0 +1,206 @@
+//! Which messages of a destination the next request carries.
+
+use std::time::Duration;
+
+use itertools::Itertools;
+
+use super::DeliveryPolicy;
+use crate::interface::{DestinationId, EndpointId, Idempotency, PolicyHost};
+use crate::messages::MessageKey;
+use crate::queue::QueueSegment;
+use crate::state::{AdmittedEndpoint, NextWake};
+
+/// Classes with a priority weight below this are ordered as if they had it.
+const MIN_PRIORITY_WEIGHT: f64 = 0.001;
+/// Drawn places in the order of classes are compared in millionths.
+const CLASS_ORDER_STEPS: f64 = 1e6;
+
+/// Orders the messages of a destination: the least goes first, which is inside its tenant's quota before beyond
+/// it, able to meet its latency objective before late, by class, then by objective. Compared in the order of the
+/// fields.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct MessageRank {
+    over_quota: bool,
+    /// More than one answer with an error.
+    failed_repeatedly: bool,
+    late: bool,
+    /// The place of its class in the drawn order.
+    class_order: u64,
+    objective_at: Duration,
+    arrival: u64,
+}
+
+/// A queued message behind what decides whether it goes before another.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RankedMessage {
+    rank: MessageRank,
+    key: MessageKey,
+}
+
+/// The endpoints that admit a request, apart by whether it would be a half-open trial.
+struct Candidates {
+    for_trial: Vec<EndpointId>,
+    for_others: Vec<EndpointId>,
+}
+
+impl Candidates {
+    fn new(admitted: &[AdmittedEndpoint]) -> Candidates {
+        let (trials, others): (Vec<_>, Vec<_>) = admitted.iter().partition(|a| a.half_open_trial);
+        let ids = |admitted: Vec<AdmittedEndpoint>| admitted.iter().map(|a| a.endpoint).collect();
+        Candidates { for_trial: ids(trials), for_others: ids(others) }
+    }
+}
+
+impl DeliveryPolicy {
+    /// Starts one request to the destination, if any message may go; says whether one went. When none went,
+    /// `next_admission` is told when to ask again.
+    pub(super) fn schedule_request(
+        &mut self,
+        destination: DestinationId,
+        now: Duration,
+        host: &mut dyn PolicyHost,
+        next_admission: &mut NextWake,
+    ) -> bool {
+        let admitted = self.admitted_endpoints(destination, now);
+        let wait_until = admitted.next_admission.time();
+        next_admission.no_later_than(wait_until);
+        if admitted.endpoints.is_empty() {
+            if !admitted.some_are_paced {
+                self.queue.sleep(destination, wait_until);
+            }
+            return false;
+        }
+        let class_order = self.draw_class_order();
+        let candidates = Candidates::new(&admitted.endpoints);
+        let Some(lead) = self.lead_message(destination, &candidates, &class_order, now) else {
+            next_admission.no_later_than(Some(now + self.parameters.recovery_delay / 4));
+            return false;
+        };
+        let endpoint = self.endpoint_for(lead, &candidates, now);
+        let chosen = admitted.endpoints.iter().find(|admitted| admitted.endpoint == endpoint);
+        let Some(chosen) = chosen.copied() else { return false };
+        let messages = self.fill_request(destination, lead, chosen, &class_order, now);
+        self.start_request(messages, chosen, now, host);
+        true
+    }
+
+    /// The order of classes, by class index. It is drawn by chance, with the square of their priority weight:
+    /// strictly by it, a class of low weight starves where a destination is at its capacity.
+    fn draw_class_order(&mut self) -> Vec<u64> {
+        let random = &mut self.random;
+        let mut draw = |weight: f64| {
+            let weight = weight.max(MIN_PRIORITY_WEIGHT).powi(2);
+            (-random.draw_for_class_order().ln() / weight * CLASS_ORDER_STEPS) as u64
+        };
+        self.parameters.classes.iter().map(|class| draw(class.priority_weight)).collect()
+    }
+
+    fn is_repeatable(&self, class: usize) -> bool {
+        self.parameters.classes[class].idempotency != Idempotency::NonIdempotent
+    }
+
+    /// The message that goes first, to any of the endpoints.
+    fn lead_message(
+        &self,
+        destination: DestinationId,
+        candidates: &Candidates,
+        class_order: &[u64],
+        now: Duration,
+    ) -> Option<MessageKey> {
+        let segments: Vec<QueueSegment> = self.queue.runs(destination, now).collect();
+        let first =
+            |segment: &QueueSegment, to: &[EndpointId]| self.first_able(segment, class_order, to, now);
+        // A trial may be lost, so that one goes with a message that may run again, if there is any.
+        let repeatable = segments.iter().filter(|s| self.is_repeatable(s.queue_class.priority.class));
+        let for_trial =
+            repeatable.filter_map(|s| Some((s.queue_class.errors, first(s, &candidates.for_trial)?)));
+        let lead = (for_trial.min().map(|(_, ranked)| ranked))
+            .or_else(|| segments.iter().filter_map(|s| first(s, &candidates.for_others)).min())
+            .or_else(|| segments.iter().filter_map(|s| first(s, &candidates.for_trial)).min());
+        lead.map(|ranked| ranked.key)
+    }
+
+    /// The endpoint that the lead message goes to. At least one of the candidates takes it.
+    fn endpoint_for(&mut self, lead: MessageKey, candidates: &Candidates, now: Duration) -> EndpointId {
+        let class = self.messages[lead].class;
+        let for_trial = self.able_endpoints(lead, &candidates.for_trial, now);
+        let for_others = self.able_endpoints(lead, &candidates.for_others, now);
+        let trial = self.is_repeatable(class) && !for_trial.is_empty() || for_others.is_empty();
+        let mut able = if trial { for_trial } else { for_others };
+        self.leave_out_failing(&mut able, class, now);
+        self.choose_endpoint(&able, class, now)
+    }
+
+    /// The messages of a request: the lead, and those that go with it as a batch.
+    fn fill_request(
+        &self,
+        destination: DestinationId,
+        lead: MessageKey,
+        chosen: AdmittedEndpoint,
+        class_order: &[u64],
+        now: Duration,
+    ) -> Vec<MessageKey> {
+        let endpoint = &self.endpoints[chosen.endpoint];
+        // Many messages in one request load a cold endpoint more than one does.
+        let batch = if chosen.half_open_trial {
+            1
+        } else {
+            self.endpoints.max_batch(endpoint).min(self.slow_start_batch(chosen.scope, endpoint, now))
+        };
+        let mut messages = vec![lead];
+        if batch > 1 {
+            let may =
+                |key: &MessageKey| self.may_attempt(&self.messages[*key], chosen.endpoint, endpoint, now);
+            let segments = self.queue.runs(destination, now);
+            let ranked = segments.map(|segment| self.sendable(&segment, class_order, now)).kmerge();
+            let others = ranked.map(|ranked| ranked.key).filter(|key| *key != lead);
+            messages.extend(others.take(batch - 1).filter(may));
+        }
+        messages
+    }
+
+    /// The messages of a segment that no ordering key holds back, each with its rank.
+    fn sendable<'s>(
+        &'s self,
+        segment: &QueueSegment<'s>,
+        class_order: &[u64],
+        now: Duration,
+    ) -> impl Iterator<Item = RankedMessage> + 's {
+        let queue_class = segment.queue_class;
+        let class = queue_class.priority.class;
+        // What may have been executed has an idempotency key that expires, and goes before that.
+        let late = segment.late && !queue_class.possibly_executed;
+        let class_order = class_order[class];
+        let ordered = self.parameters.classes[class].ordered;
+        let may_send = move |key: &MessageKey| {
+            let message = &self.messages[*key];
+            !ordered || self.ordering.may_send(message.ordering_key, message.arrival, now)
+        };
+        let entries = segment.entries().filter(move |(_, key)| may_send(key));
+        entries.map(move |((objective_at, arrival), key)| RankedMessage {
+            rank: MessageRank {
+                over_quota: queue_class.priority.over_quota,
+                failed_repeatedly: queue_class.errors > 1,
+                late,
+                class_order,
+                objective_at,
+                arrival,
+            },
+            key,
+        })
+    }
+
+    /// The first message of a segment that one of these endpoints may get. All of a segment fare alike, but for
+    /// those with idempotency keys that expire.
+    fn first_able(
+        &self,
+        segment: &QueueSegment,
+        class_order: &[u64],
+        to: &[EndpointId],
+        now: Duration,
+    ) -> Option<RankedMessage> {
+        let most = if segment.queue_class.possibly_executed { usize::MAX } else { 1 };
+        let mut ranked = self.sendable(segment, class_order, now).take(most);
+        ranked.find(|ranked| !self.able_endpoints(ranked.key, to, now).is_empty())
+    }
+}
--- /dev/null
+++ b/src/policy/requests.rs
@@ -0,0 +1,108 @@
+//! Starting a request, and what is recorded of it.
+
+use std::time::Duration;
+
+use super::slow_start::LOAD_PER_EXTRA_MESSAGE;
+use super::{seconds, DeliveryPolicy};
+use crate::interface::{AttemptNumber, AttemptTimeouts, PolicyHost, RequestId};
+use crate::messages::MessageKey;
+use crate::state::{AdmittedEndpoint, Attempt, AttemptKey, RequestInFlight, SentLoad};
+
+impl DeliveryPolicy {
+    /// Starts one request that carries these messages.
+    pub(super) fn start_request(
+        &mut self,
+        messages: Vec<MessageKey>,
+        to: AdmittedEndpoint,
+        now: Duration,
+        host: &mut dyn PolicyHost,
+    ) {
+        let request = RequestInFlight { id: RequestId(self.numbers.next()), started_at: now };
+        self.in_flight.add_request(request.id, messages.len() as u32);
+        let load = 1.0 + LOAD_PER_EXTRA_MESSAGE * (messages.len() - 1) as f64;
+        let shared_timeout = self.shared_timeout(&messages, to);
+        for key in messages {
+            self.start_attempt(key, to, request, shared_timeout, host);
+        }
+        self.record_request(to, request, load);
+        let circuit = self.circuit_mut(to.scope);
+        circuit.paced_until = circuit.paced_until.max(now + seconds(circuit.pacing_interval));
+    }
+
+    /// The response timeout that all attempts of a request have at least. One that timed out alone and was sent
+    /// again would be a second copy of what its request still carries.
+    fn shared_timeout(&self, messages: &[MessageKey], to: AdmittedEndpoint) -> Duration {
+        if self.parameters.hedging_allowed {
+            return Duration::ZERO;
+        }
+        let messages = messages.iter().filter_map(|key| self.messages.get(*key));
+        let timeouts = messages.map(|m| self.response_timeout(m, to.scope, to.half_open_trial));
+        timeouts.max().unwrap_or_default()
+    }
+
+    /// Starts the attempt of one message as a part of a request.
+    fn start_attempt(
+        &mut self,
+        key: MessageKey,
+        to: AdmittedEndpoint,
+        request: RequestInFlight,
+        shared_timeout: Duration,
+        host: &mut dyn PolicyHost,
+    ) {
+        let now = request.started_at;
+        let Some(message) = self.messages.get(key) else { return };
+        let left = message.deadline.saturating_sub(now);
+        let own_timeout = self.response_timeout(message, to.scope, to.half_open_trial);
+        let response_within = own_timeout.max(shared_timeout).min(left);
+        let start_within = self.start_by(message, to.scope).saturating_sub(now).min(response_within);
+        let is_retry = message.attempts > 0;
+        let attempt = Attempt::new(key, message, to, request);
+        let Some(attempt_key) = self.record_attempt(attempt) else { return };
+        if is_retry {
+            let initial = self.parameters.initial_retry_tokens;
+            self.endpoints.update_usage(&[to.endpoint], |usage| usage.spend_retry_token(initial));
+        }
+        if to.half_open_trial {
+            let recovery_delay = self.recovery_delay(&self.endpoints[to.endpoint], now);
+            let circuit = self.circuit_mut(to.scope);
+            circuit.reopen(now, recovery_delay);
+            circuit.trial = Some(attempt_key.clone());
+        }
+        let timeouts = AttemptTimeouts { request: request.id, start_within, response_within };
+        host.start_attempt(&attempt_key.message, to.endpoint, timeouts);
+    }
+
+    /// Records an attempt of a queued message, which leaves the queue.
+    fn record_attempt(&mut self, attempt: Attempt) -> Option<AttemptKey> {
+        self.dequeue(attempt.message);
+        let message = self.messages.get_mut(attempt.message)?;
+        let number = AttemptNumber(message.attempts);
+        message.attempts += 1;
+        message.in_flight.insert(number);
+        let key = AttemptKey { message: message.id.clone(), number };
+        self.endpoints.traffic_mut(message.destination).record_request(attempt.request.0);
+        self.in_flight.add_attempt(key.clone(), attempt);
+        Some(key)
+    }
+
+    /// Records a request that has gone out, with what it adds to the load of its endpoint.
+    fn record_request(&mut self, to: AdmittedEndpoint, request: RequestInFlight, load: f64) {
+        let now = request.started_at;
+        let circuit = self.circuit_mut(to.scope);
+        circuit.in_flight.push_back(request);
+        circuit.last_sent = now;
+        self.endpoints.update_usage(&[to.endpoint], |usage| {
+            usage.requests_in_flight += 1;
+            usage.last_sent = now;
+            usage.recent_load.push_back(SentLoad { at: now, load });
+        });
+    }
+
+    /// Commands to cancel every attempt that a request carries.
+    pub(super) fn cancel_request(&mut self, request: RequestId, host: &mut dyn PolicyHost) {
+        for (key, attempt) in self.in_flight.attempts_of_mut(request) {
+            attempt.cancelled = true;
+            host.cancel(&key.message, key.number);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/restore.rs
@@ -0,0 +1,62 @@
+//! Messages from before a start of the program.
+
+use std::time::Duration;
+
+use super::pacing::APPROXIMATE_RATE_MARGIN;
+use super::{seconds, DeliveryPolicy};
+use crate::interface::{DestinationId, MessageId, PolicyHost, PreviousAttempt};
+use crate::state::PossibleExecution;
+
+impl DeliveryPolicy {
+    /// The host itself has submitted again what it accepted before this start, with its attempts until then.
+    pub fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        previous: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
+        let Some(key) = self.messages.key_of(id) else { return };
+        let Some(message) = self.messages.get_mut(key) else { return };
+        message.attempts = previous.len() as u32;
+        let destination = message.destination;
+        // Accepted once, it is no late newcomer: the nearer half of what it has left counts as its objective.
+        let objective_at = now + message.deadline.saturating_sub(now) / 2;
+        message.objective_at = message.objective_at.max(objective_at);
+        let unsure = previous.iter().filter(|attempt| !attempt.proves_not_executed);
+        message.possibly_executed = unsure
+            .map(|attempt| PossibleExecution { started_at: attempt.started_at, endpoint: attempt.endpoint })
+            .min_by_key(|attempt| attempt.started_at);
+        if message.possibly_executed.is_some() {
+            // It may be running still.
+            let until = now + self.parameters.ordering_hold_off;
+            self.ordering.hold_off(message.ordering_key, message.arrival, until);
+        }
+        self.requeue(key);
+        if self.is_exhausted(key, now) {
+            self.finish_undelivered(key, now, host);
+        }
+        if self.parameters.sparse_traffic {
+            self.pace_restored(destination, objective_at, now);
+        }
+    }
+
+    /// Symptom: many forwarders that start again at once send what each of them has pending in one wave, and what
+    /// they knew of limits is gone with the process. The circuits of these messages are treated as if they had
+    /// rejected a request; none is put off beyond the message's objective.
+    fn pace_restored(&mut self, destination: DestinationId, objective_at: Duration, now: Duration) {
+        let shares: Vec<_> = (self.endpoints.active(destination))
+            .map(|(id, endpoint)| (self.endpoints.scope_of(id, endpoint), self.fair_share(endpoint, now)))
+            .collect();
+        for (scope, fair_share) in shares {
+            let is_first = self.circuit_mut(scope).pacing_interval == 0.0;
+            let drawn = if is_first { self.random.draw() } else { 0.0 };
+            let circuit = self.circuit_mut(scope);
+            if is_first {
+                circuit.pacing_interval = APPROXIMATE_RATE_MARGIN / fair_share;
+                circuit.paced_until = now + seconds(drawn * circuit.pacing_interval);
+            }
+            circuit.paced_until = circuit.paced_until.min(objective_at);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/retry_budget.rs
@@ -0,0 +1,53 @@
+//! The retry budget of each endpoint: completions earn retries, retries spend them.
+
+use std::time::Duration;
+
+use super::{seconds, DeliveryPolicy};
+use crate::state::{Endpoint, EndpointUsage, Message};
+
+/// Retry tokens that an endpoint has before its first completion, from all forwarders together.
+const RETRY_BUDGET_INITIAL: f64 = 6.0;
+/// Most retry tokens that an endpoint has with one forwarder.
+const RETRY_BUDGET_MAX: f64 = 5.0;
+/// Retry tokens that one completion earns.
+const RETRY_BUDGET_PER_ANSWER: f64 = 0.25;
+
+/// The initial tokens of an endpoint with one of so many forwarders.
+pub(super) fn initial_retry_tokens(forwarders: f64) -> f64 {
+    (RETRY_BUDGET_INITIAL / forwarders).min(RETRY_BUDGET_MAX)
+}
+
+impl EndpointUsage {
+    /// A completion earns a part of a retry.
+    pub(super) fn earn_retry_tokens(&mut self, initial: f64) {
+        let tokens = self.retry_tokens.unwrap_or(initial);
+        self.retry_tokens = Some((tokens + RETRY_BUDGET_PER_ANSWER).min(RETRY_BUDGET_MAX));
+    }
+
+    /// A retry has been sent.
+    pub(super) fn spend_retry_token(&mut self, initial: f64) {
+        let tokens = self.retry_tokens.unwrap_or(initial);
+        self.retry_tokens = Some((tokens - 1.0).max(0.0));
+    }
+}
+
+impl DeliveryPolicy {
+    /// A retry goes where completions have earned it, or where nothing was sent for a while. What was rejected
+    /// may also go by the pacing alone; where forwarders are few, after a usual gap.
+    pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
+        let usage = endpoint.usage();
+        if message.attempts == 0 || usage.retry_tokens.unwrap_or(self.parameters.initial_retry_tokens) >= 1.0
+        {
+            return true;
+        }
+        let usual = self.baseline_rate(endpoint, now).max(0.01);
+        let latency_objective = self.parameters.classes[message.class].latency_objective;
+        let idle = now.saturating_sub(usage.last_sent);
+        if message.possibly_executed.is_some() {
+            return idle >= self.parameters.recovery_delay;
+        }
+        usual * latency_objective.as_secs_f64() >= 1.0
+            || self.parameters.sparse_traffic
+            || idle >= seconds(1.0 / usual)
+    }
+}
--- /dev/null
+++ b/src/policy/scheduling.rs
@@ -0,0 +1,109 @@
+//! Which destination the next request goes to. Requests in flight are few, so that destinations compete for them.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+use std::time::Duration;
+
+use super::DeliveryPolicy;
+use crate::interface::{DestinationId, PolicyHost};
+use crate::queue::QueueClass;
+use crate::state::NextWake;
+
+/// Part of its latency objective from which a destination's wait weighs against its requests in flight. Symptom:
+/// slots are short, and a long queue gets no more than any other. A slow destination does not get all, and others
+/// fill their batches meanwhile.
+const MIN_RELATIVE_WAIT: f64 = 0.1;
+/// The least latency objective, in seconds, that waits are compared with.
+const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
+
+/// Orders destinations for the next request: the least goes first. Compared in the order of the fields.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SchedulingKey {
+    /// Requests in flight after this one, weighed by how slow they are, for each part of an objective waited.
+    load_per_wait: u64,
+    /// The number of the destination's last request: the one that was served least lately goes first.
+    last_request: u64,
+    destination: DestinationId,
+}
+
+impl DeliveryPolicy {
+    /// Decides all that can be decided now. To be called once everything known at this time has been reported.
+    pub fn run_due_work(&mut self, now: Duration, host: &mut dyn PolicyHost) {
+        let mut wake = NextWake::default();
+        if self.polls.take_due(now) {
+            host.subscribe(true);
+        }
+        wake.no_later_than(self.polls.next_poll());
+        self.queue.wake_due(now);
+        for destination in self.queue.awake().clone() {
+            self.forget_stale_records(destination, now);
+        }
+        self.evict_lowest_priority(now, host);
+        self.remove_expired(now);
+        self.schedule_requests(now, host, &mut wake);
+        self.expire_messages(now, host, &mut wake);
+        if self.all_slots_taken() {
+            self.cancel_straggler(now, host, &mut wake);
+        }
+        if let Some(after) = wake.time().and_then(|at| self.timer.request(at, now)) {
+            host.set_timer(after);
+        }
+    }
+
+    /// Whether as many requests are in flight as may be.
+    fn all_slots_taken(&self) -> bool {
+        self.in_flight.request_count() >= self.parameters.max_in_flight
+    }
+
+    /// Starts requests as long as there are slots, each for the destination with the least key.
+    fn schedule_requests(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
+        if self.all_slots_taken() {
+            return;
+        }
+        let awake = self.queue.awake().iter();
+        let relative_waits: BTreeMap<_, _> = awake.map(|d| (*d, self.relative_wait(*d, now))).collect();
+        let mut candidates: BinaryHeap<_> =
+            relative_waits.iter().map(|(d, wait)| Reverse(self.scheduling_key(*d, *wait))).collect();
+        let mut next_admission = NextWake::default();
+        next_admission.no_later_than(self.queue.next_wake());
+        while !self.all_slots_taken() {
+            let Some(Reverse(SchedulingKey { destination, .. })) = candidates.pop() else {
+                // Nothing more can go until one of the waits ends.
+                wake.no_later_than(next_admission.time());
+                return;
+            };
+            if self.schedule_request(destination, now, host, &mut next_admission)
+                && self.queue.line(destination).is_some()
+            {
+                candidates.push(Reverse(self.scheduling_key(destination, relative_waits[&destination])));
+            }
+        }
+    }
+
+    /// Slots are few, and a slow request holds one for as long as several others would.
+    fn scheduling_key(&self, destination: DestinationId, relative_wait: f64) -> SchedulingKey {
+        let slowness = self.circuits_of(destination).map(|circuit| self.slowness(Some(circuit)));
+        let slowness = slowness.reduce(f64::min).unwrap_or(1.0);
+        let requests = (self.endpoints.requests_in_flight(destination) + 1) as f64;
+        let traffic = self.endpoints.destination(destination).map(|known| known.traffic());
+        SchedulingKey {
+            load_per_wait: (requests * slowness / relative_wait) as u64,
+            last_request: traffic.map_or(0, |traffic| traffic.last_request()),
+            destination,
+        }
+    }
+
+    /// How long a destination's oldest message that may still meet its latency objective has waited, as a part
+    /// of the objective.
+    fn relative_wait(&self, destination: DestinationId, now: Duration) -> f64 {
+        let objective = |class: &QueueClass| {
+            let objective = self.parameters.classes[class.priority.class].latency_objective;
+            objective.as_secs_f64().max(MIN_OBJECTIVE_SECONDS)
+        };
+        let passed = |(class, objective_at): (&QueueClass, Duration)| {
+            1.0 - objective_at.saturating_sub(now).as_secs_f64() / objective(class)
+        };
+        let next = self.queue.line(destination).into_iter().flat_map(|queue| queue.next_promises(now));
+        next.map(passed).filter(|passed| *passed < 1.0).fold(MIN_RELATIVE_WAIT, f64::max)
+    }
+}
--- /dev/null
+++ b/src/policy/slow_start.rs
@@ -0,0 +1,74 @@
+//! Slow start: what a destination that comes back from an outage may be sent while it warms up.
+
+use std::time::Duration;
+
+use super::capacity_share::MIN_DESTINATION_CAPACITY;
+use super::{seconds, DeliveryPolicy};
+use crate::state::{CircuitScope, Endpoint};
+
+/// What may be sent, against the budget read from usual traffic. Over 1, as a destination is built for more
+/// than its usual traffic. Measured at 0.75, 1.1 and 1.5: faster recoveries each time, no rule broken by it.
+const SLOW_START_BASELINE_MULTIPLE: f64 = 1.5;
+/// Load of one more message within a request, against that of a request with one.
+pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
+
+impl DeliveryPolicy {
+    /// The load, in requests with one message, that may go to the endpoint now; otherwise when some may go.
+    ///
+    /// Guard for rule 4. Symptom: an endpoint that failed requests, or rejected all, may be on its way back, and
+    /// cold. Also covers one that fails on part of its requests. It can harm one that was never cold, by pacing
+    /// it for some seconds after a timeout.
+    pub(super) fn slow_start_budget(
+        &self,
+        scope: CircuitScope,
+        endpoint: &Endpoint,
+        now: Duration,
+    ) -> Result<f64, Duration> {
+        let Some(last_fault) = endpoint.usage().last_fault else { return Ok(f64::MAX) };
+        let parameters = &self.parameters;
+        // What has not answered many forwarders may still be down, and sooner requests of each would overload it.
+        let answered = self.circuits.get(scope).is_some_and(|circuit| circuit.last_answer >= last_fault);
+        let down = if answered || !parameters.sparse_traffic {
+            Duration::ZERO
+        } else {
+            parameters.slow_start_duration
+        };
+        // Measured to the middle of the span that the budget is counted over.
+        let warmed = now.saturating_sub(last_fault + down + parameters.overload_window / 2).as_secs_f64();
+        let share = parameters.slow_start_floor
+            + (1.0 - parameters.slow_start_floor) * warmed
+                / parameters.slow_start_duration.as_secs_f64().max(0.001);
+        if share >= 1.0 {
+            return Ok(f64::MAX);
+        }
+        let usual = self.baseline_rate(endpoint, now);
+        let per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * usual;
+        // One forwarder's share is few requests in each span, so that they are paced and not counted.
+        let last = endpoint.usage().recent_load.back();
+        let next = last.map(|sent| sent.at + seconds(sent.load / per_second.max(0.01)));
+        let budget = (per_second * parameters.overload_window.as_secs_f64()).max(1.0);
+        next.filter(|at| now < *at).map_or(Ok(budget), Err)
+    }
+
+    /// How many messages a request may carry within the slow start budget; 1 where it is used up.
+    pub(super) fn slow_start_batch(&self, scope: CircuitScope, endpoint: &Endpoint, now: Duration) -> usize {
+        let budget = self.slow_start_budget(scope, endpoint, now).unwrap_or(1.0);
+        (1.0 + (budget - 1.0) / LOAD_PER_EXTRA_MESSAGE) as usize
+    }
+
+    /// The design's delay for a circuit. Every forwarder sends a trial of its own, and the first ones after a
+    /// recovery all meet a cold destination: with many forwarders or a small destination they come less often.
+    pub(super) fn recovery_delay(&self, endpoint: &Endpoint, now: Duration) -> Duration {
+        let parameters = &self.parameters;
+        let share = self.baseline_rate(endpoint, now).max(MIN_DESTINATION_CAPACITY / parameters.forwarders);
+        let trials = parameters.overload_multiple
+            * parameters.slow_start_floor
+            * share
+            * parameters.overload_window.as_secs_f64();
+        if trials >= 1.0 {
+            return parameters.recovery_delay;
+        }
+        let delay = seconds(parameters.overload_window.as_secs_f64() / trials);
+        parameters.recovery_delay.max(delay.min(2 * parameters.slow_start_duration))
+    }
+}
--- /dev/null
+++ b/src/policy/stragglers.rs
@@ -0,0 +1,90 @@
+//! Stragglers: requests that are overdue while others could use their slots.
+
+use std::time::Duration;
+
+use super::admission::Admission;
+use super::timeouts::patience;
+use super::{seconds, DeliveryPolicy};
+use crate::interface::{PolicyHost, RequestId};
+use crate::state::{Attempt, CircuitBreaker, NextWake};
+
+/// A circuit is silent when no answer came for so many mean response times, and for so many more divided by the
+/// requests in flight.
+const STRAGGLER_MEANS: f64 = 1.5;
+const STRAGGLER_SHARED_MEANS: f64 = 4.0;
+
+/// The attempt that is overdue most.
+struct Straggler {
+    /// How long it has taken against what is allowed.
+    overdue_ratio: f64,
+    request: RequestId,
+}
+
+impl DeliveryPolicy {
+    /// How long no answer may come before the circuit counts as silent: the more requests are in flight, the
+    /// sooner.
+    pub(super) fn straggler_after(&self, circuit: &CircuitBreaker) -> Duration {
+        let mean = circuit
+            .mean_latency
+            .or(self.response_times.mean_latency)
+            .unwrap_or(self.parameters.recovery_delay.as_secs_f64() / 2.0);
+        let sharing = circuit.in_flight.len().max(1) as f64;
+        seconds(mean * (STRAGGLER_MEANS + STRAGGLER_SHARED_MEANS / sharing))
+            .max(self.parameters.recovery_delay / 4)
+    }
+
+    /// Cancels the request that is overdue most, if any is; otherwise wakes when the first will be.
+    ///
+    /// Symptom: every slot is taken, some by requests to silent endpoints, while others could send. The request
+    /// that is overdue most is cancelled, the sooner as it may be executed again elsewhere. Covers hanging,
+    /// silent and very slow destinations; it can harm by repeating work that would still have been answered.
+    pub(super) fn cancel_straggler(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
+        let answered_at = self.newest_awaited_answer(now);
+        let mut worst: Option<Straggler> = None;
+        let attempts = self.in_flight.attempts().map(|(_, attempt)| attempt);
+        for attempt in attempts.filter(|a| !a.cancelled && a.started_at < answered_at) {
+            let Some(allowed) = self.allowed_time(attempt) else { continue };
+            let taken = now.saturating_sub(attempt.started_at);
+            let overdue_ratio = taken.as_secs_f64() / allowed.as_secs_f64();
+            if overdue_ratio < 1.0 {
+                wake.no_later_than(Some(attempt.started_at + allowed));
+            } else if worst.as_ref().is_none_or(|worst| overdue_ratio > worst.overdue_ratio) {
+                worst = Some(Straggler { overdue_ratio, request: attempt.request });
+            }
+        }
+        if let Some(worst) = worst {
+            self.cancel_request(worst.request, host);
+        }
+    }
+
+    /// The newest answer of a circuit that a message waits for, or of any where that circuit has not answered
+    /// lately; where all are slow alike, no request is a straggler.
+    fn newest_awaited_answer(&self, now: Duration) -> Duration {
+        let mut newest = Duration::ZERO;
+        for destination in self.queue.awake() {
+            for (id, endpoint) in self.endpoints.active(*destination) {
+                let scope = self.endpoints.scope_of(id, endpoint);
+                if self.admit(scope, endpoint, now) != Admission::Admit {
+                    continue;
+                }
+                let own = self.circuits.get(scope).map_or(Duration::ZERO, |circuit| circuit.last_answer);
+                let is_recent =
+                    own > Duration::ZERO && now.saturating_sub(own) < self.parameters.failure_window;
+                newest = newest.max(if is_recent { own } else { self.response_times.last_answer });
+            }
+        }
+        newest
+    }
+
+    /// How long an attempt may take before it is a straggler; none if its circuit has answered since, or its
+    /// message is finished.
+    fn allowed_time(&self, attempt: &Attempt) -> Option<Duration> {
+        let circuit = self.circuits.get(attempt.scope)?;
+        if circuit.last_answer > attempt.started_at {
+            return None;
+        }
+        let message = self.messages.get(attempt.message)?;
+        // To cancel a non-idempotent one loses it, so that it may take longer.
+        Some(self.straggler_after(circuit).mul_f64(patience(self.idempotency(message))))
+    }
+}
--- /dev/null
+++ b/src/state/destination.rs
@@ -0,0 +1,98 @@
+//! One destination: its listed endpoints and the traffic submitted for it.
+
+use std::time::Duration;
+
+use smallvec::SmallVec;
+
+use crate::interface::EndpointId;
+
+/// What is listed for one destination, and what was submitted for it.
+#[derive(Default)]
+pub(crate) struct Destination {
+    /// In ascending order.
+    endpoints: SmallVec<[EndpointId; 2]>,
+    traffic: Option<Box<Traffic>>,
+}
+
+/// What was submitted for one destination.
+#[derive(Default)]
+pub(crate) struct Traffic {
+    arrivals: u64,
+    /// Arrivals, each counted less as it recedes, as of `recent_at`.
+    recent_arrivals: f64,
+    recent_at: Duration,
+    first_seen: Duration,
+    /// The number of the last request that went to the destination.
+    last_request: u64,
+}
+
+static NO_TRAFFIC: Traffic = Traffic {
+    arrivals: 0,
+    recent_arrivals: 0.0,
+    recent_at: Duration::ZERO,
+    first_seen: Duration::ZERO,
+    last_request: 0,
+};
+
+impl Destination {
+    pub(crate) fn endpoints(&self) -> &SmallVec<[EndpointId; 2]> {
+        &self.endpoints
+    }
+
+    pub(crate) fn traffic(&self) -> &Traffic {
+        self.traffic.as_deref().unwrap_or(&NO_TRAFFIC)
+    }
+
+    pub(crate) fn traffic_mut(&mut self) -> &mut Traffic {
+        self.traffic.get_or_insert_default()
+    }
+
+    pub(super) fn add(&mut self, endpoint: EndpointId) {
+        if let Err(at) = self.endpoints.binary_search(&endpoint) {
+            self.endpoints.insert(at, endpoint);
+        }
+    }
+
+    pub(super) fn remove(&mut self, endpoint: EndpointId) {
+        if let Ok(at) = self.endpoints.binary_search(&endpoint) {
+            self.endpoints.remove(at);
+        }
+    }
+}
+
+impl Traffic {
+    /// Messages submitted so far.
+    pub(crate) fn arrivals(&self) -> u64 {
+        self.arrivals
+    }
+
+    /// When the first message was submitted.
+    pub(crate) fn first_seen(&self) -> Duration {
+        self.first_seen
+    }
+
+    /// The number of the last request that went to the destination; 0 if none did.
+    pub(crate) fn last_request(&self) -> u64 {
+        self.last_request
+    }
+
+    pub(crate) fn record_request(&mut self, number: u64) {
+        self.last_request = number;
+    }
+
+    /// Counts a message that was submitted now; older ones fade over the span.
+    pub(crate) fn record_arrival(&mut self, now: Duration, span: Duration) {
+        if self.arrivals == 0 {
+            self.first_seen = now;
+        }
+        self.arrivals += 1;
+        self.recent_arrivals = self.recent_arrivals(now, span) + 1.0;
+        self.recent_at = now;
+    }
+
+    /// Arrivals within about this span before now.
+    pub(crate) fn recent_arrivals(&self, now: Duration, span: Duration) -> f64 {
+        let spans = now.saturating_sub(self.recent_at).as_secs_f64() / span.as_secs_f64().max(0.001);
+        self.recent_arrivals * (-spans).exp()
+    }
+}
--- /dev/null
+++ b/src/state/mod.rs
@@ -0,0 +1,38 @@
+//! The plain state of the delivery policy: records and tables, each with the operations that keep it
+//! consistent. Nothing is decided here and no module here imports one of those that decide
+//! ([`policy`](crate::policy)).
+
+mod attempt;
+mod circuit;
+mod destination;
+mod endpoint;
+mod endpoint_directory;
+mod in_flight;
+mod message;
+mod message_table;
+mod next_wake;
+mod ordering;
+mod parameters;
+mod poll_schedule;
+mod removed_endpoints;
+mod response_times;
+mod sequence;
+mod tenants;
+mod timer;
+mod zones;
+
+pub(crate) use attempt::{AdmittedEndpoint, Attempt, AttemptKey};
+pub(crate) use circuit::{CircuitBreaker, CircuitScope, CircuitState, CircuitTable, RequestInFlight};
+pub(crate) use endpoint::{Endpoint, EndpointUsage, SentLoad};
+pub(crate) use endpoint_directory::EndpointDirectory;
+pub(crate) use in_flight::InFlight;
+pub(crate) use message::{Message, MessageTimes, PossibleExecution, QueueEntry};
+pub(crate) use message_table::MessageTable;
+pub(crate) use next_wake::NextWake;
+pub(crate) use ordering::OrderingQueues;
+pub(crate) use parameters::{ClassParameters, KindParameters, PolicyParameters, TenantParameters};
+pub(crate) use poll_schedule::PollSchedule;
+pub(crate) use response_times::ResponseTimes;
+pub(crate) use sequence::Sequence;
+pub(crate) use tenants::TenantAccounts;
+pub(crate) use timer::{PolicyTimer, MIN_TIMER};
