--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use super::slow_start::SlowStartBudget;
 use super::{seconds, DeliveryPolicy};
 use crate::interface::DestinationId;
 use crate::state::{AdmittedEndpoint, CircuitBreaker, CircuitScope, Endpoint, NextWake};
@@ -72,8 +73,8 @@
             return Admission::Paced(None);
         }
         match self.slow_start_budget(scope, endpoint, now) {
-            Ok(_) => Admission::Admit,
-            Err(at) => Admission::Paced(Some(at)),
+            SlowStartBudget::Load(_) => Admission::Admit,
+            SlowStartBudget::UsedUpUntil(at) => Admission::Paced(Some(at)),
         }
     }
 
@@ -85,8 +86,9 @@
         // Symptom: requests are rejected as over a limit, which rejected requests, trials too, may use up as
         // well. Also covers full queues. It can harm by staying slow for some answers after a limit was met only
         // once.
-        let after_last = circuit.last_sent + seconds(circuit.pacing_interval);
-        let paced_until = if self.parameters.sparse_traffic { circuit.paced_until } else { after_last };
+        let after_last = circuit.last_sent + seconds(circuit.pacing.interval);
+        let paced_until =
+            if self.parameters.sparse_traffic { circuit.pacing.put_off_until } else { after_last };
         let admission = circuit.admission(now);
         if !matches!(admission, Admission::Wait(_)) && now < paced_until {
             return Admission::Wait(Some(paced_until));
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -7,7 +7,7 @@
 use super::DeliveryPolicy;
 use crate::interface::{EndpointId, EndpointState, Idempotency, KeyScope};
 use crate::messages::MessageKey;
-use crate::state::{CircuitBreaker, Endpoint, Message};
+use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, Message};
 
 /// Failures in a row beyond which an endpoint is not avoided more.
 const MAX_COUNTED_FAILURES: u32 = 3;
@@ -30,30 +30,15 @@
 }
 
 impl DeliveryPolicy {
-    /// Those of some endpoints that a message may go to.
-    pub(super) fn able_endpoints(
-        &self,
-        key: MessageKey,
-        endpoints: &[EndpointId],
-        now: Duration,
-    ) -> Vec<EndpointId> {
-        let may = |id: &&EndpointId| self.may_attempt(&self.messages[key], **id, &self.endpoints[**id], now);
-        endpoints.iter().filter(may).copied().collect()
-    }
-
     /// Whether this message may go to that endpoint at all, by the rules and by the retry budget.
-    pub(super) fn may_attempt(
-        &self,
-        message: &Message,
-        id: EndpointId,
-        endpoint: &Endpoint,
-        now: Duration,
-    ) -> bool {
+    pub(super) fn may_attempt(&self, key: MessageKey, to: &AdmittedEndpoint, now: Duration) -> bool {
+        let message = &self.messages[key];
+        let endpoint = &self.endpoints[to.endpoint];
         if endpoint.state != EndpointState::Active || endpoint.destination != message.destination {
             return false;
         }
-        if self.misses_idempotency_key(message, id, endpoint)
-            || now >= self.start_by(message, self.endpoints.scope_of(id, endpoint))
+        if self.misses_idempotency_key(message, to.endpoint, endpoint)
+            || now >= self.start_by(message, to.scope)
         {
             return false;
         }
@@ -99,9 +84,9 @@
     ///
     /// Symptom: one endpoint of a destination fails, or fails one class, while what else answers keeps the
     /// circuit closed. It can harm by resting an endpoint for a request that was lost alone.
-    pub(super) fn leave_out_failing(&self, able: &mut Vec<EndpointId>, class: usize, now: Duration) {
-        let rested = |id: &EndpointId| {
-            let endpoint = &self.endpoints[*id];
+    pub(super) fn leave_out_failing(&self, able: &mut Vec<AdmittedEndpoint>, class: usize, now: Duration) {
+        let rested = |able: &AdmittedEndpoint| {
+            let endpoint = &self.endpoints[able.endpoint];
             let delays = endpoint.consecutive_failures(class).min(MAX_REST_DELAYS);
             now >= endpoint.usage().last_sent + self.parameters.recovery_delay * delays
         };
@@ -112,25 +97,32 @@
 
     /// Of two drawn at random, and those with an idle connection, the one that the forwarder's own counts
     /// favour: without failures, not twice as slow, then by price.
-    pub(super) fn choose_endpoint(&mut self, able: &[EndpointId], class: usize, now: Duration) -> EndpointId {
+    pub(super) fn choose_endpoint(
+        &mut self,
+        able: &[AdmittedEndpoint],
+        class: usize,
+        now: Duration,
+    ) -> AdmittedEndpoint {
         // Departure from the design: where endpoints with circuits of their own have listed rates, they are drawn
         // by these, as nothing else shows a forwarder that sees little of each that one takes a third of what its
         // neighbour takes.
-        let rate = |endpoint: &Endpoint| {
+        let rate = |able: &AdmittedEndpoint| {
+            let endpoint = &self.endpoints[able.endpoint];
             self.listed_rate(endpoint).filter(|_| self.endpoints.has_own_circuit(endpoint)).unwrap_or(1.0)
         };
-        let rated: Vec<_> = able.iter().map(|id| (*id, rate(&self.endpoints[*id]))).collect();
+        let rated: Vec<_> = able.iter().map(|able| (*able, rate(able))).collect();
         let random = self.random.general();
-        let mut draw = || rated.choose_weighted(random, |(_, rate)| *rate).map_or(able[0], |(id, _)| *id);
+        let mut draw = || rated.choose_weighted(random, |(_, rate)| *rate).map_or(able[0], |(able, _)| *able);
         let drawn = [draw(), draw()];
-        let connected = able.iter().copied().filter(|id| self.has_idle_connection(&self.endpoints[*id], now));
-        let candidates = drawn.into_iter().chain(connected);
-        candidates.min_by_key(|id| self.burden(*id, class, now)).unwrap_or(able[0])
+        let is_connected =
+            |able: &AdmittedEndpoint| self.has_idle_connection(&self.endpoints[able.endpoint], now);
+        let candidates = drawn.into_iter().chain(able.iter().copied().filter(is_connected));
+        candidates.min_by_key(|able| self.burden(able, class, now)).unwrap_or(able[0])
     }
 
-    fn burden(&self, id: EndpointId, class: usize, now: Duration) -> EndpointBurden {
-        let endpoint = &self.endpoints[id];
-        let circuit = self.circuits.get(self.endpoints.scope_of(id, endpoint));
+    fn burden(&self, able: &AdmittedEndpoint, class: usize, now: Duration) -> EndpointBurden {
+        let endpoint = &self.endpoints[able.endpoint];
+        let circuit = self.circuits.get(able.scope);
         EndpointBurden {
             consecutive_failures: endpoint.consecutive_failures(class).min(MAX_COUNTED_FAILURES),
             slowness: self.slowness(circuit).log2() as u64,
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -4,7 +4,7 @@
 
 use super::DeliveryPolicy;
 use crate::interface::{AttemptNumber, AttemptOutcome, MessageId, PolicyHost};
-use crate::state::{Attempt, AttemptKey, Endpoint, PossibleExecution};
+use crate::state::{Attempt, AttemptKey, EndedAttempt, Endpoint, PossibleExecution};
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
@@ -23,7 +23,7 @@
         host: &mut dyn PolicyHost,
     ) {
         let key = AttemptKey { message: id.clone(), number };
-        let Some((attempt, request_ended)) = self.end_attempt(&key) else { return };
+        let Some(EndedAttempt { attempt, request_ended }) = self.end_attempt(&key) else { return };
         if let Some(endpoint) = self.endpoints.get(attempt.endpoint) {
             self.forget_stale_records(endpoint.destination, now);
         }
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Takes an ended attempt out of all records of what is in flight; says whether its request ended with it.
-    fn end_attempt(&mut self, key: &AttemptKey) -> Option<(Attempt, bool)> {
+    /// Takes an ended attempt out of all records of what is in flight.
+    fn end_attempt(&mut self, key: &AttemptKey) -> Option<EndedAttempt> {
         let ended = self.in_flight.end_attempt(key)?;
-        let attempt = ended.attempt;
+        let attempt = &ended.attempt;
         if let Some(message) = self.messages.get_mut(attempt.message) {
             message.in_flight.remove(&key.number);
         }
@@ -70,7 +70,7 @@
             }
             circuit.trial.take_if(|trial| trial == key);
         }
-        Some((attempt, ended.request_ended))
+        Some(ended)
     }
 
     /// Counts an answer with an error for the message; says whether the message, and not the endpoint, is to
@@ -146,7 +146,7 @@
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         let recovered = !circuit.is_closed();
         circuit.record_success(now);
-        circuit.shrink_pacing(parameters.sparse_traffic);
+        circuit.pacing.shrink(circuit.limit_left, parameters.sparse_traffic);
         circuit.consecutive_timeouts = 0;
         circuit.last_retry_after /= 2;
         circuit.last_answer = now;
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{seconds, DeliveryPolicy};
-use crate::state::{CircuitBreaker, CircuitScope, Endpoint, MIN_TIMER};
+use crate::state::{CircuitScope, Endpoint, Pacing, MIN_TIMER};
 
 /// The pacing interval grows by this factor with each rejection and shrinks with each answer.
 pub(super) const PACING_GROWTH: f64 = 1.6;
@@ -59,11 +59,12 @@
     }
 }
 
-impl CircuitBreaker {
-    /// An attempt was completed: requests may follow each other sooner.
-    pub(super) fn shrink_pacing(&mut self, sparse_traffic: bool) {
+impl Pacing {
+    /// An attempt was completed: requests may follow each other sooner. `limit_left` is the share of a rate limit
+    /// that is left, where it is known.
+    pub(super) fn shrink(&mut self, limit_left: Option<f64>, sparse_traffic: bool) {
         let shrink = if sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
         // What rejected requests use up as well needs fewer of them; what has capacity left needs no pacing.
-        self.pacing_interval *= self.limit_left.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
+        self.interval *= limit_left.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
     }
 }
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -6,7 +6,7 @@
 use super::pacing::{APPROXIMATE_RATE_MARGIN, PACING_GROWTH};
 use super::{seconds, DeliveryPolicy};
 use crate::interface::EndpointId;
-use crate::state::{Attempt, CircuitBreaker, PolicyParameters};
+use crate::state::{Attempt, CircuitBreaker, Pacing, PolicyParameters};
 
 /// Growth of the pacing interval for rejections that no limit explains: a full queue, or what is down and will
 /// come back cold.
@@ -47,20 +47,20 @@
         let wait = retry_after.unwrap_or(circuit.last_retry_after);
         let limit_used_up = circuit.limit_is_used_up();
         // Requests in flight together that are rejected together count once.
-        let follows_last_change = attempt.started_at >= circuit.pacing_changed_at;
+        let follows_last_change = attempt.started_at >= circuit.pacing.changed_at;
         if parameters.sparse_traffic && follows_last_change {
             // Symptom: many forwarders are rejected at about the same time, or have Retry-After waits that end
             // together, and all send again at once, over the limit again. Each is put off by chance.
-            circuit.widen_sparse_pacing(load.fair_share, limit_used_up, parameters);
+            circuit.pacing.widen_sparse(load.fair_share, limit_used_up, parameters);
             let jitter = self.random.draw_jitter();
-            circuit.paced_until = now + wait + seconds(jitter * circuit.pacing_interval);
-            circuit.pacing_changed_at = now;
+            circuit.pacing.put_off_until = now + wait + seconds(jitter * circuit.pacing.interval);
+            circuit.pacing.changed_at = now;
         }
         // A short wait comes from a limit, which is no outage: there is capacity at its end.
         let is_limited = parameters.sparse_traffic
             && (limit_used_up || !wait.is_zero())
             && wait < parameters.overload_window;
-        let paced_for = circuit.paced_until.saturating_sub(now);
+        let paced_for = circuit.pacing.put_off_until.saturating_sub(now);
         circuit.record_failure(now, if is_limited { paced_for } else { load.recovery_delay }, parameters);
         let all_faulty = circuit.is_shut_by_rejection(now, retry_after, parameters);
         if retry_after.is_none() {
@@ -68,8 +68,8 @@
             // requests use up its limit, each early request makes the wait longer for all.
             circuit.retry_after_until = circuit.retry_after_until.max(now + circuit.last_retry_after);
             if !parameters.sparse_traffic && follows_last_change {
-                circuit.widen_pacing(&load, parameters);
-                circuit.pacing_changed_at = now;
+                circuit.pacing.widen(&load, parameters);
+                circuit.pacing.changed_at = now;
             }
         }
         if all_faulty {
@@ -115,9 +115,11 @@
         let rejects_all = !self.is_closed() && silent;
         retry_after.map_or(rejects_all, |wait| wait >= parameters.overload_window)
     }
+}
 
-    /// Widens the pacing interval where a forwarder sees little of the destination.
-    fn widen_sparse_pacing(&mut self, fair_share: f64, limit_used_up: bool, parameters: &PolicyParameters) {
+impl Pacing {
+    /// Widens the interval where a forwarder sees little of the destination.
+    fn widen_sparse(&mut self, fair_share: f64, limit_used_up: bool, parameters: &PolicyParameters) {
         let first = parameters.listed_rate_margin.unwrap_or(APPROXIMATE_RATE_MARGIN) / fair_share;
         // Where responses report that there is capacity again, no rejection need be the last word on it.
         let (longest_first, growth) = if !parameters.responses_carry_load_reports {
@@ -127,14 +129,14 @@
         } else {
             (parameters.recovery_delay, UNEXPLAINED_REJECTION_GROWTH)
         };
-        let wider = (self.pacing_interval * growth).max(first.min(longest_first.as_secs_f64()));
+        let wider = (self.interval * growth).max(first.min(longest_first.as_secs_f64()));
         // Longer than a message lasts it would be no pacing but an end.
-        self.pacing_interval =
+        self.interval =
             wider.min(MAX_PACING_GAPS / fair_share).min(parameters.longest_deadline.as_secs_f64() / 2.0);
     }
 
-    /// Widens the pacing interval where a forwarder's own requests show much of the destination.
-    fn widen_pacing(&mut self, load: &LoadAtRejection, parameters: &PolicyParameters) {
+    /// Widens the interval where a forwarder's own requests show much of the destination.
+    fn widen(&mut self, load: &LoadAtRejection, parameters: &PolicyParameters) {
         let recent_gap = if load.recent_requests > 1 {
             parameters.overload_window.as_secs_f64() / load.recent_requests as f64
         } else {
@@ -145,6 +147,6 @@
         // A destination takes at least half of what it is usually sent, in so many requests or in fewer, fuller
         // ones.
         let longest = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / usual_rate);
-        self.pacing_interval = (self.pacing_interval * PACING_GROWTH).max(first).min(longest);
+        self.interval = (self.interval * PACING_GROWTH).max(first).min(longest);
     }
 }
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -5,7 +5,7 @@
 use itertools::Itertools;
 
 use super::DeliveryPolicy;
-use crate::interface::{DestinationId, EndpointId, Idempotency, PolicyHost};
+use crate::interface::{DestinationId, Idempotency, PolicyHost};
 use crate::messages::MessageKey;
 use crate::queue::QueueSegment;
 use crate::state::{AdmittedEndpoint, NextWake};
@@ -39,15 +39,14 @@
 
 /// The endpoints that admit a request, apart by whether it would be a half-open trial.
 struct Candidates {
-    for_trial: Vec<EndpointId>,
-    for_others: Vec<EndpointId>,
+    for_trial: Vec<AdmittedEndpoint>,
+    for_others: Vec<AdmittedEndpoint>,
 }
 
-impl Candidates {
-    fn new(admitted: &[AdmittedEndpoint]) -> Candidates {
-        let (trials, others): (Vec<_>, Vec<_>) = admitted.iter().partition(|a| a.half_open_trial);
-        let ids = |admitted: Vec<AdmittedEndpoint>| admitted.iter().map(|a| a.endpoint).collect();
-        Candidates { for_trial: ids(trials), for_others: ids(others) }
+impl From<Vec<AdmittedEndpoint>> for Candidates {
+    fn from(admitted: Vec<AdmittedEndpoint>) -> Candidates {
+        let (for_trial, for_others) = admitted.into_iter().partition(|endpoint| endpoint.half_open_trial);
+        Candidates { for_trial, for_others }
     }
 }
 
@@ -71,14 +70,12 @@
             return false;
         }
         let class_order = self.draw_class_order();
-        let candidates = Candidates::new(&admitted.endpoints);
+        let candidates = Candidates::from(admitted.endpoints);
         let Some(lead) = self.lead_message(destination, &candidates, &class_order, now) else {
             next_admission.no_later_than(Some(now + self.parameters.recovery_delay / 4));
             return false;
         };
-        let endpoint = self.endpoint_for(lead, &candidates, now);
-        let chosen = admitted.endpoints.iter().find(|admitted| admitted.endpoint == endpoint);
-        let Some(chosen) = chosen.copied() else { return false };
+        let chosen = self.endpoint_for(lead, &candidates, now);
         let messages = self.fill_request(destination, lead, chosen, &class_order, now);
         self.start_request(messages, chosen, now, host);
         true
@@ -109,7 +106,7 @@
     ) -> Option<MessageKey> {
         let segments: Vec<QueueSegment> = self.queue.runs(destination, now).collect();
         let first =
-            |segment: &QueueSegment, to: &[EndpointId]| self.first_able(segment, class_order, to, now);
+            |segment: &QueueSegment, to: &[AdmittedEndpoint]| self.first_able(segment, class_order, to, now);
         // A trial may be lost, so that one goes with a message that may run again, if there is any.
         let repeatable = segments.iter().filter(|s| self.is_repeatable(s.queue_class.priority.class));
         let for_trial =
@@ -121,10 +118,12 @@
     }
 
     /// The endpoint that the lead message goes to. At least one of the candidates takes it.
-    fn endpoint_for(&mut self, lead: MessageKey, candidates: &Candidates, now: Duration) -> EndpointId {
+    fn endpoint_for(&mut self, lead: MessageKey, candidates: &Candidates, now: Duration) -> AdmittedEndpoint {
         let class = self.messages[lead].class;
-        let for_trial = self.able_endpoints(lead, &candidates.for_trial, now);
-        let for_others = self.able_endpoints(lead, &candidates.for_others, now);
+        let able = |to: &[AdmittedEndpoint]| -> Vec<AdmittedEndpoint> {
+            to.iter().filter(|to| self.may_attempt(lead, to, now)).copied().collect()
+        };
+        let (for_trial, for_others) = (able(&candidates.for_trial), able(&candidates.for_others));
         let trial = self.is_repeatable(class) && !for_trial.is_empty() || for_others.is_empty();
         let mut able = if trial { for_trial } else { for_others };
         self.leave_out_failing(&mut able, class, now);
@@ -149,8 +148,7 @@
         };
         let mut messages = vec![lead];
         if batch > 1 {
-            let may =
-                |key: &MessageKey| self.may_attempt(&self.messages[*key], chosen.endpoint, endpoint, now);
+            let may = |key: &MessageKey| self.may_attempt(*key, &chosen, now);
             let segments = self.queue.runs(destination, now);
             let ranked = segments.map(|segment| self.sendable(&segment, class_order, now)).kmerge();
             let others = ranked.map(|ranked| ranked.key).filter(|key| *key != lead);
@@ -196,11 +194,11 @@
         &self,
         segment: &QueueSegment,
         class_order: &[u64],
-        to: &[EndpointId],
+        to: &[AdmittedEndpoint],
         now: Duration,
     ) -> Option<RankedMessage> {
         let most = if segment.queue_class.possibly_executed { usize::MAX } else { 1 };
         let mut ranked = self.sendable(segment, class_order, now).take(most);
-        ranked.find(|ranked| !self.able_endpoints(ranked.key, to, now).is_empty())
+        ranked.find(|ranked| to.iter().any(|to| self.may_attempt(ranked.key, to, now)))
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -26,7 +26,8 @@
         }
         self.record_request(to, request, load);
         let circuit = self.circuit_mut(to.scope);
-        circuit.paced_until = circuit.paced_until.max(now + seconds(circuit.pacing_interval));
+        circuit.pacing.put_off_until =
+            circuit.pacing.put_off_until.max(now + seconds(circuit.pacing.interval));
     }
 
     /// The response timeout that all attempts of a request have at least. One that timed out alone and was sent
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -12,8 +12,22 @@
 /// Load of one more message within a request, against that of a request with one.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
 
+/// What an endpoint may be sent now.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum SlowStartBudget {
+    /// So much load, in requests with one message.
+    Load(f64),
+    /// Nothing before this time.
+    UsedUpUntil(Duration),
+}
+
+impl SlowStartBudget {
+    /// For an endpoint that is not warming up.
+    const UNLIMITED: SlowStartBudget = SlowStartBudget::Load(f64::MAX);
+}
+
 impl DeliveryPolicy {
-    /// The load, in requests with one message, that may go to the endpoint now; otherwise when some may go.
+    /// What may go to the endpoint now.
     ///
     /// Guard for rule 4. Symptom: an endpoint that failed requests, or rejected all, may be on its way back, and
     /// cold. Also covers one that fails on part of its requests. It can harm one that was never cold, by pacing
@@ -23,8 +37,8 @@
         scope: CircuitScope,
         endpoint: &Endpoint,
         now: Duration,
-    ) -> Result<f64, Duration> {
-        let Some(last_fault) = endpoint.usage().last_fault else { return Ok(f64::MAX) };
+    ) -> SlowStartBudget {
+        let Some(last_fault) = endpoint.usage().last_fault else { return SlowStartBudget::UNLIMITED };
         let parameters = &self.parameters;
         // What has not answered many forwarders may still be down, and sooner requests of each would overload it.
         let answered = self.circuits.get(scope).is_some_and(|circuit| circuit.last_answer >= last_fault);
@@ -39,7 +53,7 @@
             + (1.0 - parameters.slow_start_floor) * warmed
                 / parameters.slow_start_duration.as_secs_f64().max(0.001);
         if share >= 1.0 {
-            return Ok(f64::MAX);
+            return SlowStartBudget::UNLIMITED;
         }
         let usual = self.baseline_rate(endpoint, now);
         let per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * usual;
@@ -47,12 +61,18 @@
         let last = endpoint.usage().recent_load.back();
         let next = last.map(|sent| sent.at + seconds(sent.load / per_second.max(0.01)));
         let budget = (per_second * parameters.overload_window.as_secs_f64()).max(1.0);
-        next.filter(|at| now < *at).map_or(Ok(budget), Err)
+        match next {
+            Some(at) if now < at => SlowStartBudget::UsedUpUntil(at),
+            _ => SlowStartBudget::Load(budget),
+        }
     }
 
     /// How many messages a request may carry within the slow start budget; 1 where it is used up.
     pub(super) fn slow_start_batch(&self, scope: CircuitScope, endpoint: &Endpoint, now: Duration) -> usize {
-        let budget = self.slow_start_budget(scope, endpoint, now).unwrap_or(1.0);
+        let budget = match self.slow_start_budget(scope, endpoint, now) {
+            SlowStartBudget::Load(budget) => budget,
+            SlowStartBudget::UsedUpUntil(_) => 1.0,
+        };
         (1.0 + (budget - 1.0) / LOAD_PER_EXTRA_MESSAGE) as usize
     }
 
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,6 +1,6 @@
 //! Held messages, indexed by the questions that a turn asks: which may go next to a destination, which end next,
 //! which would earn least, and which destinations are worth asking again. The indices decide nothing: orders and
-//! thresholds stand in the modules of `src/policy`.
+//! thresholds stand in [`control`](crate::control).
 //!
 //! Each destination that holds messages has a [`DestinationQueue`]. The indices over all lines hold a few entries for each
 //! line and none for each message; a line that changes is marked stale, and its entries are renewed before they
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -36,6 +36,17 @@
     HalfOpen,
 }
 
+/// What rejections have shown of how far apart requests have to be.
+#[derive(Default)]
+pub(crate) struct Pacing {
+    /// Least seconds between two requests.
+    pub(crate) interval: f64,
+    /// The last time at which a rejection widened it.
+    pub(crate) changed_at: Duration,
+    /// Until when the next request is put off by chance after a rejection.
+    pub(crate) put_off_until: Duration,
+}
+
 /// The record of one circuit breaker, and what the guards around it remember. The decisions on it are in
 /// [`policy::circuit_breaker`](crate::policy).
 #[derive(Default)]
@@ -54,11 +65,7 @@
     pub(crate) retry_after_until: Duration,
     /// The last Retry-After received, halved with each later completion.
     pub(crate) last_retry_after: Duration,
-    /// Least seconds between two requests, learned from rejections.
-    pub(crate) pacing_interval: f64,
-    pub(crate) pacing_changed_at: Duration,
-    /// Until when the next request is put off by chance after a rejection.
-    pub(crate) paced_until: Duration,
+    pub(crate) pacing: Pacing,
     pub(crate) consecutive_timeouts: u32,
     pub(crate) last_sent: Duration,
     /// Requests in flight, in the order in which they were sent.
@@ -93,7 +100,7 @@
 
     /// The last time at which the record was used, or until which it holds requests back.
     pub(crate) fn used_until(&self) -> Duration {
-        let used = self.last_sent.max(self.changed_at).max(self.paced_until);
+        let used = self.last_sent.max(self.changed_at).max(self.pacing.put_off_until);
         used.max(self.retry_after_until).max(self.open_until.unwrap_or_default())
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -22,10 +22,10 @@
 mod zones;
 
 pub(crate) use attempt::{AdmittedEndpoint, Attempt, AttemptKey};
-pub(crate) use circuit::{CircuitBreaker, CircuitScope, CircuitState, CircuitTable, RequestInFlight};
+pub(crate) use circuit::{CircuitBreaker, CircuitScope, CircuitState, CircuitTable, Pacing, RequestInFlight};
 pub(crate) use endpoint::{Endpoint, EndpointUsage, SentLoad};
 pub(crate) use endpoint_directory::EndpointDirectory;
-pub(crate) use in_flight::InFlight;
+pub(crate) use in_flight::{EndedAttempt, InFlight};
 pub(crate) use message::{Message, MessageTimes, PossibleExecution, QueueEntry};
 pub(crate) use message_table::MessageTable;
 pub(crate) use next_wake::NextWake;
