--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -8,6 +8,8 @@
 
 /// Messages a second that the smallest destination is taken to be built for, where nothing else is known.
 pub(super) const MIN_DESTINATION_CAPACITY: f64 = 2.0;
+/// The least rate in messages or requests a second, so that gaps made from it stay finite.
+pub(super) const MIN_RATE: f64 = 0.01;
 /// The least share in requests a second, so that intervals made from it stay finite.
 const MIN_FAIR_SHARE: f64 = 0.001;
 /// The least span in seconds that a rate is counted over.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -14,7 +14,8 @@
 //! - `endpoint_selection`, `retry_budget`, `timeouts`: where it goes and how long it may take;
 //! - `outcomes`, `rejection`, `retry_after`, `stragglers`: what follows from how it ends;
 //! - `expiry`, `eviction`, `priority`: final answers without delivery;
-//! - `record_expiry`: what is forgotten.
+//! - `record_expiry`: what is forgotten;
+//! - `parameters`, `random`: what all of them are given.
 
 mod admission;
 mod capacity_share;
@@ -59,15 +60,22 @@
 pub struct DeliveryPolicy {
     parameters: PolicyParameters,
     random: RandomSources,
+    /// All messages without a final answer.
     messages: MessageTable,
     /// The messages that wait to be sent, by destination.
     queue: MessageQueue,
+    /// Attempts and requests without an outcome.
     in_flight: InFlight,
+    /// Endpoints and destinations, as the endpoint list names them.
     endpoints: EndpointDirectory,
+    /// Circuit breakers in use.
     circuits: CircuitTable,
+    /// Messages of ordered classes, by ordering key.
     ordering: OrderingQueues,
+    /// What tenants have left of their quotas.
     tenants: TenantAccounts,
     response_times: ResponseTimes,
+    /// When the endpoint list is polled again after a failure.
     polls: PollSchedule,
     /// Numbers messages and requests, in the order in which they came up.
     numbers: Sequence,
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -8,6 +8,8 @@
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
+/// After an attempt that was not sent, a circuit pauses for this part of the recovery delay.
+const NOT_SENT_PAUSE_PART: u32 = 4;
 /// At most one log line about circuits in this span.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -132,7 +134,7 @@
     /// Symptom: a message uses up its attempts in an instant, as each comes back without being sent: a slot or a
     /// connection that was given up still counts, or the write-ahead log fails. It can harm by a short pause.
     fn record_not_sent(&mut self, attempt: &Attempt, now: Duration) {
-        let pause = self.parameters.recovery_delay / 4;
+        let pause = self.parameters.recovery_delay / NOT_SENT_PAUSE_PART;
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         circuit.retry_after_until = circuit.retry_after_until.max(now + pause);
     }
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -11,6 +11,14 @@
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 /// The shortest latency objective where there is no class.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(2);
+/// How a cold destination is taken to behave where the settings do not say, and the least values that budgets are
+/// made with.
+const DEFAULT_SLOW_START_FLOOR: f64 = 0.2;
+const MIN_SLOW_START_FLOOR: f64 = 0.01;
+const DEFAULT_SLOW_START_DURATION: Duration = Duration::from_secs(10);
+const DEFAULT_OVERLOAD_MULTIPLE: f64 = 2.0;
+const MIN_OVERLOAD_MULTIPLE: f64 = 0.1;
+const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 /// The recovery delay is no shorter, whatever a class promises.
 const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(50);
 /// The failure window in recovery delays.
@@ -44,10 +52,12 @@
             max_retry_after: settings.max_retry_after,
             failure_window: recovery_delay * FAILURE_WINDOW_DELAYS,
             recovery_delay,
-            slow_start_floor: non_negative_or(settings.slow_start_floor, 0.2).clamp(0.01, 1.0),
-            slow_start_duration: settings.slow_start_duration.unwrap_or(Duration::from_secs(10)),
-            overload_multiple: non_negative_or(settings.overload_multiple, 2.0).max(0.1),
-            overload_window: settings.overload_window.unwrap_or(Duration::from_secs(2)),
+            slow_start_floor: non_negative_or(settings.slow_start_floor, DEFAULT_SLOW_START_FLOOR)
+                .clamp(MIN_SLOW_START_FLOOR, 1.0),
+            slow_start_duration: settings.slow_start_duration.unwrap_or(DEFAULT_SLOW_START_DURATION),
+            overload_multiple: non_negative_or(settings.overload_multiple, DEFAULT_OVERLOAD_MULTIPLE)
+                .max(MIN_OVERLOAD_MULTIPLE),
+            overload_window: settings.overload_window.unwrap_or(DEFAULT_OVERLOAD_WINDOW),
             ordering_hold_off: settings.ordering_hold_off.unwrap_or_default(),
             poll_interval_limit: settings.poll_interval_limit,
             listed_rate_margin: match settings.listed_weights {
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::capacity_share::MIN_DESTINATION_CAPACITY;
+use super::capacity_share::{MIN_DESTINATION_CAPACITY, MIN_RATE};
 use super::pacing::{APPROXIMATE_RATE_MARGIN, PACING_GROWTH};
 use super::{seconds, DeliveryPolicy};
 use crate::interface::EndpointId;
@@ -17,8 +17,6 @@
 const FIRST_GAP: f64 = 0.5;
 /// The longest pacing interval in a large fleet, in gaps between the requests that are one's share.
 const MAX_PACING_GAPS: f64 = 8.0;
-/// The least rate in requests a second, so that gaps made from it stay finite.
-const MIN_RATE: f64 = 0.01;
 
 /// What had been sent to a circuit when it rejected a request.
 struct LoadAtRejection {
@@ -62,7 +60,7 @@
             && wait < parameters.overload_window;
         let paced_for = circuit.pacing.put_off_until.saturating_sub(now);
         circuit.record_failure(now, if is_limited { paced_for } else { load.recovery_delay }, parameters);
-        let all_faulty = circuit.is_shut_by_rejection(now, retry_after, parameters);
+        let all_faulty = circuit.shows_outage(now, retry_after, parameters);
         if retry_after.is_none() {
             // Where some waits are received, the others are guessed from them: at a destination whose rejected
             // requests use up its limit, each early request makes the wait longer for all.
@@ -104,8 +102,8 @@
     }
 
     /// Whether a rejection shows an outage. A limit lets some requests through, or asks for a short wait; what
-    /// rejects all for long, or says so, is shut.
-    fn is_shut_by_rejection(
+    /// rejects all for long, or asks for a long wait, is down.
+    fn shows_outage(
         &self,
         now: Duration,
         retry_after: Option<Duration>,
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -10,6 +10,9 @@
 use crate::queue::QueueSegment;
 use crate::state::{AdmittedEndpoint, NextWake};
 
+/// A destination that admits requests but has no message that may go is asked again after this part of the
+/// recovery delay.
+const ASK_AGAIN_PART: u32 = 4;
 /// Classes with a priority weight below this are ordered as if they had it.
 const MIN_PRIORITY_WEIGHT: f64 = 0.001;
 /// Drawn places in the order of classes are compared in millionths.
@@ -51,8 +54,8 @@
 }
 
 impl DeliveryPolicy {
-    /// Starts one request to the destination, if any message may go; says whether one went. When none went,
-    /// `next_admission` is told when to ask again.
+    /// Starts one request to the destination, if any message may go; says whether one went. `next_admission`
+    /// takes in when to ask again.
     pub(super) fn schedule_request(
         &mut self,
         destination: DestinationId,
@@ -72,7 +75,7 @@
         let class_order = self.draw_class_order();
         let candidates = Candidates::from(admitted.endpoints);
         let Some(lead) = self.lead_message(destination, &candidates, &class_order, now) else {
-            next_admission.no_later_than(Some(now + self.parameters.recovery_delay / 4));
+            next_admission.no_later_than(Some(now + self.parameters.recovery_delay / ASK_AGAIN_PART));
             return false;
         };
         let chosen = self.endpoint_for(lead, &candidates, now);
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -28,7 +28,7 @@
             self.forget_stale_records(destination, now);
         }
         self.wake_scope(scope);
-        // Symptom: all that was queued goes at once when a long wait ends, to a destination that was shut and is
+        // Symptom: all that was queued goes at once when a long wait ends, to a destination that was down and is
         // cold. A wait as long as the recovery delay opens the circuit, and ends with a trial.
         let opens_from = if self.parameters.sparse_traffic {
             self.parameters.overload_window
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use super::capacity_share::MIN_RATE;
 use super::{seconds, DeliveryPolicy};
 use crate::state::{Endpoint, EndpointUsage, Message};
 
@@ -40,7 +41,7 @@
         {
             return true;
         }
-        let usual = self.baseline_rate(endpoint, now).max(0.01);
+        let usual = self.baseline_rate(endpoint, now).max(MIN_RATE);
         let latency_objective = self.parameters.classes[message.class].latency_objective;
         let idle = now.saturating_sub(usage.last_sent);
         if message.possibly_executed.is_some() {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::capacity_share::MIN_DESTINATION_CAPACITY;
+use super::capacity_share::{MIN_DESTINATION_CAPACITY, MIN_RATE};
 use super::{seconds, DeliveryPolicy};
 use crate::state::{CircuitScope, Endpoint};
 
@@ -12,6 +12,9 @@
 /// Load of one more message within a request, against that of a request with one.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
 
+/// The least slow start duration in seconds that shares of it are made with.
+const MIN_DURATION_SECONDS: f64 = 0.001;
+
 /// What an endpoint may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SlowStartBudget {
@@ -51,7 +54,7 @@
         let warmed = now.saturating_sub(last_fault + down + parameters.overload_window / 2).as_secs_f64();
         let share = parameters.slow_start_floor
             + (1.0 - parameters.slow_start_floor) * warmed
-                / parameters.slow_start_duration.as_secs_f64().max(0.001);
+                / parameters.slow_start_duration.as_secs_f64().max(MIN_DURATION_SECONDS);
         if share >= 1.0 {
             return SlowStartBudget::UNLIMITED;
         }
@@ -59,7 +62,7 @@
         let per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * usual;
         // One forwarder's share is few requests in each span, so that they are paced and not counted.
         let last = endpoint.usage().recent_load.back();
-        let next = last.map(|sent| sent.at + seconds(sent.load / per_second.max(0.01)));
+        let next = last.map(|sent| sent.at + seconds(sent.load / per_second.max(MIN_RATE)));
         let budget = (per_second * parameters.overload_window.as_secs_f64()).max(1.0);
         match next {
             Some(at) if now < at => SlowStartBudget::UsedUpUntil(at),
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -12,6 +12,8 @@
 /// requests in flight.
 const STRAGGLER_MEANS: f64 = 1.5;
 const STRAGGLER_SHARED_MEANS: f64 = 4.0;
+/// No request is a straggler before this part of the recovery delay.
+const MIN_STRAGGLER_PART: u32 = 4;
 
 /// The attempt that is overdue most.
 struct Straggler {
@@ -30,7 +32,7 @@
             .unwrap_or(self.parameters.recovery_delay.as_secs_f64() / 2.0);
         let sharing = circuit.in_flight.len().max(1) as f64;
         seconds(mean * (STRAGGLER_MEANS + STRAGGLER_SHARED_MEANS / sharing))
-            .max(self.parameters.recovery_delay / 4)
+            .max(self.parameters.recovery_delay / MIN_STRAGGLER_PART)
     }
 
     /// Cancels the request that is overdue most, if any is; otherwise wakes when the first will be.
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -1,8 +1,8 @@
-//! The record of one delivery attempt that has not ended yet.
+//! The records of delivery attempts and requests that have not ended yet.
 
 use std::time::Duration;
 
-use super::{CircuitScope, Message, RequestInFlight};
+use super::{CircuitScope, Message};
 use crate::interface::{AttemptNumber, EndpointId, MessageId, OrderingKey, RequestId};
 use crate::messages::MessageKey;
 
@@ -13,6 +13,13 @@
     pub(crate) number: AttemptNumber,
 }
 
+/// A request without an outcome yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct RequestInFlight {
+    pub(crate) id: RequestId,
+    pub(crate) started_at: Duration,
+}
+
 /// An endpoint that a request may be sent to now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AdmittedEndpoint {
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -3,24 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::AttemptKey;
-use crate::interface::{DestinationId, EndpointId, RequestId};
-
-/// What one circuit breaker is kept for: a whole destination, or one of its endpoints where the kind says so.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum CircuitScope {
-    /// All endpoints of a destination.
-    Destination(DestinationId),
-    /// One endpoint.
-    Endpoint(EndpointId),
-}
-
-/// A request without an outcome yet.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct RequestInFlight {
-    pub(crate) id: RequestId,
-    pub(crate) started_at: Duration,
-}
+use super::{AttemptKey, CircuitScope, RequestInFlight};
 
 /// The state of a circuit breaker at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,6 +4,7 @@
 
 mod attempt;
 mod circuit;
+mod circuit_scope;
 mod destination;
 mod endpoint;
 mod endpoint_directory;
@@ -21,8 +22,9 @@
 mod timer;
 mod zones;
 
-pub(crate) use attempt::{AdmittedEndpoint, Attempt, AttemptKey};
-pub(crate) use circuit::{CircuitBreaker, CircuitScope, CircuitState, CircuitTable, Pacing, RequestInFlight};
+pub(crate) use attempt::{AdmittedEndpoint, Attempt, AttemptKey, RequestInFlight};
+pub(crate) use circuit::{CircuitBreaker, CircuitState, CircuitTable, Pacing};
+pub(crate) use circuit_scope::CircuitScope;
 pub(crate) use endpoint::{Endpoint, EndpointUsage, SentLoad};
 pub(crate) use endpoint_directory::EndpointDirectory;
 pub(crate) use in_flight::{EndedAttempt, InFlight};
