--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,5 +1,5 @@
 //! The laboratory: experiments on the emulator, at all cores, with results that do not depend on how many
-//! those are. `docs/laboratory.md` shows a whole experiment.
+//! those are. `docs/experiments.md` shows a whole experiment.
 
 mod draw;
 mod page;
