--- a/crates/experiments/src/record.rs
+++ b/crates/experiments/src/record.rs
@@ -17,9 +17,9 @@
     AttemptNumber, AttemptOutcome, EndpointId, EndpointUpdate, MessageId, PeerId, PolicyHost, PreviousAttempt,
 };
 use reeddock_recorder::compare::{compare, Difference, Pair, Verdict};
-use reeddock_recorder::line::Input;
+use reeddock_recorder::line::PolicyCall;
 use reeddock_recorder::recording::locked;
-use reeddock_recorder::{streams, Form, Recording, Summary, Tape, Tee};
+use reeddock_recorder::{streams, Form, Recording, RecordingHost, RecordingWriter, Summary};
 use reeddock_simulation::policy::{ListLine, Policy, Sight, Submission};
 use reeddock_simulation::{run_with, Known, Scenario};
 use serde::Serialize;
@@ -72,27 +72,27 @@
 /// The module, recorded as the emulator tells it and as it answers.
 struct RecordedPolicy {
     module: Box<dyn Policy>,
-    tape: Tape,
+    writer: RecordingWriter,
 }
 
 impl RecordedPolicy {
     /// Notes a call, and has it made with a host that notes each request.
     fn call(
         &mut self,
-        input: Input,
+        input: PolicyCall,
         host: &mut dyn PolicyHost,
         call: impl FnOnce(&mut dyn Policy, &mut dyn PolicyHost),
     ) {
-        self.tape.note(input);
-        call(self.module.as_mut(), &mut Tee { tape: &self.tape, host });
+        self.writer.record(input);
+        call(self.module.as_mut(), &mut RecordingHost { writer: &self.writer, host });
     }
 }
 
 impl Policy for RecordedPolicy {
     fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost) {
-        self.tape.note(Input::ListBegins { whole });
+        self.writer.record(PolicyCall::BeginEndpointList { whole });
         for line in lines {
-            self.tape.note(Input::EndpointUpdated(&EndpointUpdate {
+            self.writer.record(PolicyCall::UpdateEndpoint(&EndpointUpdate {
                 endpoint: line.target,
                 destination: line.destination,
                 state: line.standing,
@@ -101,11 +101,11 @@
                 kind: &line.kind,
             }));
         }
-        self.call(Input::ListEnds, host, |module, host| module.list(now, whole, lines, host));
+        self.call(PolicyCall::FinishEndpointList, host, |module, host| module.list(now, whole, lines, host));
     }
 
     fn submit(&mut self, now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
-        let input = Input::Submission {
+        let input = PolicyCall::Submit {
             now,
             id: &e.id,
             class: &e.category,
@@ -121,47 +121,49 @@
         &mut self,
         now: Duration,
         id: &MessageId,
-        past: &[PreviousAttempt],
+        previous: &[PreviousAttempt],
         host: &mut dyn PolicyHost,
     ) {
-        let input = Input::Recall { now, id, past };
-        self.call(input, host, |module, host| module.restore(now, id, past, host));
+        let input = PolicyCall::Restore { now, id, previous };
+        self.call(input, host, |module, host| module.restore(now, id, previous, host));
     }
 
     fn attempt_finished(
         &mut self,
         now: Duration,
         id: &MessageId,
-        no: AttemptNumber,
+        number: AttemptNumber,
         outcome: AttemptOutcome,
-        over: bool,
+        finished: bool,
         host: &mut dyn PolicyHost,
     ) {
-        let input = Input::Settled { now, id, no, outcome, over };
-        self.call(input, host, |module, host| module.attempt_finished(now, id, no, outcome, over, host));
+        let input = PolicyCall::AttemptFinished { now, id, number, outcome, finished };
+        self.call(input, host, |module, host| {
+            module.attempt_finished(now, id, number, outcome, finished, host)
+        });
     }
 
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
-        self.call(Input::Withdrawn { id }, host, |module, host| module.withdraw(id, host));
+        self.call(PolicyCall::Withdraw { id }, host, |module, host| module.withdraw(id, host));
     }
 
     fn timer_fired(&mut self, now: Duration) {
-        self.tape.note(Input::Alarm { now });
+        self.writer.record(PolicyCall::TimerFired { now });
         self.module.timer_fired(now);
     }
 
     fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool) {
-        self.tape.note(Input::Probed { now, endpoint: target, well });
+        self.writer.record(PolicyCall::HealthChecked { now, endpoint: target, well });
         self.module.health_checked(now, target, well);
     }
 
-    fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]) {
-        self.tape.note(Input::Told { now, from, note });
-        self.module.gossip_received(now, from, note);
+    fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]) {
+        self.writer.record(PolicyCall::GossipReceived { now, from, gossip });
+        self.module.gossip_received(now, from, gossip);
     }
 
     fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost) {
-        self.call(Input::Turn { now }, host, |module, host| module.run_due_work(now, sight, host));
+        self.call(PolicyCall::RunDueWork { now }, host, |module, host| module.run_due_work(now, sight, host));
     }
 }
 
@@ -199,12 +201,12 @@
 /// a new number.
 fn record_day(scenario: &Scenario, seed: u64, file: &NewFile) {
     let starts = AtomicU64::new(0);
-    run_with(scenario, seed, Known::Module.name(), &|now, terms, host| {
+    run_with(scenario, seed, Known::Module.name(), &|now, settings, host| {
         let number = starts.fetch_add(1, Ordering::Relaxed);
-        let tape = Tape::new(Arc::clone(&file.recording), number);
-        tape.note(Input::Open { now, terms: &terms });
-        let module = Known::Module.open(now, terms, &mut Tee { tape: &tape, host });
-        Box::new(RecordedPolicy { module, tape })
+        let writer = RecordingWriter::new(Arc::clone(&file.recording), number);
+        writer.record(PolicyCall::Open { now, settings: &settings });
+        let module = Known::Module.open(now, settings, &mut RecordingHost { writer: &writer, host });
+        Box::new(RecordedPolicy { module, writer })
     });
 }
 
--- a/crates/recorder/src/compare.rs
+++ b/crates/recorder/src/compare.rs
@@ -26,40 +26,45 @@
     pub before: Vec<String>,
     /// Lines from there on; none where that side has ended.
     pub left: Vec<String>,
+    /// The same of the other side.
     pub right: Vec<String>,
 }
 
 /// What a comparison says of one pair.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Equal { lines: u64 },
+    /// Both have the same lines.
+    Equal {
+        /// How many.
+        lines: u64,
+    },
+    /// A line differs.
     Differs(Difference),
+    /// The right folder has no such file.
     OnlyLeft,
+    /// The left folder has no such file.
     OnlyRight,
 }
 
 /// One file name that either folder has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pair {
+    /// The file name.
     pub name: String,
+    /// What its comparison says.
     pub verdict: Verdict,
 }
 
 /// A folder or file that can't be compared.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {what}", at.display())]
 pub struct CompareError {
+    /// The folder or file.
     pub at: PathBuf,
+    /// What is wrong with it, and what was expected.
     pub what: String,
 }
 
-impl std::fmt::Display for CompareError {
-    fn fmt(&self, to: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(to, "{}: {}", self.at.display(), self.what)
-    }
-}
-
-impl std::error::Error for CompareError {}
-
 fn unreadable(at: &Path) -> impl Fn(io::Error) -> CompareError + '_ {
     |fault| CompareError { at: at.to_owned(), what: format!("cannot be read: {fault}") }
 }
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,19 +1,19 @@
-//! Recordings of the decision module: every call into it and every request that it makes of its host, one line
+//! Recordings of the delivery policy: every call into it and every request that it makes of its host, one line
 //! each, in order. Two builds of the delivery policy decide alike where their recordings are equal, byte for byte.
 //!
 //! A recording depends on the delivery policy's public interface alone and on nothing that it keeps inside:
 //!
 //! - [`line`] has the typed lines and their text;
 //! - [`recording`] writes them, in full or as digests of blocks;
-//! - [`tee`] records the requests on their way to a host;
-//! - [`streams`] plays random event streams at the delivery policy, without sockets and without the emulator;
+//! - [`recorded_policy`] records the requests on their way to a host;
+//! - [`streams`] plays random event streams at the delivery policy, without sockets and without the simulation;
 //! - [`compare`] finds the first line in which two folders of recordings differ.
 
 pub mod compare;
 pub mod line;
+pub mod recorded_policy;
 pub mod recording;
 pub mod streams;
-pub mod tee;
 
-pub use recording::{Form, Recording, Summary, Tape};
-pub use tee::{RecordedPolicy, Tee};
+pub use recorded_policy::{RecordedPolicy, RecordingHost};
+pub use recording::{Form, Recording, RecordingWriter, Summary};
--- /dev/null
+++ b/crates/recorder/src/recorded_policy.rs
@@ -0,0 +1,267 @@
+//! Records what passes between the delivery policy and its host, in both directions.
+
+use std::time::Duration;
+
+use reeddock::{
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DeliveryPolicy, DestinationId, EndpointId,
+    EndpointUpdate, LoadReport, MessageId, NewMessage, OrderingKey, PeerId, PolicyHost, PreviousAttempt,
+    Settings,
+};
+
+use crate::line::{PolicyCall, PolicyCommand, ReturnedValue};
+use crate::recording::RecordingWriter;
+
+/// A host that records each request and hands it on.
+pub struct RecordingHost<'a> {
+    /// Where the commands are recorded.
+    pub writer: &'a RecordingWriter,
+    /// Who carries them out.
+    pub host: &'a mut dyn PolicyHost,
+}
+
+impl PolicyHost for RecordingHost<'_> {
+    fn start_attempt(&mut self, id: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
+        self.writer.record(PolicyCommand::StartAttempt { id, endpoint, timeouts });
+        self.host.start_attempt(id, endpoint, timeouts);
+    }
+    fn cancel(&mut self, id: &MessageId, number: AttemptNumber) {
+        self.writer.record(PolicyCommand::Cancel { id, number });
+        self.host.cancel(id, number);
+    }
+    fn reject(&mut self, id: &MessageId, retry_after: Option<Duration>) {
+        self.writer.record(PolicyCommand::Reject { id, retry_after });
+        self.host.reject(id, retry_after);
+    }
+    fn fail(&mut self, id: &MessageId) {
+        self.writer.record(PolicyCommand::Fail { id });
+        self.host.fail(id);
+    }
+    fn set_timer(&mut self, after: Duration) {
+        self.writer.record(PolicyCommand::SetTimer { after });
+        self.host.set_timer(after);
+    }
+    fn start_health_check(&mut self, endpoint: EndpointId) {
+        self.writer.record(PolicyCommand::StartHealthCheck { endpoint });
+        self.host.start_health_check(endpoint);
+    }
+    fn send_gossip(&mut self, peer: Option<PeerId>, gossip: &[u8]) {
+        self.writer.record(PolicyCommand::SendGossip { peer, gossip });
+        self.host.send_gossip(peer, gossip);
+    }
+    fn subscribe(&mut self, on: bool) {
+        self.writer.record(PolicyCommand::Subscribe { on });
+        self.host.subscribe(on);
+    }
+    fn fetch_endpoint_list(&mut self) {
+        self.writer.record(PolicyCommand::FetchEndpointList);
+        self.host.fetch_endpoint_list();
+    }
+    fn log(&mut self, line: &str) {
+        self.writer.record(PolicyCommand::Log { line });
+        self.host.log(line);
+    }
+}
+
+/// A message as it is submitted.
+#[derive(Clone, Debug)]
+pub struct Submission {
+    /// Its id.
+    pub id: MessageId,
+    /// The name of its class.
+    pub class: String,
+    /// Whose quota it counts against.
+    pub tenant: Option<String>,
+    /// Its ordering key.
+    pub key: Option<OrderingKey>,
+    /// When its final answer is due.
+    pub deadline: Duration,
+    /// Where it is to be delivered.
+    pub destination: DestinationId,
+}
+
+/// An instance of the delivery policy whose calls, requests and returned values are recorded.
+pub struct RecordedPolicy {
+    policy: DeliveryPolicy,
+    writer: RecordingWriter,
+}
+
+fn sorted(mut endpoints: Vec<EndpointId>) -> Vec<EndpointId> {
+    endpoints.sort();
+    endpoints
+}
+
+impl RecordedPolicy {
+    /// A new instance, whose lines go to `writer`.
+    pub fn new(
+        now: Duration,
+        settings: Settings,
+        writer: RecordingWriter,
+        host: &mut dyn PolicyHost,
+    ) -> RecordedPolicy {
+        writer.record(PolicyCall::Open { now, settings: &settings });
+        let policy = DeliveryPolicy::new(now, settings, &mut RecordingHost { writer: &writer, host });
+        RecordedPolicy { policy, writer }
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::begin_endpoint_list`].
+    pub fn begin_endpoint_list(&mut self, whole: bool) {
+        self.writer.record(PolicyCall::BeginEndpointList { whole });
+        self.policy.begin_endpoint_list(whole);
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::update_endpoint`].
+    pub fn update_endpoint(&mut self, listing: EndpointUpdate) {
+        self.writer.record(PolicyCall::UpdateEndpoint(&listing));
+        self.policy.update_endpoint(listing);
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::finish_endpoint_list`].
+    pub fn finish_endpoint_list(&mut self) {
+        self.writer.record(PolicyCall::FinishEndpointList);
+        let dropped = self.policy.finish_endpoint_list();
+        self.writer.record(ReturnedValue::DroppedEndpoints(sorted(dropped)));
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::abort_endpoint_list`].
+    pub fn abort_endpoint_list(&mut self) {
+        self.writer.record(PolicyCall::AbortEndpointList);
+        self.policy.abort_endpoint_list();
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::discovery_failed`].
+    pub fn discovery_failed(&mut self, now: Duration) {
+        self.writer.record(PolicyCall::DiscoveryFailed { now });
+        self.policy.discovery_failed(now);
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::submit`].
+    pub fn submit(&mut self, now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
+        let tenant = e.tenant.as_deref();
+        self.writer.record(PolicyCall::Submit {
+            now,
+            id: &e.id,
+            class: &e.class,
+            tenant,
+            key: e.key,
+            deadline: e.deadline,
+            destination: e.destination,
+        });
+        let message = NewMessage {
+            id: e.id.clone(),
+            class: &e.class,
+            tenant,
+            ordering_key: e.key,
+            deadline: e.deadline,
+            destination: e.destination,
+        };
+        self.policy.submit(now, message, &mut RecordingHost { writer: &self.writer, host });
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::restore`].
+    pub fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        previous: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
+        self.writer.record(PolicyCall::Restore { now, id, previous });
+        self.policy.restore(now, id, previous, &mut RecordingHost { writer: &self.writer, host });
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::attempt_finished`].
+    pub fn attempt_finished(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        number: AttemptNumber,
+        outcome: AttemptOutcome,
+        finished: bool,
+        host: &mut dyn PolicyHost,
+    ) {
+        self.writer.record(PolicyCall::AttemptFinished { now, id, number, outcome, finished });
+        self.policy.attempt_finished(
+            now,
+            id,
+            number,
+            outcome,
+            finished,
+            &mut RecordingHost { writer: &self.writer, host },
+        );
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::load_reported`].
+    pub fn load_reported(&mut self, endpoint: EndpointId, report: LoadReport) {
+        self.writer.record(PolicyCall::LoadReported { endpoint, report });
+        self.policy.load_reported(endpoint, report);
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::retry_after_received`].
+    pub fn retry_after_received(&mut self, now: Duration, endpoint: EndpointId, wait: Duration) {
+        self.writer.record(PolicyCall::RetryAfterReceived { now, endpoint, wait });
+        self.policy.retry_after_received(now, endpoint, wait);
+    }
+
+    /// Withdraws a message.
+    pub fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
+        self.writer.record(PolicyCall::Withdraw { id });
+        self.policy.withdraw(id, &mut RecordingHost { writer: &self.writer, host });
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::begin_shutdown`].
+    pub fn begin_shutdown(&mut self, by: Duration) {
+        self.writer.record(PolicyCall::BeginShutdown { by });
+        self.policy.begin_shutdown(by);
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::timer_fired`].
+    pub fn timer_fired(&mut self, now: Duration) {
+        self.writer.record(PolicyCall::TimerFired { now });
+        self.policy.timer_fired(now);
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::health_checked`].
+    pub fn health_checked(&mut self, now: Duration, endpoint: EndpointId, well: bool) {
+        self.writer.record(PolicyCall::HealthChecked { now, endpoint, well });
+        self.policy.health_checked(now, endpoint, well);
+    }
+
+    /// Records and makes the call [`DeliveryPolicy::gossip_received`].
+    pub fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]) {
+        self.writer.record(PolicyCall::GossipReceived { now, from, gossip });
+        self.policy.gossip_received(now, from, gossip);
+    }
+
+    /// Lets the delivery policy decide, and notes which endpoints it has forgotten since.
+    pub fn run_due_work(&mut self, now: Duration, host: &mut dyn PolicyHost) {
+        self.writer.record(PolicyCall::RunDueWork { now });
+        self.policy.run_due_work(now, &mut RecordingHost { writer: &self.writer, host });
+        let forgotten = self.policy.take_removed_endpoints();
+        if !forgotten.is_empty() {
+            self.writer.record(ReturnedValue::RemovedEndpoints(sorted(forgotten)));
+        }
+    }
+
+    /// Notes the endpoints that a wait given by this one holds for.
+    pub fn record_endpoints_sharing_circuit(&self, endpoint: EndpointId) {
+        self.writer.record(ReturnedValue::EndpointsSharingCircuit(
+            endpoint,
+            sorted(self.policy.endpoints_sharing_circuit(endpoint)),
+        ));
+    }
+
+    /// Notes where an attempt that is out went.
+    pub fn record_attempt_endpoint(&self, id: &MessageId, number: AttemptNumber) {
+        self.writer.record(ReturnedValue::AttemptEndpoint(
+            id.clone(),
+            number,
+            self.policy.attempt_endpoint(id, number),
+        ));
+    }
+
+    /// Notes whether the list has named a destination.
+    pub fn record_knows_destination(&self, destination: DestinationId) {
+        self.writer
+            .record(ReturnedValue::KnowsDestination(destination, self.policy.knows_destination(destination)));
+    }
+}
--- a/crates/recorder/src/recording.rs
+++ b/crates/recorder/src/recording.rs
@@ -32,6 +32,7 @@
 /// What one recording came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
+    /// Lines of all forwarders.
     pub lines: u64,
     /// SHA-256 of all lines, the same in either form.
     pub digest: String,
@@ -65,6 +66,7 @@
 }
 
 impl Recording {
+    /// A recording into `to`.
     pub fn new(to: Box<dyn Write + Send>, form: Form) -> Recording {
         Recording {
             to,
@@ -78,7 +80,7 @@
     }
 
     /// Adds a line of a forwarder.
-    fn note(&mut self, forwarder: u64, line: &dyn Display) {
+    fn record(&mut self, forwarder: u64, line: &dyn Display) {
         self.text.clear();
         // Writing to a string does not fail.
         let _ = writeln!(self.text, "{forwarder} {line}");
@@ -112,7 +114,7 @@
         self.keep_failure(written);
     }
 
-    /// Keeps the first failure for [`Recording::finish`]: the delivery policy that is recorded can't be told of it.
+    /// Keeps the first failure for [`Recording::finish`]: the delivery policy that is recorded can't be given of it.
     fn keep_failure(&mut self, written: io::Result<()>) {
         if let Err(fault) = written {
             self.failed.get_or_insert(fault);
@@ -141,18 +143,21 @@
 
 /// Where one forwarder's lines go: a recording that it shares with others.
 #[derive(Clone)]
-pub struct Tape {
+pub struct RecordingWriter {
     recording: Arc<Mutex<Recording>>,
     forwarder: u64,
 }
 
-impl Tape {
-    pub fn new(recording: Arc<Mutex<Recording>>, forwarder: u64) -> Tape {
-        Tape { recording, forwarder }
+impl RecordingWriter {
+    /// Writes the lines of one forwarder, under its number.
+    #[must_use]
+    pub fn new(recording: Arc<Mutex<Recording>>, forwarder: u64) -> RecordingWriter {
+        RecordingWriter { recording, forwarder }
     }
 
-    pub fn note(&self, line: impl Display) {
-        locked(&self.recording).note(self.forwarder, &line);
+    /// Adds a line. A failure to write shows at [`Recording::finish`].
+    pub fn record(&self, line: impl Display) {
+        locked(&self.recording).record(self.forwarder, &line);
     }
 }
 
