--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -6,7 +6,7 @@
 use std::io::BufReader;
 use std::path::Path;
 
-use reeddock_protocol::{Bounds, Entry};
+use reeddock_protocol::{Entry, ListLimits};
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::Value;
 
@@ -151,7 +151,7 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<usize, A::Error> {
-        let most = Bounds::default().entries;
+        let most = ListLimits::default().entries;
         let mut count = 0;
         loop {
             let entry = entries.next_element::<Entry>();
--- a/crates/forwarder/src/cached_endpoint_list.rs
+++ b/crates/forwarder/src/cached_endpoint_list.rs
@@ -1,9 +1,9 @@
 //! The list of endpoints as it was last known, for the start of a process.
 
-use reeddock_protocol::{Entry, Fault, ListPart};
+use reeddock_protocol::{Entry, ListPart};
 
 /// Hands each entry on, or says what is wrong with the list.
-pub type Entries = Box<dyn FnOnce(&mut dyn FnMut(Entry)) -> Result<(), Fault> + Send>;
+pub type Entries = Box<dyn FnOnce(&mut dyn FnMut(Entry)) -> Result<(), String> + Send>;
 
 /// A list that is read entry by entry as it is applied, so that it need not be in memory whole.
 pub struct CachedEndpointList {
@@ -23,7 +23,7 @@
     }
 
     /// Hands each entry on. An error says that the list is not as it was when it was found.
-    pub fn each(self, mut entry: impl FnMut(Entry)) -> Result<(), Fault> {
+    pub fn each(self, mut entry: impl FnMut(Entry)) -> Result<(), String> {
         (self.entries)(&mut entry)
     }
 }
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use reeddock_protocol::{retry_after_of, watch};
+use reeddock_protocol::{retry_after_of, watch_request};
 use tokio::sync::{mpsc, watch as told};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
@@ -73,9 +73,9 @@
 impl EndpointRequest {
     /// Opens the watch and reads it until it ends; says why it did.
     async fn listen(self, cached_list: &mut u64, heard: &mut bool, event_loop: &mpsc::Sender<Event>) -> Loss {
-        let request = match watch(self.discovery, *cached_list) {
+        let request = match watch_request(self.discovery, *cached_list) {
             Ok(request) => request,
-            Err(fault) => return Loss::Broken(fault),
+            Err(fault) => return Loss::Broken(fault.to_string()),
         };
         let mut connection = match Connection::open(self.discovery, self.periods.connect, None).await {
             Ok(connection) => connection,
--- a/crates/forwarder/src/event_loop/listing.rs
+++ b/crates/forwarder/src/event_loop/listing.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints, told to the delivery policy entry by entry.
 
 use reeddock::{EndpointId, EndpointState, EndpointUpdate};
-use reeddock_protocol::{Entry, Fault, ListEvent};
+use reeddock_protocol::{Entry, ListEvent};
 
 use super::EventLoop;
 use crate::cached_endpoint_list::CachedEndpointList;
@@ -34,7 +34,7 @@
     }
 
     /// Applies the list as it was last known, before anything else is heard. One without entries is none.
-    pub fn cached_endpoint_list(&mut self, cached_list: CachedEndpointList) -> Result<(), Fault> {
+    pub fn cached_endpoint_list(&mut self, cached_list: CachedEndpointList) -> Result<(), String> {
         if cached_list.endpoints == 0 {
             tracing::info!("no list of targets is known at the start; what comes waits for discovery's");
             return Ok(());
--- a/crates/forwarder/src/ingress.rs
+++ b/crates/forwarder/src/ingress.rs
@@ -21,7 +21,7 @@
 use hyper::server::conn::http1;
 use hyper_util::rt::TokioIo;
 use hyper_util::service::TowerToHyperService;
-use reeddock_protocol::{ClientResponse, Submission, MAX_BODY_BYTES};
+use reeddock_protocol::{ClientResponse, Submission, SubmissionError, MAX_BODY_BYTES};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch, Notify, OwnedSemaphorePermit, Semaphore};
@@ -268,7 +268,9 @@
         let body = match timeout(BODY_WITHIN, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => return ClientResponse::TooLarge,
-            Ok(Err(e)) => return ClientResponse::Malformed(format!("body: {e}")),
+            Ok(Err(e)) => {
+                return ClientResponse::Malformed(SubmissionError::UnreadableBody { reason: e.to_string() })
+            }
             Err(_) => return ClientResponse::RequestTimeout,
         };
         if locked(&self.guest.tally).past_head > body.len() {
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -94,7 +94,7 @@
                 Ok(None) => return self.hand_on(cached_list, event_loop).await,
                 Err(fault) => {
                     let bytes = self.decoder.bytes();
-                    return Err(Stop::Unreadable(MalformedList { fault, bytes }));
+                    return Err(Stop::Unreadable(MalformedList { fault: fault.to_string(), bytes }));
                 }
             };
             *heard |= matches!(event, ListEvent::Ends | ListEvent::Heartbeat);
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -6,7 +6,7 @@
 
 use http::StatusCode;
 use http_body_util::BodyExt;
-use reeddock_protocol::{notices, DeliveryNotice};
+use reeddock_protocol::{notices_request, DeliveryNotice};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
@@ -109,7 +109,8 @@
         Some(connection) => connection,
         None => Connection::open(discovery, ANSWER_WITHIN, None).await.map_err(|e| format!("{e:?}"))?,
     };
-    let response = connection.send(notices(discovery, batch)?).await.map_err(|e| format!("{e:?}"))?;
+    let request = notices_request(discovery, batch).map_err(|e| e.to_string())?;
+    let response = connection.send(request).await.map_err(|e| format!("{e:?}"))?;
     let status = response.status();
     let mut body = response.into_body();
     while let Some(Ok(_)) = body.frame().await {}
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -2,23 +2,24 @@
 //! names on the wire end here. There is no input or output in this package, and nothing is decided.
 
 mod attempt_result;
+mod error;
 mod list;
 mod notice;
 mod request;
 mod submission;
 
 pub use attempt_result::AttemptResult;
-pub use list::{watch, Bounds, Entry, ListDecoder, ListEvent, ListPart};
-pub use notice::{notices, DeliveryNotice, FinalAnswer};
+pub use error::{EntryError, ListError, ListFault, ListLocation, ListPartError, SubmissionError};
+/// The old name of [`ListEntry`], until its users follow.
+pub use list::ListEntry as Entry;
+pub use list::{watch_request, ListDecoder, ListEntry, ListEvent, ListLimits, ListPart};
+pub use notice::{notices_request, DeliveryNotice, FinalAnswer};
 pub use request::{
     attempt_result_of, attempt_results_of_batch, batch_request, load_report_of, rejects_connection,
     retry_after_of, single_request, split_into_batches, OutgoingMessage,
 };
 pub use submission::{ClientResponse, Submission, MAX_BODY_BYTES};
 
-/// What is wrong with a message, in one line.
-pub type Fault = String;
-
 /// No span is read as longer: sums of times stay far from where they overflow.
 const LONGEST: f64 = 1e9;
 
--- a/crates/protocol/src/list/decoder.rs
+++ b/crates/protocol/src/list/decoder.rs
@@ -6,8 +6,8 @@
 use serde::de::{DeserializeOwned, IgnoredAny};
 
 use super::value_scan::ValueScan;
-use super::Entry;
-use crate::Fault;
+use super::ListEntry;
+use crate::{ListError, ListFault, ListLocation};
 
 /// What a watch tells, in its order.
 #[derive(Debug, PartialEq)]
@@ -15,7 +15,7 @@
     /// A part begins: all of the list, or what changed.
     Begins { generation: u64, whole: bool },
     /// One entry of the part.
-    EndpointUpdated(Entry),
+    EndpointUpdated(ListEntry),
     /// The part has come to its end, and so has its line.
     Ends,
     /// An empty line between parts.
@@ -24,7 +24,7 @@
 
 /// What a decoder holds at most. A list is refused beyond these.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ListLimits {
     /// Entries of one part.
     pub entries: usize,
     /// Bytes of one entry, or of any other value that has a meaning.
@@ -33,9 +33,9 @@
     pub early_bytes: usize,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds { entries: 1_000_000, value_bytes: 64 * 1024, early_bytes: 8 * 1024 * 1024 }
+impl Default for ListLimits {
+    fn default() -> ListLimits {
+        ListLimits { entries: 1_000_000, value_bytes: 64 * 1024, early_bytes: 8 * 1024 * 1024 }
     }
 }
 
@@ -96,14 +96,14 @@
     begun: bool,
     entries: usize,
     /// Entries that came before that, and their bytes on the wire.
-    early: VecDeque<Entry>,
+    early: VecDeque<ListEntry>,
     early_bytes: usize,
 }
 
 /// Decodes what a watch tells. A part may take several lines, but none of them is empty. After a fault the decoder
 /// is of no more use.
 pub struct ListDecoder {
-    bounds: Bounds,
+    bounds: ListLimits,
     place: Place,
     key: Key,
     value: ValueScan,
@@ -118,12 +118,12 @@
 
 impl Default for ListDecoder {
     fn default() -> ListDecoder {
-        ListDecoder::new(Bounds::default())
+        ListDecoder::new(ListLimits::default())
     }
 }
 
 impl ListDecoder {
-    pub fn new(bounds: Bounds) -> ListDecoder {
+    pub fn new(bounds: ListLimits) -> ListDecoder {
         ListDecoder {
             bounds,
             place: Place::Outside,
@@ -142,7 +142,7 @@
     }
 
     /// The next event; takes from the front of `input` what it needs for it. None once all of `input` is taken.
-    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<ListEvent>, Fault> {
+    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<ListEvent>, ListError> {
         loop {
             if let Some(event) = self.ready.pop_front() {
                 return Ok(Some(event));
@@ -157,26 +157,24 @@
         }
     }
 
-    fn fault(&self, found: &str) -> Fault {
+    fn unexpected(&self, found: String) -> ListError {
         let expected = match (self.place, self.key) {
             (Place::Value, Key::Instances) => "a list in brackets",
             (place, _) => place.expectation(),
         };
-        format!("{}: expected {expected}, found {found}", self.locus())
+        self.error(ListFault::Unexpected { expected, found })
     }
 
-    /// Where in the watch this is, for faults.
-    fn locus(&self) -> String {
-        match self.place {
-            Place::Entry | Place::InEntry | Place::EntryOrEnd | Place::AfterEntry => {
-                format!("byte {}, instances[{}]", self.offset, self.part.entries)
-            }
-            _ => format!("byte {}", self.offset),
-        }
+    /// A fault at the present location.
+    fn error(&self, fault: ListFault) -> ListError {
+        let in_entries =
+            matches!(self.place, Place::Entry | Place::InEntry | Place::EntryOrEnd | Place::AfterEntry);
+        let entry = in_entries.then_some(self.part.entries);
+        ListError { location: ListLocation { offset: self.offset, entry }, fault }
     }
 
     /// Takes a run of bytes of a key, a value or an entry.
-    fn scan(&mut self, input: &mut &[u8]) -> Result<(), Fault> {
+    fn scan(&mut self, input: &mut &[u8]) -> Result<(), ListError> {
         let scanned = self.value.take(input, self.bounds.value_bytes);
         let (taken, rest) = input.split_at(scanned.used);
         self.see_lines(taken)?;
@@ -184,8 +182,7 @@
         self.offset += taken.len() as u64;
         let passed_over = self.place == Place::InValue && self.key == Key::Other;
         if self.value.exceeds(self.bounds.value_bytes) && !passed_over {
-            let most = self.bounds.value_bytes;
-            return Err(format!("{}: expected {most} bytes at most in one value", self.locus()));
+            return Err(self.error(ListFault::ValueTooLong { limit: self.bounds.value_bytes }));
         }
         if !scanned.ended {
             return Ok(());
@@ -198,7 +195,7 @@
     }
 
     /// Takes one byte between values.
-    fn step(&mut self, input: &mut &[u8]) -> Result<(), Fault> {
+    fn step(&mut self, input: &mut &[u8]) -> Result<(), ListError> {
         let Some((byte, rest)) = input.split_first() else { return Ok(()) };
         let byte = *byte;
         let begins_value = self.begins_value(byte);
@@ -234,7 +231,7 @@
             (Place::EntryOrEnd | Place::AfterEntry, b']') => Place::AfterValue,
             (Place::EntryOrEnd | Place::Entry, _) if begins_value => Place::InEntry,
             (Place::AfterEntry, b',') => Place::Entry,
-            (_, other) => return Err(self.fault(&format!("{:?}", char::from(other)))),
+            (_, other) => return Err(self.unexpected(format!("{:?}", char::from(other)))),
         };
         Ok(())
     }
@@ -255,11 +252,11 @@
     }
 
     /// Notes where lines end. A part that is told has no empty line in it: the rest of it would never come.
-    fn see_lines(&mut self, bytes: &[u8]) -> Result<(), Fault> {
+    fn see_lines(&mut self, bytes: &[u8]) -> Result<(), ListError> {
         for byte in bytes {
             match byte {
                 b'\n' if self.blank && self.place != Place::Outside => {
-                    return Err(self.fault("an empty line"))
+                    return Err(self.unexpected("an empty line".to_owned()))
                 }
                 b'\n' => self.blank = true,
                 b' ' | b'\t' | b'\r' => {}
@@ -269,11 +266,12 @@
         Ok(())
     }
 
-    fn decoded<T: DeserializeOwned>(&self, what: &str) -> Result<T, Fault> {
-        serde_json::from_slice(self.value.value()).map_err(|e| format!("{}: {what}{e}", self.locus()))
+    fn decoded<T: DeserializeOwned>(&self, label: &'static str) -> Result<T, ListError> {
+        serde_json::from_slice(self.value.value())
+            .map_err(|source| self.error(ListFault::InvalidValue { label, source }))
     }
 
-    fn end_key(&mut self) -> Result<(), Fault> {
+    fn end_key(&mut self) -> Result<(), ListError> {
         let name: Cow<str> = self.decoded("key: ")?;
         let (key, known) = match name.as_ref() {
             "generation" => (Key::Generation, self.part.generation.is_some()),
@@ -282,13 +280,13 @@
             _ => (Key::Other, false),
         };
         if known {
-            return Err(format!("{}: expected {name} once, found it twice", self.locus()));
+            return Err(self.error(ListFault::DuplicateKey { key: name.into_owned() }));
         }
         (self.key, self.place) = (key, Place::Colon);
         Ok(())
     }
 
-    fn end_value(&mut self) -> Result<(), Fault> {
+    fn end_value(&mut self) -> Result<(), ListError> {
         match self.key {
             Key::Generation => self.part.generation = Some(self.decoded("generation: ")?),
             Key::Reset => self.part.whole = Some(self.decoded("reset: ")?),
@@ -314,10 +312,9 @@
         self.ready.extend(part.early.drain(..).map(ListEvent::EndpointUpdated));
     }
 
-    fn end_entry(&mut self) -> Result<(), Fault> {
+    fn end_entry(&mut self) -> Result<(), ListError> {
         if self.part.entries >= self.bounds.entries {
-            let most = self.bounds.entries;
-            return Err(format!("{}: expected {most} entries at most in a list", self.locus()));
+            return Err(self.error(ListFault::TooManyEntries { limit: self.bounds.entries }));
         }
         let entry = self.decoded("")?;
         let bytes = self.value.value().len();
@@ -329,19 +326,15 @@
         }
         self.part.early_bytes += bytes;
         if self.part.early_bytes > self.bounds.early_bytes {
-            return Err(format!(
-                "{}: expected generation and reset before instances, or {} bytes of these at most",
-                self.locus(),
-                self.bounds.early_bytes
-            ));
+            return Err(self.error(ListFault::EntriesBeforeHeader { limit: self.bounds.early_bytes }));
         }
         self.part.early.push_back(entry);
         Ok(())
     }
 
-    fn end_part(&mut self) -> Result<(), Fault> {
+    fn end_part(&mut self) -> Result<(), ListError> {
         if self.part.generation.is_none() {
-            return Err(format!("{}: expected generation in each part, found none", self.locus()));
+            return Err(self.error(ListFault::MissingGeneration));
         }
         self.part.whole.get_or_insert(false);
         self.begin();
--- a/crates/protocol/src/list/mod.rs
+++ b/crates/protocol/src/list/mod.rs
@@ -13,20 +13,20 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-use crate::Fault;
-pub use decoder::{Bounds, ListDecoder, ListEvent};
+use crate::{EntryError, ListPartError};
+pub use decoder::{ListDecoder, ListEvent, ListLimits};
 
 /// One part of the list: all of it, or what changed.
 #[derive(Debug, PartialEq)]
 pub struct ListPart {
     pub generation: u64,
     pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
 }
 
 /// What the list says of one endpoint.
 #[derive(Debug, PartialEq)]
-pub struct Entry {
+pub struct ListEntry {
     /// The same at every forwarder and at each start.
     pub name: String,
     /// None where it is told no more, as the endpoint is gone.
@@ -55,21 +55,21 @@
     weight: Option<f64>,
 }
 
-impl TryFrom<Instance<'_>> for Entry {
-    type Error = Fault;
+impl TryFrom<Instance<'_>> for ListEntry {
+    type Error = EntryError;
 
-    fn try_from(instance: Instance) -> Result<Entry, Fault> {
+    fn try_from(instance: Instance) -> Result<ListEntry, EntryError> {
         let state = match instance.lifecycle.as_ref() {
             "Ready" => EndpointState::Active,
             "Terminating" => EndpointState::Draining,
             "Gone" => EndpointState::Removed,
-            other => return Err(format!("unknown lifecycle {other:?}")),
+            other => return Err(EntryError::UnknownLifecycle(other.to_owned())),
         };
         let address = instance.host_port.parse().ok();
         if address.is_none() && state != EndpointState::Removed {
-            return Err(format!("{:?} is no address", instance.host_port));
+            return Err(EntryError::InvalidAddress(instance.host_port.into_owned()));
         }
-        Ok(Entry {
+        Ok(ListEntry {
             name: instance.instance_id,
             address,
             destination: DestinationId(instance.cell),
@@ -81,9 +81,9 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Entry {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Entry, D::Error> {
-        Entry::try_from(Instance::deserialize(deserializer)?).map_err(D::Error::custom)
+impl<'de> Deserialize<'de> for ListEntry {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<ListEntry, D::Error> {
+        ListEntry::try_from(Instance::deserialize(deserializer)?).map_err(D::Error::custom)
     }
 }
 
@@ -94,22 +94,20 @@
     #[serde(default)]
     reset: bool,
     #[serde(default)]
-    instances: Vec<Entry>,
+    instances: Vec<ListEntry>,
 }
 
 impl ListPart {
     /// Decodes a part that is there whole. What may be large is read with [`ListDecoder`].
-    pub fn decode(line: &[u8]) -> Result<ListPart, Fault> {
-        let Line { generation, reset, instances } =
-            serde_json::from_slice(line).map_err(|e| e.to_string())?;
+    pub fn decode(line: &[u8]) -> Result<ListPart, ListPartError> {
+        let Line { generation, reset, instances } = serde_json::from_slice(line)?;
         Ok(ListPart { generation, whole: reset, entries: instances })
     }
 }
 
 /// Asks for what changes after a generation of the list.
-pub fn watch(discovery: SocketAddr, after: u64) -> Result<Request<Full<Bytes>>, Fault> {
+pub fn watch_request(discovery: SocketAddr, after: u64) -> http::Result<Request<Full<Bytes>>> {
     Request::get(format!("/v1/servers?stream=1&index={after}"))
         .header("host", discovery.to_string())
         .body(Full::default())
-        .map_err(|e| e.to_string())
 }
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -10,8 +10,6 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::Fault;
-
 /// How a message ended that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinalAnswer {
@@ -29,7 +27,10 @@
 }
 
 /// One message with all of these notices.
-pub fn notices(discovery: SocketAddr, notices: &[DeliveryNotice]) -> Result<Request<Full<Bytes>>, Fault> {
+pub fn notices_request(
+    discovery: SocketAddr,
+    notices: &[DeliveryNotice],
+) -> http::Result<Request<Full<Bytes>>> {
     let mut body = String::new();
     for DeliveryNotice { id, end } in notices {
         let id = &*id.0;
@@ -44,8 +45,5 @@
         body.push_str(&line.to_string());
         body.push('\n');
     }
-    Request::post("/v2/finals")
-        .header("host", discovery.to_string())
-        .body(Full::new(Bytes::from(body)))
-        .map_err(|e| e.to_string())
+    Request::post("/v2/finals").header("host", discovery.to_string()).body(Full::new(Bytes::from(body)))
 }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use reeddock::{LoadReport, MessageId};
 
-use crate::{header, span_in, AttemptResult, Fault, IDEMPOTENCY_KEY, MAX_BODY_BYTES};
+use crate::{header, span_in, AttemptResult, IDEMPOTENCY_KEY, MAX_BODY_BYTES};
 
 /// One message within a call.
 #[derive(Clone, Debug)]
@@ -32,12 +32,12 @@
     to: SocketAddr,
     message: &OutgoingMessage,
     wait: Duration,
-) -> Result<Request<Full<Bytes>>, Fault> {
+) -> http::Result<Request<Full<Bytes>>> {
     let mut call = post(to, "/events", wait).header("x-call-id", &*message.id.0);
     if let Some(key) = &message.idempotency_key {
         call = call.header(IDEMPOTENCY_KEY, &**key);
     }
-    call.body(Full::new(message.body.clone())).map_err(|e| e.to_string())
+    call.body(Full::new(message.body.clone()))
 }
 
 /// Parts a line of letters into calls: so many in each at most, and no more bytes than a body may have.
@@ -70,14 +70,14 @@
     to: SocketAddr,
     messages: &[OutgoingMessage],
     wait: Duration,
-) -> Result<Request<Full<Bytes>>, Fault> {
+) -> http::Result<Request<Full<Bytes>>> {
     let mut body = BytesMut::new();
     for message in messages {
         body.put_slice(frame(message).as_bytes());
         body.put_slice(&message.body);
         body.put_slice(FRAME_END);
     }
-    post(to, "/events/bundle", wait).body(Full::new(body.freeze())).map_err(|e| e.to_string())
+    post(to, "/events/bundle", wait).body(Full::new(body.freeze()))
 }
 
 /// The wait that an answer asks for.
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use reeddock::{DestinationId, MessageId, OrderingKey};
 
-use crate::{header, span_in, Fault, IDEMPOTENCY_KEY};
+use crate::{header, span_in, SubmissionError, IDEMPOTENCY_KEY};
 
 /// Bytes in a body at most.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -30,16 +30,19 @@
 }
 
 impl Submission {
-    pub fn decode(parts: &request::Parts, body: Bytes) -> Result<Submission, Fault> {
-        let named = |name: &str| {
-            header(&parts.headers, name).filter(|v| !v.is_empty()).ok_or_else(|| format!("{name} is missing"))
+    pub fn decode(parts: &request::Parts, body: Bytes) -> Result<Submission, SubmissionError> {
+        let named = |name: &'static str| {
+            header(&parts.headers, name)
+                .filter(|v| !v.is_empty())
+                .ok_or(SubmissionError::MissingHeader { header: name })
         };
         // Both stand in lines of a batch, and the id in notices, where these would break it.
-        let word =
-            |name: &str, text: &str| match text.len() > 128 || text.bytes().any(|b| !b.is_ascii_graphic()) {
-                true => Err(format!("{name} is malformed")),
-                false => Ok(()),
-            };
+        let word = |name: &'static str, text: &str| match text.len() > 128
+            || text.bytes().any(|b| !b.is_ascii_graphic())
+        {
+            true => Err(SubmissionError::MalformedHeader { header: name }),
+            false => Ok(()),
+        };
         let id = named("x-call-id")?;
         word("x-call-id", id)?;
         let idempotency_key = header(&parts.headers, IDEMPOTENCY_KEY).filter(|k| !k.is_empty());
@@ -53,10 +56,14 @@
             id: MessageId(Arc::from(id)),
             class: named("x-call-class")?.to_owned(),
             tenant: header(&parts.headers, "x-caller").map(str::to_owned),
-            key: key.transpose().map_err(|_| "x-route-hash is malformed")?.map(OrderingKey),
-            destination: DestinationId(destination.ok_or("x-route-to names no destination")?),
+            key: key
+                .transpose()
+                .map_err(|_| SubmissionError::MalformedHeader { header: "x-route-hash" })?
+                .map(OrderingKey),
+            destination: DestinationId(destination.ok_or(SubmissionError::NoDestination)?),
             idempotency_key: idempotency_key.map(str::to_owned),
-            time_left: span_in(named("x-budget")?).ok_or("x-budget is malformed")?,
+            time_left: span_in(named("x-budget")?)
+                .ok_or(SubmissionError::MalformedHeader { header: "x-budget" })?,
             // A copy: the original is a part of the connection's buffer, and would keep all of that.
             body: Bytes::copy_from_slice(&body),
         })
@@ -74,7 +81,7 @@
     Failed,
     /// No room on this machine; nothing was accepted.
     NoCapacity,
-    Malformed(Fault),
+    Malformed(SubmissionError),
     TooLarge,
     RequestTimeout,
     /// A body with no plain length.
@@ -87,7 +94,7 @@
     UnknownDestination,
     NotFound,
     /// It takes messages on; with what staff should know all the same.
-    Healthy(Option<Fault>),
+    Healthy(Option<String>),
     /// Asked for its health while it stops.
     ShuttingDown,
 }
@@ -116,7 +123,7 @@
                 retry_after = wait;
                 Bytes::new()
             }
-            ClientResponse::Malformed(fault) => Bytes::from(fault + "\n"),
+            ClientResponse::Malformed(fault) => Bytes::from(format!("{fault}\n")),
             ClientResponse::Healthy(None) => Bytes::from_static(b"ok\n"),
             ClientResponse::Healthy(Some(trouble)) => Bytes::from(format!("ok; {trouble}\n")),
             _ => Bytes::new(),
--- a/crates/protocol/tests/list_decoder.rs
+++ b/crates/protocol/tests/list_decoder.rs
@@ -3,10 +3,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use reeddock::{DestinationId, EndpointState};
-use reeddock_protocol::{Bounds, Entry, ListDecoder, ListEvent, ListPart};
+use reeddock_protocol::{ListDecoder, ListEntry, ListEvent, ListLimits, ListPart};
 
 /// All events of these pieces, and the fault that ended them.
-fn decode(pieces: &[&[u8]], bounds: Bounds) -> (Vec<ListEvent>, Option<String>) {
+fn decode(pieces: &[&[u8]], bounds: ListLimits) -> (Vec<ListEvent>, Option<String>) {
     let mut decoder = ListDecoder::new(bounds);
     let mut events = Vec::new();
     for piece in pieces {
@@ -15,7 +15,7 @@
             match decoder.next(&mut input) {
                 Ok(Some(event)) => events.push(event),
                 Ok(None) => break,
-                Err(fault) => return (events, Some(fault)),
+                Err(fault) => return (events, Some(fault.to_string())),
             }
         }
         assert!(input.is_empty());
@@ -25,11 +25,11 @@
 }
 
 fn decode_line(line: &str) -> (Vec<ListEvent>, Option<String>) {
-    decode(&[line.as_bytes(), b"\n"], Bounds::default())
+    decode(&[line.as_bytes(), b"\n"], ListLimits::default())
 }
 
 fn fault(text: &str) -> String {
-    decode(&[text.as_bytes()], Bounds::default()).1.expect("a fault")
+    decode(&[text.as_bytes()], ListLimits::default()).1.expect("a fault")
 }
 
 /// What a part that is there whole comes down to.
@@ -60,17 +60,17 @@
         .collect();
     let bytes = text.as_bytes();
     for split in 0..=bytes.len() {
-        let (events, fault) = decode(&[&bytes[..split], &bytes[split..]], Bounds::default());
+        let (events, fault) = decode(&[&bytes[..split], &bytes[split..]], ListLimits::default());
         assert_eq!((&events, fault), (&expected, None), "split at {split}");
     }
     let single: Vec<&[u8]> = bytes.chunks(1).collect();
-    assert_eq!(decode(&single, Bounds::default()), (expected, None));
+    assert_eq!(decode(&single, ListLimits::default()), (expected, None));
 }
 
 #[test]
 fn an_entry_is_told_as_soon_as_it_has_come_and_the_end_only_with_its_line() {
     let begun = r#"{"generation":7,"reset":true,"instances":[{"instanceId":"a","cell":1,"lifecycle":"Gone"}"#;
-    let entry = Entry {
+    let entry = ListEntry {
         name: "a".into(),
         address: None,
         destination: DestinationId(1),
@@ -80,9 +80,9 @@
         kind: String::new(),
     };
     let expected = vec![ListEvent::Begins { generation: 7, whole: true }, ListEvent::EndpointUpdated(entry)];
-    assert_eq!(decode(&[begun.as_bytes()], Bounds::default()), (expected, None));
+    assert_eq!(decode(&[begun.as_bytes()], ListLimits::default()), (expected, None));
     let whole = format!("{begun}]}}");
-    assert_eq!(decode(&[whole.as_bytes()], Bounds::default()).0.len(), 2);
+    assert_eq!(decode(&[whole.as_bytes()], ListLimits::default()).0.len(), 2);
     assert_eq!(decode_line(&whole).0.last(), Some(&ListEvent::Ends));
 }
 
@@ -160,7 +160,7 @@
 
 #[test]
 fn a_list_is_bounded_by_its_entries_and_the_bytes_of_each() {
-    let bounds = Bounds { entries: 3, value_bytes: 80, early_bytes: 100 };
+    let bounds = ListLimits { entries: 3, value_bytes: 80, early_bytes: 100 };
     let entry = |name: &str| format!(r#"{{"instanceId":"{name}","cell":1,"lifecycle":"Gone"}}"#);
     let told = |head: &str, entries: &[String]| {
         let text =
@@ -191,7 +191,7 @@
 
 #[test]
 fn by_default_a_list_may_be_three_times_as_long_as_the_largest_that_is_expected() {
-    assert!(Bounds::default().entries >= 3 * 320_000);
+    assert!(ListLimits::default().entries >= 3 * 320_000);
 }
 
 /// A text that is a part of the list, or nearly so.
@@ -243,7 +243,7 @@
         let split = chance.random_range(0..=text.len());
         let (head, tail) = text.as_bytes().split_at(split);
         // A part that has no end by now would go on in the next line, which here is empty.
-        let (events, fault) = decode(&[head, tail, b"\n\n"], Bounds::default());
+        let (events, fault) = decode(&[head, tail, b"\n\n"], ListLimits::default());
         match whole {
             Ok(part) => {
                 taken += 1;
