--- a/crates/protocol/src/attempt_result.rs
+++ b/crates/protocol/src/attempt_result.rs
@@ -1,78 +1,103 @@
-//! The one list of ways in which an attempt on a connection can end, and what each means to the delivery policy.
+//! Every way in which a delivery attempt can end on a connection, and what each means to the delivery policy.
 
 use std::time::Duration;
 
 use reeddock::AttemptOutcome;
 
+/// How one delivery attempt ended on its connection.
+///
+/// A batch request carries one attempt for each of its messages, and each gets a result of its own. Whether the message
+/// may have been executed decides whether it can be sent again:
+///
+/// | Result | What happened on the connection | Executed? |
+/// | --- | --- | --- |
+/// | `Completed` | 200, or `accepted` in a batch response | yes |
+/// | `Failed` | 500, or `fault` in a batch response | possibly |
+/// | `UnexpectedStatus` | a status that the protocol does not list | possibly |
+/// | `MalformedResponse` | something other than a whole HTTP response came | possibly |
+/// | `ConnectionReset` | lost after the request's last byte was written | possibly |
+/// | `TimedOut` | no response in time | possibly, or it may yet be |
+/// | `Cancelled` | this forwarder closed the connection | possibly, or it may yet be |
+/// | `Rejected` | 429, 503, or `deferred` in a batch response | no |
+/// | `EgressFull` | 503 with `X-Egress-Full` | no |
+/// | `AttemptsExhausted` | 504, or `no_more` in a batch response | no |
+/// | `AlreadyFinished` | 410, or `expired` in a batch response | no |
+/// | `Malformed` | 400 or 413 for a request with one message | no |
+/// | `BatchMalformed` | 400 or 413 for a batch | no |
+/// | `ConnectionRefused` | refused, or the attempt to connect failed | no |
+/// | `ConnectTimedOut` | not connected in time | no |
+/// | `ResetWhileSending` | lost before the request's last byte was written | no |
+/// | `RetryAfterActive`, `EndpointDraining`, `NotSent` | the request never left this process | no |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Answered: delivered.
+    /// Delivered.
     Completed,
-    /// Answered: it failed there, and may have run.
+    /// The endpoint answered with an error, and may have executed the message.
     Failed,
-    /// Turned away unseen, perhaps with a wait.
-    Rejected { retry_after: Option<Duration> },
-    /// Not sent on: every slot of this forwarder was taken.
+    /// The endpoint rejected the message before execution.
+    Rejected {
+        /// The `Retry-After` of the response, if it carried one above zero.
+        retry_after: Option<Duration>,
+    },
+    /// Not forwarded: every request slot of this forwarder was taken.
     EgressFull,
-    /// Not sent on: the message has had all its attempts.
+    /// Not forwarded: the message has had all its attempts. Its final answer is still due.
     AttemptsExhausted,
-    /// Not sent on: the message is over, and nothing more is owed.
+    /// Not forwarded: the message has its final answer already, and none is due.
     AlreadyFinished,
-    /// A call with nothing else was answered as not readable or too large; it never ran.
+    /// A request with this message alone could not be parsed or was too large.
     Malformed,
-    /// The same for a call with others, one of which may be at fault.
+    /// A batch could not be parsed or was too large; any one of its messages may be at fault.
     BatchMalformed,
-    /// Answered with what no one agreed on; it may have run.
+    /// The endpoint answered with a status that the protocol does not list, and may have executed the message.
     UnexpectedStatus,
     /// The connection was refused, or the attempt to make it failed.
     ConnectionRefused,
-    /// No connection came up in time.
+    /// The connection was not established in time.
     ConnectTimedOut,
-    /// The connection broke before the call's last byte was written.
+    /// The connection was lost before the request's last byte was written.
     ResetWhileSending,
-    /// The connection broke after the last byte was written.
+    /// The connection was lost after the request's last byte was written.
     ConnectionReset,
-    /// What came back after that was no answer, or not a whole one.
+    /// After the request's last byte was written came something other than a whole response.
     MalformedResponse,
-    /// No answer in time.
+    /// No response came in time.
     TimedOut,
-    /// Given up by this forwarder.
+    /// This forwarder gave the attempt up by closing its connection.
     Cancelled,
-    /// Not sent on: while its connection was being made, its endpoint asked to be left alone for a while.
+    /// Not sent: while the connection was established, the endpoint set a `Retry-After`.
     RetryAfterActive,
-    /// Not sent on: while its connection was being made, the list said that its endpoint leaves or is gone.
+    /// Not sent: while the connection was established, the endpoint list named the endpoint as draining or gone.
     EndpointDraining,
-    /// It never left: no descriptor was free for it, the write-ahead log could not be written first, or it was given up
-    /// before.
+    /// Not sent: no file descriptor was free, the write-ahead log could not be written first, or the attempt was
+    /// cancelled before.
     NotSent,
 }
 
 impl AttemptResult {
-    /// The only place where an ending becomes the delivery policy's outcome.
+    /// What the delivery policy is told. This is the only place where a result becomes an outcome.
+    #[must_use]
     pub fn outcome(self) -> AttemptOutcome {
         match self {
-            AttemptResult::Completed => AttemptOutcome::Completed,
-            AttemptResult::Failed | AttemptResult::UnexpectedStatus | AttemptResult::MalformedResponse => {
-                AttemptOutcome::Error
+            Self::Completed => AttemptOutcome::Completed,
+            Self::Failed | Self::UnexpectedStatus | Self::MalformedResponse => AttemptOutcome::Error,
+            Self::Rejected { retry_after } => AttemptOutcome::Rejected { retry_after },
+            // These two say nothing of the endpoint's capacity, so that they are no `Rejected`.
+            Self::AttemptsExhausted | Self::AlreadyFinished => AttemptOutcome::NotSent,
+            Self::EgressFull | Self::BatchMalformed => AttemptOutcome::NotSent,
+            Self::RetryAfterActive | Self::EndpointDraining | Self::NotSent => AttemptOutcome::NotSent,
+            Self::Malformed => AttemptOutcome::Malformed,
+            Self::ConnectionRefused | Self::ConnectTimedOut | Self::ResetWhileSending => {
+                AttemptOutcome::NoConnection
             }
-            AttemptResult::Rejected { retry_after: wait } => AttemptOutcome::Rejected { retry_after: wait },
-            // These two say nothing of room at the endpoint, so that they are no `Full`.
-            AttemptResult::AttemptsExhausted | AttemptResult::AlreadyFinished => AttemptOutcome::NotSent,
-            AttemptResult::EgressFull | AttemptResult::BatchMalformed => AttemptOutcome::NotSent,
-            AttemptResult::RetryAfterActive | AttemptResult::EndpointDraining | AttemptResult::NotSent => {
-                AttemptOutcome::NotSent
-            }
-            AttemptResult::Malformed => AttemptOutcome::Malformed,
-            AttemptResult::ConnectionRefused
-            | AttemptResult::ConnectTimedOut
-            | AttemptResult::ResetWhileSending => AttemptOutcome::NoConnection,
-            AttemptResult::ConnectionReset => AttemptOutcome::ConnectionReset,
-            AttemptResult::TimedOut => AttemptOutcome::TimedOut,
-            AttemptResult::Cancelled => AttemptOutcome::Cancelled,
+            Self::ConnectionReset => AttemptOutcome::ConnectionReset,
+            Self::TimedOut => AttemptOutcome::TimedOut,
+            Self::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 
-    /// Whether the message is over with it, with no notice owed.
+    /// Whether the message is finished with this result, so that no notice of it is due.
+    #[must_use]
     pub fn finishes_message(self) -> bool {
         matches!(self, AttemptResult::Completed | AttemptResult::AlreadyFinished)
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,37 +1,35 @@
-//! The messages of a forwarder on sockets, as small typed values: each is decoded once and encoded once. The
-//! names on the wire end here. There is no input or output in this package, and nothing is decided.
+//! The HTTP messages of a forwarder as small typed values: each is decoded once and encoded once, and the names on
+//! the wire end here. This package has no input or output, and it decides nothing.
+//!
+//! | Who talks to whom | Module | Types |
+//! | --- | --- | --- |
+//! | client to forwarder | `submission`, `client_response` | [`Submission`], [`ClientResponse`] |
+//! | forwarder to endpoint | `request`, `response` | [`OutgoingMessage`], [`AttemptResult`] |
+//! | forwarder to platform | `notice` | [`DeliveryNotice`], [`FinalAnswer`] |
+//! | discovery to forwarder | `list` | [`ListDecoder`], [`ListEvent`], [`ListPart`] |
 
 mod attempt_result;
+mod client_response;
 mod error;
+mod headers;
 mod list;
 mod notice;
 mod request;
+mod response;
 mod submission;
 
 pub use attempt_result::AttemptResult;
+pub use client_response::ClientResponse;
 pub use error::{EntryError, ListError, ListFault, ListLocation, ListPartError, SubmissionError};
-/// The old name of [`ListEntry`], until its users follow.
+/// The old name of [`ListEntry`], until its users in the forwarder and the daemon follow.
 pub use list::ListEntry as Entry;
 pub use list::{watch_request, ListDecoder, ListEntry, ListEvent, ListLimits, ListPart};
 pub use notice::{notices_request, DeliveryNotice, FinalAnswer};
-pub use request::{
-    attempt_result_of, attempt_results_of_batch, batch_request, load_report_of, rejects_connection,
-    retry_after_of, single_request, split_into_batches, OutgoingMessage,
+pub use request::{batch_request, single_request, split_into_batches, OutgoingMessage};
+pub use response::{
+    attempt_result_of, attempt_results_of_batch, load_report_of, rejects_connection, retry_after_of,
 };
-pub use submission::{ClientResponse, Submission, MAX_BODY_BYTES};
+pub use submission::Submission;
 
-/// No span is read as longer: sums of times stay far from where they overflow.
-const LONGEST: f64 = 1e9;
-
-/// Where a keyed message carries the mark by which a repeat is known.
-pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-
-/// Seconds with decimals, as spans travel in headers.
-fn span_in(text: &str) -> Option<std::time::Duration> {
-    let seconds = text.trim().parse::<f64>().ok().filter(|s| s.is_finite())?;
-    std::time::Duration::try_from_secs_f64(seconds.min(LONGEST)).ok()
-}
-
-fn header<'a>(headers: &'a http::HeaderMap, name: &str) -> Option<&'a str> {
-    headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim)
-}
+/// Most bytes that the body of a request may have, in either direction. The wire protocol sets it.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- /dev/null
+++ b/crates/protocol/src/list/event.rs
@@ -0,0 +1,39 @@
+//! What a decoder of the endpoint list yields, and how much it accepts.
+
+use super::ListEntry;
+
+/// What a watch response holds, in its order.
+#[derive(Debug, PartialEq)]
+pub enum ListEvent {
+    /// A part begins.
+    Begins {
+        /// The version of the list that a forwarder has once the part has ended.
+        generation: u64,
+        /// The part is the whole list, and not just what changed.
+        whole: bool,
+    },
+    /// One entry of the part.
+    EndpointUpdated(ListEntry),
+    /// The part has ended, and so has its line.
+    Ends,
+    /// An empty line between parts, which says that discovery is alive.
+    Heartbeat,
+}
+
+/// How much a decoder accepts. A list that exceeds a limit is refused.
+#[derive(Clone, Copy, Debug)]
+pub struct ListLimits {
+    /// Most entries of one part.
+    pub entries: usize,
+    /// Most bytes of one entry, of a key, or of any other value that has a meaning.
+    pub value_bytes: usize,
+    /// Most bytes of entries that come before both `generation` and `reset`, which stand first as a rule.
+    pub early_bytes: usize,
+}
+
+impl Default for ListLimits {
+    /// Three times the entries of the largest list that is expected, and memory for a small part of such a list.
+    fn default() -> ListLimits {
+        ListLimits { entries: 1_000_000, value_bytes: 64 * 1024, early_bytes: 8 * 1024 * 1024 }
+    }
+}
--- a/crates/protocol/src/list/mod.rs
+++ b/crates/protocol/src/list/mod.rs
@@ -1,113 +1,60 @@
-//! The list of endpoints, whole or in part, as discovery tells it.
+//! The endpoint list as discovery sends it: the request for a watch, and decoders of what comes back.
+//!
+//! A watch response is a sequence of parts, a JSON object each. [`ListDecoder`] decodes it from bytes that come in any
+//! pieces and never holds more than one entry; [`ListPart`] is one part that is in memory whole.
 
 mod decoder;
+mod entry;
+mod event;
+mod grammar;
+mod part_progress;
 mod value_scan;
 
-use std::borrow::Cow;
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use http::Request;
 use http_body_util::Full;
-use reeddock::{DestinationId, EndpointState};
-use serde::de::Error;
-use serde::{Deserialize, Deserializer};
+use serde::Deserialize;
 
-use crate::{EntryError, ListPartError};
-pub use decoder::{ListDecoder, ListEvent, ListLimits};
+use crate::ListPartError;
+pub use decoder::ListDecoder;
+pub use entry::ListEntry;
+pub use event::{ListEvent, ListLimits};
 
-/// One part of the list: all of it, or what changed.
+/// One part of the endpoint list: all of it, or what changed.
 #[derive(Debug, PartialEq)]
 pub struct ListPart {
+    /// The version of the list that a forwarder has with this part; it grows with each change.
     pub generation: u64,
+    /// The part is the whole list: endpoints that it does not name are gone.
     pub whole: bool,
+    /// The endpoints that it names.
     pub entries: Vec<ListEntry>,
 }
 
-/// What the list says of one endpoint.
-#[derive(Debug, PartialEq)]
-pub struct ListEntry {
-    /// The same at every forwarder and at each start.
-    pub name: String,
-    /// None where it is told no more, as the endpoint is gone.
-    pub address: Option<SocketAddr>,
-    pub destination: DestinationId,
-    pub state: EndpointState,
-    pub weight: Option<f64>,
-    pub zone: String,
-    pub kind: String,
-}
-
-/// An entry as it stands on the wire.
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Instance<'a> {
-    instance_id: String,
-    #[serde(default, borrow)]
-    host_port: Cow<'a, str>,
-    #[serde(default)]
-    zone: String,
-    #[serde(default)]
-    machine_type: String,
-    cell: u64,
-    #[serde(borrow)]
-    lifecycle: Cow<'a, str>,
-    weight: Option<f64>,
-}
-
-impl TryFrom<Instance<'_>> for ListEntry {
-    type Error = EntryError;
-
-    fn try_from(instance: Instance) -> Result<ListEntry, EntryError> {
-        let state = match instance.lifecycle.as_ref() {
-            "Ready" => EndpointState::Active,
-            "Terminating" => EndpointState::Draining,
-            "Gone" => EndpointState::Removed,
-            other => return Err(EntryError::UnknownLifecycle(other.to_owned())),
-        };
-        let address = instance.host_port.parse().ok();
-        if address.is_none() && state != EndpointState::Removed {
-            return Err(EntryError::InvalidAddress(instance.host_port.into_owned()));
-        }
-        Ok(ListEntry {
-            name: instance.instance_id,
-            address,
-            destination: DestinationId(instance.cell),
-            state,
-            weight: instance.weight,
-            zone: instance.zone,
-            kind: instance.machine_type,
-        })
-    }
-}
-
-impl<'de> Deserialize<'de> for ListEntry {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<ListEntry, D::Error> {
-        ListEntry::try_from(Instance::deserialize(deserializer)?).map_err(D::Error::custom)
-    }
-}
-
-/// A part as it stands on the wire.
+/// A part as it stands on the wire. Its name there is part of error messages.
 #[derive(Deserialize)]
-struct Line {
+#[serde(rename = "Line")]
+struct WirePart {
     generation: u64,
-    #[serde(default)]
-    reset: bool,
-    #[serde(default)]
-    instances: Vec<ListEntry>,
+    #[serde(default, rename = "reset")]
+    whole: bool,
+    #[serde(default, rename = "instances")]
+    entries: Vec<ListEntry>,
 }
 
 impl ListPart {
-    /// Decodes a part that is there whole. What may be large is read with [`ListDecoder`].
-    pub fn decode(line: &[u8]) -> Result<ListPart, ListPartError> {
-        let Line { generation, reset, instances } = serde_json::from_slice(line)?;
-        Ok(ListPart { generation, whole: reset, entries: instances })
+    /// Decodes a part that is in memory whole. What may be large is read with [`ListDecoder`].
+    pub fn decode(json: &[u8]) -> Result<ListPart, ListPartError> {
+        let WirePart { generation, whole, entries } = serde_json::from_slice(json)?;
+        Ok(ListPart { generation, whole, entries })
     }
 }
 
-/// Asks for what changes after a generation of the list.
-pub fn watch_request(discovery: SocketAddr, after: u64) -> http::Result<Request<Full<Bytes>>> {
-    Request::get(format!("/v1/servers?stream=1&index={after}"))
+/// The request for a watch: what changes after a generation of the endpoint list, until the connection ends.
+pub fn watch_request(discovery: SocketAddr, after_generation: u64) -> http::Result<Request<Full<Bytes>>> {
+    Request::get(format!("/v1/servers?stream=1&index={after_generation}"))
         .header("host", discovery.to_string())
         .body(Full::default())
 }
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -1,4 +1,4 @@
-//! Notices: how the platform hears of the end of a message that was accepted and not delivered.
+//! Notices: how the platform learns the final answer of a message that was accepted and not delivered.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,42 +8,46 @@
 use http_body_util::Full;
 use reeddock::MessageId;
 use serde::{Deserialize, Serialize};
-use serde_json::json;
+use serde_json::{json, Value};
 
-/// How a message ended that was not delivered.
+/// The final answer of a message that was accepted and not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinalAnswer {
-    /// Handing it in again is harmless, best after this time.
+    /// The message was never executed: submitting it again is harmless.
     Rejected {
+        /// How long the client had best wait before it does.
         retry_after: Option<Duration>,
     },
+    /// The message failed, and may have been executed.
     Failed,
 }
 
+/// The notice of one message's final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeliveryNotice {
+    /// The message.
     pub id: MessageId,
+    /// Its final answer.
     pub end: FinalAnswer,
 }
 
-/// One message with all of these notices.
+/// One request with all of these notices, a JSON object a line.
 pub fn notices_request(
     discovery: SocketAddr,
     notices: &[DeliveryNotice],
 ) -> http::Result<Request<Full<Bytes>>> {
-    let mut body = String::new();
-    for DeliveryNotice { id, end } in notices {
-        let id = &*id.0;
-        let line = match end {
-            FinalAnswer::Failed => json!({"id": id, "status": "undeliverable"}),
-            FinalAnswer::Rejected { retry_after: None } => json!({"id": id, "status": "deferred"}),
-            FinalAnswer::Rejected { retry_after: Some(again) } => {
-                let again = u64::try_from(again.as_millis()).unwrap_or(u64::MAX);
-                json!({"id": id, "status": "deferred", "again_ms": again})
-            }
-        };
-        body.push_str(&line.to_string());
-        body.push('\n');
+    let lines: String = notices.iter().map(|notice| format!("{}\n", encode_notice(notice))).collect();
+    Request::post("/v2/finals").header("host", discovery.to_string()).body(Full::new(Bytes::from(lines)))
+}
+
+fn encode_notice(notice: &DeliveryNotice) -> Value {
+    let id = &*notice.id.0;
+    match notice.end {
+        FinalAnswer::Failed => json!({"id": id, "status": "undeliverable"}),
+        FinalAnswer::Rejected { retry_after: None } => json!({"id": id, "status": "deferred"}),
+        FinalAnswer::Rejected { retry_after: Some(wait) } => {
+            let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
+            json!({"id": id, "status": "deferred", "again_ms": wait_ms})
+        }
     }
-    Request::post("/v2/finals").header("host", discovery.to_string()).body(Full::new(Bytes::from(body)))
 }
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -1,143 +1,102 @@
-//! What a client submits, and what it is answered.
+//! What a client submits.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use http::header::{CONNECTION, RETRY_AFTER};
-use http::{request, HeaderValue, Response, StatusCode};
-use http_body_util::Full;
+use http::{request, HeaderMap};
 use reeddock::{DestinationId, MessageId, OrderingKey};
 
-use crate::{header, span_in, SubmissionError, IDEMPOTENCY_KEY};
+use crate::headers::{
+    header_text, parse_seconds, DESTINATION, IDEMPOTENCY_KEY, MESSAGE_CLASS, MESSAGE_ID, ORDERING_KEY,
+    TENANT, TIME_LEFT,
+};
+use crate::SubmissionError;
 
-/// Bytes in a body at most.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Most bytes of a message id or an idempotency key.
+const MAX_ID_BYTES: usize = 128;
 
-/// One message as it is submitted.
+/// One message as a client submits it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
+    /// The client's id of the message, new with each submission.
     pub id: MessageId,
+    /// The name of its message class.
     pub class: String,
+    /// The tenant that it belongs to, whose quota it counts against.
     pub tenant: Option<String>,
+    /// Messages with the same ordering key are delivered in order, where their class says so.
     pub key: Option<OrderingKey>,
+    /// Where it is to be delivered.
     pub destination: DestinationId,
-    /// How long it may still be delivered.
+    /// How long it may still be delivered, from when the client sent it.
     pub time_left: Duration,
-    /// Passes on unchanged: by it the destination knows a repeat.
+    /// Passed on unchanged: by it the destination recognises a repeat.
     pub idempotency_key: Option<String>,
+    /// The body, passed on unchanged.
     pub body: Bytes,
 }
 
 impl Submission {
+    /// Decodes the head of a client's request, whose whole body is `body`.
     pub fn decode(parts: &request::Parts, body: Bytes) -> Result<Submission, SubmissionError> {
-        let named = |name: &'static str| {
-            header(&parts.headers, name)
-                .filter(|v| !v.is_empty())
-                .ok_or(SubmissionError::MissingHeader { header: name })
-        };
-        // Both stand in lines of a batch, and the id in notices, where these would break it.
-        let word = |name: &'static str, text: &str| match text.len() > 128
-            || text.bytes().any(|b| !b.is_ascii_graphic())
-        {
-            true => Err(SubmissionError::MalformedHeader { header: name }),
-            false => Ok(()),
-        };
-        let id = named("x-call-id")?;
-        word("x-call-id", id)?;
-        let idempotency_key = header(&parts.headers, IDEMPOTENCY_KEY).filter(|k| !k.is_empty());
-        idempotency_key.map_or(Ok(()), |key| word(IDEMPOTENCY_KEY, key))?;
-        let route = named("x-route-to")?;
-        let destination = route.split([',', ';']).find_map(|part| part.trim().strip_prefix("dest="));
-        let destination = destination.and_then(|d| d.trim().parse().ok());
-        let key = header(&parts.headers, "x-route-hash");
-        let key = key.map(|k| k.rsplit('=').next().unwrap_or(k).trim().parse());
+        let headers = &parts.headers;
+        let id = required(headers, MESSAGE_ID)?;
+        check_id(MESSAGE_ID, id)?;
+        let idempotency_key = header_text(headers, IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
+        if let Some(key) = idempotency_key {
+            check_id(IDEMPOTENCY_KEY, key)?;
+        }
+        // The order of these checks settles which fault a client hears of first.
+        let destination = parse_destination(required(headers, DESTINATION)?);
+        let class = required(headers, MESSAGE_CLASS)?;
+        let key = parse_ordering_key(headers)?;
+        let destination = destination.ok_or(SubmissionError::NoDestination)?;
+        let time_left = parse_seconds(required(headers, TIME_LEFT)?).ok_or(malformed(TIME_LEFT))?;
         Ok(Submission {
             id: MessageId(Arc::from(id)),
-            class: named("x-call-class")?.to_owned(),
-            tenant: header(&parts.headers, "x-caller").map(str::to_owned),
-            key: key
-                .transpose()
-                .map_err(|_| SubmissionError::MalformedHeader { header: "x-route-hash" })?
-                .map(OrderingKey),
-            destination: DestinationId(destination.ok_or(SubmissionError::NoDestination)?),
+            class: class.to_owned(),
+            tenant: header_text(headers, TENANT).map(str::to_owned),
+            key,
+            destination,
+            time_left,
             idempotency_key: idempotency_key.map(str::to_owned),
-            time_left: span_in(named("x-budget")?)
-                .ok_or(SubmissionError::MalformedHeader { header: "x-budget" })?,
-            // A copy: the original is a part of the connection's buffer, and would keep all of that.
+            // A copy: the original is a part of the connection's buffer, and would keep all of that in memory.
             body: Bytes::copy_from_slice(&body),
         })
     }
 }
 
-/// What a forwarder answers a client.
-#[derive(Clone, Debug, PartialEq)]
-pub enum ClientResponse {
-    /// It owes the message its end from here on.
-    Accepted,
-    /// Shed: handing it in again is harmless, best after this time.
-    Rejected(Option<Duration>),
-    /// Broken off at once.
-    Failed,
-    /// No room on this machine; nothing was accepted.
-    NoCapacity,
-    Malformed(SubmissionError),
-    TooLarge,
-    RequestTimeout,
-    /// A body with no plain length.
-    LengthRequired,
-    /// More came than its length says.
-    LengthMismatch,
-    /// Its id is that of another message, of now or of a moment ago.
-    DuplicateId,
-    /// The list knows no such destination, or not yet; nothing was accepted.
-    UnknownDestination,
-    NotFound,
-    /// It takes messages on; with what staff should know all the same.
-    Healthy(Option<String>),
-    /// Asked for its health while it stops.
-    ShuttingDown,
+fn malformed(header: &'static str) -> SubmissionError {
+    SubmissionError::MalformedHeader { header }
 }
 
-impl ClientResponse {
-    /// `last` asks the client to use another connection from now on.
-    pub fn encode(self, last: bool) -> Response<Full<Bytes>> {
-        let status = match &self {
-            ClientResponse::Accepted => StatusCode::ACCEPTED,
-            ClientResponse::Rejected(_) => StatusCode::TOO_MANY_REQUESTS,
-            ClientResponse::Failed => StatusCode::UNPROCESSABLE_ENTITY,
-            ClientResponse::NoCapacity
-            | ClientResponse::UnknownDestination
-            | ClientResponse::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
-            ClientResponse::Malformed(_) | ClientResponse::LengthMismatch => StatusCode::BAD_REQUEST,
-            ClientResponse::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            ClientResponse::RequestTimeout => StatusCode::REQUEST_TIMEOUT,
-            ClientResponse::LengthRequired => StatusCode::LENGTH_REQUIRED,
-            ClientResponse::DuplicateId => StatusCode::CONFLICT,
-            ClientResponse::NotFound => StatusCode::NOT_FOUND,
-            ClientResponse::Healthy(_) => StatusCode::OK,
-        };
-        let mut retry_after = None;
-        let body = match self {
-            ClientResponse::Rejected(wait) => {
-                retry_after = wait;
-                Bytes::new()
-            }
-            ClientResponse::Malformed(fault) => Bytes::from(format!("{fault}\n")),
-            ClientResponse::Healthy(None) => Bytes::from_static(b"ok\n"),
-            ClientResponse::Healthy(Some(trouble)) => Bytes::from(format!("ok; {trouble}\n")),
-            _ => Bytes::new(),
-        };
-        let mut response = Response::new(Full::new(body));
-        *response.status_mut() = status;
-        let headers = response.headers_mut();
-        if let Some(Ok(value)) = retry_after.map(|w| HeaderValue::try_from(format!("{:.3}", w.as_secs_f64())))
-        {
-            headers.insert(RETRY_AFTER, value);
-        }
-        if last {
-            headers.insert(CONNECTION, HeaderValue::from_static("close"));
-        }
-        response
+/// The value of a header that each request must carry.
+fn required<'a>(headers: &'a HeaderMap, header: &'static str) -> Result<&'a str, SubmissionError> {
+    let value = header_text(headers, header).filter(|value| !value.is_empty());
+    value.ok_or(SubmissionError::MissingHeader { header })
+}
+
+/// Checks that a message id or an idempotency key is a short word of visible ASCII characters. Both stand in lines of a
+/// batch, and the id also in notices: a blank or a line feed in one would break these.
+fn check_id(header: &'static str, text: &str) -> Result<(), SubmissionError> {
+    let too_long = text.len() > MAX_ID_BYTES;
+    if too_long || text.bytes().any(|byte| !byte.is_ascii_graphic()) {
+        return Err(malformed(header));
     }
+    Ok(())
+}
+
+/// The number behind the first `dest=` of the routing header.
+fn parse_destination(routing: &str) -> Option<DestinationId> {
+    let number = routing.split([',', ';']).find_map(|part| part.trim().strip_prefix("dest="))?;
+    number.trim().parse().ok().map(DestinationId)
+}
+
+/// The number behind the last `=` of the ordering header, or all of it if there is none.
+fn parse_ordering_key(headers: &HeaderMap) -> Result<Option<OrderingKey>, SubmissionError> {
+    let Some(text) = header_text(headers, ORDERING_KEY) else { return Ok(None) };
+    let number = text.rsplit('=').next().unwrap_or(text).trim();
+    let number = number.parse().map_err(|_| malformed(ORDERING_KEY))?;
+    Ok(Some(OrderingKey(number)))
 }
