--- /dev/null
+++ b/crates/settings/src/policy.rs
@@ -0,0 +1,144 @@
+//! What the delivery policy is given of the settings, each value under the policy's own name.
+
+use reeddock::{
+    EndpointKind, Idempotency, KeyScope, LateDecay, ListedWeights, MessageClass, Settings, TenantQuota,
+    ZoneFee,
+};
+use serde_json::{Map, Value};
+
+use crate::lenient::Section;
+use crate::LoadReportFields;
+
+/// The settings of the delivery policy. What is absent or of another type counts as not given.
+#[must_use]
+pub fn parse_settings(seed: u64, settings: &Map<String, Value>) -> Settings {
+    let mut parsed = Settings { seed, ..Settings::default() };
+    read_fleet(settings, &mut parsed);
+    read_traffic(settings, &mut parsed);
+    read_limits(settings, &mut parsed);
+    read_guarantees(settings, &mut parsed);
+    read_discovery(settings, &mut parsed);
+    read_prices(settings, &mut parsed);
+    parsed
+}
+
+/// Where this forwarder stands, among how many.
+fn read_fleet(settings: &Map<String, Value>, parsed: &mut Settings) {
+    let settings = Section::from(settings);
+    parsed.forwarders = settings.integer("balancers");
+    parsed.zone = settings.text("az");
+}
+
+/// Classes of messages, kinds of endpoints, and tenants.
+fn read_traffic(settings: &Map<String, Value>, parsed: &mut Settings) {
+    let settings = Section::from(settings);
+    parsed.classes = settings.list("classes").iter().map(message_class).collect();
+    parsed.endpoint_kinds = endpoint_kinds(settings);
+    parsed.tenants = settings.list("realms").iter().map(tenant_quota).collect();
+    parsed.over_quota_weight = settings.number("overShareWorth");
+    parsed.late_decay = match settings.section("familyInfo").word("decay") {
+        Some("halving") => LateDecay::Exponential,
+        _ => LateDecay::Linear,
+    };
+}
+
+fn message_class(class: &Value) -> MessageClass {
+    let class = Section::from(class);
+    MessageClass {
+        name: class.text("name"),
+        idempotency: idempotency(class),
+        latency_objective: class.micros("onTimeUs"),
+        deadline: class.micros("giveUpUs"),
+        priority_weight: class.number("importance"),
+        late_weight: class.number("lateWorth"),
+        ordered: class.flag("sequential"),
+    }
+}
+
+/// Whether messages of a class may be repeated. A window that is not given is no promise: it counts as not given at all.
+fn idempotency(class: Section) -> Option<Idempotency> {
+    match class.word("effect")? {
+        "idempotent" => Some(Idempotency::Idempotent),
+        "at_most_once" => Some(Idempotency::NonIdempotent),
+        "deduplicated" => {
+            let window = class.micros("windowUs")?;
+            let scope = match class.word("dedupScope") {
+                Some("all") => KeyScope::Region,
+                _ => KeyScope::Zone,
+            };
+            Some(Idempotency::WithKey { window, scope })
+        }
+        _ => None,
+    }
+}
+
+/// The kinds by name; their other values stand in arrays beside, at the same index.
+fn endpoint_kinds(settings: Section) -> Vec<EndpointKind> {
+    let family = settings.section("familyInfo");
+    let batches = family.list("batchByKind");
+    let own_circuits = family.list("kindApart");
+    let kind = |(index, name): (usize, &Value)| EndpointKind {
+        name: name.as_str().unwrap_or_default().to_owned(),
+        circuit_per_endpoint: own_circuits.get(index).and_then(Value::as_bool).unwrap_or_default(),
+        max_batch: batches.get(index).and_then(Value::as_u64),
+    };
+    settings.list("kinds").iter().enumerate().map(kind).collect()
+}
+
+fn tenant_quota(tenant: &Value) -> TenantQuota {
+    let tenant = Section::from(tenant);
+    TenantQuota { tenant: tenant.text("name"), messages_per_second: tenant.number("quotaPerS") }
+}
+
+/// What one forwarder may have open, and what rejections may carry.
+fn read_limits(settings: &Map<String, Value>, parsed: &mut Settings) {
+    let settings = Section::from(settings);
+    let limits = settings.section("policyLimits");
+    parsed.max_in_flight = settings.section("familyInfo").integer("maxCalls");
+    parsed.capacity = limits.integer("openCap");
+    parsed.max_attempts = limits.integer("attemptsCap");
+    parsed.hedging_allowed = limits.flag("mayDuplicate");
+    parsed.max_retry_after = limits.micros("maxRetryAfterUs").filter(|_| limits.flag("retryAfter"));
+    parsed.connection_idle_timeout = limits.micros("connIdleUs");
+}
+
+/// What the operators guarantee of destinations that come back from an outage, and of ordering keys.
+fn read_guarantees(settings: &Map<String, Value>, parsed: &mut Settings) {
+    let guarantees = Section::from(settings).section("guarantees");
+    parsed.slow_start_floor = guarantees.number("coldFrom");
+    parsed.slow_start_duration = guarantees.micros("warmWithinUs");
+    parsed.overload_multiple = guarantees.number("fallMultiple");
+    parsed.overload_window = guarantees.micros("tipAfterUs");
+    parsed.ordering_hold_off = guarantees.micros("keyQuietUs");
+}
+
+/// How the endpoint list comes, and what it and responses say of limits.
+fn read_discovery(settings: &Map<String, Value>, parsed: &mut Settings) {
+    parsed.responses_carry_load_reports = LoadReportFields::of(settings).is_some();
+    let settings = Section::from(settings);
+    let is_polled = settings.word("discovery") == Some("subscribe");
+    let poll_interval_limit = settings.section("guarantees").micros("mustAskInUs");
+    parsed.poll_interval_limit = poll_interval_limit.filter(|_| is_polled);
+    parsed.listed_weights = match settings.word("weights") {
+        Some("nominal") => ListedWeights::Rates,
+        Some("rough") => ListedWeights::ApproximateRates,
+        _ => ListedWeights::Unspecified,
+    };
+}
+
+/// Prices of requests and connections.
+fn read_prices(settings: &Map<String, Value>, parsed: &mut Settings) {
+    let settings = Section::from(settings);
+    let tariffs = settings.section("tariffs");
+    parsed.cross_zone_price = tariffs.number("crossZone");
+    parsed.connection_price = tariffs.number("handshake");
+    let zones = settings.list("areas");
+    let fees = settings.section("familyInfo").list("zoneFee");
+    parsed.zone_fees = zones.iter().zip(fees).filter_map(|(zone, fee)| zone_fee(zone, fee)).collect();
+}
+
+/// The price in one zone; None where the fee is no number.
+fn zone_fee(zone: &Value, fee: &Value) -> Option<ZoneFee> {
+    let zone = zone.as_str().unwrap_or_default().to_owned();
+    fee.as_f64().map(|fee| ZoneFee { zone, fee })
+}
--- /dev/null
+++ b/crates/sim-adapter/src/adapter.rs
@@ -0,0 +1,108 @@
+//! Batches of events for many instances, and the replies to them.
+
+use std::any::Any;
+use std::collections::BTreeMap;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::time::Duration;
+
+use serde_json::{json, Value};
+
+use crate::commands::Commands;
+use crate::event::InstanceEvent;
+use crate::event_fields::EventFields;
+use crate::instance::{Instance, RegisteredLists};
+use crate::AdapterError;
+
+/// All forwarders that this process plays. They share nothing but the numbered endpoint lists, which the wire shares.
+#[derive(Default)]
+pub struct SimulationAdapter {
+    instances: BTreeMap<u64, Instance>,
+    lists: RegisteredLists,
+}
+
+impl SimulationAdapter {
+    /// Answers one batch with one reply, both a line of JSON.
+    pub fn process_batch(&mut self, line: &str) -> Result<String, AdapterError> {
+        let batch: Value = serde_json::from_str(line)?;
+        let clock = batch.get("wallUs").and_then(Value::as_u64).ok_or(AdapterError::MissingClock)?;
+        let now = Duration::from_micros(clock);
+        let serial = batch.get("serial").filter(|s| s.is_u64()).ok_or(AdapterError::MissingSerial)?;
+        let parts = batch.get("forwarders").and_then(Value::as_array).ok_or(AdapterError::MissingParts)?;
+        let mut replies = Vec::new();
+        for part in parts {
+            replies.extend(self.process_part(part, now)?);
+        }
+        Ok(json!({"serial": serial, "forwarders": replies}).to_string())
+    }
+
+    /// Gives one instance its part of a batch. None if it gives no command.
+    ///
+    /// A panic of the delivery policy goes into the reply, so that the simulator knows which instance it happened to.
+    fn process_part(&mut self, part: &Value, now: Duration) -> Result<Option<Value>, AdapterError> {
+        let number = part.get("i").and_then(Value::as_u64).ok_or(AdapterError::MissingInstance)?;
+        let events = part.get("in").and_then(Value::as_array).ok_or(AdapterError::MissingEvents)?;
+        let mut commands = Commands::default();
+        let apply = || self.apply_events(number, events, now, &mut commands);
+        match catch_unwind(AssertUnwindSafe(apply)) {
+            Ok(applied) => applied?,
+            Err(cause) => commands = Commands::panicked(panic_message(cause.as_ref())),
+        }
+        let commands = commands.into_values();
+        Ok((!commands.is_empty()).then(|| json!({"i": number, "cmds": commands})))
+    }
+
+    fn apply_events(
+        &mut self,
+        number: u64,
+        events: &[Value],
+        now: Duration,
+        commands: &mut Commands,
+    ) -> Result<(), AdapterError> {
+        for event in events {
+            self.apply_event(number, &EventFields::try_from(event)?, now, commands)?;
+        }
+        if let Some(instance) = self.instances.get_mut(&number) {
+            instance.run_due_work(now, commands);
+        }
+        Ok(())
+    }
+
+    fn apply_event(
+        &mut self,
+        number: u64,
+        fields: &EventFields,
+        now: Duration,
+        commands: &mut Commands,
+    ) -> Result<(), AdapterError> {
+        match fields.name {
+            "Register" => {
+                let entries = fields.array(1)?;
+                self.lists.insert(fields.integer(0)?, entries.to_vec());
+            }
+            "Attach" => {
+                let settings = fields.object(1)?;
+                let instance = Instance::new(fields.integer(0)?, settings, now, commands);
+                self.instances.insert(number, instance);
+            }
+            "Retire" => {
+                self.instances.remove(&number);
+                // Its commands of earlier in this batch are void with it.
+                commands.clear();
+            }
+            _ => {
+                let instance = self.instances.get_mut(&number).ok_or_else(|| AdapterError::NotAttached {
+                    event: fields.name.to_owned(),
+                    instance: number,
+                })?;
+                instance.apply(InstanceEvent::try_from(fields)?, &self.lists, now, commands)?;
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The message that a panic was raised with.
+fn panic_message(cause: &(dyn Any + Send)) -> &str {
+    let owned = cause.downcast_ref::<String>().map(String::as_str);
+    owned.or(cause.downcast_ref::<&str>().copied()).unwrap_or("the module panicked")
+}
--- /dev/null
+++ b/crates/sim-adapter/src/event_fields.rs
@@ -0,0 +1,114 @@
+//! The values of one event or list entry, which stand in a JSON array and are read by index.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use reeddock::{AttemptNumber, DestinationId, EndpointId, MessageId, PeerId};
+use serde_json::{Map, Value};
+
+use crate::AdapterError;
+
+/// A name, and the values that belong to it. Indices count from 0, without the name.
+pub(crate) struct EventFields<'a> {
+    pub name: &'a str,
+    values: &'a [Value],
+}
+
+impl<'a> TryFrom<&'a Value> for EventFields<'a> {
+    type Error = AdapterError;
+
+    /// An event: an array whose first value is its name.
+    fn try_from(event: &'a Value) -> Result<EventFields<'a>, AdapterError> {
+        let array = event.as_array().ok_or(AdapterError::EventNotArray)?;
+        let name = array.first().and_then(Value::as_str).ok_or(AdapterError::UnnamedEvent)?;
+        Ok(EventFields { name, values: &array[1..] })
+    }
+}
+
+impl<'a> EventFields<'a> {
+    /// An entry of a registered list: an array without a name.
+    pub fn of_list_entry(entry: &'a Value) -> Result<EventFields<'a>, AdapterError> {
+        let values = entry.as_array().ok_or(AdapterError::EntryNotArray)?;
+        Ok(EventFields { name: "Register entry", values })
+    }
+
+    fn get(&self, index: usize) -> Option<&'a Value> {
+        self.values.get(index).filter(|value| !value.is_null())
+    }
+
+    /// The value at an index is missing or malformed.
+    pub fn invalid(&self, index: usize) -> AdapterError {
+        AdapterError::InvalidValue { event: self.name.to_owned(), number: index + 1 }
+    }
+
+    pub fn text(&self, index: usize) -> Result<&'a str, AdapterError> {
+        self.optional_text(index).ok_or_else(|| self.invalid(index))
+    }
+
+    /// None also where the value is of another type.
+    pub fn optional_text(&self, index: usize) -> Option<&'a str> {
+        self.get(index)?.as_str()
+    }
+
+    pub fn integer(&self, index: usize) -> Result<u64, AdapterError> {
+        self.optional_integer(index)?.ok_or_else(|| self.invalid(index))
+    }
+
+    /// None only where the value is absent; one of another type is an error.
+    pub fn optional_integer(&self, index: usize) -> Result<Option<u64>, AdapterError> {
+        let Some(value) = self.get(index) else { return Ok(None) };
+        value.as_u64().map(Some).ok_or_else(|| self.invalid(index))
+    }
+
+    fn small_integer(&self, index: usize) -> Result<u32, AdapterError> {
+        u32::try_from(self.integer(index)?).map_err(|_| self.invalid(index))
+    }
+
+    /// None also where the value is of another type.
+    pub fn optional_number(&self, index: usize) -> Option<f64> {
+        self.get(index)?.as_f64()
+    }
+
+    /// Unset also where the value is absent or of another type.
+    pub fn flag(&self, index: usize) -> bool {
+        self.get(index).and_then(Value::as_bool).unwrap_or_default()
+    }
+
+    /// None also where the value is of another type.
+    pub fn optional_array(&self, index: usize) -> Option<&'a [Value]> {
+        self.get(index)?.as_array().map(Vec::as_slice)
+    }
+
+    pub fn array(&self, index: usize) -> Result<&'a [Value], AdapterError> {
+        self.optional_array(index).ok_or_else(|| self.invalid(index))
+    }
+
+    pub fn object(&self, index: usize) -> Result<&'a Map<String, Value>, AdapterError> {
+        self.get(index).and_then(Value::as_object).ok_or_else(|| self.invalid(index))
+    }
+
+    /// A time in microseconds.
+    pub fn micros(&self, index: usize) -> Result<Duration, AdapterError> {
+        self.integer(index).map(Duration::from_micros)
+    }
+
+    pub fn message(&self, index: usize) -> Result<MessageId, AdapterError> {
+        self.text(index).map(|id| MessageId(Arc::from(id)))
+    }
+
+    pub fn endpoint(&self, index: usize) -> Result<EndpointId, AdapterError> {
+        self.small_integer(index).map(EndpointId)
+    }
+
+    pub fn destination(&self, index: usize) -> Result<DestinationId, AdapterError> {
+        self.integer(index).map(DestinationId)
+    }
+
+    pub fn attempt(&self, index: usize) -> Result<AttemptNumber, AdapterError> {
+        self.small_integer(index).map(AttemptNumber)
+    }
+
+    pub fn peer(&self, index: usize) -> Result<PeerId, AdapterError> {
+        self.small_integer(index).map(PeerId)
+    }
+}
--- /dev/null
+++ b/crates/sim-adapter/src/instance.rs
@@ -0,0 +1,96 @@
+//! One forwarder of the simulator: a delivery policy, and how it is given events.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use reeddock::{DeliveryPolicy, EndpointId};
+use reeddock_settings::{parse_settings, LoadReportFields};
+use serde_json::{Map, Value};
+
+use crate::commands::Commands;
+use crate::event::{parse_list_entry, FinishedAttempt, InstanceEvent};
+use crate::AdapterError;
+
+/// Endpoint lists by the number that they were registered under.
+pub(crate) type RegisteredLists = BTreeMap<u64, Vec<Value>>;
+
+/// One forwarder.
+pub(crate) struct Instance {
+    policy: DeliveryPolicy,
+    /// Where load reports have their values; None if responses carry none.
+    load_report_fields: Option<LoadReportFields>,
+}
+
+impl Instance {
+    /// Starts a forwarder with these settings.
+    pub fn new(seed: u64, settings: &Map<String, Value>, now: Duration, commands: &mut Commands) -> Instance {
+        Instance {
+            policy: DeliveryPolicy::new(now, parse_settings(seed, settings), commands),
+            load_report_fields: LoadReportFields::of(settings),
+        }
+    }
+
+    /// Gives the delivery policy one event.
+    pub fn apply(
+        &mut self,
+        event: InstanceEvent,
+        lists: &RegisteredLists,
+        now: Duration,
+        commands: &mut Commands,
+    ) -> Result<(), AdapterError> {
+        match event {
+            InstanceEvent::DiscoveryFailed => self.policy.discovery_failed(now),
+            InstanceEvent::EndpointList { whole, list } => {
+                let entries = lists.get(&list).ok_or(AdapterError::UnknownList(list))?;
+                self.apply_endpoint_list(whole, entries)?;
+            }
+            InstanceEvent::Submitted(message) => self.policy.submit(now, message, commands),
+            InstanceEvent::AttemptFinished(attempt) => self.finish_attempt(&attempt, now, commands),
+            InstanceEvent::Withdrawn(message) => self.policy.withdraw(&message, commands),
+            InstanceEvent::TimerFired => self.policy.timer_fired(now),
+            InstanceEvent::HealthChecked { endpoint, healthy, load_report } => {
+                self.apply_load_report(endpoint, load_report);
+                self.policy.health_checked(now, endpoint, healthy);
+            }
+            InstanceEvent::GossipReceived { peer, gossip } => self.policy.gossip_received(now, peer, &gossip),
+            InstanceEvent::ResponseStarted { message, attempt } => {
+                self.policy.response_started(now, &message, attempt, commands);
+            }
+        }
+        Ok(())
+    }
+
+    /// Lets the delivery policy act on all events since it last did.
+    pub fn run_due_work(&mut self, now: Duration, commands: &mut Commands) {
+        self.policy.run_due_work(now, commands);
+    }
+
+    fn apply_endpoint_list(&mut self, whole: bool, entries: &[Value]) -> Result<(), AdapterError> {
+        self.policy.begin_endpoint_list(whole);
+        for entry in entries {
+            self.policy.update_endpoint(parse_list_entry(entry)?);
+        }
+        self.policy.finish_endpoint_list();
+        Ok(())
+    }
+
+    fn finish_attempt(&mut self, finished: &FinishedAttempt, now: Duration, commands: &mut Commands) {
+        self.apply_load_report(finished.endpoint, finished.load_report);
+        self.policy.attempt_finished(
+            now,
+            &finished.message,
+            finished.attempt,
+            finished.outcome,
+            finished.message_finished,
+            commands,
+        );
+    }
+
+    /// Gives the delivery policy the load report that stands beside an outcome, before the outcome itself.
+    fn apply_load_report(&mut self, endpoint: EndpointId, values: Option<&[Value]>) {
+        let Some((fields, values)) = self.load_report_fields.zip(values) else { return };
+        if let Some(report) = fields.read(values) {
+            self.policy.load_reported(endpoint, report);
+        }
+    }
+}
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -3,29 +3,27 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use reeddock_sim_adapter::Wire;
+use reeddock_sim_adapter::{AdapterError, SimulationAdapter};
 
 fn main() -> ExitCode {
-    // A panic of the delivery policy is told on the wire; the usual report of it would be a second one.
+    // A panic of the delivery policy goes into the reply; the usual report of it on standard error would be a second one.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("reeddock-wirehost: {}", fault.replace('\n', " "));
+        Err(error) => {
+            eprintln!("reeddock-wirehost: {}", error.to_string().replace('\n', " "));
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
-    let mut wire = Wire::default();
-    let mut out = io::stdout().lock();
+fn run() -> Result<(), AdapterError> {
+    let mut adapter = SimulationAdapter::default();
+    let mut output = io::stdout().lock();
     for line in io::stdin().lock().lines() {
-        let line = line.map_err(|e| format!("cannot read a batch: {e}"))?;
-        let reply = wire.answer(&line)?;
-        writeln!(out, "{reply}")
-            .and_then(|()| out.flush())
-            .map_err(|e| format!("cannot write a reply: {e}"))?;
+        let reply = adapter.process_batch(&line.map_err(AdapterError::Read)?)?;
+        writeln!(output, "{reply}").map_err(AdapterError::Write)?;
+        output.flush().map_err(AdapterError::Write)?;
     }
     Ok(())
 }
