--- /dev/null
+++ b/src/queue/destination_queue.rs
@@ -0,0 +1,122 @@
+//! The queue of one destination.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use super::indices::{IndexEntries, ObjectiveRange};
+use super::position::{
+    ClassEntries, Due, ObjectiveOrder, PriorityClass, QueueClass, QueuePosition, QueuedMessage,
+};
+use super::segment::QueueSegment;
+use super::wake_schedule::Wakefulness;
+use crate::messages::MessageKey;
+
+/// The messages that wait for one destination.
+#[derive(Default)]
+pub(crate) struct DestinationQueue {
+    pub(super) classes: BTreeMap<QueueClass, ClassEntries>,
+    /// Every message by its deadline.
+    pub(super) deadlines: BTreeSet<Due<MessageKey>>,
+    /// Messages that may only be retried while their idempotency key is valid, by the end of that.
+    pub(super) key_expiries: BTreeSet<Due<MessageKey>>,
+    pub(super) len: usize,
+    pub(super) wakefulness: Wakefulness,
+    /// The entries under which this queue stands in the indices now.
+    pub(super) indexed: IndexEntries,
+}
+
+impl DestinationQueue {
+    /// The first latency objective that ends after now, of each class that has one.
+    pub fn next_promises(&self, now: Duration) -> impl Iterator<Item = (&QueueClass, Duration)> {
+        self.classes.iter().filter_map(move |(queue_class, entries)| {
+            let after_now = ObjectiveOrder::end_of(now);
+            let mut upcoming = entries.range(after_now..).map(|(order, _)| order.objective_at);
+            Some((queue_class, upcoming.find(|objective_at| *objective_at > now)?))
+        })
+    }
+
+    pub(super) fn insert(&mut self, key: MessageKey, position: &QueuePosition) {
+        let entries = self.classes.entry(position.queue_class).or_default();
+        entries.insert(position.objective_order(), key);
+        self.deadlines.insert(Due::new(position.deadline, key));
+        if let Some(until) = position.key_valid_until {
+            self.key_expiries.insert(Due::new(until, key));
+        }
+        self.len += 1;
+    }
+
+    pub(super) fn remove(&mut self, key: MessageKey, position: &QueuePosition) {
+        if let Some(entries) = self.classes.get_mut(&position.queue_class) {
+            entries.remove(&position.objective_order());
+            if entries.is_empty() {
+                self.classes.remove(&position.queue_class);
+            }
+        }
+        self.deadlines.remove(&Due::new(position.deadline, key));
+        if let Some(until) = position.key_valid_until {
+            self.key_expiries.remove(&Due::new(until, key));
+        }
+        self.len -= 1;
+    }
+
+    /// Its messages in segments, without those that another message of their ordering key blocks.
+    pub(super) fn segments(&self, now: Duration) -> impl Iterator<Item = QueueSegment<'_>> {
+        let unblocked = self.classes.iter().filter(|(queue_class, _)| !queue_class.blocked);
+        unblocked.flat_map(move |(queue_class, entries)| {
+            QueueSegment::late_and_in_time(*queue_class, entries, now)
+        })
+    }
+
+    /// Messages whose deadline is at or before this time.
+    pub(super) fn deadlines_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
+        subjects_up_to(&self.deadlines, last)
+    }
+
+    /// Messages whose idempotency key is valid until this time at most.
+    pub(super) fn key_expiries_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
+        subjects_up_to(&self.key_expiries, last)
+    }
+
+    /// The entries under which it is to stand in the indices; `available_at` is when the first of its endpoints
+    /// may be called.
+    pub(super) fn index_entries(&self, available_at: Duration) -> IndexEntries {
+        let deadline = self.deadlines.first().map(|due| due.at);
+        let key_expiry = self.key_expiries.first().map(|due| due.at);
+        let time_left_when_available = match key_expiry {
+            Some(until) if until <= available_at => Some(Duration::ZERO),
+            _ => deadline.map(|at| at.saturating_sub(available_at)),
+        };
+        IndexEntries {
+            deadline,
+            key_expiry,
+            available_at,
+            time_left_when_available,
+            len: self.len,
+            objective_ranges: self.objective_ranges(),
+        }
+    }
+
+    /// The earliest and the latest message of each priority class.
+    fn objective_ranges(&self) -> Vec<ObjectiveRange> {
+        let mut ranges: BTreeMap<PriorityClass, ObjectiveRange> = BTreeMap::new();
+        for (queue_class, entries) in &self.classes {
+            let (Some(first), Some(last)) = (entries.first_key_value(), entries.last_key_value()) else {
+                continue;
+            };
+            let first = QueuedMessage::new(*first.0, *first.1);
+            let last = QueuedMessage::new(*last.0, *last.1);
+            let priority = queue_class.priority;
+            let range = ranges.entry(priority).or_insert(ObjectiveRange { priority, first, last });
+            range.first = range.first.min(first);
+            range.last = range.last.max(last);
+        }
+        ranges.into_values().collect()
+    }
+}
+
+fn subjects_up_to(
+    order: &BTreeSet<Due<MessageKey>>,
+    last: Duration,
+) -> impl Iterator<Item = MessageKey> + '_ {
+    order.iter().take_while(move |due| due.at <= last).map(|due| due.subject)
+}
