--- /dev/null
+++ b/tests/policy/circuit_breaker.rs
@@ -0,0 +1,113 @@
+//! When a circuit opens, how it is tried, and how traffic returns to it.
+
+use reeddock::*;
+
+use crate::support::*;
+
+/// A policy whose circuit of destination 9 was opened by refused connections. Messages a, b and c are queued.
+pub fn with_open_circuit() -> PolicyTest {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    for name in ["a", "b", "c"] {
+        test.submit(name, IDEMPOTENT, 9);
+    }
+    test.run_after(ms(0));
+    for name in ["a", "b", "c"] {
+        test.finish_attempt(name, 0, AttemptOutcome::NoConnection);
+    }
+    test
+}
+
+#[test]
+fn open_circuit_is_tried_with_one_message_at_a_time() {
+    let mut test = with_open_circuit();
+    assert!(test.started_after(ms(500)).is_empty(), "the circuit is open: all are queued");
+    let trial = test.started_after(ms(600));
+    assert_eq!(trial.len(), 1, "one real message as the half-open trial");
+    assert!(test.started_after(ms(3000)).is_empty(), "no further trial while one is in flight");
+    test.finish_attempt(&trial[0], 1, AttemptOutcome::NoConnection);
+    assert!(test.started_after(ms(900)).is_empty(), "a failed trial reopens the circuit");
+    assert_eq!(test.started_after(ms(200)).len(), 1);
+}
+
+#[test]
+fn recovery_ramp_starts_with_one_request_at_a_time() {
+    let mut test = with_open_circuit();
+    let trial = test.started_after(ms(1100));
+    test.complete_attempt(&trial[0], 1);
+    assert!(test.started_after(ms(1)).len() <= 1);
+}
+
+#[test]
+fn request_that_hangs_from_before_the_recovery_does_not_hold_back_the_ramp() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    for name in ["stuck", "a", "b", "c"] {
+        test.submit(name, NON_IDEMPOTENT, 9);
+    }
+    test.run_after(ms(0));
+    for name in ["a", "b", "c"] {
+        test.finish_attempt(name, 0, AttemptOutcome::NoConnection);
+    }
+    let trial = test.started_after(ms(1100));
+    assert_eq!(trial.len(), 1);
+    test.advance(ms(100));
+    test.complete_attempt(&trial[0], 1);
+    assert_eq!(test.started_after(ms(300)).len(), 1, "though one is still in flight");
+}
+
+#[test]
+fn open_circuit_of_one_endpoint_is_tried_when_due_though_another_is_closed() {
+    let mut test = PolicyTest::with_endpoints(&[listed(1, 9, OWN_CIRCUIT), listed(2, 9, OWN_CIRCUIT)]);
+    let (mut to_one, mut n) = (0, 0);
+    while to_one < 3 {
+        n += 1;
+        let name = format!("e{n}");
+        test.submit(&name, IDEMPOTENT, 9);
+        while let Some(attempt) = test.last_started_after(ms(0)) {
+            let refused = attempt.endpoint == EndpointId(1);
+            to_one += u32::from(refused);
+            let number = test.policy.message_progress(&id(&name)).unwrap().attempts - 1;
+            let outcome = if refused { AttemptOutcome::NoConnection } else { AttemptOutcome::Completed };
+            test.finish_attempt(&name, number, outcome);
+        }
+        test.advance(ms(50));
+    }
+    test.submit("late", IDEMPOTENT, 9);
+    let commands = test.run_after(ms(3000));
+    assert!(matches!(
+        commands[..],
+        [HostCommand::StartAttempt(StartedAttempt { endpoint: EndpointId(1), .. })]
+    ));
+}
+
+#[test]
+fn message_that_always_gets_an_error_does_not_open_the_circuit() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.submit("bad", IDEMPOTENT, 9);
+    for attempt in 0..4 {
+        assert_eq!(test.started_after(ms(1500)), ["bad"]);
+        test.finish_attempt("bad", attempt, AttemptOutcome::Error);
+    }
+    test.submit("good", NON_IDEMPOTENT, 9);
+    assert_eq!(test.started_after(ms(1))[0], "good");
+}
+
+#[test]
+fn circuit_that_was_not_used_for_ten_deadlines_is_forgotten() {
+    let endpoints: Vec<ListedEndpoint> = (0..500).map(|n| listed(n, u64::from(n), SHARED_CIRCUIT)).collect();
+    let mut test = PolicyTest::with_large_capacity(&endpoints);
+    for n in 0..500 {
+        let name = format!("e{n:04}");
+        test.submit(&name, IDEMPOTENT, n);
+        assert_eq!(test.started_after(ms(100)), [name.as_str()]);
+        test.complete_attempt(&name, 0);
+    }
+    test.run_after(ms(0));
+    assert_eq!(test.policy.state_size().circuits, 500);
+    test.submit("kept", IDEMPOTENT, 0);
+    assert_eq!(test.started_after(ms(100_000)), ["kept"]);
+    test.complete_attempt("kept", 0);
+    test.run_after(ms(150_000));
+    assert_eq!(test.policy.state_size().circuits, 1, "that which was used since");
+    test.submit("again", IDEMPOTENT, 3);
+    assert_eq!(test.started_after(ms(0)), ["again"]);
+}
--- /dev/null
+++ b/tests/policy/discovery.rs
@@ -0,0 +1,116 @@
+//! Endpoint lists: complete ones, changes, and failed polls.
+
+use reeddock::*;
+
+use crate::support::*;
+
+#[test]
+fn draining_endpoint_gets_no_new_requests() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.update_endpoints(ONE_ENDPOINT, EndpointState::Draining);
+    test.submit("a", IDEMPOTENT, 9);
+    assert!(test.started_after(ms(0)).is_empty());
+}
+
+#[test]
+fn removed_endpoint_gets_no_new_requests_and_its_messages_fail_at_their_deadline() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.replace_endpoints(&[listed(2, 8, SHARED_CIRCUIT)]);
+    test.submit("a", IDEMPOTENT, 9);
+    assert!(test.started_after(ms(0)).is_empty());
+    assert_eq!(test.run_after(ms(20_000)), [fail("a")], "no usable endpoint until its deadline");
+}
+
+#[test]
+fn endpoint_that_returns_gets_what_was_queued_for_it() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.update_endpoints(ONE_ENDPOINT, EndpointState::Removed);
+    test.submit_many(40, 9);
+    assert!(test.started_after(ms(100)).is_empty());
+    test.update_endpoints(ONE_ENDPOINT, EndpointState::Active);
+    assert_eq!(test.started_after(ms(0)).len(), 8);
+}
+
+#[test]
+fn endpoints_that_are_replaced_all_day_are_forgotten_but_not_at_once() {
+    let mut test = PolicyTest::with_endpoints(&[listed(0, 9, OWN_CIRCUIT), listed(0, 8, SHARED_CIRCUIT)]);
+    for n in 1..200 {
+        let name = format!("e{n}");
+        test.update_endpoints(&[listed(n - 1, 9, OWN_CIRCUIT)], EndpointState::Removed);
+        let replacement = [listed(n, 9, OWN_CIRCUIT), listed(1000 + n, 100 + u64::from(n), SHARED_CIRCUIT)];
+        test.apply_endpoint_list(n % 2 == 0, &replacement, EndpointState::Active);
+        assert!(test.policy.knows_destination(DestinationId(9)), "also between two of its endpoints");
+        test.submit(&name, IDEMPOTENT, 9);
+        assert_eq!(test.started_after(ms(1000)), [name.as_str()]);
+        test.complete_attempt(&name, 0);
+    }
+    assert!(test.policy.keeps_endpoint(EndpointId(190)));
+    let size = test.policy.state_size();
+    let kept = [size.endpoints, size.circuits, size.destinations];
+    assert!(kept.iter().all(|kept| *kept < 80), "{kept:?}");
+}
+
+#[test]
+fn complete_list_may_drop_ten_thousand_endpoints_at_once() {
+    let endpoints: Vec<ListedEndpoint> =
+        (0..10_000).map(|n| listed(n, u64::from(n), SHARED_CIRCUIT)).collect();
+    let mut test = PolicyTest::with_large_capacity(&endpoints);
+    test.complete_with_retry_after(5000, 5000, ms(10_000));
+    test.submit("a", IDEMPOTENT, 5000);
+    assert!(test.run_after(ms(0)).is_empty());
+    test.policy.begin_endpoint_list(true);
+    let dropped = test.policy.finish_endpoint_list();
+    assert_eq!(dropped.len(), 10_000);
+    let (mut forgotten, mut runs) = (0, 0);
+    while forgotten < 10_000 {
+        test.run_after(if runs == 0 { ms(0) } else { ms(30_000) });
+        let in_this_run = test.policy.take_removed_endpoints().len();
+        assert!(in_this_run <= 1_000, "{in_this_run} in one run of due work");
+        forgotten += in_this_run;
+        runs += 1;
+        assert!(runs < 20, "{forgotten} forgotten");
+    }
+    let size = test.policy.state_size();
+    assert!(size.endpoints == 0 && size.messages == 0);
+}
+
+#[test]
+fn of_two_complete_lists_the_second_holds_and_an_aborted_one_removes_nothing() {
+    let mut test =
+        PolicyTest::with_large_capacity(&[listed(1, 9, SHARED_CIRCUIT), listed(2, 8, SHARED_CIRCUIT)]);
+    // The first is begun and never ends.
+    test.policy.begin_endpoint_list(true);
+    test.update_endpoint(&listed(1, 9, SHARED_CIRCUIT).weight(None), EndpointState::Active);
+    test.policy.begin_endpoint_list(true);
+    test.update_endpoint(&listed(2, 8, SHARED_CIRCUIT).weight(None), EndpointState::Active);
+    assert_eq!(test.policy.finish_endpoint_list(), [EndpointId(1)]);
+    test.submit("nine", IDEMPOTENT, 9);
+    test.submit("eight", IDEMPOTENT, 8);
+    assert_eq!(test.started_after(ms(0)), ["eight"]);
+    // One that is aborted removes nothing.
+    test.policy.begin_endpoint_list(true);
+    test.policy.abort_endpoint_list();
+    assert!(test.policy.finish_endpoint_list().is_empty());
+    test.submit("again", IDEMPOTENT, 8);
+    assert_eq!(test.started_after(ms(0)), ["again"]);
+}
+
+#[test]
+fn failed_polls_back_off() {
+    let settings = Settings { poll_interval_limit: Some(ms(10_000)), ..settings() };
+    let mut test = PolicyTest::without_endpoint_list(settings);
+    test.run_after(ms(0));
+    let mut polled = Vec::new();
+    test.policy.discovery_failed(test.now);
+    for n in 0..600 {
+        if test.run_after(ms(100)).contains(&HostCommand::Subscribe) {
+            polled.push(n);
+            test.policy.discovery_failed(test.now);
+        }
+    }
+    assert!((5..=12).contains(&polled.len()), "{polled:?} tenths of a second");
+    assert!(polled[0] >= 4, "not at once");
+    test.replace_endpoints(ONE_ENDPOINT);
+    test.submit("a", IDEMPOTENT, 9);
+    assert_eq!(test.started_after(ms(0)), ["a"]);
+}
--- /dev/null
+++ b/tests/policy/expiry.rs
@@ -0,0 +1,51 @@
+//! Final answers to messages that can no longer be delivered in time.
+
+use reeddock::*;
+
+use crate::circuit_breaker::with_open_circuit;
+use crate::support::*;
+
+#[test]
+fn message_that_was_not_executed_is_rejected_once_no_answer_can_come_in_time() {
+    let mut test = with_open_circuit();
+    let commands = (0..4000).flat_map(|_| test.run_after(ms(5)));
+    let answers: Vec<HostCommand> =
+        commands.filter(|command| !matches!(command, HostCommand::StartAttempt(_))).collect();
+    // The third message is the half-open trial, and may be being executed.
+    let rejected =
+        |command: &&HostCommand| matches!(command, HostCommand::Reject { retry_after: Some(_), .. });
+    assert_eq!(answers.iter().filter(rejected).count(), 2, "{answers:?}");
+}
+
+#[test]
+fn removal_of_an_endpoint_with_a_thousand_queued_messages_leaves_each_one_answer() {
+    let mut test = PolicyTest::with_large_capacity(ONE_ENDPOINT);
+    test.submit_many(1000, 9);
+    let started = test.started_after(ms(0));
+    assert_eq!(started.len(), 8, "as many as may be in flight");
+    test.update_endpoints(ONE_ENDPOINT, EndpointState::Removed);
+    assert!(test.run_after(ms(10_000)).is_empty(), "queued for an endpoint that may come");
+    for name in &started {
+        test.finish_attempt(name, 0, AttemptOutcome::NoConnection);
+    }
+    let commands = test.run_after(ms(10_000));
+    let mut names = finished(&commands);
+    assert_eq!(names.len(), 1000);
+    names.sort();
+    names.dedup();
+    assert_eq!(names.len(), 1000, "one answer each");
+    assert!(test.policy.state_size().messages == 0);
+}
+
+#[test]
+fn clock_that_jumps_an_hour_expires_all_queued_messages_in_the_order_of_queueing() {
+    let mut test = PolicyTest::with_large_capacity(ONE_ENDPOINT);
+    test.complete_with_retry_after(1, 9, ms(5000));
+    test.submit_many(300, 9);
+    assert!(test.run_after(ms(10)).is_empty());
+    let commands = test.run_after(ms(3_600_000));
+    let started = commands.iter().filter(|command| matches!(command, HostCommand::StartAttempt(_))).count();
+    let names = finished(&commands);
+    assert_eq!(names.len() + started, 300);
+    assert!(names.is_sorted(), "equal deadlines end in the order of queueing: {names:?}");
+}
--- /dev/null
+++ b/tests/policy/load_reports.rs
@@ -0,0 +1,102 @@
+//! Deployments whose answers report what is left of a limit.
+
+use reeddock::*;
+
+use crate::support::*;
+
+#[test]
+fn with_load_reports_no_message_waits_for_a_time_slot() {
+    let mut test = with_load_reports(&[listed(1, 9, OWN_CIRCUIT)]);
+    for n in 0..4 {
+        test.submit(&format!("e{n}"), IDEMPOTENT, 9);
+    }
+    assert_eq!(test.started_after(ms(0)).len(), 4);
+}
+
+/// The pacing interval of a circuit, in seconds, after two rejections, perhaps with an answer between them.
+fn pacing_interval_after_two_rejections(left: f64, limit: f64, answered: bool) -> f64 {
+    let mut test = with_load_reports(ONE_ENDPOINT);
+    test.submit("a", IDEMPOTENT, 9);
+    if answered {
+        test.submit("b", IDEMPOTENT, 9);
+    }
+    test.run_after(ms(0));
+    test.report_load(1, left, limit);
+    test.reject_attempt("a", 0, None);
+    if answered {
+        test.complete_attempt("b", 0);
+    }
+    let again = (0..40).any(|_| !test.started_after(ms(50)).is_empty());
+    assert!(again, "after a first rejection it goes again within the latency objective");
+    test.report_load(1, left, limit);
+    test.reject_attempt("a", 1, None);
+    test.longest_pacing_interval()
+}
+
+#[test]
+fn rejection_at_a_used_up_limit_is_retried_soon() {
+    assert!(pacing_interval_after_two_rejections(0.1, 6.0, true) < 2.0);
+}
+
+#[test]
+fn rejection_without_a_limit_is_retried_late() {
+    let interval = pacing_interval_after_two_rejections(0.0, 0.0, true);
+    assert!(interval > 2.5, "it may be down and return without load");
+}
+
+#[test]
+fn rejections_without_an_answer_between_are_retried_late_whatever_is_left_of_the_limit() {
+    for (left, limit) in [(0.1, 6.0), (0.9, 6.0), (0.0, 0.0)] {
+        assert!(pacing_interval_after_two_rejections(left, limit, false) > 3.0, "{left} of {limit}");
+    }
+}
+
+#[test]
+fn answer_with_capacity_under_the_limit_ends_the_pacing() {
+    for (left, ends_pacing) in [(1.0, true), (0.0, false)] {
+        let mut test = with_load_reports(ONE_ENDPOINT);
+        test.submit("a", IDEMPOTENT, 9);
+        test.submit("b", IDEMPOTENT, 9);
+        test.run_after(ms(0));
+        test.report_load(1, 0.0, 6.0);
+        test.reject_attempt("a", 0, None);
+        let before = test.longest_pacing_interval();
+        test.report_load(1, left, 6.0);
+        test.complete_attempt("b", 0);
+        assert!(
+            ends_pacing || test.longest_pacing_interval() > 0.9 * before,
+            "rejected requests may use the limit up too"
+        );
+        test.run_after(ms(2000));
+        for n in 0..3 {
+            test.submit(&format!("e{n}"), IDEMPOTENT, 9);
+        }
+        assert_eq!(test.started_after(ms(0)).len() > 1, ends_pacing, "{left} was left");
+    }
+}
+
+/// The pacing interval, in seconds, of one of four forwarders after three rejections at a used-up limit.
+fn pacing_interval_at_limit(limit: f64) -> f64 {
+    let settings = Settings {
+        forwarders: Some(4),
+        max_in_flight: Some(2),
+        listed_weights: ListedWeights::Rates,
+        responses_carry_load_reports: true,
+        ..settings()
+    };
+    let mut test = PolicyTest::new(settings, ONE_ENDPOINT);
+    test.submit("a", IDEMPOTENT, 9);
+    for attempt in 0..3 {
+        let again = (0..200).any(|_| !test.started_after(ms(50)).is_empty());
+        assert!(again, "within ten seconds");
+        test.report_load(1, 0.0, limit);
+        test.reject_attempt("a", attempt, None);
+    }
+    test.longest_pacing_interval()
+}
+
+#[test]
+fn report_of_a_lower_limit_widens_the_pacing_interval() {
+    let (low, high) = (pacing_interval_at_limit(0.5), pacing_interval_at_limit(6.0));
+    assert!(low > 1.5 * high, "{low} and {high}");
+}
--- /dev/null
+++ b/tests/policy/retry_after.rs
@@ -0,0 +1,97 @@
+//! Waits that an endpoint asks for, and waits that are guessed from those.
+
+use reeddock::*;
+
+use crate::support::*;
+
+#[test]
+fn retry_after_is_kept_to() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.submit("a", IDEMPOTENT, 9);
+    test.run_after(ms(0));
+    test.reject_attempt("a", 0, Some(ms(1500)));
+    test.submit("b", NON_IDEMPOTENT, 9);
+    assert!(test.started_after(ms(1490)).is_empty());
+    assert!(!test.started_after(ms(10)).is_empty());
+}
+
+#[test]
+fn message_whose_deadline_ends_before_the_retry_after_is_rejected_at_once() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.submit("a", IDEMPOTENT, 9);
+    test.run_after(ms(0));
+    test.reject_attempt("a", 0, Some(ms(60_000)));
+    assert_eq!(test.run_after(ms(0)), [reject("a", Some(ms(3000)))]);
+}
+
+#[test]
+fn queued_messages_whose_deadline_ends_before_a_retry_after_are_finished_when_it_is_received() {
+    let mut test = PolicyTest::with_large_capacity(ONE_ENDPOINT);
+    test.submit_many(20, 9);
+    assert_eq!(test.started_after(ms(0)).len(), 8);
+    test.policy.retry_after_received(test.now, EndpointId(1), ms(30_000));
+    let commands = test.run_after(ms(0));
+    assert_eq!(finished(&commands).len(), 12, "their deadline of 20 s ends before the wait does");
+    // One that is submitted during the wait fares alike.
+    test.submit("late", IDEMPOTENT, 9);
+    assert_eq!(finished(&test.run_after(ms(0))), ["late"]);
+}
+
+#[test]
+fn retry_after_of_the_first_message_of_a_request_holds_though_its_last_has_none() {
+    let mut test = PolicyTest::with_endpoints(&[listed(1, 9, BATCH_OF_4)]);
+    for name in ["a", "b"] {
+        test.submit(name, IDEMPOTENT, 9);
+    }
+    assert_eq!(test.started_after(ms(0)).len(), 2);
+    test.reject_attempt("a", 0, Some(ms(2500)));
+    test.reject_attempt("b", 0, None);
+    assert!(test.started_after(ms(2490)).is_empty());
+}
+
+#[test]
+fn rejection_without_retry_after_is_taken_to_have_the_last_one() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.submit("a", IDEMPOTENT, 9);
+    test.run_after(ms(0));
+    test.reject_attempt("a", 0, Some(ms(1200)));
+    assert_eq!(test.started_after(ms(1200)), ["a"]);
+    test.reject_attempt("a", 1, None);
+    assert!(test.started_after(ms(1190)).is_empty());
+    assert_eq!(test.started_after(ms(1200)), ["a"]);
+}
+
+#[test]
+fn long_retry_after_ends_with_one_trial_and_not_with_all_queued_messages() {
+    let mut test = PolicyTest::with_endpoints(&[listed(1, 9, BATCH_OF_40)]);
+    test.submit("a", IDEMPOTENT, 9);
+    test.run_after(ms(0));
+    test.reject_attempt("a", 0, Some(ms(19_000)));
+    test.run_after(ms(17_000));
+    for n in 0..40 {
+        test.submit(&format!("e{n}"), IDEMPOTENT, 9);
+    }
+    assert!(
+        test.started_after(ms(1990)).is_empty(),
+        "nor does the circuit's record expire before the wait has ended"
+    );
+    let trial = test.started_after(ms(10));
+    assert_eq!(trial.len(), 1);
+    test.advance(ms(100));
+    test.complete_attempt(&trial[0], 1);
+    let started = test.started_after(ms(0));
+    assert!(started.len() < 30, "a full batch would overload a destination that is warming up");
+}
+
+#[test]
+fn retry_after_of_an_endpoint_with_its_own_circuit_leaves_the_other_open() {
+    let mut test = PolicyTest::with_endpoints(&[listed(1, 9, OWN_CIRCUIT), listed(2, 9, OWN_CIRCUIT)]);
+    test.submit("a", IDEMPOTENT, 9);
+    let first = test.last_started_after(ms(0)).expect("an attempt");
+    test.reject_attempt("a", 0, Some(ms(1500)));
+    let commands = test.run_after(ms(0));
+    assert!(matches!(
+        &commands[..],
+        [HostCommand::StartAttempt(second)] if second.endpoint != first.endpoint
+    ));
+}
--- /dev/null
+++ b/tests/policy/shutdown.rs
@@ -0,0 +1,20 @@
+//! What is still sent before a planned stop.
+
+use crate::support::*;
+
+#[test]
+fn before_a_shutdown_no_non_idempotent_attempt_starts_that_would_outlast_it() {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    test.submit("first", IDEMPOTENT, 9);
+    test.run_after(ms(0));
+    test.advance(ms(300));
+    test.complete_attempt("first", 0);
+    test.policy.begin_shutdown(test.now + ms(2000));
+    test.submit("early", NON_IDEMPOTENT, 9);
+    assert_eq!(test.started_after(ms(0)), ["early"]);
+    test.advance(ms(1000));
+    test.submit("non-idempotent", NON_IDEMPOTENT, 9);
+    test.submit("idempotent", IDEMPOTENT, 9);
+    let started = test.started_after(ms(0));
+    assert_eq!(started, ["idempotent"], "the other is kept for the next start");
+}
--- /dev/null
+++ b/tests/policy/slow_start.rs
@@ -0,0 +1,34 @@
+//! When an endpoint is taken to be warming up.
+
+use reeddock::*;
+
+use crate::support::*;
+
+/// How many of eight messages are started at once after so many broken connections in a row.
+fn started_after_resets(resets: u32) -> usize {
+    let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
+    for n in 0..20 {
+        test.submit(&format!("e{n}"), IDEMPOTENT, 9);
+        test.run_after(ms(100));
+        test.complete_attempt(&format!("e{n}"), 0);
+    }
+    test.submit("broken", IDEMPOTENT, 9);
+    for attempt in 0..resets {
+        test.run_after(ms(1100));
+        test.finish_attempt("broken", attempt, AttemptOutcome::ConnectionReset);
+    }
+    for n in 20..28 {
+        test.submit(&format!("e{n}"), NON_IDEMPOTENT, 9);
+    }
+    test.started_after(ms(0)).len()
+}
+
+#[test]
+fn one_connection_reset_between_answers_starts_no_slow_start() {
+    assert_eq!(started_after_resets(1), 8);
+}
+
+#[test]
+fn second_connection_reset_without_an_answer_starts_slow_start() {
+    assert!(started_after_resets(2) < 8, "it may be an outage");
+}
--- /dev/null
+++ b/tests/policy/support/host.rs
@@ -0,0 +1,82 @@
+//! A host that records the policy's commands.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use reeddock::*;
+
+/// A command of the policy; messages by their names.
+#[derive(Clone, Debug, PartialEq)]
+pub enum HostCommand {
+    StartAttempt(StartedAttempt),
+    Cancel { message: String, attempt: AttemptNumber },
+    Reject { message: String, retry_after: Option<Duration> },
+    Fail { message: String },
+    Subscribe,
+}
+
+/// An attempt that the policy has the host start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StartedAttempt {
+    pub message: String,
+    pub endpoint: EndpointId,
+}
+
+/// The command that answers a message with a failure.
+pub fn fail(message: &str) -> HostCommand {
+    HostCommand::Fail { message: message.to_owned() }
+}
+
+/// The command that rejects a message.
+pub fn reject(message: &str, retry_after: Option<Duration>) -> HostCommand {
+    HostCommand::Reject { message: message.to_owned(), retry_after }
+}
+
+/// The messages that these commands give a final answer without delivery.
+pub fn finished(commands: &[HostCommand]) -> Vec<&str> {
+    let message = |command| match command {
+        &HostCommand::Reject { ref message, .. } | &HostCommand::Fail { ref message } => {
+            Some(message.as_str())
+        }
+        _ => None,
+    };
+    commands.iter().filter_map(message).collect()
+}
+
+/// Records what the policy commands and does none of it.
+#[derive(Default)]
+pub struct RecordingHost {
+    /// Since a test last took them.
+    pub commands: Vec<HostCommand>,
+    /// The spans of all timers that were set.
+    pub timers: Vec<Duration>,
+    /// Those of the last attempt of each message.
+    pub timeouts: BTreeMap<String, AttemptTimeouts>,
+}
+
+impl PolicyHost for RecordingHost {
+    fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
+        let message = message.0.to_string();
+        self.timeouts.insert(message.clone(), timeouts);
+        self.commands.push(HostCommand::StartAttempt(StartedAttempt { message, endpoint }));
+    }
+    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber) {
+        self.commands.push(HostCommand::Cancel { message: message.0.to_string(), attempt });
+    }
+    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+        self.commands.push(reject(&message.0, retry_after));
+    }
+    fn fail(&mut self, message: &MessageId) {
+        self.commands.push(fail(&message.0));
+    }
+    fn set_timer(&mut self, after: Duration) {
+        self.timers.push(after);
+    }
+    fn start_health_check(&mut self, _endpoint: EndpointId) {}
+    fn send_gossip(&mut self, _peer: Option<PeerId>, _gossip: &[u8]) {}
+    fn subscribe(&mut self, _on: bool) {
+        self.commands.push(HostCommand::Subscribe);
+    }
+    fn fetch_endpoint_list(&mut self) {}
+    fn log(&mut self, _line: &str) {}
+}
