--- a/crates/experiments/src/draw.rs
+++ b/crates/experiments/src/draw.rs
@@ -2,12 +2,12 @@
 //! asked for.
 
 use rand::{RngExt, SeedableRng};
-use reeddock_simulation::figure::{Amount, Chance, Figure, Share, Span, Spread};
+use reeddock_simulation::distribution::{Amount, Chance, Distribution, RandomDistribution, Share, Span};
+use reeddock_simulation::fault::{EndpointSelector, Fault, ForwarderSelector};
 use reeddock_simulation::scenario::{
-    Category, Decay, EffectTerms, Fleet, Kind, Limit, ListTerms, Network, Notes, Program, Returning,
-    Scheduled, Traffic, Weights, VERSION,
+    Category, ClassIdempotency, Decay, EndpointListSettings, Fleet, Kind, Limit, Network, Notes, Program,
+    Returning, Scheduled, Traffic, Weights, VERSION,
 };
-use reeddock_simulation::trouble::{Trouble, Which, Whom};
 use reeddock_simulation::Scenario;
 
 struct Draw(Chance);
@@ -39,57 +39,55 @@
         Span::clamped(self.within(low, high))
     }
 
-    fn uniform(&mut self, low: f64, high: f64) -> Figure {
+    fn uniform(&mut self, low: f64, high: f64) -> Distribution {
         let (a, b) = (self.within(low, high), self.within(low, high));
-        Figure::Drawn(Spread::Uniform([a.min(b), a.max(b)]))
+        Distribution::Drawn(RandomDistribution::Uniform([a.min(b), a.max(b)]))
     }
 
     fn of<T: Copy>(&mut self, all: &[T]) -> T {
         all[self.0.random_range(0..all.len())]
     }
 
-    fn whom(&mut self) -> Whom {
+    fn whom(&mut self) -> EndpointSelector {
         let share = Some(self.share(0.05, 0.5));
         let targets = self.often(0.4).then(|| self.share(0.2, 0.8));
-        Whom { destinations: Vec::new(), share, targets }
+        EndpointSelector { destinations: Vec::new(), share, targets }
     }
 
-    fn which(&mut self) -> Which {
-        Which { forwarders: Vec::new(), share: Some(self.share(0.05, 0.6)) }
+    fn which(&mut self) -> ForwarderSelector {
+        ForwarderSelector { forwarders: Vec::new(), share: Some(self.share(0.05, 0.6)) }
     }
 
-    fn trouble(&mut self, categories: &[Category], programs: &[Program]) -> Trouble {
+    fn trouble(&mut self, categories: &[Category], programs: &[Program]) -> Fault {
         match self.count(0, 16) {
-            0 => Trouble::Refused { whom: self.whom() },
-            1 => Trouble::Silent { whom: self.whom() },
-            2 => Trouble::Hang { whom: self.whom() },
-            3 => Trouble::Shut { whom: self.whom() },
-            4 => Trouble::FastErrors { whom: self.whom(), share: self.share(0.3, 1.0) },
-            5 => Trouble::Slow { whom: self.whom(), times: self.amount(1.5, 6.0) },
-            6 => Trouble::Pauses {
-                whom: self.whom(),
-                each_s: self.span(0.1, 0.6),
-                every_s: self.span(1.0, 4.0),
-            },
-            7 => Trouble::HeavyTail {
+            0 => Fault::Refused { whom: self.whom() },
+            1 => Fault::Silent { whom: self.whom() },
+            2 => Fault::Hang { whom: self.whom() },
+            3 => Fault::Shut { whom: self.whom() },
+            4 => Fault::FastErrors { whom: self.whom(), share: self.share(0.3, 1.0) },
+            5 => Fault::Slow { whom: self.whom(), times: self.amount(1.5, 6.0) },
+            6 => {
+                Fault::Pauses { whom: self.whom(), each_s: self.span(0.1, 0.6), every_s: self.span(1.0, 4.0) }
+            }
+            7 => Fault::HeavyTail {
                 whom: self.whom(),
                 share: self.share(0.01, 0.1),
                 times: self.uniform(4.0, 25.0),
             },
             8 => {
                 let n = self.count(0, categories.len() as u32 - 1) as usize;
-                Trouble::CategoryFails { whom: self.whom(), category: categories[n].name.clone() }
+                Fault::CategoryFails { whom: self.whom(), category: categories[n].name.clone() }
             }
-            9 => Trouble::AnswersLost { whom: self.whom(), share: self.share(0.1, 1.0) },
-            10 => Trouble::Replaced { whom: self.whom() },
-            11 => Trouble::Leaves { whom: self.whom() },
-            12 => Trouble::ListFrozen {},
-            13 => Trouble::Killed { which: self.which() },
-            14 => Trouble::Shift { which: self.which(), share: self.share(0.3, 0.9) },
-            15 => Trouble::Burst { times: self.amount(1.3, 2.5) },
+            9 => Fault::AnswersLost { whom: self.whom(), share: self.share(0.1, 1.0) },
+            10 => Fault::Replaced { whom: self.whom() },
+            11 => Fault::Leaves { whom: self.whom() },
+            12 => Fault::ListFrozen {},
+            13 => Fault::Killed { which: self.which() },
+            14 => Fault::Shift { which: self.which(), share: self.share(0.3, 0.9) },
+            15 => Fault::Burst { times: self.amount(1.3, 2.5) },
             _ => {
                 let n = self.count(0, programs.len() as u32 - 1) as usize;
-                Trouble::Surge { program: programs[n].name.clone(), times: self.amount(2.0, 5.0) }
+                Fault::Surge { program: programs[n].name.clone(), times: self.amount(2.0, 5.0) }
             }
         }
     }
@@ -108,16 +106,16 @@
                 name: format!("category-{n}"),
                 part: d.amount(0.5, 2.0),
                 effect: match d.count(0, 2) {
-                    0 => EffectTerms::Pure,
-                    1 => EffectTerms::Receipted(d.span(3.0, 12.0)),
-                    _ => EffectTerms::Effectful,
+                    0 => ClassIdempotency::Pure,
+                    1 => ClassIdempotency::Receipted(d.span(3.0, 12.0)),
+                    _ => ClassIdempotency::Effectful,
                 },
                 promised: Span::clamped(promised),
                 outer_limit: Span::clamped((promised * d.within(2.0, 8.0) * 100.0).round() / 100.0),
                 credit: d.amount(0.5, 3.0),
                 late_credit: d.share(0.2, 0.6),
                 decay: if d.often(0.5) { Decay::Line } else { Decay::Halves },
-                work_ms: Figure::Drawn(Spread::LogNormal {
+                work_ms: Distribution::Drawn(RandomDistribution::LogNormal {
                     median: d.within(30.0, 350.0),
                     sigma: d.within(0.1, 0.7),
                 }),
@@ -134,7 +132,7 @@
             return_after_s: d.uniform(0.2, 2.0),
             heeds: d.share(0.0, 1.0),
             withdraws_after_s: d.often(0.15).then(|| d.uniform(2.0, 15.0)),
-            bunch: Figure::Told(1.0),
+            bunch: Distribution::Told(1.0),
         })
         .collect();
     let kinds: Vec<Kind> = (0..d.count(1, 2))
@@ -197,7 +195,7 @@
             clump: d.uniform(3.0, 20.0),
         },
         network: Network::default(),
-        list: ListTerms {
+        list: EndpointListSettings {
             delay_s: d.uniform(0.2, 5.0),
             weights: if d.often(0.5) { Weights::Rates } else { Weights::None },
             weight_error: d.uniform(0.5, 1.5),
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory: experiments on the emulator, at all cores, with results that do not depend on how many
+//! The laboratory: experiments on the simulation, at all cores, with results that do not depend on how many
 //! those are. `docs/experiments.md` shows a whole experiment.
 
 mod draw;
@@ -14,7 +14,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use reeddock_simulation::Known;
+use reeddock_simulation::BuiltInPolicy;
 
 pub use draw::draw;
 pub use page::page;
@@ -28,38 +28,38 @@
 
 /// What is wrong, in one line.
 #[derive(Debug)]
-pub struct Fault(String);
+pub struct ExperimentError(String);
 
-impl Fault {
-    pub fn line(what: impl fmt::Display) -> Fault {
-        Fault(what.to_string().trim().replace('\n', "; "))
+impl ExperimentError {
+    pub fn line(what: impl fmt::Display) -> ExperimentError {
+        ExperimentError(what.to_string().trim().replace('\n', "; "))
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ExperimentError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ExperimentError {}
 
-impl From<reeddock_simulation::Fault> for Fault {
-    fn from(fault: reeddock_simulation::Fault) -> Fault {
-        Fault::line(fault)
+impl From<reeddock_simulation::ScenarioError> for ExperimentError {
+    fn from(fault: reeddock_simulation::ScenarioError) -> ExperimentError {
+        ExperimentError::line(fault)
     }
 }
 
 /// Policies by name, joined by commas.
 #[derive(Clone, Debug)]
-pub struct Policies(pub Vec<Known>);
+pub struct Policies(pub Vec<BuiltInPolicy>);
 
 impl FromStr for Policies {
     type Err = String;
     fn from_str(names: &str) -> std::result::Result<Policies, String> {
         let one = |name: &str| {
-            Known::named(name.trim()).ok_or_else(|| {
-                let known: Vec<&str> = Known::ALL.iter().map(|k| k.name()).collect();
+            BuiltInPolicy::named(name.trim()).ok_or_else(|| {
+                let known: Vec<&str> = BuiltInPolicy::ALL.iter().map(|k| k.name()).collect();
                 format!("no policy {name:?}: expected {}", known.join(", "))
             })
         };
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use reeddock_experiments::{
-    Comparison, Fault, Lab, Policies, RecordingRun, Search, Setting, StreamRun, Sweep,
+    Comparison, ExperimentError, Lab, Policies, RecordingRun, Search, Setting, StreamRun, Sweep,
 };
 use reeddock_recorder::Form;
 
@@ -108,9 +108,9 @@
 
 #[derive(Args)]
 struct Record {
-    /// Scenarios to play in the emulator under the module.
+    /// Scenarios to play in the simulation under the delivery policy.
     scenarios: Vec<PathBuf>,
-    /// So many random event streams straight at the module, with seeds from --seed up.
+    /// So many random event streams straight at the delivery policy, with seeds from --seed up.
     #[arg(long, value_name = "COUNT", conflicts_with = "scenarios")]
     streams: Option<u64>,
     /// The first seed.
@@ -130,7 +130,7 @@
     compare: Option<Vec<PathBuf>>,
 }
 
-fn record(lab: &Lab, what: Record, json: bool) -> Result<ExitCode, Fault> {
+fn record(lab: &Lab, what: Record, json: bool) -> Result<ExitCode, ExperimentError> {
     if let Some([left, right]) = what.compare.as_deref() {
         return reeddock_experiments::compare_recordings(left, right)?.print(json);
     }
@@ -159,12 +159,12 @@
     }
 }
 
-fn told(fault: &Fault) -> ExitCode {
+fn told(fault: &ExperimentError) -> ExitCode {
     eprintln!("reeddock-experiment: {fault}");
     ExitCode::from(2)
 }
 
-fn lab_command(lab: &Lab, command: Command, json: bool) -> Result<ExitCode, Fault> {
+fn lab_command(lab: &Lab, command: Command, json: bool) -> Result<ExitCode, ExperimentError> {
     match command {
         Command::Run { scenario, one } => {
             let result = lab.run(&scenario, one.seed, &one.policy)?;
@@ -184,7 +184,9 @@
         Command::Search { minutes, seed, out, keep } => {
             let most = 24.0 * 60.0;
             if !(minutes > 0.0 && minutes <= most) {
-                return Err(Fault::line(format!("--minutes is {minutes}: expected over 0, {most} at most")));
+                return Err(ExperimentError::line(format!(
+                    "--minutes is {minutes}: expected over 0, {most} at most"
+                )));
             }
             let lasts = Duration::from_secs_f64(minutes * 60.0);
             lab.search(&Search { lasts, seed, out, keep })?.print(json)
--- a/crates/experiments/src/page.rs
+++ b/crates/experiments/src/page.rs
@@ -9,7 +9,7 @@
 use reeddock_simulation::Report;
 
 use crate::results::{Result, Row, SweepRow};
-use crate::Fault;
+use crate::ExperimentError;
 
 const SIZE: (u32, u32) = (860, 320);
 /// Seconds that a point of credit over time is the mean of.
@@ -33,18 +33,23 @@
 /// Draws on a sheet of its own and gives the SVG text.
 fn sheet(
     draw: impl FnOnce(&DrawingArea<SVGBackend, Shift>) -> std::result::Result<(), Box<dyn std::error::Error>>,
-) -> std::result::Result<String, Fault> {
+) -> std::result::Result<String, ExperimentError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(Fault::line)?;
-        draw(&area).map_err(Fault::line)?;
-        area.present().map_err(Fault::line)?;
+        area.fill(&WHITE).map_err(ExperimentError::line)?;
+        draw(&area).map_err(ExperimentError::line)?;
+        area.present().map_err(ExperimentError::line)?;
     }
     Ok(svg)
 }
 
-fn lines(title: &str, across: &str, up: &str, lines: &[Line]) -> std::result::Result<String, Fault> {
+fn lines(
+    title: &str,
+    across: &str,
+    up: &str,
+    lines: &[Line],
+) -> std::result::Result<String, ExperimentError> {
     let points = || lines.iter().flat_map(|l| &l.1);
     let left = points().map(|p| p.0).fold(f64::INFINITY, f64::min);
     let right = points().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
@@ -76,7 +81,7 @@
     })
 }
 
-fn credit_over_time(reports: &[Report]) -> std::result::Result<String, Fault> {
+fn credit_over_time(reports: &[Report]) -> std::result::Result<String, ExperimentError> {
     let line = |r: &Report| {
         let asked = r.seconds.iter().rposition(|s| s.credit.asked > 0.0).map_or(0, |n| n + 1);
         let spans = r.seconds[..asked].windows(SMOOTH.min(asked.max(1))).enumerate();
@@ -91,7 +96,7 @@
     lines("credit by the second of the first try, mean of 5 s", "seconds", "credit", &all)
 }
 
-fn latencies(reports: &[Report]) -> std::result::Result<String, Fault> {
+fn latencies(reports: &[Report]) -> std::result::Result<String, ExperimentError> {
     let line = |r: &Report| {
         let all: u64 = r.latency_steps.iter().map(|s| s.1).sum();
         let mut sum = 0;
@@ -107,7 +112,7 @@
     lines("completed within so long of the first try", "milliseconds, power of ten", "share", &all)
 }
 
-fn against_capacity(watched: &Watched) -> std::result::Result<String, Fault> {
+fn against_capacity(watched: &Watched) -> std::result::Result<String, ExperimentError> {
     let last = watched.seconds.iter().rposition(|l| l.capacity > 0.0).map_or(0, |n| n + 1);
     let seconds = &watched.seconds[..last];
     let line = |name: &str, of: &dyn Fn(&reeddock_simulation::account::Load) -> f64| {
@@ -127,7 +132,7 @@
 }
 
 /// One line for each policy, over the values of the first key; others are named in the line.
-fn sweep_plot(keys: &[String], rows: &[SweepRow]) -> std::result::Result<String, Fault> {
+fn sweep_plot(keys: &[String], rows: &[SweepRow]) -> std::result::Result<String, ExperimentError> {
     let mut all: Vec<Line> = Vec::new();
     for r in rows {
         let rest: Vec<String> = keys.iter().zip(&r.values).skip(1).map(|(k, v)| format!("{k}={v}")).collect();
@@ -174,7 +179,7 @@
     }
 }
 
-fn plots(reports: &[Report]) -> std::result::Result<Vec<String>, Fault> {
+fn plots(reports: &[Report]) -> std::result::Result<Vec<String>, ExperimentError> {
     let mut all = vec![credit_over_time(reports)?, latencies(reports)?];
     for watched in reports.iter().take(1).flat_map(|r| &r.watched) {
         all.push(against_capacity(watched)?);
@@ -182,7 +187,7 @@
     Ok(all)
 }
 
-fn section(name: &str, result: &Result) -> std::result::Result<(Markup, usize), Fault> {
+fn section(name: &str, result: &Result) -> std::result::Result<(Markup, usize), ExperimentError> {
     let (title, table, drawn) = match result {
         Result::Runs { reports } => {
             let rows: Vec<Row> =
@@ -235,8 +240,10 @@
 }
 
 /// Writes the page; says how many plots it has.
-pub fn page(folder: &Path, to: &Path) -> std::result::Result<usize, Fault> {
-    let at = |file: &Path, what: &dyn std::fmt::Display| Fault::line(format!("{}: {what}", file.display()));
+pub fn page(folder: &Path, to: &Path) -> std::result::Result<usize, ExperimentError> {
+    let at = |file: &Path, what: &dyn std::fmt::Display| {
+        ExperimentError::line(format!("{}: {what}", file.display()))
+    };
     let entries = std::fs::read_dir(folder).map_err(|e| at(folder, &e))?;
     let mut files: Vec<_> = entries.filter_map(|e| e.ok().map(|e| e.path())).collect();
     files.retain(|f| f.extension().is_some_and(|e| e == "json"));
--- a/crates/experiments/src/ramp.rs
+++ b/crates/experiments/src/ramp.rs
@@ -8,12 +8,12 @@
 use comfy_table::Table;
 use reeddock_simulation::observed::Ramp;
 use reeddock_simulation::report::rounded;
-use reeddock_simulation::{observe, Known, Scenario};
+use reeddock_simulation::{observe, BuiltInPolicy, Scenario};
 use serde::Serialize;
 
 use crate::results::Spread;
 use crate::runs::{points, Comparison, Lab};
-use crate::{Fault, Setting};
+use crate::{ExperimentError, Setting};
 
 /// The ramps of one scenario, policy and size of destination, over all seeds.
 #[derive(Clone, Debug, Serialize)]
@@ -34,7 +34,7 @@
     pub sum: Spread,
     /// Part of the sum from forwarders that had been told of the outage.
     pub known: Spread,
-    /// Seeds on which a target fell.
+    /// Seeds on which an endpoint fell.
     pub seeds_over: usize,
     /// Seeds on which the rule was broken: over two thirds of a fall came from those that had been told.
     pub seeds_broken: usize,
@@ -60,9 +60,9 @@
         file: &Path,
         settings: &[Setting],
         what: &Comparison,
-    ) -> std::result::Result<Ramps, Fault> {
+    ) -> std::result::Result<Ramps, ExperimentError> {
         let (plain, points, scenarios) = points(file, settings)?;
-        let mut runs: Vec<(&Scenario, u64, Known)> = Vec::new();
+        let mut runs: Vec<(&Scenario, u64, BuiltInPolicy)> = Vec::new();
         for scenario in &scenarios {
             for policy in &what.policies.0 {
                 runs.extend((1..=what.seeds).map(|seed| (scenario, seed, *policy)));
@@ -123,9 +123,9 @@
 
 impl Ramps {
     /// Prints a table, or JSON. A budget that was broken is a finding and no fault of the run.
-    pub fn print(&self, json: bool) -> std::result::Result<ExitCode, Fault> {
+    pub fn print(&self, json: bool) -> std::result::Result<ExitCode, ExperimentError> {
         if json {
-            println!("{}", serde_json::to_string(self).map_err(Fault::line)?);
+            println!("{}", serde_json::to_string(self).map_err(ExperimentError::line)?);
             return Ok(ExitCode::SUCCESS);
         }
         let mut table = Table::new();
--- a/crates/experiments/src/record.rs
+++ b/crates/experiments/src/record.rs
@@ -1,4 +1,4 @@
-//! Recordings of the decision module, of scenarios in the emulator and of random event streams, and their
+//! Recordings of the decision module, of scenarios in the simulation and of random event streams, and their
 //! comparison.
 
 use std::collections::BTreeSet;
@@ -20,12 +20,12 @@
 use reeddock_recorder::line::PolicyCall;
 use reeddock_recorder::recording::locked;
 use reeddock_recorder::{streams, Form, Recording, RecordingHost, RecordingWriter, Summary};
-use reeddock_simulation::policy::{ListLine, Policy, Sight, Submission};
-use reeddock_simulation::{run_with, Known, Scenario};
+use reeddock_simulation::policy::{ListLine, Policy, Submission, WorldView};
+use reeddock_simulation::{run_with, BuiltInPolicy, Scenario};
 use serde::Serialize;
 
 use crate::runs::progress;
-use crate::{Fault, Lab};
+use crate::{ExperimentError, Lab};
 
 /// Streams in one recording, so that thousands of them are few files.
 const STREAMS_IN_A_FILE: u64 = 100;
@@ -69,7 +69,7 @@
 /// What a comparison of two folders found.
 pub struct Compared(Vec<Pair>);
 
-/// The module, recorded as the emulator tells it and as it answers.
+/// The delivery policy, recorded as the simulation tells it and as it answers.
 struct RecordedPolicy {
     module: Box<dyn Policy>,
     writer: RecordingWriter,
@@ -162,7 +162,7 @@
         self.module.gossip_received(now, from, gossip);
     }
 
-    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost) {
+    fn run_due_work(&mut self, now: Duration, sight: &dyn WorldView, host: &mut dyn PolicyHost) {
         self.call(PolicyCall::RunDueWork { now }, host, |module, host| module.run_due_work(now, sight, host));
     }
 }
@@ -175,58 +175,59 @@
 }
 
 impl NewFile {
-    fn create(folder: &Path, stem: &str, form: Form) -> Result<NewFile, Fault> {
+    fn create(folder: &Path, stem: &str, form: Form) -> Result<NewFile, ExperimentError> {
         let name = format!("{stem}.{}", form.extension());
         let path = folder.join(&name);
         let file = File::create_new(&path)
-            .map_err(|e| Fault::line(format!("{}: cannot be created: {e}", path.display())))?;
+            .map_err(|e| ExperimentError::line(format!("{}: cannot be created: {e}", path.display())))?;
         let recording = Recording::new(Box::new(BufWriter::new(file)), form);
         Ok(NewFile { name, path, recording: Arc::new(Mutex::new(recording)) })
     }
 
-    fn finish(self) -> Result<RecordedFile, Fault> {
+    fn finish(self) -> Result<RecordedFile, ExperimentError> {
         let Summary { lines, digest } = locked(&self.recording)
             .finish()
-            .map_err(|e| Fault::line(format!("{}: cannot be written: {e}", self.path.display())))?;
+            .map_err(|e| ExperimentError::line(format!("{}: cannot be written: {e}", self.path.display())))?;
         Ok(RecordedFile { file: self.name, lines, digest })
     }
 }
 
-fn create_folder(folder: &Path) -> Result<(), Fault> {
+fn create_folder(folder: &Path) -> Result<(), ExperimentError> {
     fs::create_dir_all(folder)
-        .map_err(|e| Fault::line(format!("{}: cannot be created: {e}", folder.display())))
+        .map_err(|e| ExperimentError::line(format!("{}: cannot be created: {e}", folder.display())))
 }
 
 /// Plays one day of a scenario. Forwarders are numbered in the order of their starts: one that starts again gets
 /// a new number.
 fn record_day(scenario: &Scenario, seed: u64, file: &NewFile) {
     let starts = AtomicU64::new(0);
-    run_with(scenario, seed, Known::Module.name(), &|now, settings, host| {
+    run_with(scenario, seed, BuiltInPolicy::DeliveryPolicy.name(), &|now, settings, host| {
         let number = starts.fetch_add(1, Ordering::Relaxed);
         let writer = RecordingWriter::new(Arc::clone(&file.recording), number);
         writer.record(PolicyCall::Open { now, settings: &settings });
-        let module = Known::Module.open(now, settings, &mut RecordingHost { writer: &writer, host });
+        let module =
+            BuiltInPolicy::DeliveryPolicy.open(now, settings, &mut RecordingHost { writer: &writer, host });
         Box::new(RecordedPolicy { module, writer })
     });
 }
 
-fn checked_count(count: u64, what: &str, files: u64) -> Result<(), Fault> {
+fn checked_count(count: u64, what: &str, files: u64) -> Result<(), ExperimentError> {
     if count == 0 || files > MOST_FILES {
         let expected = format!("expected 1 or more, and {MOST_FILES} recordings at most");
-        return Err(Fault::line(format!("{what} {count}: {expected}")));
+        return Err(ExperimentError::line(format!("{what} {count}: {expected}")));
     }
     Ok(())
 }
 
 /// Scenarios by the stem of their files, which names the recordings.
-fn read_scenarios(files: &[PathBuf]) -> Result<Vec<(String, Scenario)>, Fault> {
+fn read_scenarios(files: &[PathBuf]) -> Result<Vec<(String, Scenario)>, ExperimentError> {
     let mut stems = BTreeSet::new();
     let mut scenarios = Vec::new();
     for file in files {
         let stem = file.file_stem().unwrap_or_default().to_string_lossy().into_owned();
         if !stems.insert(stem.clone()) {
             let what = "expected scenarios of different names";
-            return Err(Fault::line(format!("{}: named twice: {what}", file.display())));
+            return Err(ExperimentError::line(format!("{}: named twice: {what}", file.display())));
         }
         scenarios.push((stem, Scenario::read(file)?));
     }
@@ -239,9 +240,9 @@
     /// # Errors
     ///
     /// A scenario that can't be read, no scenarios or seeds, or a file that is there already or can't be written.
-    pub fn record_scenarios(&self, what: &RecordingRun) -> Result<Recorded, Fault> {
+    pub fn record_scenarios(&self, what: &RecordingRun) -> Result<Recorded, ExperimentError> {
         if what.scenarios.is_empty() {
-            return Err(Fault::line(
+            return Err(ExperimentError::line(
                 "nothing to record: expected scenarios, --streams COUNT or --compare A B",
             ));
         }
@@ -266,7 +267,7 @@
     /// # Errors
     ///
     /// No streams, or a file that is there already or can't be written.
-    pub fn record_streams(&self, what: &StreamRun) -> Result<Recorded, Fault> {
+    pub fn record_streams(&self, what: &StreamRun) -> Result<Recorded, ExperimentError> {
         checked_count(what.count, "--streams", what.count.div_ceil(STREAMS_IN_A_FILE))?;
         create_folder(&what.out)?;
         let end = what.seed.saturating_add(what.count);
@@ -283,8 +284,8 @@
     fn write_all<T: Sync>(
         &self,
         parts: &[T],
-        write: impl Fn(&T) -> Result<RecordedFile, Fault> + Sync,
-    ) -> Result<Recorded, Fault> {
+        write: impl Fn(&T) -> Result<RecordedFile, ExperimentError> + Sync,
+    ) -> Result<Recorded, ExperimentError> {
         let bar = progress(parts.len() as u64, "recordings");
         let one = |part: &T| {
             let file = write(part);
@@ -303,9 +304,9 @@
     /// # Errors
     ///
     /// None but of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, Fault> {
+    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
         if json {
-            println!("{}", serde_json::to_string(self).map_err(Fault::line)?);
+            println!("{}", serde_json::to_string(self).map_err(ExperimentError::line)?);
             return Ok(ExitCode::SUCCESS);
         }
         let mut table = Table::new();
@@ -323,8 +324,8 @@
 /// # Errors
 ///
 /// A folder or file that can't be read, or holds no recordings.
-pub fn compare_recordings(left: &Path, right: &Path) -> Result<Compared, Fault> {
-    compare(left, right).map(Compared).map_err(Fault::line)
+pub fn compare_recordings(left: &Path, right: &Path) -> Result<Compared, ExperimentError> {
+    compare(left, right).map(Compared).map_err(ExperimentError::line)
 }
 
 fn shown(difference: &Difference) -> String {
@@ -344,7 +345,7 @@
     /// # Errors
     ///
     /// None but of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, Fault> {
+    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
         let equal = self.0.iter().filter(|p| matches!(p.verdict, Verdict::Equal { .. })).count();
         let all = self.0.len();
         if json {
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -9,7 +9,7 @@
 use reeddock_simulation::Report;
 use serde::{Deserialize, Serialize};
 
-use crate::Fault;
+use crate::ExperimentError;
 
 /// Mean, spread and ends of one figure over several days.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -168,19 +168,19 @@
         }
     }
 
-    pub fn keep(&self, folder: Option<&Path>) -> std::result::Result<(), Fault> {
+    pub fn keep(&self, folder: Option<&Path>) -> std::result::Result<(), ExperimentError> {
         let Some(folder) = folder else { return Ok(()) };
-        let at = |what: std::io::Error| Fault::line(format!("{}: {what}", folder.display()));
+        let at = |what: std::io::Error| ExperimentError::line(format!("{}: {what}", folder.display()));
         std::fs::create_dir_all(folder).map_err(at)?;
         std::fs::write(folder.join(self.file_name()), self.to_json()?).map_err(at)
     }
 
-    pub fn to_json(&self) -> std::result::Result<String, Fault> {
-        serde_json::to_string(self).map_err(Fault::line)
+    pub fn to_json(&self) -> std::result::Result<String, ExperimentError> {
+        serde_json::to_string(self).map_err(ExperimentError::line)
     }
 
     /// Prints it; the exit code is 1 where a rule was broken, or a finding is not seen any more.
-    pub fn print(&self, json: bool) -> std::result::Result<ExitCode, Fault> {
+    pub fn print(&self, json: bool) -> std::result::Result<ExitCode, ExperimentError> {
         if json {
             println!("{}", self.to_json()?);
         } else {
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -6,10 +6,10 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use rayon::{ThreadPool, ThreadPoolBuilder};
-use reeddock_simulation::{run, Known, Report, Scenario};
+use reeddock_simulation::{run, BuiltInPolicy, Report, Scenario};
 
 use crate::results::{Result, Row, SweepRow};
-use crate::{Fault, Policies, Setting};
+use crate::{ExperimentError, Policies, Setting};
 
 pub struct Lab {
     pool: ThreadPool,
@@ -39,9 +39,9 @@
 pub(crate) type Points = (Scenario, Vec<Vec<(String, String)>>, Vec<Scenario>);
 
 /// Reads a scenario and puts each combination of the settings' values in.
-pub(crate) fn points(file: &Path, settings: &[Setting]) -> std::result::Result<Points, Fault> {
+pub(crate) fn points(file: &Path, settings: &[Setting]) -> std::result::Result<Points, ExperimentError> {
     let text = std::fs::read_to_string(file)
-        .map_err(|e| Fault::line(format!("{}: cannot be read: {e}", file.display())))?;
+        .map_err(|e| ExperimentError::line(format!("{}: cannot be read: {e}", file.display())))?;
     let name = file.display().to_string();
     let plain = Scenario::parse(&name, &text, &[])?;
     let mut points: Vec<Vec<(String, String)>> = vec![Vec::new()];
@@ -52,25 +52,26 @@
         };
         points = points.iter().flat_map(with).collect();
     }
-    let read = |point: &Vec<(String, String)>| Scenario::parse(&name, &text, point).map_err(Fault::from);
+    let read =
+        |point: &Vec<(String, String)>| Scenario::parse(&name, &text, point).map_err(ExperimentError::from);
     let scenarios = points.iter().map(read).collect::<std::result::Result<Vec<_>, _>>()?;
     Ok((plain, points, scenarios))
 }
 
 impl Lab {
     /// With so many threads; with all cores where none are named.
-    pub fn with_threads(threads: Option<usize>) -> std::result::Result<Lab, Fault> {
+    pub fn with_threads(threads: Option<usize>) -> std::result::Result<Lab, ExperimentError> {
         if threads == Some(0) {
-            return Err(Fault::line("--threads is 0: expected 1 or more"));
+            return Err(ExperimentError::line("--threads is 0: expected 1 or more"));
         }
         let pool = ThreadPoolBuilder::new().num_threads(threads.unwrap_or(0)).build();
-        Ok(Lab { pool: pool.map_err(Fault::line)? })
+        Ok(Lab { pool: pool.map_err(ExperimentError::line)? })
     }
 
     /// Plays all of these, in this order, on all threads.
-    pub(crate) fn play(&self, runs: &[(&Scenario, u64, Known)], what: &'static str) -> Vec<Report> {
+    pub(crate) fn play(&self, runs: &[(&Scenario, u64, BuiltInPolicy)], what: &'static str) -> Vec<Report> {
         let bar = progress(runs.len() as u64, what);
-        let one = |(scenario, seed, policy): &(&Scenario, u64, Known)| {
+        let one = |(scenario, seed, policy): &(&Scenario, u64, BuiltInPolicy)| {
             let report = run(scenario, *seed, *policy);
             bar.inc(1);
             report
@@ -86,10 +87,10 @@
         runs: &[Run],
         what: &'static str,
         one: impl Fn(&Run) -> Day + Sync,
-    ) -> std::result::Result<Vec<Day>, Fault> {
+    ) -> std::result::Result<Vec<Day>, ExperimentError> {
         if runs.is_empty() || runs.len() as u64 > MOST_RUNS {
             let many = runs.len();
-            return Err(Fault::line(format!(
+            return Err(ExperimentError::line(format!(
                 "{many} runs: expected 1 seed or more, and {MOST_RUNS} runs at most"
             )));
         }
@@ -108,19 +109,24 @@
         &self.pool
     }
 
-    pub fn run(&self, file: &Path, seed: u64, policies: &Policies) -> std::result::Result<Result, Fault> {
+    pub fn run(
+        &self,
+        file: &Path,
+        seed: u64,
+        policies: &Policies,
+    ) -> std::result::Result<Result, ExperimentError> {
         let scenario = Scenario::read(file)?;
         let runs: Vec<_> = policies.0.iter().map(|p| (&scenario, seed, *p)).collect();
         Ok(Result::Runs { reports: self.play(&runs, "runs") })
     }
 
-    pub fn compare(&self, file: &Path, what: &Comparison) -> std::result::Result<Result, Fault> {
+    pub fn compare(&self, file: &Path, what: &Comparison) -> std::result::Result<Result, ExperimentError> {
         let scenario = Scenario::read(file)?;
         let (rows, first_days) = self.rows(&[&scenario], what, "comparison")?;
         Ok(Result::Comparison { scenario: scenario.name, rows, first_days })
     }
 
-    pub fn sweep(&self, file: &Path, what: &Sweep) -> std::result::Result<Result, Fault> {
+    pub fn sweep(&self, file: &Path, what: &Sweep) -> std::result::Result<Result, ExperimentError> {
         let (plain, points, scenarios) = points(file, &what.settings)?;
         let comparison = Comparison { policies: what.policies.clone(), seeds: what.seeds };
         let (rows, _) = self.rows(&scenarios.iter().collect::<Vec<_>>(), &comparison, "sweep")?;
@@ -137,11 +143,11 @@
         scenarios: &[&Scenario],
         what: &Comparison,
         name: &'static str,
-    ) -> std::result::Result<(Vec<Row>, Vec<Report>), Fault> {
+    ) -> std::result::Result<(Vec<Row>, Vec<Report>), ExperimentError> {
         let policies = &what.policies.0;
         let all = scenarios.len() as u64 * policies.len() as u64 * what.seeds;
         if what.seeds == 0 || all > MOST_RUNS {
-            return Err(Fault::line(format!(
+            return Err(ExperimentError::line(format!(
                 "{all} runs: expected 1 seed or more, and {MOST_RUNS} runs at most"
             )));
         }
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -1,4 +1,4 @@
-//! A search: scenarios are drawn until the time is up, each is played by the module, one try and the ceiling;
+//! A search: scenarios are drawn until the time is up, each is played by the delivery policy, one try and the ceiling;
 //! what breaks a rule or lies farthest under the ceiling is shrunk and kept as a file that replays it.
 
 use std::path::{Path, PathBuf};
@@ -7,15 +7,15 @@
 
 use rayon::prelude::*;
 use rayon::BroadcastContext;
-use reeddock_simulation::oracles::Rule;
+use reeddock_simulation::invariants::Rule;
 use reeddock_simulation::scenario::Found;
-use reeddock_simulation::{run, Known, Scenario};
+use reeddock_simulation::{run, BuiltInPolicy, Scenario};
 
 use crate::draw::draw;
 use crate::results::{Finding, Result};
 use crate::runs::{progress, Lab};
 use crate::shrink::{shrink, Want};
-use crate::Fault;
+use crate::ExperimentError;
 
 pub struct Search {
     pub lasts: Duration,
@@ -40,9 +40,9 @@
 
 fn see(seed: u64) -> Seen {
     let scenario = draw(seed);
-    let module = run(&scenario, seed, Known::Module);
-    let one_try = run(&scenario, seed, Known::OneTry);
-    let ceiling = run(&scenario, seed, Known::Ceiling);
+    let module = run(&scenario, seed, BuiltInPolicy::DeliveryPolicy);
+    let one_try = run(&scenario, seed, BuiltInPolicy::OneTry);
+    let ceiling = run(&scenario, seed, BuiltInPolicy::UpperBound);
     let mut rules: Vec<(Rule, String)> = Vec::new();
     for broken in &module.broken {
         if rules.iter().all(|r| r.0 != broken.rule) {
@@ -53,9 +53,9 @@
 }
 
 impl Lab {
-    pub fn search(&self, what: &Search) -> std::result::Result<Result, Fault> {
+    pub fn search(&self, what: &Search) -> std::result::Result<Result, ExperimentError> {
         std::fs::create_dir_all(&what.out)
-            .map_err(|e| Fault::line(format!("{}: {e}", what.out.display())))?;
+            .map_err(|e| ExperimentError::line(format!("{}: {e}", what.out.display())))?;
         let begun = Instant::now();
         let until = what.lasts.mul_f64(DRAWING);
         let bar = progress(until.as_secs().max(1), "search, seconds");
@@ -111,10 +111,11 @@
         want: Want,
         told: &str,
         folder: &Path,
-    ) -> std::result::Result<Finding, Fault> {
+    ) -> std::result::Result<Finding, ExperimentError> {
         let mut small = shrink(&draw(seen.seed), seen.seed, want);
         let [module, one_try, ceiling] =
-            [Known::Module, Known::OneTry, Known::Ceiling].map(|p| run(&small, seen.seed, p));
+            [BuiltInPolicy::DeliveryPolicy, BuiltInPolicy::OneTry, BuiltInPolicy::UpperBound]
+                .map(|p| run(&small, seen.seed, p));
         let rule = match want {
             Want::Broken(rule) => Some(rule),
             Want::Distance(_) => None,
@@ -133,7 +134,7 @@
         };
         let file = folder.join(name);
         std::fs::write(&file, small.to_text())
-            .map_err(|e| Fault::line(format!("{}: {e}", file.display())))?;
+            .map_err(|e| ExperimentError::line(format!("{}: {e}", file.display())))?;
         let now = module.broken.iter().find(|b| Some(b.rule) == rule).map(ToString::to_string);
         Ok(Finding {
             file,
@@ -145,20 +146,20 @@
         })
     }
 
-    pub fn replay(&self, file: &Path) -> std::result::Result<Result, Fault> {
+    pub fn replay(&self, file: &Path) -> std::result::Result<Result, ExperimentError> {
         let scenario = Scenario::read(file)?;
         let Some(found) = scenario.found.clone() else {
             let what = "holds no [found] with a seed: expected a file that a search wrote";
-            return Err(Fault::line(format!("{}: {what}", file.display())));
+            return Err(ExperimentError::line(format!("{}: {what}", file.display())));
         };
-        let module = run(&scenario, found.seed, Known::Module);
+        let module = run(&scenario, found.seed, BuiltInPolicy::DeliveryPolicy);
         let (seen, was) = match found.rule {
             Some(rule) => {
                 let was = format!("rule {} ({rule:?}) broken", rule.number());
                 (module.broken.iter().any(|b| b.rule == rule), was)
             }
             None => {
-                let ceiling = run(&scenario, found.seed, Known::Ceiling);
+                let ceiling = run(&scenario, found.seed, BuiltInPolicy::UpperBound);
                 let (then, now) = (found.ceiling - found.credit, ceiling.credit - module.credit);
                 (now >= then / 2.0, format!("{then:.3} under the ceiling, now {now:.3}"))
             }
--- a/crates/experiments/src/sharing.rs
+++ b/crates/experiments/src/sharing.rs
@@ -1,5 +1,5 @@
 //! What forwarders lose by sharing nothing of destinations that are down: fleets of several sizes in which each
-//! forwarder meets each destination as seldom as at the target, the module beside circuits that are fed by all.
+//! forwarder meets each destination as seldom as at the endpoint, the delivery policy beside circuits that are fed by all.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,17 +10,17 @@
 use comfy_table::Table;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock_simulation::figure::Span;
+use reeddock_simulation::distribution::Span;
+use reeddock_simulation::fault::{EndpointSelector, Fault};
 use reeddock_simulation::observed::SentToDown;
-use reeddock_simulation::policies::sharing::{circuit, Exchange};
+use reeddock_simulation::policies::sharing::{circuit, CircuitExchange};
 use reeddock_simulation::scenario::Scheduled;
-use reeddock_simulation::trouble::{Trouble, Whom};
-use reeddock_simulation::{observe, Known, Scenario};
+use reeddock_simulation::{observe, BuiltInPolicy, Scenario};
 use serde::Serialize;
 
 use crate::results::Spread;
 use crate::runs::Lab;
-use crate::Fault;
+use crate::ExperimentError;
 
 /// The terms of a study.
 #[derive(Clone, Debug)]
@@ -44,13 +44,13 @@
 const MOST_DESTINATIONS: u64 = 1_000;
 /// Fewest that still give figures.
 const LEAST_DESTINATIONS: u64 = 30;
-/// Streams of the outages, beside those of the emulator.
+/// Streams of the outages, beside those of the simulation.
 const OUTAGES: u64 = 0x6f75_7461;
 
 /// What decides, and what it knows of the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Sharer {
-    Module,
+    DeliveryPolicyAdapter,
     /// A plain circuit fed by what its own forwarder saw.
     Alone,
     /// The same circuit fed by all, after a delay.
@@ -60,7 +60,7 @@
 }
 
 const SHARERS: [Sharer; 5] = [
-    Sharer::Module,
+    Sharer::DeliveryPolicyAdapter,
     Sharer::Alone,
     Sharer::Shared(Duration::from_secs(1)),
     Sharer::Shared(Duration::ZERO),
@@ -70,7 +70,7 @@
 impl Sharer {
     fn name(self) -> String {
         match self {
-            Sharer::Module => "module, shares nothing".to_owned(),
+            Sharer::DeliveryPolicyAdapter => "module, shares nothing".to_owned(),
             Sharer::Alone => "circuit, shares nothing".to_owned(),
             Sharer::Shared(delay) if delay.is_zero() => "circuit, shared at once".to_owned(),
             Sharer::Shared(delay) => format!("circuit, shared after {} s", delay.as_secs_f64()),
@@ -81,17 +81,17 @@
     /// Plays one day.
     fn play(self, scenario: &Scenario, seed: u64) -> Day {
         let (report, observed) = match self {
-            Sharer::Module => {
-                observe(scenario, seed, "module", &|now, terms, host| Known::Module.open(now, terms, host))
-            }
-            Sharer::Ideal => {
-                observe(scenario, seed, "ideal", &|now, terms, host| Known::Ceiling.open(now, terms, host))
-            }
+            Sharer::DeliveryPolicyAdapter => observe(scenario, seed, "module", &|now, terms, host| {
+                BuiltInPolicy::DeliveryPolicy.open(now, terms, host)
+            }),
+            Sharer::Ideal => observe(scenario, seed, "ideal", &|now, terms, host| {
+                BuiltInPolicy::UpperBound.open(now, terms, host)
+            }),
             Sharer::Alone => observe(scenario, seed, "alone", &|_, terms, host| {
-                circuit(&Arc::new(Mutex::new(Exchange::new(Duration::ZERO))), terms, host)
+                circuit(&Arc::new(Mutex::new(CircuitExchange::new(Duration::ZERO))), terms, host)
             }),
             Sharer::Shared(delay) => {
-                let exchange = Arc::new(Mutex::new(Exchange::new(delay)));
+                let exchange = Arc::new(Mutex::new(CircuitExchange::new(delay)));
                 observe(scenario, seed, "shared", &|_, terms, host| circuit(&exchange, terms, host))
             }
         };
@@ -123,13 +123,13 @@
     pub trials_per_s: Spread,
     /// New connections a second over the fleet that were asked for there.
     pub connections_per_s: Spread,
-    /// Dispatches there for each envelope that met a destination that was down.
+    /// Dispatches there for each message that met a destination that was down.
     pub trials_per_envelope: Spread,
-    /// Of all envelopes, those whose first try went to a destination that was down.
+    /// Of all messages, those whose first try went to a destination that was down.
     pub first_lost: Spread,
-    /// Of all envelopes, those whose first try went to one that some forwarder knew to be down.
+    /// Of all messages, those whose first try went to one that some forwarder knew to be down.
     pub first_lost_to_known: Spread,
-    /// Credit, of all envelopes and of those that met a destination that was down.
+    /// Credit, of all messages and of those that met a destination that was down.
     pub credit: Spread,
     pub credit_down: Spread,
     /// Share of the destinations that was down, as it came out.
@@ -146,9 +146,9 @@
 
 impl Sharing {
     /// Whether all figures make sense.
-    fn check(&self) -> std::result::Result<(), Fault> {
+    fn check(&self) -> std::result::Result<(), ExperimentError> {
         let within = |what: &str, value: f64, low: f64, high: f64| {
-            let told = || Fault::line(format!("{what} is {value}: expected {low} to {high}"));
+            let told = || ExperimentError::line(format!("{what} is {value}: expected {low} to {high}"));
             (low..=high).contains(&value).then_some(()).ok_or_else(told)
         };
         for forwarders in &self.forwarders {
@@ -173,7 +173,7 @@
         file: &str,
         forwarders: u32,
         seed: u64,
-    ) -> std::result::Result<Scenario, Fault> {
+    ) -> std::result::Result<Scenario, ExperimentError> {
         let destinations = self.destinations(forwarders);
         let per_s = f64::from(forwarders) * destinations as f64 / self.meet_every;
         let instead = [
@@ -199,11 +199,14 @@
             }
             while at < lasts {
                 let from = at.max(0.0);
-                let whom = Whom { destinations: vec![destination as u32], ..Whom::default() };
+                let whom = EndpointSelector {
+                    destinations: vec![destination as u32],
+                    ..EndpointSelector::default()
+                };
                 all.push(Scheduled {
                     at: Span::clamped(from),
                     lasts: Span::clamped(at + self.outage - from),
-                    what: Trouble::Refused { whom },
+                    what: Fault::Refused { whom },
                 });
                 at += self.outage - mean_up * (1.0 - chance.random::<f64>()).ln();
             }
@@ -214,10 +217,10 @@
 
 impl Lab {
     /// Plays fleets of each size, with each way to decide, over the seeds from 1 up.
-    pub fn sharing(&self, file: &Path, what: &Sharing) -> std::result::Result<SharingTable, Fault> {
+    pub fn sharing(&self, file: &Path, what: &Sharing) -> std::result::Result<SharingTable, ExperimentError> {
         what.check()?;
         let text = std::fs::read_to_string(file)
-            .map_err(|e| Fault::line(format!("{}: cannot be read: {e}", file.display())))?;
+            .map_err(|e| ExperimentError::line(format!("{}: cannot be read: {e}", file.display())))?;
         let name = file.display().to_string();
         let plain = Scenario::parse(&name, &text, &[])?;
         let mut scenarios = Vec::new();
@@ -270,9 +273,9 @@
 
 impl SharingTable {
     /// Prints a table, or JSON.
-    pub fn print(&self, json: bool) -> std::result::Result<ExitCode, Fault> {
+    pub fn print(&self, json: bool) -> std::result::Result<ExitCode, ExperimentError> {
         if json {
-            println!("{}", serde_json::to_string(self).map_err(Fault::line)?);
+            println!("{}", serde_json::to_string(self).map_err(ExperimentError::line)?);
             return Ok(ExitCode::SUCCESS);
         }
         let mut table = Table::new();
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -1,16 +1,16 @@
 //! A found scenario, cut down to what it takes to see the same again.
 
-use reeddock_simulation::figure::{Amount, Share, Span};
-use reeddock_simulation::oracles::Rule;
-use reeddock_simulation::trouble::Trouble;
-use reeddock_simulation::{run, Known, Report, Scenario};
+use reeddock_simulation::distribution::{Amount, Share, Span};
+use reeddock_simulation::fault::Fault;
+use reeddock_simulation::invariants::Rule;
+use reeddock_simulation::{run, BuiltInPolicy, Report, Scenario};
 
 /// What a smaller scenario must still show.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Want {
-    /// This rule broken by the module.
+    /// This rule broken by the delivery policy.
     Broken(Rule),
-    /// The module's credit so far under the ceiling's.
+    /// The delivery policy's credit so far under the ceiling's.
     Distance(f64),
 }
 
@@ -22,13 +22,13 @@
 const MOST_TRIED: usize = 120;
 
 impl Want {
-    /// Whether a scenario shows it; with the module's report.
+    /// Whether a scenario shows it; with the delivery policy's report.
     pub fn seen(self, scenario: &Scenario, seed: u64) -> Option<Report> {
-        let module = run(scenario, seed, Known::Module);
+        let module = run(scenario, seed, BuiltInPolicy::DeliveryPolicy);
         let seen = match self {
             Want::Broken(rule) => module.broken.iter().any(|b| b.rule == rule),
             Want::Distance(distance) => {
-                let ceiling = run(scenario, seed, Known::Ceiling);
+                let ceiling = run(scenario, seed, BuiltInPolicy::UpperBound);
                 module.first_tries >= LEAST_TRIES
                     && ceiling.credit - module.credit >= distance * DISTANCE_LEFT
             }
@@ -52,13 +52,13 @@
         steps.push(Box::new(move |s| {
             let gone = s.categories.remove(n).name;
             s.troubles
-                .retain(|t| !matches!(&t.what, Trouble::CategoryFails { category, .. } if *category == gone));
+                .retain(|t| !matches!(&t.what, Fault::CategoryFails { category, .. } if *category == gone));
         }));
     }
     for n in (0..scenario.programs.len()).filter(|_| scenario.programs.len() > 1) {
         steps.push(Box::new(move |s| {
             let gone = s.programs.remove(n).name;
-            s.troubles.retain(|t| !matches!(&t.what, Trouble::Surge { program, .. } if *program == gone));
+            s.troubles.retain(|t| !matches!(&t.what, Fault::Surge { program, .. } if *program == gone));
         }));
     }
     if scenario.fleet.forwarders > 1 {
--- a/crates/experiments/src/studies.rs
+++ b/crates/experiments/src/studies.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use reeddock_experiments::{Comparison, Fault, Lab, Policies, Setting, Sharing};
+use reeddock_experiments::{Comparison, ExperimentError, Lab, Policies, Setting, Sharing};
 
 /// Sums of calls to destinations that come back cold.
 #[derive(Args)]
@@ -21,7 +21,7 @@
 }
 
 impl RampLine {
-    pub fn play(self, lab: &Lab, json: bool) -> Result<ExitCode, Fault> {
+    pub fn play(self, lab: &Lab, json: bool) -> Result<ExitCode, ExperimentError> {
         let what = Comparison { policies: self.policies, seeds: self.seeds };
         lab.ramps(&self.scenario, &self.settings, &what)?.print(json)
     }
@@ -55,7 +55,7 @@
 }
 
 impl SharingLine {
-    pub fn play(self, lab: &Lab, json: bool) -> Result<ExitCode, Fault> {
+    pub fn play(self, lab: &Lab, json: bool) -> Result<ExitCode, ExperimentError> {
         let what = Sharing {
             forwarders: self.forwarders,
             meet_every: self.meet_every,
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 use reeddock_experiments::{draw, shrink, Comparison, Lab, Policies, Setting, Sweep, Want};
-use reeddock_simulation::{run, Known, Scenario};
+use reeddock_simulation::{run, BuiltInPolicy, Scenario};
 
 fn scenario() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/first-morning.toml")
@@ -45,11 +45,14 @@
         .find(|seed| {
             let drawn = draw(*seed);
             let few = drawn.fleet.forwarders <= 3 && drawn.traffic.usual_per_s.get() < 60.0;
-            few && run(&drawn, *seed, Known::Ceiling).credit - run(&drawn, *seed, Known::Module).credit > 0.03
+            few && run(&drawn, *seed, BuiltInPolicy::UpperBound).credit
+                - run(&drawn, *seed, BuiltInPolicy::DeliveryPolicy).credit
+                > 0.03
         })
         .expect("one of these days is worse than perfect");
     let drawn = draw(seed);
-    let distance = run(&drawn, seed, Known::Ceiling).credit - run(&drawn, seed, Known::Module).credit;
+    let distance = run(&drawn, seed, BuiltInPolicy::UpperBound).credit
+        - run(&drawn, seed, BuiltInPolicy::DeliveryPolicy).credit;
     let want = Want::Distance(distance);
     let mut small = shrink(&drawn, seed, want);
     assert!(want.seen(&small, seed).is_some(), "it still shows what was found");
@@ -60,16 +63,16 @@
     small.found = Some(reeddock_simulation::scenario::Found {
         seed,
         rule: None,
-        credit: run(&small, seed, Known::Module).credit,
+        credit: run(&small, seed, BuiltInPolicy::DeliveryPolicy).credit,
         one_try: 0.0,
-        ceiling: run(&small, seed, Known::Ceiling).credit,
+        ceiling: run(&small, seed, BuiltInPolicy::UpperBound).credit,
     });
     std::fs::write(&file, small.to_text()).unwrap();
     let replayed = program(&["replay", file.to_str().unwrap()]);
     let text = String::from_utf8(replayed.stdout).unwrap();
     assert!(replayed.status.success() && text.contains("seen again"), "{text}");
     // A rule that is not broken there is not seen, and the exit code says so.
-    small.found.as_mut().unwrap().rule = Some(reeddock_simulation::oracles::Rule::Interface);
+    small.found.as_mut().unwrap().rule = Some(reeddock_simulation::invariants::Rule::Interface);
     std::fs::write(&file, small.to_text()).unwrap();
     assert_eq!(program(&["replay", file.to_str().unwrap()]).status.code(), Some(1));
 }
--- a/crates/simulation/src/account.rs
+++ b/crates/simulation/src/account.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::layout::DestinationNo;
+use crate::layout::DestinationIndex;
 use crate::scenario::{Scenario, OVER_SHARE_CREDIT};
 
 /// Credit asked for and earned.
@@ -69,7 +69,7 @@
     pub lost: u64,
 }
 
-/// How dispatches ended, as the forwarders were told.
+/// How attempts ended, as the forwarders were told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Dispatches {
     pub all: u64,
@@ -108,7 +108,7 @@
     /// Times that a receipted or pure effect was applied again.
     pub repeats_applied: u64,
     pub falls: u64,
-    /// Of envelopes that met a destination that was down.
+    /// Of messages that met a destination that was down.
     met_down: Credit,
     purse: Vec<(f64, Duration)>,
 }
@@ -116,7 +116,7 @@
 struct FirstTry {
     category: usize,
     program: usize,
-    destination: DestinationNo,
+    destination: DestinationIndex,
     first: Duration,
     credit: f64,
     completed: bool,
@@ -157,7 +157,7 @@
     }
 
     /// What a watched destination meets now.
-    pub fn load(&mut self, destination: DestinationNo, at: Duration) -> Option<&mut Load> {
+    pub fn load(&mut self, destination: DestinationIndex, at: Duration) -> Option<&mut Load> {
         let loads = self.loads.get_mut(destination.0)?;
         let n = at.as_secs() as usize;
         if loads.len() <= n {
@@ -173,7 +173,7 @@
         now: Duration,
         category: usize,
         program: usize,
-        destination: DestinationNo,
+        destination: DestinationIndex,
     ) {
         let mut credit = scenario.categories[category].credit.get();
         if let Some(share) = scenario.programs[program].share_per_s {
@@ -204,7 +204,7 @@
         });
     }
 
-    /// A try was handed in while its destination was down.
+    /// A try was submitted while its destination was down.
     pub fn meets_down(&mut self, first_try: usize) {
         let Some(t) = self.tries.get_mut(first_try).filter(|t| !t.met_down) else { return };
         t.met_down = true;
--- a/crates/simulation/src/figure.rs
+++ b/crates/simulation/src/distribution.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use rand_distr::{Distribution, Exp, LogNormal};
+use rand_distr::{Distribution as _, Exp, LogNormal};
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{Deserializer, Error, MapAccess, Visitor};
 use serde::{Deserialize, Serialize};
@@ -135,14 +135,14 @@
 /// A number that is told, or drawn anew at each use.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
-pub enum Figure {
+pub enum Distribution {
     Told(f64),
-    Drawn(Spread),
+    Drawn(RandomDistribution),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Spread {
+pub enum RandomDistribution {
     /// Evenly between two values.
     Uniform([f64; 2]),
     /// By its mean.
@@ -151,15 +151,17 @@
     LogNormal { median: f64, sigma: f64 },
 }
 
-impl Figure {
+impl Distribution {
     pub fn draw(&self, chance: &mut Chance) -> f64 {
         match *self {
-            Figure::Told(value) => value,
-            Figure::Drawn(Spread::Uniform([low, high])) => low + (high - low) * chance.random::<f64>(),
-            Figure::Drawn(Spread::Exponential(mean)) => {
+            Distribution::Told(value) => value,
+            Distribution::Drawn(RandomDistribution::Uniform([low, high])) => {
+                low + (high - low) * chance.random::<f64>()
+            }
+            Distribution::Drawn(RandomDistribution::Exponential(mean)) => {
                 Exp::new(1.0 / mean).map_or(mean, |d| d.sample(chance))
             }
-            Figure::Drawn(Spread::LogNormal { median, sigma }) => {
+            Distribution::Drawn(RandomDistribution::LogNormal { median, sigma }) => {
                 LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(chance))
             }
         }
@@ -177,20 +179,24 @@
 
     pub fn mean(&self) -> f64 {
         match *self {
-            Figure::Told(value) => value,
-            Figure::Drawn(Spread::Uniform([low, high])) => (low + high) / 2.0,
-            Figure::Drawn(Spread::Exponential(mean)) => mean,
-            Figure::Drawn(Spread::LogNormal { median, sigma }) => median * (sigma * sigma / 2.0).exp(),
+            Distribution::Told(value) => value,
+            Distribution::Drawn(RandomDistribution::Uniform([low, high])) => (low + high) / 2.0,
+            Distribution::Drawn(RandomDistribution::Exponential(mean)) => mean,
+            Distribution::Drawn(RandomDistribution::LogNormal { median, sigma }) => {
+                median * (sigma * sigma / 2.0).exp()
+            }
         }
     }
 
-    fn check(self) -> Result<Figure, String> {
+    fn check(self) -> Result<Distribution, String> {
         let fine = |v: f64| v.is_finite() && (0.0..=1e9).contains(&v);
         let good = match self {
-            Figure::Told(v) => fine(v),
-            Figure::Drawn(Spread::Uniform([low, high])) => fine(low) && fine(high) && low <= high,
-            Figure::Drawn(Spread::Exponential(mean)) => fine(mean) && mean > 0.0,
-            Figure::Drawn(Spread::LogNormal { median, sigma }) => {
+            Distribution::Told(v) => fine(v),
+            Distribution::Drawn(RandomDistribution::Uniform([low, high])) => {
+                fine(low) && fine(high) && low <= high
+            }
+            Distribution::Drawn(RandomDistribution::Exponential(mean)) => fine(mean) && mean > 0.0,
+            Distribution::Drawn(RandomDistribution::LogNormal { median, sigma }) => {
                 fine(median) && median > 0.0 && (0.0..=3.0).contains(&sigma)
             }
         };
@@ -203,22 +209,22 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Figure {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Figure, D::Error> {
+impl<'de> Deserialize<'de> for Distribution {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Distribution, D::Error> {
         struct Reader;
         impl<'de> Visitor<'de> for Reader {
-            type Value = Figure;
+            type Value = Distribution;
             fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
                 to.write_str("a number, or a table with one of uniform, exponential, log_normal")
             }
-            fn visit_f64<E: Error>(self, value: f64) -> Result<Figure, E> {
-                Ok(Figure::Told(value))
+            fn visit_f64<E: Error>(self, value: f64) -> Result<Distribution, E> {
+                Ok(Distribution::Told(value))
             }
-            fn visit_i64<E: Error>(self, value: i64) -> Result<Figure, E> {
-                Ok(Figure::Told(value as f64))
+            fn visit_i64<E: Error>(self, value: i64) -> Result<Distribution, E> {
+                Ok(Distribution::Told(value as f64))
             }
-            fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Figure, A::Error> {
-                Spread::deserialize(MapAccessDeserializer::new(map)).map(Figure::Drawn)
+            fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Distribution, A::Error> {
+                RandomDistribution::deserialize(MapAccessDeserializer::new(map)).map(Distribution::Drawn)
             }
         }
         from.deserialize_any(Reader)?.check().map_err(D::Error::custom)
--- a/crates/simulation/src/trouble.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,21 +1,21 @@
-//! What goes wrong. A new trouble is an arm of [`Trouble`], and the places that the compiler then names.
+//! What goes wrong. A new fault is an arm of [`Fault`], and the places that the compiler then names.
 
 use serde::{Deserialize, Serialize};
 
-use crate::figure::{Amount, Figure, Share, Span};
+use crate::distribution::{Amount, Distribution, Share, Span};
 use crate::scenario::Scenario;
 
-/// Whom a trouble meets.
+/// Whom a fault meets.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Whom {
+pub struct EndpointSelector {
     /// Destinations by rank of traffic, from 0; where none are named, a share is drawn.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub destinations: Vec<u32>,
     /// Share of all destinations, drawn by the seed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub share: Option<Share>,
-    /// Share of the targets of each that it meets, one at least; all of them where it is absent.
+    /// Share of the endpoints of each that it meets, one at least; all of them where it is absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub targets: Option<Share>,
 }
@@ -23,7 +23,7 @@
 /// Forwarders, by number or as a share of the fleet from the first one on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Which {
+pub struct ForwarderSelector {
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub forwarders: Vec<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -32,43 +32,43 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Trouble {
+pub enum Fault {
     /// Connections are refused at once, those that stood break.
-    Refused { whom: Whom },
+    Refused { whom: EndpointSelector },
     /// Nothing comes back at all: no connection is made, calls are never answered.
-    Silent { whom: Whom },
+    Silent { whom: EndpointSelector },
     /// Calls are taken and not answered before the end of it.
-    Hang { whom: Whom },
+    Hang { whom: EndpointSelector },
     /// Calls are turned away as full, perhaps with the wait until it opens.
-    Shut { whom: Whom },
+    Shut { whom: EndpointSelector },
     /// A share of calls is answered with an error at once, and nothing ran.
     FastErrors {
-        whom: Whom,
+        whom: EndpointSelector,
         #[serde(default = "most")]
         share: Share,
     },
     /// All work takes so many times as long.
-    Slow { whom: Whom, times: Amount },
+    Slow { whom: EndpointSelector, times: Amount },
     /// It stands still for so long, again and again.
-    Pauses { whom: Whom, each_s: Span, every_s: Span },
+    Pauses { whom: EndpointSelector, each_s: Span, every_s: Span },
     /// A share of calls takes so many times as long.
-    HeavyTail { whom: Whom, share: Share, times: Figure },
-    /// Calls with an envelope of this category are answered with an error.
-    CategoryFails { whom: Whom, category: String },
+    HeavyTail { whom: EndpointSelector, share: Share, times: Distribution },
+    /// Calls with a message of this category are answered with an error.
+    CategoryFails { whom: EndpointSelector, category: String },
     /// The work runs, and the connection breaks before its answer.
-    AnswersLost { whom: Whom, share: Share },
-    /// Targets are replaced by others under the same address; the list says so late.
-    Replaced { whom: Whom },
-    /// Targets leave: the list says so, and at the end they are gone.
-    Leaves { whom: Whom },
+    AnswersLost { whom: EndpointSelector, share: Share },
+    /// Endpoints are replaced by others under the same address; the list says so late.
+    Replaced { whom: EndpointSelector },
+    /// Endpoints leave: the list says so, and at the end they are gone.
+    Leaves { whom: EndpointSelector },
     /// No change of the list is told.
     ListFrozen {},
     /// Forwarders are killed, and started again at the end.
-    Killed { which: Which },
+    Killed { which: ForwarderSelector },
     /// No note passes between these forwarders and the others.
-    CutOff { which: Which },
+    CutOff { which: ForwarderSelector },
     /// This share of all traffic comes to these forwarders.
-    Shift { which: Which, share: Share },
+    Shift { which: ForwarderSelector, share: Share },
     /// All traffic is so many times the usual.
     Burst { times: Amount },
     /// One program sends so many times its usual traffic.
@@ -79,10 +79,10 @@
     Share::clamped(0.95)
 }
 
-impl Trouble {
-    /// The targets it meets, where it meets targets.
-    pub fn whom(&self) -> Option<&Whom> {
-        use Trouble::*;
+impl Fault {
+    /// The endpoints it meets, where it meets endpoints.
+    pub fn whom(&self) -> Option<&EndpointSelector> {
+        use Fault::*;
         match self {
             Refused { whom } | Silent { whom } | Hang { whom } | Shut { whom } => Some(whom),
             FastErrors { whom, .. } | Slow { whom, .. } | Pauses { whom, .. } => Some(whom),
@@ -94,18 +94,16 @@
         }
     }
 
-    pub fn which(&self) -> Option<&Which> {
+    pub fn which(&self) -> Option<&ForwarderSelector> {
         match self {
-            Trouble::Killed { which } | Trouble::CutOff { which } | Trouble::Shift { which, .. } => {
-                Some(which)
-            }
+            Fault::Killed { which } | Fault::CutOff { which } | Fault::Shift { which, .. } => Some(which),
             _ => None,
         }
     }
 
-    /// Whether a target is down by it, in the sense of the rule on returning destinations.
+    /// Whether an endpoint is down by it, in the sense of the rule on returning destinations.
     pub fn is_outage(&self) -> bool {
-        use Trouble::*;
+        use Fault::*;
         match self {
             Refused { .. } | Silent { .. } | Hang { .. } | Shut { .. } => true,
             FastErrors { share, .. } => share.get() > 0.5,
@@ -115,7 +113,7 @@
 
     /// Its name in the scenario file.
     pub fn name(&self) -> &'static str {
-        use Trouble::*;
+        use Fault::*;
         match self {
             Refused { .. } => "refused",
             Silent { .. } => "silent",
@@ -158,15 +156,15 @@
             }
         }
         match self {
-            Trouble::CategoryFails { category, .. } => {
+            Fault::CategoryFails { category, .. } => {
                 let known = scenario.categories.iter().any(|c| c.name == *category);
                 known.then_some(()).ok_or_else(|| format!("category {category:?} is not in this scenario"))
             }
-            Trouble::Surge { program, .. } => {
+            Fault::Surge { program, .. } => {
                 let known = scenario.programs.iter().any(|p| p.name == *program);
                 known.then_some(()).ok_or_else(|| format!("program {program:?} is not in this scenario"))
             }
-            Trouble::Pauses { each_s, every_s, .. } if each_s >= every_s => {
+            Fault::Pauses { each_s, every_s, .. } if each_s >= every_s => {
                 Err("pauses: expected each_s under every_s".to_owned())
             }
             _ => Ok(()),
--- a/crates/simulation/src/oracles.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The six rules, each watched by itself and written from the rules: nothing here asks the module, and what
-//! the module believes of an envelope is not read. A broken rule names the envelope, the instant and what
+//! The six rules, each watched by itself and written from the rules: nothing here asks the delivery policy, and what
+//! the delivery policy believes of a message is not read. A broken rule names the message, the instant and what
 //! led to it.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,20 +9,20 @@
 use reeddock::{AttemptOutcome, EndpointState, Idempotency};
 use serde::{Deserialize, Serialize};
 
-use crate::layout::{ForwarderNo, TargetNo};
+use crate::layout::{EndpointIndex, ForwarderIndex};
 
 /// One hand-in to one forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct EnvelopeNo(pub usize);
+pub struct MessageIndex(pub usize);
 
-/// What a client wants delivered; its returns after a shed are further envelopes of one first try.
+/// What a client wants delivered; its returns after a shed are further messages of one first try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TryNo(pub usize);
+pub struct SubmissionIndex(pub usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// The host's interface was used in a way that makes no sense, such as an unknown envelope.
+    /// The host's interface was used in a way that makes no sense, such as an unknown message.
     Interface,
     OneAnswer,
     NoDoubleEffect,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The final answer that an envelope got.
+/// The final answer that a message got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Answer {
     Completed,
@@ -77,7 +77,7 @@
 
 struct Sent {
     at: Duration,
-    target: TargetNo,
+    target: EndpointIndex,
     ended: Option<(AttemptOutcome, Duration)>,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Ends that prove that nothing ran, as the rules have it; kept apart from the module's own list.
+/// Ends that prove that nothing ran, as the rules have it; kept apart from the delivery policy's own list.
 pub fn proves_unrun(outcome: AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::Rejected { .. }
@@ -104,8 +104,8 @@
 }
 
 struct Record {
-    first_try: TryNo,
-    forwarder: ForwarderNo,
+    first_try: SubmissionIndex,
+    forwarder: ForwarderIndex,
     category: usize,
     key: Option<u64>,
     taken: Duration,
@@ -116,11 +116,11 @@
     sent: Vec<Sent>,
 }
 
-/// What a wait or an outage holds for: a destination, or a target where targets are routes apart.
+/// What a wait or an outage holds for: a destination, or an endpoint where endpoints are routes apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
     Destination(usize),
-    Target(TargetNo),
+    Target(EndpointIndex),
 }
 
 /// Effect and whether keys are kept in order, for each category.
@@ -129,18 +129,18 @@
     pub ordered: bool,
 }
 
-pub struct Oracles {
+pub struct InvariantChecker {
     categories: Vec<CategoryRules>,
     drain_grace: Duration,
     key_rest: Duration,
     slack: Duration,
     records: Vec<Record>,
-    lists: Vec<BTreeMap<TargetNo, (EndpointState, Duration)>>,
-    waits: BTreeMap<(ForwarderNo, Place), Duration>,
-    lines: BTreeMap<(ForwarderNo, u64), Vec<EnvelopeNo>>,
+    lists: Vec<BTreeMap<EndpointIndex, (EndpointState, Duration)>>,
+    waits: BTreeMap<(ForwarderIndex, Place), Duration>,
+    lines: BTreeMap<(ForwarderIndex, u64), Vec<MessageIndex>>,
     /// Forwarders that were told of a failed or refused call during the outage that stands, or stood last.
-    saw: BTreeMap<TargetNo, BTreeSet<ForwarderNo>>,
-    effects: BTreeMap<TryNo, u32>,
+    saw: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
+    effects: BTreeMap<SubmissionIndex, u32>,
     broken: Vec<Broken>,
     count: usize,
 }
@@ -148,15 +148,15 @@
 /// So many are told in full; the others are counted.
 const TOLD_IN_FULL: usize = 20;
 
-impl Oracles {
+impl InvariantChecker {
     pub fn new(
         categories: Vec<CategoryRules>,
         forwarders: usize,
         drain_grace: Duration,
         key_rest: Duration,
         slack: Duration,
-    ) -> Oracles {
-        Oracles {
+    ) -> InvariantChecker {
+        InvariantChecker {
             categories,
             drain_grace,
             key_rest,
@@ -177,7 +177,7 @@
         (self.count, self.broken)
     }
 
-    pub fn fault(&mut self, rule: Rule, at: Duration, envelope: Option<EnvelopeNo>, what: String) {
+    pub fn fault(&mut self, rule: Rule, at: Duration, envelope: Option<MessageIndex>, what: String) {
         self.count += 1;
         if self.broken.len() >= TOLD_IN_FULL {
             return;
@@ -199,9 +199,9 @@
     pub fn taken(
         &mut self,
         now: Duration,
-        envelope: EnvelopeNo,
-        first_try: TryNo,
-        forwarder: ForwarderNo,
+        envelope: MessageIndex,
+        first_try: SubmissionIndex,
+        forwarder: ForwarderIndex,
         category: usize,
         key: Option<u64>,
         outer_limit: Duration,
@@ -225,7 +225,13 @@
         });
     }
 
-    pub fn dispatched(&mut self, now: Duration, envelope: EnvelopeNo, target: TargetNo, places: [Place; 2]) {
+    pub fn dispatched(
+        &mut self,
+        now: Duration,
+        envelope: MessageIndex,
+        target: EndpointIndex,
+        places: [Place; 2],
+    ) {
         let record = &self.records[envelope.0];
         let (forwarder, key) = (record.forwarder, record.key);
         let mut faults: Vec<(Rule, String)> = Vec::new();
@@ -273,14 +279,14 @@
         self.records[envelope.0].sent.push(Sent { at: now, target, ended: None });
     }
 
-    /// What stands in the way of an envelope in the line of its key, and drops from the line what no longer
+    /// What stands in the way of a message in the line of its key, and drops from the line what no longer
     /// matters.
     fn before_it(
         &mut self,
         now: Duration,
-        forwarder: ForwarderNo,
+        forwarder: ForwarderIndex,
         key: u64,
-        envelope: EnvelopeNo,
+        envelope: MessageIndex,
     ) -> Option<String> {
         let (records, key_rest) = (&self.records, self.key_rest);
         let line = self.lines.get_mut(&(forwarder, key))?;
@@ -296,7 +302,7 @@
         };
         let done = |r: &Record| (r.answer.is_some() || r.void) && r.sent.iter().all(|s| s.ended.is_some());
         line.retain(|e| *e == envelope || !done(&records[e.0]) || now < rests(&records[e.0]));
-        let earlier: Vec<EnvelopeNo> = line.iter().take_while(|e| **e != envelope).copied().collect();
+        let earlier: Vec<MessageIndex> = line.iter().take_while(|e| **e != envelope).copied().collect();
         let open = earlier.iter().find(|e| !done(&records[e.0]));
         if let Some(e) = open {
             return Some(format!("envelope {} of key {key} was taken before and is not over", e.0));
@@ -308,11 +314,11 @@
         })
     }
 
-    /// A dispatch has ended, and the forwarder is told now.
+    /// A attempt has ended, and the forwarder is told now.
     pub fn told_end(
         &mut self,
         now: Duration,
-        envelope: EnvelopeNo,
+        envelope: MessageIndex,
         no: usize,
         outcome: AttemptOutcome,
         place: Place,
@@ -327,7 +333,7 @@
         }
     }
 
-    pub fn answered(&mut self, now: Duration, envelope: EnvelopeNo, answer: Answer) {
+    pub fn answered(&mut self, now: Duration, envelope: MessageIndex, answer: Answer) {
         let record = &self.records[envelope.0];
         if let Some((before, at)) = record.answer {
             // A withdrawal ends what is owed, and crosses an answer without harm.
@@ -358,7 +364,7 @@
     }
 
     /// The time for a final answer is past. Says whether one is missing.
-    pub fn overdue(&mut self, now: Duration, envelope: EnvelopeNo) -> bool {
+    pub fn overdue(&mut self, now: Duration, envelope: MessageIndex) -> bool {
         let record = &self.records[envelope.0];
         if record.answer.is_some() || record.void || now < record.answer_by {
             return false;
@@ -369,7 +375,7 @@
     }
 
     /// An effect was applied at a destination.
-    pub fn applied(&mut self, now: Duration, envelope: EnvelopeNo) {
+    pub fn applied(&mut self, now: Duration, envelope: MessageIndex) {
         let record = &self.records[envelope.0];
         if self.categories[record.category].effect != Idempotency::NonIdempotent {
             return;
@@ -385,8 +391,8 @@
     pub fn listed(
         &mut self,
         now: Duration,
-        forwarder: ForwarderNo,
-        target: TargetNo,
+        forwarder: ForwarderIndex,
+        target: EndpointIndex,
         standing: EndpointState,
     ) {
         let entry = self.lists[forwarder.0].entry(target).or_insert((standing, now));
@@ -397,36 +403,36 @@
         entry.0 = standing;
     }
 
-    pub fn outage_begins(&mut self, target: TargetNo) {
+    pub fn outage_begins(&mut self, target: EndpointIndex) {
         self.saw.remove(&target);
     }
 
-    /// The forwarder was told of a failed or refused call to a target during its outage.
-    pub fn saw_trouble(&mut self, forwarder: ForwarderNo, target: TargetNo) {
+    /// The forwarder was told of a failed or refused call to an endpoint during its outage.
+    pub fn saw_trouble(&mut self, forwarder: ForwarderIndex, target: EndpointIndex) {
         self.saw.entry(target).or_default().insert(forwarder);
     }
 
-    /// Whether a forwarder was told of the outage that stands at a target, or stood last.
-    pub fn knows_of_outage(&self, forwarder: ForwarderNo, target: TargetNo) -> bool {
+    /// Whether a forwarder was told of the outage that stands at an endpoint, or stood last.
+    pub fn knows_of_outage(&self, forwarder: ForwarderIndex, target: EndpointIndex) -> bool {
         self.saw.get(&target).is_some_and(|saw| saw.contains(&forwarder))
     }
 
     /// Whether any forwarder was told of it.
-    pub fn outage_is_known(&self, target: TargetNo) -> bool {
+    pub fn outage_is_known(&self, target: EndpointIndex) -> bool {
         self.saw.get(&target).is_some_and(|saw| !saw.is_empty())
     }
 
-    /// A cold target fell over; this is the work that it was sent in the span that counts. The rule is broken where
+    /// A cold endpoint fell over; this is the work that it was sent in the span that counts. The rule is broken where
     /// over two thirds of it came from forwarders that had been told of the outage.
     pub fn fell(
         &mut self,
         now: Duration,
-        target: TargetNo,
-        pushed: &[(Duration, f64, ForwarderNo)],
+        target: EndpointIndex,
+        pushed: &[(Duration, f64, ForwarderIndex)],
         budget: f64,
     ) {
         let saw = self.saw.get(&target);
-        let knew = |f: &ForwarderNo| saw.is_some_and(|s| s.contains(f));
+        let knew = |f: &ForwarderIndex| saw.is_some_and(|s| s.contains(f));
         let all: f64 = pushed.iter().map(|p| p.1).sum();
         let known: f64 = pushed.iter().filter(|p| knew(&p.2)).map(|p| p.1).sum();
         if known * 3.0 <= all * 2.0 {
@@ -436,11 +442,11 @@
         if self.broken.len() >= TOLD_IN_FULL {
             return;
         }
-        let by = |f: &ForwarderNo| pushed.iter().filter(|p| p.2 == *f).map(|p| p.1).sum::<f64>();
-        let senders: BTreeSet<ForwarderNo> = pushed.iter().map(|p| p.2).collect();
-        let mut senders: Vec<ForwarderNo> = senders.into_iter().collect();
+        let by = |f: &ForwarderIndex| pushed.iter().filter(|p| p.2 == *f).map(|p| p.1).sum::<f64>();
+        let senders: BTreeSet<ForwarderIndex> = pushed.iter().map(|p| p.2).collect();
+        let mut senders: Vec<ForwarderIndex> = senders.into_iter().collect();
         senders.sort_by(|a, b| by(b).total_cmp(&by(a)).then(a.cmp(b)));
-        let line = |f: &ForwarderNo| {
+        let line = |f: &ForwarderIndex| {
             let told = if knew(f) { "had seen a failure there" } else { "had seen nothing" };
             format!("forwarder {}: {:.2} of work, {told}", f.0, by(f))
         };
@@ -458,7 +464,7 @@
     }
 
     /// A forwarder was killed. What it held is void, or waits in its ledger for the next start.
-    pub fn killed(&mut self, forwarder: ForwarderNo, ledger: bool) {
+    pub fn killed(&mut self, forwarder: ForwarderIndex, ledger: bool) {
         self.lists[forwarder.0].clear();
         self.waits.retain(|(f, _), _| *f != forwarder);
         let records = &mut self.records;
@@ -471,8 +477,8 @@
         }
     }
 
-    /// An envelope that a ledger kept is the forwarder's again; its time ran on meanwhile.
-    pub fn recalled(&mut self, now: Duration, envelope: EnvelopeNo) {
+    /// A message that a ledger kept is the forwarder's again; its time ran on meanwhile.
+    pub fn recalled(&mut self, now: Duration, envelope: MessageIndex) {
         let slack = self.slack;
         let record = &mut self.records[envelope.0];
         record.answer_by = record.answer_by.max(now + slack);
--- a/crates/simulation/src/layout.rs
+++ b/crates/simulation/src/layout.rs
@@ -1,14 +1,14 @@
-//! The world as it stands before the first envelope: destinations, targets and forwarders, drawn from the
+//! The world as it stands before the first message: destinations, endpoints and forwarders, drawn from the
 //! scenario by the seed.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 
-use crate::figure::Chance;
-use crate::limit::Gate;
+use crate::distribution::Chance;
+use crate::fault::{EndpointSelector, ForwarderSelector};
+use crate::limit::EndpointLimit;
 use crate::scenario::{Limit, Scenario};
-use crate::trouble::{Which, Whom};
 
 /// A stream of chance of its own for each use.
 pub fn chance(seed: u64, purpose: u64) -> Chance {
@@ -27,31 +27,31 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ForwarderNo(pub usize);
+pub struct ForwarderIndex(pub usize);
 
 /// A destination, by rank of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DestinationNo(pub usize);
+pub struct DestinationIndex(pub usize);
 
-/// A place among the targets; what replaces a target gets a place of its own.
+/// A place among the endpoints; what replaces an endpoint gets a place of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TargetNo(pub usize);
+pub struct EndpointIndex(pub usize);
 
 #[derive(Clone, Debug)]
 pub struct DestinationPlan {
     pub kind: usize,
-    /// Part of all envelopes.
+    /// Part of all messages.
     pub part: f64,
-    /// Envelopes a second on a usual day.
+    /// Messages a second on a usual day.
     pub usual: f64,
     pub pace: f64,
-    pub gate: Gate,
-    pub targets: Vec<TargetNo>,
+    pub gate: EndpointLimit,
+    pub targets: Vec<EndpointIndex>,
 }
 
 #[derive(Clone, Debug)]
-pub struct TargetPlan {
-    pub destination: DestinationNo,
+pub struct EndpointPlan {
+    pub destination: DestinationIndex,
     pub zone: u32,
     /// Pieces of work at once.
     pub workers: usize,
@@ -59,20 +59,20 @@
     pub queue: usize,
     /// Calls a second that it is built for.
     pub capacity: f64,
-    pub gate: Gate,
+    pub gate: EndpointLimit,
     pub listed_weight: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Layout {
+pub struct FleetLayout {
     pub destinations: Vec<DestinationPlan>,
-    pub targets: Vec<TargetPlan>,
+    pub targets: Vec<EndpointPlan>,
     /// Zone and part of the traffic of each forwarder.
     pub forwarders: Vec<(u32, f64)>,
 }
 
-impl Layout {
-    pub fn draw(scenario: &Scenario, seed: u64) -> Layout {
+impl FleetLayout {
+    pub fn draw(scenario: &Scenario, seed: u64) -> FleetLayout {
         let mut chance = chance(seed, purpose::LAYOUT);
         let mut kinds: Vec<usize> = Vec::new();
         for (n, kind) in scenario.kinds.iter().enumerate() {
@@ -92,7 +92,8 @@
         let parts: f64 = scenario.categories.iter().map(|c| c.part.get()).sum();
         let mean_work = works.sum::<f64>() / parts;
 
-        let mut layout = Layout { destinations: Vec::new(), targets: Vec::new(), forwarders: Vec::new() };
+        let mut layout =
+            FleetLayout { destinations: Vec::new(), targets: Vec::new(), forwarders: Vec::new() };
         for (kind_no, weight) in ranked {
             let kind = &scenario.kinds[kind_no];
             let part = weight / total;
@@ -103,11 +104,11 @@
             let capacity = limit * kind.spare.draw(&mut chance).max(0.01);
             let many = kind.targets.draw(&mut chance).round().clamp(1.0, 1000.0) as usize;
             let gate = |per_s: f64| match kind.limit {
-                Limit::None => Gate::Open,
-                Limit::Rate => Gate::rate(per_s),
-                Limit::Span(span) => Gate::span(per_s, span.0),
+                Limit::None => EndpointLimit::Open,
+                Limit::Rate => EndpointLimit::rate(per_s),
+                Limit::Span(span) => EndpointLimit::span(per_s, span.0),
             };
-            let destination = DestinationNo(layout.destinations.len());
+            let destination = DestinationIndex(layout.destinations.len());
             let work = mean_work * pace;
             let each = capacity / many as f64;
             // Whole workers may do a little more than that; what tips it over when cold is what it is built for.
@@ -115,19 +116,19 @@
             let error = scenario.list.weight_error.draw(&mut chance);
             let mut targets = Vec::new();
             for n in 0..many {
-                targets.push(TargetNo(layout.targets.len()));
+                targets.push(EndpointIndex(layout.targets.len()));
                 let listed = limit / if kind.apart { many as f64 } else { 1.0 } * error;
-                layout.targets.push(TargetPlan {
+                layout.targets.push(EndpointPlan {
                     destination,
                     zone: ((destination.0 + n) % scenario.fleet.zones as usize) as u32,
                     workers: workers as usize,
                     queue: (kind.queue_s.draw(&mut chance) * each).round().clamp(1.0, 1e5) as usize,
                     capacity: each,
-                    gate: if kind.apart { gate(limit / many as f64) } else { Gate::Open },
+                    gate: if kind.apart { gate(limit / many as f64) } else { EndpointLimit::Open },
                     listed_weight: Some(listed),
                 });
             }
-            let gate = if kind.apart { Gate::Open } else { gate(limit) };
+            let gate = if kind.apart { EndpointLimit::Open } else { gate(limit) };
             let plan = DestinationPlan { kind: kind_no, part, usual, pace, gate, targets };
             layout.destinations.push(plan);
         }
@@ -143,8 +144,8 @@
         layout
     }
 
-    /// The targets that a trouble meets.
-    pub fn meets(&self, whom: &Whom, chance: &mut Chance) -> Vec<TargetNo> {
+    /// The endpoints that a fault meets.
+    pub fn meets(&self, whom: &EndpointSelector, chance: &mut Chance) -> Vec<EndpointIndex> {
         let destinations: Vec<usize> = match whom.share {
             Some(share) if whom.destinations.is_empty() => {
                 let many = (share.get() * self.destinations.len() as f64).ceil() as usize;
@@ -168,11 +169,13 @@
         met
     }
 
-    pub fn which(&self, which: &Which) -> Vec<ForwarderNo> {
+    pub fn which(&self, which: &ForwarderSelector) -> Vec<ForwarderIndex> {
         let many = |share: f64| (share * self.forwarders.len() as f64).ceil() as usize;
         match which.share {
-            Some(share) if which.forwarders.is_empty() => (0..many(share.get())).map(ForwarderNo).collect(),
-            _ => which.forwarders.iter().map(|f| ForwarderNo(*f as usize)).collect(),
+            Some(share) if which.forwarders.is_empty() => {
+                (0..many(share.get())).map(ForwarderIndex).collect()
+            }
+            _ => which.forwarders.iter().map(|f| ForwarderIndex(*f as usize)).collect(),
         }
     }
 }
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -8,7 +8,7 @@
 const USED_UP_AHEAD: f64 = 2.0;
 
 #[derive(Clone, Debug)]
-pub enum Gate {
+pub enum EndpointLimit {
     Open,
     /// Room for calls, filled at the rate; below zero where refused calls used it up.
     Rate {
@@ -25,34 +25,34 @@
     },
 }
 
-impl Gate {
-    pub fn rate(per_s: f64) -> Gate {
+impl EndpointLimit {
+    pub fn rate(per_s: f64) -> EndpointLimit {
         let most = (per_s * AT_ONCE).max(1.0);
-        Gate::Rate { per_s, most, room: most, since: Duration::ZERO }
+        EndpointLimit::Rate { per_s, most, room: most, since: Duration::ZERO }
     }
 
-    pub fn span(per_s: f64, span: Duration) -> Gate {
+    pub fn span(per_s: f64, span: Duration) -> EndpointLimit {
         let count = (per_s * span.as_secs_f64()).round().max(1.0);
-        Gate::Span { count, span, used: 0.0, begun: Duration::ZERO }
+        EndpointLimit::Span { count, span, used: 0.0, begun: Duration::ZERO }
     }
 
     /// Calls a second that pass in the long run; none: any number.
     pub fn per_s(&self) -> Option<f64> {
         match self {
-            Gate::Open => None,
-            Gate::Rate { per_s, .. } => Some(*per_s),
-            Gate::Span { count, span, .. } => Some(count / span.as_secs_f64()),
+            EndpointLimit::Open => None,
+            EndpointLimit::Rate { per_s, .. } => Some(*per_s),
+            EndpointLimit::Span { count, span, .. } => Some(count / span.as_secs_f64()),
         }
     }
 
     fn advance(&mut self, now: Duration) {
         match self {
-            Gate::Open => {}
-            Gate::Rate { per_s, most, room, since } => {
+            EndpointLimit::Open => {}
+            EndpointLimit::Rate { per_s, most, room, since } => {
                 *room = (*room + *per_s * now.saturating_sub(*since).as_secs_f64()).min(*most);
                 *since = now;
             }
-            Gate::Span { count, span, used, begun } => {
+            EndpointLimit::Span { count, span, used, begun } => {
                 let spans = now.saturating_sub(*begun).as_nanos() / span.as_nanos().max(1);
                 if spans > 0 {
                     *begun += *span * u32::try_from(spans).unwrap_or(u32::MAX);
@@ -67,9 +67,9 @@
     pub fn room(&mut self, now: Duration) -> f64 {
         self.advance(now);
         match self {
-            Gate::Open => f64::MAX,
-            Gate::Rate { room, .. } => *room,
-            Gate::Span { count, used, .. } => *count - *used,
+            EndpointLimit::Open => f64::MAX,
+            EndpointLimit::Rate { room, .. } => *room,
+            EndpointLimit::Span { count, used, .. } => *count - *used,
         }
     }
 
@@ -77,8 +77,8 @@
     pub fn pass(&mut self, now: Duration, refused_use_up: bool) -> Result<(), Duration> {
         self.advance(now);
         match self {
-            Gate::Open => Ok(()),
-            Gate::Rate { per_s, room, most, .. } => {
+            EndpointLimit::Open => Ok(()),
+            EndpointLimit::Rate { per_s, room, most, .. } => {
                 if *room >= 1.0 {
                     *room -= 1.0;
                     return Ok(());
@@ -88,7 +88,7 @@
                 }
                 Err(Duration::from_secs_f64((1.0 - *room) / *per_s))
             }
-            Gate::Span { count, span, used, begun } => {
+            EndpointLimit::Span { count, span, used, begun } => {
                 if *used + 1.0 <= *count {
                     *used += 1.0;
                     return Ok(());
--- a/crates/simulation/src/policies/desk.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -1,5 +1,5 @@
-//! What the baselines have in common: the envelopes in hand, the targets as the list has them, and the rules.
-//! A baseline is a [`Habit`] at this desk; it chooses a target and says whether there is another time. The
+//! What the baselines have in common: the messages in hand, the endpoints as the list has them, and the rules.
+//! A baseline is a [`BaselinePolicy`] at this desk; it chooses an endpoint and says whether there is another time. The
 //! desk lets nothing through that breaks a rule which one forwarder can keep by book-keeping alone (one
 //! answer, no double effect, drains, order, waits); whether a returning destination is pushed over is the
 //! habit's own affair.
@@ -13,10 +13,10 @@
     MessageId, OrderingKey, PeerId, PolicyHost, PreviousAttempt, RequestId, Settings,
 };
 
-use crate::figure::Chance;
-use crate::policy::{ListLine, Policy, Sight, Submission};
+use crate::distribution::Chance;
+use crate::policy::{ListLine, Policy, Submission, WorldView};
 
-pub struct Held {
+pub struct QueuedMessage {
     pub id: MessageId,
     pub category: usize,
     pub key: Option<OrderingKey>,
@@ -26,7 +26,7 @@
     pub dispatches: u32,
     pub not_before: Duration,
     out: BTreeSet<AttemptNumber>,
-    /// Where each dispatch went, when, and in which call.
+    /// Where each attempt went, when, and in which call.
     sent: Vec<(EndpointId, Duration, u64)>,
     may_have_run: Option<Duration>,
 }
@@ -37,7 +37,7 @@
     key: Option<OrderingKey>,
 }
 
-struct Known {
+struct BuiltInPolicy {
     destination: DestinationId,
     standing: EndpointState,
     apart: bool,
@@ -47,24 +47,29 @@
 
 /// What a habit may look at when it picks.
 pub struct View<'v> {
-    /// Targets that the rules let the envelope go to.
+    /// Endpoints that the rules let the message go to.
     pub able: &'v [EndpointId],
     /// Places left in calls that this turn has begun to fill.
     pub forming: &'v BTreeMap<EndpointId, usize>,
     pub now: Duration,
-    pub sight: &'v dyn Sight,
+    pub sight: &'v dyn WorldView,
 }
 
 /// How a baseline differs from the others.
-pub trait Habit: Send {
-    /// Which of the able targets gets the envelope now; none: it stays.
-    fn pick(&mut self, envelope: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId>;
-    /// A dispatch has ended.
+pub trait BaselinePolicy: Send {
+    /// Which of the able endpoints gets the message now; none: it stays.
+    fn pick(&mut self, envelope: &QueuedMessage, view: &View, chance: &mut Chance) -> Option<EndpointId>;
+    /// A attempt has ended.
     fn ended(&mut self, target: EndpointId, outcome: AttemptOutcome, now: Duration);
-    /// After how long an envelope whose dispatch so ended may go again; none: never.
-    fn again(&mut self, envelope: &Held, outcome: AttemptOutcome, chance: &mut Chance) -> Option<Duration>;
-    /// The order in which envelopes are taken up: first those with the least.
-    fn urgency(&self, _envelope: &Held) -> Duration {
+    /// After how long a message whose attempt so ended may go again; none: never.
+    fn again(
+        &mut self,
+        envelope: &QueuedMessage,
+        outcome: AttemptOutcome,
+        chance: &mut Chance,
+    ) -> Option<Duration>;
+    /// The order in which messages are taken up: first those with the least.
+    fn urgency(&self, _envelope: &QueuedMessage) -> Duration {
         Duration::ZERO
     }
     fn time_out(&self, promised: Duration) -> Duration {
@@ -74,34 +79,34 @@
     fn looks_every(&self) -> Duration;
 }
 
-pub struct Desk<H> {
+pub struct BaselineHost<H> {
     habit: H,
     chance: Chance,
     terms: Settings,
-    held: BTreeMap<u64, Held>,
+    held: BTreeMap<u64, QueuedMessage>,
     numbers: BTreeMap<MessageId, u64>,
-    /// Dispatches that are out for envelopes that have left.
+    /// Dispatches that are out for messages that have left.
     left: BTreeMap<(MessageId, AttemptNumber), Left>,
     /// Held and not out, in the order in which they were taken.
     waiting: VecDeque<u64>,
-    known: BTreeMap<EndpointId, Known>,
-    /// Targets of each destination, and those that have told a wait.
+    known: BTreeMap<EndpointId, BuiltInPolicy>,
+    /// Endpoints of each destination, and those that have told a wait.
     by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
     told_waits: BTreeSet<EndpointId>,
-    /// Waits told by destinations whose targets share one.
+    /// Waits told by destinations whose endpoints share one.
     waits: BTreeMap<DestinationId, Duration>,
     lines: BTreeMap<OrderingKey, VecDeque<u64>>,
     rests: BTreeMap<OrderingKey, (Duration, u64)>,
-    /// Calls out, with the dispatches in each that have not ended.
+    /// Calls out, with the attempts in each that have not ended.
     calls: BTreeMap<u64, u32>,
     call: u64,
     taken: u64,
     wake_at: Option<Duration>,
 }
 
-impl<H: Habit> Desk<H> {
-    pub fn open(terms: Settings, habit: H) -> Desk<H> {
-        Desk {
+impl<H: BaselinePolicy> BaselineHost<H> {
+    pub fn open(terms: Settings, habit: H) -> BaselineHost<H> {
+        BaselineHost {
             habit,
             chance: Chance::seed_from_u64(terms.seed),
             terms,
@@ -122,11 +127,11 @@
         }
     }
 
-    fn effect(&self, envelope: &Held) -> Idempotency {
+    fn effect(&self, envelope: &QueuedMessage) -> Idempotency {
         self.terms.classes[envelope.category].idempotency.unwrap_or(Idempotency::NonIdempotent)
     }
 
-    fn may_run_again(&self, envelope: &Held, now: Duration) -> bool {
+    fn may_run_again(&self, envelope: &QueuedMessage, now: Duration) -> bool {
         match (self.effect(envelope), envelope.may_have_run) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::WithKey { window, .. }, Some(first)) => now < first + window,
@@ -134,7 +139,7 @@
         }
     }
 
-    fn leave(&mut self, number: u64) -> Option<Held> {
+    fn leave(&mut self, number: u64) -> Option<QueuedMessage> {
         let envelope = self.held.remove(&number)?;
         self.numbers.remove(&envelope.id);
         self.waiting.retain(|n| *n != number);
@@ -147,7 +152,7 @@
         Some(envelope)
     }
 
-    /// Takes an envelope out of its key's line once it is over and nothing is out for it.
+    /// Takes a message out of its key's line once it is over and nothing is out for it.
     fn leave_line(&mut self, key: Option<OrderingKey>, number: u64) {
         let open = self.held.contains_key(&number) || self.left.values().any(|l| l.number == number);
         if let Some(line) = key.and_then(|k| self.lines.get_mut(&k)).filter(|_| !open) {
@@ -181,14 +186,14 @@
         }
     }
 
-    fn key_free(&self, number: u64, envelope: &Held, now: Duration) -> bool {
+    fn key_free(&self, number: u64, envelope: &QueuedMessage, now: Duration) -> bool {
         let Some(key) = envelope.key else { return true };
         let first = self.lines.get(&key).and_then(|l| l.front()).is_none_or(|f| *f == number);
         let rest = self.rests.get(&key);
         first && rest.is_none_or(|(until, owner)| now >= *until || *owner == number)
     }
 
-    /// One dispatch of a call has ended.
+    /// One attempt of a call has ended.
     fn close_part(&mut self, call: u64) {
         if let Some(left) = self.calls.get_mut(&call) {
             *left -= 1;
@@ -198,9 +203,9 @@
         }
     }
 
-    fn able(&self, envelope: &Held, now: Duration) -> Vec<EndpointId> {
+    fn able(&self, envelope: &QueuedMessage, now: Duration) -> Vec<EndpointId> {
         let shared = self.waits.get(&envelope.destination).copied().unwrap_or_default();
-        let open = |t: &Known| {
+        let open = |t: &BuiltInPolicy| {
             t.standing == EndpointState::Active && now >= if t.apart { t.wait_until } else { shared }
         };
         let targets = self.by_destination.get(&envelope.destination).into_iter().flatten();
@@ -218,7 +223,7 @@
     }
 }
 
-impl<H: Habit> Policy for Desk<H> {
+impl<H: BaselinePolicy> Policy for BaselineHost<H> {
     fn list(&mut self, _now: Duration, whole: bool, lines: &[ListLine], _host: &mut dyn PolicyHost) {
         if whole {
             self.known.values_mut().for_each(|t| t.standing = EndpointState::Removed);
@@ -226,7 +231,7 @@
         for line in lines {
             let kind = self.terms.endpoint_kinds.iter().find(|k| k.name == line.kind);
             let (apart, batch) = kind.map_or((false, None), |k| (k.circuit_per_endpoint, k.max_batch));
-            let known = self.known.entry(line.target).or_insert(Known {
+            let known = self.known.entry(line.target).or_insert(BuiltInPolicy {
                 destination: line.destination,
                 standing: line.standing,
                 apart,
@@ -250,7 +255,7 @@
         if let Some(key) = key {
             self.lines.entry(key).or_default().push_back(number);
         }
-        let held = Held {
+        let held = QueuedMessage {
             id: e.id.clone(),
             category,
             key,
@@ -364,7 +369,7 @@
 
     fn gossip_received(&mut self, _now: Duration, _from: PeerId, _note: &[u8]) {}
 
-    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost) {
+    fn run_due_work(&mut self, now: Duration, sight: &dyn WorldView, host: &mut dyn PolicyHost) {
         self.rests.retain(|_, (until, _)| *until > now);
         let past =
             |n: &u64| self.held.get(n).is_none_or(|e| now >= e.outer_limit || !self.may_run_again(e, now));
@@ -384,7 +389,7 @@
             order = self.waiting.iter().enumerate().map(|(place, n)| (urgency(n), place, *n)).collect();
             order.sort();
         }
-        // The call that this turn fills for each target, and the places left in it.
+        // The call that this turn fills for each endpoint, and the places left in it.
         let mut numbers: BTreeMap<EndpointId, u64> = BTreeMap::new();
         let mut forming: BTreeMap<EndpointId, usize> = BTreeMap::new();
         for (_, _, number) in order {
--- a/crates/simulation/src/policies/habits.rs
+++ b/crates/simulation/src/policies/baseline_policies.rs
@@ -6,8 +6,8 @@
 use rand::RngExt;
 use reeddock::{AttemptOutcome, DestinationId, EndpointId};
 
-use super::desk::{Habit, Held, View};
-use crate::figure::Chance;
+use super::baseline_host::{BaselinePolicy, QueuedMessage, View};
+use crate::distribution::Chance;
 
 /// Breakers open and room appears without anybody telling.
 const LOOK: Duration = Duration::from_millis(20);
@@ -16,15 +16,15 @@
     (!able.is_empty()).then(|| able[chance.random_range(0..able.len())])
 }
 
-/// Each envelope once.
+/// Each message once.
 pub struct OneTry;
 
-impl Habit for OneTry {
-    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId> {
+impl BaselinePolicy for OneTry {
+    fn pick(&mut self, _: &QueuedMessage, view: &View, chance: &mut Chance) -> Option<EndpointId> {
         any(view.able, chance)
     }
     fn ended(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
-    fn again(&mut self, _: &Held, outcome: AttemptOutcome, _: &mut Chance) -> Option<Duration> {
+    fn again(&mut self, _: &QueuedMessage, outcome: AttemptOutcome, _: &mut Chance) -> Option<Duration> {
         // What never left the forwarder was no try.
         (outcome == AttemptOutcome::NotSent).then_some(Duration::from_millis(50))
     }
@@ -44,12 +44,17 @@
 
 pub struct BackOff;
 
-impl Habit for BackOff {
-    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId> {
+impl BaselinePolicy for BackOff {
+    fn pick(&mut self, _: &QueuedMessage, view: &View, chance: &mut Chance) -> Option<EndpointId> {
         any(view.able, chance)
     }
     fn ended(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
-    fn again(&mut self, envelope: &Held, _: AttemptOutcome, chance: &mut Chance) -> Option<Duration> {
+    fn again(
+        &mut self,
+        envelope: &QueuedMessage,
+        _: AttemptOutcome,
+        chance: &mut Chance,
+    ) -> Option<Duration> {
         (envelope.dispatches < 5).then(|| back_off(envelope.dispatches, chance))
     }
     fn looks_every(&self) -> Duration {
@@ -74,8 +79,8 @@
 const FAILURES: u32 = 5;
 const OPEN_FOR: Duration = Duration::from_secs(5);
 
-impl Habit for Breaker {
-    fn pick(&mut self, envelope: &Held, view: &View, _: &mut Chance) -> Option<EndpointId> {
+impl BaselinePolicy for Breaker {
+    fn pick(&mut self, envelope: &QueuedMessage, view: &View, _: &mut Chance) -> Option<EndpointId> {
         let (able, now) = (view.able, view.now);
         let round = self.rounds.entry(envelope.destination).or_default();
         for step in 0..able.len() {
@@ -108,7 +113,12 @@
         }
     }
 
-    fn again(&mut self, envelope: &Held, _: AttemptOutcome, chance: &mut Chance) -> Option<Duration> {
+    fn again(
+        &mut self,
+        envelope: &QueuedMessage,
+        _: AttemptOutcome,
+        chance: &mut Chance,
+    ) -> Option<Duration> {
         (envelope.dispatches < 5).then(|| back_off(envelope.dispatches, chance))
     }
     fn looks_every(&self) -> Duration {
@@ -116,17 +126,17 @@
     }
 }
 
-/// Sends only where the call will be taken and answered, to the target that is done soonest, what falls due
+/// Sends only where the call will be taken and answered, to the endpoint that is done soonest, what falls due
 /// first in front.
 #[derive(Default)]
-pub struct Ceiling {
+pub struct UpperBound {
     /// Sent to each destination at this instant, which the world has not seen yet.
     fresh: BTreeMap<DestinationId, u32>,
     at: Duration,
 }
 
-impl Habit for Ceiling {
-    fn pick(&mut self, envelope: &Held, view: &View, _: &mut Chance) -> Option<EndpointId> {
+impl BaselinePolicy for UpperBound {
+    fn pick(&mut self, envelope: &QueuedMessage, view: &View, _: &mut Chance) -> Option<EndpointId> {
         let (able, now, sight) = (view.able, view.now, view.sight);
         let joins = |t: &&EndpointId| view.forming.get(*t).is_some_and(|places| *places > 0);
         if let Some(target) = able.iter().find(joins) {
@@ -144,10 +154,10 @@
         pick
     }
     fn ended(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
-    fn again(&mut self, _: &Held, _: AttemptOutcome, _: &mut Chance) -> Option<Duration> {
+    fn again(&mut self, _: &QueuedMessage, _: AttemptOutcome, _: &mut Chance) -> Option<Duration> {
         Some(Duration::from_millis(20))
     }
-    fn urgency(&self, envelope: &Held) -> Duration {
+    fn urgency(&self, envelope: &QueuedMessage) -> Duration {
         envelope.promised_by
     }
     fn time_out(&self, _: Duration) -> Duration {
--- a/crates/simulation/src/policies/mod.rs
+++ b/crates/simulation/src/policies/mod.rs
@@ -1,7 +1,7 @@
-//! The module and the baselines that it is measured against.
+//! The delivery policy and the baselines that it is measured against.
 
-mod desk;
-mod habits;
+mod baseline_host;
+mod baseline_policies;
 mod module;
 pub mod sharing;
 
@@ -11,48 +11,61 @@
 
 use crate::policy::Policy;
 
-pub use module::Module;
+pub use module::DeliveryPolicyAdapter;
 
 /// The policies that a run may be asked for by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Known {
+pub enum BuiltInPolicy {
     /// The decision module.
-    Module,
-    /// Each envelope once, in the order of arrival.
+    DeliveryPolicy,
+    /// Each message once, in the order of arrival.
     OneTry,
     /// Retries with doubling, jittered back-off.
     BackOff,
-    /// Round robin with a breaker of three states for each target, and retries.
+    /// Round robin with a breaker of three states for each endpoint, and retries.
     Breaker,
     /// Sees the true state of all destinations; a measure of what could be reached and no bound proved.
-    Ceiling,
+    UpperBound,
 }
 
-impl Known {
-    pub const ALL: [Known; 5] =
-        [Known::Module, Known::OneTry, Known::BackOff, Known::Breaker, Known::Ceiling];
+impl BuiltInPolicy {
+    pub const ALL: [BuiltInPolicy; 5] = [
+        BuiltInPolicy::DeliveryPolicy,
+        BuiltInPolicy::OneTry,
+        BuiltInPolicy::BackOff,
+        BuiltInPolicy::Breaker,
+        BuiltInPolicy::UpperBound,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Known::Module => "module",
-            Known::OneTry => "one-try",
-            Known::BackOff => "back-off",
-            Known::Breaker => "breaker",
-            Known::Ceiling => "ceiling",
+            BuiltInPolicy::DeliveryPolicy => "module",
+            BuiltInPolicy::OneTry => "one-try",
+            BuiltInPolicy::BackOff => "back-off",
+            BuiltInPolicy::Breaker => "breaker",
+            BuiltInPolicy::UpperBound => "ceiling",
         }
     }
 
-    pub fn named(name: &str) -> Option<Known> {
-        Known::ALL.into_iter().find(|k| k.name() == name)
+    pub fn named(name: &str) -> Option<BuiltInPolicy> {
+        BuiltInPolicy::ALL.into_iter().find(|k| k.name() == name)
     }
 
     pub fn open(self, now: Duration, terms: Settings, host: &mut dyn PolicyHost) -> Box<dyn Policy> {
         match self {
-            Known::Module => Box::new(Module::open(now, terms, host)),
-            Known::OneTry => Box::new(desk::Desk::open(terms, habits::OneTry)),
-            Known::BackOff => Box::new(desk::Desk::open(terms, habits::BackOff)),
-            Known::Breaker => Box::new(desk::Desk::open(terms, habits::Breaker::default())),
-            Known::Ceiling => Box::new(desk::Desk::open(terms, habits::Ceiling::default())),
+            BuiltInPolicy::DeliveryPolicy => Box::new(DeliveryPolicyAdapter::open(now, terms, host)),
+            BuiltInPolicy::OneTry => {
+                Box::new(baseline_host::BaselineHost::open(terms, baseline_policies::OneTry))
+            }
+            BuiltInPolicy::BackOff => {
+                Box::new(baseline_host::BaselineHost::open(terms, baseline_policies::BackOff))
+            }
+            BuiltInPolicy::Breaker => {
+                Box::new(baseline_host::BaselineHost::open(terms, baseline_policies::Breaker::default()))
+            }
+            BuiltInPolicy::UpperBound => {
+                Box::new(baseline_host::BaselineHost::open(terms, baseline_policies::UpperBound::default()))
+            }
         }
     }
 }
--- a/crates/simulation/src/policies/module.rs
+++ b/crates/simulation/src/policies/module.rs
@@ -7,17 +7,17 @@
     PolicyHost, PreviousAttempt, Settings,
 };
 
-use crate::policy::{ListLine, Policy, Sight, Submission};
+use crate::policy::{ListLine, Policy, Submission, WorldView};
 
-pub struct Module(DeliveryPolicy);
+pub struct DeliveryPolicyAdapter(DeliveryPolicy);
 
-impl Module {
-    pub fn open(now: Duration, terms: Settings, host: &mut dyn PolicyHost) -> Module {
-        Module(DeliveryPolicy::new(now, terms, host))
+impl DeliveryPolicyAdapter {
+    pub fn open(now: Duration, terms: Settings, host: &mut dyn PolicyHost) -> DeliveryPolicyAdapter {
+        DeliveryPolicyAdapter(DeliveryPolicy::new(now, terms, host))
     }
 }
 
-impl Policy for Module {
+impl Policy for DeliveryPolicyAdapter {
     fn list(&mut self, _now: Duration, whole: bool, lines: &[ListLine], _host: &mut dyn PolicyHost) {
         self.0.begin_endpoint_list(whole);
         for line in lines {
@@ -83,7 +83,7 @@
         self.0.gossip_received(now, from, note);
     }
 
-    fn run_due_work(&mut self, now: Duration, _sight: &dyn Sight, host: &mut dyn PolicyHost) {
+    fn run_due_work(&mut self, now: Duration, _sight: &dyn WorldView, host: &mut dyn PolicyHost) {
         self.0.run_due_work(now, host);
     }
 }
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -8,12 +8,12 @@
 use rand::RngExt;
 use reeddock::{AttemptOutcome, EndpointId, PolicyHost, Settings};
 
-use super::desk::{Desk, Habit, Held, View};
-use super::habits::back_off;
-use crate::figure::Chance;
+use super::baseline_host::{BaselineHost, BaselinePolicy, QueuedMessage, View};
+use super::baseline_policies::back_off;
+use crate::distribution::Chance;
 use crate::policy::Policy;
 
-/// Failures within the window that restrain a target.
+/// Failures within the window that restrain an endpoint.
 const THRESHOLD: usize = 3;
 /// From a failure or a trial to the next trial.
 const RECOVERY_DELAY: Duration = Duration::from_secs(5);
@@ -21,7 +21,7 @@
 const WINDOW: Duration = Duration::from_secs(50);
 /// A record that can no longer matter is dropped after so much longer.
 const RECORD_MARGIN: Duration = Duration::from_secs(5);
-/// News kept for each target.
+/// News kept for each endpoint.
 const NEWS_KEPT: usize = 64;
 /// How often a forwarder that holds something looks at the record.
 const LOOK: Duration = Duration::from_millis(250);
@@ -40,25 +40,25 @@
     news: News,
 }
 
-/// What a target's circuit says to a dispatch.
+/// What an endpoint's circuit says to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leave {
+pub enum CircuitAdmission {
     Send,
     Trial,
     Hold,
 }
 
 /// The news of all members, and how long they take from one to another.
-pub struct Exchange {
+pub struct CircuitExchange {
     delay: Duration,
     members: usize,
     told: BTreeMap<EndpointId, VecDeque<Told>>,
 }
 
-impl Exchange {
+impl CircuitExchange {
     /// An exchange whose news reach other members after this delay.
-    pub fn new(delay: Duration) -> Exchange {
-        Exchange { delay, members: 0, told: BTreeMap::new() }
+    pub fn new(delay: Duration) -> CircuitExchange {
+        CircuitExchange { delay, members: 0, told: BTreeMap::new() }
     }
 
     /// The number of a further member.
@@ -79,9 +79,9 @@
         }
     }
 
-    /// What the circuit of a target is at one member, by the news that have reached it.
-    pub fn leave(&self, target: EndpointId, now: Duration, member: usize) -> Leave {
-        let Some(told) = self.told.get(&target) else { return Leave::Send };
+    /// What the circuit of an endpoint is at one member, by the news that have reached it.
+    pub fn leave(&self, target: EndpointId, now: Duration, member: usize) -> CircuitAdmission {
+        let Some(told) = self.told.get(&target) else { return CircuitAdmission::Send };
         let reached = told.iter().filter(|t| t.from == member || t.at + self.delay <= now);
         let mut failures: Vec<Duration> = Vec::new();
         let mut restrained_until: Option<Duration> = None;
@@ -111,19 +111,19 @@
             }
         }
         match restrained_until {
-            Some(_) if expired(restrained_until, last_write, now) => Leave::Send,
-            Some(until) if now < until => Leave::Hold,
-            Some(_) => Leave::Trial,
-            None => Leave::Send,
+            Some(_) if expired(restrained_until, last_write, now) => CircuitAdmission::Send,
+            Some(until) if now < until => CircuitAdmission::Hold,
+            Some(_) => CircuitAdmission::Trial,
+            None => CircuitAdmission::Send,
         }
     }
 
-    /// A dispatch is about to leave as a trial.
+    /// A attempt is about to leave as a trial.
     pub fn tried(&mut self, target: EndpointId, now: Duration, member: usize) {
         self.tell(target, now, member, News::Tried);
     }
 
-    /// A dispatch has ended at one member.
+    /// A attempt has ended at one member.
     pub fn ended(&mut self, target: EndpointId, now: Duration, member: usize, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Completed => self.tell(target, now, member, News::Succeeded),
@@ -142,12 +142,12 @@
 }
 
 /// An exchange that the forwarders of one run hold together.
-pub type SharedExchange = Arc<Mutex<Exchange>>;
+pub type SharedExchange = Arc<Mutex<CircuitExchange>>;
 
 /// Opens a forwarder whose circuits are fed by an exchange; by one of its own it knows only what it saw itself.
 pub fn circuit(exchange: &SharedExchange, terms: Settings, _host: &mut dyn PolicyHost) -> Box<dyn Policy> {
     let member = exchange.lock().unwrap_or_else(PoisonError::into_inner).join();
-    Box::new(Desk::open(terms, FedCircuit { exchange: exchange.clone(), member }))
+    Box::new(BaselineHost::open(terms, FedCircuit { exchange: exchange.clone(), member }))
 }
 
 struct FedCircuit {
@@ -155,15 +155,16 @@
     member: usize,
 }
 
-impl Habit for FedCircuit {
-    fn pick(&mut self, _: &Held, view: &View, chance: &mut Chance) -> Option<EndpointId> {
+impl BaselinePolicy for FedCircuit {
+    fn pick(&mut self, _: &QueuedMessage, view: &View, chance: &mut Chance) -> Option<EndpointId> {
         let mut exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner);
         let leave = |t: &EndpointId| exchange.leave(*t, view.now, self.member);
-        let open: Vec<EndpointId> = view.able.iter().filter(|t| leave(t) == Leave::Send).copied().collect();
+        let open: Vec<EndpointId> =
+            view.able.iter().filter(|t| leave(t) == CircuitAdmission::Send).copied().collect();
         if !open.is_empty() {
             return Some(open[chance.random_range(0..open.len())]);
         }
-        let trial = view.able.iter().find(|t| leave(t) == Leave::Trial).copied()?;
+        let trial = view.able.iter().find(|t| leave(t) == CircuitAdmission::Trial).copied()?;
         exchange.tried(trial, view.now, self.member);
         Some(trial)
     }
@@ -173,7 +174,12 @@
         exchange.ended(target, now, self.member, outcome);
     }
 
-    fn again(&mut self, envelope: &Held, _: AttemptOutcome, chance: &mut Chance) -> Option<Duration> {
+    fn again(
+        &mut self,
+        envelope: &QueuedMessage,
+        _: AttemptOutcome,
+        chance: &mut Chance,
+    ) -> Option<Duration> {
         Some(back_off(envelope.dispatches, chance))
     }
 
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,4 +1,4 @@
-//! What may decide for a forwarder: the module, and the baselines that it is measured against. Baselines live
+//! What may decide for a forwarder: the delivery policy, and the baselines that it is measured against. Baselines live
 //! here and in [`crate::policies`] only; the daemon never sees them.
 
 use std::time::Duration;
@@ -19,7 +19,7 @@
     pub kind: String,
 }
 
-/// An envelope as it is handed in.
+/// A message as it is submitted.
 #[derive(Clone, Debug)]
 pub struct Submission {
     pub id: MessageId,
@@ -31,8 +31,8 @@
 }
 
 /// The true state of the world. Only the ceiling may look; what a forwarder can know does not come by here.
-pub trait Sight {
-    /// Whether a call with an envelope of this category, sent now, would be taken and answered and push nothing
+pub trait WorldView {
+    /// Whether a call with a message of this category, sent now, would be taken and answered and push nothing
     /// over, with those on their way and so many more to its destination before it.
     fn would_take(&self, target: EndpointId, category: usize, before: u32) -> bool;
     /// Work that it has taken and not finished, for each of its workers.
@@ -41,11 +41,11 @@
     fn slowness(&self, target: EndpointId) -> f64;
 }
 
-/// One instance that decides for one forwarder, called as the module is.
+/// One instance that decides for one forwarder, called as the delivery policy is.
 pub trait Policy: Send {
     fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost);
     fn submit(&mut self, now: Duration, envelope: &Submission, host: &mut dyn PolicyHost);
-    /// The host itself has handed in again what it owed before a start.
+    /// The host itself has submitted again what it owed before a start.
     fn restore(&mut self, now: Duration, id: &MessageId, past: &[PreviousAttempt], host: &mut dyn PolicyHost);
     fn attempt_finished(
         &mut self,
@@ -60,8 +60,8 @@
     fn timer_fired(&mut self, now: Duration);
     fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool);
     fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]);
-    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost);
+    fn run_due_work(&mut self, now: Duration, sight: &dyn WorldView, host: &mut dyn PolicyHost);
 }
 
 /// Makes the instance of a forwarder that starts.
-pub type Maker<'a> = dyn Fn(Duration, Settings, &mut dyn PolicyHost) -> Box<dyn Policy> + Sync + 'a;
+pub type PolicyFactory<'a> = dyn Fn(Duration, Settings, &mut dyn PolicyHost) -> Box<dyn Policy> + Sync + 'a;
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::account::{Dispatches, Ends, Load, Second};
-use crate::oracles::Broken;
+use crate::invariants::Broken;
 
 /// Seconds in the worst span that is reported.
 pub const WORST_SPAN: usize = 10;
@@ -40,7 +40,7 @@
     pub refusals_per_try: f64,
     /// Part of the work done by destinations that completed nothing.
     pub work_wasted: f64,
-    /// Mean part of all slots in use while envelopes arrive.
+    /// Mean part of all slots in use while messages arrive.
     pub slots_used: f64,
     pub new_connections_per_try: f64,
     /// Effects applied again where a category allows that.
@@ -53,7 +53,7 @@
     pub watched: Vec<Watched>,
     /// Upper end of each step in milliseconds, and its count.
     pub latency_steps: Vec<(u64, u64)>,
-    /// First tries without an end; one would be a fault of the emulator.
+    /// First tries without an end; one would be a fault of the simulation.
     pub unfinished: usize,
     /// Seconds that the run went on for, and events that it took.
     pub ran_s: f64,
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario file: what a fleet, its programs, its destinations and a day's troubles are like. Version 1.
+//! The scenario file: what a fleet, its programs, its destinations and a day's faults are like. Version 1.
 //!
 //! What is unknown or out of range is refused with file, line and what was expected; nothing is guessed.
 
@@ -9,9 +9,9 @@
 use reeddock::{EndpointKind, Idempotency, KeyScope, LateDecay, MessageClass, Settings, TenantQuota};
 use serde::{Deserialize, Serialize};
 
-use crate::figure::{Amount, Figure, Share, Span};
-use crate::oracles::Rule;
-use crate::trouble::Trouble;
+use crate::distribution::{Amount, Distribution, Share, Span};
+use crate::fault::Fault;
+use crate::invariants::Rule;
 
 pub const VERSION: u32 = 1;
 
@@ -23,7 +23,7 @@
     /// What the scenario is for, in a sentence.
     #[serde(default)]
     pub about: String,
-    /// How long envelopes arrive; the run goes on until each has its answer.
+    /// How long messages arrive; the run goes on until each has its answer.
     #[serde(rename = "lasts_s")]
     pub lasts: Span,
     pub fleet: Fleet,
@@ -31,7 +31,7 @@
     #[serde(default)]
     pub network: Network,
     #[serde(default)]
-    pub list: ListTerms,
+    pub list: EndpointListSettings,
     #[serde(default)]
     pub notes: Notes,
     #[serde(default)]
@@ -70,7 +70,7 @@
     pub zones: u32,
     /// Calls that one may have out.
     pub slots: u32,
-    /// Envelopes that one may hold, sent or not.
+    /// Messages that one may hold, sent or not.
     pub room: u32,
     #[serde(default = "eight")]
     pub dispatch_cap: u32,
@@ -86,10 +86,10 @@
     /// Share of a fleet's traffic that some forwarders have more than others: 0 for even shares.
     #[serde(default)]
     pub uneven: Share,
-    /// Time in which sends to a target that leaves must end.
+    /// Time in which sends to an endpoint that leaves must end.
     #[serde(rename = "drain_grace_s", default = "two_seconds")]
     pub drain_grace: Span,
-    /// Rest of a key after a dispatch that may still be running.
+    /// Rest of a key after an attempt that may still be running.
     #[serde(rename = "key_rest_s", default = "three_seconds")]
     pub key_rest: Span,
     /// Time past an outer limit in which a final answer still counts.
@@ -108,23 +108,23 @@
     /// Zipf exponent of the destinations' shares; 0 gives all the same.
     #[serde(default)]
     pub skew: f64,
-    /// Share of envelopes that come in clumps for one destination.
+    /// Share of messages that come in clumps for one destination.
     #[serde(default)]
     pub clumped: Share,
-    /// Envelopes in a clump.
+    /// Messages in a clump.
     #[serde(default = "clump")]
-    pub clump: Figure,
+    pub clump: Distribution,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way between a forwarder and a target.
-    pub one_way_ms: Figure,
+    /// One way between a forwarder and an endpoint.
+    pub one_way_ms: Distribution,
     /// Added for the other side of a zone's border.
-    pub across_zones_ms: Figure,
+    pub across_zones_ms: Distribution,
     /// Work of making a connection, beside its round trip.
-    pub handshake_ms: Figure,
+    pub handshake_ms: Distribution,
     #[serde(rename = "connect_within_s")]
     pub connect_within: Span,
     /// Idle connections close after this.
@@ -135,28 +135,32 @@
 impl Default for Network {
     fn default() -> Network {
         Network {
-            one_way_ms: Figure::Told(1.0),
-            across_zones_ms: Figure::Told(1.0),
-            handshake_ms: Figure::Told(4.0),
+            one_way_ms: Distribution::Told(1.0),
+            across_zones_ms: Distribution::Told(1.0),
+            handshake_ms: Distribution::Told(4.0),
             connect_within: Span::millis(1000),
             idle: Span::millis(5000),
         }
     }
 }
 
-/// How forwarders hear of targets.
+/// How forwarders hear of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ListTerms {
-    pub delay_s: Figure,
+pub struct EndpointListSettings {
+    pub delay_s: Distribution,
     pub weights: Weights,
     /// The listed rate against the true one.
-    pub weight_error: Figure,
+    pub weight_error: Distribution,
 }
 
-impl Default for ListTerms {
-    fn default() -> ListTerms {
-        ListTerms { delay_s: Figure::Told(2.0), weights: Weights::None, weight_error: Figure::Told(1.0) }
+impl Default for EndpointListSettings {
+    fn default() -> EndpointListSettings {
+        EndpointListSettings {
+            delay_s: Distribution::Told(2.0),
+            weights: Weights::None,
+            weight_error: Distribution::Told(1.0),
+        }
     }
 }
 
@@ -172,13 +176,13 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Notes {
     pub allowed: bool,
-    pub delay_ms: Figure,
+    pub delay_ms: Distribution,
     pub lost: Share,
 }
 
 impl Default for Notes {
     fn default() -> Notes {
-        Notes { allowed: false, delay_ms: Figure::Told(8.0), lost: Share::NONE }
+        Notes { allowed: false, delay_ms: Distribution::Told(8.0), lost: Share::NONE }
     }
 }
 
@@ -213,10 +217,10 @@
 #[serde(deny_unknown_fields)]
 pub struct Category {
     pub name: String,
-    /// Part of all envelopes, against the other categories' parts.
+    /// Part of all messages, against the other categories' parts.
     #[serde(default = "one_amount")]
     pub part: Amount,
-    pub effect: EffectTerms,
+    pub effect: ClassIdempotency,
     #[serde(rename = "promised_s")]
     pub promised: Span,
     #[serde(rename = "outer_limit_s")]
@@ -229,17 +233,17 @@
     #[serde(default)]
     pub decay: Decay,
     /// Work at a destination of usual pace.
-    pub work_ms: Figure,
-    /// Envelopes of one key go in order; so many keys are in use.
+    pub work_ms: Distribution,
+    /// Messages of one key go in order; so many keys are in use.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ordered_keys: Option<u32>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum EffectTerms {
+pub enum ClassIdempotency {
     Pure,
-    /// A repeat is known again for so many seconds, by every target of the destination.
+    /// A repeat is known again for so many seconds, by every endpoint of the destination.
     Receipted(Span),
     Effectful,
 }
@@ -261,23 +265,23 @@
     pub name: String,
     #[serde(default = "one_amount")]
     pub part: Amount,
-    /// Envelopes a second inside its share; absent: no share is kept.
+    /// Messages a second inside its share; absent: no share is kept.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share_per_s: Option<Amount>,
-    /// How often it hands an envelope in again after a shed.
+    /// How often it hands a message in again after a shed.
     #[serde(default)]
     pub returns: u32,
     #[serde(default = "return_after")]
-    pub return_after_s: Figure,
+    pub return_after_s: Distribution,
     /// Share of its clients that stay away for a told come-back time.
     #[serde(default = "whole")]
     pub heeds: Share,
-    /// Its clients withdraw an envelope after so long; absent: never.
+    /// Its clients withdraw a message after so long; absent: never.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub withdraws_after_s: Option<Figure>,
-    /// Envelopes at once at each arrival.
+    pub withdraws_after_s: Option<Distribution>,
+    /// Messages at once at each arrival.
     #[serde(default = "one_figure")]
-    pub bunch: Figure,
+    pub bunch: Distribution,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -286,39 +290,39 @@
     pub name: String,
     pub destinations: u32,
     #[serde(default = "one_figure")]
-    pub targets: Figure,
+    pub targets: Distribution,
     /// Weight of its destinations' traffic beside their place in the skew.
     #[serde(default = "one_amount")]
     pub traffic: Amount,
-    /// Its targets are routes apart.
+    /// Its endpoints are routes apart.
     #[serde(default)]
     pub apart: bool,
-    /// Envelopes in one call at most.
+    /// Messages in one call at most.
     #[serde(default = "one")]
     pub batch: u32,
     #[serde(default)]
     pub limit: Limit,
     /// The limit against usual calls.
     #[serde(default = "headroom")]
-    pub headroom: Figure,
+    pub headroom: Distribution,
     #[serde(default = "one_amount")]
     pub least_per_s: Amount,
     /// What it can serve against its limit.
     #[serde(default = "spare")]
-    pub spare: Figure,
+    pub spare: Distribution,
     /// Work that may queue, in seconds of what it can serve.
     #[serde(default = "half")]
-    pub queue_s: Figure,
+    pub queue_s: Distribution,
     /// Time of its work against the usual.
     #[serde(default = "one_figure")]
-    pub pace: Figure,
+    pub pace: Distribution,
     /// Share of refusals that tell how long to wait.
     #[serde(default)]
     pub told_waits: Share,
     /// Calls that are refused use up the limit too.
     #[serde(default)]
     pub refused_use_up: bool,
-    /// Connections that a target takes, idle ones counted; absent: any number.
+    /// Connections that an endpoint takes, idle ones counted; absent: any number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub connections: Option<u32>,
     /// Share of calls that run on after the forwarder has stopped waiting.
@@ -338,7 +342,7 @@
     Span(Span),
 }
 
-/// A trouble and when it stands.
+/// A fault and when it stands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scheduled {
@@ -346,7 +350,7 @@
     pub at: Span,
     #[serde(rename = "for_s")]
     pub lasts: Span,
-    pub what: Trouble,
+    pub what: Fault,
 }
 
 impl Scheduled {
@@ -382,34 +386,34 @@
 fn whole() -> Share {
     Share::clamped(1.0)
 }
-fn one_figure() -> Figure {
-    Figure::Told(1.0)
+fn one_figure() -> Distribution {
+    Distribution::Told(1.0)
 }
-fn clump() -> Figure {
-    Figure::Told(10.0)
+fn clump() -> Distribution {
+    Distribution::Told(10.0)
 }
-fn headroom() -> Figure {
-    Figure::Told(1.4)
+fn headroom() -> Distribution {
+    Distribution::Told(1.4)
 }
-fn spare() -> Figure {
-    Figure::Told(1.3)
+fn spare() -> Distribution {
+    Distribution::Told(1.3)
 }
-fn half() -> Figure {
-    Figure::Told(0.5)
+fn half() -> Distribution {
+    Distribution::Told(0.5)
 }
-fn return_after() -> Figure {
-    Figure::Told(0.5)
+fn return_after() -> Distribution {
+    Distribution::Told(0.5)
 }
 
 /// What is wrong with a scenario, in one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ScenarioError {
     pub file: String,
     pub line: Option<usize>,
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self.line {
             Some(line) => write!(to, "{}:{line}: {}", self.file, self.what),
@@ -418,7 +422,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ScenarioError {}
 
 /// A part of the file that a check across several values speaks of.
 struct Place(&'static str, usize);
@@ -432,9 +436,9 @@
 }
 
 impl Scenario {
-    pub fn read(path: &Path) -> Result<Scenario, Fault> {
+    pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Fault {
+        let text = std::fs::read_to_string(path).map_err(|e| ScenarioError {
             file: file.clone(),
             line: None,
             what: format!("cannot be read: {e}"),
@@ -444,8 +448,8 @@
 
     /// Reads a scenario's text, with single values put in the place of those that stand there: each a path
     /// of keys and numbers joined by dots, and a value as TOML has it.
-    pub fn parse(file: &str, text: &str, instead: &[(String, String)]) -> Result<Scenario, Fault> {
-        let fault = |line, what: String| Fault { file: file.to_owned(), line, what };
+    pub fn parse(file: &str, text: &str, instead: &[(String, String)]) -> Result<Scenario, ScenarioError> {
+        let fault = |line, what: String| ScenarioError { file: file.to_owned(), line, what };
         let line_at = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
         let told = |e: toml::de::Error| {
             fault(e.span().map(|s| line_at(s.start)), e.message().trim().replace('\n', "; "))
@@ -606,7 +610,7 @@
     }
 }
 
-/// What an envelope beyond its program's share is worth, as a part of its credit.
+/// What a message beyond its program's share is worth, as a part of its credit.
 pub const OVER_SHARE_CREDIT: f64 = 0.1;
 
 pub fn zone_name(zone: u32) -> String {
@@ -616,11 +620,11 @@
 impl Category {
     pub fn effect(&self) -> Idempotency {
         match self.effect {
-            EffectTerms::Pure => Idempotency::Idempotent,
-            EffectTerms::Receipted(window) => {
+            ClassIdempotency::Pure => Idempotency::Idempotent,
+            ClassIdempotency::Receipted(window) => {
                 Idempotency::WithKey { window: window.0, scope: KeyScope::Region }
             }
-            EffectTerms::Effectful => Idempotency::NonIdempotent,
+            ClassIdempotency::Effectful => Idempotency::NonIdempotent,
         }
     }
 
@@ -636,7 +640,7 @@
         }
     }
 
-    /// Part of the credit for an envelope that is completed so long after it was first handed in.
+    /// Part of the credit for a message that is completed so long after it was first submitted.
     pub fn earned(&self, after: Duration) -> f64 {
         let (promised, limit) = (self.promised.seconds(), self.outer_limit.seconds());
         let after = after.as_secs_f64();
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/schedule.rs
@@ -29,19 +29,19 @@
     }
 }
 
-pub struct Agenda<E> {
+pub struct EventSchedule<E> {
     heap: BinaryHeap<Entry<E>>,
     entered: u64,
     now: Duration,
 }
 
-impl<E> Default for Agenda<E> {
+impl<E> Default for EventSchedule<E> {
     fn default() -> Self {
-        Agenda { heap: BinaryHeap::new(), entered: 0, now: Duration::ZERO }
+        EventSchedule { heap: BinaryHeap::new(), entered: 0, now: Duration::ZERO }
     }
 }
 
-impl<E> Agenda<E> {
+impl<E> EventSchedule<E> {
     pub fn now(&self) -> Duration {
         self.now
     }
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -1,26 +1,26 @@
-//! One target as it really is: its queue, its work, its troubles, how cold it is and whether it falls over.
+//! One endpoint as it really is: its queue, its work, its faults, how cold it is and whether it falls over.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::layout::{ForwarderNo, TargetNo, TargetPlan};
-use crate::limit::Gate;
+use crate::layout::{EndpointIndex, EndpointPlan, ForwarderIndex};
+use crate::limit::EndpointLimit;
 use crate::observed::Return;
 use crate::scenario::Returning;
 
-/// One call on its way to, at, or from a target.
+/// One call on its way to, at, or from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub usize);
 
-/// Calls that a cold target takes within the span that counts before it falls, where the terms allow it so many:
+/// Calls that a cold endpoint takes within the span that counts before it falls, where the terms allow it so many:
 /// what comes over that by chance is borne, and is counted over all forwarders, however many they are.
 pub fn falls_over(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.max(0.0).sqrt() + 2.0
 }
 
-pub struct Partner {
-    pub plan: TargetPlan,
-    pub gate: Gate,
+pub struct SimulatedEndpoint {
+    pub plan: EndpointPlan,
+    pub gate: EndpointLimit,
     pub busy: usize,
     pub queue: VecDeque<RequestId>,
     pub serving: Vec<RequestId>,
@@ -32,39 +32,39 @@
     /// Outages among these.
     pub outages: u32,
     pub returned: Option<Duration>,
-    /// All returns so far, each with what the target was sent after it.
+    /// All returns so far, each with what the endpoint was sent after it.
     pub(crate) returns: Vec<Return>,
     /// Since when it is down.
     pub(crate) down_since: Option<Duration>,
     pub fallen_until: Option<Duration>,
     /// Not there any more: replaced, or left for good.
     pub gone: bool,
-    pushed: VecDeque<(Duration, f64, ForwarderNo)>,
+    pushed: VecDeque<(Duration, f64, ForwarderIndex)>,
     /// Raised when all connections break.
     pub life: u32,
     pub on_the_way: u32,
     pub connections: u32,
     /// Idle connections by forwarder, with the times since when.
-    pub idle: BTreeMap<ForwarderNo, Vec<Duration>>,
+    pub idle: BTreeMap<ForwarderIndex, Vec<Duration>>,
 }
 
-/// What a cold target was sent in the span that counts.
+/// What a cold endpoint was sent in the span that counts.
 pub(crate) struct Window<'a> {
-    pub pushed: &'a VecDeque<(Duration, f64, ForwarderNo)>,
+    pub pushed: &'a VecDeque<(Duration, f64, ForwarderIndex)>,
     pub sum: f64,
     /// What the terms allow in that span, without what is left to chance.
     pub allowed: f64,
 }
 
-/// What a cold target was sent when that was more than it bears.
+/// What a cold endpoint was sent when that was more than it bears.
 pub struct Fall {
-    pub pushed: Vec<(Duration, f64, ForwarderNo)>,
+    pub pushed: Vec<(Duration, f64, ForwarderIndex)>,
     pub budget: f64,
 }
 
-impl Partner {
-    pub fn new(plan: TargetPlan) -> Partner {
-        Partner {
+impl SimulatedEndpoint {
+    pub fn new(plan: EndpointPlan) -> SimulatedEndpoint {
+        SimulatedEndpoint {
             gate: plan.gate.clone(),
             plan,
             busy: 0,
@@ -124,7 +124,7 @@
     }
 
     /// Work has reached it. While it is cold, more than a multiple of what it can do within a span tips it.
-    pub fn push(&mut self, now: Duration, work: f64, by: ForwarderNo, terms: &Returning) -> Option<Fall> {
+    pub fn push(&mut self, now: Duration, work: f64, by: ForwarderIndex, terms: &Returning) -> Option<Fall> {
         let warmth = self.warmth(now, terms);
         if warmth >= 1.0 {
             self.pushed.clear();
@@ -169,8 +169,8 @@
     }
 }
 
-/// A destination's own state beside its targets'.
+/// A destination's own state beside its endpoints'.
 pub struct DestinationState {
-    pub gate: Gate,
-    pub targets: Vec<TargetNo>,
+    pub gate: EndpointLimit,
+    pub targets: Vec<EndpointIndex>,
 }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -5,16 +5,16 @@
 use rand::RngExt;
 
 use super::{Event, World};
-use crate::layout::{DestinationNo, ForwarderNo};
-use crate::oracles::{Answer, EnvelopeNo, TryNo};
-use crate::trouble::Trouble;
+use crate::fault::Fault;
+use crate::invariants::{Answer, MessageIndex, SubmissionIndex};
+use crate::layout::{DestinationIndex, ForwarderIndex};
 
 /// What a client wants delivered, over all its hand-ins.
 pub(crate) struct FirstTry {
     pub category: usize,
     pub program: usize,
     pub key: Option<u64>,
-    pub destination: DestinationNo,
+    pub destination: DestinationIndex,
     pub first: Duration,
     /// Seconds at a destination of usual pace.
     pub work: f64,
@@ -34,14 +34,14 @@
     /// How many times its usual traffic a program sends now.
     fn swell(&self, program: usize) -> f64 {
         let times = self.met.keys().map(|n| match &self.scenario.troubles[*n].what {
-            Trouble::Burst { times } => times.get(),
-            Trouble::Surge { program: p, times } if *p == self.scenario.programs[program].name => times.get(),
+            Fault::Burst { times } => times.get(),
+            Fault::Surge { program: p, times } if *p == self.scenario.programs[program].name => times.get(),
             _ => 1.0,
         });
         times.product()
     }
 
-    /// Envelopes of one clump against single ones, for each arrival that is not one.
+    /// Messages of one clump against single ones, for each arrival that is not one.
     fn per_arrival(&self, program: usize) -> (f64, f64) {
         let (share, size) =
             (self.scenario.traffic.clumped.get(), self.scenario.traffic.clump.mean().max(1.0));
@@ -57,7 +57,7 @@
         let (_, envelopes) = self.per_arrival(program);
         let rate = traffic.usual_per_s.get() * traffic.load.get() * part * self.swell(program) / envelopes;
         let drawn: f64 = self.chances.arrivals.random();
-        let gap = crate::figure::to_span(-(1.0 - drawn).max(1e-12).ln() / rate.max(1e-9));
+        let gap = crate::distribution::to_span(-(1.0 - drawn).max(1e-12).ln() / rate.max(1e-9));
         self.now() + gap.max(Duration::from_micros(1))
     }
 
@@ -75,7 +75,7 @@
         let many = bunch * if clumped { clump } else { 1 };
         let mut destination = None;
         for _ in 0..many {
-            let drawn = DestinationNo(part_of(&self.destination_sums, self.chances.arrivals.random()));
+            let drawn = DestinationIndex(part_of(&self.destination_sums, self.chances.arrivals.random()));
             let to = *destination.get_or_insert(drawn);
             self.first_try(program, to);
             if !clumped {
@@ -83,17 +83,17 @@
             }
         }
         let next = self.next_arrival(program);
-        self.agenda.enter(next, Event::Arrive { program });
+        self.schedule.enter(next, Event::Arrive { program });
     }
 
-    fn first_try(&mut self, program: usize, destination: DestinationNo) {
+    fn first_try(&mut self, program: usize, destination: DestinationIndex) {
         let now = self.now();
         let chance = &mut self.chances.arrivals;
         let category = part_of(&self.category_sums, chance.random());
         let terms = &self.scenario.categories[category];
         let key = chance.random::<u64>();
         let work = terms.work_ms.draw(chance) / 1e3;
-        let first_try = TryNo(self.tries.len());
+        let first_try = SubmissionIndex(self.tries.len());
         self.account.asked(self.scenario, now, category, program, destination);
         self.tries.push(FirstTry {
             category,
@@ -111,14 +111,14 @@
         self.submit(first_try);
     }
 
-    /// The forwarder that a client reaches: envelopes of one key come to one while it runs.
-    fn reached_forwarder(&mut self, key: Option<u64>) -> Option<ForwarderNo> {
+    /// The forwarder that a client reaches: messages of one key come to one while it runs.
+    fn reached_forwarder(&mut self, key: Option<u64>) -> Option<ForwarderIndex> {
         let many = self.stations.len();
         let drawn: f64 = self.chances.clients.random();
         let spread: f64 = self.chances.clients.random();
         let mut shift = None;
         for n in self.met.keys() {
-            if let Trouble::Shift { which, share } = &self.scenario.troubles[*n].what {
+            if let Fault::Shift { which, share } = &self.scenario.troubles[*n].what {
                 shift = Some((self.layout.which(which), share.get()));
             }
         }
@@ -137,10 +137,10 @@
             }
         };
         let runs = |n: &usize| self.stations[*n].runs();
-        (0..many).map(|step| (first + step) % many).find(runs).map(ForwarderNo)
+        (0..many).map(|step| (first + step) % many).find(runs).map(ForwarderIndex)
     }
 
-    pub(super) fn submit(&mut self, first_try: TryNo) {
+    pub(super) fn submit(&mut self, first_try: SubmissionIndex) {
         let key = self.tries[first_try.0].key;
         let room = self.scenario.fleet.room as usize;
         let forwarder = self.reached_forwarder(key).filter(|f| self.stations[f.0].open < room);
@@ -153,8 +153,8 @@
         }
     }
 
-    /// A shed envelope's client hears so, or was turned away at the door.
-    pub(super) fn refused(&mut self, first_try: TryNo, come_back: Option<Duration>) {
+    /// A shed message's client hears so, or was turned away at the door.
+    pub(super) fn refused(&mut self, first_try: SubmissionIndex, come_back: Option<Duration>) {
         let program = &self.scenario.programs[self.tries[first_try.0].program];
         let after = program.return_after_s.span(&mut self.chances.clients);
         let heeds = program.heeds.strikes(&mut self.chances.clients);
@@ -165,18 +165,18 @@
         }
         t.returns_left -= 1;
         let at = self.now() + after.max(wait).max(Duration::from_micros(1));
-        self.agenda.enter(at, Event::Return(first_try));
+        self.schedule.enter(at, Event::Return(first_try));
     }
 
     /// Comes to a live forwarder again after its own was killed; that is no return of the client's.
-    pub(super) fn orphaned(&mut self, first_try: TryNo) {
+    pub(super) fn orphaned(&mut self, first_try: SubmissionIndex) {
         let program = &self.scenario.programs[self.tries[first_try.0].program];
         let after = program.return_after_s.span(&mut self.chances.clients);
         let at = self.now() + after.max(Duration::from_millis(1));
-        self.agenda.enter(at, Event::Return(first_try));
+        self.schedule.enter(at, Event::Return(first_try));
     }
 
-    pub(super) fn come_again(&mut self, first_try: TryNo) {
+    pub(super) fn come_again(&mut self, first_try: SubmissionIndex) {
         let t = &self.tries[first_try.0];
         let limit = t.first + self.scenario.categories[t.category].outer_limit.0;
         if t.over || self.now() >= limit {
@@ -185,7 +185,7 @@
         self.submit(first_try);
     }
 
-    pub(super) fn try_over(&mut self, first_try: TryNo) {
+    pub(super) fn try_over(&mut self, first_try: SubmissionIndex) {
         let t = &mut self.tries[first_try.0];
         if !t.over {
             t.over = true;
@@ -193,21 +193,21 @@
         }
     }
 
-    pub(super) fn withdraw(&mut self, envelope: EnvelopeNo) {
+    pub(super) fn withdraw(&mut self, envelope: MessageIndex) {
         // One that is down hears nothing, and goes on with what its ledger holds.
         let owner = self.envelopes[envelope.0].forwarder;
         if !self.envelopes[envelope.0].over && self.stations[owner.0].runs() {
-            self.oracles.answered(self.now(), envelope, Answer::Withdrawn);
+            self.invariants.answered(self.now(), envelope, Answer::Withdrawn);
             self.account.ends.withdrawn += 1;
             self.gone(envelope);
         }
     }
 
-    pub(super) fn overdue(&mut self, envelope: EnvelopeNo) {
+    pub(super) fn overdue(&mut self, envelope: MessageIndex) {
         // A forwarder that is down answers for what its ledger holds once it runs again.
         let owner = self.envelopes[envelope.0].forwarder;
         let open = !self.envelopes[envelope.0].over && self.stations[owner.0].runs();
-        if open && self.oracles.overdue(self.now(), envelope) {
+        if open && self.invariants.overdue(self.now(), envelope) {
             self.gone(envelope);
         }
     }
--- a/crates/simulation/src/world/forwarders.rs
+++ b/crates/simulation/src/world/forwarders.rs
@@ -11,30 +11,30 @@
 };
 
 use super::{Event, World};
-use crate::layout::{one_way, DestinationNo, ForwarderNo, TargetNo};
-use crate::oracles::{proves_unrun, Answer, EnvelopeNo, Place, Rule, TryNo};
-use crate::partner::RequestId;
-use crate::policy::{ListLine, Policy, Sight, Submission};
+use crate::fault::Fault;
+use crate::invariants::{proves_unrun, Answer, MessageIndex, Place, Rule, SubmissionIndex};
+use crate::layout::{one_way, DestinationIndex, EndpointIndex, ForwarderIndex};
+use crate::policy::{ListLine, Policy, Submission, WorldView};
 use crate::scenario::zone_name;
-use crate::trouble::Trouble;
+use crate::simulated_endpoint::RequestId;
 
 /// What a forwarder is told at its next turn.
 pub(crate) enum Notice {
-    List { whole: bool, changes: Vec<(TargetNo, EndpointState)> },
-    Submission(EnvelopeNo),
-    Recall(EnvelopeNo),
-    Ended { envelope: EnvelopeNo, no: usize, outcome: AttemptOutcome, over: bool, place: Place },
-    Withdrawn(EnvelopeNo),
+    List { whole: bool, changes: Vec<(EndpointIndex, EndpointState)> },
+    Submission(MessageIndex),
+    Recall(MessageIndex),
+    Ended { envelope: MessageIndex, no: usize, outcome: AttemptOutcome, over: bool, place: Place },
+    Withdrawn(MessageIndex),
     Alarm,
-    Note { from: ForwarderNo, text: Vec<u8> },
-    Probed { target: TargetNo, well: bool },
+    Note { from: ForwarderIndex, text: Vec<u8> },
+    Probed { target: EndpointIndex, well: bool },
 }
 
 /// One hand-in to one forwarder, in the world's own book.
 pub(crate) struct Envelope {
     pub id: MessageId,
-    pub first_try: TryNo,
-    pub forwarder: ForwarderNo,
+    pub first_try: SubmissionIndex,
+    pub forwarder: ForwarderIndex,
     pub start: u32,
     pub outer_limit: Duration,
     pub over: bool,
@@ -42,7 +42,7 @@
 }
 
 pub(crate) struct Sent {
-    pub target: TargetNo,
+    pub target: EndpointIndex,
     pub at: Duration,
     /// The call it went with, and its place in it; none where it never left.
     pub call: Option<(RequestId, usize)>,
@@ -53,17 +53,17 @@
 
 /// One call, with all that travels in it.
 pub(crate) struct Call {
-    pub forwarder: ForwarderNo,
+    pub forwarder: ForwarderIndex,
     pub start: u32,
-    pub target: TargetNo,
+    pub target: EndpointIndex,
     pub life: u32,
-    pub parts: Vec<(EnvelopeNo, usize)>,
+    pub parts: Vec<(MessageIndex, usize)>,
     /// Parts whose outcome the forwarder does not have yet.
     pub waiting: Vec<bool>,
     pub begun: Duration,
-    /// Nobody waits for it, and the target found out before it began.
+    /// Nobody waits for it, and the endpoint found out before it began.
     pub void: bool,
-    /// Its connection counts at the target.
+    /// Its connection counts at the endpoint.
     pub connected: bool,
     /// Seconds of work that it came to.
     pub work: f64,
@@ -72,23 +72,23 @@
 }
 
 /// One forwarder, whichever start of it.
-pub(crate) struct Station {
+pub(crate) struct SimulatedForwarder {
     pub zone: u32,
     pub start: u32,
     policy: Option<Box<dyn Policy>>,
     inbox: VecDeque<Notice>,
     turn_at: Option<Duration>,
     pub calls_out: usize,
-    /// Envelopes taken on and not over.
+    /// Messages accepted and not over.
     pub open: usize,
     /// Not over, by id, in the order of hand-in; what a ledger would hold.
-    owed: BTreeMap<usize, EnvelopeNo>,
+    owed: BTreeMap<usize, MessageIndex>,
     list_due: Duration,
 }
 
-impl Station {
-    pub fn new(zone: u32) -> Station {
-        Station {
+impl SimulatedForwarder {
+    pub fn new(zone: u32) -> SimulatedForwarder {
+        SimulatedForwarder {
             zone,
             start: 0,
             policy: None,
@@ -107,7 +107,7 @@
 }
 
 /// What a policy asks for, in the order in which it does.
-enum Asked {
+enum HostCommand {
     Dispatch(MessageId, EndpointId, Duration),
     CallOff(MessageId, AttemptNumber),
     Shed(MessageId, Option<Duration>),
@@ -119,69 +119,72 @@
 }
 
 #[derive(Default)]
-struct Wishes(Vec<Asked>);
+struct CommandLog(Vec<HostCommand>);
 
-impl PolicyHost for Wishes {
+impl PolicyHost for CommandLog {
     fn start_attempt(&mut self, envelope: &MessageId, target: EndpointId, spans: AttemptTimeouts) {
-        self.0.push(Asked::Dispatch(envelope.clone(), target, spans.response_within));
+        self.0.push(HostCommand::Dispatch(envelope.clone(), target, spans.response_within));
     }
     fn cancel(&mut self, envelope: &MessageId, dispatch: AttemptNumber) {
-        self.0.push(Asked::CallOff(envelope.clone(), dispatch));
+        self.0.push(HostCommand::CallOff(envelope.clone(), dispatch));
     }
     fn reject(&mut self, envelope: &MessageId, come_back: Option<Duration>) {
-        self.0.push(Asked::Shed(envelope.clone(), come_back));
+        self.0.push(HostCommand::Shed(envelope.clone(), come_back));
     }
     fn fail(&mut self, envelope: &MessageId) {
-        self.0.push(Asked::BreakOff(envelope.clone()));
+        self.0.push(HostCommand::BreakOff(envelope.clone()));
     }
     fn set_timer(&mut self, after: Duration) {
-        self.0.push(Asked::Wake(after));
+        self.0.push(HostCommand::Wake(after));
     }
     fn start_health_check(&mut self, target: EndpointId) {
-        self.0.push(Asked::Probe(target));
+        self.0.push(HostCommand::Probe(target));
     }
     fn send_gossip(&mut self, peer: Option<PeerId>, note: &[u8]) {
-        self.0.push(Asked::Tell(peer, note.to_vec()));
+        self.0.push(HostCommand::Tell(peer, note.to_vec()));
     }
     fn subscribe(&mut self, _on: bool) {}
     fn fetch_endpoint_list(&mut self) {
-        self.0.push(Asked::Fetch);
+        self.0.push(HostCommand::Fetch);
     }
     fn log(&mut self, _line: &str) {}
 }
 
-/// Targets and destinations have numbers of their own outside; 0 is left free, as hosts may.
-pub(crate) fn target_id(target: TargetNo) -> EndpointId {
+/// Endpoints and destinations have numbers of their own outside; 0 is left free, as hosts may.
+pub(crate) fn target_id(target: EndpointIndex) -> EndpointId {
     EndpointId(target.0 as u32 + 1)
 }
 
-fn target_no(id: EndpointId) -> Option<TargetNo> {
-    id.0.checked_sub(1).map(|n| TargetNo(n as usize))
+fn target_no(id: EndpointId) -> Option<EndpointIndex> {
+    id.0.checked_sub(1).map(|n| EndpointIndex(n as usize))
 }
 
-pub(crate) fn destination_id(destination: DestinationNo) -> DestinationId {
+pub(crate) fn destination_id(destination: DestinationIndex) -> DestinationId {
     DestinationId(destination.0 as u64 + 1)
 }
 
-fn envelope_id(envelope: EnvelopeNo) -> MessageId {
+fn envelope_id(envelope: MessageIndex) -> MessageId {
     MessageId(Arc::from(format!("e{:08}", envelope.0)))
 }
 
-fn envelope_no(id: &MessageId) -> Option<EnvelopeNo> {
-    id.0.strip_prefix('e').and_then(|n| n.parse().ok()).map(EnvelopeNo)
+fn envelope_no(id: &MessageId) -> Option<MessageIndex> {
+    id.0.strip_prefix('e').and_then(|n| n.parse().ok()).map(MessageIndex)
 }
 
 /// The true state, for the ceiling.
-struct Eye<'w, 'a>(&'w World<'a>, ForwarderNo);
+struct Eye<'w, 'a>(&'w World<'a>, ForwarderIndex);
 
-impl Sight for Eye<'_, '_> {
+impl WorldView for Eye<'_, '_> {
     fn would_take(&self, target: EndpointId, category: usize, before: u32) -> bool {
         target_no(target).is_some_and(|t| self.0.would_take(t, category, self.1, before))
     }
     fn burden(&self, target: EndpointId) -> f64 {
-        let Some(partner) = target_no(target).and_then(|t| self.0.partners.get(t.0)) else { return f64::MAX };
-        let load = partner.busy + partner.queue.len() + partner.on_the_way as usize;
-        load as f64 / partner.plan.workers as f64
+        let Some(simulated_endpoint) = target_no(target).and_then(|t| self.0.partners.get(t.0)) else {
+            return f64::MAX;
+        };
+        let load =
+            simulated_endpoint.busy + simulated_endpoint.queue.len() + simulated_endpoint.on_the_way as usize;
+        load as f64 / simulated_endpoint.plan.workers as f64
     }
     fn slowness(&self, target: EndpointId) -> f64 {
         target_no(target).map_or(f64::MAX, |t| self.0.slowness(t))
@@ -191,7 +194,7 @@
 impl World<'_> {
     // # Starts and ends.
 
-    pub(super) fn start(&mut self, forwarder: ForwarderNo) {
+    pub(super) fn start(&mut self, forwarder: ForwarderIndex) {
         let now = self.now();
         let station = &mut self.stations[forwarder.0];
         station.start += 1;
@@ -199,25 +202,25 @@
         station.turn_at = None;
         let seed = self.chances.starts.random::<u64>() >> 1;
         let terms = self.scenario.terms(seed, station.zone);
-        let mut wishes = Wishes::default();
+        let mut wishes = CommandLog::default();
         let policy = (self.maker)(now, terms, &mut wishes);
         let station = &mut self.stations[forwarder.0];
         station.policy = Some(policy);
         let start = station.start;
-        let owed: Vec<EnvelopeNo> = station.owed.values().copied().collect();
+        let owed: Vec<MessageIndex> = station.owed.values().copied().collect();
         self.carry_out(forwarder, wishes);
         let whole = self.listed.iter().enumerate().filter(|(_, s)| **s != EndpointState::Removed);
-        let changes = whole.map(|(n, s)| (TargetNo(n), *s)).collect();
+        let changes = whole.map(|(n, s)| (EndpointIndex(n), *s)).collect();
         self.tell(forwarder, start, Notice::List { whole: true, changes });
         for envelope in owed {
             self.envelopes[envelope.0].start = start;
-            self.oracles.recalled(now, envelope);
+            self.invariants.recalled(now, envelope);
             self.due(envelope);
             self.tell(forwarder, start, Notice::Recall(envelope));
         }
     }
 
-    pub(super) fn kill(&mut self, forwarder: ForwarderNo) {
+    pub(super) fn kill(&mut self, forwarder: ForwarderIndex) {
         let ledger = self.scenario.fleet.ledger;
         let station = &mut self.stations[forwarder.0];
         if station.policy.take().is_none() {
@@ -226,12 +229,12 @@
         station.start += 1;
         station.inbox.clear();
         station.turn_at = None;
-        let owed: Vec<EnvelopeNo> = station.owed.values().copied().collect();
+        let owed: Vec<MessageIndex> = station.owed.values().copied().collect();
         if !ledger {
             station.owed.clear();
             station.open = 0;
         }
-        self.oracles.killed(forwarder, ledger);
+        self.invariants.killed(forwarder, ledger);
         let mine = |c: &Call| c.forwarder == forwarder && c.waiting.contains(&true);
         let calls: Vec<usize> = (0..self.calls.len()).filter(|n| mine(&self.calls[*n])).collect();
         for call in calls {
@@ -239,9 +242,10 @@
             self.abandon(RequestId(call));
         }
         self.stations[forwarder.0].calls_out = 0;
-        for partner in &mut self.partners {
-            if let Some(idle) = partner.idle.remove(&forwarder) {
-                partner.connections = partner.connections.saturating_sub(idle.len() as u32);
+        for simulated_endpoint in &mut self.partners {
+            if let Some(idle) = simulated_endpoint.idle.remove(&forwarder) {
+                simulated_endpoint.connections =
+                    simulated_endpoint.connections.saturating_sub(idle.len() as u32);
             }
         }
         if ledger {
@@ -265,7 +269,7 @@
     // # What a forwarder hears.
 
     /// Puts a notice into the inbox of a forwarder's start, and has it take a turn at the next tick.
-    pub(super) fn tell(&mut self, forwarder: ForwarderNo, start: u32, notice: Notice) {
+    pub(super) fn tell(&mut self, forwarder: ForwarderIndex, start: u32, notice: Notice) {
         let now = self.now();
         let tick = self.scenario.fleet.tick.0;
         let station = &mut self.stations[forwarder.0];
@@ -277,12 +281,16 @@
             let ticks = now.as_nanos().div_ceil(tick.as_nanos().max(1));
             let at = if tick.is_zero() { now } else { tick * u32::try_from(ticks).unwrap_or(u32::MAX) };
             station.turn_at = Some(at);
-            self.agenda.enter(at, Event::Turn(forwarder, start));
+            self.schedule.enter(at, Event::Turn(forwarder, start));
         }
     }
 
-    pub(super) fn list_due(&mut self, forwarder: ForwarderNo, changes: Vec<(TargetNo, EndpointState)>) {
-        let frozen = |n: &usize| matches!(self.scenario.troubles[*n].what, Trouble::ListFrozen {});
+    pub(super) fn list_due(
+        &mut self,
+        forwarder: ForwarderIndex,
+        changes: Vec<(EndpointIndex, EndpointState)>,
+    ) {
+        let frozen = |n: &usize| matches!(self.scenario.troubles[*n].what, Fault::ListFrozen {});
         if self.met.keys().any(frozen) {
             self.frozen.push((forwarder, changes));
             return;
@@ -292,7 +300,7 @@
     }
 
     /// The list has changed; each forwarder hears of it after a delay of its own, in order.
-    pub(super) fn list_changed(&mut self, changes: &[(TargetNo, EndpointState)]) {
+    pub(super) fn list_changed(&mut self, changes: &[(EndpointIndex, EndpointState)]) {
         for (target, standing) in changes {
             if self.listed.len() <= target.0 {
                 self.listed.resize(target.0 + 1, EndpointState::Removed);
@@ -303,21 +311,21 @@
             let delay = self.scenario.list.delay_s.span(&mut self.chances.list);
             let due = (self.now() + delay).max(self.stations[n].list_due);
             self.stations[n].list_due = due;
-            self.agenda.enter(due, Event::ListDue(ForwarderNo(n), changes.to_vec()));
+            self.schedule.enter(due, Event::ListDue(ForwarderIndex(n), changes.to_vec()));
         }
     }
 
-    pub(super) fn take(&mut self, first_try: TryNo, forwarder: ForwarderNo) {
+    pub(super) fn take(&mut self, first_try: SubmissionIndex, forwarder: ForwarderIndex) {
         let now = self.now();
-        let envelope = EnvelopeNo(self.envelopes.len());
+        let envelope = MessageIndex(self.envelopes.len());
         let t = &self.tries[first_try.0];
         let outer_limit = t.first + self.scenario.categories[t.category].outer_limit.0;
         let start = self.stations[forwarder.0].start;
-        self.oracles.taken(now, envelope, first_try, forwarder, t.category, t.key, outer_limit);
+        self.invariants.taken(now, envelope, first_try, forwarder, t.category, t.key, outer_limit);
         let program = &self.scenario.programs[t.program];
         if let Some(after) = program.withdraws_after_s {
             let at = now + after.span(&mut self.chances.clients);
-            self.agenda.enter(at, Event::Withdraw(envelope));
+            self.schedule.enter(at, Event::Withdraw(envelope));
         }
         if self.is_down(self.tries[first_try.0].destination) {
             self.down.handed_in += 1;
@@ -339,15 +347,15 @@
         self.tell(forwarder, start, Notice::Submission(envelope));
     }
 
-    /// Looks whether an envelope has its answer once the time for that is past.
-    fn due(&mut self, envelope: EnvelopeNo) {
+    /// Looks whether a message has its answer once the time for that is past.
+    fn due(&mut self, envelope: MessageIndex) {
         let slack = self.scenario.fleet.answer_slack.0 + 2 * self.scenario.fleet.tick.0;
         let at = self.envelopes[envelope.0].outer_limit.max(self.now()) + slack;
-        self.agenda.enter(at, Event::Overdue(envelope));
+        self.schedule.enter(at, Event::Overdue(envelope));
     }
 
-    /// An envelope needs nothing more of its forwarder.
-    fn close(&mut self, envelope: EnvelopeNo) {
+    /// A message needs nothing more of its forwarder.
+    fn close(&mut self, envelope: MessageIndex) {
         let e = &mut self.envelopes[envelope.0];
         if std::mem::replace(&mut e.over, true) {
             return;
@@ -358,7 +366,7 @@
     }
 
     /// Withdrawn by its client, or given up on by it without an answer.
-    pub(super) fn gone(&mut self, envelope: EnvelopeNo) {
+    pub(super) fn gone(&mut self, envelope: MessageIndex) {
         self.close(envelope);
         let e = &self.envelopes[envelope.0];
         let (forwarder, start, first_try) = (e.forwarder, e.start, e.first_try);
@@ -368,7 +376,7 @@
 
     // # Turns.
 
-    pub(super) fn turn(&mut self, forwarder: ForwarderNo, start: u32) {
+    pub(super) fn turn(&mut self, forwarder: ForwarderIndex, start: u32) {
         let now = self.now();
         let station = &mut self.stations[forwarder.0];
         if station.start != start {
@@ -378,7 +386,7 @@
         let Some(mut policy) = station.policy.take() else { return };
         let inbox = std::mem::take(&mut station.inbox);
         self.turns += 1;
-        let mut wishes = Wishes::default();
+        let mut wishes = CommandLog::default();
         for notice in inbox {
             self.hear(forwarder, notice, policy.as_mut(), &mut wishes);
         }
@@ -387,20 +395,26 @@
         self.carry_out(forwarder, wishes);
     }
 
-    fn hear(&mut self, forwarder: ForwarderNo, notice: Notice, policy: &mut dyn Policy, host: &mut Wishes) {
+    fn hear(
+        &mut self,
+        forwarder: ForwarderIndex,
+        notice: Notice,
+        policy: &mut dyn Policy,
+        host: &mut CommandLog,
+    ) {
         let now = self.now();
         match notice {
             Notice::List { whole, changes } => {
                 if whole {
                     // What a whole list does not name is gone.
-                    let named: Vec<TargetNo> = changes.iter().map(|c| c.0).collect();
-                    for n in (0..self.listed.len()).map(TargetNo).filter(|n| !named.contains(n)) {
-                        self.oracles.listed(now, forwarder, n, EndpointState::Removed);
+                    let named: Vec<EndpointIndex> = changes.iter().map(|c| c.0).collect();
+                    for n in (0..self.listed.len()).map(EndpointIndex).filter(|n| !named.contains(n)) {
+                        self.invariants.listed(now, forwarder, n, EndpointState::Removed);
                     }
                 }
                 let mut lines = Vec::new();
                 for (target, standing) in changes {
-                    self.oracles.listed(now, forwarder, target, standing);
+                    self.invariants.listed(now, forwarder, target, standing);
                     lines.push(self.list_line(target, standing));
                 }
                 policy.list(now, whole, &lines, host);
@@ -419,7 +433,7 @@
             }
             Notice::Ended { envelope, no, outcome, over, place } => {
                 let target = self.envelopes[envelope.0].dispatches.get(no).map(|s| s.target);
-                self.oracles.told_end(now, envelope, no, outcome, place);
+                self.invariants.told_end(now, envelope, no, outcome, place);
                 if let Some(sent) = self.envelopes[envelope.0].dispatches.get_mut(no) {
                     sent.told = true;
                 }
@@ -432,7 +446,7 @@
                             | AttemptOutcome::Malformed
                     );
                     if failed && self.partners[target.0].outages > 0 {
-                        self.oracles.saw_trouble(forwarder, target);
+                        self.invariants.saw_trouble(forwarder, target);
                     }
                 }
                 let id = self.envelopes[envelope.0].id.clone();
@@ -443,14 +457,14 @@
             Notice::Note { from, text } => policy.gossip_received(now, PeerId(from.0 as u32), &text),
             Notice::Probed { target, well } => {
                 if !well && self.partners[target.0].outages > 0 {
-                    self.oracles.saw_trouble(forwarder, target);
+                    self.invariants.saw_trouble(forwarder, target);
                 }
                 policy.health_checked(now, target_id(target), well);
             }
         }
     }
 
-    fn list_line(&self, target: TargetNo, standing: EndpointState) -> ListLine {
+    fn list_line(&self, target: EndpointIndex, standing: EndpointState) -> ListLine {
         let plan = &self.partners[target.0].plan;
         let rates = self.scenario.list.weights == crate::scenario::Weights::Rates;
         ListLine {
@@ -463,7 +477,7 @@
         }
     }
 
-    fn hand_in_of(&self, envelope: EnvelopeNo) -> Submission {
+    fn hand_in_of(&self, envelope: MessageIndex) -> Submission {
         let e = &self.envelopes[envelope.0];
         let t = &self.tries[e.first_try.0];
         Submission {
@@ -478,42 +492,44 @@
 
     // # What a policy asks for.
 
-    fn carry_out(&mut self, forwarder: ForwarderNo, wishes: Wishes) {
-        let mut forming: BTreeMap<TargetNo, RequestId> = BTreeMap::new();
+    fn carry_out(&mut self, forwarder: ForwarderIndex, wishes: CommandLog) {
+        let mut forming: BTreeMap<EndpointIndex, RequestId> = BTreeMap::new();
         let mut launched: Vec<RequestId> = Vec::new();
         let start = self.stations[forwarder.0].start;
         for asked in wishes.0 {
             match asked {
-                Asked::Dispatch(id, target, time_out) => {
+                HostCommand::Dispatch(id, target, time_out) => {
                     let formed = self.dispatch(forwarder, &id, target, time_out, &mut forming);
                     launched.extend(formed.filter(|call| !launched.contains(call)));
                 }
-                Asked::CallOff(id, no) => {
+                HostCommand::CallOff(id, no) => {
                     let Some(envelope) = self.known(forwarder, &id) else { continue };
                     let sent = self.envelopes[envelope.0].dispatches.get(no.0 as usize);
                     match sent.map(|s| s.call) {
                         None => {
                             let what = format!("called off dispatch {} that was never made", no.0);
-                            self.oracles.fault(Rule::Interface, self.now(), Some(envelope), what);
+                            self.invariants.fault(Rule::Interface, self.now(), Some(envelope), what);
                         }
                         Some(Some((call, part))) => self.stop_waiting(call, part, AttemptOutcome::Cancelled),
                         Some(None) => {}
                     }
                 }
-                Asked::Shed(id, come_back) => self.final_answer(forwarder, &id, Answer::Shed, come_back),
-                Asked::BreakOff(id) => self.final_answer(forwarder, &id, Answer::BrokenOff, None),
-                Asked::Wake(after) => {
+                HostCommand::Shed(id, come_back) => {
+                    self.final_answer(forwarder, &id, Answer::Shed, come_back)
+                }
+                HostCommand::BreakOff(id) => self.final_answer(forwarder, &id, Answer::BrokenOff, None),
+                HostCommand::Wake(after) => {
                     let at = self.now() + after;
-                    self.agenda.enter(at, Event::Alarm(forwarder, start));
+                    self.schedule.enter(at, Event::Alarm(forwarder, start));
                 }
-                Asked::Probe(target) => self.probe(forwarder, target),
-                Asked::Tell(to, text) => self.send_note(forwarder, to, text),
-                Asked::Fetch => {
+                HostCommand::Probe(target) => self.probe(forwarder, target),
+                HostCommand::Tell(to, text) => self.send_note(forwarder, to, text),
+                HostCommand::Fetch => {
                     let whole = self.listed.iter().enumerate().filter(|(_, s)| **s != EndpointState::Removed);
-                    let changes = whole.map(|(n, s)| (TargetNo(n), *s)).collect();
+                    let changes = whole.map(|(n, s)| (EndpointIndex(n), *s)).collect();
                     let at = self.now() + self.scenario.list.delay_s.span(&mut self.chances.list);
                     let notice = Notice::List { whole: true, changes };
-                    self.agenda.enter(at, Event::Notice(forwarder, start, notice));
+                    self.schedule.enter(at, Event::Notice(forwarder, start, notice));
                 }
             }
         }
@@ -522,30 +538,30 @@
         }
     }
 
-    /// An envelope that this start of the forwarder was given.
-    fn known(&mut self, forwarder: ForwarderNo, id: &MessageId) -> Option<EnvelopeNo> {
+    /// A message that this start of the forwarder was given.
+    fn known(&mut self, forwarder: ForwarderIndex, id: &MessageId) -> Option<MessageIndex> {
         let start = self.stations[forwarder.0].start;
-        let given = |e: &EnvelopeNo| {
+        let given = |e: &MessageIndex| {
             self.envelopes.get(e.0).is_some_and(|e| e.forwarder == forwarder && e.start == start)
         };
         let envelope = envelope_no(id).filter(given);
         if envelope.is_none() {
             let what = format!("forwarder {} names {:?}, which it was not given", forwarder.0, id.0);
-            self.oracles.fault(Rule::Interface, self.now(), None, what);
+            self.invariants.fault(Rule::Interface, self.now(), None, what);
         }
         envelope
     }
 
     fn final_answer(
         &mut self,
-        forwarder: ForwarderNo,
+        forwarder: ForwarderIndex,
         id: &MessageId,
         answer: Answer,
         come_back: Option<Duration>,
     ) {
         let Some(envelope) = self.known(forwarder, id) else { return };
         let now = self.now();
-        self.oracles.answered(now, envelope, answer);
+        self.invariants.answered(now, envelope, answer);
         if self.envelopes[envelope.0].over {
             return;
         }
@@ -562,15 +578,15 @@
         }
     }
 
-    fn send_note(&mut self, from: ForwarderNo, to: Option<PeerId>, text: Vec<u8>) {
+    fn send_note(&mut self, from: ForwarderIndex, to: Option<PeerId>, text: Vec<u8>) {
         let notes = &self.scenario.notes;
-        let cut: Vec<Vec<ForwarderNo>> = (self.met.keys())
+        let cut: Vec<Vec<ForwarderIndex>> = (self.met.keys())
             .filter_map(|n| match &self.scenario.troubles[*n].what {
-                Trouble::CutOff { which } => Some(self.layout.which(which)),
+                Fault::CutOff { which } => Some(self.layout.which(which)),
                 _ => None,
             })
             .collect();
-        for n in (0..self.stations.len()).map(ForwarderNo).filter(|n| *n != from) {
+        for n in (0..self.stations.len()).map(ForwarderIndex).filter(|n| *n != from) {
             if !notes.allowed || to.is_some_and(|to| to.0 as usize != n.0) {
                 continue;
             }
@@ -584,7 +600,7 @@
             let start = self.stations[n.0].start;
             let notice = Notice::Note { from, text: text.clone() };
             let at = self.now() + delay;
-            self.agenda.enter(at, Event::Notice(n, start, notice));
+            self.schedule.enter(at, Event::Notice(n, start, notice));
         }
     }
 
@@ -592,17 +608,17 @@
 
     fn dispatch(
         &mut self,
-        forwarder: ForwarderNo,
+        forwarder: ForwarderIndex,
         id: &MessageId,
         target: EndpointId,
         time_out: Duration,
-        forming: &mut BTreeMap<TargetNo, RequestId>,
+        forming: &mut BTreeMap<EndpointIndex, RequestId>,
     ) -> Option<RequestId> {
         let now = self.now();
         let envelope = self.known(forwarder, id)?;
         let Some(target) = target_no(target).filter(|t| t.0 < self.partners.len()) else {
             let what = format!("sent to target {}, which no list has named", target.0);
-            self.oracles.fault(Rule::Interface, now, Some(envelope), what);
+            self.invariants.fault(Rule::Interface, now, Some(envelope), what);
             return None;
         };
         let e = &self.envelopes[envelope.0];
@@ -610,11 +626,11 @@
         let destination = self.partners[target.0].plan.destination;
         if destination != t.destination {
             let what = format!("sent to target {} of another destination", target.0);
-            self.oracles.fault(Rule::Interface, now, Some(envelope), what);
+            self.invariants.fault(Rule::Interface, now, Some(envelope), what);
             return None;
         }
         let places = [Place::Destination(destination.0), Place::Target(target)];
-        self.oracles.dispatched(now, envelope, target, places);
+        self.invariants.dispatched(now, envelope, target, places);
         self.account.dispatches.all += 1;
         self.account.second(now).dispatched += 1;
         let start = self.stations[forwarder.0].start;
@@ -637,7 +653,7 @@
             let over = self.envelopes[envelope.0].over;
             let notice = Notice::Ended { envelope, no, outcome: AttemptOutcome::NotSent, over, place };
             let at = now + fleet.tick.0;
-            self.agenda.enter(at, Event::Notice(forwarder, start, notice));
+            self.schedule.enter(at, Event::Notice(forwarder, start, notice));
             return None;
         }
         let call = joins.unwrap_or_else(|| {
@@ -662,7 +678,7 @@
         if self.partners[target.0].outages > 0 {
             self.down.dispatches += 1;
             self.down.first_lost += u64::from(no == 0);
-            self.down.first_lost_to_known += u64::from(no == 0 && self.oracles.outage_is_known(target));
+            self.down.first_lost_to_known += u64::from(no == 0 && self.invariants.outage_is_known(target));
         }
         let part = self.calls[call.0].parts.len();
         self.calls[call.0].parts.push((envelope, no));
@@ -671,7 +687,7 @@
         e.dispatches.push(Sent { target, at: now, call: Some((call, part)), outcome: None, told: false });
         // A longer one would outlive what is owed.
         let time_out = time_out.min(e.outer_limit.saturating_sub(now));
-        self.agenda.enter(now + time_out, Event::TimeOut(call, part));
+        self.schedule.enter(now + time_out, Event::TimeOut(call, part));
         Some(call)
     }
 
@@ -683,32 +699,32 @@
         let handshake = self.scenario.network.handshake_ms.millis(&mut self.chances.network);
         self.account.dispatches.calls += 1;
         let idle_from = now.saturating_sub(self.scenario.network.idle.0);
-        let silent = self.stands(target, |t| matches!(t, Trouble::Silent { .. }));
+        let silent = self.stands(target, |t| matches!(t, Fault::Silent { .. }));
         let refused = self.refuses_connections(target);
         let most = self.kind_of(self.partners[target.0].plan.destination).connections;
-        let partner = &mut self.partners[target.0];
-        partner.close_idle_before(idle_from);
-        let kept = partner.idle.get_mut(&forwarder).and_then(Vec::pop);
-        partner.on_the_way += 1;
-        self.calls[call.0].life = partner.life;
+        let simulated_endpoint = &mut self.partners[target.0];
+        simulated_endpoint.close_idle_before(idle_from);
+        let kept = simulated_endpoint.idle.get_mut(&forwarder).and_then(Vec::pop);
+        simulated_endpoint.on_the_way += 1;
+        self.calls[call.0].life = simulated_endpoint.life;
         if kept.is_some() {
             self.calls[call.0].connected = true;
-            self.agenda.enter(now + way, Event::Reach(call));
+            self.schedule.enter(now + way, Event::Reach(call));
             return;
         }
-        self.down.connections += u64::from(partner.outages > 0);
-        let full = most.is_some_and(|most| partner.connections >= most);
+        self.down.connections += u64::from(simulated_endpoint.outages > 0);
+        let full = most.is_some_and(|most| simulated_endpoint.connections >= most);
         if refused || full {
-            partner.on_the_way -= 1;
-            self.agenda.enter(now + 2 * way, Event::NotConnected(call));
+            simulated_endpoint.on_the_way -= 1;
+            self.schedule.enter(now + 2 * way, Event::NotConnected(call));
         } else if silent {
-            partner.on_the_way -= 1;
-            self.agenda.enter(now + self.scenario.network.connect_within.0, Event::NotConnected(call));
+            simulated_endpoint.on_the_way -= 1;
+            self.schedule.enter(now + self.scenario.network.connect_within.0, Event::NotConnected(call));
         } else {
-            partner.connections += 1;
+            simulated_endpoint.connections += 1;
             self.calls[call.0].connected = true;
             self.account.new_connections += 1;
-            self.agenda.enter(now + 3 * way + handshake, Event::Reach(call));
+            self.schedule.enter(now + 3 * way + handshake, Event::Reach(call));
         }
     }
 
@@ -722,7 +738,7 @@
         }
     }
 
-    /// The forwarder stops waiting for one envelope of a call, if it still does.
+    /// The forwarder stops waiting for one message of a call, if it still does.
     pub(super) fn stop_waiting(&mut self, call: RequestId, part: usize, outcome: AttemptOutcome) {
         if !self.calls[call.0].waiting[part] {
             return;
@@ -733,7 +749,7 @@
         }
     }
 
-    /// One dispatch has its outcome.
+    /// One attempt has its outcome.
     fn settle(&mut self, call: RequestId, part: usize, outcome: AttemptOutcome) {
         let now = self.now();
         self.calls[call.0].waiting[part] = false;
@@ -759,7 +775,7 @@
         if outcome == AttemptOutcome::Completed && !over {
             over = true;
             let first_try = self.envelopes[envelope.0].first_try;
-            self.oracles.answered(now, envelope, Answer::Completed);
+            self.invariants.answered(now, envelope, Answer::Completed);
             self.account.completed(self.scenario, now, first_try.0);
             self.close(envelope);
             self.try_over(first_try);
@@ -784,24 +800,24 @@
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
         );
-        let partner = &mut self.partners[c.target.0];
-        if !std::mem::take(&mut c.connected) || c.life != partner.life {
+        let simulated_endpoint = &mut self.partners[c.target.0];
+        if !std::mem::take(&mut c.connected) || c.life != simulated_endpoint.life {
             return;
         }
         if answered {
-            partner.idle.entry(c.forwarder).or_default().push(now);
+            simulated_endpoint.idle.entry(c.forwarder).or_default().push(now);
         } else {
-            partner.connections = partner.connections.saturating_sub(1);
+            simulated_endpoint.connections = simulated_endpoint.connections.saturating_sub(1);
         }
     }
 
-    fn probe(&mut self, forwarder: ForwarderNo, target: EndpointId) {
+    fn probe(&mut self, forwarder: ForwarderIndex, target: EndpointId) {
         let Some(target) = target_no(target).filter(|t| t.0 < self.partners.len()) else { return };
         self.account.probes += 1;
         let across = self.stations[forwarder.0].zone != self.partners[target.0].plan.zone;
         let way = one_way(self.scenario, across, &mut self.chances.network);
         let start = self.stations[forwarder.0].start;
         let at = self.now() + way;
-        self.agenda.enter(at, Event::ProbeReaches(forwarder, start, target));
+        self.schedule.enter(at, Event::ProbeReaches(forwarder, start, target));
     }
 }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -11,43 +11,43 @@
 use reeddock::{AttemptOutcome, EndpointState};
 
 use crate::account::{Account, WATCHED};
-use crate::agenda::Agenda;
-use crate::figure::Chance;
-use crate::layout::{chance, purpose, DestinationNo, ForwarderNo, Layout, TargetNo};
+use crate::distribution::Chance;
+use crate::invariants::{CategoryRules, InvariantChecker, MessageIndex, Place, SubmissionIndex};
+use crate::layout::{chance, purpose, DestinationIndex, EndpointIndex, FleetLayout, ForwarderIndex};
 use crate::observed::{Observed, SentToDown};
-use crate::oracles::{CategoryRules, EnvelopeNo, Oracles, Place, TryNo};
-use crate::partner::{DestinationState, Partner, RequestId};
-use crate::policy::Maker;
+use crate::policy::PolicyFactory;
 use crate::report::{rounded, Latency, Part, Report, Watched, WORST_SPAN};
 use crate::scenario::Scenario;
+use crate::schedule::EventSchedule;
+use crate::simulated_endpoint::{DestinationState, RequestId, SimulatedEndpoint};
 
 use clients::FirstTry;
-use forwarders::{Call, Envelope, Notice, Station};
+use forwarders::{Call, Envelope, Notice, SimulatedForwarder};
 
 /// What is to come. Forwarders are named with their start: what was meant for an earlier one is void.
 pub(crate) enum Event {
     Arrive {
         program: usize,
     },
-    Return(TryNo),
-    Withdraw(EnvelopeNo),
-    Overdue(EnvelopeNo),
-    Turn(ForwarderNo, u32),
-    Alarm(ForwarderNo, u32),
-    Notice(ForwarderNo, u32, Notice),
+    Return(SubmissionIndex),
+    Withdraw(MessageIndex),
+    Overdue(MessageIndex),
+    Turn(ForwarderIndex, u32),
+    Alarm(ForwarderIndex, u32),
+    Notice(ForwarderIndex, u32, Notice),
     /// A list change is due at a forwarder.
-    ListDue(ForwarderNo, Vec<(TargetNo, EndpointState)>),
+    ListDue(ForwarderIndex, Vec<(EndpointIndex, EndpointState)>),
     Reach(RequestId),
     NotConnected(RequestId),
-    /// A worker of that life of the target is done.
-    Done(TargetNo, u32, RequestId),
+    /// A worker of that life of the endpoint is done.
+    Done(EndpointIndex, u32, RequestId),
     Answer(RequestId, AttemptOutcome),
     TimeOut(RequestId, usize),
-    ProbeReaches(ForwarderNo, u32, TargetNo),
+    ProbeReaches(ForwarderIndex, u32, EndpointIndex),
     TroubleBegins(usize),
     TroubleEnds(usize),
     /// What fell over comes back.
-    Risen(TargetNo),
+    Risen(EndpointIndex),
     /// Once a second: what the watched destinations could serve.
     Sample,
 }
@@ -66,23 +66,23 @@
     scenario: &'a Scenario,
     seed: u64,
     name: &'a str,
-    maker: &'a Maker<'a>,
-    layout: Layout,
-    agenda: Agenda<Event>,
+    maker: &'a PolicyFactory<'a>,
+    layout: FleetLayout,
+    schedule: EventSchedule<Event>,
     chances: Chances,
     tries: Vec<FirstTry>,
     envelopes: Vec<Envelope>,
     calls: Vec<Call>,
-    stations: Vec<Station>,
-    partners: Vec<Partner>,
+    stations: Vec<SimulatedForwarder>,
+    partners: Vec<SimulatedEndpoint>,
     destinations: Vec<DestinationState>,
-    /// How the list has each target, whoever was told so yet.
+    /// How the list has each endpoint, whoever was told so yet.
     listed: Vec<EndpointState>,
-    /// Targets that each trouble that stands has met.
-    met: BTreeMap<usize, Vec<TargetNo>>,
+    /// Endpoints that each fault that stands has met.
+    met: BTreeMap<usize, Vec<EndpointIndex>>,
     /// List changes that wait for the end of a freeze.
-    frozen: Vec<(ForwarderNo, Vec<(TargetNo, EndpointState)>)>,
-    oracles: Oracles,
+    frozen: Vec<(ForwarderIndex, Vec<(EndpointIndex, EndpointState)>)>,
+    invariants: InvariantChecker,
     account: Account,
     down: SentToDown,
     /// First tries that may still bring an event: open, or on their way back.
@@ -107,15 +107,15 @@
 }
 
 impl<'a> World<'a> {
-    pub fn new(scenario: &'a Scenario, seed: u64, name: &'a str, maker: &'a Maker<'a>) -> World<'a> {
-        let layout = Layout::draw(scenario, seed);
+    pub fn new(scenario: &'a Scenario, seed: u64, name: &'a str, maker: &'a PolicyFactory<'a>) -> World<'a> {
+        let layout = FleetLayout::draw(scenario, seed);
         let fleet = &scenario.fleet;
         let rules = |c: &crate::scenario::Category| CategoryRules {
             effect: c.effect(),
             ordered: c.ordered_keys.is_some(),
         };
         let slack = fleet.answer_slack.0 + fleet.tick.0;
-        let oracles = Oracles::new(
+        let invariants = InvariantChecker::new(
             scenario.categories.iter().map(rules).collect(),
             layout.forwarders.len(),
             fleet.drain_grace.0,
@@ -128,7 +128,7 @@
             seed,
             name,
             maker,
-            agenda: Agenda::default(),
+            schedule: EventSchedule::default(),
             chances: Chances {
                 arrivals: stream(purpose::ARRIVALS),
                 service: stream(purpose::SERVICE),
@@ -140,8 +140,8 @@
             tries: Vec::new(),
             envelopes: Vec::new(),
             calls: Vec::new(),
-            stations: layout.forwarders.iter().map(|(zone, _)| Station::new(*zone)).collect(),
-            partners: layout.targets.iter().cloned().map(Partner::new).collect(),
+            stations: layout.forwarders.iter().map(|(zone, _)| SimulatedForwarder::new(*zone)).collect(),
+            partners: layout.targets.iter().cloned().map(SimulatedEndpoint::new).collect(),
             destinations: layout
                 .destinations
                 .iter()
@@ -150,7 +150,7 @@
             listed: vec![EndpointState::Active; layout.targets.len()],
             met: BTreeMap::new(),
             frozen: Vec::new(),
-            oracles,
+            invariants,
             account: Account::new(scenario, layout.destinations.len()),
             down: SentToDown::default(),
             open: 0,
@@ -163,10 +163,10 @@
     }
 
     fn now(&self) -> Duration {
-        self.agenda.now()
+        self.schedule.now()
     }
 
-    fn place_of(&self, target: TargetNo) -> Place {
+    fn place_of(&self, target: EndpointIndex) -> Place {
         let destination = self.partners[target.0].plan.destination;
         if self.scenario.kinds[self.layout.destinations[destination.0].kind].apart {
             Place::Target(target)
@@ -175,7 +175,7 @@
         }
     }
 
-    fn kind_of(&self, destination: DestinationNo) -> &'a crate::scenario::Kind {
+    fn kind_of(&self, destination: DestinationIndex) -> &'a crate::scenario::Kind {
         &self.scenario.kinds[self.layout.destinations[destination.0].kind]
     }
 
@@ -185,7 +185,7 @@
         self.report()
     }
 
-    /// The same, and gives what only the emulator can see.
+    /// The same, and gives what only the simulation can see.
     pub fn play_observed(mut self) -> (Report, Observed) {
         self.play_on();
         let observed = self.observed();
@@ -195,11 +195,13 @@
     fn observed(&self) -> Observed {
         let mut ramps = Vec::new();
         let mut down = self.down;
-        for (n, partner) in self.partners.iter().enumerate() {
-            let destination = partner.plan.destination;
+        for (n, simulated_endpoint) in self.partners.iter().enumerate() {
+            let destination = simulated_endpoint.plan.destination;
             let usual = self.layout.destinations[destination.0].usual;
-            ramps.extend(partner.returns.iter().map(|r| r.ramp(TargetNo(n), destination, usual)));
-            let since = partner.down_since.unwrap_or(self.scenario.lasts.0);
+            ramps.extend(
+                simulated_endpoint.returns.iter().map(|r| r.ramp(EndpointIndex(n), destination, usual)),
+            );
+            let since = simulated_endpoint.down_since.unwrap_or(self.scenario.lasts.0);
             down.target_seconds += self.scenario.lasts.0.saturating_sub(since).as_secs_f64();
         }
         let met = self.account.met_down();
@@ -210,18 +212,18 @@
 
     fn play_on(&mut self) {
         for n in 0..self.stations.len() {
-            self.start(ForwarderNo(n));
+            self.start(ForwarderIndex(n));
         }
         for program in 0..self.scenario.programs.len() {
             let first = self.next_arrival(program);
-            self.agenda.enter(first, Event::Arrive { program });
+            self.schedule.enter(first, Event::Arrive { program });
         }
         for (n, trouble) in self.scenario.troubles.iter().enumerate() {
-            self.agenda.enter(trouble.at.0, Event::TroubleBegins(n));
-            self.agenda.enter(trouble.ends(), Event::TroubleEnds(n));
+            self.schedule.enter(trouble.at.0, Event::TroubleBegins(n));
+            self.schedule.enter(trouble.ends(), Event::TroubleEnds(n));
         }
-        self.agenda.enter(Duration::ZERO, Event::Sample);
-        while let Some((at, event)) = self.agenda.pop() {
+        self.schedule.enter(Duration::ZERO, Event::Sample);
+        while let Some((at, event)) = self.schedule.pop() {
             let over = self.arrivals_over == self.scenario.programs.len() && self.open == 0;
             if over && at >= self.scenario.lasts.0 {
                 break;
@@ -255,19 +257,19 @@
 
     fn sample(&mut self) {
         let now = self.now();
-        for n in (0..self.layout.destinations.len()).take(WATCHED).map(DestinationNo) {
+        for n in (0..self.layout.destinations.len()).take(WATCHED).map(DestinationIndex) {
             let capacity = self.capacity_now(n);
             if let Some(load) = self.account.load(n, now) {
                 load.capacity = capacity;
             }
         }
         if now + SECOND < self.scenario.lasts.0 {
-            self.agenda.enter(now + SECOND, Event::Sample);
+            self.schedule.enter(now + SECOND, Event::Sample);
         }
     }
 
     fn report(self) -> Report {
-        let (rules_broken, broken) = self.oracles.verdict();
+        let (rules_broken, broken) = self.invariants.verdict();
         let account = &self.account;
         let part = |name: String, credit: crate::account::Credit| Part {
             name,
@@ -332,8 +334,8 @@
             watched: watched.collect(),
             latency_steps: account.latency_steps(),
             unfinished: self.open,
-            ran_s: rounded(self.agenda.now().as_secs_f64()),
-            events: self.agenda.entered(),
+            ran_s: rounded(self.schedule.now().as_secs_f64()),
+            events: self.schedule.entered(),
             turns: self.turns,
             categories,
         }
