--- a/crates/simulation/src/world/targets.rs
+++ b/crates/simulation/src/world/targets.rs
@@ -1,4 +1,4 @@
-//! What happens to a call at its target.
+//! What happens to a call at its endpoint.
 
 use std::time::Duration;
 
@@ -6,73 +6,83 @@
 
 use super::forwarders::Notice;
 use super::{Event, World};
-use crate::figure::to_span;
-use crate::layout::{one_way, DestinationNo, ForwarderNo, TargetNo};
+use crate::distribution::to_span;
+use crate::fault::Fault;
+use crate::layout::{one_way, DestinationIndex, EndpointIndex, ForwarderIndex};
 use crate::observed::{Ramp, Return};
-use crate::partner::{falls_over, Fall, RequestId};
 use crate::report::rounded;
-use crate::trouble::Trouble;
+use crate::simulated_endpoint::{falls_over, Fall, RequestId};
 
-/// Work and push of one more envelope within a call, against the call itself.
+/// Work and push of one more message within a call, against the call itself.
 const PER_EXTRA: f64 = 0.25;
 
 impl World<'_> {
-    /// Whether a trouble of some kind stands at a target.
-    pub(super) fn stands(&self, target: TargetNo, kind: impl Fn(&Trouble) -> bool) -> bool {
+    /// Whether a fault of some kind stands at an endpoint.
+    pub(super) fn stands(&self, target: EndpointIndex, kind: impl Fn(&Fault) -> bool) -> bool {
         let here = &self.partners[target.0].troubles;
         here.iter().any(|n| kind(&self.scenario.troubles[*n].what))
     }
 
-    pub(super) fn refuses_connections(&self, target: TargetNo) -> bool {
-        let partner = &self.partners[target.0];
-        partner.gone
-            || partner.fallen(self.now())
-            || self.stands(target, |t| matches!(t, Trouble::Refused { .. }))
+    pub(super) fn refuses_connections(&self, target: EndpointIndex) -> bool {
+        let simulated_endpoint = &self.partners[target.0];
+        simulated_endpoint.gone
+            || simulated_endpoint.fallen(self.now())
+            || self.stands(target, |t| matches!(t, Fault::Refused { .. }))
     }
 
-    /// Times as long as usual that work takes at a target now.
-    pub(super) fn slowness(&self, target: TargetNo) -> f64 {
-        let partner = &self.partners[target.0];
-        let slow = partner.troubles.iter().map(|n| match &self.scenario.troubles[*n].what {
-            Trouble::Slow { times, .. } => times.get(),
+    /// Times as long as usual that work takes at an endpoint now.
+    pub(super) fn slowness(&self, target: EndpointIndex) -> f64 {
+        let simulated_endpoint = &self.partners[target.0];
+        let slow = simulated_endpoint.troubles.iter().map(|n| match &self.scenario.troubles[*n].what {
+            Fault::Slow { times, .. } => times.get(),
             _ => 1.0,
         });
-        let pace = self.layout.destinations[partner.plan.destination.0].pace;
-        pace * slow.product::<f64>() / partner.warmth(self.now(), &self.scenario.returning)
+        let pace = self.layout.destinations[simulated_endpoint.plan.destination.0].pace;
+        pace * slow.product::<f64>() / simulated_endpoint.warmth(self.now(), &self.scenario.returning)
     }
 
     /// For the ceiling: whether a call sent now would be taken, with so many more before it.
-    pub(super) fn would_take(&self, target: TargetNo, category: usize, by: ForwarderNo, before: u32) -> bool {
+    pub(super) fn would_take(
+        &self,
+        target: EndpointIndex,
+        category: usize,
+        by: ForwarderIndex,
+        before: u32,
+    ) -> bool {
         let now = self.now();
-        let partner = &self.partners[target.0];
+        let simulated_endpoint = &self.partners[target.0];
         let name = &self.scenario.categories[category].name;
         let troubled = self.stands(target, |t| match t {
-            Trouble::CategoryFails { category, .. } => category == name,
+            Fault::CategoryFails { category, .. } => category == name,
             t => t.is_outage(),
         });
         if troubled || self.refuses_connections(target) {
             return false;
         }
-        let destination = partner.plan.destination;
+        let destination = simulated_endpoint.plan.destination;
         let most = self.kind_of(destination).connections;
-        if most.is_some_and(|most| partner.connections >= most) && !partner.idle.contains_key(&by) {
+        if most.is_some_and(|most| simulated_endpoint.connections >= most)
+            && !simulated_endpoint.idle.contains_key(&by)
+        {
             return false;
         }
         let returning = &self.scenario.returning;
         let call = 1.0 + PER_EXTRA * f64::from(self.kind_of(destination).batch - 1);
-        let pushes = call * f64::from(partner.on_the_way + before + 1);
-        if partner.push_room(now, returning) < pushes {
+        let pushes = call * f64::from(simulated_endpoint.on_the_way + before + 1);
+        if simulated_endpoint.push_room(now, returning) < pushes {
             return false;
         }
-        let ahead = |t: &TargetNo| self.partners[t.0].on_the_way;
+        let ahead = |t: &EndpointIndex| self.partners[t.0].on_the_way;
         let on_the_way: u32 = self.destinations[destination.0].targets.iter().map(ahead).sum();
         let shared = self.destinations[destination.0].gate.clone().room(now);
-        let own = partner.gate.clone().room(now);
-        let load = partner.busy + partner.queue.len() + (partner.on_the_way + before) as usize;
-        let bears = partner.plan.workers as f64 * partner.warmth(now, returning);
+        let own = simulated_endpoint.gate.clone().room(now);
+        let load = simulated_endpoint.busy
+            + simulated_endpoint.queue.len()
+            + (simulated_endpoint.on_the_way + before) as usize;
+        let bears = simulated_endpoint.plan.workers as f64 * simulated_endpoint.warmth(now, returning);
         shared - f64::from(on_the_way + before) >= 1.0
-            && own - f64::from(partner.on_the_way + before) >= 1.0
-            && (load as f64) < bears.max(1.0) + 0.5 * partner.plan.queue as f64
+            && own - f64::from(simulated_endpoint.on_the_way + before) >= 1.0
+            && (load as f64) < bears.max(1.0) + 0.5 * simulated_endpoint.plan.queue as f64
     }
 
     fn way_back(&mut self, call: RequestId) -> Duration {
@@ -81,20 +91,20 @@
         one_way(self.scenario, across, &mut self.chances.network)
     }
 
-    /// An answer leaves the target now.
+    /// An answer leaves the endpoint now.
     fn reply(&mut self, call: RequestId, outcome: AttemptOutcome) {
-        if self.stands(self.calls[call.0].target, |t| matches!(t, Trouble::Silent { .. })) {
+        if self.stands(self.calls[call.0].target, |t| matches!(t, Fault::Silent { .. })) {
             return;
         }
         let at = self.now() + self.way_back(call);
-        self.agenda.enter(at, Event::Answer(call, outcome));
+        self.schedule.enter(at, Event::Answer(call, outcome));
     }
 
     /// Turned away, perhaps with the wait until there is room.
     fn refuse(&mut self, call: RequestId, wait: Duration) {
         let destination = self.partners[self.calls[call.0].target.0].plan.destination;
         let told = self.kind_of(destination).told_waits.strikes(&mut self.chances.service);
-        if let Some(load) = self.account.load(destination, self.agenda.now()) {
+        if let Some(load) = self.account.load(destination, self.schedule.now()) {
             load.refused += 1;
         }
         // An honest wait, from when the forwarder hears of it.
@@ -102,32 +112,32 @@
         self.reply(call, AttemptOutcome::Rejected { retry_after: wait });
     }
 
-    /// A target has been sent this much; where it is cold that may tip it over.
-    fn push(&mut self, target: TargetNo, work: f64, by: ForwarderNo) {
+    /// An endpoint has been sent this much; where it is cold that may tip it over.
+    fn push(&mut self, target: EndpointIndex, work: f64, by: ForwarderIndex) {
         let now = self.now();
         let returning = &self.scenario.returning;
         let fall = self.partners[target.0].push(now, work, by, returning);
         self.observe_push(target, fall.as_ref());
         let Some(fall) = fall else { return };
         self.account.falls += 1;
-        self.oracles.fell(now, target, &fall.pushed, fall.budget);
+        self.invariants.fell(now, target, &fall.pushed, fall.budget);
         let until = now + returning.stays_down.0;
         self.partners[target.0].fallen_until = Some(until);
-        self.agenda.enter(until, Event::Risen(target));
+        self.schedule.enter(until, Event::Risen(target));
         self.outage_begins(target);
         self.break_connections(target);
     }
 
-    /// Keeps the worst window of a target that warms up.
-    fn observe_push(&mut self, target: TargetNo, fall: Option<&Fall>) {
+    /// Keeps the worst window of an endpoint that warms up.
+    fn observe_push(&mut self, target: EndpointIndex, fall: Option<&Fall>) {
         let now = self.now();
-        let partner = &self.partners[target.0];
-        let Some(last) = partner.returns.last() else { return };
-        let knows = |by: &ForwarderNo| self.oracles.knows_of_outage(*by, target);
-        let known = |pushed: &mut dyn Iterator<Item = &(Duration, f64, ForwarderNo)>| {
+        let simulated_endpoint = &self.partners[target.0];
+        let Some(last) = simulated_endpoint.returns.last() else { return };
+        let knows = |by: &ForwarderIndex| self.invariants.knows_of_outage(*by, target);
+        let known = |pushed: &mut dyn Iterator<Item = &(Duration, f64, ForwarderIndex)>| {
             pushed.filter(|p| knows(&p.2)).map(|p| p.1).sum::<f64>()
         };
-        let Some(window) = partner.window(now, &self.scenario.returning) else { return };
+        let Some(window) = simulated_endpoint.window(now, &self.scenario.returning) else { return };
         let (sum, known) = match fall {
             Some(fall) => (fall.pushed.iter().map(|p| p.1).sum(), known(&mut fall.pushed.iter())),
             None => (window.sum, known(&mut window.pushed.iter())),
@@ -136,7 +146,7 @@
         if !last.is_worse(sum, budget) {
             return;
         }
-        let destination = partner.plan.destination;
+        let destination = simulated_endpoint.plan.destination;
         let nothing = last.ramp(target, destination, self.layout.destinations[destination.0].usual);
         let ramp = Ramp {
             after_s: rounded(now.saturating_sub(last.at).as_secs_f64()),
@@ -153,55 +163,55 @@
     }
 
     /// Whether nothing of a destination is up now.
-    pub(super) fn is_down(&self, destination: DestinationNo) -> bool {
+    pub(super) fn is_down(&self, destination: DestinationIndex) -> bool {
         let targets = &self.destinations[destination.0].targets;
         targets.iter().all(|t| self.partners[t.0].outages > 0 || self.partners[t.0].gone)
     }
 
-    pub(super) fn risen(&mut self, target: TargetNo) {
+    pub(super) fn risen(&mut self, target: EndpointIndex) {
         self.partners[target.0].fallen_until = None;
         self.outage_ends(target, true);
     }
 
-    pub(super) fn outage_begins(&mut self, target: TargetNo) {
+    pub(super) fn outage_begins(&mut self, target: EndpointIndex) {
         let now = self.now();
-        let partner = &mut self.partners[target.0];
-        partner.outages += 1;
-        if partner.outages == 1 {
-            partner.down_since = Some(now);
-            self.oracles.outage_begins(target);
+        let simulated_endpoint = &mut self.partners[target.0];
+        simulated_endpoint.outages += 1;
+        if simulated_endpoint.outages == 1 {
+            simulated_endpoint.down_since = Some(now);
+            self.invariants.outage_begins(target);
         }
     }
 
-    pub(super) fn outage_ends(&mut self, target: TargetNo, was_a_fall: bool) {
+    pub(super) fn outage_ends(&mut self, target: EndpointIndex, was_a_fall: bool) {
         let now = self.now();
-        let partner = &mut self.partners[target.0];
-        partner.outages = partner.outages.saturating_sub(1);
-        if partner.outages == 0 {
-            partner.returned = Some(now);
-            partner.returns.push(Return::new(now, was_a_fall));
-            let since = partner.down_since.take().unwrap_or(now);
+        let simulated_endpoint = &mut self.partners[target.0];
+        simulated_endpoint.outages = simulated_endpoint.outages.saturating_sub(1);
+        if simulated_endpoint.outages == 0 {
+            simulated_endpoint.returned = Some(now);
+            simulated_endpoint.returns.push(Return::new(now, was_a_fall));
+            let since = simulated_endpoint.down_since.take().unwrap_or(now);
             self.down.target_seconds += now.saturating_sub(since).as_secs_f64();
         }
     }
 
-    /// All that is at a target or tied to it by a connection is lost.
-    pub(super) fn break_connections(&mut self, target: TargetNo) {
+    /// All that is at an endpoint or tied to it by a connection is lost.
+    pub(super) fn break_connections(&mut self, target: EndpointIndex) {
         for call in self.partners[target.0].break_all() {
             let at = self.now() + self.way_back(call);
-            self.agenda.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
+            self.schedule.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
         }
     }
 
-    pub(super) fn probe_reaches(&mut self, forwarder: ForwarderNo, start: u32, target: TargetNo) {
+    pub(super) fn probe_reaches(&mut self, forwarder: ForwarderIndex, start: u32, target: EndpointIndex) {
         self.push(target, 1.0, forwarder);
-        let silent = self.stands(target, |t| matches!(t, Trouble::Silent { .. } | Trouble::Hang { .. }));
+        let silent = self.stands(target, |t| matches!(t, Fault::Silent { .. } | Fault::Hang { .. }));
         let well = !silent && self.partners[target.0].outages == 0 && !self.refuses_connections(target);
         let limit = self.scenario.network.connect_within.0;
         let after =
             if silent { limit } else { self.scenario.network.one_way_ms.millis(&mut self.chances.network) };
         let at = self.now() + after;
-        self.agenda.enter(at, Event::Notice(forwarder, start, Notice::Probed { target, well }));
+        self.schedule.enter(at, Event::Notice(forwarder, start, Notice::Probed { target, well }));
     }
 
     pub(super) fn reach(&mut self, call: RequestId) {
@@ -212,10 +222,10 @@
         if self.refuses_connections(target) || self.calls[call.0].life != self.partners[target.0].life {
             // The connection broke while it was on its way.
             let at = now + self.way_back(call);
-            self.agenda.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
+            self.schedule.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
             return;
         }
-        if self.stands(target, |t| matches!(t, Trouble::Silent { .. })) {
+        if self.stands(target, |t| matches!(t, Fault::Silent { .. })) {
             return;
         }
         let extra = PER_EXTRA * (self.calls[call.0].parts.len() - 1) as f64;
@@ -226,7 +236,7 @@
         if self.refuses_connections(target) {
             // This call was the one too many, and its connection is gone with the others.
             let at = now + self.way_back(call);
-            self.agenda.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
+            self.schedule.enter(at, Event::Answer(call, AttemptOutcome::ConnectionReset));
             return;
         }
         let opens = self.shut_until(target);
@@ -242,24 +252,26 @@
         if let Err(wait) = passed {
             return self.refuse(call, wait);
         }
-        if self.stands(target, |t| matches!(t, Trouble::Hang { .. })) {
-            let partner = &mut self.partners[target.0];
-            if partner.stuck.len() < partner.plan.queue + partner.plan.workers {
-                partner.stuck.push(call);
+        if self.stands(target, |t| matches!(t, Fault::Hang { .. })) {
+            let simulated_endpoint = &mut self.partners[target.0];
+            if simulated_endpoint.stuck.len()
+                < simulated_endpoint.plan.queue + simulated_endpoint.plan.workers
+            {
+                simulated_endpoint.stuck.push(call);
             }
             return;
         }
         self.enqueue(call, target);
     }
 
-    /// Calls a second that a destination's targets can serve now.
-    pub(super) fn capacity_now(&self, destination: DestinationNo) -> f64 {
-        let one = |t: &TargetNo| {
-            let partner = &self.partners[t.0];
-            let up = partner.outages == 0 && !partner.gone;
+    /// Calls a second that a destination's endpoints can serve now.
+    pub(super) fn capacity_now(&self, destination: DestinationIndex) -> f64 {
+        let one = |t: &EndpointIndex| {
+            let simulated_endpoint = &self.partners[t.0];
+            let up = simulated_endpoint.outages == 0 && !simulated_endpoint.gone;
             let pace = self.layout.destinations[destination.0].pace;
             if up {
-                partner.plan.capacity * pace / self.slowness(*t)
+                simulated_endpoint.plan.capacity * pace / self.slowness(*t)
             } else {
                 0.0
             }
@@ -267,12 +279,12 @@
         crate::report::rounded(self.destinations[destination.0].targets.iter().map(one).sum())
     }
 
-    fn shut_until(&self, target: TargetNo) -> Option<Duration> {
+    fn shut_until(&self, target: EndpointIndex) -> Option<Duration> {
         let here = self.partners[target.0].troubles.iter().map(|n| &self.scenario.troubles[*n]);
-        here.filter(|t| matches!(t.what, Trouble::Shut { .. })).map(|t| t.ends()).max()
+        here.filter(|t| matches!(t.what, Fault::Shut { .. })).map(|t| t.ends()).max()
     }
 
-    fn fails_at_once(&mut self, call: RequestId, target: TargetNo) -> bool {
+    fn fails_at_once(&mut self, call: RequestId, target: EndpointIndex) -> bool {
         let categories: Vec<usize> = self.calls[call.0]
             .parts
             .iter()
@@ -281,8 +293,8 @@
         let mut fails = false;
         for n in self.partners[target.0].troubles.clone() {
             match &self.scenario.troubles[n].what {
-                Trouble::FastErrors { share, .. } => fails |= share.strikes(&mut self.chances.service),
-                Trouble::CategoryFails { category, .. } => {
+                Fault::FastErrors { share, .. } => fails |= share.strikes(&mut self.chances.service),
+                Fault::CategoryFails { category, .. } => {
                     fails |= categories.iter().any(|c| self.scenario.categories[*c].name == *category);
                 }
                 _ => {}
@@ -291,19 +303,19 @@
         fails
     }
 
-    fn enqueue(&mut self, call: RequestId, target: TargetNo) {
-        let partner = &mut self.partners[target.0];
-        if partner.busy < partner.plan.workers {
+    fn enqueue(&mut self, call: RequestId, target: EndpointIndex) {
+        let simulated_endpoint = &mut self.partners[target.0];
+        if simulated_endpoint.busy < simulated_endpoint.plan.workers {
             self.begin_work(call, target);
-        } else if partner.queue.len() < partner.plan.queue {
-            partner.queue.push_back(call);
+        } else if simulated_endpoint.queue.len() < simulated_endpoint.plan.queue {
+            simulated_endpoint.queue.push_back(call);
         } else {
-            let room_in = to_span(1.0 / partner.plan.capacity.max(1e-6));
+            let room_in = to_span(1.0 / simulated_endpoint.plan.capacity.max(1e-6));
             self.refuse(call, room_in);
         }
     }
 
-    fn begin_work(&mut self, call: RequestId, target: TargetNo) {
+    fn begin_work(&mut self, call: RequestId, target: EndpointIndex) {
         let now = self.now();
         let each =
             self.calls[call.0].parts.iter().map(|(e, _)| self.tries[self.envelopes[e.0].first_try.0].work);
@@ -312,7 +324,7 @@
         let mut work = longest + PER_EXTRA * (works.iter().sum::<f64>() - longest);
         work *= self.slowness(target);
         for n in self.partners[target.0].troubles.clone() {
-            if let Trouble::HeavyTail { share, times, .. } = &self.scenario.troubles[n].what {
+            if let Fault::HeavyTail { share, times, .. } = &self.scenario.troubles[n].what {
                 let long = share.strikes(&mut self.chances.service);
                 let drawn = times.draw(&mut self.chances.service);
                 if long {
@@ -320,22 +332,22 @@
                 }
             }
         }
-        let partner = &mut self.partners[target.0];
-        partner.busy += 1;
-        partner.serving.push(call);
-        let life = partner.life;
+        let simulated_endpoint = &mut self.partners[target.0];
+        simulated_endpoint.busy += 1;
+        simulated_endpoint.serving.push(call);
+        let life = simulated_endpoint.life;
         self.calls[call.0].work = work;
         self.calls[call.0].served_from = Some(now);
         let done = self.after_pauses(target, now, to_span(work));
-        self.agenda.enter(done, Event::Done(target, life, call));
+        self.schedule.enter(done, Event::Done(target, life, call));
     }
 
-    /// When work that is begun now is done, where a target stands still now and then.
-    fn after_pauses(&self, target: TargetNo, now: Duration, work: Duration) -> Duration {
+    /// When work that is begun now is done, where an endpoint stands still now and then.
+    fn after_pauses(&self, target: EndpointIndex, now: Duration, work: Duration) -> Duration {
         let mut done = now + work;
         for n in &self.partners[target.0].troubles {
             let scheduled = &self.scenario.troubles[*n];
-            let Trouble::Pauses { each_s, every_s, .. } = scheduled.what else { continue };
+            let Fault::Pauses { each_s, every_s, .. } = scheduled.what else { continue };
             let mut begins = scheduled.at.0;
             while begins < done && begins < scheduled.ends() {
                 let ends = begins + each_s.0;
@@ -348,20 +360,20 @@
         done
     }
 
-    pub(super) fn done(&mut self, target: TargetNo, life: u32, call: RequestId) {
+    pub(super) fn done(&mut self, target: EndpointIndex, life: u32, call: RequestId) {
         if self.partners[target.0].life != life {
             return;
         }
         let now = self.now();
         let destination = self.partners[target.0].plan.destination;
-        let partner = &mut self.partners[target.0];
-        partner.busy = partner.busy.saturating_sub(1);
-        partner.serving.retain(|c| *c != call);
+        let simulated_endpoint = &mut self.partners[target.0];
+        simulated_endpoint.busy = simulated_endpoint.busy.saturating_sub(1);
+        simulated_endpoint.serving.retain(|c| *c != call);
         self.apply(call);
         if let Some(load) = self.account.load(destination, now) {
             load.served += 1;
         }
-        if self.stands(target, |t| matches!(t, Trouble::Hang { .. })) {
+        if self.stands(target, |t| matches!(t, Fault::Hang { .. })) {
             self.partners[target.0].stuck_answers.push(call);
         } else {
             self.send_result(call);
@@ -374,14 +386,14 @@
         let target = self.calls[call.0].target;
         let mut lost = false;
         for n in self.partners[target.0].troubles.clone() {
-            if let Trouble::AnswersLost { share, .. } = &self.scenario.troubles[n].what {
+            if let Fault::AnswersLost { share, .. } = &self.scenario.troubles[n].what {
                 lost |= share.strikes(&mut self.chances.service);
             }
         }
         self.reply(call, if lost { AttemptOutcome::ConnectionReset } else { AttemptOutcome::Completed });
     }
 
-    pub(super) fn take_next(&mut self, target: TargetNo) {
+    pub(super) fn take_next(&mut self, target: EndpointIndex) {
         while self.partners[target.0].busy < self.partners[target.0].plan.workers {
             let Some(next) = self.partners[target.0].queue.pop_front() else { return };
             if !self.calls[next.0].void {
@@ -390,7 +402,7 @@
         }
     }
 
-    /// The effects of a call's envelopes.
+    /// The effects of a call's messages.
     fn apply(&mut self, call: RequestId) {
         let now = self.now();
         let parts = self.calls[call.0].parts.clone();
@@ -407,7 +419,7 @@
             if t.applied > 1 && self.scenario.categories[t.category].effect() != Idempotency::NonIdempotent {
                 self.account.repeats_applied += 1;
             }
-            self.oracles.applied(now, envelope);
+            self.invariants.applied(now, envelope);
         }
     }
 
@@ -421,14 +433,14 @@
             c.void = true;
         }
         if std::mem::take(&mut c.connected) && c.life == self.partners[target.0].life {
-            let partner = &mut self.partners[target.0];
-            partner.connections = partner.connections.saturating_sub(1);
+            let simulated_endpoint = &mut self.partners[target.0];
+            simulated_endpoint.connections = simulated_endpoint.connections.saturating_sub(1);
         }
     }
 
     /// What a hang held back goes on: answers first, then the calls that it took.
-    pub(super) fn unstick(&mut self, target: TargetNo) {
-        if self.stands(target, |t| matches!(t, Trouble::Hang { .. })) {
+    pub(super) fn unstick(&mut self, target: EndpointIndex) {
+        if self.stands(target, |t| matches!(t, Fault::Hang { .. })) {
             return;
         }
         for call in std::mem::take(&mut self.partners[target.0].stuck_answers) {
--- a/crates/simulation/src/world/troubles.rs
+++ b/crates/simulation/src/world/troubles.rs
@@ -3,14 +3,14 @@
 use reeddock::EndpointState;
 
 use super::World;
-use crate::layout::{chance, purpose, TargetNo};
-use crate::partner::Partner;
-use crate::trouble::Trouble;
+use crate::fault::Fault;
+use crate::layout::{chance, purpose, EndpointIndex};
+use crate::simulated_endpoint::SimulatedEndpoint;
 
 impl World<'_> {
     pub(super) fn trouble_begins(&mut self, n: usize) {
         let trouble = &self.scenario.troubles[n].what;
-        // A stream of its own: one trouble more or less leaves the others where they were.
+        // A stream of its own: one fault more or less leaves the others where they were.
         let mut chance = chance(self.seed, purpose::TROUBLES + n as u64);
         let met = trouble.whom().map(|w| self.layout.meets(w, &mut chance)).unwrap_or_default();
         for target in &met {
@@ -20,13 +20,13 @@
             }
         }
         match trouble {
-            Trouble::Refused { .. } => met.iter().for_each(|t| self.break_connections(*t)),
-            Trouble::Replaced { .. } => self.replace(&met),
-            Trouble::Leaves { .. } => {
+            Fault::Refused { .. } => met.iter().for_each(|t| self.break_connections(*t)),
+            Fault::Replaced { .. } => self.replace(&met),
+            Fault::Leaves { .. } => {
                 let changes: Vec<_> = met.iter().map(|t| (*t, EndpointState::Draining)).collect();
                 self.list_changed(&changes);
             }
-            Trouble::Killed { which } => {
+            Fault::Killed { which } => {
                 for forwarder in self.layout.which(which) {
                     self.kill(forwarder);
                 }
@@ -46,8 +46,8 @@
             }
         }
         match trouble {
-            Trouble::Hang { .. } => met.iter().for_each(|t| self.unstick(*t)),
-            Trouble::Leaves { .. } => {
+            Fault::Hang { .. } => met.iter().for_each(|t| self.unstick(*t)),
+            Fault::Leaves { .. } => {
                 for target in &met {
                     self.partners[target.0].gone = true;
                     self.break_connections(*target);
@@ -55,12 +55,12 @@
                 let changes: Vec<_> = met.iter().map(|t| (*t, EndpointState::Removed)).collect();
                 self.list_changed(&changes);
             }
-            Trouble::ListFrozen {} => {
+            Fault::ListFrozen {} => {
                 for (forwarder, changes) in std::mem::take(&mut self.frozen) {
                     self.list_due(forwarder, changes);
                 }
             }
-            Trouble::Killed { which } => {
+            Fault::Killed { which } => {
                 for forwarder in self.layout.which(which) {
                     if !self.stations[forwarder.0].runs() {
                         self.start(forwarder);
@@ -72,7 +72,7 @@
     }
 
     /// Other machines stand at these addresses from now on; who calls the old ones is not served.
-    fn replace(&mut self, old: &[TargetNo]) {
+    fn replace(&mut self, old: &[EndpointIndex]) {
         let mut changes = Vec::new();
         for target in old {
             if self.partners[target.0].gone {
@@ -82,8 +82,8 @@
             self.break_connections(*target);
             let plan = self.partners[target.0].plan.clone();
             let destination = plan.destination;
-            let new = TargetNo(self.partners.len());
-            self.partners.push(Partner::new(plan));
+            let new = EndpointIndex(self.partners.len());
+            self.partners.push(SimulatedEndpoint::new(plan));
             self.destinations[destination.0].targets.push(new);
             changes.push((*target, EndpointState::Removed));
             changes.push((new, EndpointState::Active));
--- a/crates/simulation/tests/simulation/main.rs
+++ b/crates/simulation/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! The emulator and its oracles.
+//! The simulation and its invariant checks.
 
 mod returning;
 mod rules;
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -1,11 +1,11 @@
-//! Each of the six rules has an oracle that speaks when the module is spoilt on purpose, and none that speaks
+//! Each of the six rules has an invariant check that speaks when the delivery policy is spoilt on purpose, and none that speaks
 //! when it is not.
 
 use crate::spoilt::{Defect, Spoilt};
-use reeddock_simulation::oracles::Rule;
+use reeddock_simulation::invariants::Rule;
 use reeddock_simulation::{run_with, Report, Scenario};
 
-/// Three forwarders, destinations with told waits, and room for each trouble.
+/// Three forwarders, destinations with told waits, and room for each fault.
 const WORLD: &str = r#"
 version = 1
 name = "spoilt"
@@ -55,7 +55,7 @@
     run_with(&scenario, seed, "spoilt", &|now, terms, host| Spoilt::open(defect, now, terms, host))
 }
 
-/// The spoilt module breaks the rule on some of these days, the module as it is breaks none on any.
+/// The spoilt module breaks the rule on some of these days, the delivery policy as it is breaks none on any.
 fn speaks(troubles: &str, defect: Defect, rule: Rule) -> Report {
     let mut spoken = None;
     for seed in 1..=3 {
@@ -96,7 +96,7 @@
 fn one_final_answer_each() {
     let report = speaks(ANSWERS_LOST, Defect::AnswersTwice, Rule::OneAnswer);
     let broken = report.broken.iter().find(|b| b.rule == Rule::OneAnswer).unwrap();
-    // It names the envelope, the instant and what led to it.
+    // It names the message, the instant and what led to it.
     assert!(broken.envelope.is_some() && broken.forwarder.is_some() && broken.at_s > 0.0);
     assert!(broken.led_by.first().unwrap().contains("taken by forwarder"), "{:?}", broken.led_by);
     assert!(broken.led_by.iter().any(|l| l.contains("answered")), "{:?}", broken.led_by);
--- a/crates/simulation/tests/simulation/spoilt.rs
+++ b/crates/simulation/tests/simulation/spoilt.rs
@@ -1,4 +1,4 @@
-//! The module, spoilt on purpose: between it and its host stands somebody who lies to it or alters what it
+//! The delivery policy, spoilt on purpose: between it and its host stands somebody who lies to it or alters what it
 //! asks for, as a defect in either would.
 
 use std::time::Duration;
@@ -7,8 +7,8 @@
     AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointState, MessageId, PeerId, PolicyHost,
     PreviousAttempt, Settings,
 };
-use reeddock_simulation::policies::Module;
-use reeddock_simulation::policy::{ListLine, Policy, Sight, Submission};
+use reeddock_simulation::policies::DeliveryPolicyAdapter;
+use reeddock_simulation::policy::{ListLine, Policy, Submission, WorldView};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
@@ -18,9 +18,9 @@
     /// What may have run counts as never run.
     SendsEffectfulAgain,
     AnswersTwice,
-    /// Every fiftieth envelope is never looked at.
+    /// Every fiftieth message is never looked at.
     ForgetsOne,
-    /// Targets that leave count as active.
+    /// Endpoints that leave count as active.
     SendsPastDrains,
     /// Knows nothing of cold destinations, and learns nothing from calls that fail.
     PushesReturning,
@@ -31,7 +31,7 @@
 }
 
 pub struct Spoilt {
-    module: Module,
+    module: DeliveryPolicyAdapter,
     defect: Defect,
     taken: u32,
 }
@@ -48,7 +48,7 @@
             terms.overload_multiple = Some(1000.0);
             terms.slow_start_duration = Some(Duration::from_millis(1));
         }
-        Box::new(Spoilt { module: Module::open(now, terms, host), defect, taken: 0 })
+        Box::new(Spoilt { module: DeliveryPolicyAdapter::open(now, terms, host), defect, taken: 0 })
     }
 }
 
@@ -168,7 +168,7 @@
         self.module.gossip_received(now, from, note);
     }
 
-    fn run_due_work(&mut self, now: Duration, sight: &dyn Sight, host: &mut dyn PolicyHost) {
+    fn run_due_work(&mut self, now: Duration, sight: &dyn WorldView, host: &mut dyn PolicyHost) {
         self.module.run_due_work(now, sight, &mut Tap(host, self.defect));
     }
 }
--- a/crates/simulation/tests/simulation/worlds.rs
+++ b/crates/simulation/tests/simulation/worlds.rs
@@ -1,12 +1,12 @@
-//! The emulator itself: the same in, the same out; and the moments at which events cross.
+//! The simulation itself: the same in, the same out; and the moments at which events cross.
 
 use std::time::Duration;
 
 use crate::spoilt::{Defect, Spoilt};
-use reeddock_simulation::agenda::Agenda;
-use reeddock_simulation::{run, run_with, Known, Report, Scenario};
+use reeddock_simulation::schedule::EventSchedule;
+use reeddock_simulation::{run, run_with, BuiltInPolicy, Report, Scenario};
 
-/// Every figure told and none drawn but the arrivals: an answer comes 108 ms after its dispatch where a
+/// Every figure told and none drawn but the arrivals: an answer comes 108 ms after its attempt where a
 /// connection is made for it, and 102 ms after it where one stood.
 const EXACT: &str = r#"
 version = 1
@@ -52,7 +52,7 @@
     Scenario::parse("exact.toml", &format!("{EXACT}{further}"), &instead).unwrap()
 }
 
-/// Every first try has one end, every dispatch one outcome, and no rule is broken.
+/// Every first try has one end, every attempt one outcome, and no rule is broken.
 fn sound(report: &Report) {
     assert_eq!(report.broken, []);
     assert_eq!(report.unfinished, 0);
@@ -65,51 +65,52 @@
 }
 
 fn module(scenario: &Scenario) -> Report {
-    let report = run(scenario, 1, Known::Module);
+    let report = run(scenario, 1, BuiltInPolicy::DeliveryPolicy);
     sound(&report);
     report
 }
 
 #[test]
 fn events_of_one_instant_come_in_the_order_in_which_they_were_entered() {
-    let mut agenda = Agenda::default();
+    let mut schedule = EventSchedule::default();
     let at = Duration::from_secs;
     for (n, s) in [(0, 2), (1, 1), (2, 2), (3, 1), (4, 2)] {
-        agenda.enter(at(s), n);
+        schedule.enter(at(s), n);
     }
-    let order: Vec<i32> = std::iter::from_fn(|| agenda.pop().map(|e| e.1)).collect();
+    let order: Vec<i32> = std::iter::from_fn(|| schedule.pop().map(|e| e.1)).collect();
     assert_eq!(order, [1, 3, 0, 2, 4]);
     // What would lie in the past comes now, after what is here already.
-    agenda.enter(at(1), 5);
-    assert_eq!(agenda.pop(), Some((at(2), 5)));
+    schedule.enter(at(1), 5);
+    assert_eq!(schedule.pop(), Some((at(2), 5)));
 }
 
 #[test]
 fn the_same_scenario_and_seed_give_the_same_bytes() {
     let scenario = exact("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
     let bytes = |seed, policy| serde_json::to_string(&run(&scenario, seed, policy)).unwrap();
-    let alone = bytes(1, Known::Module);
+    let alone = bytes(1, BuiltInPolicy::DeliveryPolicy);
     // Beside each other on threads, too.
     let beside: Vec<String> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..4).map(|_| scope.spawn(|| bytes(1, Known::Module))).collect();
+        let threads: Vec<_> =
+            (0..4).map(|_| scope.spawn(|| bytes(1, BuiltInPolicy::DeliveryPolicy))).collect();
         threads.into_iter().map(|t| t.join().unwrap()).collect()
     });
     assert!(beside.iter().all(|b| *b == alone));
-    assert_ne!(alone, bytes(2, Known::Module));
+    assert_ne!(alone, bytes(2, BuiltInPolicy::DeliveryPolicy));
 }
 
 #[test]
 fn bytes_do_not_depend_on_the_machine() {
-    // Of a policy that no change of the module touches. A change of the emulator may move this figure.
+    // Of a policy that no change of the delivery policy touches. A change of the simulation may move this figure.
     let scenario = exact("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
-    let bytes = serde_json::to_string(&run(&scenario, 1, Known::OneTry)).unwrap();
+    let bytes = serde_json::to_string(&run(&scenario, 1, BuiltInPolicy::OneTry)).unwrap();
     assert_eq!(crc32fast::hash(bytes.as_bytes()), 4_076_750_070);
 }
 
 #[test]
 fn two_policies_meet_the_same_day() {
     let scenario = exact("", &[]);
-    let [a, b] = [Known::OneTry, Known::Ceiling].map(|p| run(&scenario, 3, p));
+    let [a, b] = [BuiltInPolicy::OneTry, BuiltInPolicy::UpperBound].map(|p| run(&scenario, 3, p));
     assert_eq!(a.first_tries, b.first_tries);
     let asked = |r: &Report| r.seconds.iter().map(|s| s.credit.asked).collect::<Vec<_>>();
     let last = asked(&a).len().min(asked(&b).len());
@@ -120,10 +121,10 @@
 fn a_forwarder_is_killed_with_calls_out() {
     let killed = "[[trouble]]\nat_s = 8\nfor_s = 3\nwhat = { killed = { which = { forwarders = [0] } } }\n";
     let without = module(&exact(killed, &[("category.0.work_ms", "800"), ("category.1.work_ms", "800")]));
-    // An effectful envelope that was out may have run, and comes to nobody again.
+    // An effectful message that was out may have run, and comes to nobody again.
     assert!(without.ends.lost > 0);
     let slow = [("category.0.work_ms", "800"), ("category.1.work_ms", "800"), ("fleet.ledger", "true")];
-    let with = run(&exact(killed, &slow), 1, Known::Module);
+    let with = run(&exact(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
     assert_eq!((with.broken.as_slice(), with.unfinished, with.ends.lost), (&[][..], 0, 0));
     assert!(with.ends.broken_off > 0, "the ledger's forwarder says so of those itself");
 }
