--- /dev/null
+++ b/crates/forwarder/src/connections/pool.rs
@@ -0,0 +1,172 @@
+//! Idle connections to endpoints, and the limit of all connections to them.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use reeddock::EndpointId;
+use reeddock_protocol::AttemptResult;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
+use tokio::time::Instant;
+
+use super::reuse_history::ReuseHistory;
+use super::send_restrictions::SendRestrictions;
+use super::{locked, Connection};
+use crate::idle_permits::IdlePermits;
+
+/// A connection that waits for its next request.
+struct IdleConnection {
+    connection: Connection,
+    since: Instant,
+}
+
+/// The idle connections of each endpoint, those used last at the back.
+type IdleByEndpoint = BTreeMap<EndpointId, VecDeque<IdleConnection>>;
+
+/// Connections to endpoints. Clones share one pool.
+///
+/// Idle ones are kept for the next request, for less time than the endpoint keeps them, and for that endpoint alone:
+/// its address may pass to another. Each lock guards one step and none is held over an await; where two are held,
+/// `idle_permits` is taken before `idle`.
+#[derive(Clone)]
+pub struct Connections {
+    idle: Arc<Mutex<IdleByEndpoint>>,
+    reuse_history: Arc<Mutex<ReuseHistory>>,
+    send_restrictions: Arc<Mutex<SendRestrictions>>,
+    idle_permits: Arc<Mutex<IdlePermits>>,
+    /// One permit for each connection that is open, idle ones counted.
+    permits: Arc<Semaphore>,
+    connect_within: Duration,
+    max_idle: Duration,
+}
+
+impl Connections {
+    /// A pool of so many connections at most; endpoints close those that have stood idle for `closed_after`.
+    pub fn new(max_connections: usize, connect_within: Duration, closed_after: Duration) -> Connections {
+        Connections {
+            idle: Arc::default(),
+            reuse_history: Arc::default(),
+            send_restrictions: Arc::default(),
+            idle_permits: Arc::default(),
+            permits: Arc::new(Semaphore::new(max_connections)),
+            connect_within,
+            // A request must arrive before the endpoint closes, which counts from when it wrote its response.
+            max_idle: closed_after - closed_after / 8,
+        }
+    }
+
+    /// A connection to this endpoint: the idle one that was used last, or else a new one to its address.
+    pub async fn acquire(&self, endpoint: EndpointId, to: SocketAddr) -> Result<Connection, AttemptResult> {
+        if let Some(connection) = self.take_idle(endpoint) {
+            return Ok(connection);
+        }
+        let permit = self.acquire_permit().await?;
+        Connection::open(to, self.connect_within, Some(permit)).await
+    }
+
+    /// The idle connection that was used last, if it can be trusted; closes those that can't.
+    fn take_idle(&self, endpoint: EndpointId) -> Option<Connection> {
+        let trusted_idle = locked(&self.reuse_history).trusted_idle().min(self.max_idle);
+        let mut idle = locked(&self.idle);
+        let connections = idle.get_mut(&endpoint)?;
+        while let Some(IdleConnection { connection, since }) = connections.pop_back() {
+            let idle_for = since.elapsed();
+            if idle_for < trusted_idle && connection.is_ready() {
+                return Some(connection.reused_after(idle_for));
+            }
+        }
+        None
+    }
+
+    /// The permit for a new connection; where none is left, the connection that has stood idle for longest is
+    /// closed for it.
+    async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
+        let mut permit = self.permits.clone().try_acquire_owned();
+        if permit.is_err() && self.close_oldest_idle() {
+            // The permit comes back once the connection's task has seen that it is aborted.
+            tokio::task::yield_now().await;
+            permit = self.permits.clone().try_acquire_owned();
+        }
+        permit.map_err(|_| AttemptResult::NotSent)
+    }
+
+    /// Closes the connection that has stood idle for longest; returns whether there was one.
+    fn close_oldest_idle(&self) -> bool {
+        let mut idle = locked(&self.idle);
+        let oldest = idle.values_mut().filter(|line| !line.is_empty()).min_by_key(|line| line[0].since);
+        oldest.and_then(VecDeque::pop_front).is_some()
+    }
+
+    /// Takes back a connection whose response was read whole; keeps it idle if its endpoint has capacity for that.
+    pub fn release(&self, endpoint: EndpointId, connection: Connection) {
+        let permitted = locked(&self.idle_permits).has_room(endpoint, Instant::now());
+        if permitted && connection.is_ready() {
+            let idle = IdleConnection { connection, since: Instant::now() };
+            locked(&self.idle).entry(endpoint).or_default().push_back(idle);
+        }
+    }
+
+    /// The last request on this connection was answered, or has broken it.
+    pub fn record_use(&self, connection: &Connection, answered: bool) {
+        let failed = !answered && !connection.response_begun();
+        locked(&self.reuse_history).record(connection.idle_before_use(), failed);
+    }
+
+    /// The endpoint rejected this connection as it has too many: idle ones to its kind are closed for others.
+    pub fn connection_rejected(&self, endpoint: EndpointId) {
+        let now = Instant::now();
+        let mut idle_permits = locked(&self.idle_permits);
+        idle_permits.turned_away(endpoint, now);
+        locked(&self.idle).retain(|endpoint, _| idle_permits.has_room(*endpoint, now));
+    }
+
+    /// The endpoint asked for no request until then (`Retry-After`).
+    ///
+    /// A request that was decided before may still wait for its connection, for up to a second where the endpoint
+    /// accepts few or can't be reached, and must not be sent once that is up.
+    pub fn rest(&self, endpoint: EndpointId, until: Instant) {
+        locked(&self.send_restrictions).retry_after(endpoint, until);
+    }
+
+    /// The endpoint list names this endpoint. Requests must not be sent to one that drains, however long they
+    /// waited for their connection.
+    pub fn listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
+        locked(&self.idle_permits).listed(endpoint, kind);
+        locked(&self.send_restrictions).set_active(endpoint, active);
+    }
+
+    /// The endpoint is removed, or a complete list does not name it any more.
+    pub fn gone(&self, endpoint: EndpointId) {
+        locked(&self.send_restrictions).set_active(endpoint, false);
+        self.close_idle(endpoint);
+    }
+
+    /// Forgets what the list said of endpoints that are not known any more.
+    pub fn forget(&self, endpoints: &[EndpointId]) {
+        let mut send_restrictions = locked(&self.send_restrictions);
+        endpoints.iter().for_each(|endpoint| send_restrictions.forget(*endpoint));
+        drop(send_restrictions);
+        let mut idle_permits = locked(&self.idle_permits);
+        endpoints.iter().for_each(|endpoint| idle_permits.forget(*endpoint));
+    }
+
+    /// Whether a request that has waited for its connection may still be sent; if not, the result for its messages.
+    pub fn open_to(&self, endpoint: EndpointId) -> Result<(), AttemptResult> {
+        locked(&self.send_restrictions).check(endpoint, Instant::now())
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle(&self, endpoint: EndpointId) {
+        locked(&self.idle).remove(&endpoint);
+    }
+
+    /// Closes connections that have stood idle for too long or that the other side has closed. Run regularly.
+    pub fn sweep(&self) {
+        locked(&self.idle).retain(|_, connections| {
+            connections.retain(|idle| idle.since.elapsed() < self.max_idle && !idle.connection.is_closed());
+            !connections.is_empty()
+        });
+        locked(&self.send_restrictions).expire(Instant::now());
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/connections/reuse_history.rs
@@ -0,0 +1,81 @@
+//! For how long idle connections can be trusted, by how their reuse went. Pure state; decides nothing else.
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+/// A connection that has stood idle for less than this is always reused.
+const ALWAYS_TRUSTED: Duration = Duration::from_millis(50);
+/// How many of the last reuses, of connections that had stood idle for longer than that, are remembered.
+const REUSES_REMEMBERED: usize = 64;
+/// From this many failed ones among them on, idle connections are distrusted. Resets of one connection or of one
+/// endpoint stay below it.
+const FAILURES_TO_DISTRUST: usize = 6;
+/// At this many failed ones or fewer, they are trusted again.
+const FAILURES_TO_TRUST: usize = 1;
+/// After a failure, connections are trusted up to half of the time for which that one had stood idle; the time
+/// doubles whenever this has passed since.
+const TRUST_DOUBLES_EVERY: Duration = Duration::from_secs(4);
+/// Doublings at most: 65,536 times the time is as good as no limit, and a larger factor could overflow a duration.
+const MAX_DOUBLINGS: f64 = 16.0;
+/// How many of the last failures are remembered with their idle time.
+const FAILURES_REMEMBERED: usize = 16;
+
+/// One reuse that failed.
+struct ReuseFailure {
+    at: Instant,
+    /// How long the connection had stood idle.
+    idle: Duration,
+}
+
+impl ReuseFailure {
+    /// For how long a connection may have stood idle by this failure alone.
+    fn trusted_idle(&self) -> Duration {
+        let elapsed = self.at.elapsed().as_secs_f64();
+        let doublings = (elapsed / TRUST_DOUBLES_EVERY.as_secs_f64()).min(MAX_DOUBLINGS);
+        (self.idle / 2).max(ALWAYS_TRUSTED).mul_f64(doublings.exp2())
+    }
+}
+
+/// How idle connections fare when they are reused.
+///
+/// Some are dead without a sign, for instance where a firewall on the way has dropped their state: they break under
+/// the next request, before any byte of a response. That request may have been executed, so that each such
+/// connection costs a message that is not idempotent.
+#[derive(Default)]
+pub(super) struct ReuseHistory {
+    /// For each of the last reuses, the oldest first, whether it failed.
+    failed: VecDeque<bool>,
+    distrusted: bool,
+    failures: VecDeque<ReuseFailure>,
+}
+
+impl ReuseHistory {
+    /// Records a reuse of a connection that had stood idle for this long.
+    pub(super) fn record(&mut self, idle: Duration, failed: bool) {
+        if idle < ALWAYS_TRUSTED {
+            return;
+        }
+        push_bounded(&mut self.failed, failed, REUSES_REMEMBERED);
+        let failures = self.failed.iter().filter(|failed| **failed).count();
+        self.distrusted = failures >= FAILURES_TO_DISTRUST || self.distrusted && failures > FAILURES_TO_TRUST;
+        if failed {
+            push_bounded(&mut self.failures, ReuseFailure { at: Instant::now(), idle }, FAILURES_REMEMBERED);
+        }
+    }
+
+    /// For how long a connection may have stood idle and still be reused.
+    pub(super) fn trusted_idle(&self) -> Duration {
+        if !self.distrusted {
+            return Duration::MAX;
+        }
+        self.failures.iter().map(ReuseFailure::trusted_idle).min().unwrap_or(Duration::MAX)
+    }
+}
+
+/// Appends an item and drops the oldest ones beyond the limit.
+fn push_bounded<T>(items: &mut VecDeque<T>, item: T, limit: usize) {
+    items.push_back(item);
+    items.drain(..items.len().saturating_sub(limit));
+}
--- /dev/null
+++ b/crates/forwarder/src/connections/send_restrictions.rs
@@ -0,0 +1,54 @@
+//! Endpoints to which no request may be sent at the moment.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use reeddock::EndpointId;
+use reeddock_protocol::AttemptResult;
+use tokio::time::Instant;
+
+/// What the endpoint list and the endpoints themselves have said against sending to them.
+#[derive(Default)]
+pub(super) struct SendRestrictions {
+    /// Until when each endpoint has asked for no request (`Retry-After`).
+    retry_after: BTreeMap<EndpointId, Instant>,
+    /// Endpoints that the list calls draining or removed.
+    draining: BTreeSet<EndpointId>,
+}
+
+impl SendRestrictions {
+    /// The endpoint asked for no request until then. A longer wait that it asked for before still holds.
+    pub(super) fn retry_after(&mut self, endpoint: EndpointId, until: Instant) {
+        let current = self.retry_after.entry(endpoint).or_insert(until);
+        *current = until.max(*current);
+    }
+
+    /// The list says whether the endpoint is active.
+    pub(super) fn set_active(&mut self, endpoint: EndpointId, active: bool) {
+        if active {
+            self.draining.remove(&endpoint);
+        } else {
+            self.draining.insert(endpoint);
+        }
+    }
+
+    /// Forgets what the list said of an endpoint.
+    pub(super) fn forget(&mut self, endpoint: EndpointId) {
+        self.draining.remove(&endpoint);
+    }
+
+    /// Forgets waits that have passed.
+    pub(super) fn expire(&mut self, now: Instant) {
+        self.retry_after.retain(|_, until| *until > now);
+    }
+
+    /// Whether a request may be sent now; if not, the result for its messages, none of which was sent.
+    pub(super) fn check(&self, endpoint: EndpointId, now: Instant) -> Result<(), AttemptResult> {
+        if self.draining.contains(&endpoint) {
+            return Err(AttemptResult::EndpointDraining);
+        }
+        if self.retry_after.get(&endpoint).is_some_and(|until| *until > now) {
+            return Err(AttemptResult::RetryAfterActive);
+        }
+        Ok(())
+    }
+}
--- a/crates/forwarder/src/http_progress.rs
+++ b/crates/forwarder/src/http_progress.rs
@@ -1,104 +1,153 @@
-//! What has passed on a connection, read from the bytes themselves. Decides nothing and does no I/O: whoever reads
-//! and writes shows it the bytes.
+//! How far an HTTP/1 exchange has got, read from the bytes on the connection themselves.
+//!
+//! Pure state machines without I/O: whoever reads from and writes to the socket passes the bytes in. They exist
+//! because the HTTP library hides two facts that decide whether a request may have been executed: how many of its
+//! bytes the system has taken, and the status line of a response whose head it cannot parse.
 
-/// Finds the blank line that ends a head, however its bytes come.
+/// Finds the blank line that ends a message head, in whatever pieces the bytes arrive.
 #[derive(Default)]
 pub struct HeadScanner {
-    /// Bytes of the blank line seen so far.
-    blank: usize,
+    /// How many bytes of [`HeadScanner::END_OF_HEAD`] the last bytes match.
+    matched: usize,
     finished: bool,
 }
 
 impl HeadScanner {
-    /// What of these bytes stands behind the head.
+    /// The end of the last header line and the blank line after it.
+    const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+
+    /// Consumes bytes up to the end of the head and returns those that belong to the body.
     pub fn skip<'b>(&mut self, mut bytes: &'b [u8]) -> &'b [u8] {
-        const BLANK: &[u8] = b"\r\n\r\n";
         while let (false, Some((byte, rest))) = (self.finished, bytes.split_first()) {
-            self.blank =
-                if *byte == BLANK[self.blank] { self.blank + 1 } else { usize::from(*byte == b'\r') };
-            self.finished = self.blank == BLANK.len();
+            self.advance(*byte);
             bytes = rest;
         }
         bytes
     }
+
+    fn advance(&mut self, byte: u8) {
+        self.matched = if byte == Self::END_OF_HEAD[self.matched] {
+            self.matched + 1
+        } else {
+            // A mismatch can itself begin the sequence anew.
+            usize::from(byte == b'\r')
+        };
+        self.finished = self.matched == Self::END_OF_HEAD.len();
+    }
 }
 
-/// How much of a request has been handed to the system: what a library still holds back has not left, and a call
-/// that has not left whole cannot have run.
+/// How much of a request the operating system has taken over.
+///
+/// What the HTTP library still buffers has not been sent, and a request of which the last byte was not sent cannot
+/// have been executed.
 #[derive(Default)]
 pub struct RequestProgress {
     begun: bool,
     head: HeadScanner,
+    /// Bytes of the body that were not sent yet.
     body_left: usize,
 }
 
 impl RequestProgress {
-    /// A request with so long a body is about to leave.
+    /// Starts over for a request with a body of this many bytes, none of it sent yet.
     pub fn begin(&mut self, body: usize) {
         *self = RequestProgress { body_left: body, ..RequestProgress::default() };
     }
 
-    /// These bytes of it have left.
+    /// Counts bytes that the operating system has taken.
     pub fn gone(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
         self.body_left = self.body_left.saturating_sub(self.head.skip(bytes).len());
     }
 
+    /// Whether at least one byte of the request was sent.
     pub fn begun(&self) -> bool {
         self.begun
     }
 
+    /// Whether the last byte of the request was sent, so that it may have been executed.
     pub fn complete(&self) -> bool {
         self.head.finished && self.body_left == 0
     }
 }
 
-/// The first line of an answer: a library that can't read what follows it hides it, and it may have said that the
-/// call was completed. Lines of 1xx answers in front don't count.
+/// The status line of a response, kept apart from the HTTP library.
+///
+/// The library hides the status line when it cannot parse the headers behind it, though the line may have said that
+/// the request was completed. Interim (1xx) responses in front of it are skipped.
 #[derive(Default)]
 pub struct StatusLine {
+    /// The current line, or the whole status line once that has ended.
     line: Vec<u8>,
-    /// In the rest of a 1xx answer's head.
-    aside: bool,
-    whole: bool,
+    state: StatusLineState,
+}
+
+/// What [`StatusLine`] reads at the moment.
+#[derive(Default)]
+enum StatusLineState {
+    /// A line that is a status line, final or interim.
+    #[default]
+    InStatusLine,
+    /// The rest of the head of an interim response.
+    InInterimHead,
+    /// The final status line has ended.
+    Complete,
 }
 
 impl StatusLine {
-    /// Longer first lines are noise.
-    const LONGEST: usize = 256;
+    /// Bytes of a status line at most; what is longer is not HTTP, and nothing after it is read.
+    const MAX_BYTES: usize = 256;
+    /// Bytes in front of the status code: `HTTP/1.1`.
+    const VERSION_BYTES: usize = 8;
+    /// Bytes of the shortest status line: the version, a space and three digits.
+    const MIN_BYTES: usize = 12;
 
-    /// These bytes have come; says whether the first line has come whole with them.
+    /// Takes bytes that were received; returns whether they complete the status line.
     pub fn come(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
-            if self.whole || self.line.len() > StatusLine::LONGEST {
+            if matches!(self.state, StatusLineState::Complete) || self.line.len() > Self::MAX_BYTES {
                 return false;
             }
             self.line.push(*byte);
-            if *byte != b'\n' {
-                continue;
-            }
-            let line = self.line.trim_ascii_end();
-            if self.aside {
-                self.aside = !line.is_empty();
-                self.line.clear();
-            } else if line.len() >= 12 && line.starts_with(b"HTTP/1.") && line[8..].starts_with(b" 1") {
-                self.aside = true;
-                self.line.clear();
-            } else {
-                self.whole = true;
+            if *byte == b'\n' && self.end_line() {
                 return true;
             }
         }
         false
     }
 
-    /// Whether nothing has come.
+    /// Moves on from a line that has just ended; returns whether it is the final status line.
+    fn end_line(&mut self) -> bool {
+        let line = self.line.trim_ascii_end();
+        self.state = match self.state {
+            StatusLineState::InInterimHead if line.is_empty() => StatusLineState::InStatusLine,
+            StatusLineState::InInterimHead => StatusLineState::InInterimHead,
+            _ if Self::is_interim(line) => StatusLineState::InInterimHead,
+            _ => {
+                self.state = StatusLineState::Complete;
+                return true;
+            }
+        };
+        self.line.clear();
+        false
+    }
+
+    fn is_interim(line: &[u8]) -> bool {
+        line.len() >= Self::MIN_BYTES
+            && line.starts_with(b"HTTP/1.")
+            && line[Self::VERSION_BYTES..].starts_with(b" 1")
+    }
+
+    /// Whether nothing was received, or nothing but whole interim responses.
     pub fn is_empty(&self) -> bool {
         self.line.is_empty()
     }
 
+    /// Whether the status line is complete and says 200.
     pub fn says_ok(&self) -> bool {
-        let status = self.line.strip_prefix(b"HTTP/1.1 200").or(self.line.strip_prefix(b"HTTP/1.0 200"));
-        self.whole && status.is_some_and(|rest| rest[0].is_ascii_whitespace())
+        let after_code = self.line.strip_prefix(b"HTTP/1.1 200").or(self.line.strip_prefix(b"HTTP/1.0 200"));
+        // A complete line ends in a line feed, so that at least one byte follows the code.
+        matches!(self.state, StatusLineState::Complete)
+            && after_code.is_some_and(|rest| rest[0].is_ascii_whitespace())
     }
 }
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -1,4 +1,4 @@
-//! Which kinds of endpoint have no room for idle connections. Decides alone, without I/O.
+//! Which kinds of endpoint have capacity for idle connections. Pure state without I/O.
 
 use std::time::Duration;
 
@@ -6,80 +6,86 @@
 use reeddock::EndpointId;
 use tokio::time::Instant;
 
-/// A kind that has turned no connection away for so long is trusted to have room again. Several times what most
-/// endpoints let a connection stand idle, so that a fleet does not fill them anew at each lapse.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// How long after its last rejected connection a kind is taken to have no capacity for idle ones.
+///
+/// Several times as long as most endpoints let a connection stand idle, so that a fleet of forwarders does not fill
+/// them anew each time this has passed.
+const REJECTION_REMEMBERED: Duration = Duration::from_secs(30);
 
-/// Endpoints hold only so many connections, idle ones counted. Where forwarders outnumber them, those that came first
-/// keep all places with connections that they use now and then, and the others are rejected for good. Who holds
-/// one is not rejected there, but at other endpoints of the kind: so what one endpoint of a kind says goes for all.
+/// Says for each endpoint whether a connection to it may be kept idle.
+///
+/// Endpoints accept a limited number of connections, idle ones counted. Where forwarders outnumber that limit, those
+/// that came first would hold all connections though they seldom use them, and the others would be rejected for
+/// good. A forwarder that holds a connection is not rejected by that endpoint but by others of its kind, so what one
+/// endpoint says is taken for all endpoints of its kind.
 #[derive(Default)]
 pub struct IdlePermits {
-    /// The kind of each endpoint, by its number, as its place among the kinds.
-    kind_of: HashMap<u32, u32>,
+    /// For each endpoint, by its number, the index of its kind in `kinds`: 32 bits each, as there may be several
+    /// hundred thousand endpoints.
+    kind_index: HashMap<u32, u32>,
     kinds: Vec<Kind>,
 }
 
+/// One kind of endpoint, by its name in the endpoint list.
 struct Kind {
     name: Box<str>,
-    /// How many are listed; with none its place is free for another kind.
+    /// How many endpoints of it are known; at zero the entry is free for another kind.
     endpoints: usize,
-    /// When one of them last had no room.
-    turned_away: Option<Instant>,
+    /// When one of its endpoints last rejected a connection.
+    last_rejection: Option<Instant>,
 }
 
 impl IdlePermits {
+    /// The endpoint list names this endpoint as one of this kind.
     pub fn listed(&mut self, endpoint: EndpointId, kind: &str) {
-        let cached_list = self.kind_of.get(&endpoint.0).copied();
-        if cached_list.is_some_and(|place| {
-            self.kinds.get(place as usize).is_some_and(|cached_list| &*cached_list.name == kind)
-        }) {
+        if self.kind_of(endpoint).is_some_and(|listed| &*listed.name == kind) {
             return;
         }
         self.forget(endpoint);
-        let place = self.place_of(kind);
-        self.kinds[place].endpoints += 1;
-        self.kind_of.insert(endpoint.0, place as u32);
+        let index = self.index_of_kind(kind);
+        self.kinds[index].endpoints += 1;
+        self.kind_index.insert(endpoint.0, index as u32);
     }
 
-    /// Where a kind stands, which it may have to be given.
-    fn place_of(&mut self, kind: &str) -> usize {
-        let used = |cached_list: &Kind| cached_list.endpoints > 0 && &*cached_list.name == kind;
-        if let Some(place) = self.kinds.iter().position(used) {
-            return place;
-        }
-        let new = Kind { name: kind.into(), endpoints: 0, turned_away: None };
-        match self.kinds.iter().position(|cached_list| cached_list.endpoints == 0) {
-            Some(place) => {
-                self.kinds[place] = new;
-                place
-            }
-            None => {
-                self.kinds.push(new);
-                self.kinds.len() - 1
-            }
-        }
-    }
-
-    /// Forgets an endpoint that nothing is known of any more, and its kind with the last of that.
+    /// Forgets an endpoint that is not known any more, and its kind with the last endpoint of that.
     pub fn forget(&mut self, endpoint: EndpointId) {
-        let place = self.kind_of.remove(&endpoint.0);
-        if let Some(kind) = place.and_then(|place| self.kinds.get_mut(place as usize)) {
+        let index = self.kind_index.remove(&endpoint.0);
+        if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
             kind.endpoints -= 1;
         }
     }
 
-    /// The endpoint had no room for one more connection.
+    /// The endpoint rejected one more connection.
     pub fn turned_away(&mut self, endpoint: EndpointId, now: Instant) {
-        let place = self.kind_of.get(&endpoint.0).copied();
-        if let Some(kind) = place.and_then(|place| self.kinds.get_mut(place as usize)) {
-            kind.turned_away = Some(now);
+        let index = self.kind_index.get(&endpoint.0).copied();
+        if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
+            kind.last_rejection = Some(now);
         }
     }
 
-    /// Whether a connection to the endpoint may stand idle.
+    /// Whether a connection to the endpoint may be kept idle.
     pub fn has_room(&self, endpoint: EndpointId, now: Instant) -> bool {
-        let kind = self.kind_of.get(&endpoint.0).and_then(|place| self.kinds.get(*place as usize));
-        kind.and_then(|kind| kind.turned_away).is_none_or(|at| now >= at + REMEMBERED)
+        let last_rejection = self.kind_of(endpoint).and_then(|kind| kind.last_rejection);
+        last_rejection.is_none_or(|at| now >= at + REJECTION_REMEMBERED)
+    }
+
+    fn kind_of(&self, endpoint: EndpointId) -> Option<&Kind> {
+        let index = self.kind_index.get(&endpoint.0)?;
+        self.kinds.get(*index as usize)
+    }
+
+    /// The index of a kind; a kind without one gets a free entry, or else a new one.
+    fn index_of_kind(&mut self, name: &str) -> usize {
+        let in_use = |kind: &Kind| kind.endpoints > 0 && &*kind.name == name;
+        if let Some(index) = self.kinds.iter().position(in_use) {
+            return index;
+        }
+        let kind = Kind { name: name.into(), endpoints: 0, last_rejection: None };
+        if let Some(index) = self.kinds.iter().position(|kind| kind.endpoints == 0) {
+            self.kinds[index] = kind;
+            return index;
+        }
+        self.kinds.push(kind);
+        self.kinds.len() - 1
     }
 }
--- /dev/null
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -0,0 +1,91 @@
+//! All open client connections, and which one is closed where room is needed.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+
+use tokio::sync::watch;
+
+use super::client_connection::ClientConnection;
+use crate::connections::locked;
+use crate::list_status::ListStatus;
+
+/// All open client connections, by a number of their own, and whether the forwarder shuts down. Shared by the tasks
+/// that accept and serve them and by whoever stops the forwarder.
+#[derive(Default)]
+pub struct ClientConnections {
+    shutting_down: AtomicBool,
+    open: Mutex<BTreeMap<u64, Arc<ClientConnection>>>,
+    closing: watch::Sender<bool>,
+    list: ListStatus,
+}
+
+impl ClientConnections {
+    /// No connections yet; health checks of clients report this status of the endpoint list.
+    pub fn new(list: ListStatus) -> ClientConnections {
+        ClientConnections { list, ..ClientConnections::default() }
+    }
+
+    /// From here on each response asks its client to use another forwarder.
+    pub fn leave(&self) {
+        self.shutting_down.store(true, Ordering::Relaxed);
+    }
+
+    /// Stops accepting. Idle connections are closed now, the others once their request is answered.
+    pub fn close(&self) {
+        self.closing.send_replace(true);
+    }
+
+    /// Whether no connection is open.
+    pub fn empty(&self) -> bool {
+        self.open().is_empty()
+    }
+
+    /// How many connections are open.
+    pub(super) fn count(&self) -> usize {
+        self.open().len()
+    }
+
+    /// Adds a connection, by a number that no other has.
+    pub(super) fn insert(&self, number: u64, connection: Arc<ClientConnection>) {
+        self.open().insert(number, connection);
+    }
+
+    /// Removes a connection that has ended.
+    pub(super) fn remove(&self, number: u64) {
+        self.open().remove(&number);
+    }
+
+    /// Closes the connection that can best be spared; returns whether there was one.
+    ///
+    /// Of those that never had a request it is the oldest, so that silent clients do not crowd out others; if there
+    /// is none, the one that has stood idle for longest, whose client uses another for its next request.
+    pub(super) fn evict_one(&self) -> bool {
+        let mut open = self.open();
+        let candidates = open.iter().filter_map(|(number, connection)| {
+            let priority = connection.phase().eviction_priority()?;
+            Some((priority, *number))
+        });
+        let evicted = candidates.min().and_then(|(_, number)| open.remove(&number));
+        evicted.inspect(|connection| connection.evict()).is_some()
+    }
+
+    /// Whether clients are asked to use another forwarder.
+    pub(super) fn shutting_down(&self) -> bool {
+        self.shutting_down.load(Ordering::Relaxed)
+    }
+
+    /// Turns true once connections are closed.
+    pub(super) fn closing(&self) -> watch::Receiver<bool> {
+        self.closing.subscribe()
+    }
+
+    /// What is wrong with the endpoint list, in one line.
+    pub(super) fn list_fault(&self) -> Option<String> {
+        self.list.trouble()
+    }
+
+    fn open(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
+        locked(&self.open)
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/ingress/service.rs
@@ -0,0 +1,141 @@
+//! Answers the requests of clients: submissions and health checks.
+
+use std::convert::Infallible;
+use std::future::Future;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::header::TRANSFER_ENCODING;
+use http::{Method, Request, Response};
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use reeddock_protocol::{ClientResponse, Submission, MAX_BODY_BYTES};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{timeout, Instant};
+use tower::Service;
+
+use super::client_connection::ClientConnection;
+use super::clients::ClientConnections;
+use crate::events::Event;
+
+/// How long a body may take after its head.
+const BODY_WITHIN: Duration = Duration::from_millis(600);
+
+/// Whether a new connection fits into the limit of those that are served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionCapacity {
+    /// Its submissions are accepted.
+    Available,
+    /// It is one too many: its submission gets no capacity as the answer, and then it is closed.
+    Exceeded,
+}
+
+/// The service of one client connection.
+#[derive(Clone)]
+pub(super) struct IngressService {
+    pub(super) clients: Arc<ClientConnections>,
+    pub(super) connection: Arc<ClientConnection>,
+    pub(super) event_loop: mpsc::Sender<Event>,
+    pub(super) capacity: ConnectionCapacity,
+    /// While more connections than these are open, each is closed after its response.
+    pub(super) keep_alive_limit: usize,
+}
+
+impl Service<Request<Incoming>> for IngressService {
+    type Response = Response<Full<Bytes>>;
+    type Error = Infallible;
+    type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Infallible>> + Send>>;
+
+    fn poll_ready(&mut self, _: &mut Context) -> Poll<Result<(), Infallible>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn call(&mut self, request: Request<Incoming>) -> Self::Future {
+        let service = self.clone();
+        service.connection.request_started();
+        Box::pin(async move {
+            let response = service.respond(request).await;
+            service.connection.response_ready();
+            let last = service.closes_after(&response);
+            Ok(response.encode(last))
+        })
+    }
+}
+
+impl IngressService {
+    async fn respond(&self, request: Request<Incoming>) -> ClientResponse {
+        match (request.method(), request.uri().path()) {
+            (&Method::GET, "/healthz") => self.health(),
+            (&Method::POST, "/api") => self.submit(request).await.unwrap_or_else(|rejection| rejection),
+            _ => ClientResponse::NotFound,
+        }
+    }
+
+    fn health(&self) -> ClientResponse {
+        if self.clients.shutting_down() {
+            ClientResponse::ShuttingDown
+        } else {
+            ClientResponse::Healthy(self.clients.list_fault())
+        }
+    }
+
+    /// Whether the client is asked to use another connection after this response.
+    fn closes_after(&self, response: &ClientResponse) -> bool {
+        let crowded = self.clients.count() > self.keep_alive_limit;
+        self.capacity == ConnectionCapacity::Exceeded
+            || leaves_bytes_unread(response)
+            || crowded
+            || self.clients.shutting_down()
+    }
+
+    /// Passes a submission to the event loop and returns the answer of that; an error is the answer to a submission
+    /// that never got there.
+    async fn submit(&self, request: Request<Incoming>) -> Result<ClientResponse, ClientResponse> {
+        let (parts, body) = request.into_parts();
+        // A body whose end two sides may see in different places can hide a request in it.
+        if parts.headers.contains_key(TRANSFER_ENCODING) {
+            return Err(ClientResponse::LengthRequired);
+        }
+        let body = read_body(body).await?;
+        if self.connection.bytes_past_head() > body.len() {
+            return Err(ClientResponse::LengthMismatch);
+        }
+        let at = Instant::now();
+        let submit = Submission::decode(&parts, body).map_err(ClientResponse::Malformed)?;
+        if self.capacity == ConnectionCapacity::Exceeded {
+            return Err(ClientResponse::NoCapacity);
+        }
+        let (reply, answered) = oneshot::channel();
+        let submission = Event::Submission { submit, at, reply };
+        self.event_loop.try_send(submission).map_err(|_| ClientResponse::NoCapacity)?;
+        answered.await.map_err(|_| ClientResponse::NoCapacity)
+    }
+}
+
+/// Reads a body whole, within the limits of size and time.
+async fn read_body(body: Incoming) -> Result<Bytes, ClientResponse> {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(ClientResponse::TooLarge);
+    }
+    let limited = Limited::new(body, MAX_BODY_BYTES);
+    match timeout(BODY_WITHIN, limited.collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ClientResponse::TooLarge),
+        Ok(Err(e)) => Err(ClientResponse::Malformed(format!("body: {e}"))),
+        Err(_) => Err(ClientResponse::RequestTimeout),
+    }
+}
+
+/// Whether bytes of the request may still come, or stand where the next request is expected.
+fn leaves_bytes_unread(response: &ClientResponse) -> bool {
+    matches!(
+        response,
+        ClientResponse::TooLarge
+            | ClientResponse::RequestTimeout
+            | ClientResponse::LengthRequired
+            | ClientResponse::LengthMismatch
+    )
+}
--- /dev/null
+++ b/crates/forwarder/src/request_sender/mod.rs
@@ -0,0 +1,18 @@
+//! Requests to endpoints: each carries one message or a batch, and every message of it ends with a result of its own.
+//!
+//! | module | its job |
+//! | --- | --- |
+//! | `request` | what is sent, and what came of it |
+//! | `departure` | which messages of a batch are still sent once its connection is up |
+//! | `sender` | sends one request on a connection and reads its response |
+//! | `supervisor` | waits for one request with the time limits and cancellations of its messages, and reports results |
+
+mod departure;
+mod request;
+mod sender;
+mod supervisor;
+
+pub use departure::BatchDeparture;
+pub use request::{BatchMessage, EndpointRequest, MessageResult, PendingAttempt, RequestResult};
+pub use sender::RequestSender;
+pub use supervisor::run_request;
--- /dev/null
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -0,0 +1,248 @@
+//! Sends one request on a connection and reads from its response how each message ended.
+
+use std::convert::Infallible;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{response, Request, Response};
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
+use reeddock::EndpointId;
+use reeddock_protocol::{self as protocol, AttemptResult, OutgoingMessage};
+use tokio::time::{sleep, timeout, Instant};
+use tower::Service;
+
+use super::request::{BatchMessage, EndpointRequest, RequestResult};
+use crate::connections::{Connection, Connections};
+
+/// How long the rest of a response is read before a result that is already certain is returned: a request that
+/// follows at once finds the connection free if the rest comes by then.
+const RESPONSE_REST_BEFORE_RESULT: Duration = Duration::from_millis(20);
+/// How long the rest is read after that, in the background; then the connection is closed.
+const RESPONSE_REST_AFTER_RESULT: Duration = Duration::from_secs(2);
+/// Bytes of a response body that are read at most. No response of the protocol is longer, and some never end.
+const MAX_RESPONSE_BYTES: usize = 2 * protocol::MAX_BODY_BYTES;
+
+/// Sends requests to endpoints. Dropping the future of one closes its connection and so cancels the request.
+#[derive(Clone)]
+pub struct RequestSender {
+    /// Where connections come from and go back to.
+    pub connections: Connections,
+}
+
+impl Service<EndpointRequest> for RequestSender {
+    type Response = RequestResult;
+    type Error = Infallible;
+    type Future = Pin<Box<dyn Future<Output = Result<RequestResult, Infallible>> + Send>>;
+
+    fn poll_ready(&mut self, _: &mut Context) -> Poll<Result<(), Infallible>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn call(&mut self, request: EndpointRequest) -> Self::Future {
+        let connections = self.connections.clone();
+        Box::pin(async move {
+            let positions = 0..request.messages.len();
+            let not_sent = |result| RequestResult::same_for_all(positions, result);
+            let delivery = RequestDelivery { connections, request };
+            Ok(delivery.run().await.unwrap_or_else(not_sent))
+        })
+    }
+}
+
+/// The messages of a request that are sent, by their positions in it. Never empty.
+struct SentBatch {
+    positions: Vec<usize>,
+    messages: Vec<OutgoingMessage>,
+    /// Until when a result of any of them is waited for; the endpoint is told.
+    answer_by: Instant,
+}
+
+impl SentBatch {
+    /// The only message, where the request carries no others: then a response speaks of it alone.
+    fn single(&self) -> Option<&OutgoingMessage> {
+        match &self.messages[..] {
+            [message] => Some(message),
+            _ => None,
+        }
+    }
+
+    /// The HTTP request that carries them, with the longest of their waits.
+    fn http_request(&self, to: SocketAddr) -> Result<Request<Full<Bytes>>, AttemptResult> {
+        let wait = self.answer_by.saturating_duration_since(Instant::now());
+        let request = match self.single() {
+            Some(message) => protocol::single_request(to, message, wait),
+            None => protocol::batch_request(to, &self.messages, wait),
+        };
+        request.map_err(|_| AttemptResult::NotSent)
+    }
+
+    fn same_for_all(&self, result: AttemptResult) -> RequestResult {
+        RequestResult::same_for_all(self.positions.iter().copied(), result)
+    }
+}
+
+/// How a request on one connection went, up to the head of its response.
+enum Exchange {
+    /// The head came, or the request failed.
+    Finished(Result<Response<Incoming>, AttemptResult>),
+    /// The status line says that the only message is completed; the rest of the head did not come in time.
+    CompletedByStatusLine,
+}
+
+/// One request, from its connection to its results.
+struct RequestDelivery {
+    connections: Connections,
+    request: EndpointRequest,
+}
+
+impl RequestDelivery {
+    /// Sends the request. An error is the result of every message, none of which was sent.
+    async fn run(self) -> Result<RequestResult, AttemptResult> {
+        loop {
+            let mut connection = self.connections.acquire(self.request.endpoint, self.request.to).await?;
+            let batch = match self.start_sending() {
+                Ok(batch) => batch,
+                Err(result) => {
+                    self.return_unused(connection).await;
+                    return Err(result);
+                }
+            };
+            let http_request = batch
+                .http_request(self.request.to)
+                .inspect_err(|_| self.request.departure.revert_to_awaiting_connection())?;
+            let response = match exchange(&mut connection, &batch, http_request).await {
+                Exchange::Finished(response) => response,
+                Exchange::CompletedByStatusLine => return Ok(batch.same_for_all(AttemptResult::Completed)),
+            };
+            if response.is_err() && connection.ended_while_idle() {
+                // Nothing of it was sent, so that it may go on another connection.
+                self.request.departure.revert_to_awaiting_connection();
+                continue;
+            }
+            self.connections.record_use(&connection, response.is_ok());
+            return Ok(self.read_results(connection, response, &batch).await);
+        }
+    }
+
+    /// Decides which messages are sent, now that the connection is up. What held when the request was decided may
+    /// have ended meanwhile; an error is the result of every message then.
+    fn start_sending(&self) -> Result<SentBatch, AttemptResult> {
+        self.connections.open_to(self.request.endpoint)?;
+        let positions = self.request.departure.start_sending(self.request.messages.len());
+        let batch: Vec<BatchMessage> = positions.iter().map(|p| self.request.message(*p)).collect();
+        let answer_by = batch.iter().map(|member| member.answer_by).max().ok_or(AttemptResult::NotSent)?;
+        let messages = batch.into_iter().map(|member| member.message).collect();
+        Ok(SentBatch { positions, messages, answer_by })
+    }
+
+    /// Nothing is sent on the connection: it serves another request.
+    async fn return_unused(&self, mut connection: Connection) {
+        self.request.departure.revert_to_awaiting_connection();
+        if connection.ready().await {
+            self.connections.release(self.request.endpoint, connection);
+        }
+    }
+
+    /// Reads how each message ended.
+    async fn read_results(
+        &self,
+        connection: Connection,
+        response: Result<Response<Incoming>, AttemptResult>,
+        batch: &SentBatch,
+    ) -> RequestResult {
+        let single = batch.single().is_some();
+        let (head, body) = match response {
+            Ok(response) => response.into_parts(),
+            // The library could not read the head, but its first line is known.
+            Err(_) if single && connection.status_is_ok() => {
+                return batch.same_for_all(AttemptResult::Completed)
+            }
+            Err(result) => return batch.same_for_all(result),
+        };
+        if connection.is_new() && protocol::rejects_connection(&head) {
+            self.connections.connection_rejected(self.request.endpoint);
+        }
+        let report = protocol::load_report_of(&head);
+        let result = if single && protocol::attempt_result_of(&head) == AttemptResult::Completed {
+            self.finish_in_background(connection, body).await;
+            batch.same_for_all(AttemptResult::Completed)
+        } else {
+            self.read_whole_response(connection, &head, body, batch).await
+        };
+        RequestResult { report, ..result }
+    }
+
+    /// The head has said all: reads the rest of the response so that the connection can be reused, and waits for
+    /// that only shortly.
+    async fn finish_in_background(&self, connection: Connection, body: Incoming) {
+        let rest = read_rest(self.connections.clone(), self.request.endpoint, connection, body);
+        let mut rest = Box::pin(rest);
+        if timeout(RESPONSE_REST_BEFORE_RESULT, &mut rest).await.is_err() {
+            // Ends by itself, soon; what it holds is the connection, which counts against the limit.
+            tokio::spawn(timeout(RESPONSE_REST_AFTER_RESULT, rest));
+        }
+    }
+
+    /// Results that stand in the body, or that only a whole response proves: that nothing was executed.
+    async fn read_whole_response(
+        &self,
+        mut connection: Connection,
+        head: &response::Parts,
+        body: Incoming,
+        batch: &SentBatch,
+    ) -> RequestResult {
+        let Ok(body) = Limited::new(body, MAX_RESPONSE_BYTES).collect().await else {
+            // The wait stands in the head, and holds whatever became of the rest.
+            let wait = protocol::retry_after_of(head);
+            return RequestResult { wait, ..batch.same_for_all(AttemptResult::MalformedResponse) };
+        };
+        // Whether nothing came behind the response.
+        let clean = connection.ready().await;
+        if clean {
+            self.connections.release(self.request.endpoint, connection);
+        }
+        if batch.single().is_some() {
+            return batch.same_for_all(protocol::attempt_result_of(head));
+        }
+        let results = protocol::attempt_results_of_batch(head, &body.to_bytes(), clean, &batch.messages);
+        let results = batch.positions.iter().copied().zip(results).collect();
+        RequestResult { results, wait: protocol::retry_after_of(head), report: None }
+    }
+}
+
+/// Sends a request and waits for the head of its response; for a single message no longer than shortly after a
+/// status line that says 200, as the rest of the head may have no end, or can't be read.
+async fn exchange(
+    connection: &mut Connection,
+    batch: &SentBatch,
+    http_request: Request<Full<Bytes>>,
+) -> Exchange {
+    let ok_status = connection.wait_for_ok_status();
+    let completed_by_status_line = async {
+        ok_status.await;
+        sleep(RESPONSE_REST_BEFORE_RESULT).await;
+    };
+    tokio::select! {
+        biased;
+        response = connection.send(http_request) => Exchange::Finished(response),
+        () = completed_by_status_line, if batch.single().is_some() => Exchange::CompletedByStatusLine,
+    }
+}
+
+/// Reads the rest of a response and gives its connection back.
+async fn read_rest(
+    connections: Connections,
+    endpoint: EndpointId,
+    mut connection: Connection,
+    body: Incoming,
+) {
+    let whole = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.is_ok();
+    if whole && connection.ready().await {
+        connections.release(endpoint, connection);
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -0,0 +1,217 @@
+//! Waits for one request with the time limits and cancellations of its messages, and reports each message's result.
+
+use std::convert::Infallible;
+use std::future::Future;
+
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use futures_util::FutureExt;
+use reeddock::{AttemptNumber, EndpointId, MessageId};
+use reeddock_protocol::AttemptResult;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{sleep_until, Instant};
+use tower::{Service, ServiceExt};
+
+use super::departure::{BatchDeparture, MessageDeparture};
+use super::request::{EndpointRequest, MessageResult, PendingAttempt, RequestResult};
+use crate::events::Event;
+
+/// Sends a request and reports to the event loop how each message ended. Once no message is waited for any more, the
+/// connection is closed.
+pub async fn run_request(
+    request_sender: impl Service<EndpointRequest, Response = RequestResult, Error = Infallible>,
+    request: EndpointRequest,
+    attempts: Vec<PendingAttempt>,
+    event_loop: mpsc::Sender<Event>,
+) {
+    let departure = request.departure.clone();
+    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.begin_by).collect());
+    let mut supervisor = Supervisor::new(&request, &attempts, event_loop);
+    let mut interruptions = watch_interruptions(&request, attempts);
+    let mut exchange = Some(Box::pin(request_sender.oneshot(request)));
+    while let Some(running) = exchange.as_mut().filter(|_| supervisor.any_unfinished()) {
+        let finished = tokio::select! {
+            biased;
+            Ok(result) = running => {
+                exchange = None;
+                supervisor.request_finished(result).await
+            }
+            Some(first) = interruptions.next() => {
+                // What is interrupted in the same instant is reported together, so that no message of it is sent
+                // anew while the request is still in flight for the others.
+                let mut interrupted = vec![first];
+                while let Some(Some(next)) = interruptions.next().now_or_never() {
+                    interrupted.push(next);
+                }
+                interrupted.into_iter().map(|interruption| interruption.withdraw(&departure)).collect()
+            }
+        };
+        let reports = supervisor.finish(finished);
+        if !supervisor.any_unfinished() {
+            // The connection is closed before the results are reported.
+            exchange = None;
+        }
+        supervisor.report(reports).await;
+    }
+}
+
+/// Why a message is not waited for any longer while its request is still in flight.
+#[derive(Clone, Copy)]
+enum InterruptionCause {
+    /// Its time is up, for the result or for the first byte.
+    TimedOut,
+    /// The attempt was cancelled.
+    Cancelled,
+}
+
+/// A message that is not waited for any longer.
+struct Interruption {
+    position: usize,
+    cause: InterruptionCause,
+}
+
+impl Interruption {
+    /// Keeps the message from being sent if it was not yet; the result says which holds.
+    fn withdraw(self, departure: &BatchDeparture) -> MessageResult {
+        let result = match (departure.withdraw(self.position), self.cause) {
+            // No connection had come up by then.
+            (MessageDeparture::Withheld, InterruptionCause::TimedOut) => AttemptResult::ConnectTimedOut,
+            (MessageDeparture::Withheld, InterruptionCause::Cancelled) => AttemptResult::NotSent,
+            (MessageDeparture::Sent, InterruptionCause::TimedOut) => AttemptResult::TimedOut,
+            (MessageDeparture::Sent, InterruptionCause::Cancelled) => AttemptResult::Cancelled,
+        };
+        MessageResult { position: self.position, result }
+    }
+}
+
+/// Waits for the interruption of each message of a request.
+fn watch_interruptions(
+    request: &EndpointRequest,
+    attempts: Vec<PendingAttempt>,
+) -> FuturesUnordered<impl Future<Output = Interruption>> {
+    let limits = attempts.into_iter().zip(request.until.iter().copied()).enumerate();
+    limits
+        .map(|(position, (attempt, answer_by))| {
+            interruption(position, attempt.begin_by, answer_by, attempt.cancelled, request.departure.clone())
+        })
+        .collect()
+}
+
+/// Waits until the message at a position is not waited for any longer.
+async fn interruption(
+    position: usize,
+    begin_by: Instant,
+    answer_by: Instant,
+    cancelled: oneshot::Receiver<()>,
+    departure: BatchDeparture,
+) -> Interruption {
+    let not_sent_in_time = async {
+        sleep_until(begin_by).await;
+        if departure.was_sent(position) {
+            std::future::pending().await
+        }
+    };
+    let cause = tokio::select! {
+        () = sleep_until(answer_by) => InterruptionCause::TimedOut,
+        () = not_sent_in_time => InterruptionCause::TimedOut,
+        Ok(()) = cancelled => InterruptionCause::Cancelled,
+    };
+    Interruption { position, cause }
+}
+
+/// Which attempt of which message a result is reported for.
+struct AttemptId {
+    message: MessageId,
+    no: AttemptNumber,
+}
+
+/// An attempt that has ended and was not reported yet.
+struct AttemptReport {
+    attempt: AttemptId,
+    result: AttemptResult,
+}
+
+/// One message of a request, as its supervisor knows it.
+struct SupervisedMessage {
+    /// None once its result is known.
+    unfinished: Option<AttemptId>,
+    /// Until when its result is waited for.
+    answer_by: Instant,
+}
+
+/// Which messages of a request still wait for their results.
+struct Supervisor {
+    endpoint: EndpointId,
+    /// By position in the request.
+    messages: Vec<SupervisedMessage>,
+    event_loop: mpsc::Sender<Event>,
+}
+
+impl Supervisor {
+    fn new(
+        request: &EndpointRequest,
+        attempts: &[PendingAttempt],
+        event_loop: mpsc::Sender<Event>,
+    ) -> Supervisor {
+        let supervised = |(attempt, answer_by): (&PendingAttempt, &Instant)| {
+            let id = AttemptId { message: attempt.message.clone(), no: attempt.no };
+            SupervisedMessage { unfinished: Some(id), answer_by: *answer_by }
+        };
+        let messages = attempts.iter().zip(&request.until).map(supervised).collect();
+        Supervisor { endpoint: request.endpoint, messages, event_loop }
+    }
+
+    fn any_unfinished(&self) -> bool {
+        self.messages.iter().any(|message| message.unfinished.is_some())
+    }
+
+    /// The request has ended: reports what its response says of the endpoint, and returns the result of each message.
+    async fn request_finished(&self, request: RequestResult) -> Vec<MessageResult> {
+        self.report_endpoint(&request).await;
+        let now = Instant::now();
+        let mut results: Vec<MessageResult> =
+            request.message_results().map(|result| self.in_time(result, now)).collect();
+        // A message that was withheld may have no interruption yet, though its time to start is over.
+        let withheld = |position: &usize| !results.iter().any(|result| result.position == *position);
+        let withheld: Vec<usize> = (0..self.messages.len()).filter(withheld).collect();
+        let not_sent = |position| MessageResult { position, result: AttemptResult::NotSent };
+        results.extend(withheld.into_iter().map(not_sent));
+        results
+    }
+
+    /// Reports a load report and a wait, before the results that came with them.
+    async fn report_endpoint(&self, request: &RequestResult) {
+        let endpoint = self.endpoint;
+        if let Some(report) = request.report {
+            let _ = self.event_loop.send(Event::Reported { endpoint, report }).await;
+        }
+        if let Some(wait) = request.wait {
+            let _ = self.event_loop.send(Event::Wait { endpoint, wait }).await;
+        }
+    }
+
+    /// The endpoint was told until when a result is waited for: a completion after that is no delivery, though it
+    /// may come in the instant in which the wait ends. That nothing was executed holds all the same.
+    fn in_time(&self, finished: MessageResult, now: Instant) -> MessageResult {
+        let late = self.messages.get(finished.position).is_some_and(|message| message.answer_by <= now);
+        match finished.result {
+            AttemptResult::Completed if late => MessageResult { result: AttemptResult::TimedOut, ..finished },
+            _ => finished,
+        }
+    }
+
+    /// Takes in results; returns those of messages that had none before.
+    fn finish(&mut self, finished: Vec<MessageResult>) -> Vec<AttemptReport> {
+        let take = |MessageResult { position, result }| {
+            let attempt = self.messages.get_mut(position)?.unfinished.take()?;
+            Some(AttemptReport { attempt, result })
+        };
+        finished.into_iter().filter_map(take).collect()
+    }
+
+    async fn report(&self, reports: Vec<AttemptReport>) {
+        for AttemptReport { attempt: AttemptId { message, no }, result } in reports {
+            // The event loop ends with the program only.
+            let _ = self.event_loop.send(Event::Ended { message, no, result }).await;
+        }
+    }
+}
