--- a/crates/forwarder/src/ingress/accept.rs
+++ b/crates/forwarder/src/ingress/accept.rs
@@ -19,11 +19,11 @@
 use crate::limits::Limits;
 use crate::log_throttle::LogThrottle;
 
-/// Before the next attempt where this machine has no room for a connection.
+/// The pause before the next attempt to accept, where this machine has no capacity for a connection.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
 /// Accepts and serves clients until [`ClientConnections::close`] and until nobody waits to be accepted. Connections
-/// that are open then are served on by their own tasks, which [`ClientConnections::empty`] tells the end of.
+/// that are open then are served on by their own tasks; [`ClientConnections::empty`] is true once all have ended.
 pub async fn accept(
     listener: TcpListener,
     limits: Limits,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A slot for one more connection, once there is one; `None` never comes, as the semaphore is not closed. It is
+    /// A slot for one more connection, once there is one; never `None`, as the semaphore is not closed. It is
     /// taken until the descriptor is closed, which may be a while after the connection was evicted.
     async fn free_slot(&self) -> Option<OwnedSemaphorePermit> {
         loop {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Waits a moment where this machine has no descriptor; any other failure is that of one client.
+    /// Pauses where this machine has no descriptor; any other failure concerns one client only and is passed over.
     async fn accept_failed(&mut self, error: &io::Error) {
         if !out_of_descriptors(error) {
             return;
@@ -145,7 +145,7 @@
         });
     }
 
-    /// Closes another connection where as many are open as are served.
+    /// Evicts another connection where the limit of served ones is reached.
     fn make_room(&self) -> ConnectionCapacity {
         if self.clients.count() < self.limits.clients || self.clients.evict_one() {
             ConnectionCapacity::Available
--- a/crates/forwarder/src/ingress/client_connection.rs
+++ b/crates/forwarder/src/ingress/client_connection.rs
@@ -20,8 +20,7 @@
 const FIRST_HEAD_WITHIN: Duration = Duration::from_millis(2100);
 /// How long a connection may stand idle after a response before it is closed.
 const IDLE_WITHIN: Duration = Duration::from_millis(2100);
-/// A new client sends its request right away: for so long after it was accepted a connection is not closed to make
-/// room for another.
+/// How long a new connection is protected from eviction: a usual client sends its request right away.
 const EVICTION_PROTECTED: Duration = Duration::from_millis(100);
 
 /// Where a client connection stands.
@@ -29,31 +28,31 @@
 /// `AwaitingFirstRequest` → `InRequest` ⇄ `Idle`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionPhase {
-    /// Accepted, and the head of a request has not come whole yet.
+    /// Accepted; no complete request head was received yet.
     AwaitingFirstRequest {
         /// When it was accepted.
         since: Instant,
     },
     /// A request is being answered.
     InRequest,
-    /// The last request was answered, and the head of another has not come whole yet.
+    /// The last request was answered; no complete head of the next was received yet.
     Idle {
         /// When the response was ready.
         since: Instant,
     },
 }
 
-/// How readily a connection is closed to make room for another: the smallest value first.
+/// The order in which connections are evicted for new ones: the smallest value first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
-    /// A client that has connected and then said nothing, the oldest first.
+    /// Its client has connected and sent no request; the oldest first.
     Silent(Instant),
-    /// A client that may use another connection for its next request, the one idle for longest first.
+    /// Its client can use another connection for its next request; the one idle for longest first.
     Idle(Instant),
 }
 
 impl ConnectionPhase {
-    /// When the connection is closed if nothing more comes; none while a request is being answered.
+    /// When the connection is closed if nothing more is received; none while a request is being answered.
     pub(super) fn idle_deadline(self) -> Option<Instant> {
         match self {
             ConnectionPhase::AwaitingFirstRequest { since } => Some(since + FIRST_HEAD_WITHIN),
@@ -62,7 +61,7 @@
         }
     }
 
-    /// How readily the connection is closed for another; none where it must not be.
+    /// Its place in the order of eviction; none where it must not be evicted.
     pub(super) fn eviction_priority(self) -> Option<EvictionPriority> {
         match self {
             ConnectionPhase::AwaitingFirstRequest { since } => {
@@ -74,7 +73,7 @@
     }
 }
 
-/// One client's connection, as the tasks that serve it and make room see it.
+/// One client's connection, shared by the task that serves it and the task that evicts.
 pub(super) struct ClientConnection {
     phase: Mutex<ConnectionPhase>,
     request_bytes: Mutex<RequestBytes>,
@@ -96,45 +95,45 @@
         *locked(&self.phase)
     }
 
-    /// The head of a request has come whole.
+    /// A complete request head was received.
     pub(super) fn request_started(&self) {
         *locked(&self.phase) = ConnectionPhase::InRequest;
     }
 
-    /// The response to the request is ready; what comes from here on belongs to the next request.
+    /// The response to the request is ready; bytes received from here on belong to the next request.
     pub(super) fn response_ready(&self) {
         *locked(&self.request_bytes) = RequestBytes::default();
         *locked(&self.phase) = ConnectionPhase::Idle { since: Instant::now() };
     }
 
-    /// Whether a request has come on it at any time.
+    /// Whether it ever had a request.
     pub(super) fn had_request(&self) -> bool {
         !matches!(self.phase(), ConnectionPhase::AwaitingFirstRequest { .. })
     }
 
-    /// Whether it has answered a request and a part of the next one's head has come.
+    /// Whether it has answered a request and received a part of the next one's head.
     pub(super) fn next_request_begun(&self) -> bool {
         matches!(self.phase(), ConnectionPhase::Idle { .. }) && locked(&self.request_bytes).begun
     }
 
-    /// Bytes that came behind the head of the current request.
+    /// How many bytes were received behind the head of the current request.
     pub(super) fn bytes_past_head(&self) -> usize {
         locked(&self.request_bytes).past_head
     }
 
-    /// Asks the task that serves the connection to close it: room is needed for another.
+    /// Asks the task that serves the connection to close it in favour of another.
     pub(super) fn evict(&self) {
         self.evicted.notify_one();
     }
 
-    /// Waits until the connection is to be closed for another.
+    /// Waits until the connection is evicted.
     pub(super) async fn evicted(&self) {
         self.evicted.notified().await;
     }
 }
 
-/// What has come of the current request, counted from the bytes themselves: more of them than its length says are a
-/// wrong length or another request hidden in the body, as clients of the protocol send one request at a time.
+/// How much of the current request was received, counted from the bytes themselves. More bytes than its length says are
+/// a wrong length or another request hidden in the body, as clients of the protocol send one request at a time.
 #[derive(Default)]
 struct RequestBytes {
     begun: bool,
--- a/crates/forwarder/src/ingress/clients.rs
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -1,4 +1,4 @@
-//! All open client connections, and which one is closed where room is needed.
+//! All open client connections, and which one is evicted at the limit.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -56,10 +56,10 @@
         self.open().remove(&number);
     }
 
-    /// Closes the connection that can best be spared; returns whether there was one.
+    /// Closes the connection whose loss matters least; returns whether there was one.
     ///
     /// Of those that never had a request it is the oldest, so that silent clients do not crowd out others; if there
-    /// is none, the one that has stood idle for longest, whose client uses another for its next request.
+    /// is none, the one that has stood idle for longest, whose client uses another connection for its next request.
     pub(super) fn evict_one(&self) -> bool {
         let mut open = self.open();
         let candidates = open.iter().filter_map(|(number, connection)| {
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -29,7 +29,7 @@
 pub(super) enum ConnectionCapacity {
     /// Its submissions are accepted.
     Available,
-    /// It is one too many: its submission gets no capacity as the answer, and then it is closed.
+    /// It is beyond the limit: its submission is answered with [`ClientResponse::NoCapacity`], and then it is closed.
     Exceeded,
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// Whether bytes of the request may still come, or stand where the next request is expected.
+/// Whether bytes of the request may still be in flight, or may be parsed as the next request.
 fn leaves_bytes_unread(response: &ClientResponse) -> bool {
     matches!(
         response,
--- a/crates/forwarder/src/ingress/serving.rs
+++ b/crates/forwarder/src/ingress/serving.rs
@@ -19,8 +19,8 @@
 const LAST_REQUEST_WITHIN: Duration = Duration::from_millis(100);
 /// How often a connection with a request in progress is looked at again, for its idle deadline after that.
 const IN_REQUEST_RECHECK: Duration = Duration::from_millis(100);
-/// How long a closed connection is still read, and what comes is thrown away: the system resets a connection that is
-/// dropped over unread bytes, and a response that is still under way is lost with it.
+/// How long a closed connection is still read, and its bytes thrown away: the system resets a connection that is
+/// dropped with unread bytes, and a response that is still in flight is lost with it.
 const LINGER: Duration = Duration::from_millis(300);
 /// Bytes that the HTTP library buffers for a connection at most, and so the longest head.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
@@ -32,7 +32,7 @@
 enum CloseReason {
     /// The forwarder shuts down: every connection is closed.
     ShuttingDown,
-    /// Room is needed for another connection, or no request came in time.
+    /// Evicted for another connection, or no request was received in time.
     EvictedOrIdle,
 }
 
@@ -64,7 +64,7 @@
         if let Err(error) = ended {
             tracing::debug!(from = %self.from, %error, "client connection failed");
         }
-        // A connection that never had a request has no response under way.
+        // A connection that never had a request has no response in flight.
         let linger_permit = self.lingering.try_acquire_owned();
         if linger_permit.is_ok() && connection.had_request() {
             drop(self.slot);
@@ -96,13 +96,13 @@
     }
 }
 
-/// Closes a connection, after a request that is on its way.
+/// Closes a connection, after a request that has begun.
 async fn close(
     http: &mut HttpConnection,
     connection: &ClientConnection,
     reason: CloseReason,
 ) -> hyper::Result<()> {
-    // Half a head may be here; and a client that connected just before the shutdown has its request on the way.
+    // Half a head may be here; and a client that connected just before the shutdown has its request in flight.
     let first_request_expected = reason == CloseReason::ShuttingDown && !connection.had_request();
     if first_request_expected || connection.next_request_begun() {
         if let Ok(ended) = timeout(LAST_REQUEST_WITHIN, &mut *http).await {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Ends the writing side and throws away what still comes: none of it was accepted.
+/// Ends the writing side and discards what is still received: none of it was accepted.
 async fn linger(mut stream: TcpStream) {
     let drained = async {
         stream.shutdown().await?;
--- a/crates/forwarder/src/request_sender/departure.rs
+++ b/crates/forwarder/src/request_sender/departure.rs
@@ -17,7 +17,7 @@
 #[derive(Default)]
 struct State {
     phase: Phase,
-    /// Positions of messages that are not sent, whatever becomes of the rest.
+    /// Positions of messages that are never sent with this request.
     withheld: BTreeSet<usize>,
     /// By position, when the first byte is sent at the latest; without limit where no entry stands.
     start_deadlines: Vec<Instant>,
@@ -33,7 +33,7 @@
     Sending,
 }
 
-/// Whether a message has left.
+/// Whether a message was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageDeparture {
     /// It was sent and may have been executed.
@@ -74,7 +74,8 @@
         locked(&self.0).phase = Phase::AwaitingConnection;
     }
 
-    /// The message is not waited for any longer: if it was not sent, it never will be. Returns which holds.
+    /// The message is not waited for any longer: if it was not sent, it never will be. Returns which of the two is
+    /// the case.
     pub(super) fn withdraw(&self, position: usize) -> MessageDeparture {
         let mut state = locked(&self.0);
         if state.phase == Phase::AwaitingConnection {
--- a/crates/forwarder/src/request_sender/mod.rs
+++ b/crates/forwarder/src/request_sender/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | module | its job |
 //! | --- | --- |
-//! | `request` | what is sent, and what came of it |
+//! | `request` | the parts of a request and its results |
 //! | `departure` | which messages of a batch are still sent once its connection is up |
 //! | `sender` | sends one request on a connection and reads its response |
 //! | `supervisor` | waits for one request with the time limits and cancellations of its messages, and reports results |
--- a/crates/forwarder/src/request_sender/request.rs
+++ b/crates/forwarder/src/request_sender/request.rs
@@ -1,4 +1,4 @@
-//! What a request to an endpoint is made of, and what came of it.
+//! The parts of a request to an endpoint, and its results.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -55,7 +55,7 @@
     pub result: AttemptResult,
 }
 
-/// What came of a request.
+/// The results of a request.
 pub struct RequestResult {
     /// How each message that was sent ended, by its position in the request.
     pub results: Vec<(usize, AttemptResult)>,
@@ -75,7 +75,7 @@
         RequestResult { results, wait: None, report: None }
     }
 
-    /// The results, each with its name.
+    /// The results as named values.
     pub(super) fn message_results(&self) -> impl Iterator<Item = MessageResult> + '_ {
         self.results.iter().map(|(position, result)| MessageResult { position: *position, result: *result })
     }
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -20,17 +20,17 @@
 use crate::connections::{Connection, Connections};
 
 /// How long the rest of a response is read before a result that is already certain is returned: a request that
-/// follows at once finds the connection free if the rest comes by then.
-const RESPONSE_REST_BEFORE_RESULT: Duration = Duration::from_millis(20);
+/// follows at once finds the connection free if the rest arrives by then.
+const RESPONSE_REMAINDER_BEFORE_RESULT: Duration = Duration::from_millis(20);
 /// How long the rest is read after that, in the background; then the connection is closed.
-const RESPONSE_REST_AFTER_RESULT: Duration = Duration::from_secs(2);
+const RESPONSE_REMAINDER_AFTER_RESULT: Duration = Duration::from_secs(2);
 /// Bytes of a response body that are read at most. No response of the protocol is longer, and some never end.
 const MAX_RESPONSE_BYTES: usize = 2 * protocol::MAX_BODY_BYTES;
 
 /// Sends requests to endpoints. Dropping the future of one closes its connection and so cancels the request.
 #[derive(Clone)]
 pub struct RequestSender {
-    /// Where connections come from and go back to.
+    /// The pool that connections are taken from and given back to.
     pub connections: Connections,
 }
 
@@ -58,7 +58,7 @@
 struct SentBatch {
     positions: Vec<usize>,
     messages: Vec<OutgoingMessage>,
-    /// Until when a result of any of them is waited for; the endpoint is told.
+    /// The latest of their limits, up to which a response is waited for; sent to the endpoint.
     answer_by: Instant,
 }
 
@@ -88,9 +88,9 @@
 
 /// How a request on one connection went, up to the head of its response.
 enum Exchange {
-    /// The head came, or the request failed.
+    /// The head was received, or the request failed.
     Finished(Result<Response<Incoming>, AttemptResult>),
-    /// The status line says that the only message is completed; the rest of the head did not come in time.
+    /// The status line says that the only message is completed; the rest of the head was not received in time.
     CompletedByStatusLine,
 }
 
@@ -177,14 +177,14 @@
         RequestResult { report, ..result }
     }
 
-    /// The head has said all: reads the rest of the response so that the connection can be reused, and waits for
-    /// that only shortly.
+    /// The head holds the whole result: reads the rest of the response so that the connection can be reused, and
+    /// waits for that only shortly.
     async fn finish_in_background(&self, connection: Connection, body: Incoming) {
-        let rest = read_rest(self.connections.clone(), self.request.endpoint, connection, body);
-        let mut rest = Box::pin(rest);
-        if timeout(RESPONSE_REST_BEFORE_RESULT, &mut rest).await.is_err() {
-            // Ends by itself, soon; what it holds is the connection, which counts against the limit.
-            tokio::spawn(timeout(RESPONSE_REST_AFTER_RESULT, rest));
+        let remainder = read_remainder(self.connections.clone(), self.request.endpoint, connection, body);
+        let mut remainder = Box::pin(remainder);
+        if timeout(RESPONSE_REMAINDER_BEFORE_RESULT, &mut remainder).await.is_err() {
+            // Not joined: it ends by its time limit, and owns nothing but the connection.
+            tokio::spawn(timeout(RESPONSE_REMAINDER_AFTER_RESULT, remainder));
         }
     }
 
@@ -197,11 +197,11 @@
         batch: &SentBatch,
     ) -> RequestResult {
         let Ok(body) = Limited::new(body, MAX_RESPONSE_BYTES).collect().await else {
-            // The wait stands in the head, and holds whatever became of the rest.
+            // The wait stands in the head, and is valid whatever became of the body.
             let wait = protocol::retry_after_of(head);
             return RequestResult { wait, ..batch.same_for_all(AttemptResult::MalformedResponse) };
         };
-        // Whether nothing came behind the response.
+        // Whether nothing was received behind the response.
         let clean = connection.ready().await;
         if clean {
             self.connections.release(self.request.endpoint, connection);
@@ -225,7 +225,7 @@
     let ok_status = connection.wait_for_ok_status();
     let completed_by_status_line = async {
         ok_status.await;
-        sleep(RESPONSE_REST_BEFORE_RESULT).await;
+        sleep(RESPONSE_REMAINDER_BEFORE_RESULT).await;
     };
     tokio::select! {
         biased;
@@ -235,7 +235,7 @@
 }
 
 /// Reads the rest of a response and gives its connection back.
-async fn read_rest(
+async fn read_remainder(
     connections: Connections,
     endpoint: EndpointId,
     mut connection: Connection,
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -70,7 +70,7 @@
 }
 
 impl Interruption {
-    /// Keeps the message from being sent if it was not yet; the result says which holds.
+    /// Keeps the message from being sent if it was not yet; the result says which of the two is the case.
     fn withdraw(self, departure: &BatchDeparture) -> MessageResult {
         let result = match (departure.withdraw(self.position), self.cause) {
             // No connection had come up by then.
@@ -178,7 +178,7 @@
         results
     }
 
-    /// Reports a load report and a wait, before the results that came with them.
+    /// Reports the load report and the wait of a response, ahead of its results.
     async fn report_endpoint(&self, request: &RequestResult) {
         let endpoint = self.endpoint;
         if let Some(report) = request.report {
@@ -189,8 +189,8 @@
         }
     }
 
-    /// The endpoint was told until when a result is waited for: a completion after that is no delivery, though it
-    /// may come in the instant in which the wait ends. That nothing was executed holds all the same.
+    /// The endpoint knows until when a result is waited for: a completion after that is no delivery, though it may
+    /// arrive in the instant in which the wait ends. A result that proves that nothing was executed stays valid.
     fn in_time(&self, finished: MessageResult, now: Instant) -> MessageResult {
         let late = self.messages.get(finished.position).is_some_and(|message| message.answer_by <= now);
         match finished.result {
