--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -30,9 +30,9 @@
 ) {
     let start = Instant::now();
     let mut log_throttle = LogThrottle::default();
-    let mut progress = WatchProgress { generation, heard: false };
+    let mut progress = WatchProgress { generation, line_received: false };
     loop {
-        progress.heard = false;
+        progress.line_received = false;
         let request = WatchRequest {
             discovery: *address.borrow_and_update(),
             answer_by: start + schedule.begin(start.elapsed()),
@@ -45,7 +45,7 @@
                 continue;
             }
         };
-        let next_request = start + schedule.lost(start.elapsed(), &loss, progress.heard);
+        let next_request = start + schedule.lost(start.elapsed(), &loss, progress.line_received);
         log_loss(&mut log_throttle, &loss, next_request);
         if event_loop.send(Event::ListFailed).await.is_err() {
             return;
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -89,7 +89,7 @@
 }
 
 impl EndpointTable {
-    /// The number of an endpoint, which is assigned with the first call for its name. The endpoint keeps it until it
+    /// The number of an endpoint, which is assigned when its name is used first. The endpoint keeps it until it
     /// is forgotten; no other endpoint ever gets the same.
     pub fn number(&mut self, name: &str) -> EndpointId {
         let EndpointTable { rows, names, hashes, next_number, .. } = self;
@@ -127,7 +127,7 @@
         self.rows.get(&id.0).map(|row| row.name.as_str())
     }
 
-    /// Where an endpoint is, if the list has said so.
+    /// Where an endpoint is, if the list has given an address.
     pub fn get(&self, id: EndpointId) -> Option<EndpointLocation> {
         let row = self.rows.get(&id.0)?;
         Some(EndpointLocation { address: row.address.get()?, batch: row.max_batch as usize })
--- a/crates/forwarder/src/error.rs
+++ b/crates/forwarder/src/error.rs
@@ -30,7 +30,7 @@
     /// The cached endpoint list can't be read any more.
     #[error(transparent)]
     CachedList(#[from] CachedListError),
-    /// The system does not tell the address of the listening socket.
+    /// The system does not give the address of the listening socket.
     #[error(transparent)]
     LocalAddress(io::Error),
 }
--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -53,7 +53,7 @@
 }
 
 impl CommandBuffer {
-    /// Takes all commands that the policy gave since the last call.
+    /// Takes all commands that the policy gave since they were taken last.
     pub(super) fn take(&mut self) -> CommandBatch {
         let mut batch = CommandBatch::default();
         for command in self.commands.drain(..) {
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes back messages whose client does not rely on this forwarder: it heard of no acceptance.
+    /// Takes back messages whose clients know of no acceptance, and submit them anew.
     fn withdraw(&mut self, ids: BTreeSet<MessageId>) {
         for id in ids {
             self.policy.withdraw(&id, self.state.commands());
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -74,7 +74,7 @@
 
 /// Splits the attempts of one request to an endpoint that takes at most `max_batch` messages at once.
 ///
-/// The one whose response is waited for longest leads. A request tells its endpoint only one time limit, which the
+/// The one whose response is waited for longest leads. A request carries only one time limit, which the
 /// endpoint may take for that of the first message, and a response after that limit would be lost for the others too.
 fn split_attempts(mut attempts: Vec<OutgoingAttempt>, max_batch: usize) -> Vec<Vec<OutgoingAttempt>> {
     attempts.sort_by_key(|attempt| std::cmp::Reverse(attempt.timeouts.response_within));
--- a/crates/forwarder/src/event_loop/run.rs
+++ b/crates/forwarder/src/event_loop/run.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Tells the policy of each timer that is due.
+    /// Fires each timer that is due.
     fn fire_timers(&mut self, now: Duration) {
         while self.state.take_due_timer(now).is_some() {
             self.policy.timer_fired(now);
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -113,7 +113,7 @@
         let submissions = std::mem::take(&mut self.submissions);
         for NewSubmission { id, accepted, .. } in &submissions {
             let (class, destination) = (&*accepted.class, accepted.destination);
-            tracing::debug!(message_id = &*id.0, class, destination, "message accepted");
+            tracing::debug!(message_id = &*id.0, class, destination, "message pending");
             let entry = PendingEntry {
                 body: accepted.body.clone(),
                 idempotency_key: accepted.idempotency_key.as_deref().map(Arc::from),
@@ -139,14 +139,14 @@
                 attempt = number.0,
                 ?endpoint,
                 ?timeouts,
-                "attempt started"
+                "attempt numbered"
             );
             attempts.push(OutgoingAttempt { message, number, endpoint, timeouts });
         }
         attempts
     }
 
-    /// An attempt is in flight from here on; returns what tells its request that it was cancelled.
+    /// An attempt is in flight from here on; returns the channel by which its request learns of a cancellation.
     pub(super) fn attempt_in_flight(&mut self, attempt: AttemptKey) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
         self.in_flight.insert(attempt, cancel);
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -1,7 +1,7 @@
 //! One forwarder on sockets, around the delivery policy of the package `reeddock`.
 //!
 //! The policy makes every decision; this package carries the decisions out and reports to the policy what happens.
-//! Everything runs on one thread. [`serve`] starts the tasks and runs the event loop, which alone owns the policy and
+//! Everything runs on one thread. [`serve()`] starts the tasks and runs the event loop, which alone owns the policy and
 //! the write-ahead log; all other tasks reach it through bounded queues of [`events::Event`].
 //!
 //! | module | its job |
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -26,7 +26,7 @@
     /// The generation of the last part of the list that the event loop has completely.
     pub generation: u64,
     /// Whether any line of the present watch has come completely.
-    pub heard: bool,
+    pub line_received: bool,
 }
 
 /// Why a watch is not read any further.
@@ -99,7 +99,7 @@
                     return Err(ReadError::Malformed(MalformedList { fault, bytes }));
                 }
             };
-            self.progress.heard |= matches!(event, ListEvent::Ends | ListEvent::Heartbeat);
+            self.progress.line_received |= matches!(event, ListEvent::Ends | ListEvent::Heartbeat);
             if event != ListEvent::Heartbeat {
                 self.piece.push(event);
             }
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -35,7 +35,7 @@
     serve_on(listener, options, stop).await
 }
 
-/// Serves like [`serve`], on a socket that listens already; `options.listen` is not used.
+/// Serves like [`serve()`], on a socket that listens already; `options.listen` is not used.
 ///
 /// All tasks that this starts end with it.
 pub async fn serve_on(
@@ -118,7 +118,7 @@
 }
 
 impl Shutdown {
-    /// Waits for `stop`, sends the clients elsewhere, and tells the event loop once the last has gone.
+    /// Waits for `stop`, sends the clients elsewhere, and reports to the event loop once the last has gone.
     async fn run_after(mut self, stop: impl Future<Output = ()>) -> Infallible {
         stop.await;
         tracing::info!("shutdown requested");
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -21,11 +21,11 @@
 //! at once, keeps it overbooked. After a loss each forwarder therefore asks once in a period, at a phase of its own.
 //! Only the first two losses of a connection are followed by a request at once.
 
-use std::fmt;
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
+use thiserror::Error;
 
 /// How many requests follow a broken connection at once, until a watch has stood for a whole period again.
 const QUICK_RETRIES: u32 = 2;
@@ -41,7 +41,7 @@
     /// Discovery that can answer each forwarder once in [`Periods::told_after`] is overbooked by requests that come
     /// much sooner.
     pub answer: Duration,
-    /// A request without an answer is not abandoned before this.
+    /// A request without an answer is not abandoned before this has passed.
     pub patience: Duration,
     /// An attempt to connect to discovery ends after this.
     pub connect: Duration,
@@ -76,28 +76,22 @@
 }
 
 /// How a watch, or the request that was to open it, ended.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Debug, Error, PartialEq)]
 pub enum Loss {
     /// There was no connection, it broke, or what came was malformed: the fault in one line.
+    #[error("{0}")]
     Broken(String),
     /// An open watch on which nothing was received for [`Periods::silent_after`].
+    #[error("silent")]
     Silent,
     /// The request was abandoned without an answer.
+    #[error("no answer")]
     NoAnswer,
     /// Discovery answered with a refusal: the fault in one line, and the `Retry-After` if there was one.
+    #[error("{0}")]
     Refused(String, Option<Duration>),
 }
 
-impl fmt::Display for Loss {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Loss::Broken(fault) | Loss::Refused(fault, _) => f.write_str(fault),
-            Loss::Silent => f.write_str("silent"),
-            Loss::NoAnswer => f.write_str("no answer"),
-        }
-    }
-}
-
 /// The time within which a request begins, at the moment that the forwarder's phase selects.
 #[derive(Clone, Copy, Debug)]
 struct Window {
@@ -148,27 +142,42 @@
         self.moment(Window { from: from.min(by), by })
     }
 
-    /// The watch was lost, after any complete line (`heard`) or before; returns when the next request begins.
-    pub fn lost(&mut self, now: Duration, loss: &Loss, heard: bool) -> Duration {
-        if heard {
-            self.note_heard(now, loss);
+    /// The watch was lost, after any complete line was received or before; returns when the next request begins.
+    pub fn lost(&mut self, now: Duration, loss: &Loss, line_received: bool) -> Duration {
+        if line_received {
+            self.note_list_was_true(now, loss);
         }
-        let Window { from, by } = self.next_window(now);
-        let Periods { spread, quick, .. } = self.periods;
+        let window = self.next_window(now);
         match loss {
-            Loss::Silent if heard => return self.moment(Window { from: now, by: by.min(now + spread) }),
-            Loss::Broken(_) if self.quick_retries_left > 0 => {
-                let rest = quick.mul_f64(0.5 + self.phase) * (1 + QUICK_RETRIES - self.quick_retries_left);
-                self.quick_retries_left -= 1;
-                return by.min(now + rest);
-            }
-            _ if heard => {}
-            _ => self.second_request = None,
+            Loss::Silent if line_received => return self.after_silence(now, window),
+            Loss::Broken(_) if self.quick_retries_left > 0 => return self.quick_retry(now, window),
+            // The window above is that of the second request; from then on there is one in a period.
+            _ if !line_received => self.second_request = None,
+            _ => {}
         }
+        self.regular_request(now, loss, window)
+    }
+
+    /// Forwarders whose watches fell silent together ask soon, spread over a short time.
+    fn after_silence(&self, now: Duration, window: Window) -> Duration {
+        self.moment(Window { from: now, by: window.by.min(now + self.periods.spread) })
+    }
+
+    /// A connection that broke is most likely replaced at once.
+    fn quick_retry(&mut self, now: Duration, window: Window) -> Duration {
+        let retry = 1 + QUICK_RETRIES - self.quick_retries_left;
+        self.quick_retries_left -= 1;
+        let rest = self.periods.quick.mul_f64(0.5 + self.phase) * retry;
+        window.by.min(now + rest)
+    }
+
+    /// The one request of a period.
+    fn regular_request(&self, now: Duration, loss: &Loss, Window { from, by }: Window) -> Duration {
         match loss {
+            // The time until the request was abandoned has been its rest.
             Loss::NoAnswer => now,
-            Loss::Refused(_, Some(asked)) => {
-                let wait = (*asked).min(self.periods.between_requests() / 2);
+            Loss::Refused(_, Some(retry_after)) => {
+                let wait = (*retry_after).min(self.periods.between_requests() / 2);
                 self.moment(Window { from: from.max(now + wait).min(by), by })
             }
             _ => self.moment(Window { from, by }),
@@ -183,7 +192,7 @@
     }
 
     /// The watch that was lost had received something: the list is known to have been true until then.
-    fn note_heard(&mut self, now: Duration, loss: &Loss) {
+    fn note_list_was_true(&mut self, now: Duration, loss: &Loss) {
         let (true_until, from) = match loss {
             Loss::Silent => (now.saturating_sub(self.periods.silent_after), now + self.periods.spread),
             _ => (now, now),
