--- /dev/null
+++ b/crates/forwarder/tests/loopback/batches.rs
@@ -0,0 +1,160 @@
+//! Several messages in one request: which travel together, in which order, and how each of them ends.
+
+use std::collections::BTreeSet;
+use std::io::ErrorKind;
+use std::mem::MaybeUninit;
+
+use socket2::SockRef;
+use tokio::net::{TcpListener, TcpStream};
+
+use crate::support::*;
+
+#[test]
+fn messages_for_one_endpoint_travel_as_a_batch_and_each_has_its_own_result() {
+    run_test(async {
+        let test_bed = TestBed::new(|m| match m.start_line.contains("/events/bundle") {
+            true => ScriptedResponse::ok_with_body("o1 accepted\r\no2 fault\r\no3 deferred\r\n"),
+            false => ScriptedResponse::ok(),
+        })
+        .await;
+        let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
+        for id in ["o1", "o2", "o3"] {
+            assert_eq!(forwarder.submit(id, "order").await, 202);
+        }
+        test_bed.publish_endpoint(2);
+        let batch = wait_for("a batch", || test_bed.endpoint.received().first().cloned()).await;
+        assert_eq!(batch.start_line, "POST /events/bundle HTTP/1.1");
+        let frames = ["o1", "o2", "o3"].map(|id| format!("{id} - 10\r\nbody of it\r\n"));
+        assert_eq!(batch.body, frames.concat());
+        test_bed.wait_for_notice(r#"{"id":"o2","status":"undeliverable"}"#).await;
+        let retry = wait_for("the deferred one", || test_bed.endpoint.received().get(1).cloned()).await;
+        assert_eq!(retry.id(), "o3");
+        assert!(!test_bed.notices().contains("o1") && !test_bed.notices().contains("o3"));
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn the_largest_bodies_travel_each_in_a_request_of_its_own() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
+        let body = "x".repeat(64 * 1024);
+        for id in ["a", "b"] {
+            assert_eq!(forwarder.request(&submission(id, "note", 9.0, &body)).await.status(), 202);
+        }
+        test_bed.publish_endpoint(2);
+        test_bed.endpoint.wait_for_request_count(2).await;
+        let alone = |m: &HttpMessage| m.start_line.starts_with("POST /events ") && m.body == body;
+        assert!(test_bed.endpoint.received().iter().all(alone));
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn the_message_with_the_longest_attempt_timeout_leads_its_batch() {
+    run_test(async {
+        let test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
+        let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
+        // Attempts of non-idempotent messages may take twice as long; by age this one would come last.
+        for (id, class) in [("first", "note"), ("second", "note"), ("third", "order")] {
+            assert_eq!(forwarder.submit(id, class).await, 202);
+        }
+        test_bed.publish_endpoint(2);
+        let request = test_bed.endpoint.wait_for_request().await;
+        let frames = request.body.lines().filter_map(|line| line.split_once(" - "));
+        let ids: Vec<_> = frames.map(|(id, _)| id).collect();
+        assert_eq!(ids, ["third", "first", "second"]);
+        // What is left of its second as the request begins, and not the half second of the notes.
+        let budget: f64 = request.headers["x-budget"].parse().unwrap();
+        assert!(budget > 0.5 && budget <= 1.0, "{budget}");
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn an_idempotency_key_travels_with_its_message_in_batches_alone_and_after_a_restart() {
+    run_test(async {
+        let test_bed = TestBed::new(|m| match m.start_line.contains("/events/bundle") {
+            true => ScriptedResponse::CloseConnection,
+            false => ScriptedResponse::ok(),
+        })
+        .await;
+        let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
+        let with_key = |id: &str| {
+            let key = format!("X-Call-Id: {id}\r\nIdempotency-Key: key-of-{id}");
+            submission(id, "mark", 15.0, "body of it").replace(&format!("X-Call-Id: {id}"), &key)
+        };
+        for request in [with_key("m1"), with_key("m2"), submission("n1", "note", 15.0, "body of it")] {
+            assert_eq!(forwarder.request(&request).await.status(), 202);
+        }
+        forwarder.kill();
+        let forwarder = test_bed.start_forwarder().await;
+        // Messages of a batch that was reset are retried, in the end each alone.
+        test_bed.wait_until_all_finished().await;
+        let (batches, singles): (Vec<_>, Vec<_>) =
+            test_bed.endpoint.received().into_iter().partition(|m| m.start_line.contains("/events/bundle"));
+        let lines = batches.iter().flat_map(|m| m.body.lines()).filter(|line| line.ends_with(" 10"));
+        let lines: BTreeSet<&str> = lines.collect();
+        assert!(
+            lines.iter().all(|l| ["m1 key-of-m1 10", "m2 key-of-m2 10", "n1 - 10"].contains(l)),
+            "{lines:?}"
+        );
+        assert!(lines.len() + singles.len() >= 3, "{lines:?}");
+        for request in singles {
+            let key = request.headers.get("idempotency-key").map(String::as_str);
+            let expected = [("m1", Some("key-of-m1")), ("m2", Some("key-of-m2")), ("n1", None)];
+            assert!(expected.contains(&(request.id(), key)), "{request:?}");
+        }
+        forwarder.kill();
+    });
+}
+
+/// Ids of all messages that a request carries.
+fn ids_in(request: &HttpMessage) -> BTreeSet<String> {
+    let single = request.headers.get("x-call-id").cloned();
+    let frames = request.body.lines().filter(|line| line.ends_with(" - 10"));
+    single.into_iter().chain(frames.map(|line| line[..2].into())).collect()
+}
+
+/// Whether the other side still holds this connection open.
+fn is_open(stream: &TcpStream) -> bool {
+    let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
+    peeked.is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock)
+}
+
+/// Two requests that are scheduled together do not travel as one: else the messages of the first could be retried while
+/// the request that carries them is still in flight for those of the second.
+#[test]
+fn no_message_is_retried_while_the_request_that_carried_it_is_in_flight() {
+    run_test(async {
+        let test_bed = TestBed::new(|_| ScriptedResponse::CloseConnection).await.without_hedging();
+        let endpoint = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = endpoint.local_addr().unwrap();
+        let draining = list_entry("t", address, 3, "Terminating");
+        let forwarder = test_bed.start_forwarder_with_list(endpoint_list(1, true, &[draining])).await;
+        // Queued until the endpoint takes requests: four notes fill one, and attempts of orders may take longer.
+        for id in ["n1", "n2", "n3", "n4"] {
+            assert_eq!(forwarder.submit(id, "note").await, 202);
+        }
+        for id in ["o1", "o2"] {
+            assert_eq!(forwarder.submit(id, "order").await, 202);
+        }
+        test_bed.publish_list_update(endpoint_list(2, false, &[list_entry("t", address, 3, "Ready")]));
+        let mut requests: Vec<(BTreeSet<String>, TcpStream)> = Vec::new();
+        let mut retried = BTreeSet::new();
+        while retried.len() < 4 {
+            let (mut stream, _) = endpoint.accept().await.unwrap();
+            let Some(request) = read_message(&mut stream).await else { continue };
+            let ids = ids_in(&request);
+            for (earlier_ids, earlier) in &requests {
+                if ids.intersection(earlier_ids).next().is_some() {
+                    assert!(!is_open(earlier), "{ids:?} {earlier_ids:?}");
+                    retried.extend(ids.intersection(earlier_ids).cloned());
+                }
+            }
+            requests.push((ids, stream));
+        }
+        forwarder.kill();
+    });
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/deadlines.rs
@@ -0,0 +1,133 @@
+//! Attempts that end before their request has left, or in the instant in which its response arrives. Each test forces
+//! the two to cross.
+
+use std::collections::BTreeMap;
+
+use reeddock_forwarder::events::Event;
+use reeddock_forwarder::request_sender::{run_request, EndpointRequest, RequestResult};
+use reeddock_protocol::AttemptResult;
+use tokio::io::AsyncWriteExt;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+use crate::support::*;
+
+/// Sends one message to an endpoint on which no connection comes up, and returns how its attempt ends.
+async fn result_without_a_connection(attempt_limit_ms: u64, cancelled: bool) -> AttemptResult {
+    let endpoint = SaturatedEndpoint::new();
+    let (sender, mut events) = mpsc::channel(4);
+    let request = request(endpoint.address, &[("a", ms(attempt_limit_ms))]);
+    let (attempts, mut cancels) = pending_attempts(&request, NEVER_REACHED);
+    let sending = tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
+    if cancelled {
+        cancels.remove(0).send(()).unwrap();
+    }
+    let Some(Event::Ended { result, .. }) = events.recv().await else { panic!("expected its result") };
+    sending.await.unwrap();
+    result
+}
+
+#[test]
+fn an_attempt_that_times_out_before_its_connection_came_up_never_ran() {
+    run_test(async {
+        let result = result_without_a_connection(100, false).await;
+        assert_eq!(result, AttemptResult::ConnectTimedOut);
+        assert!(result.outcome().proves_not_executed());
+    });
+}
+
+#[test]
+fn an_attempt_that_is_cancelled_before_its_connection_came_up_never_ran() {
+    run_test(async {
+        let result = result_without_a_connection(20_000, true).await;
+        assert_eq!(result, AttemptResult::NotSent);
+        assert!(result.outcome().proves_not_executed());
+    });
+}
+
+#[test]
+fn an_attempt_that_ended_while_its_connection_came_up_is_not_sent_with_the_others() {
+    run_test(async {
+        let endpoint = SaturatedEndpoint::new();
+        let (sender, mut events) = mpsc::channel(4);
+        let messages = [("stays", NEVER_REACHED), ("late", ms(100)), ("cancelled", NEVER_REACHED)];
+        let request = request(endpoint.address, &messages);
+        let (attempts, mut cancels) = pending_attempts(&request, NEVER_REACHED);
+        tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
+        cancels.remove(2).send(()).unwrap();
+        assert_eq!(next_result(&mut events).await, ("cancelled".into(), AttemptResult::NotSent));
+        assert_eq!(next_result(&mut events).await, ("late".into(), AttemptResult::ConnectTimedOut));
+        let mut stream = endpoint.accept_next().await;
+        let sent = read_message(&mut stream).await.unwrap();
+        assert_eq!((sent.start_line.as_str(), sent.id()), ("POST /events HTTP/1.1", "stays"));
+        stream.write_all(OK_RESPONSE.as_bytes()).await.unwrap();
+        assert_eq!(next_result(&mut events).await, ("stays".into(), AttemptResult::Completed));
+    });
+}
+
+#[test]
+fn an_attempt_past_its_start_limit_as_its_connection_comes_up_never_ran() {
+    run_test(async {
+        let endpoint = SaturatedEndpoint::new();
+        let (sender, mut events) = mpsc::channel(4);
+        let request = request(endpoint.address, &[("a", NEVER_REACHED), ("b", NEVER_REACHED)]);
+        let (mut attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
+        // Its idempotency key runs out, say, long before the response would time out.
+        attempts[0].begin_by = Instant::now() + ms(100);
+        tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
+        let (id, result) = next_result(&mut events).await;
+        assert_eq!(
+            (id.as_str(), result, result.outcome().proves_not_executed()),
+            ("a", AttemptResult::ConnectTimedOut, true)
+        );
+        let sent = read_message(&mut endpoint.accept_next().await).await.unwrap();
+        assert_eq!(sent.id(), "b");
+    });
+}
+
+#[test]
+fn an_attempt_past_its_start_limit_is_not_sent_on_a_kept_connection_either() {
+    run_test(async {
+        let endpoint = StubServer::start(|_| ScriptedResponse::ok()).await;
+        let (sender, mut events) = mpsc::channel(4);
+        let request_sender = patient_request_sender();
+        let first = request_to(&endpoint, "first");
+        let (attempts, _cancels) = pending_attempts(&first, NEVER_REACHED);
+        run_request(request_sender.clone(), first, attempts, sender.clone()).await;
+        assert_eq!(next_result(&mut events).await, ("first".into(), AttemptResult::Completed));
+        let both = request(endpoint.address, &[("late", NEVER_REACHED), ("in-time", NEVER_REACHED)]);
+        let (mut attempts, _cancels) = pending_attempts(&both, NEVER_REACHED);
+        // Its idempotency key has run out, say, while the write-ahead log was written.
+        attempts[0].begin_by = Instant::now();
+        run_request(request_sender, both, attempts, sender).await;
+        let mut results = BTreeMap::from([next_result(&mut events).await, next_result(&mut events).await]);
+        assert!(results.remove("late").unwrap().outcome().proves_not_executed());
+        assert_eq!(results.remove("in-time"), Some(AttemptResult::Completed));
+        let sent = endpoint.received().into_iter().map(|m| (m.id().to_owned(), m.connection));
+        let sent: Vec<_> = sent.collect();
+        assert_eq!(sent, [("first".to_owned(), 0), ("in-time".to_owned(), 0)]);
+    });
+}
+
+#[test]
+fn a_response_in_the_instant_of_the_timeout_does_not_complete_its_attempt() {
+    run_test(async {
+        let nowhere = "127.0.0.1:9".parse().unwrap();
+        for result in [AttemptResult::Completed, AttemptResult::Rejected { retry_after: None }] {
+            let (sender, mut events) = mpsc::channel(4);
+            let request = request(nowhere, &[("late", ms(20)), ("longer", NEVER_REACHED)]);
+            let (attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
+            // Blocks this thread until the first has timed out, and has the response ready then.
+            let responds_late = tower::service_fn(move |request: EndpointRequest| async move {
+                while Instant::now() < request.until[0] {
+                    std::hint::spin_loop();
+                }
+                Ok(RequestResult { results: vec![(0, result), (1, result)], wait: None, report: None })
+            });
+            tokio::spawn(run_request(responds_late, request, attempts, sender));
+            let late = if result == AttemptResult::Completed { AttemptResult::TimedOut } else { result };
+            assert_eq!(next_result(&mut events).await, ("late".into(), late));
+            assert_eq!(next_result(&mut events).await, ("longer".into(), result));
+        }
+    });
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/endpoint_connections.rs
@@ -0,0 +1,143 @@
+//! Connections to endpoints between two requests: which are kept idle, and which are closed or left unused.
+
+use std::collections::BTreeMap;
+use std::sync::Mutex;
+use std::time::Instant;
+
+use reeddock::EndpointId;
+use reeddock_forwarder::request_sender::{EndpointRequest, RequestSender};
+use reeddock_protocol::AttemptResult;
+use tokio::time::sleep;
+use tower::Service;
+
+use crate::support::*;
+
+const UNAVAILABLE_AND_CLOSE: &str =
+    "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
+
+/// Sends one message to the endpoint of this number, and returns how its attempt ends.
+async fn send_to(request_sender: &mut RequestSender, endpoint: u32, server: &StubServer) -> AttemptResult {
+    let request = EndpointRequest { endpoint: EndpointId(endpoint), ..request_to(server, "a") };
+    request_sender.call(request).await.unwrap().results[0].1
+}
+
+#[test]
+fn an_idle_connection_is_closed_before_the_endpoint_would_close_it() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await.with_idle_limit(ms(600));
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("a", "note").await, 202);
+        test_bed.endpoint.wait_for_closed_connections(1).await;
+        assert_eq!(forwarder.submit("b", "order").await, 202);
+        let second = wait_for("the second request", || test_bed.endpoint.received().get(1).cloned()).await;
+        assert_eq!(second.connection, 1);
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn once_kept_connections_were_found_dead_those_as_long_idle_are_not_used() {
+    run_test(async {
+        let last_used = Mutex::new(BTreeMap::<usize, Instant>::new());
+        let test_bed = TestBed::new(move |m| {
+            // A middlebox that drops connections after a tenth of a second, and tells neither side.
+            let before = last_used.lock().unwrap().insert(m.connection, Instant::now());
+            match before.is_some_and(|before| before.elapsed() > ms(100)) {
+                true => ScriptedResponse::CloseConnection,
+                false => ScriptedResponse::ok(),
+            }
+        })
+        .await;
+        let forwarder = test_bed.start_forwarder().await;
+        for n in 0..10 {
+            // The first finds none kept, six find theirs dead, and after them come those that must not be sent twice.
+            let class = if n < 7 { "note" } else { "order" };
+            assert_eq!(forwarder.submit(&format!("e{n}"), class).await, 202);
+            test_bed.wait_until_all_finished().await;
+            sleep(ms(200)).await;
+        }
+        assert_eq!(test_bed.notices(), "");
+        assert_eq!(test_bed.endpoint.received().len(), 16, "six were sent twice");
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn after_a_refused_connection_none_of_that_endpoint_kind_is_kept_idle() {
+    run_test(async {
+        let open = StubServer::start(|_| ScriptedResponse::ok()).await;
+        let other = StubServer::start(|_| ScriptedResponse::ok()).await;
+        let full = StubServer::start(|_| ScriptedResponse::SendAndClose(UNAVAILABLE_AND_CLOSE.into())).await;
+        let mut request_sender = patient_request_sender();
+        for (endpoint, kind) in [(1, "small"), (2, "small"), (3, "large")] {
+            request_sender.connections.listed(EndpointId(endpoint), kind, true);
+        }
+        for _ in 0..2 {
+            assert_eq!(
+                (send_to(&mut request_sender, 1, &open).await, send_to(&mut request_sender, 3, &other).await),
+                (AttemptResult::Completed, AttemptResult::Completed)
+            );
+        }
+        assert!(open.received().iter().all(|m| m.connection == 0), "kept while nothing is known");
+        // The refusal closes the other's idle connection too: one of the same kind may be what is in the way.
+        assert_eq!(
+            send_to(&mut request_sender, 2, &full).await,
+            AttemptResult::Rejected { retry_after: None }
+        );
+        open.wait_for_closed_connections(1).await;
+        for n in 1..3 {
+            assert_eq!(send_to(&mut request_sender, 1, &open).await, AttemptResult::Completed);
+            open.wait_for_closed_connections(n + 1).await;
+            assert_eq!(send_to(&mut request_sender, 3, &other).await, AttemptResult::Completed);
+        }
+        assert!(other.received().iter().all(|m| m.connection == 0), "a kind that takes connections");
+    });
+}
+
+#[test]
+fn a_rejection_on_a_kept_connection_does_not_stop_its_kind_from_being_kept_idle() {
+    run_test(async {
+        let leaving = StubServer::start(|_| ScriptedResponse::ok()).await;
+        let open = StubServer::start(|_| ScriptedResponse::ok()).await;
+        let mut request_sender = patient_request_sender();
+        for endpoint in [1, 2] {
+            request_sender.connections.listed(EndpointId(endpoint), "small", true);
+        }
+        for (endpoint, server) in [(1, &leaving), (2, &open)] {
+            assert_eq!(send_to(&mut request_sender, endpoint, server).await, AttemptResult::Completed);
+        }
+        leaving.set_script(|_| ScriptedResponse::SendAndClose(UNAVAILABLE_AND_CLOSE.into()));
+        assert_eq!(
+            send_to(&mut request_sender, 1, &leaving).await,
+            AttemptResult::Rejected { retry_after: None }
+        );
+        assert_eq!(send_to(&mut request_sender, 2, &open).await, AttemptResult::Completed);
+        assert!(open.received().iter().all(|m| m.connection == 0));
+    });
+}
+
+#[test]
+fn an_address_that_passes_to_a_new_endpoint_gets_a_new_connection() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("a", "note").await, 202);
+        test_bed.wait_until_all_finished().await;
+        let address = test_bed.endpoint.address;
+        // The old endpoint goes on serving those that are connected to it.
+        let successor = list_entry("u", address, 4, "Ready");
+        let change = endpoint_list(2, false, &[test_bed.endpoint_entry("Terminating"), successor]);
+        test_bed.publish_list_update(change);
+        let for_successor = submission("b", "note", 9.0, "").replace("dest=3", "dest=4");
+        test_bed.platform.wait_for_request_count(1).await;
+        sleep(ms(200)).await;
+        assert_eq!(forwarder.request(&for_successor).await.status(), 202);
+        let second = wait_for("the second request", || test_bed.endpoint.received().get(1).cloned()).await;
+        assert_eq!((second.id(), second.connection), ("b", 1));
+        test_bed.wait_until_all_finished().await;
+        test_bed.publish_list_update(endpoint_list(3, false, &[test_bed.endpoint_entry("Gone")]));
+        // That of the old endpoint.
+        test_bed.endpoint.wait_for_closed_connections(1).await;
+        forwarder.kill();
+    });
+}
--- a/crates/forwarder/tests/loopback/main.rs
+++ b/crates/forwarder/tests/loopback/main.rs
@@ -1,7 +1,18 @@
-//! One forwarder on loopback sockets.
+//! One forwarder on loopback sockets, among stubs of its endpoints, its platform and its clients.
 
-mod crossings;
-mod lists;
-mod stand_ins;
-mod stories;
-mod watches;
+mod batches;
+mod client_connections;
+mod deadlines;
+mod endpoint_connections;
+mod endpoint_list;
+mod notices;
+mod platform_address;
+mod resource_limits;
+mod responses;
+mod restarts;
+mod retry_after;
+mod shutdown;
+mod streamed_lists;
+mod submissions;
+mod support;
+mod watch;
--- /dev/null
+++ b/crates/forwarder/tests/loopback/restarts.rs
@@ -0,0 +1,233 @@
+//! Forwarders that are killed or shut down with messages pending, and started again on the same state folder.
+
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use reeddock::Idempotency;
+use reeddock_wal::{Accepted, Record};
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+
+use crate::support::*;
+
+#[test]
+fn after_a_kill_an_attempt_in_flight_is_retried_only_if_its_message_is_idempotent() {
+    run_test(async {
+        let test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("non-idempotent", "order").await, 202);
+        assert_eq!(forwarder.submit("repeatable", "note").await, 202);
+        test_bed.endpoint.wait_for_request_count(2).await;
+        forwarder.kill();
+        test_bed.endpoint.set_script(|_| ScriptedResponse::ok());
+        let forwarder = test_bed.start_forwarder().await;
+        test_bed.wait_for_notice(r#"{"id":"non-idempotent","status":"undeliverable"}"#).await;
+        wait_for("the retry of the other", || test_bed.endpoint.received().get(2).cloned()).await;
+        sleep(ms(200)).await;
+        assert_eq!(test_bed.endpoint.count_of("non-idempotent"), 1);
+        assert!(!test_bed.notices().contains("repeatable"));
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn a_message_without_any_attempt_at_a_kill_is_delivered_after_it_even_if_not_idempotent() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
+        assert_eq!(forwarder.submit("a", "order").await, 202);
+        forwarder.kill();
+        let forwarder = test_bed.start_forwarder().await;
+        let request = test_bed.endpoint.wait_for_request().await;
+        assert_eq!((request.id(), request.body.as_str()), ("a", "body of it"));
+        forwarder.kill();
+    });
+}
+
+/// The forwarders of a mass restart, each with its test bed, at one endpoint that all of them share.
+struct Fleet {
+    test_beds: Vec<TestBed>,
+    forwarders: Vec<RunningForwarder>,
+    cached_list: String,
+}
+
+impl Fleet {
+    async fn start(size: usize, endpoint: &StubServer) -> Fleet {
+        let entry = list_entry("t", endpoint.address, 3, "Ready").replace("many", "each alone");
+        let cached_list = endpoint_list(1, true, &[entry]);
+        let mut fleet = Fleet { test_beds: Vec::new(), forwarders: Vec::new(), cached_list };
+        for _ in 0..size {
+            fleet.test_beds.push(TestBed::new(|_| ScriptedResponse::CloseConnection).await);
+        }
+        fleet.start_all().await;
+        fleet
+    }
+
+    async fn start_all(&mut self) {
+        for test_bed in &self.test_beds {
+            self.forwarders.push(test_bed.start_forwarder_with_list(self.cached_list.clone()).await);
+        }
+    }
+
+    /// Submits so many messages of all classes to each; the ids, each with the number of its forwarder.
+    async fn submit_to_each(&self, messages: usize) -> Vec<(String, usize)> {
+        let mut submitted = Vec::new();
+        for n in 0..messages {
+            for (number, forwarder) in self.forwarders.iter().enumerate() {
+                let class = ["order", "note", "mark"][(n + number) % 3];
+                let id = format!("{class}-{n}-{number}");
+                assert_eq!(forwarder.submit(&id, class).await, 202);
+                submitted.push((id, number));
+            }
+        }
+        submitted
+    }
+
+    /// Kills this many, asks the others to shut down, all at once, and waits until all have ended.
+    fn stop_all(&mut self, killed: usize) {
+        for (number, forwarder) in self.forwarders.iter_mut().enumerate() {
+            match number < killed {
+                true => forwarder.request_kill(),
+                false => forwarder.request_shutdown(),
+            }
+        }
+        self.forwarders.drain(..).for_each(RunningForwarder::join);
+    }
+}
+
+/// Seven in ten killed and the rest shut down, all at once, each with requests in flight and more messages queued; what
+/// the endpoint received is the witness.
+#[test]
+fn a_mass_restart_repeats_no_non_idempotent_message_and_finishes_all_that_were_accepted() {
+    run_test(async {
+        let endpoint = StubServer::start(|_| ScriptedResponse::NeverRespond).await;
+        let mut fleet = Fleet::start(10, &endpoint).await;
+        let submitted = fleet.submit_to_each(12).await;
+        wait_for("requests of each", || (endpoint.received().len() >= 20).then_some(())).await;
+        fleet.stop_all(7);
+        let before = endpoint.received().len();
+        endpoint.set_script(|_| ScriptedResponse::ok());
+        fleet.start_all().await;
+        for test_bed in &fleet.test_beds {
+            test_bed.wait_until_all_finished().await;
+        }
+        let received = endpoint.received();
+        for (id, number) in &submitted {
+            let runs = received.iter().filter(|request| request.id() == id).count();
+            assert!(runs <= 1 || !id.starts_with("order"), "{id} had its effect {runs} times");
+            let delivered = received[before..].iter().any(|request| request.id() == id);
+            let notified = fleet.test_beds[*number].notices().contains(id.as_str());
+            assert!(delivered || notified, "{id} has no end");
+        }
+        let in_flight = received[..before].iter().any(|request| request.id().starts_with("order"));
+        assert!(in_flight, "some were in flight");
+        fleet.forwarders.into_iter().for_each(RunningForwarder::kill);
+    });
+}
+
+#[test]
+fn after_a_restart_with_other_settings_pending_messages_are_subject_to_these() {
+    run_test(async {
+        let mut test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
+        let forwarder = test_bed.start_forwarder().await;
+        // In flight at the kill, under settings by which it may be retried.
+        assert_eq!(forwarder.submit("in-flight", "note").await, 202);
+        test_bed.endpoint.wait_for_request().await;
+        forwarder.kill();
+        let before = test_bed.endpoint.received().len();
+        let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
+        for (id, class) in [("untried", "note"), ("unknown", "order")] {
+            assert_eq!(forwarder.submit(id, class).await, 202);
+        }
+        forwarder.kill();
+        test_bed.set_classes(&[("mark", Idempotency::Idempotent), ("note", Idempotency::NonIdempotent)]);
+        test_bed.endpoint.set_script(|_| ScriptedResponse::ok());
+        let forwarder = test_bed.start_forwarder().await;
+        test_bed.wait_until_all_finished().await;
+        // The class of the one is non-idempotent now, and it was possibly executed; that of the other is gone.
+        for id in ["in-flight", "unknown"] {
+            let notice = format!(r#"{{"id":"{id}","status":"undeliverable"}}"#);
+            assert!(test_bed.notices().contains(&notice), "{id}");
+        }
+        assert_eq!(test_bed.endpoint.received_ids()[before..], ["untried"]);
+        forwarder.kill();
+    });
+}
+
+/// What the write-ahead log says of a message's first attempt.
+#[derive(Clone, Copy, PartialEq)]
+enum FirstAttempt {
+    None,
+    ProvenNotExecuted,
+    PossiblyExecuted,
+}
+
+/// The records of one message that was accepted by an earlier process.
+fn records_of(id: &str, class: &str, first_attempt: FirstAttempt) -> Vec<Record> {
+    let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
+    let micros = |time: Duration| time.as_micros() as u64;
+    let mut records = vec![Record::Accepted(Accepted {
+        id: id.into(),
+        class: class.into(),
+        tenant: None,
+        key: None,
+        destination: 3,
+        deadline: micros(unix_time + ms(15_000)),
+        body: "x".into(),
+        idempotency_key: None,
+    })];
+    if first_attempt != FirstAttempt::None {
+        let at = micros(unix_time - ms(500));
+        records.push(Record::AttemptStarted { id: id.into(), no: 0, endpoint: "t".into(), at });
+    }
+    if first_attempt == FirstAttempt::ProvenNotExecuted {
+        records.push(Record::AttemptFinished { id: id.into(), no: 0, proves_not_executed: true });
+    }
+    records
+}
+
+/// A message of each class with each kind of first attempt: the ids and all records.
+fn messages_of_each_kind() -> (Vec<String>, Vec<Record>) {
+    let first_attempts = [
+        ("untried", FirstAttempt::None),
+        ("tried", FirstAttempt::ProvenNotExecuted),
+        ("unsure", FirstAttempt::PossiblyExecuted),
+    ];
+    let (mut ids, mut records) = (Vec::new(), Vec::new());
+    for class in ["note", "order", "mark"] {
+        for (name, first_attempt) in first_attempts {
+            let id = format!("{class}-{name}");
+            records.extend(records_of(&id, class, first_attempt));
+            ids.push(id);
+        }
+    }
+    (ids, records)
+}
+
+/// Accepts every message of a batch, and a single one too.
+fn accept_each(request: &HttpMessage) -> ScriptedResponse {
+    let ids = request.body.lines().filter_map(|line| line.strip_suffix(" - 1"));
+    ScriptedResponse::ok_with_body(&ids.map(|id| format!("{id} accepted\r\n")).collect::<String>())
+}
+
+#[test]
+fn a_restart_under_a_stale_list_delivers_all_but_possibly_executed_non_idempotent_messages() {
+    run_test(async {
+        let test_bed = TestBed::new(accept_each).await;
+        let unused = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let (ids, records) = messages_of_each_kind();
+        test_bed.write_records(&records);
+        // The list that it starts with has the endpoint at an address where nobody listens any more.
+        let stale = endpoint_list(1, true, &[list_entry("t", unused, 3, "Ready")]);
+        let forwarder = test_bed.start_forwarder_with_list(stale).await;
+        test_bed.publish_list_update(endpoint_list(2, false, &[test_bed.endpoint_entry("Ready")]));
+        test_bed.wait_until_all_finished().await;
+        let received = test_bed.endpoint.received();
+        let requests: Vec<String> = received.iter().map(|m| m.id().to_owned() + &m.body).collect();
+        for id in &ids {
+            let sent = requests.iter().any(|request| request.contains(id.as_str()));
+            assert_eq!(sent, id != "order-unsure", "{id}");
+            assert_eq!(test_bed.notices().contains(id.as_str()), id == "order-unsure", "{id}");
+        }
+        forwarder.kill();
+    });
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/shutdown.rs
@@ -0,0 +1,105 @@
+//! A graceful shutdown: what is still accepted, what is answered, and what is finished before the process ends.
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+use crate::support::*;
+
+#[test]
+fn a_forwarder_that_shuts_down_says_so_goes_on_accepting_and_finishes_what_it_can() {
+    run_test(async {
+        let test_bed =
+            TestBed::new(|_| ScriptedResponse::ok_with_body("held accepted\r\nlate accepted\r\n")).await;
+        let mut forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
+        assert_eq!(forwarder.submit("held", "note").await, 202);
+        forwarder.request_shutdown();
+        while forwarder.health().await.status() == 200 {}
+        let response = forwarder.request(&submission("late", "note", 9.0, "")).await;
+        assert_eq!(response.status(), 202);
+        assert_eq!(response.headers["connection"], "close");
+        test_bed.publish_endpoint(2);
+        forwarder.wait_until_stopped().await;
+        // Both, in one request.
+        let batch = |m: &HttpMessage| m.body.contains("held") && m.body.contains("late");
+        assert!(test_bed.endpoint.received().iter().any(batch));
+        assert_eq!(test_bed.notices(), "");
+    });
+}
+
+/// Waits until responses ask clients to close their connections; the connection of the first such response.
+async fn first_closing_connection(forwarder: &RunningForwarder) -> TcpStream {
+    loop {
+        // Until the shutdown request is noticed, responses do not ask to close.
+        let mut stream = forwarder.connect_and_send(HEALTH_CHECK).await;
+        let response = read_message(&mut stream).await.unwrap();
+        if response.headers.get("connection").is_some_and(|value| value.starts_with("close")) {
+            return stream;
+        }
+    }
+}
+
+#[test]
+fn what_a_client_writes_between_the_last_response_and_the_close_is_not_accepted() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await.with_accept_grace(ms(10_000));
+        let mut forwarder = test_bed.start_forwarder().await;
+        forwarder.request_shutdown();
+        let mut stream = first_closing_connection(&forwarder).await;
+        // Its read end has come, and the connection is not closed yet.
+        assert_eq!(stream.read(&mut [0; 1]).await.unwrap(), 0);
+        let late = submission("late", "note", 5.0, "x");
+        // A reset by the first half would refuse the second.
+        for half in [&late[..20], &late[20..]] {
+            stream.write_all(half.as_bytes()).await.expect("read and thrown away");
+        }
+        assert_eq!(read_to_end(&mut stream).await.expect("no reset"), "");
+        assert_eq!(forwarder.submit("good", "note").await, 202);
+        test_bed.endpoint.wait_for_request().await;
+        test_bed.wait_until_all_finished().await;
+        assert!(test_bed.endpoint.received().iter().all(|m| m.id() == "good"));
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn a_connection_that_waits_to_be_accepted_as_the_listener_closes_is_answered() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await.with_descriptors(40).with_accept_grace(ms(0));
+        let mut forwarder = test_bed.start_forwarder().await;
+        // Every place is taken by a request that lacks the end of its body.
+        let mut occupants = Vec::new();
+        for _ in 0..4 {
+            occupants.push(forwarder.connect_and_send(&submission_without_its_last_byte()).await);
+        }
+        let mut waiting = forwarder.connect_and_send(&submission("a", "note", 5.0, "x")).await;
+        forwarder.request_shutdown();
+        let response = read_message(&mut waiting).await.expect("a whole response");
+        assert_eq!(response.status(), 202);
+        // Delivered before the end.
+        test_bed.endpoint.wait_for_request().await;
+        forwarder.wait_until_stopped().await;
+        test_bed.wait_until_all_finished().await;
+    });
+}
+
+#[test]
+fn a_request_begun_on_a_kept_connection_as_the_listener_closes_is_answered() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await.with_accept_grace(ms(0));
+        let mut forwarder = test_bed.start_forwarder().await;
+        let mut kept = forwarder.connect_and_send(&submission("a", "note", 15.0, "x")).await;
+        assert_eq!(read_message(&mut kept).await.unwrap().status(), 202);
+        let last = submission("last", "note", 15.0, "x");
+        kept.write_all(&last.as_bytes()[..40]).await.unwrap();
+        // Answered after those bytes were there; and idle, so that its end shows that the listener has closed.
+        let mut idle = forwarder.connect_and_send(HEALTH_CHECK).await;
+        assert_eq!(read_message(&mut idle).await.unwrap().status(), 200);
+        forwarder.request_shutdown();
+        assert_eq!(read_to_end(&mut idle).await.unwrap(), "");
+        kept.write_all(&last.as_bytes()[40..]).await.unwrap();
+        assert_eq!(read_message(&mut kept).await.expect("a whole response").status(), 202);
+        test_bed.endpoint.wait_for_request_count(2).await;
+        forwarder.wait_until_stopped().await;
+        test_bed.wait_until_all_finished().await;
+    });
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/submissions.rs
@@ -0,0 +1,138 @@
+//! What a client submits: which requests are accepted and delivered, and which are refused and leave nothing behind.
+
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+use crate::support::*;
+
+#[test]
+fn an_accepted_message_is_delivered_once_and_without_a_notice() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("a1", "order").await, 202);
+        let request = test_bed.endpoint.wait_for_request().await;
+        assert_eq!((request.start_line.as_str(), request.id()), ("POST /events HTTP/1.1", "a1"));
+        assert_eq!(request.body, "body of it");
+        assert!(request.headers["x-budget"].parse::<f64>().unwrap() > 0.0);
+        test_bed.wait_until_all_finished().await;
+        assert_eq!(forwarder.submit("a2", "order").await, 202);
+        test_bed.endpoint.wait_for_request_count(2).await;
+        let connections: Vec<_> = test_bed.endpoint.received().iter().map(|m| m.connection).collect();
+        assert_eq!(connections, [0, 0], "the second request reuses the connection of the first");
+        test_bed.wait_until_all_finished().await;
+        forwarder.kill();
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("a3", "order").await, 202);
+        test_bed.endpoint.wait_for_request_count(3).await;
+        assert_eq!(test_bed.notices(), "");
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn malformed_submissions_are_refused_with_their_status_and_not_delivered() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder().await;
+        let good = submission("x", "note", 5.0, "");
+        for (request, expected) in [
+            (good.replace("X-Call-Id: x", "X-Other: x"), 400),
+            (good.replace("X-Call-Id: x", "X-Call-Id: two words"), 400),
+            (good.replace("X-Call-Id: x", "X-Call-Id: x\r\nIdempotency-Key: two words"), 400),
+            (good.replace("X-Budget: 5", "X-Budget: soon"), 400),
+            (good.replace("X-Budget: 5", "X-Budget: -5"), 400),
+            (good.replace("X-Budget: 5", "X-Budget: inf"), 400),
+            (good.replace("dest=3", "dest=three"), 400),
+            (good.replace("X-Route-To: dest=3\r\n", ""), 400),
+            (good.replace("Content-Length: 0", "Content-Length: 65537"), 413),
+            (good.replace("POST /api", "POST /apis"), 404),
+            (good.replace("X-Call-Class: note", "X-Call-Class: unheard"), 422),
+            (good.replace("X-Budget: 5", "X-Budget: 1e300"), 202),
+            (HEALTH_CHECK.into(), 200),
+        ] {
+            assert_eq!(forwarder.request(&request).await.status(), expected, "{request}");
+        }
+        test_bed.endpoint.wait_for_request().await;
+        assert_eq!(test_bed.endpoint.received().len(), 1, "only the accepted one");
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn a_client_that_disconnects_before_its_response_has_its_message_dropped() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await.with_tick(ms(1500));
+        let forwarder = test_bed.start_forwarder().await;
+        // Accepted on a tick, so that what comes next has to wait for another.
+        assert_eq!(forwarder.submit("first", "order").await, 202);
+        let stream = forwarder.connect_and_send(&submission("disconnects", "order", 9.0, "")).await;
+        sleep(ms(50)).await;
+        drop(stream);
+        assert_eq!(forwarder.submit("stays", "order").await, 202);
+        test_bed.endpoint.wait_for_message("stays").await;
+        forwarder.kill();
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("after", "order").await, 202);
+        test_bed.endpoint.wait_for_message("after").await;
+        forwarder.kill();
+        let dropped = |m: &HttpMessage| m.id() == "disconnects" || m.body.contains("disconnects");
+        assert!(!test_bed.endpoint.received().iter().any(dropped));
+    });
+}
+
+#[test]
+fn an_id_in_use_and_an_unknown_destination_are_refused() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("a", "order").await, 202);
+        test_bed.wait_until_all_finished().await;
+        assert_eq!(forwarder.submit("a", "order").await, 409);
+        let unknown = submission("b", "order", 9.0, "").replace("dest=3", "dest=4");
+        assert_eq!(forwarder.request(&unknown).await.status(), 503);
+        assert_eq!(forwarder.submit("last", "order").await, 202);
+        test_bed.endpoint.wait_for_message("last").await;
+        assert_eq!(test_bed.endpoint.received_ids(), ["a", "last"]);
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn a_body_of_doubtful_length_is_refused_and_what_follows_it_is_not_a_request() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder().await;
+        assert_eq!(forwarder.submit("a", "order").await, 202);
+        test_bed.wait_until_all_finished().await;
+        let longer = submission("d", "order", 9.0, "more than it says").replace("Length: 17", "Length: 4");
+        assert_eq!(forwarder.request(&longer).await.status(), 400);
+        // Two framings of one body (request smuggling): what follows the first end may be a request of its own.
+        let inner = submission("hidden", "order", 9.0, "");
+        let both = submission("c", "order", 9.0, &format!("0\r\n\r\n{inner}"));
+        let both = both.replace("X-Budget", "Transfer-Encoding: chunked\r\nX-Budget");
+        let mut stream = forwarder.connect_and_send(&both).await;
+        assert_eq!(read_message(&mut stream).await.unwrap().status(), 411);
+        assert!(read_message(&mut stream).await.is_none(), "and closed");
+        assert_eq!(forwarder.submit("last", "order").await, 202);
+        test_bed.endpoint.wait_for_message("last").await;
+        assert_eq!(test_bed.endpoint.received_ids(), ["a", "last"]);
+        forwarder.kill();
+    });
+}
+
+#[test]
+fn a_refusal_is_not_reset_by_what_its_client_still_sends() {
+    run_test(async {
+        let test_bed = TestBed::with_working_endpoint().await;
+        let forwarder = test_bed.start_forwarder().await;
+        let mut stream = TcpStream::connect(forwarder.address).await.unwrap();
+        // Refused by its head, while far more of its body comes than the system buffers for either side.
+        let request = submission("a", "note", 5.0, &"x".repeat(2_000_000));
+        stream.write_all(request.as_bytes()).await.expect("all of it is read");
+        let response = read_to_end(&mut stream).await.expect("an end, not a reset");
+        assert!(response.starts_with("HTTP/1.1 413"), "{response}");
+        forwarder.kill();
+    });
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/support/http.rs
@@ -0,0 +1,75 @@
+//! HTTP/1.1 messages as the stub servers and test clients write and read them.
+
+use std::collections::BTreeMap;
+
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpStream;
+
+pub const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+pub const NO_CONTENT_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// The head of a response whose body comes in chunks.
+pub const CHUNKED_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
+/// The forwarder's health check, as a client asks for it.
+pub const HEALTH_CHECK: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+
+/// One request or response that was read from a connection.
+#[derive(Clone, Debug)]
+pub struct HttpMessage {
+    /// The request line or the status line.
+    pub start_line: String,
+    /// By name in lower case.
+    pub headers: BTreeMap<String, String>,
+    pub body: String,
+    /// The connection on which a stub server received it, counted from 0.
+    pub connection: usize,
+}
+
+impl HttpMessage {
+    /// The id of the one message that a request carries; empty for a batch.
+    pub fn id(&self) -> &str {
+        self.headers.get("x-call-id").map_or("", String::as_str)
+    }
+
+    /// The status code of a response.
+    pub fn status(&self) -> u16 {
+        self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
+    }
+}
+
+/// Reads one request or response; `None` where the connection ends before its end.
+pub async fn read_message(stream: &mut TcpStream) -> Option<HttpMessage> {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await.ok()?);
+    }
+    let head = String::from_utf8(head).unwrap();
+    let (start_line, rest) = head.split_once("\r\n").unwrap();
+    let headers = rest.lines().filter_map(|line| line.split_once(": "));
+    let headers: BTreeMap<String, String> =
+        headers.map(|(name, value)| (name.to_lowercase(), value.into())).collect();
+    let length = headers.get("content-length").map_or(0, |length| length.parse().unwrap());
+    let mut body = vec![0; length];
+    stream.read_exact(&mut body).await.ok()?;
+    let body = String::from_utf8(body).unwrap();
+    Some(HttpMessage { start_line: start_line.into(), headers, body, connection: 0 })
+}
+
+/// All that still comes on a connection until its end; an error where it is reset.
+pub async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
+    let mut rest = String::new();
+    stream.read_to_string(&mut rest).await.map(|_| rest)
+}
+
+/// A client's request to deliver a message to destination 3 within so many seconds.
+pub fn submission(id: &str, class: &str, budget_seconds: f64, body: &str) -> String {
+    format!(
+        "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
+         X-Budget: {budget_seconds}\r\nX-Route-To: dest=3\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+}
+
+/// A submission whose body lacks its last byte, so that it stays open.
+pub fn submission_without_its_last_byte() -> String {
+    submission("cut", "note", 5.0, "xx").replace("\r\n\r\nxx", "\r\n\r\nx")
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/support/requests.rs
@@ -0,0 +1,72 @@
+//! Requests to endpoints as the event loop would send them, for tests of the request sender by itself.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use reeddock::{AttemptNumber, EndpointId, MessageId};
+use reeddock_forwarder::connections::Connections;
+use reeddock_forwarder::events::Event;
+use reeddock_forwarder::request_sender::{EndpointRequest, PendingAttempt, RequestSender};
+use reeddock_protocol::{AttemptResult, OutgoingMessage};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::Instant;
+
+use super::{ms, StubServer};
+
+/// The endpoint to which [`request`] is addressed.
+pub const ENDPOINT: EndpointId = EndpointId(1);
+/// Longer than any of these tests takes: a limit that is never reached.
+pub const NEVER_REACHED: Duration = ms(20_000);
+
+/// A request sender with four connections to an endpoint at most, which waits for a new one so long.
+pub fn request_sender(connect_within: Duration) -> RequestSender {
+    RequestSender { connections: Connections::new(4, connect_within, ms(5000)) }
+}
+
+/// A request sender that waits for connections for longer than the test lasts.
+pub fn patient_request_sender() -> RequestSender {
+    request_sender(ms(30_000))
+}
+
+/// A request with one message, whose response is waited for up to 5 s.
+pub fn request_to(endpoint: &StubServer, id: &str) -> EndpointRequest {
+    request(endpoint.address, &[(id, ms(5000))])
+}
+
+/// One request with these messages, each of which may take so long.
+pub fn request(address: SocketAddr, messages: &[(&str, Duration)]) -> EndpointRequest {
+    let message = |id: &str| OutgoingMessage {
+        id: MessageId(id.into()),
+        idempotency_key: None,
+        body: Default::default(),
+    };
+    let now = Instant::now();
+    EndpointRequest {
+        endpoint: ENDPOINT,
+        to: address,
+        messages: messages.iter().map(|(id, _)| message(id)).collect(),
+        until: messages.iter().map(|(_, limit)| now + *limit).collect(),
+        departure: Default::default(),
+    }
+}
+
+/// One attempt for each message of a request, with what cancels it.
+pub fn pending_attempts(
+    request: &EndpointRequest,
+    start_within: Duration,
+) -> (Vec<PendingAttempt>, Vec<oneshot::Sender<()>>) {
+    let begin_by = Instant::now() + start_within;
+    let attempt = |message: &OutgoingMessage| {
+        let (cancel, cancelled) = oneshot::channel();
+        (PendingAttempt { message: message.id.clone(), no: AttemptNumber(0), begin_by, cancelled }, cancel)
+    };
+    request.messages.iter().map(attempt).unzip()
+}
+
+/// The next attempt of which the event loop is told that it has ended: its message and its result.
+pub async fn next_result(events: &mut mpsc::Receiver<Event>) -> (String, AttemptResult) {
+    match events.recv().await {
+        Some(Event::Ended { message, result, .. }) => (message.0.to_string(), result),
+        _ => panic!("expected the result of an attempt"),
+    }
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/support/test_bed.rs
@@ -0,0 +1,331 @@
+//! The forwarder under test, and all that outlives one of its processes.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+use reeddock::{EndpointKind, Idempotency, KeyScope, ListedWeights, MessageClass, Settings};
+use reeddock_forwarder::limits::ResourceLimits;
+use reeddock_forwarder::{serve_on, ForwarderOptions};
+use reeddock_protocol::ListPart;
+use reeddock_wal::{inspect, Record, WriteAheadLog};
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{oneshot, watch};
+
+use super::{
+    ms, platform_script, read_message, submission, wait_for, HttpMessage, ScriptedResponse, StubServer,
+    HEALTH_CHECK,
+};
+
+/// The message classes of a forwarder under test: idempotent, non-idempotent, and with an idempotency key.
+const CLASSES: [(&str, Idempotency); 3] = [
+    ("note", Idempotency::Idempotent),
+    ("order", Idempotency::NonIdempotent),
+    ("mark", Idempotency::WithKey { window: ms(5000), scope: KeyScope::Region }),
+];
+
+/// One entry of an endpoint list, in discovery's form.
+pub fn list_entry(name: &str, address: SocketAddr, destination: u64, state: &str) -> String {
+    format!(
+        r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"a","machineType":"many","cell":{destination},"lifecycle":"{state}","weight":50.0,"startedAtMs":0}}"#
+    )
+}
+
+/// An endpoint list, whole or of changes, in discovery's form.
+pub fn endpoint_list(generation: u64, whole: bool, entries: &[String]) -> String {
+    format!(r#"{{"generation":{generation},"reset":{whole},"instances":[{}]}}"#, entries.join(","))
+}
+
+/// A whole list without any endpoint, older than all others: messages queue until discovery sends more.
+pub fn empty_list() -> String {
+    endpoint_list(1, true, &[])
+}
+
+/// All that outlives a forwarder: its state folder, the platform and one endpoint; and how it is configured.
+pub struct TestBed {
+    pub platform: StubServer,
+    pub endpoint: StubServer,
+    state_folder: PathBuf,
+    platform_address: watch::Sender<SocketAddr>,
+    resources: ResourceLimits,
+    idle_limit: Duration,
+    tick: Duration,
+    load_reports: bool,
+    hedging_allowed: bool,
+    accept_grace: Duration,
+    classes: Vec<(&'static str, Idempotency)>,
+}
+
+impl Drop for TestBed {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.state_folder);
+    }
+}
+
+impl TestBed {
+    /// With an endpoint that responds by this script, and a platform that works.
+    pub async fn new(
+        endpoint_script: impl Fn(&HttpMessage) -> ScriptedResponse + Send + Sync + 'static,
+    ) -> TestBed {
+        static NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        let folder = format!("reeddock-loopback-{}-{number}", std::process::id());
+        let state_folder = std::env::temp_dir().join(folder);
+        std::fs::create_dir_all(&state_folder).unwrap();
+        let platform = StubServer::start(platform_script).await;
+        TestBed {
+            endpoint: StubServer::start(endpoint_script).await,
+            state_folder,
+            platform_address: watch::Sender::new(platform.address),
+            platform,
+            resources: ResourceLimits { memory_bytes: 192_000_000, descriptors: 1024, disk_bytes: 3_000_000 },
+            idle_limit: ms(5000),
+            tick: ms(5),
+            load_reports: false,
+            hedging_allowed: true,
+            accept_grace: ms(1000),
+            classes: CLASSES.into(),
+        }
+    }
+
+    /// With an endpoint that completes every attempt.
+    pub async fn with_working_endpoint() -> TestBed {
+        TestBed::new(|_| ScriptedResponse::ok()).await
+    }
+
+    pub fn with_descriptors(mut self, descriptors: usize) -> TestBed {
+        self.resources.descriptors = descriptors;
+        self
+    }
+
+    pub fn with_disk_bytes(mut self, disk_bytes: u64) -> TestBed {
+        self.resources.disk_bytes = disk_bytes;
+        self
+    }
+
+    /// Connections that stand idle so long are closed by endpoints.
+    pub fn with_idle_limit(mut self, idle_limit: Duration) -> TestBed {
+        self.idle_limit = idle_limit;
+        self
+    }
+
+    /// Due work runs on a grid of this width.
+    pub fn with_tick(mut self, tick: Duration) -> TestBed {
+        self.tick = tick;
+        self
+    }
+
+    /// Endpoint lists are polled for and have exact rates, and responses carry load reports.
+    pub fn with_load_reports(mut self) -> TestBed {
+        self.load_reports = true;
+        self
+    }
+
+    /// A message has one attempt in flight at most.
+    pub fn without_hedging(mut self) -> TestBed {
+        self.hedging_allowed = false;
+        self
+    }
+
+    /// Clients are accepted for so long after a shutdown was requested.
+    pub fn with_accept_grace(mut self, accept_grace: Duration) -> TestBed {
+        self.accept_grace = accept_grace;
+        self
+    }
+
+    /// The message classes of forwarders that start from now on.
+    pub fn set_classes(&mut self, classes: &[(&'static str, Idempotency)]) {
+        self.classes = classes.into();
+    }
+
+    pub fn state_folder(&self) -> &Path {
+        &self.state_folder
+    }
+
+    /// Writes these records into the write-ahead log, before a forwarder starts on it.
+    pub fn write_records(&self, records: &[Record]) {
+        let mut log = WriteAheadLog::open(&self.state_folder, 3_000_000, Default::default()).unwrap();
+        log.append(records, ms(0)).unwrap();
+    }
+
+    /// The endpoint's entry in a list: for destination 3, in this state.
+    pub fn endpoint_entry(&self, state: &str) -> String {
+        list_entry("t", self.endpoint.address, 3, state)
+    }
+
+    /// Sends this line on the platform's watches.
+    pub fn publish_list_update(&self, line: String) {
+        self.platform.publish_list_update(line);
+    }
+
+    /// Sends a whole list that has the endpoint only.
+    pub fn publish_endpoint(&self, generation: u64) {
+        self.publish_list_update(endpoint_list(generation, true, &[self.endpoint_entry("Ready")]));
+    }
+
+    /// The platform is at another address from now on.
+    pub fn move_platform(&self, address: SocketAddr) {
+        self.platform_address.send_replace(address);
+    }
+
+    /// The bodies of all delivery notices so far.
+    pub fn notices(&self) -> String {
+        self.platform.notices()
+    }
+
+    /// Until the notices contain this text.
+    pub async fn wait_for_notice(&self, text: &str) {
+        wait_for("a notice", || self.notices().contains(text).then_some(())).await
+    }
+
+    /// Until the write-ahead log has neither a pending message nor an unacknowledged notice.
+    pub async fn wait_until_all_finished(&self) {
+        let none_pending = || {
+            let (index, _) = inspect(&self.state_folder).unwrap();
+            (index.counts() == (0, 0)).then_some(())
+        };
+        wait_for("that nothing is pending", none_pending).await;
+    }
+
+    /// A forwarder whose cached list has the endpoint for destination 3.
+    pub async fn start_forwarder(&self) -> RunningForwarder {
+        self.start_forwarder_with_list(endpoint_list(1, true, &[self.endpoint_entry("Ready")])).await
+    }
+
+    /// A forwarder that has this list cached from the start.
+    pub async fn start_forwarder_with_list(&self, cached_list: String) -> RunningForwarder {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        listener.set_nonblocking(true).unwrap();
+        RunningForwarder::spawn(listener, address, self.options(address, &cached_list))
+    }
+
+    fn options(&self, listen: SocketAddr, cached_list: &str) -> ForwarderOptions {
+        ForwarderOptions {
+            listen,
+            discovery: self.platform_address.subscribe(),
+            state: self.state_folder.clone(),
+            resources: self.resources,
+            cached_list: ListPart::decode(cached_list.as_bytes()).unwrap().into(),
+            settings: self.settings(),
+            tick: self.tick,
+            sync: Default::default(),
+            connect_within: ms(1000),
+            closed_after: self.idle_limit,
+            shutdown_grace: ms(3000),
+            accept_grace: self.accept_grace,
+        }
+    }
+
+    fn settings(&self) -> Settings {
+        let class = |(name, idempotency): &(&str, Idempotency)| MessageClass {
+            name: (*name).into(),
+            idempotency: Some(*idempotency),
+            latency_objective: Some(ms(500)),
+            deadline: Some(ms(20_000)),
+            ..Default::default()
+        };
+        let endpoint_kind =
+            EndpointKind { name: "many".into(), circuit_per_endpoint: false, max_batch: Some(4) };
+        let listed_weights =
+            if self.load_reports { ListedWeights::Rates } else { ListedWeights::ApproximateRates };
+        Settings {
+            seed: 7,
+            forwarders: Some(1),
+            classes: self.classes.iter().map(class).collect(),
+            endpoint_kinds: vec![endpoint_kind],
+            max_in_flight: Some(8),
+            capacity: Some(50),
+            max_attempts: Some(6),
+            hedging_allowed: self.hedging_allowed,
+            max_retry_after: Some(ms(3000)),
+            listed_weights,
+            responses_carry_load_reports: self.load_reports,
+            poll_interval_limit: self.load_reports.then_some(ms(10_000)),
+            ..Default::default()
+        }
+    }
+}
+
+/// A forwarder in a thread of its own, which ends as a process that is killed: nothing of it goes on.
+pub struct RunningForwarder {
+    pub address: SocketAddr,
+    kill: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
+    thread: JoinHandle<()>,
+}
+
+impl RunningForwarder {
+    fn spawn(
+        listener: std::net::TcpListener,
+        address: SocketAddr,
+        options: ForwarderOptions,
+    ) -> RunningForwarder {
+        let ((kill, killed), (shutdown, shutdown_requested)) = (oneshot::channel::<()>(), oneshot::channel());
+        let thread = std::thread::spawn(move || {
+            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            let shutdown_requested = async move { drop::<Result<(), _>>(shutdown_requested.await) };
+            runtime.block_on(async {
+                let listener = TcpListener::from_std(listener).unwrap();
+                tokio::select! {
+                    served = serve_on(listener, options, shutdown_requested) => served.unwrap(),
+                    _ = killed => {}
+                }
+            });
+        });
+        RunningForwarder { address, kill: Some(kill), shutdown: Some(shutdown), thread }
+    }
+
+    /// Ends it as SIGKILL would, without waiting for its end.
+    pub fn request_kill(&mut self) {
+        self.kill.take();
+    }
+
+    /// Asks it to shut down gracefully, as SIGTERM would, without waiting for its end.
+    pub fn request_shutdown(&mut self) {
+        self.shutdown.take();
+    }
+
+    /// Waits for its end on this thread.
+    pub fn join(self) {
+        self.thread.join().unwrap();
+    }
+
+    /// Ends it as SIGKILL would, and waits for its end.
+    pub fn kill(mut self) {
+        self.request_kill();
+        self.join();
+    }
+
+    /// Until it has ended by itself.
+    pub async fn wait_until_stopped(self) {
+        wait_for("the forwarder's end", || self.thread.is_finished().then_some(())).await;
+        self.join();
+    }
+
+    /// A connection of a client that has sent this.
+    pub async fn connect_and_send(&self, text: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(self.address).await.unwrap();
+        stream.write_all(text.as_bytes()).await.unwrap();
+        stream
+    }
+
+    /// The response to a request on a connection of its own.
+    pub async fn request(&self, text: &str) -> HttpMessage {
+        let mut stream = self.connect_and_send(text).await;
+        read_message(&mut stream).await.expect("a response")
+    }
+
+    /// Submits a message with a body of ten bytes and a budget of 15 s; the status of the response.
+    pub async fn submit(&self, id: &str, class: &str) -> u16 {
+        self.request(&submission(id, class, 15.0, "body of it")).await.status()
+    }
+
+    /// The response to a health check.
+    pub async fn health(&self) -> HttpMessage {
+        self.request(HEALTH_CHECK).await
+    }
+}
--- /dev/null
+++ b/crates/forwarder/tests/loopback/watch.rs
@@ -0,0 +1,227 @@
+//! The watch on the endpoint list, on sockets, with shorter periods than in use.
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use futures_util::future::join_all;
+use reeddock_forwarder::discovery::follow;
+use reeddock_forwarder::events::Event;
+use reeddock_forwarder::watch_schedule::{Periods, WatchSchedule};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch};
+use tokio::time::{sleep, Instant};
+
+use crate::support::{chunk, endpoint_list, ms, read_message, run_test, CHUNKED_RESPONSE_HEAD};
+
+const BETWEEN_EMPTY_LINES: Duration = ms(50);
+/// The generation of the change that the first watch misses.
+const MISSED_GENERATION: u64 = 2;
+/// Each script runs with so many phases of the forwarder's period.
+const SEEDS: u64 = 6;
+
+/// Two fifths of those in use, with an empty line sooner.
+const fn short_periods() -> Periods {
+    Periods {
+        told_after: ms(2400),
+        told_after_move: ms(1600),
+        answer: ms(400),
+        patience: ms(400),
+        connect: ms(400),
+        silent_after: ms(1200),
+        spread: ms(400),
+        quick: ms(40),
+    }
+}
+
+/// What discovery does with one request for the watch.
+#[derive(Clone, Copy, Debug)]
+enum Behaviour {
+    /// Opens the watch, sends empty lines for this time, and then nothing more.
+    FallsSilentAfter(Duration),
+    /// The same, but closes it.
+    ClosesAfter(Duration),
+    Refuses,
+    /// Refuses, with a long Retry-After.
+    RefusesForLong,
+    Closes,
+    DoesNotRespond,
+    /// Opens the watch, and sends no line.
+    SendsHeadOnly,
+    /// Sends the change, the head of the response coming after this time.
+    SendsChangeAfter(Duration),
+}
+
+/// When a list was last known to be up to date: as the last line of a watch was sent, as a watch was closed, or as
+/// discovery began to respond.
+#[derive(Clone, Default)]
+struct UpToDateUntil(Arc<Mutex<Option<Instant>>>);
+
+impl UpToDateUntil {
+    fn set_now(&self) {
+        *self.0.lock().unwrap() = Some(Instant::now());
+    }
+
+    fn elapsed(&self) -> Duration {
+        self.0.lock().unwrap().expect("a watch that was lost").elapsed()
+    }
+}
+
+/// Discovery, which treats each request by its place in a script, and all after these as the last.
+struct ScriptedDiscovery {
+    address: SocketAddr,
+    up_to_date_until: UpToDateUntil,
+    requests: Arc<AtomicUsize>,
+    script: watch::Sender<Vec<Behaviour>>,
+}
+
+impl ScriptedDiscovery {
+    async fn start(script: &[Behaviour]) -> ScriptedDiscovery {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let discovery = ScriptedDiscovery {
+            address: listener.local_addr().unwrap(),
+            up_to_date_until: UpToDateUntil::default(),
+            requests: Arc::default(),
+            script: watch::Sender::new(script.to_vec()),
+        };
+        let (up_to_date_until, requests) = (discovery.up_to_date_until.clone(), discovery.requests.clone());
+        let script = discovery.script.subscribe();
+        tokio::spawn(async move {
+            loop {
+                let (stream, _) = listener.accept().await.unwrap();
+                let place = requests.fetch_add(1, Ordering::Relaxed);
+                let behaviour = {
+                    let script = script.borrow();
+                    script[place.min(script.len() - 1)]
+                };
+                tokio::spawn(serve_watch(stream, behaviour, up_to_date_until.clone()));
+            }
+        });
+        discovery
+    }
+
+    fn requests(&self) -> usize {
+        self.requests.load(Ordering::Relaxed)
+    }
+}
+
+async fn serve_watch(mut stream: TcpStream, behaviour: Behaviour, up_to_date_until: UpToDateUntil) {
+    if read_message(&mut stream).await.is_none() {
+        return;
+    }
+    let refusal = |header: &str| format!("HTTP/1.1 503 Busy\r\n{header}content-length: 0\r\n\r\n");
+    let response = match behaviour {
+        Behaviour::Refuses => refusal(""),
+        Behaviour::RefusesForLong => refusal("retry-after: 40\r\n"),
+        Behaviour::Closes => return,
+        Behaviour::DoesNotRespond => String::new(),
+        Behaviour::SendsHeadOnly => CHUNKED_RESPONSE_HEAD.into(),
+        Behaviour::SendsChangeAfter(wait) => {
+            sleep(wait).await;
+            let line = endpoint_list(MISSED_GENERATION, true, &[]) + "\n";
+            format!("{CHUNKED_RESPONSE_HEAD}{}", chunk(&line))
+        }
+        Behaviour::FallsSilentAfter(span) => {
+            send_empty_lines(&mut stream, span, &up_to_date_until).await;
+            String::new()
+        }
+        Behaviour::ClosesAfter(span) => {
+            send_empty_lines(&mut stream, span, &up_to_date_until).await;
+            return up_to_date_until.set_now();
+        }
+    };
+    let _ = stream.write_all(response.as_bytes()).await;
+    // Until the other side closes it.
+    while stream.read_u8().await.is_ok() {}
+}
+
+/// Opens the watch, and sends empty lines for this time.
+async fn send_empty_lines(stream: &mut TcpStream, span: Duration, up_to_date_until: &UpToDateUntil) {
+    let _ = stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).await;
+    let start = Instant::now();
+    while start.elapsed() < span {
+        up_to_date_until.set_now();
+        let _ = stream.write_all(chunk("\n").as_bytes()).await;
+        sleep(BETWEEN_EMPTY_LINES).await;
+    }
+}
+
+/// Watches the list of this discovery; returns when a part of the list is received.
+async fn wait_until_received(discovery: &ScriptedDiscovery, seed: u64) {
+    let (sender, mut events) = mpsc::channel(16);
+    let address = watch::Sender::new(discovery.address);
+    let schedule = WatchSchedule::new(short_periods(), seed);
+    let following = tokio::spawn(follow(address.subscribe(), 1, schedule, sender));
+    while matches!(events.recv().await.expect("the watch goes on"), Event::ListFailed) {}
+    following.abort();
+}
+
+/// Plays each of these scripts with several phases, all at once: the change is received in time, without needless
+/// requests.
+async fn change_is_received_in_time(scripts: &[&[Behaviour]]) {
+    let plays = scripts.iter().flat_map(|script| (0..SEEDS).map(move |seed| (*script, seed)));
+    let plays = plays.map(|(script, seed)| async move {
+        let discovery = ScriptedDiscovery::start(script).await;
+        wait_until_received(&discovery, seed).await;
+        let late = discovery.up_to_date_until.elapsed();
+        assert!(late <= short_periods().told_after, "{script:?}, seed {seed}: received after {late:?}");
+        assert!(
+            discovery.requests() <= script.len() + 1,
+            "{script:?}, seed {seed}: {} requests",
+            discovery.requests()
+        );
+    });
+    join_all(plays).await;
+}
+
+const SENDS_CHANGE: Behaviour = Behaviour::SendsChangeAfter(ms(200));
+
+#[test]
+fn after_a_silent_watch_and_failed_requests_a_change_is_received_in_time() {
+    const SILENT: Behaviour = Behaviour::FallsSilentAfter(ms(300));
+    run_test(change_is_received_in_time(&[
+        &[SILENT, SENDS_CHANGE],
+        &[SILENT, Behaviour::Refuses, SENDS_CHANGE],
+        &[SILENT, Behaviour::RefusesForLong, SENDS_CHANGE],
+        &[SILENT, Behaviour::DoesNotRespond, SENDS_CHANGE],
+        &[SILENT, Behaviour::Closes, SENDS_CHANGE],
+        &[SILENT, Behaviour::Closes, Behaviour::Closes, SENDS_CHANGE],
+    ]));
+}
+
+#[test]
+fn after_a_closed_watch_and_failed_requests_a_change_is_received_in_time() {
+    const CLOSES: Behaviour = Behaviour::ClosesAfter(ms(300));
+    run_test(change_is_received_in_time(&[
+        &[CLOSES, SENDS_CHANGE],
+        &[CLOSES, Behaviour::Refuses, SENDS_CHANGE],
+        &[CLOSES, Behaviour::RefusesForLong, SENDS_CHANGE],
+        &[CLOSES, Behaviour::DoesNotRespond, SENDS_CHANGE],
+        &[CLOSES, Behaviour::SendsHeadOnly, SENDS_CHANGE],
+        &[CLOSES, Behaviour::Closes, Behaviour::Closes, SENDS_CHANGE],
+    ]));
+}
+
+#[test]
+fn once_discovery_responds_again_a_change_is_received_in_time() {
+    let failures =
+        [Behaviour::Refuses, Behaviour::RefusesForLong, Behaviour::DoesNotRespond, Behaviour::Closes];
+    let plays = failures.into_iter().flat_map(|failure| (0..SEEDS).map(move |seed| (failure, seed)));
+    let plays = plays.map(|(failure, seed)| async move {
+        let discovery = ScriptedDiscovery::start(&[failure]).await;
+        let recovers = async {
+            // Any moment in the forwarder's period.
+            sleep(ms(1500 + 331 * seed)).await;
+            discovery.script.send_replace(vec![SENDS_CHANGE]);
+            Instant::now()
+        };
+        let ((), recovered) = tokio::join!(wait_until_received(&discovery, seed), recovers);
+        let late = recovered.elapsed();
+        assert!(late <= short_periods().told_after, "{failure:?}, seed {seed}: received after {late:?}");
+    });
+    run_test(async {
+        join_all(plays).await;
+    });
+}
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -1,18 +1,20 @@
-//! The parts that do no I/O, each by itself.
+//! The parts of the forwarder that do no I/O, each by itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use reeddock::EndpointId;
 use reeddock_forwarder::clock::Clock;
 use reeddock_forwarder::endpoints::{Place, PlaceChange, TargetTable};
 use reeddock_forwarder::http_progress::{RequestProgress, StatusLine};
+use reeddock_forwarder::idle_permits::IdlePermits;
 use reeddock_forwarder::limits::{Limits, ResourceLimits, RESERVE};
 use reeddock_forwarder::malformed_list::{MalformedList, BYTES_A_SECOND, LONGEST_REST};
 use tokio::time::Instant;
 
 #[test]
-fn the_first_line_is_kept_whatever_follows_and_however_it_comes() {
-    for (answer, ok) in [
+fn a_status_line_is_read_whatever_follows_it_and_however_it_is_split() {
+    for (response, ok) in [
         ("HTTP/1.1 200 OK\r\n\0\x01", true),
         ("HTTP/1.1 200\r\n", true),
         ("HTTP/1.1 100 Continue\r\na: b\r\n\r\nHTTP/1.1 102 x\r\n\r\nHTTP/1.0 200 OK\r\nx", true),
@@ -22,25 +24,25 @@
         ("HTTP/1.1 503 no\r\nHTTP/1.1 200 OK\r\n", false),
         ("noise\r\nHTTP/1.1 200 OK\r\n", false),
     ] {
-        for split in 0..answer.len() {
-            let mut arrival = StatusLine::default();
-            arrival.come(&answer.as_bytes()[..split]);
-            arrival.come(&answer.as_bytes()[split..]);
-            assert_eq!(arrival.says_ok(), ok, "{answer:?} {split}");
+        for split in 0..response.len() {
+            let mut status_line = StatusLine::default();
+            status_line.come(&response.as_bytes()[..split]);
+            status_line.come(&response.as_bytes()[split..]);
+            assert_eq!(status_line.says_ok(), ok, "{response:?} {split}");
         }
     }
 }
 
 #[test]
-fn a_call_has_left_with_the_last_byte_of_its_body_and_not_before() {
+fn a_request_is_complete_with_the_last_byte_of_its_body_and_not_before() {
     let request = b"POST / HTTP/1.1\r\na: \r\r\n\r\n12345\r\n\r\n";
     for split in 0..request.len() {
-        let mut departure = RequestProgress::default();
-        departure.begin(9);
-        departure.gone(&request[..split]);
-        assert!(!departure.complete(), "{split}");
-        departure.gone(&request[split..]);
-        assert!(departure.complete());
+        let mut progress = RequestProgress::default();
+        progress.begin(9);
+        progress.gone(&request[..split]);
+        assert!(!progress.complete(), "{split}");
+        progress.gone(&request[split..]);
+        assert!(progress.complete());
     }
     let mut empty = RequestProgress::default();
     empty.begin(0);
@@ -51,31 +53,36 @@
 }
 
 #[test]
-fn what_is_kept_back_and_all_shares_fit_into_the_descriptors() {
+fn the_descriptor_reserve_and_all_limits_add_up_to_the_descriptors() {
     for descriptors in 64..=1024 {
         let limits =
             Limits::derive(ResourceLimits { memory_bytes: 32_000_000, descriptors, disk_bytes: 3_000_000 });
-        let taken = RESERVE.total() + limits.accepted + limits.lingering + limits.requests;
-        assert_eq!(taken, descriptors);
-        assert!(limits.clients < limits.accepted, "some are told that there is no room");
+        let planned = RESERVE.total() + limits.accepted + limits.lingering + limits.requests;
+        assert_eq!(planned, descriptors);
+        assert!(limits.clients < limits.accepted, "some are accepted only to be refused");
     }
 }
 
 #[test]
-fn what_was_stored_is_read_as_the_same_time_and_the_grid_is_kept() {
+fn a_stored_time_is_read_back_as_the_same_time() {
     let clock = Clock::start();
     let before = clock.now() - Duration::from_secs(60);
     let read = clock.read(clock.stored(before));
     assert!(before - read < Duration::from_micros(2), "{before:?} {read:?}");
+}
+
+#[test]
+fn the_next_tick_is_on_the_grid() {
+    let clock = Clock::start();
     let width = Duration::from_millis(5);
-    // Spans begin a whole number of widths before the start.
+    // Ticks are counted from a moment that lies a whole number of widths before the start.
     let next = clock.at(clock.next(width));
     assert_eq!(next.as_nanos() % width.as_nanos(), 0);
     assert!(clock.next(Duration::ZERO) <= Instant::now());
 }
 
 #[test]
-fn a_list_that_cannot_be_read_rests_by_its_bytes() {
+fn a_malformed_list_rests_by_its_size() {
     let table = [
         (0, 0),
         (1600, 97),
@@ -91,7 +98,7 @@
         assert_eq!(list.rest(0.5), mean, "{bytes}");
         assert_eq!((list.rest(0.0), list.rest(1.0)), (mean / 2, mean + mean / 2), "{bytes}");
         assert_eq!(list.rest(f64::INFINITY), list.rest(1.0));
-        // On average no more bytes a second than these, as far as a mended list may wait.
+        // On average no more bytes a second than this, unless a corrected list would have to wait too long for it.
         let cost = bytes as f64 / list.rest(0.5).as_secs_f64();
         assert!(
             list.rest(0.5) >= LONGEST_REST || bytes < 2000 || cost <= BYTES_A_SECOND as f64 * 1.01,
@@ -101,7 +108,7 @@
 }
 
 #[test]
-fn targets_are_numbered_once_and_a_forgotten_one_gets_another_number() {
+fn endpoints_are_numbered_once_and_a_forgotten_one_gets_another_number() {
     let mut table = TargetTable::default();
     let place = |port| Place { address: SocketAddr::from(([10, 0, 0, 1], port)), batch: 4 };
     let long = "a name that does not fit into the row itself";
@@ -116,7 +123,7 @@
         table.forget(*id);
         table.forget(*id);
         assert_eq!((table.get(*id), table.name(*id)), (None, None));
-        assert_eq!(table.place(*id, place(1)), PlaceChange::Same, "nothing is known of it");
+        assert_eq!(table.place(*id, place(1)), PlaceChange::Same, "it has no place any more");
     }
     assert_eq!(table.placed(), 500);
     for (n, id) in ids.iter().enumerate() {
@@ -127,8 +134,30 @@
     let kept = ids[1];
     assert_eq!(table.get(kept), Some(place(1)));
     assert_eq!(table.place(kept, place(1)), PlaceChange::Same);
-    let six = Place { address: "[::1]:9".parse().unwrap(), batch: 1 };
-    assert_eq!((table.place(kept, six), table.get(kept)), (PlaceChange::Moved, Some(six)));
+    let ipv6 = Place { address: "[::1]:9".parse().unwrap(), batch: 1 };
+    assert_eq!((table.place(kept, ipv6), table.get(kept)), (PlaceChange::Moved, Some(ipv6)));
     table.forget(kept);
     assert_eq!(table.placed(), 499);
 }
+
+#[test]
+fn an_endpoint_kind_is_kept_idle_again_after_a_rest_and_forgotten_with_its_endpoints() {
+    let now = Instant::now();
+    let mut permits = IdlePermits::default();
+    for (endpoint, kind) in [(1, "small"), (2, "small"), (3, "large")] {
+        permits.listed(EndpointId(endpoint), kind);
+    }
+    permits.turned_away(EndpointId(9), now);
+    permits.turned_away(EndpointId(1), now);
+    let has_room = |permits: &IdlePermits, after| {
+        let then = now + Duration::from_millis(after);
+        [1, 2, 3, 9].map(|endpoint| permits.has_room(EndpointId(endpoint), then))
+    };
+    assert_eq!(has_room(&permits, 29_000), [false, false, true, true]);
+    assert_eq!(has_room(&permits, 30_000), [true; 4]);
+    permits.forget(EndpointId(1));
+    assert_eq!(has_room(&permits, 0), [true, false, true, true], "another of the kind is still listed");
+    permits.forget(EndpointId(2));
+    permits.listed(EndpointId(2), "small");
+    assert_eq!(has_room(&permits, 0), [true; 4], "nothing is kept of a kind that nothing is listed for");
+}
