--- a/crates/daemon/tests/shapes.rs
+++ b/crates/daemon/tests/deployment_shape.rs
@@ -1,10 +1,15 @@
-//! What the program says of how configurations lay a deployment out, part by part and in every mixture.
+//! How the program describes the deployment that a configuration is for, part by part and in every mixture.
 
-use std::process::{Command, Output};
+#[path = "support/check_command.rs"]
+mod check_command;
+#[path = "support/temp_folder.rs"]
+mod temp_folder;
 
+use check_command::{check, CheckResult};
 use serde_json::{json, Value};
 
-fn reporting() -> Value {
+/// Settings of a deployment whose responses carry load reports.
+fn reporting_settings() -> Value {
     json!({
         "balancers": 200, "az": "east", "areas": ["east", "west"], "discovery": "subscribe", "weights": "nominal",
         "classes": [{"name": "update", "effect": "idempotent", "onTimeUs": 2000000, "giveUpUs": 20000000}],
@@ -16,38 +21,21 @@
     })
 }
 
-fn check(settings: &Value) -> Output {
-    let path = std::env::temp_dir().join(format!(
-        "reeddock-shape-{}-{:?}.json",
-        std::process::id(),
-        std::thread::current().id()
-    ));
+fn check_settings(settings: &Value) -> CheckResult {
     let limits = json!({"memory_mb": 48, "sockets": 256, "disk_mb": 3});
-    let file = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "limits": limits,
-                      "settings": settings});
-    std::fs::write(&path, file.to_string()).unwrap();
-    let said = Command::new(env!("CARGO_BIN_EXE_reeddock"))
-        .args(["check".as_ref(), "--config".as_ref(), path.as_os_str()])
-        .output()
-        .unwrap();
-    std::fs::remove_file(&path).unwrap();
-    said
+    let config = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "limits": limits,
+                        "settings": settings});
+    check(&config.to_string())
 }
 
-fn line(bytes: &[u8]) -> String {
-    String::from_utf8_lossy(bytes).into_owned()
-}
-
-/// How the program names the parts of these settings.
+/// How the program describes the deployment of these settings.
 fn shape(settings: &Value) -> String {
-    let said = check(settings);
-    assert!(said.status.success(), "{}", line(&said.stderr));
-    let told = line(&said.stdout);
-    told.lines().find_map(|l| l.strip_prefix("shape ")).unwrap_or_default().to_owned()
+    let output = check_settings(settings).expect_success("shape");
+    output.lines().find_map(|line| line.strip_prefix("shape ")).unwrap_or_default().to_owned()
 }
 
 #[test]
-fn each_part_follows_from_its_own_key_whatever_the_others_say() {
+fn each_part_of_the_shape_follows_from_its_own_key_alone() {
     let parts = [
         (
             "/report",
@@ -64,11 +52,11 @@
         ("/familyInfo/zoneFee", [json!([]), json!([0.0, 0.04])], ["no fees", "fees by zone"]),
     ];
     for mixture in 0..1 << parts.len() {
-        let mut settings = reporting();
+        let mut settings = reporting_settings();
         let mut expected = Vec::new();
-        for (place, (at, values, words)) in parts.iter().enumerate() {
+        for (place, (pointer, values, words)) in parts.iter().enumerate() {
             let which = mixture >> place & 1;
-            *settings.pointer_mut(at).unwrap() = values[which].clone();
+            *settings.pointer_mut(pointer).unwrap() = values[which].clone();
             expected.push(words[which]);
         }
         assert_eq!(shape(&settings), expected.join(", "));
@@ -76,11 +64,11 @@
 }
 
 #[test]
-fn what_is_left_out_or_told_of_other_things_is_untold() {
-    let bare =
+fn what_is_left_out_or_null_has_the_default_shape() {
+    let default_shape =
         "answers tell of no limit, no listed rates, lists are pushed, one dispatch out at a time, no fees";
-    assert_eq!(shape(&json!({})), bare);
-    let mut settings = reporting();
+    assert_eq!(shape(&json!({})), default_shape);
+    let mut settings = reporting_settings();
     settings["report"]["fields"] = json!(["utilization", "x0"]);
     settings["weights"] = json!(null);
     assert_eq!(
@@ -92,8 +80,8 @@
 }
 
 #[test]
-fn a_value_that_means_nothing_is_refused_with_its_key() {
-    let wrong = [
+fn a_malformed_value_is_refused_in_one_line_with_its_key() {
+    let malformed = [
         ("/weights", json!("heavy"), "weights"),
         ("/weights", json!(7), "weights"),
         ("/discovery", json!("telepathy"), "discovery"),
@@ -109,12 +97,10 @@
         ("/areas", json!("east"), "areas"),
         ("/az", json!("north"), "az"),
     ];
-    for (at, value, key) in wrong {
-        let mut settings = reporting();
-        *settings.pointer_mut(at).unwrap() = value.clone();
-        let said = check(&settings);
-        let fault = line(&said.stderr);
-        assert!(!said.status.success(), "{at} {value}");
-        assert!(fault.contains(&format!("settings.{key}: ")) && fault.lines().count() == 1, "{at}: {fault}");
+    for (pointer, value, key) in malformed {
+        let mut settings = reporting_settings();
+        *settings.pointer_mut(pointer).unwrap() = value.clone();
+        let error = check_settings(&settings).expect_one_line_error(&format!("{pointer} {value}"));
+        assert!(error.contains(&format!("settings.{key}: ")), "{pointer}: {error}");
     }
 }
--- /dev/null
+++ b/crates/daemon/tests/list_log.rs
@@ -0,0 +1,105 @@
+//! What the program's log and its health check say of the endpoint list.
+
+#[path = "support/health.rs"]
+mod health;
+#[path = "support/process.rs"]
+mod process;
+#[path = "support/temp_folder.rs"]
+mod temp_folder;
+
+use std::io::{BufRead, BufReader};
+use std::net::TcpListener;
+use std::process::Stdio;
+use std::sync::mpsc::{channel, Receiver};
+use std::time::Duration;
+
+use health::{health_check, listening_address};
+use process::{serve_command, KillOnDrop};
+use temp_folder::TempFolder;
+
+/// The log lines that the tests look for.
+const SERVING: &str = "serving";
+const ENDPOINT_LISTED: &str = "listed: EndpointId(";
+const LIST_IN_FORCE: &str = "a list of targets is in force generation=4 whole=true entries=300 new=300";
+const NO_LIST_AT_START: &str = "no list of targets is known at the start";
+const NOTHING_DELIVERABLE: &str =
+    "nothing can be delivered trouble=\"no target list yet: discovery has told none\"";
+
+const LOG_LINE_WITHIN: Duration = Duration::from_secs(20);
+
+/// A program whose log is read.
+struct LoggedForwarder {
+    _process: KillOnDrop,
+    _folder: TempFolder,
+    log: Receiver<String>,
+}
+
+impl LoggedForwarder {
+    /// With a cached list of so many endpoints, and a discovery that refuses connections.
+    fn start(name: &str, endpoints: usize) -> LoggedForwarder {
+        let folder = TempFolder::new(name);
+        let file = folder.path().join("config.json");
+        std::fs::write(&file, config(endpoints)).unwrap();
+        let spawned = serve_command(&file, folder.path()).stderr(Stdio::piped()).spawn();
+        let mut process = KillOnDrop(spawned.unwrap());
+        let (lines, log) = channel();
+        let stderr = BufReader::new(process.0.stderr.take().unwrap());
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| lines.send(line))
+        });
+        LoggedForwarder { _process: process, _folder: folder, log }
+    }
+
+    /// The lines up to one with this text.
+    fn log_until(&self, text: &str) -> Vec<String> {
+        let mut lines: Vec<String> = Vec::new();
+        while !lines.last().is_some_and(|line| line.contains(text)) {
+            let line = self.log.recv_timeout(LOG_LINE_WITHIN);
+            lines.push(line.unwrap_or_else(|_| panic!("never logged: {text}; but {lines:?}")));
+        }
+        lines
+    }
+}
+
+fn config(endpoints: usize) -> String {
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let entry =
+        |n| format!(r#"{{"instanceId":"s-{n}","hostPort":"127.0.0.1:9","cell":{n},"lifecycle":"Ready"}}"#);
+    let entries: Vec<String> = (0..endpoints).map(entry).collect();
+    format!(
+        r#"{{"listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1f","settings":{{}},
+            "limits":{{"memory_mb":48,"sockets":256,"disk_mb":3}},
+            "known":{{"generation":4,"reset":true,"instances":[{}]}}}}"#,
+        entries.join(",")
+    )
+}
+
+/// What the health check answers of the program that logs here where it listens.
+fn health(serving: &str) -> String {
+    health_check(listening_address(serving).expect("an address"))
+}
+
+fn count(lines: &[String], text: &str) -> usize {
+    lines.iter().filter(|line| line.contains(text)).count()
+}
+
+#[test]
+fn a_long_list_has_one_log_line_and_not_one_for_each_endpoint() {
+    let forwarder = LoggedForwarder::start("long-list", 300);
+    let lines = forwarder.log_until(SERVING);
+    assert_eq!(count(&lines, ENDPOINT_LISTED), 100);
+    assert_eq!(count(&lines, LIST_IN_FORCE), 1);
+    let response = health(lines.last().unwrap());
+    assert!(response.starts_with("HTTP/1.1 200 ") && response.ends_with("\r\n\r\nok\n"), "{response}");
+}
+
+#[test]
+fn a_forwarder_without_any_list_says_so_and_is_healthy_all_the_same() {
+    let forwarder = LoggedForwarder::start("no-list", 0);
+    let lines = forwarder.log_until(SERVING);
+    assert_eq!(count(&lines, NO_LIST_AT_START), 1);
+    let response = health(lines.last().unwrap());
+    assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
+    assert!(response.ends_with("\r\n\r\nok; no target list yet: discovery has told none\n"), "{response}");
+    forwarder.log_until(NOTHING_DELIVERABLE);
+}
--- /dev/null
+++ b/crates/daemon/tests/support/check_command.rs
@@ -0,0 +1,37 @@
+//! The command `reeddock check` on the text of a configuration.
+
+use std::process::{Command, Output};
+
+use crate::temp_folder::TempFolder;
+
+/// The name of the file that is checked.
+const CONFIG_FILE: &str = "checked-config.json";
+
+/// What the program says of a configuration.
+pub struct CheckResult(Output);
+
+/// Writes a configuration into a file, and has the program check it.
+pub fn check(config: &str) -> CheckResult {
+    let folder = TempFolder::new("check");
+    let file = folder.path().join(CONFIG_FILE);
+    std::fs::write(&file, config).unwrap();
+    let command = ["check".as_ref(), "--config".as_ref(), file.as_os_str()];
+    CheckResult(Command::new(env!("CARGO_BIN_EXE_reeddock")).args(command).output().unwrap())
+}
+
+impl CheckResult {
+    /// Standard output, of a check that has to succeed.
+    pub fn expect_success(&self, what: &str) -> String {
+        assert!(self.0.status.success(), "{what}: {}", String::from_utf8_lossy(&self.0.stderr));
+        String::from_utf8_lossy(&self.0.stdout).into_owned()
+    }
+
+    /// Standard error, of a check that has to fail with one line that names the file.
+    pub fn expect_one_line_error(&self, what: &str) -> String {
+        let error = String::from_utf8_lossy(&self.0.stderr).into_owned();
+        assert_eq!(self.0.status.code(), Some(1), "{what}: {error}");
+        assert_eq!(error.lines().count(), 1, "{what}: {error}");
+        assert!(error.starts_with("reeddock: ") && error.contains(CONFIG_FILE), "{what}: {error}");
+        error
+    }
+}
--- a/crates/daemon/tests/wal_command.rs
+++ b/crates/daemon/tests/wal_command.rs
@@ -1,23 +1,31 @@
-//! The command `ledger` on a sound folder, beside a writer, and on a damaged one.
+//! The command `ledger`: on a sound write-ahead log, also while it is written to, and on a corrupt one.
+
+#[path = "support/temp_folder.rs"]
+mod temp_folder;
 
 use std::path::Path;
-use std::process::{Command, Output};
+use std::process::Command;
 use std::time::Duration;
 
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
+use temp_folder::TempFolder;
 
-fn reeddock(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_reeddock")).args(arguments).output().unwrap()
+/// What the command wrote, to both of its outputs, and its exit code.
+struct CommandResult {
+    text: String,
+    code: Option<i32>,
 }
 
-fn ledger(folder: &Path, further: &[&str]) -> (String, Option<i32>) {
-    let output = reeddock(&[&["ledger", "--state", folder.to_str().unwrap()], further].concat());
-    let text = [output.stdout, output.stderr].concat();
-    (String::from_utf8(text).unwrap(), output.status.code())
+fn ledger(folder: &Path, arguments: &[&str]) -> CommandResult {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_reeddock"));
+    command.args(["ledger", "--state", folder.to_str().unwrap()]).args(arguments);
+    let output = command.output().unwrap();
+    let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
+    CommandResult { text, code: output.status.code() }
 }
 
-fn taken(id: &str, class: &str, destination: u64) -> Record {
+fn accepted(id: &str, class: &str, destination: u64) -> Record {
     Record::Accepted(Accepted {
         idempotency_key: None,
         id: id.into(),
@@ -30,50 +38,64 @@
     })
 }
 
-#[test]
-fn it_tells_what_is_owed_and_what_is_damaged() {
-    let folder = std::env::temp_dir().join(format!("reeddock-owed-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let mut writer = WriteAheadLog::open(&folder, 100_000, Sync::Never).unwrap();
-    let begun = Record::AttemptStarted { id: "order-1".into(), no: 0, endpoint: "t".into(), at: 5 };
-    let ended = Record::Finished { id: "note-2".into(), notice: Some(FinalAnswer::Failed) };
-    let records =
-        [taken("order-1", "order", 7), taken("note-1", "note", 8), taken("note-2", "note", 8), begun, ended];
-    writer.append(&records, Duration::ZERO).unwrap();
+/// A write-ahead log with two pending messages, of which one was possibly executed, and an unacknowledged notice.
+fn write_log(folder: &Path) -> WriteAheadLog {
+    let mut log = WriteAheadLog::open(folder, 100_000, Sync::Never).unwrap();
+    let records = [
+        accepted("order-1", "order", 7),
+        accepted("note-1", "note", 8),
+        accepted("note-2", "note", 8),
+        Record::AttemptStarted { id: "order-1".into(), no: 0, endpoint: "t".into(), at: 5 },
+        Record::Finished { id: "note-2".into(), notice: Some(FinalAnswer::Failed) },
+    ];
+    log.append(&records, Duration::ZERO).unwrap();
+    log
+}
 
-    // Beside the writer.
-    let (text, code) = ledger(&folder, &["--verify"]);
+#[test]
+fn pending_messages_and_notices_are_listed_beside_the_writer() {
+    let folder = TempFolder::new("wal-command");
+    let _writer = write_log(folder.path());
+    let CommandResult { text, code } = ledger(folder.path(), &["--verify"]);
     assert_eq!(code, Some(0), "{text}");
     assert!(text.starts_with("sound: 1 segments") && text.contains("2 owed, 1 notices untold"), "{text}");
-    let (text, _) = ledger(&folder, &["--by", "category"]);
+    let CommandResult { text, .. } = ledger(folder.path(), &["--by", "category"]);
     assert!(text.contains("category order: 1 owed") && text.contains("1 may have run"), "{text}");
-    assert!(ledger(&folder, &["--by", "destination"]).0.contains("destination 8: 1 owed"));
-    assert!(ledger(&folder, &["--by", "age"]).0.contains("time is up: 2 owed"));
-    let (text, _) = ledger(&folder, &["--json"]);
+    assert!(ledger(folder.path(), &["--by", "destination"]).text.contains("destination 8: 1 owed"));
+    assert!(ledger(folder.path(), &["--by", "age"]).text.contains("time is up: 2 owed"));
+    let CommandResult { text, .. } = ledger(folder.path(), &["--json"]);
     let lines: Vec<serde_json::Value> = text.lines().map(|l| serde_json::from_str(l).unwrap()).collect();
     assert_eq!(lines.len(), 3);
     assert_eq!((&lines[0]["owed"], &lines[0]["may_have_run"]), (&"order-1".into(), &true.into()));
     assert_eq!((&lines[2]["untold"], &lines[2]["end"]), (&"note-2".into(), &"broken_off".into()));
-    let (text, code) = ledger(&folder, &[]);
+    let CommandResult { text, code } = ledger(folder.path(), &[]);
     assert!(code == Some(0) && text.contains("order-1 order for destination 7"), "{text}");
-    drop(writer);
+}
 
-    let segment = folder.join("ledger-000000000001");
+#[test]
+fn corruption_is_reported_with_exit_code_1_and_nothing_is_changed() {
+    let folder = TempFolder::new("wal-command");
+    drop(write_log(folder.path()));
+    let segment = folder.path().join("ledger-000000000001");
     let mut bytes = std::fs::read(&segment).unwrap();
     bytes[40] ^= 1;
     std::fs::write(&segment, &bytes).unwrap();
-    let (text, code) = ledger(&folder, &["--verify"]);
+    let CommandResult { text, code } = ledger(folder.path(), &["--verify"]);
     assert_eq!(code, Some(1), "{text}");
     assert!(text.contains("damaged: ledger-000000000001") && text.contains("unknown: order-1"), "{text}");
     assert_eq!(std::fs::read(&segment).unwrap(), bytes, "it changes nothing");
+}
 
-    for (further, told) in [
-        (vec!["--by", "colour"], "expected category, destination or age"),
-        (vec!["--sync", "often"], "expected never, each, or seconds"),
-        (vec!["--sync", "0"], "expected never, each, or seconds"),
+#[test]
+fn an_option_that_cannot_be_parsed_is_refused_in_one_line() {
+    let folder = TempFolder::new("wal-command");
+    drop(write_log(folder.path()));
+    for (arguments, expected) in [
+        (["--by", "colour"], "expected category, destination or age"),
+        (["--sync", "often"], "expected never, each, or seconds"),
+        (["--sync", "0"], "expected never, each, or seconds"),
     ] {
-        let (text, code) = ledger(&folder, &further);
-        assert!(code == Some(1) && text.contains(told) && text.lines().count() == 1, "{text}");
+        let CommandResult { text, code } = ledger(folder.path(), &arguments);
+        assert!(code == Some(1) && text.contains(expected) && text.lines().count() == 1, "{text}");
     }
-    std::fs::remove_dir_all(&folder).unwrap();
 }
