--- a/crates/forwarder/tests/loopback/endpoint_connections.rs
+++ b/crates/forwarder/tests/loopback/endpoint_connections.rs
@@ -40,7 +40,7 @@
     run_test(async {
         let last_used = Mutex::new(BTreeMap::<usize, Instant>::new());
         let test_bed = TestBed::new(move |m| {
-            // A middlebox that drops connections after a tenth of a second, and tells neither side.
+            // A middlebox that drops connections after a tenth of a second, and notifies neither side.
             let before = last_used.lock().unwrap().insert(m.connection, Instant::now());
             match before.is_some_and(|before| before.elapsed() > ms(100)) {
                 true => ScriptedResponse::CloseConnection,
--- a/crates/forwarder/tests/loopback/support/requests.rs
+++ b/crates/forwarder/tests/loopback/support/requests.rs
@@ -63,7 +63,7 @@
     request.messages.iter().map(attempt).unzip()
 }
 
-/// The next attempt of which the event loop is told that it has ended: its message and its result.
+/// The next result that the event loop receives: the message of the attempt, and how it ended.
 pub async fn next_result(events: &mut mpsc::Receiver<Event>) -> (String, AttemptResult) {
     match events.recv().await {
         Some(Event::Ended { message, result, .. }) => (message.0.to_string(), result),
