--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -1,53 +1,101 @@
-//! Reads a configuration without holding its list of endpoints, which may be most of the file.
+//! Reads a configuration file. Its endpoint list, which may be most of the file, is passed on entry by entry and
+//! never in memory as a whole.
 
-use std::collections::BTreeMap;
 use std::fmt;
 use std::fs::File;
-use std::io::BufReader;
+use std::io::{self, BufReader};
 use std::path::Path;
 
 use reeddock_protocol::{Bounds, Entry};
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
+use serde_json::error::Category;
 use serde_json::Value;
 
-/// The parts of a configuration that have a meaning, beside the list of endpoints.
-const PARTS: [&str; 5] = ["listen", "discovery", "seed", "limits", "settings"];
+use crate::error::ConfigError;
 
-/// What stands in a configuration.
+/// The file is read in pieces of this many bytes.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+
+/// The key of the cached endpoint list.
+const ENDPOINT_LIST_KEY: &str = "known";
+
+/// A configuration file without the entries of its endpoint list.
 #[derive(Default)]
 pub struct Contents {
-    /// Of [`PARTS`], those that are there.
-    pub parts: BTreeMap<String, Value>,
-    /// The generation of the list of endpoints and how many entries it has, if there is one.
-    pub known: Option<Known>,
+    /// All other sections.
+    pub sections: Sections,
+    /// What remains of the endpoint list, if the file has one.
+    pub endpoint_list: Option<EndpointListSummary>,
+}
+
+/// The sections of a configuration as they stand in the file; null where one is absent.
+#[derive(Default)]
+pub struct Sections {
+    /// The address that clients connect to.
+    pub listen: Value,
+    /// The address of discovery and of the platform.
+    pub discovery: Value,
+    /// The seed of the policy's random numbers.
+    pub seed: Value,
+    /// What the machine gives this forwarder.
+    pub limits: Value,
+    /// The settings of the delivery policy and of the network.
+    pub settings: Value,
+}
+
+impl Sections {
+    /// Where the value of a key belongs; none for a key without a meaning, whose value is passed over.
+    fn of_key(&mut self, key: &str) -> Option<&mut Value> {
+        match key {
+            "listen" => Some(&mut self.listen),
+            "discovery" => Some(&mut self.discovery),
+            "seed" => Some(&mut self.seed),
+            "limits" => Some(&mut self.limits),
+            "settings" => Some(&mut self.settings),
+            _ => None,
+        }
+    }
 }
 
-/// What a list of endpoints comes down to whose entries were handed on.
+/// What remains of an endpoint list whose entries were passed on.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct EndpointListSummary {
+    /// The generation of the list, from which a watch continues.
     pub generation: u64,
-    pub entries: usize,
+    /// How many entries it has.
+    pub entry_count: usize,
 }
 
-/// Reads a file, and hands on each entry of its list of endpoints. An error names the file and the place in it.
-pub fn read(file: &Path, each: &mut dyn FnMut(Entry)) -> Result<Contents, String> {
-    let name = file.display();
-    let opened = File::open(file).map_err(|e| format!("cannot read {name}: {e}"))?;
-    let mut json = serde_json::Deserializer::from_reader(BufReader::with_capacity(64 * 1024, opened));
-    let contents = WholeFile { each }.deserialize(&mut json);
-    let contents = contents.and_then(|contents| json.end().map(|()| contents));
-    contents.map_err(|fault| match fault.classify() {
-        serde_json::error::Category::Io => format!("cannot read {name}: {fault}"),
-        serde_json::error::Category::Data => format!("{name}: {fault}"),
-        _ => format!("{name} is not JSON: {fault}"),
-    })
+/// Reads a file and passes on each entry of its endpoint list; on an error some may have been passed on already.
+pub fn read(file: &Path, on_entry: &mut dyn FnMut(Entry)) -> Result<Contents, ConfigError> {
+    let opened =
+        File::open(file).map_err(|source| ConfigError::Unreadable { file: file.to_owned(), source })?;
+    let reader = BufReader::with_capacity(READ_BUFFER_BYTES, opened);
+    parse(reader, on_entry).map_err(|error| config_error(file, error))
 }
 
-struct WholeFile<'e> {
-    each: &'e mut dyn FnMut(Entry),
+fn parse(reader: impl io::Read, on_entry: &mut dyn FnMut(Entry)) -> serde_json::Result<Contents> {
+    let mut json = serde_json::Deserializer::from_reader(reader);
+    let contents = ConfigurationSeed { on_entry }.deserialize(&mut json)?;
+    json.end()?;
+    Ok(contents)
 }
 
-impl<'de> DeserializeSeed<'de> for WholeFile<'_> {
+fn config_error(file: &Path, source: serde_json::Error) -> ConfigError {
+    let file = file.to_owned();
+    match source.classify() {
+        Category::Io => ConfigError::Unreadable { file, source: source.into() },
+        Category::Data => ConfigError::Malformed { file, source },
+        Category::Syntax | Category::Eof => ConfigError::NotJson { file, source },
+    }
+}
+
+/// Deserializes the whole file.
+struct ConfigurationSeed<'e> {
+    on_entry: &'e mut dyn FnMut(Entry),
+}
+
+impl<'de> DeserializeSeed<'de> for ConfigurationSeed<'_> {
     type Value = Contents;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Contents, D::Error> {
@@ -55,7 +103,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for WholeFile<'_> {
+impl<'de> Visitor<'de> for ConfigurationSeed<'_> {
     type Value = Contents;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -65,11 +113,11 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Contents, A::Error> {
         let mut contents = Contents::default();
         while let Some(key) = map.next_key::<String>()? {
-            if key == "known" {
-                contents.known = map.next_value_seed(List { each: &mut *self.each })?;
-            } else if PARTS.contains(&key.as_str()) {
-                let value = map.next_value()?;
-                contents.parts.insert(key, value);
+            if key == ENDPOINT_LIST_KEY {
+                let seed = EndpointListSeed { on_entry: &mut *self.on_entry };
+                contents.endpoint_list = map.next_value_seed(seed)?;
+            } else if let Some(section) = contents.sections.of_key(&key) {
+                *section = map.next_value()?;
             } else {
                 map.next_value::<IgnoredAny>()?;
             }
@@ -78,64 +126,64 @@
     }
 }
 
-/// The list of endpoints, or null.
-struct List<'e> {
-    each: &'e mut dyn FnMut(Entry),
+/// Deserializes the endpoint list, or null.
+struct EndpointListSeed<'e> {
+    on_entry: &'e mut dyn FnMut(Entry),
 }
 
-impl<'de> DeserializeSeed<'de> for List<'_> {
-    type Value = Option<Known>;
+impl<'de> DeserializeSeed<'de> for EndpointListSeed<'_> {
+    type Value = Option<EndpointListSummary>;
 
-    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Option<Known>, D::Error> {
-        deserializer.deserialize_any(self).map_err(|fault| D::Error::custom(format!("known: {fault}")))
+    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Self::Value, D::Error> {
+        let summary = deserializer.deserialize_any(self);
+        summary.map_err(|error| D::Error::custom(format!("{ENDPOINT_LIST_KEY}: {error}")))
     }
 }
 
-impl<'de> Visitor<'de> for List<'_> {
-    type Value = Option<Known>;
+impl<'de> Visitor<'de> for EndpointListSeed<'_> {
+    type Value = Option<EndpointListSummary>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a list of targets")
     }
 
-    fn visit_unit<E>(self) -> Result<Option<Known>, E> {
+    fn visit_unit<E>(self) -> Result<Self::Value, E> {
         Ok(None)
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Option<Known>, A::Error> {
-        let (mut generation, mut entries) = (None, None);
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
+        let mut generation = None;
+        let mut entry_count = None;
         while let Some(key) = map.next_key::<String>()? {
             match key.as_str() {
-                "generation" => {
-                    once(generation.replace(map.next_value::<u64>()?), "generation")?;
-                }
+                "generation" => set_once(&mut generation, map.next_value::<u64>()?, "generation")?,
                 "instances" => {
-                    let told = map.next_value_seed(Entries { each: &mut *self.each })?;
-                    once(entries.replace(told), "instances")?;
-                }
-                "reset" => {
-                    map.next_value::<bool>()?;
-                }
-                _ => {
-                    map.next_value::<IgnoredAny>()?;
+                    let count = map.next_value_seed(EntriesSeed { on_entry: &mut *self.on_entry })?;
+                    set_once(&mut entry_count, count, "instances")?;
                 }
+                // Its type is checked; a list in a file is always a whole one.
+                "reset" => drop(map.next_value::<bool>()?),
+                _ => drop(map.next_value::<IgnoredAny>()?),
             }
         }
         let generation = generation.ok_or_else(|| A::Error::missing_field("generation"))?;
-        Ok(Some(Known { generation, entries: entries.unwrap_or_default() }))
+        Ok(Some(EndpointListSummary { generation, entry_count: entry_count.unwrap_or_default() }))
     }
 }
 
-fn once<T, E: Error>(before: Option<T>, field: &'static str) -> Result<(), E> {
-    before.map_or(Ok(()), |_| Err(E::duplicate_field(field)))
+fn set_once<T, E: Error>(field: &mut Option<T>, value: T, name: &'static str) -> Result<(), E> {
+    match field.replace(value) {
+        Some(_) => Err(E::duplicate_field(name)),
+        None => Ok(()),
+    }
 }
 
-/// The entries of the list; says how many there are.
-struct Entries<'e> {
-    each: &'e mut dyn FnMut(Entry),
+/// Deserializes the entries of an endpoint list, and counts them.
+struct EntriesSeed<'e> {
+    on_entry: &'e mut dyn FnMut(Entry),
 }
 
-impl<'de> DeserializeSeed<'de> for Entries<'_> {
+impl<'de> DeserializeSeed<'de> for EntriesSeed<'_> {
     type Value = usize;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<usize, D::Error> {
@@ -143,7 +191,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Entries<'_> {
+impl<'de> Visitor<'de> for EntriesSeed<'_> {
     type Value = usize;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -151,17 +199,18 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<usize, A::Error> {
-        let most = Bounds::default().entries;
+        let max_entries = Bounds::default().entries;
         let mut count = 0;
         loop {
             let entry = entries.next_element::<Entry>();
-            let entry = entry.map_err(|fault| A::Error::custom(format!("instances[{count}]: {fault}")))?;
+            let entry = entry.map_err(|error| A::Error::custom(format!("instances[{count}]: {error}")))?;
             let Some(entry) = entry else { return Ok(count) };
-            if count == most {
-                return Err(A::Error::custom(format!("instances[{count}]: expected {most} entries at most")));
+            if count == max_entries {
+                let error = format!("instances[{count}]: expected {max_entries} entries at most");
+                return Err(A::Error::custom(error));
             }
             count += 1;
-            (self.each)(entry);
+            (self.on_entry)(entry);
         }
     }
 }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -1,4 +1,4 @@
-//! What a forwarder is told at its start: the configuration file, and the folder that lasts.
+//! From a configuration file to the options of a forwarder, at its start and when the file is read again.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,119 +9,224 @@
 use reeddock_forwarder::ForwarderOptions;
 use reeddock_protocol::{Entry, ListPart};
 use reeddock_settings::{parse_settings, DeploymentShape, NetworkSettings};
-use serde_json::Value;
+use reeddock_wal::Sync;
+use serde_json::{Map, Value};
 use tokio::sync::watch;
 
-use crate::config_file::{self, Contents, Known};
+use crate::config_file::{self, EndpointListSummary, Sections};
+use crate::error::ConfigError;
 
-/// A planned stop is followed by a kill 3.7 s later at the soonest, and new clients come for 0.4 s.
-const LEAVE_WITHIN: Duration = Duration::from_millis(3500);
-const CLIENTS_COME_FOR: Duration = Duration::from_millis(800);
-/// Where the settings tell nothing of connections.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
-const CLOSED_AFTER: Duration = Duration::from_secs(5);
+/// How long a graceful shutdown may take: a planned stop is followed by a kill 3.7 s later at the soonest.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(3500);
+/// How long new connections are accepted in a shutdown: clients still come for 0.4 s, and this is twice that.
+const ACCEPT_GRACE: Duration = Duration::from_millis(800);
+/// The connect timeout if the settings have none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The idle timeout of connections to endpoints if the settings have none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a running forwarder takes from its file when that is read again, and what only a start does.
-#[derive(PartialEq)]
-pub struct ReloadableConfig {
-    pub discovery: SocketAddr,
+/// A cached endpoint list with more entries than this is not kept in memory until it is applied, but read from the
+/// file once more.
+const MAX_ENTRIES_IN_MEMORY: usize = 10_000;
+/// A file of more bytes than this is reloaded in a thread of its own: the event loop would stand still meanwhile.
+const MAX_BYTES_ON_EVENT_LOOP: u64 = 1024 * 1024;
+
+/// Limits are capped where no machine has more, so that sums of them stay in range.
+const MAX_DESCRIPTORS: f64 = 1e6;
+const MAX_DISK_BYTES: f64 = 1e15;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
+
+/// A forwarder as its configuration file describes it.
+pub struct StartConfig {
+    /// What the forwarder is started with.
+    pub options: ForwarderOptions,
+    /// Changes the address of discovery that `options` began with.
+    pub discovery_updates: watch::Sender<SocketAddr>,
+    /// How the deployment is laid out.
     pub shape: DeploymentShape,
-    fixed: [(&'static str, Value); 3],
+    /// What the file is compared with when it is read again.
+    pub reloadable: ReloadableConfig,
+}
+
+/// What matters of a configuration file that is read again while the forwarder runs.
+pub struct ReloadableConfig {
+    discovery: SocketAddr,
+    restart_only: [RestartOnlySection; 3],
+}
+
+/// A section that takes effect at a start only.
+#[derive(PartialEq)]
+struct RestartOnlySection {
+    name: &'static str,
+    value: Value,
 }
 
 impl ReloadableConfig {
-    /// The parts that differ from those that this process started with.
-    pub fn needs_restart(&self, started: &ReloadableConfig) -> Vec<&'static str> {
-        let both = self.fixed.iter().zip(&started.fixed);
-        both.filter(|(now, then)| now != then).map(|(now, _)| now.0).collect()
+    fn new(discovery: SocketAddr, sections: &Sections) -> ReloadableConfig {
+        let section = |name, value: &Value| RestartOnlySection { name, value: value.clone() };
+        let restart_only = [
+            section("listen", &sections.listen),
+            section("limits", &sections.limits),
+            section("settings", &sections.settings),
+        ];
+        ReloadableConfig { discovery, restart_only }
     }
-}
 
-/// Entries of a known list up to which it is kept in memory until it is applied; a longer one is read again.
-const ENTRIES_KEPT: usize = 10_000;
+    /// The address of discovery and of the platform, which takes effect at once.
+    pub fn discovery(&self) -> SocketAddr {
+        self.discovery
+    }
 
-fn keep(kept: &mut Option<Vec<Entry>>, entry: Entry) {
-    if kept.as_ref().is_some_and(|kept| kept.len() >= ENTRIES_KEPT) {
-        *kept = None;
+    /// The sections that differ from those that this process started with, and so wait for a restart.
+    pub fn needs_restart(&self, started_with: &ReloadableConfig) -> Vec<&'static str> {
+        let pairs = self.restart_only.iter().zip(&started_with.restart_only);
+        pairs.filter(|(now, then)| now != then).map(|(now, _)| now.name).collect()
     }
-    if let Some(kept) = kept {
-        kept.push(entry);
+}
+
+impl StartConfig {
+    /// Reads a configuration file for a forwarder whose state is kept in `state`.
+    pub fn read(file: &Path, state: PathBuf, sync: Sync) -> Result<StartConfig, ConfigError> {
+        let mut entries = EntryBuffer::default();
+        let contents = config_file::read(file, &mut |entry| entries.push(entry))?;
+        let reader = SectionReader { file, sections: &contents.sections };
+        let settings = reader.settings()?;
+        let shape = reader.shape(settings)?;
+        let network = NetworkSettings::of(settings);
+        let discovery = reader.discovery()?;
+        let (discovery_updates, watched_discovery) = watch::channel(discovery);
+        let options = ForwarderOptions {
+            listen: reader.listen()?,
+            discovery: watched_discovery,
+            state,
+            resources: reader.resource_limits()?,
+            settings: parse_settings(reader.seed()?, settings),
+            cached_list: cached_list(file, contents.endpoint_list, entries),
+            tick: network.tick.unwrap_or_default(),
+            sync,
+            connect_within: network.connect_within.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            closed_after: network.idle.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            shutdown_grace: SHUTDOWN_GRACE,
+            accept_grace: ACCEPT_GRACE,
+        };
+        let reloadable = ReloadableConfig::new(discovery, &contents.sections);
+        Ok(StartConfig { options, discovery_updates, shape, reloadable })
     }
 }
 
-/// The list that was found in a file, with its entries if they were kept.
-fn known_list(
-    file: &Path,
-    Known { generation, entries }: Known,
-    kept: Option<Vec<Entry>>,
-) -> CachedEndpointList {
-    if let Some(entries) = kept {
-        return ListPart { generation, whole: true, entries }.into();
+/// Reads the file again for a forwarder that runs, and validates all of it: a long one in a thread of its own.
+pub async fn reload(file: &Path) -> Result<ReloadableConfig, ConfigError> {
+    let is_long = std::fs::metadata(file).is_ok_and(|data| data.len() > MAX_BYTES_ON_EVENT_LOOP);
+    if !is_long {
+        return read_reloadable(file);
     }
     let file = file.to_owned();
-    CachedEndpointList::new(
-        generation,
-        entries,
-        Box::new(move |each| config_file::read(&file, each).map(drop)),
-    )
+    tokio::task::spawn_blocking(move || read_reloadable(&file)).await?
+}
+
+fn read_reloadable(file: &Path) -> Result<ReloadableConfig, ConfigError> {
+    StartConfig::read(file, PathBuf::new(), Sync::Never).map(|config| config.reloadable)
 }
 
-/// A configuration longer than this is not read between two events.
-const LONG_FILE: u64 = 1024 * 1024;
+/// The entries of the cached endpoint list as they are read, up to [`MAX_ENTRIES_IN_MEMORY`].
+enum EntryBuffer {
+    /// All entries so far.
+    Complete(Vec<Entry>),
+    /// There were more, and none is kept.
+    Overflowed,
+}
 
-/// Reads a file again for a process that serves: a long one in a thread beside it.
-pub async fn read_again(file: &Path) -> Result<ReloadableConfig, String> {
-    let read = |file: &Path| read(file, PathBuf::new()).map(|(.., standing)| standing);
-    let long = std::fs::metadata(file).is_ok_and(|data| data.len() > LONG_FILE);
-    if !long {
-        return read(file);
+impl Default for EntryBuffer {
+    fn default() -> EntryBuffer {
+        EntryBuffer::Complete(Vec::new())
+    }
+}
+
+impl EntryBuffer {
+    fn push(&mut self, entry: Entry) {
+        match self {
+            EntryBuffer::Complete(entries) if entries.len() < MAX_ENTRIES_IN_MEMORY => entries.push(entry),
+            EntryBuffer::Complete(_) => *self = EntryBuffer::Overflowed,
+            EntryBuffer::Overflowed => {}
+        }
     }
-    let file = file.to_owned();
-    tokio::task::spawn_blocking(move || read(&file)).await.map_err(|e| e.to_string())?
 }
 
-pub fn read(
+/// The endpoint list of a configuration file: from memory, or read from the file as it is applied.
+fn cached_list(
     file: &Path,
-    state: PathBuf,
-) -> Result<(ForwarderOptions, watch::Sender<SocketAddr>, ReloadableConfig), String> {
-    let name = file.display();
-    let mut kept = Some(Vec::new());
-    let Contents { parts: told, known } = config_file::read(file, &mut |entry| keep(&mut kept, entry))?;
-    let fixed =
-        ["listen", "limits", "settings"].map(|part| (part, told.get(part).cloned().unwrap_or_default()));
-    let known = known.map_or_else(CachedEndpointList::none, |known| known_list(file, known, kept));
-    let missing = |what: &str| format!("{name}: {what} is missing or malformed");
-    let address = |what: &str| -> Result<SocketAddr, String> {
-        told.get(what).and_then(Value::as_str).and_then(|a| a.parse().ok()).ok_or_else(|| missing(what))
-    };
-    let seed = told.get("seed").and_then(Value::as_str).and_then(|s| u64::from_str_radix(s, 16).ok());
-    let settings = told.get("settings").and_then(Value::as_object).ok_or_else(|| missing("settings"))?;
-    let limit = |what: &str| {
-        // Parts of a megabyte are told with decimals.
-        let limit = told.get("limits").and_then(|l| l.get(what)).and_then(Value::as_f64);
-        limit.filter(|l| l.is_finite() && *l >= 0.0).ok_or_else(|| missing(&format!("limits.{what}")))
-    };
-    let shape = DeploymentShape::of(settings).map_err(|fault| format!("{name}: settings.{fault}"))?;
-    let reach = NetworkSettings::of(settings);
-    let at = address("discovery")?;
-    let (moves, discovery) = watch::channel(at);
-    let options = ForwarderOptions {
-        listen: address("listen")?,
-        discovery,
-        state,
-        resources: ResourceLimits {
-            memory_bytes: (limit("memory_mb")? * 1e6) as u64,
-            descriptors: limit("sockets")?.min(1e6) as usize,
-            disk_bytes: (limit("disk_mb")? * 1e6).min(1e15) as u64,
-        },
-        cached_list: known,
-        settings: parse_settings(seed.ok_or_else(|| missing("seed"))?, settings),
-        tick: reach.tick.unwrap_or_default(),
-        sync: Default::default(),
-        connect_within: reach.connect_within.unwrap_or(CONNECT_WITHIN),
-        closed_after: reach.idle.unwrap_or(CLOSED_AFTER),
-        shutdown_grace: LEAVE_WITHIN,
-        accept_grace: CLIENTS_COME_FOR,
+    summary: Option<EndpointListSummary>,
+    entries: EntryBuffer,
+) -> CachedEndpointList {
+    let Some(EndpointListSummary { generation, entry_count }) = summary else {
+        return CachedEndpointList::none();
     };
-    Ok((options, moves, ReloadableConfig { discovery: at, shape, fixed }))
+    match entries {
+        EntryBuffer::Complete(entries) => ListPart { generation, whole: true, entries }.into(),
+        EntryBuffer::Overflowed => {
+            let file = file.to_owned();
+            let read_entries = Box::new(move |apply: &mut dyn FnMut(Entry)| {
+                config_file::read(&file, apply).map(drop).map_err(|error| error.to_string())
+            });
+            CachedEndpointList::new(generation, entry_count, read_entries)
+        }
+    }
+}
+
+/// Takes typed values out of the sections of one file.
+struct SectionReader<'c> {
+    file: &'c Path,
+    sections: &'c Sections,
+}
+
+impl<'c> SectionReader<'c> {
+    fn settings(&self) -> Result<&'c Map<String, Value>, ConfigError> {
+        self.sections.settings.as_object().ok_or_else(|| self.missing("settings"))
+    }
+
+    fn shape(&self, settings: &Map<String, Value>) -> Result<DeploymentShape, ConfigError> {
+        DeploymentShape::of(settings)
+            .map_err(|error| ConfigError::Settings { file: self.file.to_owned(), source: error.into() })
+    }
+
+    fn listen(&self) -> Result<SocketAddr, ConfigError> {
+        parse_address(&self.sections.listen).ok_or_else(|| self.missing("listen"))
+    }
+
+    fn discovery(&self) -> Result<SocketAddr, ConfigError> {
+        parse_address(&self.sections.discovery).ok_or_else(|| self.missing("discovery"))
+    }
+
+    /// The seed of the policy's random numbers, in hexadecimal.
+    fn seed(&self) -> Result<u64, ConfigError> {
+        let text = self.sections.seed.as_str();
+        let seed = text.and_then(|text| u64::from_str_radix(text, 16).ok());
+        seed.ok_or_else(|| self.missing("seed"))
+    }
+
+    fn resource_limits(&self) -> Result<ResourceLimits, ConfigError> {
+        let memory_bytes = self.limit("memory_mb", "limits.memory_mb")? * BYTES_PER_MEGABYTE;
+        let descriptors = self.limit("sockets", "limits.sockets")?.min(MAX_DESCRIPTORS);
+        let disk_bytes = self.limit("disk_mb", "limits.disk_mb")? * BYTES_PER_MEGABYTE;
+        Ok(ResourceLimits {
+            memory_bytes: memory_bytes as u64,
+            descriptors: descriptors as usize,
+            disk_bytes: disk_bytes.min(MAX_DISK_BYTES) as u64,
+        })
+    }
+
+    /// A limit of 0 or more; parts of a megabyte stand as decimals.
+    fn limit(&self, name: &str, key: &'static str) -> Result<f64, ConfigError> {
+        let limit = self.sections.limits.get(name).and_then(Value::as_f64);
+        let limit = limit.filter(|limit| limit.is_finite() && *limit >= 0.0);
+        limit.ok_or_else(|| self.missing(key))
+    }
+
+    fn missing(&self, key: &'static str) -> ConfigError {
+        ConfigError::MissingKey { file: self.file.to_owned(), key }
+    }
+}
+
+fn parse_address(value: &Value) -> Option<SocketAddr> {
+    value.as_str()?.parse().ok()
 }
--- /dev/null
+++ b/crates/daemon/src/wal_command/text.rs
@@ -0,0 +1,128 @@
+//! The write-ahead log as text. Its words are those that operators' pages and scripts quote: a message that is
+//! *owed* is pending, a *dispatch* is an attempt, a notice that is *untold* is unacknowledged.
+
+use std::collections::BTreeMap;
+use std::io::{self, Write};
+
+use reeddock_wal::PendingMessage;
+
+use super::{attempt_count, possibly_executed, seconds_left, GroupBy, Snapshot};
+
+/// A line for each pending message and unacknowledged notice, counts by destination, then what is damaged.
+pub fn write_all(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
+    for message in snapshot.index.pending() {
+        writeln!(
+            out,
+            "{} {} for destination {}: {} s left, {} dispatches, {} of which may have run",
+            message.id.0,
+            message.class,
+            message.destination,
+            seconds_left(message, snapshot.now),
+            attempt_count(message),
+            possibly_executed(message)
+        )?;
+    }
+    for notice in snapshot.index.unacknowledged_notices() {
+        writeln!(out, "{} ended, and the platform has not been told: {:?}", notice.id.0, notice.end)?;
+    }
+    write_counts(snapshot, GroupBy::Destination, out)?;
+    write_damage(snapshot, out)
+}
+
+/// What is damaged, then a summary.
+pub fn write_verification(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
+    write_damage(snapshot, out)?;
+    let report = &snapshot.report;
+    let (pending, unacknowledged) = snapshot.index.counts();
+    let lost = snapshot.index.pending().iter().filter(|message| message.lost).count();
+    let state = if report.is_sound() { "sound" } else { "DAMAGED" };
+    writeln!(
+        out,
+        "{state}: {} segments, {} bytes, {} records; {pending} owed, {unacknowledged} notices untold, {lost} that \
+         may have run as records of them may be lost",
+        report.segments, report.bytes, report.records
+    )
+}
+
+/// A group of pending messages; groups are printed in the order of their ranks, then of their labels.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Group {
+    rank: u64,
+    label: String,
+}
+
+impl Group {
+    fn of(message: &PendingMessage, group_by: GroupBy, now: u64) -> Group {
+        match group_by {
+            GroupBy::Class => Group { rank: 0, label: format!("category {}", message.class) },
+            GroupBy::Destination => {
+                Group { rank: message.destination, label: format!("destination {}", message.destination) }
+            }
+            GroupBy::Age => Group::of_seconds_left(seconds_left(message, now)),
+        }
+    }
+
+    fn of_seconds_left(seconds: i64) -> Group {
+        let (rank, label) = match seconds {
+            i64::MIN..=-1 => (0, "time is up"),
+            0..=4 => (1, "under 5 s left"),
+            5..=19 => (2, "5 to 20 s left"),
+            20..=59 => (3, "20 to 60 s left"),
+            _ => (4, "a minute or more left"),
+        };
+        Group { rank, label: label.to_owned() }
+    }
+}
+
+/// Sums over a group of pending messages.
+#[derive(Default)]
+struct Totals {
+    messages: usize,
+    bytes: u64,
+    possibly_executed: usize,
+}
+
+/// A line for each group of pending messages.
+pub fn write_counts(snapshot: &Snapshot, group_by: GroupBy, out: &mut impl Write) -> io::Result<()> {
+    let mut groups: BTreeMap<Group, Totals> = BTreeMap::new();
+    for message in snapshot.index.pending() {
+        let totals = groups.entry(Group::of(message, group_by, snapshot.now)).or_default();
+        totals.messages += 1;
+        totals.bytes += message.size;
+        totals.possibly_executed += usize::from(possibly_executed(message) > 0);
+    }
+    for (group, totals) in groups {
+        writeln!(
+            out,
+            "{}: {} owed, {} bytes, {} may have run",
+            group.label, totals.messages, totals.bytes, totals.possibly_executed
+        )?;
+    }
+    Ok(())
+}
+
+/// A torn write at the end, damaged places, and messages of which only the id is known.
+fn write_damage(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
+    let report = &snapshot.report;
+    if report.torn > 0 {
+        writeln!(
+            out,
+            "{} bytes at the end are of a write that was cut short; the next start cuts them off",
+            report.torn
+        )?;
+    }
+    for place in &report.damaged {
+        writeln!(out, "damaged: {place}")?;
+    }
+    if report.more > 0 {
+        writeln!(out, "damaged: {} places more", report.more)?;
+    }
+    let (orphans, unnamed) = snapshot.index.orphans();
+    for id in orphans {
+        writeln!(out, "unknown: {} was taken on, and nothing else is known of it", id.0)?;
+    }
+    if unnamed > 0 {
+        writeln!(out, "unknown: {unnamed} more")?;
+    }
+    Ok(())
+}
