--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufReader};
 use std::path::Path;
 
-use reeddock_protocol::{Bounds, Entry};
+use reeddock_protocol::{ListEntry, ListLimits};
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::error::Category;
 use serde_json::Value;
@@ -67,14 +67,14 @@
 }
 
 /// Reads a file and passes on each entry of its endpoint list; on an error some may have been passed on already.
-pub fn read(file: &Path, on_entry: &mut dyn FnMut(Entry)) -> Result<Contents, ConfigError> {
+pub fn read(file: &Path, on_entry: &mut dyn FnMut(ListEntry)) -> Result<Contents, ConfigError> {
     let opened =
         File::open(file).map_err(|source| ConfigError::Unreadable { file: file.to_owned(), source })?;
     let reader = BufReader::with_capacity(READ_BUFFER_BYTES, opened);
     parse(reader, on_entry).map_err(|error| config_error(file, error))
 }
 
-fn parse(reader: impl io::Read, on_entry: &mut dyn FnMut(Entry)) -> serde_json::Result<Contents> {
+fn parse(reader: impl io::Read, on_entry: &mut dyn FnMut(ListEntry)) -> serde_json::Result<Contents> {
     let mut json = serde_json::Deserializer::from_reader(reader);
     let contents = ConfigurationSeed { on_entry }.deserialize(&mut json)?;
     json.end()?;
@@ -92,7 +92,7 @@
 
 /// Deserializes the whole file.
 struct ConfigurationSeed<'e> {
-    on_entry: &'e mut dyn FnMut(Entry),
+    on_entry: &'e mut dyn FnMut(ListEntry),
 }
 
 impl<'de> DeserializeSeed<'de> for ConfigurationSeed<'_> {
@@ -128,7 +128,7 @@
 
 /// Deserializes the endpoint list, or null.
 struct EndpointListSeed<'e> {
-    on_entry: &'e mut dyn FnMut(Entry),
+    on_entry: &'e mut dyn FnMut(ListEntry),
 }
 
 impl<'de> DeserializeSeed<'de> for EndpointListSeed<'_> {
@@ -180,7 +180,7 @@
 
 /// Deserializes the entries of an endpoint list, and counts them.
 struct EntriesSeed<'e> {
-    on_entry: &'e mut dyn FnMut(Entry),
+    on_entry: &'e mut dyn FnMut(ListEntry),
 }
 
 impl<'de> DeserializeSeed<'de> for EntriesSeed<'_> {
@@ -199,10 +199,10 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<usize, A::Error> {
-        let max_entries = Bounds::default().entries;
+        let max_entries = ListLimits::default().entries;
         let mut count = 0;
         loop {
-            let entry = entries.next_element::<Entry>();
+            let entry = entries.next_element::<ListEntry>();
             let entry = entry.map_err(|error| A::Error::custom(format!("instances[{count}]: {error}")))?;
             let Some(entry) = entry else { return Ok(count) };
             if count == max_entries {
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,9 +1,9 @@
 //! Why a configuration can't be used, and why a forwarder does not start or go on.
 
-use std::error::Error as StdError;
 use std::io;
 use std::path::PathBuf;
 
+use reeddock_settings::SettingsError;
 use thiserror::Error;
 
 /// What is wrong with a configuration file: which file, the place in it, and what was expected there.
@@ -23,7 +23,7 @@
     MissingKey { file: PathBuf, key: &'static str },
     /// A value of the section `settings` has no meaning; the source names its key and what was expected.
     #[error("{}: settings.{source}", file.display())]
-    Settings { file: PathBuf, source: Box<dyn StdError + Send + Sync> },
+    Settings { file: PathBuf, source: SettingsError },
     /// The thread that read the file ended without a result.
     #[error(transparent)]
     ReaderThread(#[from] tokio::task::JoinError),
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -7,7 +7,7 @@
 use reeddock_forwarder::cached_endpoint_list::CachedEndpointList;
 use reeddock_forwarder::limits::ResourceLimits;
 use reeddock_forwarder::ForwarderOptions;
-use reeddock_protocol::{Entry, ListPart};
+use reeddock_protocol::{ListEntry, ListPart};
 use reeddock_settings::{parse_settings, DeploymentShape, NetworkSettings};
 use reeddock_wal::Sync;
 use serde_json::{Map, Value};
@@ -131,7 +131,7 @@
 /// The entries of the cached endpoint list as they are read, up to [`MAX_ENTRIES_IN_MEMORY`].
 enum EntryBuffer {
     /// All entries so far.
-    Complete(Vec<Entry>),
+    Complete(Vec<ListEntry>),
     /// There were more, and none is kept.
     Overflowed,
 }
@@ -143,7 +143,7 @@
 }
 
 impl EntryBuffer {
-    fn push(&mut self, entry: Entry) {
+    fn push(&mut self, entry: ListEntry) {
         match self {
             EntryBuffer::Complete(entries) if entries.len() < MAX_ENTRIES_IN_MEMORY => entries.push(entry),
             EntryBuffer::Complete(_) => *self = EntryBuffer::Overflowed,
@@ -165,7 +165,7 @@
         EntryBuffer::Complete(entries) => ListPart { generation, whole: true, entries }.into(),
         EntryBuffer::Overflowed => {
             let file = file.to_owned();
-            let read_entries = Box::new(move |apply: &mut dyn FnMut(Entry)| {
+            let read_entries = Box::new(move |apply: &mut dyn FnMut(ListEntry)| {
                 config_file::read(&file, apply).map(drop).map_err(|error| error.to_string())
             });
             CachedEndpointList::new(generation, entry_count, read_entries)
@@ -186,7 +186,7 @@
 
     fn shape(&self, settings: &Map<String, Value>) -> Result<DeploymentShape, ConfigError> {
         DeploymentShape::of(settings)
-            .map_err(|error| ConfigError::Settings { file: self.file.to_owned(), source: error.into() })
+            .map_err(|source| ConfigError::Settings { file: self.file.to_owned(), source })
     }
 
     fn listen(&self) -> Result<SocketAddr, ConfigError> {
