--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,45 +1,105 @@
-//! A toy world for one forwarder: two endpoints of destination 3, and the platform with the list of endpoints and
-//! an ear for notices. It answers by what is typed here, so that one can watch what the forwarder makes of it.
+//! A toy world for one forwarder: two endpoints of destination 3, and the platform, which serves the endpoint list and
+//! takes delivery notices. Its endpoints answer as is typed here, so that one can watch what the forwarder does.
 //!
-//! It stands for other firms' systems and understands just enough HTTP for them.
+//! It stands for other firms' systems, and understands just enough HTTP for them.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
-use std::sync::{Arc, Mutex};
+use std::str::FromStr;
+use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::Duration;
 
-const TARGETS: [(&str, &str); 2] = [("t-1", "127.0.0.1:9101"), ("t-2", "127.0.0.1:9102")];
+/// An endpoint of the toy world.
+#[derive(Clone, Copy)]
+struct ToyEndpoint {
+    name: &'static str,
+    address: &'static str,
+}
+
+const ENDPOINTS: [ToyEndpoint; 2] = [
+    ToyEndpoint { name: "t-1", address: "127.0.0.1:9101" },
+    ToyEndpoint { name: "t-2", address: "127.0.0.1:9102" },
+];
 const PLATFORM: &str = "127.0.0.1:8500";
+/// How long an endpoint takes for a request.
+const RESPONSE_LATENCY: Duration = Duration::from_millis(100);
+/// How long an endpoint that hangs keeps a connection: longer than anyone tries it out.
+const HANG: Duration = Duration::from_secs(3600);
+/// The watch carries an empty line this often, as nothing changes here.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 const HELP: &str = "type  up     answer 200 after a tenth of a second (as at the start)
       fail   answer 500
-      full   answer 429 and ask for a wait of two seconds
-      hang   take calls and answer nothing
+      full   answer 429 with Retry-After: 2
+      hang   accept requests and answer nothing
       quit   end";
 
-/// How the endpoints answer now.
-type Mood = Arc<Mutex<String>>;
+/// How the endpoints answer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Behavior {
+    Up,
+    Fail,
+    Full,
+    Hang,
+}
 
-struct Message {
-    line: String,
-    headers: BTreeMap<String, String>,
-    body: Vec<u8>,
+impl FromStr for Behavior {
+    type Err = ();
+
+    fn from_str(word: &str) -> Result<Behavior, ()> {
+        match word {
+            "up" => Ok(Behavior::Up),
+            "fail" => Ok(Behavior::Fail),
+            "full" => Ok(Behavior::Full),
+            "hang" => Ok(Behavior::Hang),
+            _ => Err(()),
+        }
+    }
+}
+
+impl Behavior {
+    /// As it is typed.
+    fn word(self) -> &'static str {
+        match self {
+            Behavior::Up => "up",
+            Behavior::Fail => "fail",
+            Behavior::Full => "full",
+            Behavior::Hang => "hang",
+        }
+    }
+}
+
+/// The behavior that was typed last, for all endpoints.
+#[derive(Clone)]
+struct SharedBehavior(Arc<Mutex<Behavior>>);
+
+impl SharedBehavior {
+    fn get(&self) -> Behavior {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn set(&self, behavior: Behavior) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = behavior;
+    }
 }
 
 fn main() -> io::Result<()> {
-    let mood: Mood = Arc::new(Mutex::new("up".into()));
-    for (name, address) in TARGETS {
-        let mood = mood.clone();
-        listen(address, move |stream| endpoint(name, stream, &mood))?;
+    let behavior = SharedBehavior(Arc::new(Mutex::new(Behavior::Up)));
+    for endpoint in ENDPOINTS {
+        let behavior = behavior.clone();
+        listen(endpoint.address, move |stream| serve_endpoint(endpoint.name, stream, &behavior))?;
     }
-    listen(PLATFORM, platform)?;
-    println!("targets on {} and {}, platform on {PLATFORM}\n{HELP}", TARGETS[0].1, TARGETS[1].1);
+    listen(PLATFORM, serve_platform)?;
+    let [first, second] = ENDPOINTS.map(|endpoint| endpoint.address);
+    println!("endpoints on {first} and {second}, platform on {PLATFORM}\n{HELP}");
     for line in io::stdin().lock().lines() {
         match line?.trim() {
             "quit" => break,
-            word @ ("up" | "fail" | "full" | "hang") => *mood.lock().expect("no one panics") = word.into(),
-            _ => println!("{HELP}"),
+            word => match word.parse() {
+                Ok(typed) => behavior.set(typed),
+                Err(()) => println!("{HELP}"),
+            },
         }
     }
     Ok(())
@@ -50,106 +110,126 @@
     address: &str,
     serve: impl Fn(TcpStream) -> io::Result<()> + Send + Sync + 'static,
 ) -> io::Result<()> {
-    let listener = TcpListener::bind(address)?;
+    let listener = TcpListener::bind(address)
+        .map_err(|error| io::Error::new(error.kind(), format!("cannot listen on {address}: {error}")))?;
     let serve = Arc::new(serve);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
-            // A connection that breaks is the other side's affair.
+            // A connection that breaks ends its thread and nothing else.
             thread::spawn(move || serve(stream).unwrap_or_default());
         }
     });
     Ok(())
 }
 
-fn endpoint(name: &str, mut stream: TcpStream, mood: &Mood) -> io::Result<()> {
-    let mut from = BufReader::new(stream.try_clone()?);
-    while let Some(call) = read(&mut from)? {
-        let mood = mood.lock().expect("no one panics").clone();
-        let id = call.headers.get("x-call-id").map_or("a bundle", String::as_str);
-        println!("{name}: {} of {} bytes, {mood}", id, call.body.len());
-        thread::sleep(Duration::from_millis(100));
-        match mood.as_str() {
-            "fail" => answer(&mut stream, "500 Internal Server Error", "", "")?,
-            "full" => answer(&mut stream, "429 Too Many Requests", "Retry-After: 2\r\n", "")?,
-            "hang" => thread::sleep(Duration::from_secs(3600)),
-            _ => answer(&mut stream, "200 OK", "", &accepted(&call))?,
+fn serve_endpoint(name: &str, mut stream: TcpStream, behavior: &SharedBehavior) -> io::Result<()> {
+    let mut reader = BufReader::new(stream.try_clone()?);
+    while let Some(request) = read_request(&mut reader)? {
+        let behavior = behavior.get();
+        let id = request.headers.get("x-call-id").map_or("a batch", String::as_str);
+        println!("{name}: {id} of {} bytes, {}", request.body.len(), behavior.word());
+        thread::sleep(RESPONSE_LATENCY);
+        match behavior {
+            Behavior::Up => respond(&mut stream, "200 OK", "", &batch_results(&request))?,
+            Behavior::Fail => respond(&mut stream, "500 Internal Server Error", "", "")?,
+            Behavior::Full => respond(&mut stream, "429 Too Many Requests", "Retry-After: 2\r\n", "")?,
+            Behavior::Hang => thread::sleep(HANG),
         }
     }
     Ok(())
 }
 
-/// What a batch is answered: a line for each message in it. A call with one message needs none.
-fn accepted(call: &Message) -> String {
-    let mut lines = String::new();
-    let mut rest = &call.body[..];
-    while call.line.contains("/bundle") {
-        let Some(end) = rest.iter().position(|b| *b == b'\n') else { break };
-        let head = String::from_utf8_lossy(&rest[..end]).into_owned();
-        let mut words = head.split_whitespace();
-        let (Some(id), Some(length)) = (words.next(), words.nth(1).and_then(|l| l.parse::<usize>().ok()))
-        else {
-            break;
-        };
-        lines += &format!("{id} accepted\r\n");
-        rest = rest.get(end + 1 + length + 2..).unwrap_or_default();
+/// The body of the response to a batch: a line for each message in it. A request with one message needs none.
+fn batch_results(request: &HttpRequest) -> String {
+    let mut results = String::new();
+    if !request.line.contains("/bundle") {
+        return results;
+    }
+    let mut rest = &request.body[..];
+    while let Some((id, after)) = next_message(rest) {
+        results += &format!("{id} accepted\r\n");
+        rest = after;
     }
-    lines
+    results
 }
 
-fn platform(mut stream: TcpStream) -> io::Result<()> {
-    let mut from = BufReader::new(stream.try_clone()?);
-    while let Some(asked) = read(&mut from)? {
-        if asked.line.starts_with("POST /v2/finals") {
-            print!("platform: {}", String::from_utf8_lossy(&asked.body));
+/// The id of the first message in the body of a batch, and what follows the message. Its line holds the id, the class
+/// and the length of what stands behind the line.
+fn next_message(body: &[u8]) -> Option<(String, &[u8])> {
+    let end = body.iter().position(|byte| *byte == b'\n')?;
+    let line = String::from_utf8_lossy(&body[..end]).into_owned();
+    let mut words = line.split_whitespace();
+    let id = words.next()?.to_owned();
+    let length: usize = words.nth(1)?.parse().ok()?;
+    let after = body.get(end + 1 + length + "\r\n".len()..).unwrap_or_default();
+    Some((id, after))
+}
+
+fn serve_platform(mut stream: TcpStream) -> io::Result<()> {
+    let mut reader = BufReader::new(stream.try_clone()?);
+    while let Some(request) = read_request(&mut reader)? {
+        if request.line.starts_with("POST /v2/finals") {
+            print!("platform: {}", String::from_utf8_lossy(&request.body));
             stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n")?;
-        } else if asked.line.contains("stream=1") {
-            stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-            chunk(&mut stream, &(list() + "\n"))?;
-            // Nothing changes here, which an empty line says every two seconds.
-            loop {
-                thread::sleep(Duration::from_secs(2));
-                chunk(&mut stream, "\n")?;
-            }
+        } else if request.line.contains("stream=1") {
+            stream_endpoint_list(&mut stream)?;
         } else {
-            answer(&mut stream, "200 OK", "", &list())?;
+            respond(&mut stream, "200 OK", "", &endpoint_list())?;
         }
     }
     Ok(())
 }
 
-fn list() -> String {
-    let entry = |(name, address): (&str, &str)| {
+/// Sends the list once, and then heartbeats until the connection ends.
+fn stream_endpoint_list(stream: &mut TcpStream) -> io::Result<()> {
+    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
+    write_chunk(stream, &(endpoint_list() + "\n"))?;
+    loop {
+        thread::sleep(HEARTBEAT_INTERVAL);
+        write_chunk(stream, "\n")?;
+    }
+}
+
+fn endpoint_list() -> String {
+    let entries = ENDPOINTS.map(|ToyEndpoint { name, address }| {
         format!(
             r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"here","machineType":"partner","cell":3,"lifecycle":"Ready","weight":10.0,"startedAtMs":0}}"#
         )
-    };
-    format!(r#"{{"generation":1,"reset":true,"instances":[{}]}}"#, TARGETS.map(entry).join(","))
+    });
+    format!(r#"{{"generation":1,"reset":true,"instances":[{}]}}"#, entries.join(","))
 }
 
-fn chunk(stream: &mut TcpStream, text: &str) -> io::Result<()> {
+fn write_chunk(stream: &mut TcpStream, text: &str) -> io::Result<()> {
     write!(stream, "{:x}\r\n{text}\r\n", text.len())
 }
 
-fn answer(stream: &mut TcpStream, status: &str, headers: &str, body: &str) -> io::Result<()> {
+fn respond(stream: &mut TcpStream, status: &str, headers: &str, body: &str) -> io::Result<()> {
     write!(stream, "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
+struct HttpRequest {
+    line: String,
+    /// By lower-case name.
+    headers: BTreeMap<String, String>,
+    body: Vec<u8>,
+}
+
 /// The next request on a connection; none once it has ended.
-fn read(from: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
+fn read_request(reader: &mut BufReader<TcpStream>) -> io::Result<Option<HttpRequest>> {
     let mut line = String::new();
-    if from.read_line(&mut line)? == 0 {
+    if reader.read_line(&mut line)? == 0 {
         return Ok(None);
     }
     let mut headers = BTreeMap::new();
     loop {
         let mut header = String::new();
-        from.read_line(&mut header)?;
+        reader.read_line(&mut header)?;
         let Some((name, value)) = header.split_once(':') else { break };
         headers.insert(name.to_lowercase(), value.trim().to_owned());
     }
-    let length = headers.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+    let length = headers.get("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
-    from.read_exact(&mut body)?;
-    Ok(Some(Message { line, headers, body }))
+    reader.read_exact(&mut body)?;
+    Ok(Some(HttpRequest { line, headers, body }))
 }
