--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -3,6 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
+use reeddock_forwarder::ForwarderError;
 use reeddock_settings::SettingsError;
 use thiserror::Error;
 
@@ -46,5 +47,5 @@
     SignalsEnded,
     /// The forwarder itself failed; its error says what and where.
     #[error(transparent)]
-    Forwarder(io::Error),
+    Forwarder(#[from] ForwarderError),
 }
