--- a/crates/wal/tests/wal/main.rs
+++ b/crates/wal/tests/wal/main.rs
@@ -4,4 +4,5 @@
 mod damage;
 mod load;
 mod random;
+mod state_before_rename;
 mod stories;
--- /dev/null
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -0,0 +1,266 @@
+//! State folders that were written by the build before the rename: read in full, appended to, read again, and
+//! written again byte for byte. `tests/fixtures/state-before-rename/README.md` says how they were written.
+
+use std::collections::BTreeMap;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use bytes::Bytes;
+use reeddock_protocol::FinalAnswer;
+use reeddock_wal::{inspect, Accepted, PendingIndex, PendingMessage, Record, Sync, WriteAheadLog};
+use tempfile::TempDir;
+
+/// The limit of the folder, in bytes, with which the fixtures were written.
+const FOLDER_BYTES: u64 = 60_000;
+const NOW: Duration = Duration::ZERO;
+
+/// How the fixtures differ.
+#[derive(Clone, Copy)]
+struct Fixture {
+    name: &'static str,
+    messages: u64,
+    /// The single file had no idempotency keys.
+    has_idempotency_keys: bool,
+}
+
+const APPENDED: Fixture = Fixture { name: "appended", messages: 60, has_idempotency_keys: true };
+const COMPACTED: Fixture = Fixture { name: "compacted", messages: 400, has_idempotency_keys: true };
+const SINGLE_FILE: Fixture = Fixture { name: "single-file", messages: 60, has_idempotency_keys: false };
+
+/// The first of each four pending messages of `compacted`, in the order in which the old build lists them.
+///
+/// It is not the order of acceptance: what was accepted last is counted from 1 again where the segments before it
+/// were dropped, while checkpoints keep the places they had. That is how the old build reads these files
+/// (measured with its `look`), and this test holds that reading fast.
+const COMPACTED_ORDER: [u64; 8] = [0, 300, 50, 100, 150, 200, 350, 250];
+
+/// One attempt as the fixtures have it: endpoint, start, and how it finished.
+type AttemptFields = (String, u64, Option<bool>);
+
+impl Fixture {
+    fn folder(&self) -> PathBuf {
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/state-before-rename").join(self.name)
+    }
+
+    /// A copy that may be written to.
+    fn copy(&self) -> TempDir {
+        let copy = tempfile::tempdir().unwrap();
+        for (name, bytes) in files(&self.folder()) {
+            fs::write(copy.path().join(name), bytes).unwrap();
+        }
+        copy
+    }
+
+    /// Whether the program that wrote the fixture finished and acknowledged this message whatever its history.
+    fn is_cleared(&self, n: u64) -> bool {
+        self.messages > 100 && n >= 10 && n % 50 != n % 10
+    }
+
+    fn message(&self, n: u64) -> Accepted {
+        let body: Vec<u8> = (0..(n % 5) * 20).map(|at| (at * 7 + n) as u8).collect();
+        Accepted {
+            id: format!("fixture-{n:03}"),
+            class: if n.is_multiple_of(2) { "order" } else { "notice" }.into(),
+            tenant: n.is_multiple_of(4).then(|| format!("tenant-{}", n % 3)),
+            key: n.is_multiple_of(3).then_some(n * 1000),
+            destination: n % 7,
+            deadline: 1_700_000_000_000_000 + n,
+            body: Bytes::from(body),
+            idempotency_key: (self.has_idempotency_keys && n.is_multiple_of(2))
+                .then(|| format!("once-{n:03}")),
+        }
+    }
+
+    /// The messages that are pending, in the order in which the build that wrote them reads them, with their
+    /// attempts.
+    fn pending(&self) -> Vec<(Accepted, Vec<AttemptFields>)> {
+        let numbers: Vec<u64> = match self.name {
+            "compacted" => COMPACTED_ORDER.iter().flat_map(|first| *first..first + 4).collect(),
+            _ => (0..self.messages).filter(|n| n % 10 < 4).collect(),
+        };
+        numbers.into_iter().map(|n| (self.message(n), attempts(n))).collect()
+    }
+
+    /// The notices that the platform has not acknowledged, by id.
+    fn unacknowledged(&self) -> Vec<(String, FinalAnswer)> {
+        let ends = (0..self.messages).filter(|n| !self.is_cleared(*n)).filter_map(|n| {
+            let end = match n % 10 {
+                5 => FinalAnswer::Rejected { retry_after: Some(Duration::from_millis(1500 + n)) },
+                6 => FinalAnswer::Rejected { retry_after: None },
+                7 => FinalAnswer::Failed,
+                _ => return None,
+            };
+            Some((format!("fixture-{n:03}"), end))
+        });
+        ends.collect()
+    }
+}
+
+/// The attempts of a message that is pending.
+fn attempts(n: u64) -> Vec<AttemptFields> {
+    let attempt = |no: u32, finished| (format!("target-{no}"), 1_600_000_000_000_000 + n, finished);
+    match n % 10 {
+        1 => vec![attempt(0, None)],
+        2 => vec![attempt(0, Some(true))],
+        3 => vec![attempt(0, Some(false)), attempt(1, None)],
+        _ => Vec::new(),
+    }
+}
+
+/// The records that followed the acceptance of a message.
+fn history(n: u64) -> Vec<Record> {
+    let id = || format!("fixture-{n:03}");
+    let started = |no: u32| Record::AttemptStarted {
+        id: id(),
+        no,
+        endpoint: format!("target-{no}"),
+        at: 1_600_000_000_000_000 + n,
+    };
+    let attempt_finished =
+        |no, proves_not_executed| Record::AttemptFinished { id: id(), no, proves_not_executed };
+    let finished = |notice| Record::Finished { id: id(), notice };
+    let rejected = |retry_after| finished(Some(FinalAnswer::Rejected { retry_after }));
+    match n % 10 {
+        0 => vec![],
+        1 => vec![started(0)],
+        2 => vec![started(0), attempt_finished(0, true)],
+        3 => vec![started(0), attempt_finished(0, false), started(1)],
+        4 => vec![started(0), finished(None)],
+        5 => vec![rejected(Some(Duration::from_millis(1500 + n)))],
+        6 => vec![rejected(None)],
+        7 => vec![started(0), attempt_finished(0, false), finished(Some(FinalAnswer::Failed))],
+        8 => {
+            vec![started(0), finished(Some(FinalAnswer::Failed)), Record::NoticeAcknowledged { id: id() }]
+        }
+        _ => vec![finished(None)],
+    }
+}
+
+/// The files of a folder with their bytes.
+fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
+    entries.map(|e| (e.file_name().into_string().unwrap(), fs::read(e.path()).unwrap())).collect()
+}
+
+fn open(folder: &Path) -> WriteAheadLog {
+    WriteAheadLog::open(folder, FOLDER_BYTES, Sync::Never).unwrap()
+}
+
+fn notices(index: &PendingIndex) -> Vec<(String, FinalAnswer)> {
+    index.unacknowledged_notices().map(|n| (n.id.0.to_string(), n.end)).collect()
+}
+
+fn fields_of_attempts(pending: &PendingMessage) -> Vec<AttemptFields> {
+    pending.attempts.iter().map(|a| (a.endpoint.to_string(), a.at, a.ended)).collect()
+}
+
+/// Holds each field of each pending message and each notice against what is expected.
+fn check(
+    log: &WriteAheadLog,
+    pending: &[(Accepted, Vec<AttemptFields>)],
+    notified: &[(String, FinalAnswer)],
+) {
+    assert!(log.verification().is_sound(), "{:?}", log.verification());
+    assert_eq!(log.verification().torn, 0);
+    let found = log.index().pending();
+    let ids: Vec<&str> = found.iter().map(|p| &*p.id.0).collect();
+    let expected: Vec<&str> = pending.iter().map(|(message, _)| message.id.as_str()).collect();
+    assert_eq!(ids, expected, "in the order of the build that wrote them");
+    for (found, (message, attempts)) in found.iter().zip(pending) {
+        assert_eq!(&log.accepted(found).unwrap(), message);
+        assert_eq!(&*found.class, message.class);
+        assert_eq!(found.tenant.as_deref(), message.tenant.as_deref());
+        assert_eq!((found.key, found.destination), (message.key, message.destination));
+        assert_eq!(found.deadline, message.deadline);
+        assert_eq!(found.size, WriteAheadLog::size_of(message));
+        assert!(!found.lost, "{}", message.id);
+        assert_eq!(&fields_of_attempts(found), attempts, "{}", message.id);
+    }
+    assert_eq!(notices(log.index()), notified);
+    assert_eq!(log.index().counts(), (pending.len(), notified.len()));
+    assert_eq!(log.index().orphans().0.count(), 0);
+    assert_eq!(log.index().orphans().1, 0);
+}
+
+/// Opens a copy, checks it, goes on from there, opens it again and checks it again.
+fn open_append_and_reopen(fixture: Fixture) {
+    let copy = fixture.copy();
+    let mut log = open(copy.path());
+    let (mut pending, mut notified) = (fixture.pending(), fixture.unacknowledged());
+    assert!(pending.len() >= 24 && notified.len() >= 18);
+    check(&log, &pending, &notified);
+
+    let new =
+        Accepted { id: "later".into(), idempotency_key: Some("once-later".into()), ..fixture.message(12) };
+    let finished = pending.remove(0).0.id;
+    let acknowledged = notified.remove(1).0;
+    let attempt = ("target-9".to_owned(), 17, None);
+    pending[0].1.push(attempt.clone());
+    pending.push((new.clone(), Vec::new()));
+    let started =
+        Record::AttemptStarted { id: "fixture-001".into(), no: 1, endpoint: attempt.0, at: attempt.1 };
+    let records = [
+        Record::Accepted(new),
+        started,
+        Record::Finished { id: finished, notice: None },
+        Record::NoticeAcknowledged { id: acknowledged },
+    ];
+    assert!(log.append(&records, NOW).unwrap().taken_on);
+    check(&log, &pending, &notified);
+    drop(log);
+    check(&open(copy.path()), &pending, &notified);
+}
+
+#[test]
+fn appended_segments_are_read_and_appended_to() {
+    open_append_and_reopen(APPENDED);
+}
+
+#[test]
+fn compacted_segments_are_read_and_appended_to() {
+    open_append_and_reopen(COMPACTED);
+}
+
+#[test]
+fn the_single_file_is_migrated_and_appended_to() {
+    open_append_and_reopen(SINGLE_FILE);
+}
+
+#[test]
+fn inspection_reads_the_fixtures_and_changes_nothing() {
+    for fixture in [APPENDED, COMPACTED, SINGLE_FILE] {
+        let copy = fixture.copy();
+        let (index, verification) = inspect(copy.path()).unwrap();
+        assert!(verification.is_sound(), "{}: {verification:?}", fixture.name);
+        let ids: Vec<String> = index.pending().iter().map(|p| p.id.0.to_string()).collect();
+        let expected: Vec<String> = fixture.pending().into_iter().map(|(message, _)| message.id).collect();
+        assert_eq!(ids, expected, "{}", fixture.name);
+        assert_eq!(notices(&index), fixture.unacknowledged(), "{}", fixture.name);
+        assert_eq!(files(copy.path()), files(&fixture.folder()), "{}", fixture.name);
+    }
+}
+
+#[test]
+fn the_same_records_are_written_again_byte_for_byte() {
+    for fixture in [APPENDED, COMPACTED] {
+        let folder = tempfile::tempdir().unwrap();
+        let mut log = open(folder.path());
+        for n in 0..fixture.messages {
+            log.append(&[Record::Accepted(fixture.message(n))], NOW).unwrap();
+            log.append(&history(n), NOW).unwrap();
+            if fixture.is_cleared(n) {
+                let id = fixture.message(n).id;
+                let finished = Record::Finished { id: id.clone(), notice: None };
+                log.append(&[finished, Record::NoticeAcknowledged { id }], NOW).unwrap();
+            }
+        }
+        drop(log);
+        let (written, expected) = (files(folder.path()), files(&fixture.folder()));
+        let names = |files: &BTreeMap<String, Vec<u8>>| files.keys().cloned().collect::<Vec<_>>();
+        assert_eq!(names(&written), names(&expected), "{}", fixture.name);
+        for (name, bytes) in &expected {
+            assert!(&written[name] == bytes, "{}: {name} differs", fixture.name);
+        }
+    }
+}
