--- a/crates/daemon/src/wal_command.rs
+++ b/crates/daemon/src/wal_command.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use reeddock_protocol::FinalAnswer;
-use reeddock_wal::{PendingIndex, PendingMessage, VerificationReport};
+use reeddock_wal::{Inspection, PendingCounts, PendingIndex, PendingMessage, VerificationReport};
 use serde_json::json;
 
 /// What of the write-ahead log is told.
@@ -46,12 +46,13 @@
 }
 
 fn may_have_run(pending: &PendingMessage) -> usize {
-    pending.attempts.iter().filter(|d| d.ended != Some(true)).count() + usize::from(pending.lost)
+    pending.attempts.iter().filter(|d| !d.state.proves_not_executed()).count()
+        + usize::from(pending.records_lost)
 }
 
 /// Tells it; false where something is damaged.
 pub fn tell(folder: &Path, view: View) -> Result<bool, String> {
-    let (index, verification) = reeddock_wal::inspect(folder)
+    let Inspection { index, verification } = reeddock_wal::inspect(folder)
         .map_err(|e| format!("cannot read the ledger in {}: {e}", folder.display()))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros();
     let now = u64::try_from(now).unwrap_or(u64::MAX);
@@ -78,7 +79,7 @@
             owed.class,
             owed.destination,
             left(owed, now),
-            owed.attempts.len() + usize::from(owed.lost),
+            owed.attempts.len() + usize::from(owed.records_lost),
             may_have_run(owed)
         )?;
     }
@@ -122,23 +123,23 @@
 }
 
 fn found(verification: &VerificationReport, index: &PendingIndex, to: &mut impl Write) -> io::Result<()> {
-    if verification.torn > 0 {
+    if verification.torn_bytes > 0 {
         writeln!(
             to,
             "{} bytes at the end are of a write that was cut short; the next start cuts them off",
-            verification.torn
+            verification.torn_bytes
         )?;
     }
-    for damage in &verification.damaged {
+    for damage in &verification.corruptions {
         writeln!(to, "damaged: {damage}")?;
     }
-    if verification.more > 0 {
-        writeln!(to, "damaged: {} places more", verification.more)?;
+    if verification.unlisted_corruptions > 0 {
+        writeln!(to, "damaged: {} places more", verification.unlisted_corruptions)?;
     }
-    let (orphans, more) = index.orphans();
-    for id in orphans {
+    for id in index.orphans() {
         writeln!(to, "unknown: {} was taken on, and nothing else is known of it", id.0)?;
     }
+    let more = index.unlisted_orphans();
     if more > 0 {
         writeln!(to, "unknown: {more} more")?;
     }
@@ -147,8 +148,8 @@
 
 fn verify(index: &PendingIndex, verification: &VerificationReport, to: &mut impl Write) -> io::Result<()> {
     found(verification, index, to)?;
-    let (owed, untold) = index.counts();
-    let lost = index.pending().iter().filter(|u| u.lost).count();
+    let PendingCounts { messages: owed, notices: untold } = index.counts();
+    let lost = index.pending().iter().filter(|u| u.records_lost).count();
     let state = if verification.is_sound() { "sound" } else { "DAMAGED" };
     writeln!(
         to,
@@ -166,12 +167,12 @@
 ) -> io::Result<()> {
     for owed in index.pending() {
         let attempts = owed.attempts.iter().map(|d| {
-            json!({"target": &*d.endpoint, "at_us": d.at, "ended": d.ended.is_some(), "never_ran": d.ended == Some(true)})
+            json!({"target": &*d.endpoint, "at_us": d.at, "ended": d.state.is_finished(), "never_ran": d.state.proves_not_executed()})
         });
         let line = json!({
             "owed": &*owed.id.0, "category": &*owed.class, "tenant": owed.tenant.as_deref(), "key": owed.key,
             "destination": owed.destination, "outer_limit_us": owed.deadline, "left_s": left(owed, now),
-            "bytes": owed.size, "dispatches": attempts.collect::<Vec<_>>(), "records_lost": owed.lost,
+            "bytes": owed.size, "dispatches": attempts.collect::<Vec<_>>(), "records_lost": owed.records_lost,
             "may_have_run": may_have_run(owed) > 0,
         });
         writeln!(to, "{line}")?;
@@ -185,10 +186,10 @@
         };
         writeln!(to, "{}", json!({"untold": &*notice.id.0, "end": end, "come_back_ms": retry_after}))?;
     }
-    for id in index.orphans().0 {
+    for id in index.orphans() {
         writeln!(to, "{}", json!({"unknown": &*id.0}))?;
     }
-    for d in &verification.damaged {
+    for d in &verification.corruptions {
         let line = json!({"damaged": d.file, "offset": d.offset, "bytes": d.bytes, "hint": d.hint});
         writeln!(to, "{line}")?;
     }
--- a/crates/daemon/tests/restarts.rs
+++ b/crates/daemon/tests/restarts.rs
@@ -188,12 +188,12 @@
     }
 
     fn owed(&self) -> usize {
-        inspect(&self.folder).unwrap().0.counts().0
+        inspect(&self.folder).unwrap().index.counts().messages
     }
 
     /// Until nothing is owed, and no notice either.
     fn attempt_finished(&self) {
-        until("nothing is owed", || (inspect(&self.folder).unwrap().0.counts() == (0, 0)).then_some(()));
+        until("nothing is owed", || inspect(&self.folder).unwrap().index.counts().is_empty().then_some(()));
     }
 }
 
--- a/crates/forwarder/src/event_loop/log_writing.rs
+++ b/crates/forwarder/src/event_loop/log_writing.rs
@@ -18,7 +18,7 @@
         let ids: Vec<MessageId> = self.log.index().pending().iter().map(|u| u.id.clone()).collect();
         for id in ids {
             let Some(pending) = self.log.index().get(&id).cloned() else { continue };
-            let Accepted { body, idempotency_key, .. } = match self.log.accepted(&pending) {
+            let Accepted { body, idempotency_key, .. } = match self.log.read_accepted(&pending) {
                 Ok(accepted) => accepted,
                 Err(fault) => {
                     tracing::error!(%fault, id = &*id.0, "an envelope that is owed can't be read, and is broken off");
@@ -30,16 +30,17 @@
                     continue;
                 }
             };
-            let PendingMessage { class, key, destination, deadline, attempts, lost, size, .. } = pending;
+            let PendingMessage { class, key, destination, deadline, attempts, records_lost, size, .. } =
+                pending;
             let mut past: Vec<PreviousAttempt> = attempts
                 .iter()
                 .map(|begun| PreviousAttempt {
                     endpoint: self.state.endpoints.number(&begun.endpoint),
                     started_at: self.clock.read(begun.at),
-                    proves_not_executed: begun.ended == Some(true),
+                    proves_not_executed: begun.state.proves_not_executed(),
                 })
                 .collect();
-            if lost {
+            if records_lost {
                 // One that nobody knows of, sent long ago for all that is known.
                 past.push(PreviousAttempt {
                     endpoint: self.state.endpoints.number(""),
@@ -99,7 +100,7 @@
         match self.log.append(&records, now) {
             Ok(written) => {
                 state.records.clear();
-                (true, written.taken_on)
+                (true, written.messages_accepted)
             }
             Err(fault) => {
                 if let Some(more) = state.log_throttle.now() {
--- a/crates/forwarder/tests/loopback/stand_ins.rs
+++ b/crates/forwarder/tests/loopback/stand_ins.rs
@@ -257,10 +257,7 @@
 
     /// Until its ledger says that nothing is owed, and no notice either.
     pub async fn attempt_finished(&self) {
-        let nothing = || {
-            let (index, _) = inspect(&self.folder).unwrap();
-            (index.counts() == (0, 0)).then_some(())
-        };
+        let nothing = || inspect(&self.folder).unwrap().index.counts().is_empty().then_some(());
         until("nothing is owed", nothing).await;
     }
 
--- a/crates/wal/examples/appends.rs
+++ b/crates/wal/examples/appends.rs
@@ -1,86 +1,156 @@
-//! How long appends take while the write-ahead log is compacted, and a start with what is owed: on a real folder.
+//! Measures how long appends take while the write-ahead log is compacted, and a start with many pending messages, on a
+//! real folder.
 //!
 //!     cargo run --release -p reeddock-wal --example appends -- FOLDER OWED_MB BODY_BYTES SECONDS
 
 use std::collections::VecDeque;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
 
-fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let number = |n: usize| words.get(n).and_then(|w| w.parse::<u64>().ok());
-    let (Some(folder), Some(owed_mb), Some(body), Some(seconds)) =
-        (words.first(), number(1), number(2), number(3))
-    else {
-        eprintln!("appends: expected FOLDER OWED_MB BODY_BYTES SECONDS");
-        std::process::exit(2);
-    };
-    let most = owed_mb * 1_000_000 * 27 / 10;
-    std::fs::create_dir_all(folder).expect("the folder can be made");
-    let body = Bytes::from(vec![7; body as usize]);
-    let accepted = |n: u64| {
-        Record::Accepted(Accepted {
-            idempotency_key: None,
-            id: format!("{n:08x}-4c1e-4a2b-9d3f-{n:012x}"),
-            class: "order".into(),
-            tenant: None,
-            key: None,
-            destination: n % 100,
-            deadline: u64::MAX / 2,
-            body: body.clone(),
+/// Messages in one append while the log is filled.
+const FILL_GROUP: u64 = 16;
+/// Messages that are accepted, sent and finished in one append while it is measured.
+const MEASURED_GROUP: u64 = 8;
+const MEGABYTE: u64 = 1_000_000;
+
+/// What the command line asks for.
+struct Arguments {
+    folder: PathBuf,
+    pending_bytes: u64,
+    body_bytes: u64,
+    duration: Duration,
+}
+
+impl Arguments {
+    fn parse(words: &[String]) -> Option<Arguments> {
+        let number = |position: usize| words.get(position).and_then(|word| word.parse::<u64>().ok());
+        Some(Arguments {
+            folder: PathBuf::from(words.first()?),
+            pending_bytes: number(1)? * MEGABYTE,
+            body_bytes: number(2)?,
+            duration: Duration::from_secs(number(3)?),
         })
-    };
-    let id = |n: u64| format!("{n:08x}-4c1e-4a2b-9d3f-{n:012x}");
-    let mut log = WriteAheadLog::open(folder.as_ref(), most, Sync::Never).expect("the ledger opens");
-    let mut open: VecDeque<u64> = VecDeque::new();
-    let mut n = 0;
-    // Filled until so much is owed, in groups as a turn brings them.
-    let size = match accepted(0) {
-        Record::Accepted(accepted) => WriteAheadLog::size_of(&accepted),
-        _ => 0,
-    };
-    while open.len() as u64 * size < owed_mb * 1_000_000 && log.room() > 20 * size {
-        let group: Vec<Record> = (n..n + 16).map(accepted).collect();
-        open.extend(n..n + 16);
-        n += 16;
-        log.append(&group, Duration::ZERO).expect("there is room");
     }
-    let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds are sound");
-    let started = Instant::now();
-    let mut bytes = 0;
-    while started.elapsed() < Duration::from_secs(seconds) {
-        // A turn: eight are accepted, sent, and eight that are older end.
+
+    /// Pending messages may take two fifths of the folder, so that 2.7 times as much leaves some room.
+    fn folder_bytes(&self) -> u64 {
+        self.pending_bytes * 27 / 10
+    }
+}
+
+fn id(number: u64) -> String {
+    format!("{number:08x}-4c1e-4a2b-9d3f-{number:012x}")
+}
+
+fn message(number: u64, body: &Bytes) -> Accepted {
+    Accepted {
+        id: id(number),
+        class: "order".into(),
+        tenant: None,
+        key: None,
+        destination: number % 100,
+        deadline: u64::MAX / 2,
+        body: body.clone(),
+        idempotency_key: None,
+    }
+}
+
+fn open(folder: &Path, folder_bytes: u64) -> WriteAheadLog {
+    WriteAheadLog::open(folder, folder_bytes, Sync::Never).expect("the write-ahead log opens")
+}
+
+/// A log with the numbers of its pending messages, the oldest first.
+struct FilledLog {
+    log: WriteAheadLog,
+    pending: VecDeque<u64>,
+    next: u64,
+    body: Bytes,
+    /// Bytes set aside for each message.
+    message_size: u64,
+}
+
+impl FilledLog {
+    /// Accepts messages until so much is pending.
+    fn fill(log: WriteAheadLog, arguments: &Arguments) -> FilledLog {
+        let body = Bytes::from(vec![7; arguments.body_bytes as usize]);
+        let message_size = WriteAheadLog::size_of(&message(0, &body));
+        let mut filled = FilledLog { log, pending: VecDeque::new(), next: 0, body, message_size };
+        while filled.pending_bytes() < arguments.pending_bytes && filled.log.room() > 20 * message_size {
+            let group: Vec<Record> = (0..FILL_GROUP).map(|_| filled.accept_next()).collect();
+            filled.log.append(&group, Duration::ZERO).expect("there is room");
+        }
+        filled
+    }
+
+    fn pending_bytes(&self) -> u64 {
+        self.pending.len() as u64 * self.message_size
+    }
+
+    fn accept_next(&mut self) -> Record {
+        let number = self.next;
+        self.next += 1;
+        self.pending.push_back(number);
+        Record::Accepted(message(number, &self.body))
+    }
+
+    /// New messages, each with an attempt, and the ends of as many old ones.
+    fn measured_group(&mut self) -> Vec<Record> {
         let mut group = Vec::new();
-        for _ in 0..8 {
-            group.push(accepted(n));
-            group.push(Record::AttemptStarted { id: id(n), no: 0, endpoint: "target".into(), at: 1 });
-            open.push_back(n);
-            n += 1;
-            if let Some(over) = open.pop_front() {
-                group.push(Record::Finished { id: id(over), notice: None });
+        for _ in 0..MEASURED_GROUP {
+            let number = self.next;
+            group.push(self.accept_next());
+            group.push(Record::AttemptStarted { id: id(number), no: 0, endpoint: "target".into(), at: 1 });
+            if let Some(oldest) = self.pending.pop_front() {
+                group.push(Record::Finished { id: id(oldest), notice: None });
             }
         }
-        let at = Instant::now();
-        log.append(&group, started.elapsed()).expect("there is room");
-        times.saturating_record(at.elapsed().as_micros() as u64);
-        bytes += 8 * size;
+        group
+    }
+}
+
+/// Appends for some time, and prints how long appends took.
+fn measure_appends(filled: &mut FilledLog, duration: Duration) {
+    let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
+    let started = Instant::now();
+    let mut bytes = 0;
+    while started.elapsed() < duration {
+        let group = filled.measured_group();
+        let append_started = Instant::now();
+        filled.log.append(&group, started.elapsed()).expect("there is room");
+        latencies.saturating_record(append_started.elapsed().as_micros() as u64);
+        bytes += MEASURED_GROUP * filled.message_size;
     }
     println!(
         "{} owed, {} MB; {} appends, {:.0} MB/s: p50 {} us, p99 {} us, p99.9 {} us, worst {} us",
-        open.len(),
-        open.len() as u64 * size / 1_000_000,
-        times.len(),
+        filled.pending.len(),
+        filled.pending_bytes() / MEGABYTE,
+        latencies.len(),
         bytes as f64 / 1e6 / started.elapsed().as_secs_f64(),
-        times.value_at_quantile(0.5),
-        times.value_at_quantile(0.99),
-        times.value_at_quantile(0.999),
-        times.max()
+        latencies.value_at_quantile(0.5),
+        latencies.value_at_quantile(0.99),
+        latencies.value_at_quantile(0.999),
+        latencies.max()
     );
-    drop(log);
-    let at = Instant::now();
-    let log = WriteAheadLog::open(folder.as_ref(), most, Sync::Never).expect("the ledger opens");
-    println!("a start with {} owed: {:?}", log.index().counts().0, at.elapsed());
+}
+
+fn main() -> ExitCode {
+    let words: Vec<String> = std::env::args().skip(1).collect();
+    let Some(arguments) = Arguments::parse(&words) else {
+        eprintln!("appends: expected FOLDER OWED_MB BODY_BYTES SECONDS");
+        return ExitCode::from(2);
+    };
+    std::fs::create_dir_all(&arguments.folder).expect("the folder can be made");
+    let log = open(&arguments.folder, arguments.folder_bytes());
+    let mut filled = FilledLog::fill(log, &arguments);
+    measure_appends(&mut filled, arguments.duration);
+    drop(filled);
+    let started = Instant::now();
+    let log = open(&arguments.folder, arguments.folder_bytes());
+    println!("a start with {} owed: {:?}", log.index().counts().messages, started.elapsed());
+    ExitCode::SUCCESS
 }
--- /dev/null
+++ b/crates/wal/src/compaction.rs
@@ -0,0 +1,205 @@
+//! Compaction: copies the live records of the first segment to the end of the log, in bounded steps behind
+//! appends, and then drops the segment. [`CompactionPlan`](crate::compaction_plan::CompactionPlan) decides when.
+
+use std::io;
+use std::time::Duration;
+
+use crate::compaction_plan::CompactionStep;
+use crate::encoded_records::EncodedRecords;
+use crate::error::WalError;
+use crate::frame::FRAME_HEADER_BYTES;
+use crate::live_records::LiveRecord;
+use crate::manifest::{Manifest, MANIFEST_FILE, NEXT_MANIFEST_FILE};
+use crate::quarantine::Quarantine;
+use crate::record::Record;
+use crate::segment::{self, SEGMENT_HEADER_BYTES};
+use crate::write_ahead_log::{Sync, WriteAheadLog};
+
+/// Faults of compaction are logged at most once in this interval.
+const WARNING_INTERVAL: Duration = Duration::from_secs(10);
+/// On a full disk a segment is compacted only where it is at least so many times as large as its live records.
+const FULL_DISK_MIN_GAIN: u64 = 4;
+/// Bounds the steps that make room for one append: so many for each pending message, and some more.
+const STEPS_PER_PENDING_MESSAGE: usize = 4;
+const EXTRA_STEPS: usize = 1000;
+
+/// Live records that were gathered for one step, and what they amount to.
+struct CopyBatch {
+    records: Vec<Record>,
+    /// Bytes of the records, as the plan accounts for them.
+    bytes: u64,
+    /// Whether no live record of the segment is left behind them.
+    reaches_end: bool,
+}
+
+impl WriteAheadLog {
+    /// Makes room for an append of so many bytes, by compacting first segments where there is no other way.
+    pub(crate) fn make_room(&mut self, bytes: u64) -> Result<(), WalError> {
+        let mut steps_left = STEPS_PER_PENDING_MESSAGE * self.index.counts().messages + EXTRA_STEPS;
+        while !self.plan.fits(bytes) {
+            let CompactionStep::Copy { segment, bytes } = self.plan.forced_step() else { break };
+            if steps_left == 0 || !self.plan.fits(0) {
+                break;
+            }
+            steps_left -= 1;
+            // The copies themselves must fit. Copying half of what is free leaves room for their frames and a header.
+            let free = self.plan.max_bytes().saturating_sub(self.plan.used_bytes());
+            self.compact(segment, bytes.min(free / 2))?;
+        }
+        if self.plan.fits(bytes) {
+            Ok(())
+        } else {
+            Err(WalError::storage_full())
+        }
+    }
+
+    /// Compacts by one bounded step behind an append, and replenishes the disk reserve. A fault in it does not harm
+    /// the append.
+    pub(crate) fn compact_after_append(&mut self, appended: u64, now: Duration) {
+        if let CompactionStep::Copy { segment, bytes } = self.step_after_append(appended) {
+            match self.compact(segment, bytes) {
+                Ok(copied) => self.plan.consume_credit(copied),
+                Err(error) if now >= self.compaction_warnings_muted_until => {
+                    self.compaction_warnings_muted_until = now + WARNING_INTERVAL;
+                    tracing::warn!(%error, segment, "compaction failed");
+                }
+                Err(_) => {}
+            }
+        }
+        if self.reserve_bytes < self.plan.reserve_bytes() {
+            self.replenish_reserve();
+        }
+    }
+
+    /// The step that is due. A disk that was full has less room than the plan was given, so that copies would use up
+    /// what is left: there a segment is compacted only where far more comes free than its copies need.
+    fn step_after_append(&mut self, appended: u64) -> CompactionStep {
+        let planned = self.plan.after_append(appended, self.index.pending_bytes());
+        let was_full =
+            self.pending_bytes_when_full.is_some() || self.reserve_bytes < self.plan.reserve_bytes();
+        let forced = self.plan.forced_step();
+        match forced {
+            CompactionStep::Copy { segment, .. } if was_full => {
+                let pays =
+                    FULL_DISK_MIN_GAIN * self.index.live_bytes(segment) <= self.plan.segment_size(segment);
+                if pays {
+                    forced
+                } else {
+                    CompactionStep::Idle
+                }
+            }
+            _ => planned,
+        }
+    }
+
+    /// Copies live records of the first segment to the end of the log, so many bytes of them, and drops the segment
+    /// once it has none. Gives the bytes copied.
+    fn compact(&mut self, segment: u64, bytes: u64) -> Result<u64, WalError> {
+        let batch = self.gather_live_records(segment, bytes)?;
+        if !batch.records.is_empty() {
+            if let Err(error) = self.append_copies(&batch.records) {
+                self.compaction_offset = 0;
+                return Err(error);
+            }
+        }
+        if batch.reaches_end {
+            self.compaction_offset = 0;
+            if self.index.first_live_record(segment, 0).is_none() {
+                self.drop_first_segment(segment)?;
+            }
+        }
+        Ok(batch.bytes)
+    }
+
+    /// Reads live records of a segment from the compaction offset on, until they have so many bytes.
+    fn gather_live_records(&mut self, segment: u64, bytes: u64) -> Result<CopyBatch, WalError> {
+        let mut batch = CopyBatch { records: Vec::new(), bytes: 0, reaches_end: true };
+        let mut next = self.index.first_live_record(segment, self.compaction_offset);
+        while let Some(live) = next {
+            if !self.add_copy(&mut batch, &live)? {
+                return Ok(batch);
+            }
+            self.compaction_offset = live.offset + 1;
+            next = self.index.first_live_record(segment, self.compaction_offset);
+            if batch.bytes >= bytes {
+                break;
+            }
+        }
+        batch.reaches_end = next.is_none();
+        Ok(batch)
+    }
+
+    /// Adds the copy of a live record; false where the index does not know its message.
+    fn add_copy(&self, batch: &mut CopyBatch, live: &LiveRecord) -> Result<bool, WalError> {
+        if let Some(pending) = self.index.get(&live.id) {
+            let accepted = self.read_accepted(pending)?;
+            batch.bytes += pending.location().length as u64;
+            batch.records.push(Record::Checkpoint(pending.checkpoint(accepted)));
+        } else if let Some(notice) = self.index.notice_record(&live.id) {
+            batch.bytes += (FRAME_HEADER_BYTES + live.id.0.len()) as u64;
+            batch.records.push(notice);
+        } else {
+            return Ok(false);
+        }
+        Ok(true)
+    }
+
+    /// Appends copies. Unlike an append it does not make room, which would come back here.
+    fn append_copies(&mut self, records: &[Record]) -> Result<(), WalError> {
+        let mut encoded = EncodedRecords::encode(records, Vec::new());
+        if !self.plan.fits(encoded.frames_bytes() + SEGMENT_HEADER_BYTES as u64) {
+            return Err(WalError::storage_full());
+        }
+        self.append_to_segment(&mut encoded)?;
+        self.apply(records, &encoded);
+        Ok(())
+    }
+
+    /// Drops the first segment, which has no live record. Its copies are synced before, and the manifest moves on
+    /// before the file goes: a lost machine might otherwise bring back this segment without a later one, and with it
+    /// messages whose ends stood there.
+    fn drop_first_segment(&mut self, segment: u64) -> Result<(), WalError> {
+        self.sync_all()?;
+        self.write_manifest(segment + 1)?;
+        if self.corrupt_segments.remove(&segment) {
+            self.quarantine_segment(segment)?;
+        } else {
+            self.storage.remove(&segment::file_name(segment))?;
+        }
+        self.plan.remove_segment(segment);
+        self.pending_bytes_when_full = None;
+        self.update_auxiliary_bytes();
+        Ok(())
+    }
+
+    /// Keeps a segment with corrupt parts for staff, and removes the oldest ones kept where they are too many.
+    fn quarantine_segment(&mut self, segment: u64) -> Result<(), WalError> {
+        let file = segment::file_name(segment);
+        let quarantined = Quarantine::name_for(&file);
+        self.storage.rename(&file, &quarantined)?;
+        self.quarantine.insert(quarantined, self.plan.segment_size(segment));
+        while let Some(oldest) = self.quarantine.pop_excess(self.plan.max_bytes()) {
+            tracing::warn!(file = oldest, "quarantine is full; oldest file removed");
+            self.storage.remove(&oldest)?;
+        }
+        Ok(())
+    }
+
+    /// Replaces the manifest by one that names this first segment.
+    pub(crate) fn write_manifest(&mut self, first_segment: u64) -> Result<(), WalError> {
+        let bytes = Manifest::new(first_segment).encode();
+        match self.storage.remove(NEXT_MANIFEST_FILE) {
+            Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error.into()),
+            _ => {}
+        }
+        self.storage.append(NEXT_MANIFEST_FILE, &bytes)?;
+        if self.sync != Sync::Never {
+            self.storage.sync(NEXT_MANIFEST_FILE)?;
+        }
+        self.storage.rename(NEXT_MANIFEST_FILE, MANIFEST_FILE)?;
+        if self.sync != Sync::Never {
+            self.storage.sync_directory()?;
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/wal/src/compaction_plan/tests.rs
@@ -0,0 +1,77 @@
+//! Tests of the bounds that the compaction plan promises.
+
+use super::*;
+
+#[test]
+fn only_the_first_segment_is_compacted_and_never_the_last() {
+    let mut plan = CompactionPlan::new(1 << 20);
+    plan.set_segment_size(4, 600_000);
+    assert_eq!(plan.after_append(100, 0), CompactionStep::Idle, "the only segment is the last");
+    plan.set_segment_size(5, 10);
+    assert_eq!(plan.after_append(100, 0), CompactionStep::Copy { segment: 4, bytes: MIN_STEP_BYTES });
+    plan.remove_segment(4);
+    assert_eq!(plan.forced_step(), CompactionStep::Idle);
+}
+
+#[test]
+fn a_step_is_bounded_and_grows_with_what_was_appended() {
+    let mut plan = CompactionPlan::new(1 << 30);
+    (1..30).for_each(|n| plan.set_segment_size(n, 32 << 20));
+    let CompactionStep::Copy { bytes, .. } = plan.after_append(50_000, 0) else {
+        panic!("it is nearly full")
+    };
+    assert_eq!(bytes, COPIED_PER_APPENDED_BYTE * 50_000);
+    plan.consume_credit(bytes);
+    let CompactionStep::Copy { bytes, .. } = plan.after_append(1 << 30, 0) else { panic!() };
+    assert_eq!(bytes, MAX_STEP_BYTES);
+}
+
+/// The worst that the bounds allow: two fifths are pending, all in the first segments, and only appends bring
+/// compaction on.
+#[test]
+fn compaction_passes_all_segments_before_the_folder_is_full() {
+    for max_bytes in [200_000, 3_000_000, 1 << 30] {
+        let mut plan = CompactionPlan::new(max_bytes);
+        plan.set_auxiliary_bytes(plan.reserve_bytes() + 4 * BLOCK_BYTES);
+        let pending_bytes = plan.max_pending_bytes();
+        let (mut live, mut copied) = (BTreeMap::new(), 0);
+        let mut left = pending_bytes;
+        // What is pending, then what is finished, up to where compaction starts.
+        while plan.used_bytes() < plan.start_threshold(pending_bytes) {
+            let number = plan.next_segment();
+            let size = plan.max_segment_bytes.min(max_bytes / 40);
+            live.insert(number, left.min(size));
+            left -= left.min(size);
+            plan.set_segment_size(number, size);
+        }
+        let step = (max_bytes / 4000).max(64);
+        for _ in 0..20_000 {
+            if plan.needs_new_segment(step) {
+                let number = plan.next_segment();
+                plan.set_segment_size(number, 0);
+            }
+            let last = plan.last_segment().unwrap();
+            plan.set_segment_size(last, plan.segment_sizes[&last] + step);
+            if let CompactionStep::Copy { segment, bytes } = plan.after_append(step, pending_bytes) {
+                let live_bytes = live.entry(segment).or_default();
+                let moved = bytes.min(*live_bytes);
+                *live_bytes -= moved;
+                if *live_bytes == 0 {
+                    live.remove(&segment);
+                    plan.remove_segment(segment);
+                }
+                if plan.needs_new_segment(moved) {
+                    let number = plan.next_segment();
+                    plan.set_segment_size(number, 0);
+                }
+                let last = plan.last_segment().unwrap();
+                plan.set_segment_size(last, plan.segment_sizes[&last] + moved);
+                *live.entry(last).or_default() += moved;
+                plan.consume_credit(moved);
+                copied += moved;
+            }
+            assert!(plan.used_bytes() <= max_bytes, "{} of {max_bytes}", plan.used_bytes());
+        }
+        assert!(copied > pending_bytes, "it went through all segments, of {max_bytes}");
+    }
+}
--- /dev/null
+++ b/crates/wal/src/frame.rs
@@ -0,0 +1,65 @@
+//! The frame around each record: marker, length, checksum of the record, and checksum of these ten bytes.
+//!
+//! The checksum over the header tells a corrupt length from a record that a torn write left short. The marker
+//! lets the scanner find the next frame behind corruption. All numbers are little-endian.
+
+use serde::Serialize;
+
+/// Bytes of a frame before its record.
+pub(crate) const FRAME_HEADER_BYTES: usize = 14;
+/// The longest record that is believed: a body, and more attempts than any message gets.
+const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
+const MARKER: [u8; 2] = [0xd7, 0x5e];
+
+/// What a valid frame header announces.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FrameHeader {
+    /// Bytes of the record, without the header.
+    pub record_bytes: usize,
+    checksum: u32,
+}
+
+impl FrameHeader {
+    /// Reads the header that starts here; `None` where the bytes are not a whole, valid one.
+    pub fn parse(bytes: &[u8]) -> Option<FrameHeader> {
+        let header = bytes.get(..FRAME_HEADER_BYTES)?;
+        let word = |at: usize| Some(u32::from_le_bytes(header.get(at..at + 4)?.try_into().ok()?));
+        let record_bytes = word(2)? as usize;
+        let checksum = word(6)?;
+        let header_checksum = word(10)?;
+        let valid = header[..2] == MARKER && crc32fast::hash(&header[..10]) == header_checksum;
+        (valid && 0 < record_bytes && record_bytes <= MAX_RECORD_BYTES)
+            .then_some(FrameHeader { record_bytes, checksum })
+    }
+
+    /// Bytes of header and record.
+    pub fn frame_bytes(&self) -> usize {
+        FRAME_HEADER_BYTES + self.record_bytes
+    }
+}
+
+/// The record's bytes in the frame that starts here, if the frame is whole and its checksums match.
+pub(crate) fn payload(bytes: &[u8]) -> Option<&[u8]> {
+    let header = FrameHeader::parse(bytes)?;
+    let record = bytes.get(FRAME_HEADER_BYTES..header.frame_bytes())?;
+    (crc32fast::hash(record) == header.checksum).then_some(record)
+}
+
+/// Encodes a value with postcard and appends it in a frame.
+pub(crate) fn append_frame<T: Serialize>(buffer: &mut Vec<u8>, value: &T) {
+    let start = buffer.len();
+    buffer.extend([0; FRAME_HEADER_BYTES]);
+    if let Err(error) = postcard::to_io(value, &mut *buffer) {
+        // A vector takes whatever is written to it, so that this is not expected to happen.
+        tracing::error!(%error, "record could not be encoded");
+        return buffer.truncate(start);
+    }
+    let record_start = start + FRAME_HEADER_BYTES;
+    let record_bytes = (buffer.len() - record_start) as u32;
+    let checksum = crc32fast::hash(&buffer[record_start..]);
+    buffer[start..start + 2].copy_from_slice(&MARKER);
+    buffer[start + 2..start + 6].copy_from_slice(&record_bytes.to_le_bytes());
+    buffer[start + 6..start + 10].copy_from_slice(&checksum.to_le_bytes());
+    let header_checksum = crc32fast::hash(&buffer[start..start + 10]);
+    buffer[start + 10..record_start].copy_from_slice(&header_checksum.to_le_bytes());
+}
--- a/crates/wal/src/memory_storage.rs
+++ b/crates/wal/src/memory_storage.rs
@@ -1,6 +1,6 @@
-//! A folder in memory that fails as it is told: it stops after any operation, tears a write at any byte, runs
-//! out of space, refuses a rename or a truncation, and loses what was not synced. For tests of whatever
-//! stands on a ledger.
+//! A folder in memory that fails on command, for tests of whatever stands on the write-ahead log: it stops after any
+//! operation, tears a write at any byte, runs out of space, refuses renames, truncations and removals, and
+//! loses what was not synced.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -8,134 +8,154 @@
 
 use crate::storage::Storage;
 
+/// A file.
 #[derive(Clone, Debug, Default)]
 struct Content {
     bytes: Vec<u8>,
-    /// Bytes that outlast the machine.
+    /// How many of them survive a loss of the machine.
     synced: usize,
 }
 
-/// What is to go wrong.
+/// The faults that a folder is to show.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// After so many changing operations nothing works any more: the process is dead.
+    /// After so many changing operations nothing works any more, as if the process was killed.
     pub stops_after: Option<u64>,
-    /// So many bytes of an append that is the last before the stop are written all the same.
-    pub tears_at: usize,
-    /// Bytes that all files together may have.
-    pub space: Option<u64>,
+    /// Where the operation at the stop is an append, so many of its bytes are written all the same.
+    pub torn_write_bytes: usize,
+    /// Bytes that all files together may have; unlimited where there is none.
+    pub capacity: Option<u64>,
+    /// Renames fail.
     pub refuses_renames: bool,
+    /// Truncations fail.
     pub refuses_truncations: bool,
+    /// Removals fail.
     pub refuses_removals: bool,
 }
 
 #[derive(Default)]
-struct Inside {
+struct Folder {
     files: BTreeMap<String, Content>,
-    /// As they stand after a loss of the machine.
-    names: BTreeMap<String, Content>,
+    /// The files as a loss of the machine leaves them, but for bytes that were not synced.
+    synced_directory: BTreeMap<String, Content>,
     faults: Faults,
     operations: u64,
-    log: Vec<String>,
+    operation_log: Vec<String>,
 }
 
-/// Handles share one folder, which outlasts them.
+/// A folder in memory. Clones share it, so that a test keeps access to the folder that a log writes.
 #[derive(Clone, Default)]
-pub struct MemoryStorage(Arc<Mutex<Inside>>);
+pub struct MemoryStorage(Arc<Mutex<Folder>>);
 
-fn dead() -> io::Error {
-    io::Error::other("stopped here by the test")
+/// The fault of a folder that was stopped.
+#[derive(Debug, thiserror::Error)]
+#[error("stopped here by the test")]
+struct SimulatedStop;
+
+fn stopped() -> io::Error {
+    io::Error::other(SimulatedStop)
 }
 
 impl MemoryStorage {
-    fn inside(&self) -> MutexGuard<'_, Inside> {
+    fn lock(&self) -> MutexGuard<'_, Folder> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub fn set(&self, faults: Faults) {
-        self.inside().faults = faults;
+    /// Replaces the faults from here on.
+    pub fn set_faults(&self, faults: Faults) {
+        self.lock().faults = faults;
     }
 
-    /// Changing operations so far.
+    /// How many changing operations there were.
     pub fn operations(&self) -> u64 {
-        self.inside().operations
+        self.lock().operations
     }
 
-    /// What was done, in order.
-    pub fn log(&self) -> Vec<String> {
-        self.inside().log.clone()
+    /// The changing operations that were carried out, in their order.
+    pub fn operation_log(&self) -> Vec<String> {
+        self.lock().operation_log.clone()
     }
 
     /// Bytes of all files.
-    pub fn size(&self) -> u64 {
-        self.inside().files.values().map(|f| f.bytes.len() as u64).sum()
+    pub fn total_bytes(&self) -> u64 {
+        self.lock().files.values().map(|file| file.bytes.len() as u64).sum()
     }
 
-    /// The folder as the next process finds it once this one is killed.
-    pub fn after_a_kill(&self) -> MemoryStorage {
-        let files = self.inside().files.clone();
-        MemoryStorage(Arc::new(Mutex::new(Inside { names: files.clone(), files, ..Inside::default() })))
+    /// A copy of the folder as the next process finds it after a kill of this one.
+    pub fn after_kill(&self) -> MemoryStorage {
+        let files = self.lock().files.clone();
+        MemoryStorage(Arc::new(Mutex::new(Folder {
+            synced_directory: files.clone(),
+            files,
+            ..Folder::default()
+        })))
     }
 
-    /// The folder as it is found once the machine was lost: what was not synced is gone.
-    pub fn after_a_loss(&self) -> MemoryStorage {
-        let mut files = self.inside().names.clone();
+    /// A copy of the folder as it is found after a loss of the machine: what was not synced is gone.
+    pub fn after_machine_loss(&self) -> MemoryStorage {
+        let mut files = self.lock().synced_directory.clone();
         for content in files.values_mut() {
             content.bytes.truncate(content.synced);
         }
-        MemoryStorage(Arc::new(Mutex::new(Inside { names: files.clone(), files, ..Inside::default() })))
+        MemoryStorage(Arc::new(Mutex::new(Folder {
+            synced_directory: files.clone(),
+            files,
+            ..Folder::default()
+        })))
     }
 
-    /// Turns one bit of a file.
-    pub fn flip(&self, name: &str, byte: usize, bit: u8) {
-        let mut inside = self.inside();
-        if let Some(byte) = inside.files.get_mut(name).and_then(|f| f.bytes.get_mut(byte)) {
+    /// Flips one bit of a file.
+    pub fn flip_bit(&self, name: &str, offset: usize, bit: u8) {
+        let mut folder = self.lock();
+        if let Some(byte) = folder.files.get_mut(name).and_then(|file| file.bytes.get_mut(offset)) {
             *byte ^= 1 << bit;
         }
     }
 
+    /// Writes a whole file, synced, past all faults.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let content = Content { bytes: bytes.to_vec(), synced: bytes.len() };
-        self.inside().files.insert(name.to_owned(), content);
+        self.lock().files.insert(name.to_owned(), content);
     }
 
+    /// The content of a file; empty where there is none.
     pub fn bytes(&self, name: &str) -> Vec<u8> {
-        self.inside().files.get(name).map(|f| f.bytes.clone()).unwrap_or_default()
+        self.lock().files.get(name).map(|file| file.bytes.clone()).unwrap_or_default()
     }
 }
 
-impl Inside {
-    /// Counts a changing operation; says whether it is the last, or is already past it.
-    fn begin(&mut self, what: String) -> io::Result<bool> {
-        if self.faults.stops_after.is_some_and(|most| self.operations >= most) {
-            // The one at the very end may be torn; those after it never happen.
-            let last = self.faults.stops_after == Some(self.operations);
+impl Folder {
+    /// Counts a changing operation. True where it is the one at the stop, which may be torn; operations behind it
+    /// fail.
+    fn begin(&mut self, description: String) -> io::Result<bool> {
+        if self.faults.stops_after.is_some_and(|limit| self.operations >= limit) {
+            let at_stop = self.faults.stops_after == Some(self.operations);
             self.operations += 1;
-            return if last { Ok(true) } else { Err(dead()) };
+            return if at_stop { Ok(true) } else { Err(stopped()) };
         }
         self.operations += 1;
-        self.log.push(what);
+        self.operation_log.push(description);
         Ok(false)
     }
 }
 
 impl Storage for MemoryStorage {
     fn files(&self) -> io::Result<BTreeMap<String, u64>> {
-        Ok(self.inside().files.iter().map(|(name, f)| (name.clone(), f.bytes.len() as u64)).collect())
+        Ok(self.lock().files.iter().map(|(name, file)| (name.clone(), file.bytes.len() as u64)).collect())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let mut inside = self.inside();
-        let torn = inside.begin(format!("append {name} {}", bytes.len()))?;
-        let used: u64 = inside.files.values().map(|f| f.bytes.len() as u64).sum();
-        let free = inside.faults.space.map_or(u64::MAX, |space| space.saturating_sub(used));
-        let most = if torn { inside.faults.tears_at } else { usize::MAX };
-        let fits = bytes.len().min(usize::try_from(free).unwrap_or(usize::MAX)).min(most);
+        let mut folder = self.lock();
+        let torn = folder.begin(format!("append {name} {}", bytes.len()))?;
+        let used: u64 = folder.files.values().map(|file| file.bytes.len() as u64).sum();
+        let free = folder.faults.capacity.map_or(u64::MAX, |capacity| capacity.saturating_sub(used));
+        let limit = if torn { folder.faults.torn_write_bytes } else { usize::MAX };
+        let fits = bytes.len().min(usize::try_from(free).unwrap_or(usize::MAX)).min(limit);
         if !torn || fits > 0 {
-            inside.files.entry(name.to_owned()).or_default().bytes.extend_from_slice(&bytes[..fits]);
+            folder.files.entry(name.to_owned()).or_default().bytes.extend_from_slice(&bytes[..fits]);
         }
         if torn {
-            return Err(dead());
+            return Err(stopped());
         }
         if fits < bytes.len() {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
@@ -144,66 +164,66 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let mut inside = self.inside();
-        if inside.begin(format!("truncate {name} {length}"))? || inside.faults.refuses_truncations {
-            return Err(dead());
+        let mut folder = self.lock();
+        if folder.begin(format!("truncate {name} {length}"))? || folder.faults.refuses_truncations {
+            return Err(stopped());
         }
-        let content = inside.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
+        let content = folder.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         content.bytes.truncate(length as usize);
         content.synced = content.synced.min(length as usize);
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let mut inside = self.inside();
-        if inside.begin(format!("rename {from} {to}"))? || inside.faults.refuses_renames {
-            return Err(dead());
+        let mut folder = self.lock();
+        if folder.begin(format!("rename {from} {to}"))? || folder.faults.refuses_renames {
+            return Err(stopped());
         }
-        let content = inside.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        inside.files.insert(to.to_owned(), content);
+        let content = folder.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        folder.files.insert(to.to_owned(), content);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let mut inside = self.inside();
-        if inside.begin(format!("remove {name}"))? || inside.faults.refuses_removals {
-            return Err(dead());
+        let mut folder = self.lock();
+        if folder.begin(format!("remove {name}"))? || folder.faults.refuses_removals {
+            return Err(stopped());
         }
-        inside.files.remove(name).map(drop).ok_or(io::ErrorKind::NotFound.into())
+        folder.files.remove(name).map(drop).ok_or(io::ErrorKind::NotFound.into())
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let mut inside = self.inside();
-        if inside.begin(format!("sync {name}"))? {
-            return Err(dead());
+        let mut folder = self.lock();
+        if folder.begin(format!("sync {name}"))? {
+            return Err(stopped());
         }
-        let content = inside.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
+        let content = folder.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         content.synced = content.bytes.len();
         let content = content.clone();
-        // A file whose name is known outlasts the machine with its bytes.
-        if let Some(kept) = inside.names.get_mut(name) {
+        // Where the directory was synced with the file's name, the file survives a loss of the machine.
+        if let Some(kept) = folder.synced_directory.get_mut(name) {
             *kept = content;
         }
         Ok(())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
-        let mut inside = self.inside();
-        if inside.begin("sync names".to_owned())? {
-            return Err(dead());
+    fn sync_directory(&mut self) -> io::Result<()> {
+        let mut folder = self.lock();
+        if folder.begin("sync directory".to_owned())? {
+            return Err(stopped());
         }
-        inside.names = inside.files.clone();
+        folder.synced_directory = folder.files.clone();
         Ok(())
     }
 
     fn reader(&self, name: &str) -> io::Result<Box<dyn Read + '_>> {
-        let bytes = self.inside().files.get(name).ok_or(io::ErrorKind::NotFound)?.bytes.clone();
+        let bytes = self.lock().files.get(name).ok_or(io::ErrorKind::NotFound)?.bytes.clone();
         Ok(Box::new(io::Cursor::new(bytes)))
     }
 
     fn read_at(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
-        let inside = self.inside();
-        let content = inside.files.get(name).ok_or(io::ErrorKind::NotFound)?;
+        let folder = self.lock();
+        let content = folder.files.get(name).ok_or(io::ErrorKind::NotFound)?;
         let from = offset as usize;
         let bytes = content.bytes.get(from..from + length);
         bytes.map(<[u8]>::to_vec).ok_or(io::ErrorKind::UnexpectedEof.into())
--- a/crates/wal/src/pending_index.rs
+++ b/crates/wal/src/pending_index.rs
@@ -1,4 +1,5 @@
-//! What the records of a ledger come down to. Bodies stay in the files; where they stand is kept.
+//! The index over the write-ahead log: which messages are pending and which notices are unacknowledged, as its
+//! records leave them. Bodies stay in the files; the index keeps where they stand.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,260 +7,288 @@
 use reeddock::MessageId;
 use reeddock_protocol::{DeliveryNotice, FinalAnswer};
 
-use crate::record::{self, Accepted, AcceptedView, AttemptStarted, Checkpoint, Record, View};
+use crate::live_records::{LiveRecord, LiveRecords, RecordLocation};
+use crate::record::{Accepted, AttemptStarted, AttemptState, Checkpoint, Record};
+use crate::record_view::{AcceptedView, CheckpointView, RecordView};
 
-/// What a notice takes up until the platform has been told.
-const UNTOLD: u64 = 160;
-/// Ids of lost messages that are named; the others are counted.
-const NAMED: usize = 1000;
+/// Disk space that is set aside for a notice until the platform has acknowledged it, in bytes.
+const NOTICE_RESERVED_BYTES: u64 = 160;
+/// Ids of messages known by id only that are listed; the others are counted.
+const MAX_LISTED_ORPHANS: usize = 1000;
 
-/// Where a record stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RecordLocation {
-    pub segment: u64,
-    pub offset: u64,
-    pub length: usize,
-}
-
-/// A message that was accepted and is not over.
+/// A message that was accepted and is not finished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingMessage {
+    /// The id that the client gave the message.
     pub id: MessageId,
+    /// The message class in the settings.
     pub class: Arc<str>,
+    /// The tenant whose quota the message counts against, if it has one.
     pub tenant: Option<Arc<str>>,
+    /// The ordering key, if the message is delivered in order.
     pub key: Option<u64>,
+    /// The destination's id.
     pub destination: u64,
     /// Microseconds of Unix time.
     pub deadline: u64,
-    /// In the order of their numbers.
+    /// Its attempts, in the order of their numbers.
     pub attempts: Vec<AttemptStarted>,
-    /// Records of further attempts may have been lost: it may have run, nobody knows when or where.
-    pub lost: bool,
-    /// Bytes that it takes up.
+    /// Records of further attempts may have been lost to corruption: the message may have been executed, and
+    /// nothing tells when or where.
+    pub records_lost: bool,
+    /// Disk space that is set aside for it, in bytes.
     pub size: u64,
-    /// Its place among all that were accepted.
-    place: u64,
-    spot: RecordLocation,
+    /// Its position among all accepted messages.
+    position: u64,
+    location: RecordLocation,
 }
 
 impl PendingMessage {
-    pub fn spot(&self) -> RecordLocation {
-        self.spot
+    /// Where the record that carries the message stands.
+    pub(crate) fn location(&self) -> RecordLocation {
+        self.location
+    }
+
+    /// All that is known of the message, given what was read of it from its record.
+    pub(crate) fn checkpoint(&self, accepted: Accepted) -> Checkpoint {
+        Checkpoint {
+            accepted,
+            position: self.position,
+            attempts: self.attempts.clone(),
+            records_lost: self.records_lost,
+        }
+    }
+
+    fn start_attempt(&mut self, number: usize, endpoint: Arc<str>, at: u64) {
+        let known = self.attempts.len();
+        // Numbers follow each other: a gap stands for attempts whose records were lost.
+        self.attempts.resize_with(known.max(number), AttemptStarted::unknown);
+        if number >= known {
+            self.attempts.push(AttemptStarted::in_flight(endpoint, at));
+            // The number shows that no attempt before it is missing but those just filled in.
+            self.records_lost = false;
+        }
+    }
+
+    fn finish_attempt(&mut self, number: usize, proves_not_executed: bool) {
+        match self.attempts.get_mut(number) {
+            Some(attempt) => attempt.state = AttemptState::finished(proves_not_executed),
+            None => self.records_lost = true,
+        }
     }
 }
 
-struct Untold {
+/// A notice that the platform has not acknowledged.
+struct UnacknowledgedNotice {
     end: FinalAnswer,
-    spot: RecordLocation,
+    location: RecordLocation,
 }
 
-/// All that is owed.
+/// All pending messages and unacknowledged notices.
 #[derive(Default)]
 pub struct PendingIndex {
-    /// No hash map: its growth would hold an append up for as long as all that is owed takes to move.
+    /// No hash map: when one grows, an append would wait until all entries have been moved.
     pending: BTreeMap<MessageId, Box<PendingMessage>>,
-    /// What the platform has not been told yet.
-    unacknowledged_notices: BTreeMap<MessageId, Untold>,
-    /// Records that still matter, by segment and place in it.
-    live: BTreeMap<u64, BTreeMap<u64, MessageId>>,
-    places: u64,
+    notices: BTreeMap<MessageId, UnacknowledgedNotice>,
+    live_records: LiveRecords,
+    /// The position of the message that was accepted last.
+    last_position: u64,
+    /// Disk space set aside for all pending messages and notices.
     pending_bytes: u64,
-    /// Few names, each kept once.
+    /// Names of classes, tenants and endpoints. There are few of them, and each is kept once.
     names: BTreeSet<Arc<str>>,
     /// Messages of which only later records were found.
     orphans: BTreeSet<MessageId>,
-    orphans_more: u64,
+    unlisted_orphans: u64,
+}
+
+/// How many messages are pending, and how many notices are unacknowledged.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PendingCounts {
+    /// Messages that were accepted and are not finished.
+    pub messages: usize,
+    /// Notices that the platform has not acknowledged.
+    pub notices: usize,
+}
+
+impl PendingCounts {
+    /// Whether no message is pending and no notice unacknowledged.
+    pub fn is_empty(&self) -> bool {
+        *self == PendingCounts::default()
+    }
 }
 
 impl PendingIndex {
-    /// What is owed its end, in the order in which it was accepted.
+    /// The pending messages by position, which is the order of acceptance.
     pub fn pending(&self) -> Vec<&PendingMessage> {
-        let mut pending: Vec<&PendingMessage> = self.pending.values().map(|u| &**u).collect();
-        pending.sort_by_key(|u| u.place);
+        let mut pending: Vec<&PendingMessage> = self.pending.values().map(|message| &**message).collect();
+        pending.sort_by_key(|message| message.position);
         pending
     }
 
+    /// A pending message by its id.
     pub fn get(&self, id: &MessageId) -> Option<&PendingMessage> {
-        self.pending.get(id).map(|u| &**u)
+        self.pending.get(id).map(|message| &**message)
     }
 
-    /// What the platform still has to be told.
+    /// The notices that the platform has not acknowledged, by id.
     pub fn unacknowledged_notices(&self) -> impl Iterator<Item = DeliveryNotice> + '_ {
-        self.unacknowledged_notices.iter().map(|(id, u)| DeliveryNotice { id: id.clone(), end: u.end })
+        self.notices.iter().map(|(id, notice)| DeliveryNotice { id: id.clone(), end: notice.end })
+    }
+
+    /// How many messages are pending, and how many notices are unacknowledged.
+    pub fn counts(&self) -> PendingCounts {
+        PendingCounts { messages: self.pending.len(), notices: self.notices.len() }
     }
 
-    /// How many messages are owed, and notices.
-    pub fn counts(&self) -> (usize, usize) {
-        (self.pending.len(), self.unacknowledged_notices.len())
+    /// Messages of which only later records were found, so that nothing but the id is known. They were accepted
+    /// once, and may be pending.
+    pub fn orphans(&self) -> impl Iterator<Item = &MessageId> {
+        self.orphans.iter()
     }
 
-    /// Messages that were owed, or still are, and of which nothing is known but the id; and how many more.
-    pub fn orphans(&self) -> (impl Iterator<Item = &MessageId>, u64) {
-        (self.orphans.iter(), self.orphans_more)
+    /// How many orphans there are beyond those that [`PendingIndex::orphans`] lists.
+    pub fn unlisted_orphans(&self) -> u64 {
+        self.unlisted_orphans
     }
 
-    /// Bytes that all this may take up.
+    /// Disk space set aside for all pending messages and notices, in bytes.
     pub(crate) fn pending_bytes(&self) -> u64 {
         self.pending_bytes
     }
 
-    /// The first record of a segment, from a place on, that still matters.
-    pub(crate) fn live_from(&self, segment: u64, offset: u64) -> Option<(u64, MessageId)> {
-        let live = self.live.get(&segment)?;
-        live.range(offset..).next().map(|(at, id)| (*at, id.clone()))
+    /// The first live record of a segment at this offset or behind it.
+    pub(crate) fn first_live_record(&self, segment: u64, offset: u64) -> Option<LiveRecord> {
+        self.live_records.first_from(segment, offset)
     }
 
-    /// Bytes of a segment's records that still matter.
+    /// Bytes of a segment's live records.
     pub(crate) fn live_bytes(&self, segment: u64) -> u64 {
-        let ids = self.live.get(&segment).into_iter().flat_map(|l| l.values());
-        let length = |id: &MessageId| self.pending.get(id).map_or(UNTOLD, |u| u.spot.length as u64);
-        ids.map(length).sum()
+        let bytes =
+            |id| self.pending.get(id).map_or(NOTICE_RESERVED_BYTES, |message| message.location.length as u64);
+        self.live_records.ids_in(segment).map(bytes).sum()
     }
 
-    /// What matters of a message or a notice, as a record of its own; what stands in the files alone is added by whoever
-    /// reads them.
-    pub(crate) fn carried(&self, id: &MessageId) -> Option<Record> {
-        if let Some(u) = self.pending.get(id) {
-            let accepted = Accepted {
-                id: id.0.to_string(),
-                class: u.class.to_string(),
-                tenant: u.tenant.as_ref().map(|t| t.to_string()),
-                key: u.key,
-                destination: u.destination,
-                deadline: u.deadline,
-                body: Default::default(),
-                idempotency_key: None,
-            };
-            let attempts = u.attempts.clone();
-            return Some(Record::Checkpoint(Checkpoint { accepted, place: u.place, attempts, lost: u.lost }));
-        }
-        let unacknowledged_notices = self.unacknowledged_notices.get(id)?;
-        Some(Record::Finished { id: id.0.to_string(), notice: Some(unacknowledged_notices.end) })
+    /// The record that stands for an unacknowledged notice.
+    pub(crate) fn notice_record(&self, id: &MessageId) -> Option<Record> {
+        let notice = self.notices.get(id)?;
+        Some(Record::Finished { id: id.0.to_string(), notice: Some(notice.end) })
     }
 
-    /// Something was lost here: any message that is open at this place of the write-ahead log may have been sent.
-    pub(crate) fn gap(&mut self) {
-        self.pending.values_mut().for_each(|u| u.lost = true);
+    /// Records were lost here: any message that is pending at this place of the log may have been sent.
+    pub(crate) fn mark_records_lost(&mut self) {
+        self.pending.values_mut().for_each(|message| message.records_lost = true);
     }
 
-    fn name(&mut self, name: &str) -> Arc<str> {
-        if let Some(known) = self.names.get(name) {
-            return known.clone();
+    /// Takes over what a record says.
+    pub(crate) fn apply(&mut self, record: RecordView, location: RecordLocation) {
+        let message_id = |id: &str| MessageId(Arc::from(id));
+        match record {
+            // `RecordView::decode` gives these as the ones of today.
+            RecordView::AcceptedV1(_) | RecordView::CheckpointV1(_) => {}
+            RecordView::Accepted(accepted) => self.accept(&accepted, location),
+            RecordView::Checkpoint(checkpoint) => self.restore_checkpoint(checkpoint, location),
+            RecordView::AttemptStarted { id, no, endpoint, at } => {
+                let endpoint = self.intern(endpoint);
+                match self.pending.get_mut(&message_id(id)) {
+                    Some(message) => message.start_attempt(no as usize, endpoint, at),
+                    None => self.add_orphan(message_id(id)),
+                }
+            }
+            RecordView::AttemptFinished { id, no, proves_not_executed } => {
+                match self.pending.get_mut(&message_id(id)) {
+                    Some(message) => message.finish_attempt(no as usize, proves_not_executed),
+                    None => self.add_orphan(message_id(id)),
+                }
+            }
+            RecordView::Finished { id, notice } => self.finish(message_id(id), notice, location),
+            RecordView::NoticeAcknowledged { id } => self.acknowledge(&message_id(id)),
         }
-        let name: Arc<str> = Arc::from(name);
-        self.names.insert(name.clone());
-        name
     }
 
-    fn bury(&mut self, spot: RecordLocation) {
-        if let Some(live) = self.live.get_mut(&spot.segment) {
-            live.remove(&spot.offset);
-            if live.is_empty() {
-                self.live.remove(&spot.segment);
-            }
-        }
+    fn accept(&mut self, accepted: &AcceptedView, location: RecordLocation) {
+        self.last_position += 1;
+        let message = self.pending_message(accepted, self.last_position, location);
+        self.insert(message);
+    }
+
+    fn restore_checkpoint(&mut self, checkpoint: CheckpointView<AcceptedView>, location: RecordLocation) {
+        self.last_position = self.last_position.max(checkpoint.position);
+        let mut message = self.pending_message(&checkpoint.accepted, checkpoint.position, location);
+        message.attempts = checkpoint.attempts;
+        message.records_lost = checkpoint.records_lost;
+        self.insert(message);
     }
 
-    fn enter(
+    /// A message without attempts.
+    fn pending_message(
         &mut self,
         accepted: &AcceptedView,
-        attempts: Vec<AttemptStarted>,
-        lost: bool,
-        place: u64,
-        spot: RecordLocation,
-    ) {
-        let size = record::size(accepted);
-        let accepted = &accepted.plain;
-        let id = MessageId(Arc::from(accepted.id));
-        let entry = PendingMessage {
-            id: id.clone(),
-            class: self.name(accepted.class),
-            tenant: accepted.tenant.map(|t| self.name(t)),
-            key: accepted.key,
-            destination: accepted.destination,
-            deadline: accepted.deadline,
-            attempts,
-            lost,
-            size,
-            place,
-            spot,
-        };
-        self.pending_bytes += size;
-        self.live.entry(spot.segment).or_default().insert(spot.offset, id.clone());
+        position: u64,
+        location: RecordLocation,
+    ) -> PendingMessage {
+        let fields = &accepted.fields;
+        PendingMessage {
+            id: MessageId(Arc::from(fields.id)),
+            class: self.intern(fields.class),
+            tenant: fields.tenant.map(|tenant| self.intern(tenant)),
+            key: fields.key,
+            destination: fields.destination,
+            deadline: fields.deadline,
+            attempts: Vec::new(),
+            records_lost: false,
+            size: accepted.reserved_bytes(),
+            position,
+            location,
+        }
+    }
+
+    fn insert(&mut self, message: PendingMessage) {
+        let id = message.id.clone();
+        self.pending_bytes += message.size;
+        self.live_records.insert(message.location, id.clone());
         self.orphans.remove(&id);
-        if let Some(old) = self.pending.insert(id, Box::new(entry)) {
-            self.pending_bytes = self.pending_bytes.saturating_sub(old.size);
-            self.bury(old.spot);
+        if let Some(replaced) = self.pending.insert(id, Box::new(message)) {
+            self.pending_bytes = self.pending_bytes.saturating_sub(replaced.size);
+            self.live_records.remove(replaced.location);
         }
     }
 
-    fn orphan(&mut self, id: MessageId) {
-        if self.orphans.len() < NAMED {
+    fn finish(&mut self, id: MessageId, notice: Option<FinalAnswer>, location: RecordLocation) {
+        self.orphans.remove(&id);
+        if let Some(message) = self.pending.remove(&id) {
+            self.pending_bytes = self.pending_bytes.saturating_sub(message.size);
+            self.live_records.remove(message.location);
+        }
+        let Some(end) = notice else { return };
+        self.live_records.insert(location, id.clone());
+        match self.notices.insert(id, UnacknowledgedNotice { end, location }) {
+            Some(replaced) => self.live_records.remove(replaced.location),
+            None => self.pending_bytes += NOTICE_RESERVED_BYTES,
+        }
+    }
+
+    fn acknowledge(&mut self, id: &MessageId) {
+        let Some(notice) = self.notices.remove(id) else { return };
+        self.pending_bytes = self.pending_bytes.saturating_sub(NOTICE_RESERVED_BYTES);
+        self.live_records.remove(notice.location);
+    }
+
+    fn add_orphan(&mut self, id: MessageId) {
+        if self.orphans.len() < MAX_LISTED_ORPHANS {
             self.orphans.insert(id);
         } else {
-            self.orphans_more += 1;
+            self.unlisted_orphans += 1;
         }
     }
 
-    pub(crate) fn apply(&mut self, record: View, spot: RecordLocation) {
-        let of = |id: &str| MessageId(Arc::from(id));
-        match record {
-            // Read as those of now.
-            View::AcceptedV1(_) | View::CheckpointV1(_) => {}
-            View::Accepted(accepted) => {
-                self.places += 1;
-                self.enter(&accepted, Vec::new(), false, self.places, spot);
-            }
-            View::Checkpoint(carried) => {
-                self.places = self.places.max(carried.place);
-                self.enter(&carried.accepted, carried.attempts, carried.lost, carried.place, spot);
-            }
-            View::AttemptStarted { id, no, endpoint, at } => {
-                let endpoint = self.name(endpoint);
-                let Some(message) = self.pending.get_mut(&of(id)) else {
-                    return self.orphan(of(id));
-                };
-                let (known, no) = (message.attempts.len(), no as usize);
-                // Numbers follow each other, and a gap would be an attempt that is not known of.
-                let unknown = AttemptStarted { endpoint: Arc::from(""), at: 0, ended: None };
-                message.attempts.resize(known.max(no), unknown);
-                if no >= known {
-                    message.attempts.push(AttemptStarted { endpoint, at, ended: None });
-                    // This one's number says that none before it is missing but those filled in.
-                    message.lost = false;
-                }
-            }
-            View::AttemptFinished { id, no, proves_not_executed } => match self.pending.get_mut(&of(id)) {
-                Some(message) => {
-                    if let Some(started) = message.attempts.get_mut(no as usize) {
-                        started.ended = Some(proves_not_executed);
-                    } else {
-                        message.lost = true;
-                    }
-                }
-                None => self.orphan(of(id)),
-            },
-            View::Finished { id, notice } => {
-                let id = of(id);
-                self.orphans.remove(&id);
-                if let Some(message) = self.pending.remove(&id) {
-                    self.pending_bytes = self.pending_bytes.saturating_sub(message.size);
-                    self.bury(message.spot);
-                }
-                if let Some(end) = notice {
-                    self.live.entry(spot.segment).or_default().insert(spot.offset, id.clone());
-                    match self.unacknowledged_notices.insert(id, Untold { end, spot }) {
-                        Some(old) => self.bury(old.spot),
-                        None => self.pending_bytes += UNTOLD,
-                    }
-                }
-            }
-            View::NoticeAcknowledged { id } => {
-                if let Some(unacknowledged_notices) = self.unacknowledged_notices.remove(&of(id)) {
-                    self.pending_bytes = self.pending_bytes.saturating_sub(UNTOLD);
-                    self.bury(unacknowledged_notices.spot);
-                }
-            }
+    /// The one shared copy of a name.
+    fn intern(&mut self, name: &str) -> Arc<str> {
+        if let Some(known) = self.names.get(name) {
+            return known.clone();
         }
+        let name: Arc<str> = Arc::from(name);
+        self.names.insert(name.clone());
+        name
     }
 }
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,272 +1,169 @@
-//! One record of the write-ahead log, and the frame that it stands in.
+//! The records of the write-ahead log, as the forwarder hands them over.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
-use serde::{Deserialize, Serialize, Serializer};
+use serde::{Deserialize, Serialize};
 
-/// What is written down of a message before its client hears that it was accepted.
+/// A message as it is stored before its client is answered 202.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Accepted {
+    /// The id that the client gave the message.
     pub id: String,
+    /// The message class in the settings.
     pub class: String,
+    /// The tenant whose quota the message counts against, if it has one.
     pub tenant: Option<String>,
+    /// The ordering key, if the message is delivered in order.
     pub key: Option<u64>,
+    /// The destination's id.
     pub destination: u64,
     /// Microseconds of Unix time.
     pub deadline: u64,
+    /// The message's body.
     pub body: Bytes,
-    /// The mark by which its destination knows a repeat, where its client gave one.
+    /// The key by which the destination recognizes a repeat, where the client gave one.
     pub idempotency_key: Option<String>,
 }
 
+/// One record of the write-ahead log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
+    /// A message was accepted.
     Accepted(Accepted),
-    /// Written before the first byte of an attempt.
+    /// An attempt starts. Written before its first byte is sent.
     AttemptStarted {
+        /// The message's id.
         id: String,
+        /// The attempt's number among those of the message, from 0.
         no: u32,
+        /// The endpoint's name in the endpoint list.
         endpoint: String,
+        /// Microseconds of Unix time.
         at: u64,
     },
-    /// An attempt has ended, and its message has not.
+    /// An attempt has finished, and its message has not.
     AttemptFinished {
+        /// The message's id.
         id: String,
+        /// The attempt's number.
         no: u32,
+        /// Whether the way in which it finished proves that the destination never executed it.
         proves_not_executed: bool,
     },
-    /// A message is over; where it was not delivered, the platform is to be told.
+    /// A message is finished.
     Finished {
+        /// The message's id.
         id: String,
+        /// How it ended, where it was not delivered and the platform is to be notified.
         notice: Option<FinalAnswer>,
     },
-    /// The platform has been told.
+    /// The platform has acknowledged the notice about a message.
     NoticeAcknowledged {
+        /// The message's id.
         id: String,
     },
-    /// A message that is owed, with all that is known of it, copied from a segment that is being emptied. It
-    /// stands for everything about this message before it.
+    /// A pending message, copied by compaction.
     Checkpoint(Checkpoint),
 }
 
+/// A pending message with all that is known of it, copied from a segment that is being compacted. It replaces
+/// every record about this message before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Checkpoint {
+    /// The message as it was accepted.
     pub accepted: Accepted,
-    /// Its place among all that were accepted.
-    pub place: u64,
+    /// Its position among all accepted messages; pending messages are listed in this order.
+    pub position: u64,
+    /// Its attempts so far, in the order of their numbers.
     pub attempts: Vec<AttemptStarted>,
-    /// Records of its attempts may have been lost.
-    pub lost: bool,
+    /// Whether records of its attempts may have been lost to corruption.
+    pub records_lost: bool,
 }
 
-/// An attempt that was begun.
+/// An attempt that was started, as the index and checkpoints keep it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptStarted {
-    /// The endpoint's name in the list, which outlasts a process; empty where that was lost.
-    #[serde(with = "text")]
+    /// The endpoint's name in the endpoint list, which stays valid across restarts; empty where it was lost.
+    #[serde(with = "shared_str")]
     pub endpoint: Arc<str>,
-    /// Microseconds of Unix time; 0 where that was lost.
+    /// Microseconds of Unix time; 0 where it was lost.
     pub at: u64,
-    /// Known to have ended, and whether that proves that it never ran.
-    pub ended: Option<bool>,
+    /// What is known of its end.
+    pub state: AttemptState,
 }
 
-/// The bytes in the frame that begins here, if it is whole and undamaged.
-pub fn value(bytes: &[u8]) -> Option<&[u8]> {
-    let (length, sum) = head(bytes)?;
-    let value = bytes.get(FRAME..FRAME + length)?;
-    (crc32fast::hash(value) == sum).then_some(value)
-}
-
-/// A record as it stands in a file, borrowed from what was read: a start reads millions of them. Its place in
-/// this list is its number there.
-#[derive(Debug, Serialize, Deserialize)]
-pub enum View<'a> {
-    /// The two of version 1, which are read and not written: none of their messages had an idempotency key.
-    #[serde(borrow)]
-    AcceptedV1(AcceptedFieldsView<'a>),
-    AttemptStarted {
-        id: &'a str,
-        no: u32,
-        endpoint: &'a str,
-        at: u64,
-    },
-    AttemptFinished {
-        id: &'a str,
-        no: u32,
-        proves_not_executed: bool,
-    },
-    Finished {
-        id: &'a str,
-        notice: Option<FinalAnswer>,
-    },
-    NoticeAcknowledged {
-        id: &'a str,
-    },
-    CheckpointV1(CheckpointView<AcceptedFieldsView<'a>>),
-    Accepted(AcceptedView<'a>),
-    Checkpoint(CheckpointView<AcceptedView<'a>>),
-}
-
-#[derive(Debug, Serialize, Deserialize)]
-pub struct AcceptedFieldsView<'a> {
-    pub id: &'a str,
-    pub class: &'a str,
-    pub tenant: Option<&'a str>,
-    pub key: Option<u64>,
-    pub destination: u64,
-    pub deadline: u64,
-    #[serde(serialize_with = "bytes")]
-    pub body: &'a [u8],
-}
-
-#[derive(Debug, Serialize, Deserialize)]
-pub struct AcceptedView<'a> {
-    #[serde(borrow)]
-    pub plain: AcceptedFieldsView<'a>,
-    pub idempotency_key: Option<&'a str>,
-}
+impl AttemptStarted {
+    /// An attempt of which no end is known.
+    pub(crate) fn in_flight(endpoint: Arc<str>, at: u64) -> AttemptStarted {
+        AttemptStarted { endpoint, at, state: AttemptState::InFlight }
+    }
 
-#[derive(Debug, Serialize, Deserialize)]
-pub struct CheckpointView<T> {
-    pub accepted: T,
-    pub place: u64,
-    pub attempts: Vec<AttemptStarted>,
-    pub lost: bool,
+    /// An attempt whose own record was lost; a later number shows that it existed.
+    pub(crate) fn unknown() -> AttemptStarted {
+        AttemptStarted::in_flight(Arc::from(""), 0)
+    }
 }
 
-/// At once, and not byte by byte.
-fn bytes<S: Serializer>(body: &[u8], to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_bytes(body)
-}
+/// What is known of an attempt's end.
+///
+/// On disk this is an `Option<bool>`: none while in flight, otherwise whether non-execution is proven.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "Option<bool>", into = "Option<bool>")]
+pub enum AttemptState {
+    /// No end was recorded. After a restart such an attempt counts as possibly executed.
+    InFlight,
+    /// It finished, and the destination may have executed it.
+    PossiblyExecuted,
+    /// It finished in a way that proves that the destination never executed it.
+    NotExecuted,
+}
+
+impl AttemptState {
+    /// Whether an end was recorded.
+    pub fn is_finished(self) -> bool {
+        self != AttemptState::InFlight
+    }
 
-impl<'a> View<'a> {
-    /// What stands here, whichever version wrote it; none where it makes no sense.
-    pub fn read(bytes: &'a [u8]) -> Option<View<'a>> {
-        let without = |plain| AcceptedView { plain, idempotency_key: None };
-        Some(match postcard::from_bytes(bytes).ok()? {
-            View::AcceptedV1(plain) => View::Accepted(without(plain)),
-            View::CheckpointV1(CheckpointView { accepted, place, attempts, lost }) => {
-                View::Checkpoint(CheckpointView { accepted: without(accepted), place, attempts, lost })
-            }
-            written_now => written_now,
-        })
+    /// Whether it is proven that the destination never executed the attempt.
+    pub fn proves_not_executed(self) -> bool {
+        self == AttemptState::NotExecuted
     }
 
-    /// The message that was accepted here.
-    pub fn accepted(&self) -> Option<Accepted> {
-        let (View::Accepted(accepted) | View::Checkpoint(CheckpointView { accepted, .. })) = self else {
-            return None;
-        };
-        let AcceptedFieldsView { id, class, tenant, key, destination, deadline, body } = accepted.plain;
-        Some(Accepted {
-            id: id.into(),
-            class: class.into(),
-            tenant: tenant.map(str::to_owned),
-            key,
-            destination,
-            deadline,
-            body: Bytes::copy_from_slice(body),
-            idempotency_key: accepted.idempotency_key.map(str::to_owned),
-        })
+    /// The state of an attempt that finished.
+    pub(crate) fn finished(proves_not_executed: bool) -> AttemptState {
+        if proves_not_executed {
+            AttemptState::NotExecuted
+        } else {
+            AttemptState::PossiblyExecuted
+        }
     }
 }
 
-impl Accepted {
-    pub(crate) fn view(&self) -> AcceptedView<'_> {
-        AcceptedView {
-            plain: AcceptedFieldsView {
-                id: &self.id,
-                class: &self.class,
-                tenant: self.tenant.as_deref(),
-                key: self.key,
-                destination: self.destination,
-                deadline: self.deadline,
-                body: &self.body,
-            },
-            idempotency_key: self.idempotency_key.as_deref(),
-        }
+impl From<Option<bool>> for AttemptState {
+    fn from(stored: Option<bool>) -> AttemptState {
+        stored.map_or(AttemptState::InFlight, AttemptState::finished)
     }
 }
 
-impl Record {
-    pub(crate) fn view(&self) -> View<'_> {
-        match self {
-            Record::Accepted(accepted) => View::Accepted(accepted.view()),
-            Record::AttemptStarted { id, no, endpoint, at } => {
-                View::AttemptStarted { id, no: *no, endpoint, at: *at }
-            }
-            Record::AttemptFinished { id, no, proves_not_executed } => {
-                View::AttemptFinished { id, no: *no, proves_not_executed: *proves_not_executed }
-            }
-            Record::Finished { id, notice } => View::Finished { id, notice: *notice },
-            Record::NoticeAcknowledged { id } => View::NoticeAcknowledged { id },
-            Record::Checkpoint(c) => View::Checkpoint(CheckpointView {
-                accepted: c.accepted.view(),
-                place: c.place,
-                attempts: c.attempts.clone(),
-                lost: c.lost,
-            }),
-        }
+impl From<AttemptState> for Option<bool> {
+    fn from(state: AttemptState) -> Option<bool> {
+        state.is_finished().then(|| state.proves_not_executed())
     }
 }
 
-mod text {
+/// Serde for an `Arc<str>` as a plain string.
+mod shared_str {
     use std::sync::Arc;
 
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(text: &Arc<str>, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(text)
-    }
-
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Arc<str>, D::Error> {
-        String::deserialize(from).map(Arc::from)
+    pub fn serialize<S: Serializer>(text: &Arc<str>, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(text)
     }
-}
-
-/// Bytes of a frame before its record: a marker by which the next one is found behind damage, the record's
-/// length and checksum, and a checksum of these, so that a damaged length is told from a torn record.
-pub const FRAME: usize = 14;
-const MARKER: [u8; 2] = [0xd7, 0x5e];
-/// A body, and more attempts than any message gets.
-pub const LONGEST: usize = 16 * 1024 * 1024;
 
-/// Puts any value in a frame behind what is there.
-pub fn frame<T: Serialize>(to: &mut Vec<u8>, value: &T) {
-    let start = to.len();
-    to.extend([0; FRAME]);
-    if let Err(e) = postcard::to_io(value, &mut *to) {
-        // Memory takes whatever is written to it.
-        tracing::error!(%e, "a record could not be put in bytes");
-        return to.truncate(start);
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<str>, D::Error> {
+        String::deserialize(deserializer).map(Arc::from)
     }
-    let length = (to.len() - start - FRAME) as u32;
-    let sum = crc32fast::hash(&to[start + FRAME..]);
-    to[start..start + 2].copy_from_slice(&MARKER);
-    to[start + 2..start + 6].copy_from_slice(&length.to_le_bytes());
-    to[start + 6..start + 10].copy_from_slice(&sum.to_le_bytes());
-    let own = crc32fast::hash(&to[start..start + 10]);
-    to[start + 10..start + FRAME].copy_from_slice(&own.to_le_bytes());
-}
-
-/// Length and checksum of the record that a frame announces; none where this is no whole frame's head.
-pub fn head(bytes: &[u8]) -> Option<(usize, u32)> {
-    let head = bytes.get(..FRAME)?;
-    let word = |at: usize| Some(u32::from_le_bytes(head.get(at..at + 4)?.try_into().ok()?));
-    let (length, sum, own) = (word(2)? as usize, word(6)?, word(10)?);
-    let sound = head[..2] == MARKER && crc32fast::hash(&head[..10]) == own;
-    (sound && 0 < length && length <= LONGEST).then_some((length, sum))
-}
-
-/// What a message takes up until it is over: itself, and some attempts with their ends.
-pub fn size(accepted: &AcceptedView) -> u64 {
-    const DISPATCHES: u64 = 512;
-    let AcceptedView { plain, idempotency_key } = accepted;
-    let text = plain.id.len()
-        + plain.class.len()
-        + [plain.tenant, *idempotency_key].map(|t| t.map_or(0, str::len)).iter().sum::<usize>();
-    (text + plain.body.len()) as u64 + DISPATCHES
 }
--- /dev/null
+++ b/crates/wal/src/record_view.rs
@@ -0,0 +1,175 @@
+//! Records as they are encoded on disk, borrowed from the bytes that were read: a start reads millions of them.
+
+use bytes::Bytes;
+use reeddock_protocol::FinalAnswer;
+use serde::{Deserialize, Serialize, Serializer};
+
+use crate::record::{Accepted, AttemptStarted, Record};
+
+/// Disk space that is set aside for the attempts of one pending message and their ends, in bytes.
+const ATTEMPTS_RESERVED_BYTES: u64 = 512;
+
+/// One record as postcard encodes it.
+///
+/// A variant's position in this list is its number on disk: variants are never reordered or removed.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) enum RecordView<'a> {
+    /// Version 1, without an idempotency key: read, and not written any more.
+    #[serde(borrow)]
+    AcceptedV1(AcceptedFieldsView<'a>),
+    AttemptStarted {
+        id: &'a str,
+        no: u32,
+        endpoint: &'a str,
+        at: u64,
+    },
+    AttemptFinished {
+        id: &'a str,
+        no: u32,
+        proves_not_executed: bool,
+    },
+    Finished {
+        id: &'a str,
+        notice: Option<FinalAnswer>,
+    },
+    NoticeAcknowledged {
+        id: &'a str,
+    },
+    /// Version 1, without an idempotency key: read, and not written any more.
+    CheckpointV1(CheckpointView<AcceptedFieldsView<'a>>),
+    Accepted(AcceptedView<'a>),
+    Checkpoint(CheckpointView<AcceptedView<'a>>),
+}
+
+/// The fields of a message that both versions have. The order of the fields is their order on disk.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct AcceptedFieldsView<'a> {
+    pub id: &'a str,
+    pub class: &'a str,
+    pub tenant: Option<&'a str>,
+    pub key: Option<u64>,
+    pub destination: u64,
+    pub deadline: u64,
+    #[serde(serialize_with = "serialize_bytes")]
+    pub body: &'a [u8],
+}
+
+/// A message as version 2 writes it.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct AcceptedView<'a> {
+    #[serde(borrow)]
+    pub fields: AcceptedFieldsView<'a>,
+    pub idempotency_key: Option<&'a str>,
+}
+
+/// A checkpoint, with the message as one of the versions writes it.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct CheckpointView<T> {
+    pub accepted: T,
+    pub position: u64,
+    pub attempts: Vec<AttemptStarted>,
+    pub records_lost: bool,
+}
+
+/// Writes the body in one piece; serde's default for slices goes byte by byte.
+fn serialize_bytes<S: Serializer>(body: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.serialize_bytes(body)
+}
+
+impl<'a> RecordView<'a> {
+    /// Decodes a record of any version, records of version 1 as the ones of today; `None` where the bytes are
+    /// no record.
+    pub fn decode(bytes: &'a [u8]) -> Option<RecordView<'a>> {
+        Some(match postcard::from_bytes(bytes).ok()? {
+            RecordView::AcceptedV1(fields) => RecordView::Accepted(fields.without_idempotency_key()),
+            RecordView::CheckpointV1(checkpoint) => RecordView::Checkpoint(CheckpointView {
+                accepted: checkpoint.accepted.without_idempotency_key(),
+                position: checkpoint.position,
+                attempts: checkpoint.attempts,
+                records_lost: checkpoint.records_lost,
+            }),
+            current => current,
+        })
+    }
+
+    /// The message that this record carries, if it carries one.
+    pub fn accepted(&self) -> Option<Accepted> {
+        match self {
+            RecordView::Accepted(accepted) => Some(accepted.to_owned()),
+            RecordView::Checkpoint(checkpoint) => Some(checkpoint.accepted.to_owned()),
+            _ => None,
+        }
+    }
+}
+
+impl<'a> AcceptedFieldsView<'a> {
+    fn without_idempotency_key(self) -> AcceptedView<'a> {
+        AcceptedView { fields: self, idempotency_key: None }
+    }
+}
+
+impl AcceptedView<'_> {
+    /// Disk space that a message needs until it is finished: itself, and some attempts with their ends, in bytes.
+    pub fn reserved_bytes(&self) -> u64 {
+        let fields = &self.fields;
+        let optional = |text: Option<&str>| text.map_or(0, str::len);
+        let text =
+            fields.id.len() + fields.class.len() + optional(fields.tenant) + optional(self.idempotency_key);
+        (text + fields.body.len()) as u64 + ATTEMPTS_RESERVED_BYTES
+    }
+
+    fn to_owned(&self) -> Accepted {
+        let fields = &self.fields;
+        Accepted {
+            id: fields.id.to_owned(),
+            class: fields.class.to_owned(),
+            tenant: fields.tenant.map(str::to_owned),
+            key: fields.key,
+            destination: fields.destination,
+            deadline: fields.deadline,
+            body: Bytes::copy_from_slice(fields.body),
+            idempotency_key: self.idempotency_key.map(str::to_owned),
+        }
+    }
+}
+
+impl Accepted {
+    /// The message as it is encoded.
+    pub(crate) fn view(&self) -> AcceptedView<'_> {
+        AcceptedView {
+            fields: AcceptedFieldsView {
+                id: &self.id,
+                class: &self.class,
+                tenant: self.tenant.as_deref(),
+                key: self.key,
+                destination: self.destination,
+                deadline: self.deadline,
+                body: &self.body,
+            },
+            idempotency_key: self.idempotency_key.as_deref(),
+        }
+    }
+}
+
+impl Record {
+    /// The record as it is encoded.
+    pub(crate) fn view(&self) -> RecordView<'_> {
+        match self {
+            Record::Accepted(accepted) => RecordView::Accepted(accepted.view()),
+            Record::AttemptStarted { id, no, endpoint, at } => {
+                RecordView::AttemptStarted { id, no: *no, endpoint, at: *at }
+            }
+            Record::AttemptFinished { id, no, proves_not_executed } => {
+                RecordView::AttemptFinished { id, no: *no, proves_not_executed: *proves_not_executed }
+            }
+            Record::Finished { id, notice } => RecordView::Finished { id, notice: *notice },
+            Record::NoticeAcknowledged { id } => RecordView::NoticeAcknowledged { id },
+            Record::Checkpoint(checkpoint) => RecordView::Checkpoint(CheckpointView {
+                accepted: checkpoint.accepted.view(),
+                position: checkpoint.position,
+                attempts: checkpoint.attempts.clone(),
+                records_lost: checkpoint.records_lost,
+            }),
+        }
+    }
+}
--- /dev/null
+++ b/crates/wal/src/recovery.rs
@@ -0,0 +1,190 @@
+//! Reads all that a folder holds, without changing anything.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::io::Read;
+
+use crate::error::WalError;
+use crate::live_records::RecordLocation;
+use crate::manifest::{self, StoredManifest, MANIFEST_FILE};
+use crate::pending_index::PendingIndex;
+use crate::segment::{self, SegmentHeader, SEGMENT_HEADER_BYTES, VERSION};
+use crate::segment_scan::{ScanItem, SegmentScan};
+use crate::single_file;
+use crate::storage::Storage;
+use crate::verification::{Corruption, VerificationReport};
+
+/// Missing segments that are reported one by one in one gap of the numbers.
+const MAX_REPORTED_GAP: u64 = 1000;
+
+/// All that a folder holds.
+pub(crate) struct RecoveredState {
+    /// The index as the records leave it.
+    pub index: PendingIndex,
+    /// What was read, and what could not be.
+    pub verification: VerificationReport,
+    /// Segments that count, with their lengths in bytes.
+    pub segments: BTreeMap<u64, u64>,
+    /// Segments with a part that can't be read.
+    pub corrupt_segments: BTreeSet<u64>,
+    /// Where the torn write at the end of the last segment starts.
+    pub torn_at: Option<u64>,
+    /// Segments that were compacted and not removed yet, or that a migration left unfinished.
+    pub superseded_segments: Vec<u64>,
+    /// The number of the first segment that counts.
+    pub first_segment: u64,
+    /// The bytes of the oldest format's single file, where that is what counts.
+    pub single_file: Option<Vec<u8>>,
+    /// Whether there is a manifest, readable or not.
+    pub has_manifest: bool,
+    /// Whether the last segment is of an older version.
+    pub last_segment_is_older: bool,
+}
+
+/// Reads a folder.
+///
+/// # Errors
+///
+/// [`WalError::UnsupportedVersion`] where any part of it is of a later version: then nothing of it is used.
+pub(crate) fn read(storage: &dyn Storage) -> Result<RecoveredState, WalError> {
+    let files = storage.files()?;
+    let manifest = manifest::read(storage, &files)?;
+    let sizes = files.iter().filter_map(|(name, size)| Some((segment::number_in(name)?, *size)));
+    let mut state = RecoveredState::new(sizes.collect(), manifest);
+    check_versions(storage, &state.segments)?;
+    if matches!(manifest, StoredManifest::Missing) && files.contains_key(single_file::FILE_NAME) {
+        state.read_single_file(storage)?;
+        return Ok(state);
+    }
+    let manifest_bytes = files.get(MANIFEST_FILE).copied().unwrap_or_default();
+    state.select_segments(manifest, manifest_bytes);
+    state.read_segments(storage)?;
+    Ok(state)
+}
+
+/// Refuses a folder of which any segment is of a later version.
+fn check_versions(storage: &dyn Storage, segments: &BTreeMap<u64, u64>) -> Result<(), WalError> {
+    for number in segments.keys() {
+        let file = segment::file_name(*number);
+        let (_, header) = SegmentScan::start(storage.reader(&file)?, *number)?;
+        if let SegmentHeader::Unsupported { version } = header {
+            return Err(WalError::UnsupportedVersion { file, found: version, newest: VERSION });
+        }
+    }
+    Ok(())
+}
+
+impl RecoveredState {
+    fn new(segments: BTreeMap<u64, u64>, manifest: StoredManifest) -> RecoveredState {
+        RecoveredState {
+            index: PendingIndex::default(),
+            verification: VerificationReport::default(),
+            segments,
+            corrupt_segments: BTreeSet::new(),
+            torn_at: None,
+            superseded_segments: Vec::new(),
+            first_segment: 1,
+            single_file: None,
+            has_manifest: !matches!(manifest, StoredManifest::Missing),
+            last_segment_is_older: false,
+        }
+    }
+
+    /// Reads the oldest format. Segments beside it are of a migration that did not come to its end.
+    fn read_single_file(&mut self, storage: &dyn Storage) -> Result<(), WalError> {
+        self.superseded_segments = std::mem::take(&mut self.segments).into_keys().collect();
+        let mut bytes = Vec::new();
+        storage.reader(single_file::FILE_NAME)?.read_to_end(&mut bytes)?;
+        for corruption in single_file::read(&bytes, &mut self.index) {
+            self.verification.add(corruption);
+        }
+        self.verification.bytes = bytes.len() as u64;
+        self.single_file = Some(bytes);
+        Ok(())
+    }
+
+    /// Finds the first segment that counts, and sets those before it apart.
+    fn select_segments(&mut self, manifest: StoredManifest, manifest_bytes: u64) {
+        let lowest = self.segments.keys().next().copied();
+        self.first_segment = match manifest {
+            StoredManifest::Valid(manifest) => manifest.first_segment,
+            StoredManifest::Missing if lowest.is_none() => 1,
+            StoredManifest::Missing | StoredManifest::Corrupt => {
+                self.verification.add(Corruption::new(MANIFEST_FILE, 0, manifest_bytes));
+                lowest.unwrap_or(1)
+            }
+        };
+        let counted = self.segments.split_off(&self.first_segment);
+        let superseded = std::mem::replace(&mut self.segments, counted);
+        self.superseded_segments = superseded.into_keys().collect();
+        if self.segments.is_empty() && self.first_segment > 1 {
+            // The last segment is never dropped, so that there must have been one.
+            self.verification.add(Corruption::missing(&segment::file_name(self.first_segment)));
+        }
+    }
+
+    fn read_segments(&mut self, storage: &dyn Storage) -> Result<(), WalError> {
+        let last = self.segments.keys().next_back().copied();
+        let mut expected = self.first_segment;
+        for (number, size) in self.segments.clone() {
+            for missing in expected..number.min(expected + MAX_REPORTED_GAP) {
+                self.verification.add(Corruption::missing(&segment::file_name(missing)));
+                self.index.mark_records_lost();
+            }
+            expected = number + 1;
+            self.verification.segments += 1;
+            self.verification.bytes += size;
+            self.read_segment(storage, number, Some(number) == last)?;
+        }
+        Ok(())
+    }
+
+    fn read_segment(&mut self, storage: &dyn Storage, number: u64, is_last: bool) -> Result<(), WalError> {
+        let file = segment::file_name(number);
+        let (mut scan, header) = SegmentScan::start(storage.reader(&file)?, number)?;
+        match header {
+            SegmentHeader::Incomplete if is_last => {
+                // It was created, and torn before any record was written to it.
+                self.verification.torn_bytes += self.segments.get(&number).copied().unwrap_or_default();
+                self.torn_at = Some(0);
+                return Ok(());
+            }
+            SegmentHeader::Incomplete | SegmentHeader::Corrupt => {
+                self.add_corruption(number, Corruption::new(&file, 0, SEGMENT_HEADER_BYTES as u64));
+            }
+            // Nothing is appended to an older version's segment: its program would take the new records for
+            // corruption.
+            SegmentHeader::Supported { version } if is_last => self.last_segment_is_older = version < VERSION,
+            SegmentHeader::Supported { .. } | SegmentHeader::Unsupported { .. } => {}
+        }
+        loop {
+            match scan.next_item()? {
+                ScanItem::Record { offset, length } => {
+                    self.verification.records += 1;
+                    let location = RecordLocation { segment: number, offset, length };
+                    match scan.record() {
+                        Some(record) => self.index.apply(record, location),
+                        None => self.add_corruption(number, Corruption::new(&file, offset, length as u64)),
+                    }
+                }
+                ScanItem::Corrupt { offset, bytes, hint } => {
+                    self.add_corruption(number, Corruption::new(&file, offset, bytes).with_hint(hint));
+                }
+                ScanItem::Torn { offset, bytes } if is_last => {
+                    self.verification.torn_bytes += bytes;
+                    self.torn_at = Some(offset);
+                }
+                ScanItem::Torn { offset, bytes } => {
+                    self.add_corruption(number, Corruption::new(&file, offset, bytes));
+                }
+                ScanItem::End => return Ok(()),
+            }
+        }
+    }
+
+    /// Records of any message that is pending at this place may be among what is lost.
+    fn add_corruption(&mut self, segment: u64, corruption: Corruption) {
+        self.verification.add(corruption);
+        self.index.mark_records_lost();
+        self.corrupt_segments.insert(segment);
+    }
+}
--- /dev/null
+++ b/crates/wal/src/single_file.rs
@@ -0,0 +1,63 @@
+//! The oldest format: a single file of frames, each with length and checksum, and no header. It is read once, at
+//! the first start of a program that writes segments.
+
+use crate::live_records::RecordLocation;
+use crate::pending_index::PendingIndex;
+use crate::record::Accepted;
+use crate::record_view::RecordView;
+use crate::verification::Corruption;
+
+/// The name of the single file.
+pub(crate) const FILE_NAME: &str = "ledger";
+/// Bytes of a frame before its record: length and checksum.
+const FRAME_HEADER_BYTES: usize = 8;
+/// The longest record that is believed: a body of 64 KiB and its names are far shorter.
+const MAX_RECORD_BYTES: usize = 1 << 20;
+
+/// The record that starts here, and the length of its frame in bytes.
+struct WholeFrame<'a> {
+    record: RecordView<'a>,
+    length: usize,
+}
+
+/// The frame that starts here, if it is whole and its record can be decoded.
+fn parse_frame(bytes: &[u8]) -> Option<WholeFrame<'_>> {
+    let header = bytes.get(..FRAME_HEADER_BYTES)?;
+    let record_bytes = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+    let checksum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
+    if record_bytes == 0 || record_bytes > MAX_RECORD_BYTES {
+        return None;
+    }
+    let length = FRAME_HEADER_BYTES + record_bytes;
+    let record = bytes.get(FRAME_HEADER_BYTES..length)?;
+    if crc32fast::hash(record) != checksum {
+        return None;
+    }
+    Some(WholeFrame { record: RecordView::decode(record)?, length })
+}
+
+/// Applies all records of the file to the index, and gives the parts that can't be read.
+pub(crate) fn read(bytes: &[u8], index: &mut PendingIndex) -> Vec<Corruption> {
+    let mut corruptions = Vec::new();
+    let mut position = 0;
+    while position < bytes.len() {
+        if let Some(WholeFrame { record, length }) = parse_frame(&bytes[position..]) {
+            index.apply(record, RecordLocation { segment: 0, offset: position as u64, length });
+            position += length;
+            continue;
+        }
+        let start = position;
+        while position < bytes.len() && parse_frame(&bytes[position..]).is_none() {
+            position += 1;
+        }
+        // The length has no checksum in this format, so that a torn end can't be told from a corrupt one.
+        index.mark_records_lost();
+        corruptions.push(Corruption::new(FILE_NAME, start as u64, (position - start) as u64));
+    }
+    corruptions
+}
+
+/// The message whose record stands at this location.
+pub(crate) fn read_accepted(bytes: &[u8], location: RecordLocation) -> Option<Accepted> {
+    parse_frame(bytes.get(location.offset as usize..)?)?.record.accepted()
+}
--- /dev/null
+++ b/crates/wal/tests/support/mod.rs
@@ -0,0 +1,28 @@
+//! Records that all test programs write.
+
+use bytes::Bytes;
+use reeddock_wal::{Accepted, Record};
+
+/// A message with all optional fields; its body repeats its id up to so many bytes.
+pub fn accepted(id: &str, body_bytes: usize) -> Record {
+    Record::Accepted(Accepted {
+        id: id.into(),
+        class: "order".into(),
+        tenant: Some("t".into()),
+        key: Some(9),
+        destination: 3,
+        deadline: 77,
+        body: Bytes::from(id.as_bytes().iter().copied().cycle().take(body_bytes).collect::<Vec<u8>>()),
+        idempotency_key: Some(format!("key of {id}")),
+    })
+}
+
+/// The start of an attempt, at an endpoint named by its number.
+pub fn started(id: &str, no: u32) -> Record {
+    Record::AttemptStarted { id: id.into(), no, endpoint: format!("t{no}"), at: 5 }
+}
+
+/// The end of a message that was delivered.
+pub fn finished(id: &str) -> Record {
+    Record::Finished { id: id.into(), notice: None }
+}
--- /dev/null
+++ b/crates/wal/tests/wal/full_disk.rs
@@ -0,0 +1,110 @@
+//! Disks that fill, and operations that fail.
+
+use std::collections::BTreeSet;
+use std::io;
+
+use reeddock_wal::memory_storage::{Faults, MemoryStorage};
+use reeddock_wal::{PendingCounts, Sync, WriteAheadLog};
+
+use crate::harness::{apply_written, open, pending_ids, reopen, FOLDER_BYTES, NOW};
+use crate::load::Load;
+use crate::model::Model;
+use crate::support::{accepted, finished, started};
+
+/// Appends messages until one is not accepted, and gives the ids of those that were.
+fn accept_until_full(log: &mut WriteAheadLog, capacity: u64) -> Vec<String> {
+    let mut pending = Vec::new();
+    for n in 0..200 {
+        let id = format!("e{n:03}");
+        match log.append(&[accepted(&id, 300)], NOW) {
+            Ok(outcome) if outcome.messages_accepted => pending.push(id),
+            Ok(_) => return pending,
+            Err(error) => panic!("{capacity}: {error}"),
+        }
+    }
+    panic!("{capacity}: never full");
+}
+
+#[test]
+fn a_full_disk_accepts_nothing_and_lets_every_pending_message_finish() {
+    for capacity in [9_000, 14_000, 23_000, 31_000] {
+        let memory = MemoryStorage::default();
+        memory.set_faults(Faults { capacity: Some(capacity), ..Faults::default() });
+        let mut log = open(&memory);
+        let mut pending = accept_until_full(&mut log, capacity);
+        assert!(pending.len() > 3, "{capacity}: {} pending", pending.len());
+        assert_eq!(log.room(), 0, "submissions are rejected before they are pending");
+        for id in &pending {
+            log.append(&[started(id, 0)], NOW)
+                .unwrap_or_else(|error| panic!("{capacity}: start {id}: {error}"));
+        }
+        // The oldest first, or the newest, whose ends free nothing in the first segment.
+        if capacity % 2_000 == 0 {
+            pending.reverse();
+        }
+        for id in &pending {
+            log.append(&[finished(id)], NOW)
+                .unwrap_or_else(|error| panic!("{capacity}: finish {id}: {error}"));
+        }
+        assert_eq!(reopen(&memory).index().counts(), PendingCounts { messages: 0, notices: 0 });
+        // With space again, the reserve is filled again and messages are accepted.
+        memory.set_faults(Faults::default());
+        log.append(&[finished("none")], NOW).unwrap();
+        assert!(log.room() > 0);
+    }
+}
+
+#[test]
+fn a_disk_that_fills_at_any_byte_of_a_load_loses_nothing() {
+    for capacity in (3_000..40_000).step_by(211) {
+        let memory = MemoryStorage::default();
+        memory.set_faults(Faults { capacity: Some(capacity), ..Faults::default() });
+        let opened = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, Sync::Never);
+        let Ok(mut log) = opened else { continue };
+        let mut load = Load::new(5, 200);
+        for _ in 0..120 {
+            let group = load.group(&log);
+            match log.append(&group, NOW) {
+                Ok(outcome) => apply_written(&mut load.model, &group, outcome),
+                Err(error) => assert_eq!(error.kind(), io::ErrorKind::StorageFull, "{capacity}"),
+            }
+        }
+        let after = reopen(&memory);
+        assert!(after.verification().is_sound(), "{capacity}: {:?}", after.verification());
+        Model::of(after.index())
+            .is_between(&load.model, &load.model)
+            .unwrap_or_else(|error| panic!("{capacity}: {error}"));
+    }
+}
+
+/// Plays a load, in its later part with faults, and holds the pending messages that the next start finds against
+/// the reference.
+fn play_with_faults(faults: impl Fn(&MemoryStorage) -> Faults, what: &str) {
+    let memory = MemoryStorage::default();
+    let mut log = open(&memory);
+    let mut load = Load::new(11, 300);
+    load.play(&mut log, 60).unwrap();
+    memory.set_faults(faults(&memory));
+    for _ in 0..100 {
+        let group = load.group(&log);
+        if let Ok(outcome) = log.append(&group, NOW) {
+            apply_written(&mut load.model, &group, outcome);
+        }
+    }
+    memory.set_faults(Faults::default());
+    let found: BTreeSet<String> = pending_ids(&reopen(&memory)).into_iter().collect();
+    let expected: BTreeSet<String> = load.model.pending.keys().cloned().collect();
+    assert_eq!(found, expected, "{what}");
+}
+
+#[test]
+fn a_rename_a_truncation_or_a_removal_that_fails_loses_nothing() {
+    play_with_faults(|_| Faults { refuses_renames: true, ..Faults::default() }, "renames");
+    let full_without_truncation = |memory: &MemoryStorage| Faults {
+        refuses_truncations: true,
+        capacity: Some(memory.total_bytes() + 2_000),
+        ..Faults::default()
+    };
+    play_with_faults(full_without_truncation, "truncations");
+    play_with_faults(|_| Faults { refuses_removals: true, ..Faults::default() }, "removals");
+}
--- a/crates/wal/tests/wal/main.rs
+++ b/crates/wal/tests/wal/main.rs
@@ -1,8 +1,15 @@
-//! The write-ahead log after kills, losses, damage and long use.
+//! The write-ahead log after kills, machine losses, corruption and long use.
 
+mod compaction;
+mod corruption;
 mod crashes;
-mod damage;
+mod full_disk;
+mod harness;
 mod load;
+mod model;
+mod old_formats;
 mod random;
+mod reopening;
 mod state_before_rename;
-mod stories;
+#[path = "../support/mod.rs"]
+mod support;
--- /dev/null
+++ b/crates/wal/tests/wal/model.rs
@@ -0,0 +1,73 @@
+//! The reference: what records come down to, kept in the simplest way.
+
+use std::collections::BTreeMap;
+
+use reeddock_protocol::FinalAnswer;
+use reeddock_wal::{AttemptState, PendingIndex, Record};
+
+/// Pending messages with the states of their attempts, and unacknowledged notices.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Model {
+    /// By id; the attempts in the order of their numbers.
+    pub pending: BTreeMap<String, Vec<AttemptState>>,
+    /// By id.
+    pub notices: BTreeMap<String, FinalAnswer>,
+}
+
+impl Model {
+    pub fn apply(&mut self, record: &Record) {
+        match record {
+            Record::Accepted(accepted) => drop(self.pending.insert(accepted.id.clone(), Vec::new())),
+            Record::AttemptStarted { id, .. } => {
+                if let Some(attempts) = self.pending.get_mut(id) {
+                    attempts.push(AttemptState::InFlight);
+                }
+            }
+            Record::AttemptFinished { id, no, proves_not_executed } => {
+                let attempt = self.pending.get_mut(id).and_then(|attempts| attempts.get_mut(*no as usize));
+                if let Some(attempt) = attempt {
+                    *attempt = Some(*proves_not_executed).into();
+                }
+            }
+            Record::Finished { id, notice } => {
+                self.pending.remove(id);
+                if let Some(end) = notice {
+                    self.notices.insert(id.clone(), *end);
+                }
+            }
+            Record::NoticeAcknowledged { id } => drop(self.notices.remove(id)),
+            Record::Checkpoint(_) => unreachable!("only the write-ahead log writes these"),
+        }
+    }
+
+    /// What an index holds, of which nothing may have been lost.
+    pub fn of(index: &PendingIndex) -> Model {
+        let pending = index.pending().into_iter().map(|message| {
+            assert!(!message.records_lost, "nothing was lost of {}", message.id.0);
+            (message.id.0.to_string(), message.attempts.iter().map(|attempt| attempt.state).collect())
+        });
+        let notices = index.unacknowledged_notices().map(|notice| (notice.id.0.to_string(), notice.end));
+        Model { pending: pending.collect(), notices: notices.collect() }
+    }
+
+    /// Whether each message and each notice stands as before a group of records or as after it.
+    pub fn is_between(&self, before: &Model, after: &Model) -> Result<(), String> {
+        each_is_between("message", &self.pending, &before.pending, &after.pending)?;
+        each_is_between("notice", &self.notices, &before.notices, &after.notices)
+    }
+}
+
+fn each_is_between<T: PartialEq + std::fmt::Debug>(
+    what: &str,
+    found: &BTreeMap<String, T>,
+    before: &BTreeMap<String, T>,
+    after: &BTreeMap<String, T>,
+) -> Result<(), String> {
+    for id in before.keys().chain(after.keys()).chain(found.keys()) {
+        let (found, before, after) = (found.get(id), before.get(id), after.get(id));
+        if found != before && found != after {
+            return Err(format!("{what} {id} is {found:?}, and was {before:?} or {after:?}"));
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/wal/tests/wal/old_formats.rs
@@ -0,0 +1,225 @@
+//! Files of earlier and later programs.
+
+use reeddock_protocol::FinalAnswer;
+use reeddock_wal::memory_storage::{Faults, MemoryStorage};
+use reeddock_wal::{
+    Accepted, AttemptStarted, AttemptState, Checkpoint, PendingMessage, Record, Storage, Sync, WriteAheadLog,
+};
+use serde::Serialize;
+
+use crate::harness::{mixed_records, open, reopen, FIRST_SEGMENT, FOLDER_BYTES, NOW};
+use crate::model::Model;
+use crate::support::{accepted, finished, started};
+
+/// The file of the oldest format.
+const SINGLE_FILE: &str = "ledger";
+
+/// Records as they stood in the single file and in segments of version 1, when no message had an idempotency key.
+#[derive(Serialize)]
+enum RecordV1 {
+    Accepted(AcceptedV1),
+    AttemptStarted { id: String, no: u32, endpoint: String, at: u64 },
+    AttemptFinished { id: String, no: u32, proves_not_executed: bool },
+    Finished { id: String, notice: Option<FinalAnswer> },
+    NoticeAcknowledged { id: String },
+    Checkpoint { accepted: AcceptedV1, position: u64, attempts: Vec<AttemptV1>, records_lost: bool },
+}
+
+#[derive(Serialize)]
+struct AcceptedV1 {
+    id: String,
+    class: String,
+    tenant: Option<String>,
+    key: Option<u64>,
+    destination: u64,
+    deadline: u64,
+    body: Vec<u8>,
+}
+
+#[derive(Serialize)]
+struct AttemptV1 {
+    endpoint: String,
+    at: u64,
+    proves_not_executed: Option<bool>,
+}
+
+impl From<Accepted> for AcceptedV1 {
+    fn from(message: Accepted) -> AcceptedV1 {
+        AcceptedV1 {
+            id: message.id,
+            class: message.class,
+            tenant: message.tenant,
+            key: message.key,
+            destination: message.destination,
+            deadline: message.deadline,
+            body: message.body.to_vec(),
+        }
+    }
+}
+
+impl From<AttemptStarted> for AttemptV1 {
+    fn from(attempt: AttemptStarted) -> AttemptV1 {
+        let proves_not_executed = match attempt.state {
+            AttemptState::InFlight => None,
+            AttemptState::PossiblyExecuted => Some(false),
+            AttemptState::NotExecuted => Some(true),
+        };
+        AttemptV1 { endpoint: attempt.endpoint.to_string(), at: attempt.at, proves_not_executed }
+    }
+}
+
+impl From<Record> for RecordV1 {
+    fn from(record: Record) -> RecordV1 {
+        match record {
+            Record::Accepted(message) => RecordV1::Accepted(message.into()),
+            Record::AttemptStarted { id, no, endpoint, at } => {
+                RecordV1::AttemptStarted { id, no, endpoint, at }
+            }
+            Record::AttemptFinished { id, no, proves_not_executed } => {
+                RecordV1::AttemptFinished { id, no, proves_not_executed }
+            }
+            Record::Finished { id, notice } => RecordV1::Finished { id, notice },
+            Record::NoticeAcknowledged { id } => RecordV1::NoticeAcknowledged { id },
+            Record::Checkpoint(checkpoint) => RecordV1::Checkpoint {
+                accepted: checkpoint.accepted.into(),
+                position: checkpoint.position,
+                attempts: checkpoint.attempts.into_iter().map(AttemptV1::from).collect(),
+                records_lost: checkpoint.records_lost,
+            },
+        }
+    }
+}
+
+/// One frame of the single file.
+fn single_file_frame(record: &Record) -> Vec<u8> {
+    let value = postcard::to_allocvec(&RecordV1::from(record.clone())).unwrap();
+    let mut bytes = (value.len() as u32).to_le_bytes().to_vec();
+    bytes.extend(crc32fast::hash(&value).to_le_bytes());
+    bytes.extend(value);
+    bytes
+}
+
+/// One frame of a segment or manifest, the same in versions 1 and 2.
+fn segment_frame(value: &impl Serialize) -> Vec<u8> {
+    let value = postcard::to_allocvec(value).unwrap();
+    let mut bytes = vec![0xd7, 0x5e];
+    bytes.extend((value.len() as u32).to_le_bytes());
+    bytes.extend(crc32fast::hash(&value).to_le_bytes());
+    bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
+    bytes.extend(value);
+    bytes
+}
+
+/// A segment of version 1.
+fn segment_v1(number: u64, records: &[Record]) -> Vec<u8> {
+    let mut bytes = b"reeddock".to_vec();
+    bytes.extend(1u16.to_le_bytes());
+    bytes.extend(number.to_le_bytes());
+    bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
+    bytes.extend(records.iter().flat_map(|record| segment_frame(&RecordV1::from(record.clone()))));
+    bytes
+}
+
+/// Id, number of attempts and idempotency key of each pending message.
+fn pending_with_keys(log: &WriteAheadLog) -> Vec<(String, usize, Option<String>)> {
+    let fields = |message: &PendingMessage| {
+        let idempotency_key = log.read_accepted(message).unwrap().idempotency_key;
+        (message.id.0.to_string(), message.attempts.len(), idempotency_key)
+    };
+    log.index().pending().into_iter().map(fields).collect()
+}
+
+#[test]
+fn segments_of_version_1_are_read_and_nothing_is_written_behind_them() {
+    let attempts = vec![AttemptStarted { endpoint: "t0".into(), at: 5, state: AttemptState::NotExecuted }];
+    let Record::Accepted(copied) = accepted("copied", 30) else { unreachable!() };
+    let records = vec![
+        accepted("fresh", 30),
+        Record::Checkpoint(Checkpoint { accepted: copied, position: 7, attempts, records_lost: false }),
+        accepted("over", 30),
+        Record::Finished { id: "over".into(), notice: Some(FinalAnswer::Rejected { retry_after: None }) },
+        started("fresh", 0),
+    ];
+    let memory = MemoryStorage::default();
+    memory.put(FIRST_SEGMENT, &segment_v1(1, &records));
+    memory.put("ledger.manifest", &segment_frame(&(1u16, 1u64)));
+    let mut log = open(&memory);
+    assert!(log.verification().is_sound());
+    let before = [("fresh".into(), 1, None), ("copied".into(), 1, None)];
+    assert_eq!(pending_with_keys(&log), before);
+    let segment = memory.bytes(FIRST_SEGMENT);
+    log.append(&[accepted("new", 30)], NOW).unwrap();
+    assert_eq!(memory.bytes(FIRST_SEGMENT), segment, "the program of version 1 still reads it");
+    assert_eq!(memory.bytes("ledger-000000000002")[8..10], 2u16.to_le_bytes());
+    let new = ("new".to_string(), 0, Some("key of new".to_string()));
+    assert_eq!(pending_with_keys(&reopen(&memory)), [before[0].clone(), before[1].clone(), new]);
+}
+
+/// A single file of twenty messages, each with an attempt, of which every third is finished.
+fn single_file() -> (Vec<u8>, Model) {
+    let mut model = Model::default();
+    let mut bytes = Vec::new();
+    for n in 0..20 {
+        let id = format!("old{n:02}");
+        let mut records = vec![accepted(&id, 30), started(&id, 0)];
+        if n % 3 == 0 {
+            records.push(finished(&id));
+        }
+        for record in records {
+            bytes.extend(single_file_frame(&record));
+            model.apply(&record);
+        }
+    }
+    (bytes, model)
+}
+
+#[test]
+fn the_single_file_is_migrated_after_a_kill_at_any_operation_of_a_start() {
+    let (bytes, model) = single_file();
+    let start_until = |stops_after: Option<u64>| {
+        let memory = MemoryStorage::default();
+        memory.put(SINGLE_FILE, &bytes);
+        memory.set_faults(Faults { stops_after, torn_write_bytes: 9, ..Faults::default() });
+        let _ = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, Sync::Never);
+        memory
+    };
+    let operations = start_until(None).operations();
+    for stop in 0..=operations {
+        let memory = start_until(Some(stop)).after_kill();
+        let log = open(&memory);
+        assert_eq!(Model::of(log.index()), model, "killed after {stop}");
+        assert!(log.verification().is_sound(), "killed after {stop}: {:?}", log.verification());
+        let first = log.index().pending()[0].clone();
+        assert_eq!(log.read_accepted(&first).unwrap().body.len(), 30);
+        assert!(!memory.files().unwrap().contains_key(SINGLE_FILE), "killed after {stop}");
+    }
+}
+
+#[test]
+fn a_single_file_with_a_flipped_bit_is_read_past_it_and_quarantined() {
+    let (mut bytes, model) = single_file();
+    bytes[40] ^= 4;
+    let memory = MemoryStorage::default();
+    memory.put(SINGLE_FILE, &bytes);
+    let log = open(&memory);
+    // One message is corrupt; all others are there, and no attempt is forgotten.
+    assert!(log.index().counts().messages >= model.pending.len() - 1);
+    let pending = log.index().pending();
+    assert!(pending.iter().all(|message| !message.attempts.is_empty() || message.records_lost));
+    assert_eq!(memory.bytes("damaged-ledger"), bytes);
+}
+
+#[test]
+fn a_later_version_is_refused_and_left_untouched() {
+    let (memory, _) = mixed_records();
+    let mut bytes = memory.bytes(FIRST_SEGMENT);
+    bytes[8] = 9;
+    let checksum = crc32fast::hash(&bytes[..18]);
+    bytes[18..22].copy_from_slice(&checksum.to_le_bytes());
+    memory.put(FIRST_SEGMENT, &bytes);
+    let operations = memory.operations();
+    let refused = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, Sync::Never);
+    let line = refused.err().unwrap().to_string();
+    assert_eq!(line, format!("{FIRST_SEGMENT} is of version 9, and this program knows 2 at most"));
+    assert_eq!(memory.operations(), operations);
+}
--- a/crates/wal/tests/wal/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -1,25 +1,29 @@
-//! Random steps against the plain reference: appends, restarts after kills, restarts after losses.
+//! Random steps against the reference: appends, restarts after kills, restarts after losses of the machine.
 
 use proptest::prelude::*;
 use reeddock_wal::memory_storage::MemoryStorage;
-use reeddock_wal::{Sync, WriteAheadLog};
+use reeddock_wal::{Record, Sync, WriteAheadLog};
 
-use crate::load::{Load, Model};
+use crate::load::Load;
+use crate::model::Model;
+use crate::support::finished;
 
 #[derive(Clone, Debug)]
-enum Move {
-    Append(usize),
+enum Step {
+    /// Appends so many groups of the load.
+    AppendGroups(usize),
     Kill,
-    Lose,
-    Lapse,
+    LoseMachine,
+    /// All pending messages finish at once, as after a long stop.
+    FinishAll,
 }
 
-fn moves() -> impl Strategy<Value = Vec<Move>> {
+fn steps() -> impl Strategy<Value = Vec<Step>> {
     let one = prop_oneof![
-        6 => (1..40usize).prop_map(Move::Append),
-        1 => Just(Move::Kill),
-        1 => Just(Move::Lose),
-        1 => Just(Move::Lapse),
+        6 => (1..40usize).prop_map(Step::AppendGroups),
+        1 => Just(Step::Kill),
+        1 => Just(Step::LoseMachine),
+        1 => Just(Step::FinishAll),
     ];
     prop::collection::vec(one, 1..25)
 }
@@ -28,39 +32,36 @@
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_books_are_those_of_the_reference(
+    fn the_index_equals_the_reference_after_random_steps(
         seed in any::<u64>(),
-        body in 0..900usize,
-        most in 40_000..200_000u64,
-        moves in moves(),
+        body_bytes in 0..900usize,
+        folder_bytes in 40_000..200_000u64,
+        steps in steps(),
     ) {
         let mut memory = MemoryStorage::default();
-        let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), most, Sync::Each).unwrap();
-        let mut load = Load::new(seed, body);
-        for step in moves {
+        let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), folder_bytes, Sync::Each).unwrap();
+        let mut load = Load::new(seed, body_bytes);
+        for step in steps {
             match step {
-                Move::Append(groups) => load.play(&mut log, groups).map_err(|e| e.0).unwrap(),
-                Move::Lapse => {
-                    // All that is open ends at once, as after a long stop.
-                    let ends: Vec<_> = load.model.open.keys().map(|id| {
-                        reeddock_wal::Record::Finished { id: id.clone(), notice: None }
-                    }).collect();
-                    ends.iter().for_each(|r| load.model.apply(r));
+                Step::AppendGroups(groups) => load.play(&mut log, groups).unwrap(),
+                Step::FinishAll => {
+                    let ends: Vec<Record> = load.model.pending.keys().map(|id| finished(id)).collect();
+                    ends.iter().for_each(|record| load.model.apply(record));
                     log.append(&ends, Default::default()).unwrap();
                 }
-                Move::Kill | Move::Lose => {
+                Step::Kill | Step::LoseMachine => {
                     drop(log);
-                    memory = if matches!(step, Move::Kill) { memory.after_a_kill() } else { memory.after_a_loss() };
-                    log = WriteAheadLog::open_in(Box::new(memory.clone()), most, Sync::Each).unwrap();
+                    memory = if matches!(step, Step::Kill) { memory.after_kill() } else { memory.after_machine_loss() };
+                    log = WriteAheadLog::open_in(Box::new(memory.clone()), folder_bytes, Sync::Each).unwrap();
                     prop_assert!(log.verification().is_sound());
                 }
             }
             prop_assert_eq!(&Model::of(log.index()), &load.model);
-            prop_assert!(log.used() <= most, "{} of {}", log.used(), most);
-            prop_assert!(memory.size() <= most);
+            prop_assert!(log.used() <= folder_bytes, "{} of {}", log.used(), folder_bytes);
+            prop_assert!(memory.total_bytes() <= folder_bytes);
             for pending in log.index().pending() {
-                let accepted = log.accepted(pending).unwrap();
-                prop_assert_eq!(accepted.body.len(), body);
+                let accepted = log.read_accepted(pending).unwrap();
+                prop_assert_eq!(accepted.body.len(), body_bytes);
                 prop_assert_eq!(accepted.idempotency_key, Some(format!("key of {}", pending.id.0)));
             }
         }
--- a/crates/wal/tests/wal/state_before_rename.rs
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -8,12 +8,13 @@
 
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
-use reeddock_wal::{inspect, Accepted, PendingIndex, PendingMessage, Record, Sync, WriteAheadLog};
+use reeddock_wal::{
+    inspect, Accepted, AttemptStarted, AttemptState, Inspection, PendingCounts, PendingIndex, PendingMessage,
+    Record, Sync, WriteAheadLog,
+};
 use tempfile::TempDir;
 
-/// The limit of the folder, in bytes, with which the fixtures were written.
-const FOLDER_BYTES: u64 = 60_000;
-const NOW: Duration = Duration::ZERO;
+use crate::harness::{pending_ids, FOLDER_BYTES, NOW};
 
 /// How the fixtures differ.
 #[derive(Clone, Copy)]
@@ -36,7 +37,12 @@
 const COMPACTED_ORDER: [u64; 8] = [0, 300, 50, 100, 150, 200, 350, 250];
 
 /// One attempt as the fixtures have it: endpoint, start, and how it finished.
-type AttemptFields = (String, u64, Option<bool>);
+#[derive(Clone, Debug, PartialEq)]
+struct AttemptFields {
+    endpoint: String,
+    at: u64,
+    state: AttemptState,
+}
 
 impl Fixture {
     fn folder(&self) -> PathBuf {
@@ -99,11 +105,15 @@
 
 /// The attempts of a message that is pending.
 fn attempts(n: u64) -> Vec<AttemptFields> {
-    let attempt = |no: u32, finished| (format!("target-{no}"), 1_600_000_000_000_000 + n, finished);
+    let attempt = |no: u32, state| AttemptFields {
+        endpoint: format!("target-{no}"),
+        at: 1_600_000_000_000_000 + n,
+        state,
+    };
     match n % 10 {
-        1 => vec![attempt(0, None)],
-        2 => vec![attempt(0, Some(true))],
-        3 => vec![attempt(0, Some(false)), attempt(1, None)],
+        1 => vec![attempt(0, AttemptState::InFlight)],
+        2 => vec![attempt(0, AttemptState::NotExecuted)],
+        3 => vec![attempt(0, AttemptState::PossiblyExecuted), attempt(1, AttemptState::InFlight)],
         _ => Vec::new(),
     }
 }
@@ -152,7 +162,12 @@
 }
 
 fn fields_of_attempts(pending: &PendingMessage) -> Vec<AttemptFields> {
-    pending.attempts.iter().map(|a| (a.endpoint.to_string(), a.at, a.ended)).collect()
+    let fields = |attempt: &AttemptStarted| AttemptFields {
+        endpoint: attempt.endpoint.to_string(),
+        at: attempt.at,
+        state: attempt.state,
+    };
+    pending.attempts.iter().map(fields).collect()
 }
 
 /// Holds each field of each pending message and each notice against what is expected.
@@ -162,25 +177,25 @@
     notified: &[(String, FinalAnswer)],
 ) {
     assert!(log.verification().is_sound(), "{:?}", log.verification());
-    assert_eq!(log.verification().torn, 0);
+    assert_eq!(log.verification().torn_bytes, 0);
     let found = log.index().pending();
-    let ids: Vec<&str> = found.iter().map(|p| &*p.id.0).collect();
     let expected: Vec<&str> = pending.iter().map(|(message, _)| message.id.as_str()).collect();
-    assert_eq!(ids, expected, "in the order of the build that wrote them");
+    assert_eq!(pending_ids(log), expected, "in the order of the build that wrote them");
     for (found, (message, attempts)) in found.iter().zip(pending) {
-        assert_eq!(&log.accepted(found).unwrap(), message);
+        assert_eq!(&log.read_accepted(found).unwrap(), message);
         assert_eq!(&*found.class, message.class);
         assert_eq!(found.tenant.as_deref(), message.tenant.as_deref());
         assert_eq!((found.key, found.destination), (message.key, message.destination));
         assert_eq!(found.deadline, message.deadline);
         assert_eq!(found.size, WriteAheadLog::size_of(message));
-        assert!(!found.lost, "{}", message.id);
+        assert!(!found.records_lost, "{}", message.id);
         assert_eq!(&fields_of_attempts(found), attempts, "{}", message.id);
     }
     assert_eq!(notices(log.index()), notified);
-    assert_eq!(log.index().counts(), (pending.len(), notified.len()));
-    assert_eq!(log.index().orphans().0.count(), 0);
-    assert_eq!(log.index().orphans().1, 0);
+    let counts = PendingCounts { messages: pending.len(), notices: notified.len() };
+    assert_eq!(log.index().counts(), counts);
+    assert_eq!(log.index().orphans().count(), 0);
+    assert_eq!(log.index().unlisted_orphans(), 0);
 }
 
 /// Opens a copy, checks it, goes on from there, opens it again and checks it again.
@@ -195,18 +210,22 @@
         Accepted { id: "later".into(), idempotency_key: Some("once-later".into()), ..fixture.message(12) };
     let finished = pending.remove(0).0.id;
     let acknowledged = notified.remove(1).0;
-    let attempt = ("target-9".to_owned(), 17, None);
+    let attempt = AttemptFields { endpoint: "target-9".to_owned(), at: 17, state: AttemptState::InFlight };
     pending[0].1.push(attempt.clone());
     pending.push((new.clone(), Vec::new()));
-    let started =
-        Record::AttemptStarted { id: "fixture-001".into(), no: 1, endpoint: attempt.0, at: attempt.1 };
+    let started = Record::AttemptStarted {
+        id: "fixture-001".into(),
+        no: 1,
+        endpoint: attempt.endpoint,
+        at: attempt.at,
+    };
     let records = [
         Record::Accepted(new),
         started,
         Record::Finished { id: finished, notice: None },
         Record::NoticeAcknowledged { id: acknowledged },
     ];
-    assert!(log.append(&records, NOW).unwrap().taken_on);
+    assert!(log.append(&records, NOW).unwrap().messages_accepted);
     check(&log, &pending, &notified);
     drop(log);
     check(&open(copy.path()), &pending, &notified);
@@ -231,7 +250,7 @@
 fn inspection_reads_the_fixtures_and_changes_nothing() {
     for fixture in [APPENDED, COMPACTED, SINGLE_FILE] {
         let copy = fixture.copy();
-        let (index, verification) = inspect(copy.path()).unwrap();
+        let Inspection { index, verification } = inspect(copy.path()).unwrap();
         assert!(verification.is_sound(), "{}: {verification:?}", fixture.name);
         let ids: Vec<String> = index.pending().iter().map(|p| p.id.0.to_string()).collect();
         let expected: Vec<String> = fixture.pending().into_iter().map(|(message, _)| message.id).collect();
