--- a/crates/daemon/src/wal_command/json.rs
+++ b/crates/daemon/src/wal_command/json.rs
@@ -79,11 +79,10 @@
     for notice in snapshot.index.unacknowledged_notices() {
         write_line(&NoticeLine::from(&notice), out)?;
     }
-    let (orphans, _) = snapshot.index.orphans();
-    for id in orphans {
+    for id in snapshot.index.orphans() {
         write_line(&OrphanLine { id: &id.0 }, out)?;
     }
-    for place in &snapshot.report.damaged {
+    for place in &snapshot.report.corruptions {
         write_line(&DamageLine::from(place), out)?;
     }
     Ok(())
@@ -106,7 +105,7 @@
             possibly_executed: possibly_executed(message) > 0,
             deadline: message.deadline,
             id: &message.id.0,
-            records_lost: message.lost,
+            records_lost: message.records_lost,
             tenant: message.tenant.as_deref(),
         }
     }
@@ -116,8 +115,8 @@
     fn from(attempt: &'a AttemptStarted) -> AttemptLine<'a> {
         AttemptLine {
             started_at: attempt.at,
-            finished: attempt.ended.is_some(),
-            proven_not_executed: attempt.ended == Some(true),
+            finished: attempt.state.is_finished(),
+            proven_not_executed: attempt.state.proves_not_executed(),
             endpoint: &attempt.endpoint,
         }
     }
--- a/crates/daemon/src/wal_command/mod.rs
+++ b/crates/daemon/src/wal_command/mod.rs
@@ -9,7 +9,7 @@
 use std::str::FromStr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use reeddock_wal::{PendingIndex, PendingMessage, VerificationReport};
+use reeddock_wal::{Inspection, PendingIndex, PendingMessage, VerificationReport, WalError};
 use thiserror::Error;
 
 /// What is printed of a write-ahead log.
@@ -60,7 +60,7 @@
 pub enum WalCommandError {
     /// The log can't be read. Damage inside it is no error: it is printed.
     #[error("cannot read the ledger in {}: {source}", folder.display())]
-    Read { folder: PathBuf, source: io::Error },
+    Read { folder: PathBuf, source: WalError },
     /// Standard output can't be written to.
     #[error("cannot write: {0}")]
     Write(io::Error),
@@ -76,7 +76,7 @@
 
 /// Prints the write-ahead log of a state folder to standard output. Returns whether it is sound.
 pub fn run(folder: &Path, view: View) -> Result<bool, WalCommandError> {
-    let (index, report) = reeddock_wal::inspect(folder)
+    let Inspection { index, verification: report } = reeddock_wal::inspect(folder)
         .map_err(|source| WalCommandError::Read { folder: folder.to_owned(), source })?;
     let snapshot = Snapshot { index, report, now: unix_time_us() };
     let mut out = BufWriter::new(io::stdout().lock());
@@ -111,11 +111,11 @@
 
 /// All attempts of a message; those whose records are lost count as one.
 fn attempt_count(message: &PendingMessage) -> usize {
-    message.attempts.len() + usize::from(message.lost)
+    message.attempts.len() + usize::from(message.records_lost)
 }
 
 /// The attempts of a message that are not proven not to have been executed.
 fn possibly_executed(message: &PendingMessage) -> usize {
-    let unproven = message.attempts.iter().filter(|attempt| attempt.ended != Some(true)).count();
-    unproven + usize::from(message.lost)
+    let unproven = message.attempts.iter().filter(|attempt| !attempt.state.proves_not_executed()).count();
+    unproven + usize::from(message.records_lost)
 }
--- a/crates/daemon/tests/restarts.rs
+++ b/crates/daemon/tests/restarts.rs
@@ -204,12 +204,12 @@
 
     /// How many messages are pending in its write-ahead log.
     fn pending(&self) -> usize {
-        inspect(self.0.path()).unwrap().0.counts().0
+        inspect(self.0.path()).unwrap().index.counts().messages
     }
 
     /// Until no message is pending, and no notice unacknowledged.
     fn wait_until_all_finished(&self) {
-        let finished = || (inspect(self.0.path()).unwrap().0.counts() == (0, 0)).then_some(());
+        let finished = || inspect(self.0.path()).unwrap().index.counts().is_empty().then_some(());
         wait_for("that nothing is pending", finished);
     }
 }
--- a/crates/forwarder/src/event_loop/log_writer.rs
+++ b/crates/forwarder/src/event_loop/log_writer.rs
@@ -46,9 +46,9 @@
         let started = attempts.iter().map(|attempt| self.attempt_record(attempt, started_at));
         let records: Vec<Record> = accepted.chain(finished).chain(started).collect();
         match self.log.append(&records, now) {
-            Ok(written) => {
+            Ok(outcome) => {
                 self.state.records_written();
-                if written.taken_on {
+                if outcome.messages_accepted {
                     LogWrite::Complete
                 } else {
                     LogWrite::WithoutSubmissions
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -19,7 +19,7 @@
         let ids: Vec<MessageId> = index.pending().iter().map(|pending| pending.id.clone()).collect();
         for id in ids {
             let Some(pending) = self.log.index().get(&id).cloned() else { continue };
-            match self.log.accepted(&pending) {
+            match self.log.read_accepted(&pending) {
                 Ok(accepted) => self.restore_message(pending, accepted, now),
                 Err(fault) => {
                     tracing::error!(%fault, message_id = &*id.0, "pending message unreadable, answered as failed");
@@ -78,10 +78,10 @@
             attempts.push(PreviousAttempt {
                 endpoint: self.state.endpoints_mut().number(&started.endpoint),
                 started_at: self.clock.read(started.at),
-                proves_not_executed: started.ended == Some(true),
+                proves_not_executed: started.state.proves_not_executed(),
             });
         }
-        if pending.lost {
+        if pending.records_lost {
             // Stands for attempts whose records were lost, sent long ago for all that is known.
             attempts.push(PreviousAttempt {
                 endpoint: self.state.endpoints_mut().number(""),
