--- a/crates/forwarder/tests/loopback/support/test_bed.rs
+++ b/crates/forwarder/tests/loopback/support/test_bed.rs
@@ -183,10 +183,7 @@
 
     /// Until the write-ahead log has neither a pending message nor an unacknowledged notice.
     pub async fn wait_until_all_finished(&self) {
-        let none_pending = || {
-            let (index, _) = inspect(&self.state_folder).unwrap();
-            (index.counts() == (0, 0)).then_some(())
-        };
+        let none_pending = || inspect(&self.state_folder).unwrap().index.counts().is_empty().then_some(());
         wait_for("that nothing is pending", none_pending).await;
     }
 
