--- a/src/lib.rs
+++ b/src/lib.rs
@@ -85,7 +85,7 @@
 
 mod inspection;
 pub mod interface;
-mod messages;
+mod message_key;
 mod policy;
 mod queue;
 mod state;
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -6,7 +6,7 @@
 
 use super::DeliveryPolicy;
 use crate::interface::{EndpointId, EndpointState, Idempotency, KeyScope};
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, Message};
 
 /// Failures in a row beyond which an endpoint is not avoided more.
--- a/src/policy/eviction.rs
+++ b/src/policy/eviction.rs
@@ -4,8 +4,8 @@
 
 use super::DeliveryPolicy;
 use crate::interface::PolicyHost;
-use crate::messages::MessageKey;
-use crate::queue::PriorityClass;
+use crate::message_key::MessageKey;
+use crate::queue::{LongestQueue, PriorityClass};
 
 /// Priorities are compared in millionths.
 const PRIORITY_STEPS: f64 = 1e6;
@@ -37,7 +37,7 @@
     pub(super) fn evict_lowest_priority(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         while self.messages.len() >= self.parameters.capacity {
             self.refresh_indices();
-            let classes = self.queue.worth_classes();
+            let classes = self.queue.priority_classes();
             let candidates = classes.filter_map(|class| self.eviction_candidate(class, now));
             let Some(least) = candidates.min() else { return };
             self.finish_undelivered(least.message, now, host);
@@ -47,14 +47,14 @@
     /// The message of a priority class that would be evicted first.
     fn eviction_candidate(&self, class: PriorityClass, now: Duration) -> Option<EvictionKey> {
         let first = self.queue.earliest(class)?;
-        let late = first.by < now;
+        let late = first.objective_at < now;
         let (entry, place) = if late {
-            (first, EvictionPlace::Late { objective_at: first.by, arrival: first.arrival })
+            (first, EvictionPlace::Late { objective_at: first.objective_at, arrival: first.arrival })
         } else {
-            let (queued, last) = self.queue.longest(class)?;
+            let LongestQueue { len, last } = self.queue.longest(class)?;
             let place = EvictionPlace::OnTime {
-                below_most_queued: usize::MAX - queued,
-                before_last_objective: Duration::MAX - last.by,
+                below_most_queued: usize::MAX - len,
+                before_last_objective: Duration::MAX - last.objective_at,
                 before_last_arrival: u64::MAX - last.arrival,
             };
             (last, place)
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -4,7 +4,7 @@
 
 use super::{seconds, DeliveryPolicy};
 use crate::interface::{Idempotency, KeyScope, PolicyHost};
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 use crate::state::NextWake;
 
 /// Least time in which an answer is still looked for.
@@ -46,7 +46,7 @@
         let mean_latency = self.response_times.mean_latency.unwrap_or_default();
         let answer_time = seconds(mean_latency).max(MIN_ANSWER_TIME);
         self.refresh_indices();
-        let mut expired: Vec<_> = self.queue.ending(now, answer_time).into_iter().collect();
+        let mut expired: Vec<_> = self.queue.expiring(now, answer_time).into_iter().collect();
         expired.sort_by_key(|key| {
             let message = &self.messages[*key];
             (message.destination, message.queued.map(|entry| entry.number))
@@ -55,6 +55,6 @@
             self.finish_undelivered(key, now, host);
         }
         self.refresh_indices();
-        wake.no_later_than(self.queue.next_end(answer_time));
+        wake.no_later_than(self.queue.next_expiry(answer_time));
     }
 }
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -9,7 +9,7 @@
 #[cfg(debug_assertions)]
 use crate::interface::RequestId;
 use crate::interface::{MessageId, OrderingKey, PolicyHost};
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 use crate::queue::{PriorityClass, QueueClass, QueuePosition};
 use crate::state::{Message, QueueEntry};
 
@@ -40,7 +40,7 @@
     fn insert_into_queue(&mut self, key: MessageKey, number: u64) {
         let Some(message) = self.messages.get(key) else { return };
         let (destination, position) = (message.destination, self.queue_position(message));
-        self.queue.file(destination, key, &position);
+        self.queue.insert(destination, key, &position);
         if let Some(message) = self.messages.get_mut(key) {
             message.queued = Some(QueueEntry { number, position });
         }
@@ -83,7 +83,7 @@
     pub(super) fn refresh_indices(&mut self) {
         for destination in self.queue.take_stale() {
             let available_at = self.retry_after_ends(destination);
-            self.queue.index(destination, available_at);
+            self.queue.renew_indices(destination, available_at);
         }
         #[cfg(debug_assertions)]
         self.check_indices();
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -31,7 +31,9 @@
             let Some(destination) = self.endpoints.forget_endpoint(id) else { continue };
             self.circuits.remove(CircuitScope::Endpoint(id));
             self.queue.touch(destination);
-            if self.endpoints.is_without_endpoints(destination) && self.queue.line(destination).is_none() {
+            if self.endpoints.is_without_endpoints(destination)
+                && self.queue.of_destination(destination).is_none()
+            {
                 self.endpoints.forget_destination(destination);
                 self.circuits.remove(CircuitScope::Destination(destination));
             }
@@ -62,7 +64,9 @@
 
     /// Whether messages are queued for the destination of a circuit.
     fn has_queued(&self, scope: CircuitScope) -> bool {
-        self.endpoints.destination_of(scope).is_some_and(|destination| self.queue.line(destination).is_some())
+        self.endpoints
+            .destination_of(scope)
+            .is_some_and(|destination| self.queue.of_destination(destination).is_some())
     }
 
     /// Drops what is too old to matter of a destination's records, before they are read.
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -6,7 +6,7 @@
 
 use super::DeliveryPolicy;
 use crate::interface::{DestinationId, Idempotency, PolicyHost};
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 use crate::queue::QueueSegment;
 use crate::state::{AdmittedEndpoint, NextWake};
 
@@ -107,7 +107,7 @@
         class_order: &[u64],
         now: Duration,
     ) -> Option<MessageKey> {
-        let segments: Vec<QueueSegment> = self.queue.runs(destination, now).collect();
+        let segments: Vec<QueueSegment> = self.queue.segments(destination, now).collect();
         let first =
             |segment: &QueueSegment, to: &[AdmittedEndpoint]| self.first_able(segment, class_order, to, now);
         // A trial may be lost, so that one goes with a message that may run again, if there is any.
@@ -152,7 +152,7 @@
         let mut messages = vec![lead];
         if batch > 1 {
             let may = |key: &MessageKey| self.may_attempt(*key, &chosen, now);
-            let segments = self.queue.runs(destination, now);
+            let segments = self.queue.segments(destination, now);
             let ranked = segments.map(|segment| self.sendable(&segment, class_order, now)).kmerge();
             let others = ranked.map(|ranked| ranked.key).filter(|key| *key != lead);
             messages.extend(others.take(batch - 1).filter(may));
@@ -177,17 +177,17 @@
             let message = &self.messages[*key];
             !ordered || self.ordering.may_send(message.ordering_key, message.arrival, now)
         };
-        let entries = segment.entries().filter(move |(_, key)| may_send(key));
-        entries.map(move |((objective_at, arrival), key)| RankedMessage {
+        let entries = segment.entries().filter(move |queued| may_send(&queued.key));
+        entries.map(move |queued| RankedMessage {
             rank: MessageRank {
                 over_quota: queue_class.priority.over_quota,
                 failed_repeatedly: queue_class.errors > 1,
                 late,
                 class_order,
-                objective_at,
-                arrival,
+                objective_at: queued.objective_at,
+                arrival: queued.arrival,
             },
-            key,
+            key: queued.key,
         })
     }
 
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -5,7 +5,7 @@
 use super::slow_start::LOAD_PER_EXTRA_MESSAGE;
 use super::{seconds, DeliveryPolicy};
 use crate::interface::{AttemptNumber, AttemptTimeouts, PolicyHost, RequestId};
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, Attempt, AttemptKey, RequestInFlight, SentLoad};
 
 impl DeliveryPolicy {
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -73,7 +73,7 @@
                 return;
             };
             if self.schedule_request(destination, now, host, &mut next_admission)
-                && self.queue.line(destination).is_some()
+                && self.queue.of_destination(destination).is_some()
             {
                 candidates.push(Reverse(self.scheduling_key(destination, relative_waits[&destination])));
             }
@@ -103,7 +103,8 @@
         let passed = |(class, objective_at): (&QueueClass, Duration)| {
             1.0 - objective_at.saturating_sub(now).as_secs_f64() / objective(class)
         };
-        let next = self.queue.line(destination).into_iter().flat_map(|queue| queue.next_promises(now));
+        let next =
+            self.queue.of_destination(destination).into_iter().flat_map(|queue| queue.next_objectives(now));
         next.map(passed).filter(|passed| *passed < 1.0).fold(MIN_RELATIVE_WAIT, f64::max)
     }
 }
--- a/src/queue/consistency.rs
+++ b/src/queue/consistency.rs
@@ -4,7 +4,7 @@
 use super::position::QueuePosition;
 use super::wake_schedule::Wakefulness;
 use crate::interface::DestinationId;
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 
 impl MessageQueue {
     /// Compares every index with one built afresh from what is queued. To be called when nothing is stale.
@@ -15,7 +15,7 @@
     pub fn check(&self, queued: impl Iterator<Item = (DestinationId, MessageKey, QueuePosition)>) {
         let mut fresh = MessageQueue::default();
         for (destination, key, position) in queued {
-            fresh.file(destination, key, &position);
+            fresh.insert(destination, key, &position);
         }
         assert!(
             fresh.destinations.keys().eq(self.destinations.keys()),
@@ -35,7 +35,7 @@
         assert_eq!(queue.deadlines, walked.deadlines, "deadlines of {destination:?}");
         assert_eq!(queue.key_expiries, walked.key_expiries, "key expiries of {destination:?}");
         assert_eq!(queue.len, walked.len, "length of {destination:?}");
-        fresh.index(destination, queue.indexed.available_at);
+        fresh.renew_indices(destination, queue.indexed.available_at);
         let renewed = &fresh.destinations[&destination].indexed;
         assert_eq!(queue.indexed, *renewed, "index entries of {destination:?}");
         let asleep = queue.wakefulness != Wakefulness::Awake;
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -9,7 +9,7 @@
 };
 use super::segment::QueueSegment;
 use super::wake_schedule::Wakefulness;
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 
 /// The messages that wait for one destination.
 #[derive(Default)]
@@ -27,7 +27,7 @@
 
 impl DestinationQueue {
     /// The first latency objective that ends after now, of each class that has one.
-    pub fn next_promises(&self, now: Duration) -> impl Iterator<Item = (&QueueClass, Duration)> {
+    pub fn next_objectives(&self, now: Duration) -> impl Iterator<Item = (&QueueClass, Duration)> {
         self.classes.iter().filter_map(move |(queue_class, entries)| {
             let after_now = ObjectiveOrder::end_of(now);
             let mut upcoming = entries.range(after_now..).map(|(order, _)| order.objective_at);
--- a/src/queue/message_queue.rs
+++ b/src/queue/message_queue.rs
@@ -5,11 +5,11 @@
 
 use super::destination_queue::DestinationQueue;
 use super::indices::Indices;
-use super::position::{PriorityClass, QueuePosition, QueuedMessage};
+use super::position::{LongestQueue, PriorityClass, QueuePosition, QueuedMessage};
 use super::segment::QueueSegment;
 use super::wake_schedule::WakeSchedule;
 use crate::interface::DestinationId;
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 
 /// All queued messages.
 #[derive(Default)]
@@ -24,7 +24,7 @@
 
 impl MessageQueue {
     /// Queues a message. A destination without queued messages is awake from then on.
-    pub fn file(&mut self, destination: DestinationId, key: MessageKey, position: &QueuePosition) {
+    pub fn insert(&mut self, destination: DestinationId, key: MessageKey, position: &QueuePosition) {
         let queue = self.destinations.entry(destination).or_insert_with(|| {
             self.schedule.awake.insert(destination);
             DestinationQueue::default()
@@ -53,12 +53,16 @@
     }
 
     /// The queue of a destination; none while nothing is queued for it.
-    pub fn line(&self, destination: DestinationId) -> Option<&DestinationQueue> {
+    pub fn of_destination(&self, destination: DestinationId) -> Option<&DestinationQueue> {
         self.destinations.get(&destination)
     }
 
     /// What is queued for a destination, in segments, without messages that their ordering key blocks.
-    pub fn runs(&self, destination: DestinationId, now: Duration) -> impl Iterator<Item = QueueSegment<'_>> {
+    pub fn segments(
+        &self,
+        destination: DestinationId,
+        now: Duration,
+    ) -> impl Iterator<Item = QueueSegment<'_>> {
         self.destinations.get(&destination).into_iter().flat_map(move |queue| queue.segments(now))
     }
 
@@ -94,14 +98,14 @@
         self.schedule.wake_times.first().map(|due| due.at)
     }
 
-    /// Destinations whose entries have to be renewed by [`MessageQueue::index`] before the indices are read.
+    /// Destinations whose entries have to be renewed by [`MessageQueue::renew_indices`] before the indices are read.
     #[must_use]
     pub fn take_stale(&mut self) -> BTreeSet<DestinationId> {
         std::mem::take(&mut self.stale)
     }
 
     /// Renews the entries of a destination; `available_at` is when the first of its endpoints may be called.
-    pub fn index(&mut self, destination: DestinationId, available_at: Duration) {
+    pub fn renew_indices(&mut self, destination: DestinationId, available_at: Duration) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         let entries = queue.index_entries(available_at);
         if entries == queue.indexed {
@@ -114,7 +118,7 @@
 
     /// Messages that expire by now, where an answer takes so long: their deadline or the validity of their
     /// idempotency key ends before an answer could come, or will before any of their endpoints may be called.
-    pub fn ending(&self, now: Duration, answer: Duration) -> BTreeSet<MessageKey> {
+    pub fn expiring(&self, now: Duration, answer: Duration) -> BTreeSet<MessageKey> {
         let mut expiring = BTreeSet::new();
         let last_deadline = now.saturating_add(answer);
         for due in self.indices.deadlines.iter().take_while(|due| due.at <= last_deadline) {
@@ -135,14 +139,14 @@
     }
 
     /// When the next message expires, where an answer takes so long.
-    pub fn next_end(&self, answer: Duration) -> Option<Duration> {
+    pub fn next_expiry(&self, answer: Duration) -> Option<Duration> {
         let deadline = self.indices.deadlines.first().map(|due| due.at.saturating_sub(answer));
         let key_expiry = self.indices.key_expiries.first().map(|due| due.at);
         deadline.into_iter().chain(key_expiry).min()
     }
 
     /// Priority classes with queued messages, in their order.
-    pub fn worth_classes(&self) -> impl Iterator<Item = PriorityClass> + '_ {
+    pub fn priority_classes(&self) -> impl Iterator<Item = PriorityClass> + '_ {
         self.indices.priority_classes()
     }
 
@@ -153,8 +157,8 @@
 
     /// The length of the longest destination queue that has messages of a priority class, and that one of them
     /// whose latency objective ends last.
-    pub fn longest(&self, priority: PriorityClass) -> Option<(usize, QueuedMessage)> {
+    pub fn longest(&self, priority: PriorityClass) -> Option<LongestQueue> {
         let longest = self.indices.longest.get(&priority)?.last()?;
-        Some((longest.len, longest.last))
+        Some(LongestQueue { len: longest.len, last: longest.last })
     }
 }
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -26,5 +26,5 @@
 mod wake_schedule;
 
 pub(crate) use message_queue::MessageQueue;
-pub(crate) use position::{PriorityClass, QueueClass, QueuePosition};
+pub(crate) use position::{LongestQueue, PriorityClass, QueueClass, QueuePosition};
 pub(crate) use segment::QueueSegment;
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 
 /// What decides, besides the latency objective, which message of a destination goes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedMessage {
     /// Until when it meets its latency objective, since the start.
-    pub by: Duration,
+    pub objective_at: Duration,
     /// Number of the message in the order of submission.
     pub arrival: u64,
     /// The message.
@@ -99,10 +99,19 @@
 
 impl QueuedMessage {
     pub(super) fn new(order: ObjectiveOrder, key: MessageKey) -> QueuedMessage {
-        QueuedMessage { by: order.objective_at, arrival: order.arrival, key }
+        QueuedMessage { objective_at: order.objective_at, arrival: order.arrival, key }
     }
 }
 
+/// The longest destination queue that has messages of a priority class.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct LongestQueue {
+    /// Messages of all classes in it.
+    pub len: usize,
+    /// The message of the priority class whose latency objective ends last.
+    pub last: QueuedMessage,
+}
+
 /// Something that is due at a time; ordered by the time, then by what it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Due<T> {
--- a/src/queue/segment.rs
+++ b/src/queue/segment.rs
@@ -3,8 +3,7 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-use super::position::{ClassEntries, ObjectiveOrder, QueueClass};
-use crate::messages::MessageKey;
+use super::position::{ClassEntries, ObjectiveOrder, QueueClass, QueuedMessage};
 
 /// The messages of one class of a destination queue whose latency objectives have all passed, or all not yet.
 #[derive(Clone, Copy)]
@@ -27,14 +26,14 @@
         [true, false].map(|late| QueueSegment { queue_class, late, now, entries }).into_iter()
     }
 
-    /// Each message with its latency objective and its arrival, in that order.
-    pub fn entries(&self) -> impl Iterator<Item = ((Duration, u64), MessageKey)> + 'q {
+    /// Its messages in the order of their latency objectives.
+    pub fn entries(&self) -> impl Iterator<Item = QueuedMessage> + 'q {
         let last_late = ObjectiveOrder::end_of(self.now);
         let bounds = if self.late {
             (Bound::Unbounded, Bound::Included(last_late))
         } else {
             (Bound::Excluded(last_late), Bound::Unbounded)
         };
-        self.entries.range(bounds).map(|(order, key)| ((order.objective_at, order.arrival), *key))
+        self.entries.range(bounds).map(|(order, key)| QueuedMessage::new(*order, *key))
     }
 }
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -4,7 +4,7 @@
 
 use super::{CircuitScope, Message};
 use crate::interface::{AttemptNumber, EndpointId, MessageId, OrderingKey, RequestId};
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 
 /// Names an attempt: its message and its number. The attempts of one message sort by number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/state/message_table.rs
+++ b/src/state/message_table.rs
@@ -8,7 +8,7 @@
 
 use super::Message;
 use crate::interface::MessageId;
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 
 /// All messages that wait for their final answer.
 #[derive(Default)]
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::interface::OrderingKey;
-use crate::messages::MessageKey;
+use crate::message_key::MessageKey;
 
 /// The messages of one ordering key, in the order of their arrival.
 #[derive(Default)]
