--- a/crates/protocol/src/list/entry.rs
+++ b/crates/protocol/src/list/entry.rs
@@ -30,7 +30,7 @@
 
 /// An entry as it stands on the wire. Its name there is part of error messages.
 #[derive(Deserialize)]
-#[serde(rename = "Instance")]
+#[serde(expecting = "struct Instance")]
 struct WireEntry<'a> {
     #[serde(rename = "instanceId")]
     name: String,
--- a/crates/protocol/src/list/mod.rs
+++ b/crates/protocol/src/list/mod.rs
@@ -35,7 +35,7 @@
 
 /// A part as it stands on the wire. Its name there is part of error messages.
 #[derive(Deserialize)]
-#[serde(rename = "Line")]
+#[serde(expecting = "struct Line")]
 struct WirePart {
     generation: u64,
     #[serde(default, rename = "reset")]
