--- a/crates/protocol/tests/list_decoder.rs
+++ b/crates/protocol/tests/list_decoder.rs
@@ -1,13 +1,26 @@
-//! The list of endpoints, decoded one entry at a time from bytes that come in any pieces.
+//! The endpoint list, decoded one entry at a time from bytes that come in any pieces.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use reeddock::{DestinationId, EndpointState};
 use reeddock_protocol::{ListDecoder, ListEntry, ListEvent, ListLimits, ListPart};
 
-/// All events of these pieces, and the fault that ended them.
-fn decode(pieces: &[&[u8]], bounds: ListLimits) -> (Vec<ListEvent>, Option<String>) {
-    let mut decoder = ListDecoder::new(bounds);
+/// What a decoder yields for some pieces of a watch response.
+#[derive(Debug, PartialEq)]
+struct Decoded {
+    events: Vec<ListEvent>,
+    /// The error that ended them.
+    error: Option<String>,
+}
+
+impl Decoded {
+    fn without_error(events: Vec<ListEvent>) -> Decoded {
+        Decoded { events, error: None }
+    }
+}
+
+fn decode_within(limits: ListLimits, pieces: &[&[u8]]) -> Decoded {
+    let mut decoder = ListDecoder::new(limits);
     let mut events = Vec::new();
     for piece in pieces {
         let mut input = *piece;
@@ -15,24 +28,28 @@
             match decoder.next(&mut input) {
                 Ok(Some(event)) => events.push(event),
                 Ok(None) => break,
-                Err(fault) => return (events, Some(fault.to_string())),
+                Err(error) => return Decoded { events, error: Some(error.to_string()) },
             }
         }
         assert!(input.is_empty());
     }
     assert_eq!(decoder.bytes() as usize, pieces.iter().map(|p| p.len()).sum::<usize>());
-    (events, None)
+    Decoded::without_error(events)
+}
+
+fn decode(pieces: &[&[u8]]) -> Decoded {
+    decode_within(ListLimits::default(), pieces)
 }
 
-fn decode_line(line: &str) -> (Vec<ListEvent>, Option<String>) {
-    decode(&[line.as_bytes(), b"\n"], ListLimits::default())
+fn decode_line(line: &str) -> Decoded {
+    decode(&[line.as_bytes(), b"\n"])
 }
 
-fn fault(text: &str) -> String {
-    decode(&[text.as_bytes()], ListLimits::default()).1.expect("a fault")
+fn error_of(text: &str) -> String {
+    decode(&[text.as_bytes()]).error.expect("an error")
 }
 
-/// What a part that is there whole comes down to.
+/// The events of a part that is in memory whole.
 fn events_of(part: ListPart) -> Vec<ListEvent> {
     let mut events = vec![ListEvent::Begins { generation: part.generation, whole: part.whole }];
     events.extend(part.entries.into_iter().map(ListEvent::EndpointUpdated));
@@ -40,6 +57,11 @@
     events
 }
 
+fn events_of_line(line: &str) -> Vec<ListEvent> {
+    events_of(ListPart::decode(line.as_bytes()).unwrap())
+}
+
+/// A part with brackets, quotes and escapes where a decoder may stumble.
 const ODD: &str = r#"{"note":{"a]}":["\"}{",1e3,null,true]},"generation":41,"reset":true,"instances":[
   {"instanceId":"s\"}\\ü{","hostPort":"10.1.0.18:9000","zone":"\u00e4","machineType":"m2","cell":3,
    "lifecycle":"Ready","weight":1.0,"startedAtMs":0,"more":[[{"x":"]"}]]},
@@ -48,28 +70,31 @@
  ] , "after":"x"}"#;
 
 #[test]
-fn a_watch_is_decoded_alike_wherever_its_bytes_are_split() {
+fn watch_is_decoded_alike_wherever_its_bytes_are_split() {
     let change = r#"{"generation":42,"reset":false,"instances":[]}"#;
     let text = format!("\n{ODD}\n\r\n  \n{change}\r\n\n");
     let expected: Vec<ListEvent> = [ListEvent::Heartbeat]
         .into_iter()
-        .chain(events_of(ListPart::decode(ODD.as_bytes()).unwrap()))
+        .chain(events_of_line(ODD))
         .chain([ListEvent::Heartbeat, ListEvent::Heartbeat])
-        .chain(events_of(ListPart::decode(change.as_bytes()).unwrap()))
+        .chain(events_of_line(change))
         .chain([ListEvent::Heartbeat])
         .collect();
+    let expected = Decoded::without_error(expected);
     let bytes = text.as_bytes();
     for split in 0..=bytes.len() {
-        let (events, fault) = decode(&[&bytes[..split], &bytes[split..]], ListLimits::default());
-        assert_eq!((&events, fault), (&expected, None), "split at {split}");
+        assert_eq!(decode(&[&bytes[..split], &bytes[split..]]), expected, "split at {split}");
     }
     let single: Vec<&[u8]> = bytes.chunks(1).collect();
-    assert_eq!(decode(&single, ListLimits::default()), (expected, None));
+    assert_eq!(decode(&single), expected);
 }
 
+/// The beginning of a part, up to the end of its first entry.
+const BEGUN: &str =
+    r#"{"generation":7,"reset":true,"instances":[{"instanceId":"a","cell":1,"lifecycle":"Gone"}"#;
+
 #[test]
-fn an_entry_is_told_as_soon_as_it_has_come_and_the_end_only_with_its_line() {
-    let begun = r#"{"generation":7,"reset":true,"instances":[{"instanceId":"a","cell":1,"lifecycle":"Gone"}"#;
+fn entry_is_yielded_as_soon_as_it_has_come() {
     let entry = ListEntry {
         name: "a".into(),
         address: None,
@@ -80,10 +105,14 @@
         kind: String::new(),
     };
     let expected = vec![ListEvent::Begins { generation: 7, whole: true }, ListEvent::EndpointUpdated(entry)];
-    assert_eq!(decode(&[begun.as_bytes()], ListLimits::default()), (expected, None));
-    let whole = format!("{begun}]}}");
-    assert_eq!(decode(&[whole.as_bytes()], ListLimits::default()).0.len(), 2);
-    assert_eq!(decode_line(&whole).0.last(), Some(&ListEvent::Ends));
+    assert_eq!(decode(&[BEGUN.as_bytes()]), Decoded::without_error(expected));
+}
+
+#[test]
+fn end_of_a_part_is_yielded_only_with_the_end_of_its_line() {
+    let part = format!("{BEGUN}]}}");
+    assert_eq!(decode(&[part.as_bytes()]).events.len(), 2);
+    assert_eq!(decode_line(&part).events.last(), Some(&ListEvent::Ends));
 }
 
 #[test]
@@ -96,21 +125,22 @@
     ];
     for order in [[0, 1, 2, 3], [2, 1, 0, 3], [0, 2, 3, 1], [3, 2, 0, 1], [1, 2, 3, 0], [2, 3, 1, 0]] {
         let line = format!("{{{}}}", order.map(|n| parts[n]).join(","));
-        let expected = events_of(ListPart::decode(line.as_bytes()).unwrap());
-        assert_eq!(decode_line(&line), (expected, None), "{line}");
+        assert_eq!(decode_line(&line), Decoded::without_error(events_of_line(&line)), "{line}");
     }
+}
+
+#[test]
+fn reset_and_instances_may_be_left_out() {
     for line in
         [r#"{"generation":9}"#, r#"{"instances":[],"generation":9}"#, r#"{"reset":true,"generation":9}"#]
     {
-        let expected = events_of(ListPart::decode(line.as_bytes()).unwrap());
-        assert_eq!(decode_line(line), (expected, None), "{line}");
+        assert_eq!(decode_line(line), Decoded::without_error(events_of_line(line)), "{line}");
     }
 }
 
 #[test]
-fn what_is_no_part_is_refused_with_place_and_expectation() {
-    let entry = r#"{"instanceId":"a","cell":1,"lifecycle":"Gone"}"#;
-    for (text, told) in [
+fn malformed_part_is_refused_with_location_and_expectation() {
+    for (text, expected) in [
         ("x", "byte 1: expected a part of the list"),
         ("[]", "expected a part of the list"),
         ("{4", "byte 2: expected a key in quotes, or }"),
@@ -137,125 +167,161 @@
         ("{\"generation\":1,\"inst\n\n", "found an empty line"),
         ("{\"generation\":1,\"inst\nances\":", "key: control character"),
     ] {
-        let fault = fault(text);
-        assert!(fault.starts_with("byte ") && fault.contains(told), "{text}: {fault}");
+        let error = error_of(text);
+        assert!(error.starts_with("byte ") && error.contains(expected), "{text}: {error}");
     }
-    for (good, bad, told) in [
+}
+
+const ENTRY: &str = r#"{"instanceId":"a","cell":1,"lifecycle":"Gone"}"#;
+
+#[test]
+fn malformed_entry_is_refused_with_its_index() {
+    for (good, bad, expected) in [
         ("Gone", "Ready", "\"\" is no address"),
         ("Gone", "Sleeping", "unknown lifecycle \"Sleeping\""),
         ("1,", "-1,", "invalid value"),
         ("\"a\"", "7", "invalid type"),
     ] {
         let text =
-            format!("{{\"generation\":1,\"reset\":false,\"instances\":[{entry},{}", entry.replace(good, bad));
-        let fault = fault(&text);
-        assert!(fault.contains("instances[1]: ") && fault.contains(told), "{text}: {fault}");
+            format!("{{\"generation\":1,\"reset\":false,\"instances\":[{ENTRY},{}", ENTRY.replace(good, bad));
+        let error = error_of(&text);
+        assert!(error.contains("instances[1]: ") && error.contains(expected), "{text}: {error}");
     }
-    let cut = format!("{{\"generation\":1,\"instances\":[{entry},{entry}");
+}
+
+#[test]
+fn part_that_is_cut_off_anywhere_is_refused_at_the_next_empty_line() {
+    let cut = format!("{{\"generation\":1,\"instances\":[{ENTRY},{ENTRY}");
     for end in 1..cut.len() {
         let text = format!("{}\n\n", &cut[..end]);
-        assert!(fault(&text).contains("found an empty line"), "{text}");
+        assert!(error_of(&text).contains("found an empty line"), "{text}");
     }
 }
 
+const SMALL: ListLimits = ListLimits { entries: 3, value_bytes: 80, early_bytes: 100 };
+
+/// The keys that stand first as a rule.
+const HEADER: &str = "\"generation\":1,\"reset\":true,";
+
+fn entry_named(name: &str) -> String {
+    format!(r#"{{"instanceId":"{name}","cell":1,"lifecycle":"Gone"}}"#)
+}
+
+/// Decodes, within small limits, a part with these entries between two texts.
+fn decode_small(before: &str, entries: &[String], after: &str) -> Decoded {
+    let text = format!("{{{before}\"instances\":[{}]{after}}}\n", entries.join(","));
+    decode_within(SMALL, &[text.as_bytes()])
+}
+
 #[test]
-fn a_list_is_bounded_by_its_entries_and_the_bytes_of_each() {
-    let bounds = ListLimits { entries: 3, value_bytes: 80, early_bytes: 100 };
-    let entry = |name: &str| format!(r#"{{"instanceId":"{name}","cell":1,"lifecycle":"Gone"}}"#);
-    let told = |head: &str, entries: &[String]| {
-        let text =
-            format!("{{{head}\"instances\":[{}],\"reset\":true,\"generation\":1}}\n", entries.join(","));
-        decode(&[text.as_bytes()], bounds)
-    };
-    let first = "\"generation\":1,\"reset\":true,";
-    let count = |n: usize| vec![entry("a"); n];
-    let text = |n: usize| format!("{{{first}\"instances\":[{}]}}\n", count(n).join(","));
-    assert_eq!(decode(&[text(3).as_bytes()], bounds).1, None);
-    let (events, fault) = decode(&[text(4).as_bytes()], bounds);
-    assert_eq!(events.len(), 4, "what came before it is told");
-    assert!(fault.unwrap().ends_with("instances[3]: expected 3 entries at most in a list"));
-    let long = entry(&"a".repeat(60));
-    let fault = told(first, &[long]).1.unwrap();
-    assert!(fault.ends_with("instances[0]: expected 80 bytes at most in one value"), "{fault}");
-    let (events, fault) = told("", &count(2));
-    assert_eq!((events.len(), fault), (4, None));
-    let fault = told("", &count(3)).1.unwrap();
+fn list_with_too_many_entries_is_refused_once_the_others_were_yielded() {
+    assert_eq!(decode_small(HEADER, &vec![entry_named("a"); 3], "").error, None);
+    let Decoded { events, error } = decode_small(HEADER, &vec![entry_named("a"); 4], "");
+    assert_eq!(events.len(), 4);
+    assert!(error.unwrap().ends_with("instances[3]: expected 3 entries at most in a list"));
+}
+
+/// `reset` and `generation` behind the entries.
+const HEADER_BEHIND: &str = ",\"reset\":true,\"generation\":1";
+
+#[test]
+fn list_with_too_long_an_entry_is_refused() {
+    let error = decode_small(HEADER, &[entry_named(&"a".repeat(60))], HEADER_BEHIND).error.unwrap();
+    assert!(error.ends_with("instances[0]: expected 80 bytes at most in one value"), "{error}");
+}
+
+#[test]
+fn entries_before_generation_and_reset_are_limited_by_their_bytes() {
+    let Decoded { events, error } = decode_small("", &vec![entry_named("a"); 2], HEADER_BEHIND);
+    assert_eq!((events.len(), error), (4, None));
+    let error = decode_small("", &vec![entry_named("a"); 3], HEADER_BEHIND).error.unwrap();
     assert!(
-        fault.ends_with("expected generation and reset before instances, or 100 bytes of these at most"),
-        "{fault}"
+        error.ends_with("expected generation and reset before instances, or 100 bytes of these at most"),
+        "{error}"
     );
-    // A key without a meaning is passed over however long it is.
-    let noise = format!("\"noise\":[\"]{}\"],{first}", "x".repeat(1000));
-    assert_eq!(decode(&[format!("{{{noise}\"more\":1}}\n").as_bytes()], bounds).0.len(), 2);
 }
 
 #[test]
-fn by_default_a_list_may_be_three_times_as_long_as_the_largest_that_is_expected() {
+fn key_without_a_meaning_is_passed_over_however_long_its_value_is() {
+    let noise = format!("\"noise\":[\"]{}\"],{HEADER}", "x".repeat(1000));
+    let text = format!("{{{noise}\"more\":1}}\n");
+    assert_eq!(decode_within(SMALL, &[text.as_bytes()]).events.len(), 2);
+}
+
+#[test]
+fn default_limit_is_three_times_the_entries_of_the_largest_list_that_is_expected() {
     assert!(ListLimits::default().entries >= 3 * 320_000);
 }
 
+/// One of these texts.
+fn any(random: &mut Pcg32, texts: &[&str]) -> String {
+    texts[random.random_range(0..texts.len())].to_owned()
+}
+
+/// A text that is an entry of the list, or nearly so.
+fn random_entry(random: &mut Pcg32) -> String {
+    let name = any(random, &["a", "s-5be2a07c", "\\u00e4\\n", "ü}", "{[\\\"", "日本"]);
+    let host = any(random, &["10.1.0.18:9000", "10.1.0.18:9000", "[::1]:1", "", "host:1"]);
+    let state = any(random, &["Ready", "Ready", "Terminating", "Gone", "Sleeping"]);
+    let cell = any(random, &["3", "18446744073709551615", "0", "-1", "1.5"]);
+    let weight = any(random, &["1.0", "null", "2", "1e3", "\"x\""]);
+    let more = any(random, &["", ",\"startedAtMs\":0", ",\"x\":{\"y\":[1,\"]\"]}", ",\"cell\":4"]);
+    format!(
+        r#"{{"instanceId":"{name}","hostPort":"{host}","zone":"a","cell":{cell},"lifecycle":"{state}","weight":{weight}{more}}}"#
+    )
+}
+
 /// A text that is a part of the list, or nearly so.
-fn random_part(chance: &mut Pcg32) -> String {
-    let any = |chance: &mut Pcg32, of: &[&str]| of[chance.random_range(0..of.len())].to_owned();
-    let entry = |chance: &mut Pcg32| {
-        let name = any(chance, &["a", "s-5be2a07c", "\\u00e4\\n", "ü}", "{[\\\"", "日本"]);
-        let host = any(chance, &["10.1.0.18:9000", "10.1.0.18:9000", "[::1]:1", "", "host:1"]);
-        let state = any(chance, &["Ready", "Ready", "Terminating", "Gone", "Sleeping"]);
-        let cell = any(chance, &["3", "18446744073709551615", "0", "-1", "1.5"]);
-        let weight = any(chance, &["1.0", "null", "2", "1e3", "\"x\""]);
-        let more = any(chance, &["", ",\"startedAtMs\":0", ",\"x\":{\"y\":[1,\"]\"]}", ",\"cell\":4"]);
-        format!(
-            r#"{{"instanceId":"{name}","hostPort":"{host}","zone":"a","cell":{cell},"lifecycle":"{state}","weight":{weight}{more}}}"#
-        )
-    };
-    let entries: Vec<String> = (0..chance.random_range(0..4)).map(|_| entry(chance)).collect();
+fn random_part(random: &mut Pcg32) -> String {
+    let entries: Vec<String> = (0..random.random_range(0..4)).map(|_| random_entry(random)).collect();
     let mut keys = vec![
-        format!("\"generation\":{}", any(chance, &["0", "41", "18446744073709551615", "4", "7"])),
-        format!("\"reset\":{}", any(chance, &["true", "false"])),
+        format!("\"generation\":{}", any(random, &["0", "41", "18446744073709551615", "4", "7"])),
+        format!("\"reset\":{}", any(random, &["true", "false"])),
         format!("\"instances\": [{}]", entries.join(" , ")),
-        format!("\"other\":{}", any(chance, &["1", "\"}\"", "[[],{\"a\":[]}]", "null", "-0.5e-3"])),
+        format!("\"other\":{}", any(random, &["1", "\"}\"", "[[],{\"a\":[]}]", "null", "-0.5e-3"])),
     ];
-    for _ in 0..chance.random_range(0..3) {
-        let (single_request, other) =
-            (chance.random_range(0..keys.len()), chance.random_range(0..keys.len()));
-        keys.swap(single_request, other);
+    for _ in 0..random.random_range(0..3) {
+        let (left, right) = (random.random_range(0..keys.len()), random.random_range(0..keys.len()));
+        keys.swap(left, right);
     }
-    keys.truncate(chance.random_range(2..=4));
+    keys.truncate(random.random_range(2..=4));
     let mut text = format!("{{{}}}", keys.join(",\n\t"));
-    if chance.random_bool(0.3) {
-        let at: Vec<usize> = text.char_indices().map(|(at, _)| at).collect();
-        let at = at[chance.random_range(0..at.len())];
-        text.replace_range(
-            at..at + text[at..].chars().next().map_or(0, char::len_utf8),
-            &any(chance, &["", "}", "\"", "]", "1"]),
-        );
+    if random.random_bool(0.3) {
+        spoil(random, &mut text);
     }
     text
 }
 
+/// Replaces one character.
+fn spoil(random: &mut Pcg32, text: &mut String) {
+    let starts: Vec<usize> = text.char_indices().map(|(at, _)| at).collect();
+    let start = starts[random.random_range(0..starts.len())];
+    let end = start + text[start..].chars().next().map_or(0, char::len_utf8);
+    text.replace_range(start..end, &any(random, &["", "}", "\"", "]", "1"]));
+}
+
 #[test]
-fn random_parts_are_decoded_and_refused_as_when_they_are_there_whole() {
-    let mut chance = Pcg32::seed_from_u64(39);
-    let (mut taken, mut refused) = (0, 0);
+fn random_part_is_decoded_or_refused_as_when_it_is_in_memory_whole() {
+    let mut random = Pcg32::seed_from_u64(39);
+    let (mut accepted, mut refused) = (0, 0);
     for _ in 0..20_000 {
-        let text = random_part(&mut chance);
-        let whole = ListPart::decode(text.as_bytes());
-        let split = chance.random_range(0..=text.len());
+        let text = random_part(&mut random);
+        let split = random.random_range(0..=text.len());
         let (head, tail) = text.as_bytes().split_at(split);
         // A part that has no end by now would go on in the next line, which here is empty.
-        let (events, fault) = decode(&[head, tail, b"\n\n"], ListLimits::default());
-        match whole {
+        let decoded = decode(&[head, tail, b"\n\n"]);
+        match ListPart::decode(text.as_bytes()) {
             Ok(part) => {
-                taken += 1;
+                accepted += 1;
                 let mut expected = events_of(part);
                 expected.push(ListEvent::Heartbeat);
-                assert_eq!((events, fault), (expected, None), "{text}");
+                assert_eq!(decoded, Decoded::without_error(expected), "{text}");
             }
             Err(reason) => {
                 refused += 1;
-                assert!(fault.is_some(), "{text}: {reason}");
+                assert!(decoded.error.is_some(), "{text}: {reason}");
             }
         }
     }
-    assert!(taken > 2000 && refused > 2000, "{taken} {refused}");
+    assert!(accepted > 2000 && refused > 2000, "{accepted} {refused}");
 }
--- /dev/null
+++ b/crates/settings/tests/settings.rs
@@ -0,0 +1,151 @@
+//! Which key of the settings each value comes from.
+
+use std::time::Duration;
+
+use reeddock::{Idempotency, KeyScope, LateDecay, ListedWeights, LoadReport};
+use reeddock_settings::{parse_settings, DeploymentShape, LoadReportFields, NetworkSettings};
+use serde_json::{json, Map, Value};
+
+fn object(value: Value) -> Map<String, Value> {
+    value.as_object().cloned().unwrap()
+}
+
+/// Settings with every key, no value of which is the same as when it is absent.
+fn full() -> Map<String, Value> {
+    object(json!({
+        "balancers": 200, "az": "east", "areas": ["east", "west"], "discovery": "subscribe", "weights": "rough",
+        "tickUs": 5000, "overShareWorth": 0.5,
+        "classes": [{"name": "update", "effect": "deduplicated", "windowUs": 11, "dedupScope": "all",
+                     "onTimeUs": 12, "giveUpUs": 13, "importance": 2.5, "lateWorth": 0.25, "sequential": true}],
+        "realms": [{"name": "tenant", "quotaPerS": 4.5}],
+        "kinds": ["partner", "other"],
+        "report": {"how": "piggyback", "fields": ["x1", "utilization", "x0"]},
+        "familyInfo": {"maxCalls": 14, "batchByKind": [15], "kindApart": [true], "zoneFee": [0.01, 0.04],
+                       "decay": "halving"},
+        "policyLimits": {"openCap": 16, "attemptsCap": 17, "mayDuplicate": true, "retryAfter": true,
+                         "maxRetryAfterUs": 18, "connIdleUs": 19, "connectTimeoutUs": 20},
+        "guarantees": {"coldFrom": 0.3, "warmWithinUs": 21, "fallMultiple": 1.5, "tipAfterUs": 22,
+                       "keyQuietUs": 23, "mustAskInUs": 24},
+        "tariffs": {"crossZone": 0.2, "handshake": 0.04}
+    }))
+}
+
+const fn micros(micros: u64) -> Option<Duration> {
+    Some(Duration::from_micros(micros))
+}
+
+#[test]
+fn classes_kinds_and_tenants_are_read() {
+    let settings = parse_settings(5, &full());
+    let class = &settings.classes[0];
+    let window = Duration::from_micros(11);
+    assert_eq!(class.name, "update");
+    assert_eq!(class.idempotency, Some(Idempotency::WithKey { window, scope: KeyScope::Region }));
+    assert_eq!((class.latency_objective, class.deadline), (micros(12), micros(13)));
+    assert_eq!((class.priority_weight, class.late_weight), (Some(2.5), Some(0.25)));
+    assert!(class.ordered);
+    let kinds = &settings.endpoint_kinds;
+    assert_eq!(
+        (kinds[0].name.as_str(), kinds[0].circuit_per_endpoint, kinds[0].max_batch),
+        ("partner", true, Some(15))
+    );
+    assert_eq!(
+        (kinds[1].name.as_str(), kinds[1].circuit_per_endpoint, kinds[1].max_batch),
+        ("other", false, None)
+    );
+    assert_eq!(settings.tenants[0].tenant, "tenant");
+    assert_eq!(settings.tenants[0].messages_per_second, Some(4.5));
+    assert_eq!((settings.over_quota_weight, settings.late_decay), (Some(0.5), LateDecay::Exponential));
+}
+
+#[test]
+fn fleet_and_limits_are_read() {
+    let settings = parse_settings(5, &full());
+    assert_eq!((settings.seed, settings.forwarders, settings.zone.as_str()), (5, Some(200), "east"));
+    assert_eq!(
+        (settings.max_in_flight, settings.capacity, settings.max_attempts),
+        (Some(14), Some(16), Some(17))
+    );
+    assert!(settings.hedging_allowed);
+    assert_eq!((settings.max_retry_after, settings.connection_idle_timeout), (micros(18), micros(19)));
+}
+
+#[test]
+fn guarantees_discovery_and_prices_are_read() {
+    let settings = parse_settings(5, &full());
+    assert_eq!((settings.slow_start_floor, settings.slow_start_duration), (Some(0.3), micros(21)));
+    assert_eq!((settings.overload_multiple, settings.overload_window), (Some(1.5), micros(22)));
+    assert_eq!((settings.ordering_hold_off, settings.poll_interval_limit), (micros(23), micros(24)));
+    assert_eq!(settings.listed_weights, ListedWeights::ApproximateRates);
+    assert!(settings.responses_carry_load_reports);
+    assert_eq!((settings.cross_zone_price, settings.connection_price), (Some(0.2), Some(0.04)));
+    let fees: Vec<_> = settings.zone_fees.iter().map(|fee| (fee.zone.as_str(), fee.fee)).collect();
+    assert_eq!(fees, [("east", 0.01), ("west", 0.04)]);
+}
+
+#[test]
+fn longest_retry_after_counts_only_where_rejections_may_carry_one() {
+    let mut settings = full();
+    settings["policyLimits"]["retryAfter"] = json!(false);
+    assert_eq!(parse_settings(5, &settings).max_retry_after, None);
+}
+
+#[test]
+fn poll_interval_counts_only_where_the_endpoint_list_is_polled() {
+    let mut settings = full();
+    settings["discovery"] = json!("automatic");
+    assert_eq!(parse_settings(5, &settings).poll_interval_limit, None);
+}
+
+#[test]
+fn idempotency_key_without_a_window_counts_as_not_given() {
+    let mut settings = full();
+    settings["classes"][0]["windowUs"] = json!("long");
+    assert_eq!(parse_settings(5, &settings).classes[0].idempotency, None);
+}
+
+#[test]
+fn load_report_is_read_by_the_order_of_its_fields() {
+    let fields = LoadReportFields::of(&full()).unwrap();
+    let values = [json!(25.0), json!(3), json!(0.4)];
+    assert_eq!(fields.read(&values), Some(LoadReport { left: 0.4, limit: 25.0 }));
+    assert_eq!(fields.read(&values[..2]), None);
+}
+
+#[test]
+fn tick_over_a_tenth_of_a_second_counts_as_not_given() {
+    let expected = NetworkSettings { tick: micros(5000), connect_within: micros(20), idle: micros(19) };
+    assert_eq!(NetworkSettings::of(&full()), expected);
+    let mut settings = full();
+    settings["tickUs"] = json!(100_001);
+    assert_eq!(NetworkSettings::of(&settings), NetworkSettings { tick: None, ..expected });
+}
+
+#[test]
+fn value_of_the_shape_that_means_nothing_is_refused_with_its_key() {
+    for (pointer, value, expected) in [
+        ("/az", json!("north"), "az: expected one of areas"),
+        ("/familyInfo/zoneFee", json!([0.01, -1.0]), "familyInfo.zoneFee[1]: expected 0 or more"),
+        (
+            "/familyInfo/zoneFee",
+            json!([0.01]),
+            "familyInfo.zoneFee: expected a fee for each of 2 areas, found 1",
+        ),
+        (
+            "/guarantees/mustAskInUs",
+            json!(0),
+            "guarantees.mustAskInUs: expected microseconds over 0, as the list is asked for",
+        ),
+        ("/familyInfo", json!(7), "familyInfo: invalid type: integer `7`, expected struct Family"),
+        (
+            "/weights",
+            json!("heavy"),
+            "weights: unknown variant `heavy`, expected one of `silent`, `nominal`, `rough`, `live`",
+        ),
+    ] {
+        let mut settings = Value::Object(full());
+        *settings.pointer_mut(pointer).unwrap() = value;
+        let error = DeploymentShape::of(&object(settings)).unwrap_err();
+        assert_eq!(error.to_string(), expected);
+    }
+}
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -3,21 +3,23 @@
 use reeddock_sim_adapter::SimulationAdapter;
 use serde_json::{json, Value};
 
-const ID: &str = "5d3a91c4-99e5-4cdd-ad37-efdbeadb10f2";
+const MESSAGE: &str = "5d3a91c4-99e5-4cdd-ad37-efdbeadb10f2";
 
-fn info() -> Value {
+fn settings() -> Value {
     json!({"classes": [{"name": "c", "effect": "idempotent", "onTimeUs": 2_000_000, "giveUpUs": 9_000_000}],
            "kinds": ["k"], "familyInfo": {"maxCalls": 4}, "unheard": {"of": 1}})
 }
 
+/// A batch with events for instance 3, at as many seconds as its serial number.
 fn batch(serial: u64, events: Value) -> String {
     json!({"wallUs": 1_000_000 * serial, "serial": serial, "forwarders": [{"i": 3, "in": events}]})
         .to_string()
 }
 
+/// Events that start an instance, whose list has endpoint 7 alone after two lists under the same number.
 fn attach() -> Value {
     json!([
-        ["Attach", u64::MAX, info()],
+        ["Attach", u64::MAX, settings()],
         ["Register", 0, [[4_294_967_295u64, null, 9, null, "active", "z", "k"]]],
         ["Sync", "C", 41, 0],
         ["Register", 0, [[7, null, 9, null, "active", "z", "k"]]],
@@ -25,39 +27,51 @@
     ])
 }
 
-#[test]
-fn slots_are_reused_inside_a_batch_and_numbers_stay_exact() {
+/// An adapter with instance 3.
+fn attached() -> SimulationAdapter {
     let mut adapter = SimulationAdapter::default();
     adapter.process_batch(&batch(1, attach())).unwrap();
-    let reply = adapter.process_batch(&batch(
-        2,
-        json!([["Demand", ID, "c", null, 9007199254740991u64, 10_000_001, null, 9, false, false, false]]),
-    ));
-    let reply: Value = serde_json::from_str(&reply.unwrap()).unwrap();
-    assert_eq!(reply["forwarders"][0]["cmds"][0], json!(["Try", ID, 2_000_000, 7]));
+    adapter
+}
+
+#[test]
+fn list_numbers_are_reused_inside_a_batch_and_large_numbers_stay_exact() {
+    let message =
+        json!(["Demand", MESSAGE, "c", null, 9007199254740991u64, 10_000_001, null, 9, false, false, false]);
+    let reply = attached().process_batch(&batch(2, json!([message]))).unwrap();
+    let reply: Value = serde_json::from_str(&reply).unwrap();
+    assert_eq!(reply["forwarders"][0]["cmds"][0], json!(["Try", MESSAGE, 2_000_000, 7]));
 }
 
 #[test]
-fn empty_batches_restarts_and_ids_no_longer_held_are_answered() {
+fn empty_batch_is_answered_with_its_serial_number() {
     let mut adapter = SimulationAdapter::default();
-    let empty = r#"{"wallUs":8412250,"serial":1,"forwarders":[]}"#;
-    assert_eq!(
-        serde_json::from_str::<Value>(&adapter.process_batch(empty).unwrap()).unwrap(),
-        json!({"serial": 1, "forwarders": []})
-    );
+    let reply = adapter.process_batch(r#"{"wallUs":8412250,"serial":1,"forwarders":[]}"#).unwrap();
+    let reply: Value = serde_json::from_str(&reply).unwrap();
+    assert_eq!(reply, json!({"serial": 1, "forwarders": []}));
     adapter.process_batch(&batch(2, attach())).unwrap();
-    let mut events = vec![json!(["Left", ID]), json!(["Sync", "X", 0, null]), json!(["Retire"])];
+}
+
+#[test]
+fn instance_may_retire_and_attach_in_one_batch_and_hear_of_messages_that_it_does_not_hold() {
+    let mut adapter = attached();
+    let mut events = vec![json!(["Left", MESSAGE]), json!(["Sync", "X", 0, null]), json!(["Retire"])];
     events.extend(attach().as_array().unwrap().clone());
-    adapter.process_batch(&batch(3, json!(events))).unwrap();
-    adapter.process_batch(&batch(4, json!([["Retire"]]))).unwrap();
-    assert!(
-        adapter.process_batch(&batch(5, json!([["Alarm", "wake"]]))).is_err(),
-        "a killed instance has no events"
-    );
+    adapter.process_batch(&batch(2, json!(events))).unwrap();
+    adapter.process_batch(&batch(3, json!([["Retire"]]))).unwrap();
+    assert!(adapter.process_batch(&batch(4, json!([["Alarm", "wake"]]))).is_err());
+}
+
+#[test]
+fn event_for_a_retired_instance_is_refused() {
+    let mut adapter = attached();
+    adapter.process_batch(&batch(2, json!([["Retire"]]))).unwrap();
+    let error = adapter.process_batch(&batch(3, json!([["Alarm", "wake"]]))).unwrap_err();
+    assert_eq!(error.to_string(), "Alarm: instance 3 is not attached");
 }
 
 #[test]
-fn odd_reports_and_settings_are_read_as_untold() {
+fn odd_load_reports_and_settings_count_as_not_given() {
     for report in
         [json!({"how": "piggyback", "fields": ["x1", "x0"]}), json!({"how": 3}), json!(null), json!([])]
     {
@@ -67,36 +81,39 @@
         events[0][2]["familyInfo"]["zoneFee"] = json!([0.1, null, "x", -3]);
         events[0][2]["areas"] = json!(["z"]);
         adapter.process_batch(&batch(1, events)).unwrap();
-        for usage in
+        for load_report in
             [json!(null), json!([]), json!([5.0]), json!(["a", null]), json!([-1, 7]), json!([9.0, 0.3])]
         {
-            let attempt_finished = json!(["Settled", ID, 0, 18500, 7, "shed", false, null, usage]);
-            adapter
-                .process_batch(&batch(
-                    2,
-                    json!([attempt_finished, ["HealthResult", 7, "delivered", 1400, usage]]),
-                ))
-                .unwrap();
+            let finished = json!(["Settled", MESSAGE, 0, 18500, 7, "shed", false, null, load_report]);
+            let checked = json!(["HealthResult", 7, "delivered", 1400, load_report]);
+            adapter.process_batch(&batch(2, json!([finished, checked]))).unwrap();
         }
         adapter.process_batch(&batch(3, json!([["Sync", "X", 0, null]]))).unwrap();
     }
 }
 
 #[test]
-fn malformed_input_is_named_in_one_line() {
-    let mut adapter = SimulationAdapter::default();
-    adapter.process_batch(&batch(1, attach())).unwrap();
-    for line in [
-        "{",
-        "[]",
-        r#"{"wallUs":-1,"serial":1,"forwarders":[]}"#,
-        &batch(2, json!([["Nonsense"]])),
-        &batch(2, json!([["Demand", ID]])),
-        &batch(2, json!([["Settled", ID, 0, 1, 7, "odd", false, null, null]])),
-        &batch(2, json!([["Sync", "D", 1, 15]])),
-        &batch(2, json!([["Register", 0, [[-4, 1, 9, 0, "active", "z", "k"]]], ["Sync", "D", 1, 0]])),
+fn malformed_input_is_refused_with_one_line() {
+    let mut adapter = attached();
+    let bad_entry = json!([-4, 1, 9, 0, "active", "z", "k"]);
+    for (line, expected) in [
+        ("{", "batch is not JSON: EOF while parsing an object at line 1 column 1"),
+        ("[]", "batch has no clock in wallUs"),
+        (r#"{"wallUs":-1,"serial":1,"forwarders":[]}"#, "batch has no clock in wallUs"),
+        (&batch(2, json!([["Nonsense"]])), "unknown event \"Nonsense\""),
+        (&batch(2, json!([["Demand", MESSAGE]])), "Demand: value 2 is missing or malformed"),
+        (
+            &batch(2, json!([["Settled", MESSAGE, 0, 1, 7, "odd", false, null, null]])),
+            "Settled: unknown outcome \"odd\"",
+        ),
+        (&batch(2, json!([["Sync", "D", 1, 15]])), "Sync: list 15 was never registered"),
+        (
+            &batch(2, json!([["Register", 0, [bad_entry]], ["Sync", "D", 1, 0]])),
+            "Register entry: value 1 is missing or malformed",
+        ),
     ] {
-        let fault = adapter.process_batch(line).unwrap_err().to_string();
-        assert!(!fault.is_empty() && !fault.contains('\n'), "{line}");
+        let error = adapter.process_batch(line).unwrap_err().to_string();
+        assert!(!error.is_empty() && !error.contains('\n'), "{line}");
+        assert_eq!(error, expected, "{line}");
     }
 }
