--- a/crates/forwarder/src/cached_endpoint_list.rs
+++ b/crates/forwarder/src/cached_endpoint_list.rs
@@ -1,10 +1,10 @@
 //! The endpoint list as it was known before the start of the process.
 
-use reeddock_protocol::{Entry, ListPart};
+use reeddock_protocol::{ListEntry, ListPart};
 use thiserror::Error;
 
 /// Passes each entry of a list to a function, or says in one line what is wrong with the list.
-pub type Entries = Box<dyn FnOnce(&mut dyn FnMut(Entry)) -> Result<(), String> + Send>;
+pub type Entries = Box<dyn FnOnce(&mut dyn FnMut(ListEntry)) -> Result<(), String> + Send>;
 
 /// The cached list is not as it was when it was found: what is wrong with it, in one line.
 #[derive(Debug, Error)]
@@ -32,7 +32,7 @@
     }
 
     /// Passes each entry to a function. On an error it may have had some of them.
-    pub fn each(self, mut apply: impl FnMut(Entry)) -> Result<(), CachedListError> {
+    pub fn each(self, mut apply: impl FnMut(ListEntry)) -> Result<(), CachedListError> {
         (self.entries)(&mut apply).map_err(CachedListError)
     }
 }
@@ -40,7 +40,7 @@
 impl From<ListPart> for CachedEndpointList {
     fn from(part: ListPart) -> CachedEndpointList {
         let (generation, endpoints) = (part.generation, part.entries.len());
-        let entries = Box::new(|apply: &mut dyn FnMut(Entry)| {
+        let entries = Box::new(|apply: &mut dyn FnMut(ListEntry)| {
             part.entries.into_iter().for_each(apply);
             Ok(())
         });
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list, applied entry by entry.
 
 use reeddock::{EndpointId, EndpointState, EndpointUpdate};
-use reeddock_protocol::{Entry, ListEvent};
+use reeddock_protocol::{ListEntry, ListEvent};
 
 use super::EventLoop;
 use crate::cached_endpoint_list::{CachedEndpointList, CachedListError};
@@ -25,9 +25,9 @@
     pub(super) fn apply_list_events(&mut self, events: Vec<ListEvent>) {
         for event in events {
             match event {
-                ListEvent::Begins { generation, whole } => self.begin_endpoint_list(generation, whole),
+                ListEvent::PartStarted { generation, whole } => self.begin_endpoint_list(generation, whole),
                 ListEvent::EndpointUpdated(entry) => self.update_endpoint(entry),
-                ListEvent::Ends => self.finish_endpoint_list(),
+                ListEvent::PartEnded => self.finish_endpoint_list(),
                 ListEvent::Heartbeat => {}
             }
         }
@@ -90,7 +90,7 @@
     }
 
     /// Applies one entry of the list.
-    fn update_endpoint(&mut self, entry: Entry) {
+    fn update_endpoint(&mut self, entry: ListEntry) {
         let endpoint = self.state.endpoints_mut().number(&entry.name);
         self.policy.update_endpoint(EndpointUpdate {
             endpoint,
@@ -112,7 +112,7 @@
 
     /// Stores where an endpoint is. An entry for a removed one has no address; the last one stays, as the policy may
     /// still refer to the endpoint.
-    fn update_location(&mut self, endpoint: EndpointId, entry: &Entry) {
+    fn update_location(&mut self, endpoint: EndpointId, entry: &ListEntry) {
         let Some(address) = entry.address else { return };
         let location = EndpointLocation { address, batch: self.batch_limits.of_kind(&entry.kind) };
         match self.state.endpoints_mut().place(endpoint, location) {
@@ -124,7 +124,7 @@
     }
 
     /// Logs the name and address of a new endpoint with its number, by which the policy's lines refer to it.
-    fn log_new_endpoint(&mut self, endpoint: EndpointId, entry: &Entry) {
+    fn log_new_endpoint(&mut self, endpoint: EndpointId, entry: &ListEntry) {
         let new_endpoints = self.state.list_progress_mut().as_mut().map_or(1, |progress| {
             progress.new_endpoints += 1;
             progress.new_endpoints
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -39,7 +39,7 @@
             return;
         }
         let id = submission.id.clone();
-        let ordering_key = submission.key;
+        let ordering_key = submission.ordering_key;
         let destination = submission.destination;
         let deadline = self.clock.at(received_at) + submission.time_left;
         let accepted = self.accepted_record(submission, deadline);
@@ -74,7 +74,7 @@
             id: submission.id.0.to_string(),
             class: submission.class,
             tenant: submission.tenant,
-            key: submission.key.map(|key| key.0),
+            key: submission.ordering_key.map(|key| key.0),
             destination: submission.destination.0,
             deadline: self.clock.stored(deadline),
             body: submission.body,
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -99,7 +99,7 @@
                     return Err(ReadError::Malformed(MalformedList { fault, bytes }));
                 }
             };
-            self.progress.line_received |= matches!(event, ListEvent::Ends | ListEvent::Heartbeat);
+            self.progress.line_received |= matches!(event, ListEvent::PartEnded | ListEvent::Heartbeat);
             if event != ListEvent::Heartbeat {
                 self.piece.push(event);
             }
@@ -130,8 +130,8 @@
         let mut completed = None;
         for event in &self.piece {
             match event {
-                ListEvent::Begins { generation, .. } => self.part_generation = Some(*generation),
-                ListEvent::Ends => completed = self.part_generation,
+                ListEvent::PartStarted { generation, .. } => self.part_generation = Some(*generation),
+                ListEvent::PartEnded => completed = self.part_generation,
                 _ => {}
             }
         }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -21,8 +21,6 @@
 pub use attempt_result::AttemptResult;
 pub use client_response::ClientResponse;
 pub use error::{EntryError, ListError, ListFault, ListLocation, ListPartError, SubmissionError};
-/// The old name of [`ListEntry`], until its users in the forwarder and the daemon follow.
-pub use list::ListEntry as Entry;
 pub use list::{watch_request, ListDecoder, ListEntry, ListEvent, ListLimits, ListPart};
 pub use notice::{notices_request, DeliveryNotice, FinalAnswer};
 pub use request::{batch_request, single_request, split_into_batches, OutgoingMessage};
--- a/crates/protocol/src/list/decoder.rs
+++ b/crates/protocol/src/list/decoder.rs
@@ -122,7 +122,7 @@
     fn position_after(&mut self, byte: u8) -> Result<Position, ListError> {
         Ok(match (self.position, byte) {
             (Position::AfterPart, b'\n') => {
-                self.ready.push_back(ListEvent::Ends);
+                self.ready.push_back(ListEvent::PartEnded);
                 Position::BetweenParts
             }
             (unchanged, b' ' | b'\t' | b'\r' | b'\n') => unchanged,
--- a/crates/protocol/src/list/event.rs
+++ b/crates/protocol/src/list/event.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, PartialEq)]
 pub enum ListEvent {
     /// A part begins.
-    Begins {
+    PartStarted {
         /// The version of the list that a forwarder has once the part has ended.
         generation: u64,
         /// The part is the whole list, and not just what changed.
@@ -15,7 +15,7 @@
     /// One entry of the part.
     EndpointUpdated(ListEntry),
     /// The part has ended, and so has its line.
-    Ends,
+    PartEnded,
     /// An empty line between parts, which says that discovery is alive.
     Heartbeat,
 }
--- a/crates/protocol/src/list/part_progress.rs
+++ b/crates/protocol/src/list/part_progress.rs
@@ -13,7 +13,7 @@
     pub has_instances: bool,
     /// Entries so far.
     pub entries: usize,
-    /// [`ListEvent::Begins`] was yielded.
+    /// [`ListEvent::PartStarted`] was yielded.
     begun: bool,
     /// Entries that came before it, and their bytes on the wire.
     early: VecDeque<ListEntry>,
@@ -27,7 +27,7 @@
             return;
         };
         self.begun = true;
-        ready.push_back(ListEvent::Begins { generation, whole });
+        ready.push_back(ListEvent::PartStarted { generation, whole });
         ready.extend(self.early.drain(..).map(ListEvent::EndpointUpdated));
     }
 
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -26,7 +26,7 @@
     /// The tenant that it belongs to, whose quota it counts against.
     pub tenant: Option<String>,
     /// Messages with the same ordering key are delivered in order, where their class says so.
-    pub key: Option<OrderingKey>,
+    pub ordering_key: Option<OrderingKey>,
     /// Where it is to be delivered.
     pub destination: DestinationId,
     /// How long it may still be delivered, from when the client sent it.
@@ -50,14 +50,14 @@
         // The order of these checks settles which fault a client hears of first.
         let destination = parse_destination(required(headers, DESTINATION)?);
         let class = required(headers, MESSAGE_CLASS)?;
-        let key = parse_ordering_key(headers)?;
+        let ordering_key = parse_ordering_key(headers)?;
         let destination = destination.ok_or(SubmissionError::NoDestination)?;
         let time_left = parse_seconds(required(headers, TIME_LEFT)?).ok_or(malformed(TIME_LEFT))?;
         Ok(Submission {
             id: MessageId(Arc::from(id)),
             class: class.to_owned(),
             tenant: header_text(headers, TENANT).map(str::to_owned),
-            key,
+            ordering_key,
             destination,
             time_left,
             idempotency_key: idempotency_key.map(str::to_owned),
--- a/crates/protocol/tests/list_decoder.rs
+++ b/crates/protocol/tests/list_decoder.rs
@@ -51,9 +51,9 @@
 
 /// The events of a part that is in memory whole.
 fn events_of(part: ListPart) -> Vec<ListEvent> {
-    let mut events = vec![ListEvent::Begins { generation: part.generation, whole: part.whole }];
+    let mut events = vec![ListEvent::PartStarted { generation: part.generation, whole: part.whole }];
     events.extend(part.entries.into_iter().map(ListEvent::EndpointUpdated));
-    events.push(ListEvent::Ends);
+    events.push(ListEvent::PartEnded);
     events
 }
 
@@ -104,7 +104,8 @@
         zone: String::new(),
         kind: String::new(),
     };
-    let expected = vec![ListEvent::Begins { generation: 7, whole: true }, ListEvent::EndpointUpdated(entry)];
+    let expected =
+        vec![ListEvent::PartStarted { generation: 7, whole: true }, ListEvent::EndpointUpdated(entry)];
     assert_eq!(decode(&[BEGUN.as_bytes()]), Decoded::without_error(expected));
 }
 
@@ -112,7 +113,7 @@
 fn end_of_a_part_is_yielded_only_with_the_end_of_its_line() {
     let part = format!("{BEGUN}]}}");
     assert_eq!(decode(&[part.as_bytes()]).events.len(), 2);
-    assert_eq!(decode_line(&part).events.last(), Some(&ListEvent::Ends));
+    assert_eq!(decode_line(&part).events.last(), Some(&ListEvent::PartEnded));
 }
 
 #[test]
--- a/crates/settings/src/network.rs
+++ b/crates/settings/src/network.rs
@@ -17,9 +17,9 @@
     /// together.
     pub tick: Option<Duration>,
     /// `policyLimits.connectTimeoutUs`: a connection that is not established by then counts as failed.
-    pub connect_within: Option<Duration>,
+    pub connect_timeout: Option<Duration>,
     /// `policyLimits.connIdleUs`: endpoints close a connection that has been idle for so long.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 impl NetworkSettings {
@@ -30,8 +30,8 @@
         let limits = settings.section("policyLimits");
         NetworkSettings {
             tick: settings.micros("tickUs").filter(|tick| *tick <= MAX_TICK),
-            connect_within: limits.micros("connectTimeoutUs"),
-            idle: limits.micros("connIdleUs"),
+            connect_timeout: limits.micros("connectTimeoutUs"),
+            idle_timeout: limits.micros("connIdleUs"),
         }
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -114,7 +114,8 @@
 
 #[test]
 fn tick_over_a_tenth_of_a_second_counts_as_not_given() {
-    let expected = NetworkSettings { tick: micros(5000), connect_within: micros(20), idle: micros(19) };
+    let expected =
+        NetworkSettings { tick: micros(5000), connect_timeout: micros(20), idle_timeout: micros(19) };
     assert_eq!(NetworkSettings::of(&full()), expected);
     let mut settings = full();
     settings["tickUs"] = json!(100_001);
