--- a/crates/daemon/src/wal_command/text.rs
+++ b/crates/daemon/src/wal_command/text.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 
-use reeddock_wal::PendingMessage;
+use reeddock_wal::{PendingCounts, PendingMessage};
 
 use super::{attempt_count, possibly_executed, seconds_left, GroupBy, Snapshot};
 
@@ -33,8 +33,8 @@
 pub fn write_verification(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
     write_damage(snapshot, out)?;
     let report = &snapshot.report;
-    let (pending, unacknowledged) = snapshot.index.counts();
-    let lost = snapshot.index.pending().iter().filter(|message| message.lost).count();
+    let PendingCounts { messages: pending, notices: unacknowledged } = snapshot.index.counts();
+    let lost = snapshot.index.pending().iter().filter(|message| message.records_lost).count();
     let state = if report.is_sound() { "sound" } else { "DAMAGED" };
     writeln!(
         out,
@@ -104,23 +104,23 @@
 /// A torn write at the end, damaged places, and messages of which only the id is known.
 fn write_damage(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
     let report = &snapshot.report;
-    if report.torn > 0 {
+    if report.torn_bytes > 0 {
         writeln!(
             out,
             "{} bytes at the end are of a write that was cut short; the next start cuts them off",
-            report.torn
+            report.torn_bytes
         )?;
     }
-    for place in &report.damaged {
+    for place in &report.corruptions {
         writeln!(out, "damaged: {place}")?;
     }
-    if report.more > 0 {
-        writeln!(out, "damaged: {} places more", report.more)?;
+    if report.unlisted_corruptions > 0 {
+        writeln!(out, "damaged: {} places more", report.unlisted_corruptions)?;
     }
-    let (orphans, unnamed) = snapshot.index.orphans();
-    for id in orphans {
+    for id in snapshot.index.orphans() {
         writeln!(out, "unknown: {} was taken on, and nothing else is known of it", id.0)?;
     }
+    let unnamed = snapshot.index.unlisted_orphans();
     if unnamed > 0 {
         writeln!(out, "unknown: {unnamed} more")?;
     }
--- a/crates/forwarder/src/error.rs
+++ b/crates/forwarder/src/error.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+use reeddock_wal::WalError;
 use thiserror::Error;
 
 use crate::cached_endpoint_list::CachedListError;
@@ -25,7 +26,7 @@
         /// The state folder.
         folder: PathBuf,
         /// What is wrong with it.
-        source: io::Error,
+        source: WalError,
     },
     /// The cached endpoint list can't be read any more.
     #[error(transparent)]
--- a/crates/wal/tests/wal/main.rs
+++ b/crates/wal/tests/wal/main.rs
@@ -1,7 +1,15 @@
-//! The write-ahead log after kills, losses, damage and long use.
+//! The write-ahead log after kills, machine losses, corruption and long use.
 
+mod compaction;
+mod corruption;
 mod crashes;
-mod damage;
+mod full_disk;
+mod harness;
 mod load;
+mod model;
+mod old_formats;
 mod random;
-mod stories;
+mod reopening;
+mod state_before_rename;
+#[path = "../support/mod.rs"]
+mod support;
