--- a/crates/daemon/src/wal_command/json.rs
+++ b/crates/daemon/src/wal_command/json.rs
@@ -124,7 +124,7 @@
 
 impl<'a> From<&'a DeliveryNotice> for NoticeLine<'a> {
     fn from(notice: &'a DeliveryNotice) -> NoticeLine<'a> {
-        let (answer, retry_after) = match notice.end {
+        let (answer, retry_after) = match notice.answer {
             FinalAnswer::Failed => ("broken_off", None),
             FinalAnswer::Rejected { retry_after } => ("shed", retry_after),
         };
--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -68,7 +68,7 @@
     }
 
     fn give_final_answer(&mut self, message: &MessageId, answer: FinalAnswer) {
-        self.commands.push(Command::GiveFinalAnswer(DeliveryNotice { id: message.clone(), end: answer }));
+        self.commands.push(Command::GiveFinalAnswer(DeliveryNotice { id: message.clone(), answer }));
     }
 }
 
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -44,7 +44,7 @@
     fn fail_unreadable(&mut self, id: MessageId) {
         let answer = FinalAnswer::Failed;
         self.state.record(Record::Finished { id: id.0.to_string(), notice: Some(answer) });
-        self.send_notices([DeliveryNotice { id, end: answer }]);
+        self.send_notices([DeliveryNotice { id, answer }]);
     }
 
     /// Passes one message to the policy, with its previous attempts.
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -176,14 +176,14 @@
     /// the last due work needs no notice: its client gets the answer as the response, and nothing of it is recorded.
     pub(super) fn give_final_answers(&mut self, answers: Vec<DeliveryNotice>) -> Vec<DeliveryNotice> {
         let mut notices = Vec::new();
-        for answer in answers {
-            if let Some(submission) = self.take_submission(&answer.id) {
-                let _ = submission.reply.send(response_to(answer.end));
-            } else if self.finish_message(&answer.id) {
-                let id = &*answer.id.0;
-                tracing::debug!(message_id = id, answer = ?answer.end, "message not delivered");
-                self.record(Record::Finished { id: id.to_owned(), notice: Some(answer.end) });
-                notices.push(answer);
+        for notice in answers {
+            if let Some(submission) = self.take_submission(&notice.id) {
+                let _ = submission.reply.send(response_to(notice.answer));
+            } else if self.finish_message(&notice.id) {
+                let id = &*notice.id.0;
+                tracing::debug!(message_id = id, answer = ?notice.answer, "message not delivered");
+                self.record(Record::Finished { id: id.to_owned(), notice: Some(notice.answer) });
+                notices.push(notice);
             }
         }
         notices
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -59,8 +59,8 @@
 
 /// A malformed notice would never be read, and those behind it must not wait.
 fn log_dropped(notices: &[DeliveryNotice]) {
-    for DeliveryNotice { id, end } in notices {
-        tracing::error!(message_id = &*id.0, ?end, "notice dropped: the platform can't read it");
+    for DeliveryNotice { id, answer } in notices {
+        tracing::error!(message_id = &*id.0, end = ?answer, "notice dropped: the platform can't read it");
     }
 }
 
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -28,7 +28,7 @@
     /// The message.
     pub id: MessageId,
     /// Its final answer.
-    pub end: FinalAnswer,
+    pub answer: FinalAnswer,
 }
 
 /// One request with all of these notices, a JSON object a line.
@@ -42,7 +42,7 @@
 
 fn encode_notice(notice: &DeliveryNotice) -> Value {
     let id = &*notice.id.0;
-    match notice.end {
+    match notice.answer {
         FinalAnswer::Failed => json!({"id": id, "status": "undeliverable"}),
         FinalAnswer::Rejected { retry_after: None } => json!({"id": id, "status": "deferred"}),
         FinalAnswer::Rejected { retry_after: Some(wait) } => {
--- a/crates/wal/src/pending_index.rs
+++ b/crates/wal/src/pending_index.rs
@@ -133,7 +133,7 @@
 
     /// The notices that the platform has not acknowledged, by id.
     pub fn unacknowledged_notices(&self) -> impl Iterator<Item = DeliveryNotice> + '_ {
-        self.notices.iter().map(|(id, notice)| DeliveryNotice { id: id.clone(), end: notice.end })
+        self.notices.iter().map(|(id, notice)| DeliveryNotice { id: id.clone(), answer: notice.end })
     }
 
     /// How many messages are pending, and how many notices are unacknowledged.
--- a/crates/wal/tests/wal/model.rs
+++ b/crates/wal/tests/wal/model.rs
@@ -46,7 +46,7 @@
             assert!(!message.records_lost, "nothing was lost of {}", message.id.0);
             (message.id.0.to_string(), message.attempts.iter().map(|attempt| attempt.state).collect())
         });
-        let notices = index.unacknowledged_notices().map(|notice| (notice.id.0.to_string(), notice.end));
+        let notices = index.unacknowledged_notices().map(|notice| (notice.id.0.to_string(), notice.answer));
         Model { pending: pending.collect(), notices: notices.collect() }
     }
 
--- a/crates/wal/tests/wal/state_before_rename.rs
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -158,7 +158,7 @@
 }
 
 fn notices(index: &PendingIndex) -> Vec<(String, FinalAnswer)> {
-    index.unacknowledged_notices().map(|n| (n.id.0.to_string(), n.end)).collect()
+    index.unacknowledged_notices().map(|n| (n.id.0.to_string(), n.answer)).collect()
 }
 
 fn fields_of_attempts(pending: &PendingMessage) -> Vec<AttemptFields> {
