--- a/crates/protocol/src/attempt_result.rs
+++ b/crates/protocol/src/attempt_result.rs
@@ -75,7 +75,7 @@
 }
 
 impl AttemptResult {
-    /// What the delivery policy is told. This is the only place where a result becomes an outcome.
+    /// The outcome as the delivery policy sees it. This is the only place where a result becomes an outcome.
     #[must_use]
     pub fn outcome(self) -> AttemptOutcome {
         match self {
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -93,7 +93,7 @@
 }
 
 /// The head of a request. The timeout is written rounded up to a millisecond: a response that the endpoint sends after
-/// the time that it was told must also come after the time that this forwarder waits.
+/// the written time must also come after the time that this forwarder waits.
 fn post(endpoint: SocketAddr, path: &str, response_timeout: Duration) -> http::request::Builder {
     let millis = response_timeout.as_micros().div_ceil(1000);
     let seconds = format!("{}.{:03}", millis / 1000, millis % 1000);
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -47,7 +47,7 @@
         if let Some(key) = idempotency_key {
             check_id(IDEMPOTENCY_KEY, key)?;
         }
-        // The order of these checks settles which fault a client hears of first.
+        // The order of these checks decides which fault the client gets as the answer.
         let destination = parse_destination(required(headers, DESTINATION)?);
         let class = required(headers, MESSAGE_CLASS)?;
         let ordering_key = parse_ordering_key(headers)?;
