--- a/crates/daemon/tests/list_log.rs
+++ b/crates/daemon/tests/list_log.rs
@@ -23,7 +23,7 @@
 const LIST_APPLIED: &str = "endpoint list applied generation=4 whole=true entries=300 new_endpoints=300";
 const NO_LIST_AT_START: &str = "no cached endpoint list, messages wait for discovery";
 const NOTHING_DELIVERABLE: &str =
-    "no endpoint list, nothing can be delivered fault=\"no target list yet: discovery has told none\"";
+    "no endpoint list, nothing can be delivered error=\"no target list yet: discovery has told none\"";
 
 const LOG_LINE_WITHIN: Duration = Duration::from_secs(20);
 
--- a/crates/forwarder/examples/target_tables.rs
+++ b/crates/forwarder/examples/target_tables.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use reeddock_forwarder::endpoints::{Place, TargetTable};
+use reeddock_forwarder::endpoints::{EndpointLocation, EndpointTable};
 use reeddock_forwarder::idle_permits::IdlePermits;
 
 const KINDS: [&str; 3] = ["m1", "m2", "m3"];
@@ -22,12 +22,12 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let endpoints: u32 = std::env::args().nth(1).ok_or("usage: target_tables TARGETS")?.parse()?;
     let (before, start) = (resident()?, Instant::now());
-    let (mut table, mut idle_permits) = (TargetTable::default(), IdlePermits::default());
+    let (mut table, mut idle_permits) = (EndpointTable::default(), IdlePermits::default());
     for number in 0..endpoints {
         let id = table.number(&format!("s-{number:08x}"));
         let address = SocketAddr::from((number.to_be_bytes(), 9000));
-        table.place(id, Place { address, batch: 1 });
-        idle_permits.listed(id, KINDS[number as usize % KINDS.len()]);
+        table.set_location(id, EndpointLocation { address, max_batch: 1 });
+        idle_permits.endpoint_listed(id, KINDS[number as usize % KINDS.len()]);
     }
     let (filled, bytes) = (start.elapsed(), resident()? - before);
     println!(
--- a/crates/forwarder/src/clock.rs
+++ b/crates/forwarder/src/clock.rs
@@ -38,7 +38,7 @@
     }
 
     /// The next multiple of an interval since the start; now if the interval is zero.
-    pub fn next(&self, interval: Duration) -> Instant {
+    pub fn next_tick(&self, interval: Duration) -> Instant {
         let elapsed = self.start.elapsed();
         let into_interval = elapsed.as_nanos().checked_rem(interval.as_nanos()).unwrap_or_default();
         let remaining = if into_interval == 0 {
@@ -50,13 +50,13 @@
     }
 
     /// A time of the policy as it is stored: microseconds of Unix time.
-    pub fn stored(&self, at: Duration) -> u64 {
+    pub fn to_unix_micros(&self, at: Duration) -> u64 {
         let wall = (self.wall_at_start + at).saturating_sub(TIME_AT_START);
         u64::try_from(wall.as_micros()).unwrap_or(u64::MAX)
     }
 
     /// The policy's time of a stored time in microseconds of Unix time.
-    pub fn read(&self, stored: u64) -> Duration {
+    pub fn from_unix_micros(&self, stored: u64) -> Duration {
         (Duration::from_micros(stored) + TIME_AT_START).saturating_sub(self.wall_at_start)
     }
 }
--- a/crates/forwarder/src/connections/observed_stream.rs
+++ b/crates/forwarder/src/connections/observed_stream.rs
@@ -63,11 +63,11 @@
     }
 
     fn sent(&self, bytes: &[u8]) {
-        locked(&self.request).gone(bytes);
+        locked(&self.request).sent(bytes);
     }
 
     fn received(&self, bytes: &[u8]) {
-        let complete = locked(&self.status_line).come(bytes);
+        let complete = locked(&self.status_line).received(bytes);
         if complete {
             self.status_line_complete.notify_one();
         }
--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -100,7 +100,7 @@
 
     /// Takes back a connection whose response was read whole; keeps it idle if its endpoint has capacity for that.
     pub fn release(&self, endpoint: EndpointId, connection: Connection) {
-        let permitted = locked(&self.idle_permits).has_room(endpoint, Instant::now());
+        let permitted = locked(&self.idle_permits).allows_idle(endpoint, Instant::now());
         if permitted && connection.is_ready() {
             let idle = IdleConnection { connection, since: Instant::now() };
             locked(&self.idle).entry(endpoint).or_default().push_back(idle);
@@ -117,27 +117,27 @@
     pub fn connection_rejected(&self, endpoint: EndpointId) {
         let now = Instant::now();
         let mut idle_permits = locked(&self.idle_permits);
-        idle_permits.turned_away(endpoint, now);
-        locked(&self.idle).retain(|endpoint, _| idle_permits.has_room(*endpoint, now));
+        idle_permits.connection_rejected(endpoint, now);
+        locked(&self.idle).retain(|endpoint, _| idle_permits.allows_idle(*endpoint, now));
     }
 
     /// The endpoint asked for no request until then (`Retry-After`).
     ///
     /// A request that was decided before may still wait for its connection, for up to a second where the endpoint
     /// accepts few or can't be reached, and must not be sent once that is up.
-    pub fn rest(&self, endpoint: EndpointId, until: Instant) {
+    pub fn set_retry_after(&self, endpoint: EndpointId, until: Instant) {
         locked(&self.send_restrictions).retry_after(endpoint, until);
     }
 
     /// The endpoint list names this endpoint. Requests must not be sent to one that drains, however long they
     /// waited for their connection.
-    pub fn listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
-        locked(&self.idle_permits).listed(endpoint, kind);
+    pub fn endpoint_listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
+        locked(&self.idle_permits).endpoint_listed(endpoint, kind);
         locked(&self.send_restrictions).set_active(endpoint, active);
     }
 
     /// The endpoint is removed, or a complete list does not name it any more.
-    pub fn gone(&self, endpoint: EndpointId) {
+    pub fn endpoint_removed(&self, endpoint: EndpointId) {
         locked(&self.send_restrictions).set_active(endpoint, false);
         self.close_idle(endpoint);
     }
@@ -152,7 +152,7 @@
     }
 
     /// Whether a request that has waited for its connection may still be sent; if not, the result for its messages.
-    pub fn open_to(&self, endpoint: EndpointId) -> Result<(), AttemptResult> {
+    pub fn check_may_send(&self, endpoint: EndpointId) -> Result<(), AttemptResult> {
         locked(&self.send_restrictions).check(endpoint, Instant::now())
     }
 
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -47,7 +47,7 @@
         };
         let next_request = start + schedule.lost(start.elapsed(), &loss, progress.line_received);
         log_loss(&mut log_throttle, &loss, next_request);
-        if event_loop.send(Event::ListFailed).await.is_err() {
+        if event_loop.send(Event::WatchLost).await.is_err() {
             return;
         }
         tokio::select! {
@@ -58,9 +58,9 @@
 }
 
 fn log_loss(log_throttle: &mut LogThrottle, loss: &Loss, next_request: Instant) {
-    if let Some(suppressed) = log_throttle.now() {
+    if let Some(suppressed) = log_throttle.admit() {
         let retry_in = next_request.saturating_duration_since(Instant::now());
-        tracing::warn!(fault = %loss, ?retry_in, suppressed, "endpoint list watch lost");
+        tracing::warn!(error = %loss, ?retry_in, suppressed, "endpoint list watch lost");
     }
 }
 
@@ -77,7 +77,7 @@
     async fn run(self, progress: &mut WatchProgress, event_loop: &mpsc::Sender<Event>) -> Loss {
         let request = match watch_request(self.discovery, progress.generation) {
             Ok(request) => request,
-            Err(fault) => return Loss::Broken(fault.to_string()),
+            Err(error) => return Loss::Broken(error.to_string()),
         };
         let mut connection = match Connection::open(self.discovery, self.periods.connect, None).await {
             Ok(connection) => connection,
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -48,10 +48,10 @@
     /// Its address.
     pub address: SocketAddr,
     /// The most messages in one request to it.
-    pub batch: usize,
+    pub max_batch: usize,
 }
 
-/// How a call of [`EndpointTable::place`] changed the address of an endpoint.
+/// How a call of [`EndpointTable::set_location`] changed the address of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocationChange {
     /// It had none before.
@@ -107,9 +107,9 @@
     }
 
     /// Stores where an endpoint is, as the list has it.
-    pub fn place(&mut self, id: EndpointId, location: EndpointLocation) -> LocationChange {
+    pub fn set_location(&mut self, id: EndpointId, location: EndpointLocation) -> LocationChange {
         let Some(row) = self.rows.get_mut(&id.0) else { return LocationChange::Same };
-        row.max_batch = u32::try_from(location.batch).unwrap_or(u32::MAX);
+        row.max_batch = u32::try_from(location.max_batch).unwrap_or(u32::MAX);
         let previous = row.address.get();
         if previous == Some(location.address) {
             return LocationChange::Same;
@@ -128,13 +128,13 @@
     }
 
     /// Where an endpoint is, if the list has given an address.
-    pub fn get(&self, id: EndpointId) -> Option<EndpointLocation> {
+    pub fn location(&self, id: EndpointId) -> Option<EndpointLocation> {
         let row = self.rows.get(&id.0)?;
-        Some(EndpointLocation { address: row.address.get()?, batch: row.max_batch as usize })
+        Some(EndpointLocation { address: row.address.get()?, max_batch: row.max_batch as usize })
     }
 
     /// How many endpoints have an address.
-    pub fn placed(&self) -> usize {
+    pub fn located(&self) -> usize {
         self.with_address
     }
 
@@ -148,10 +148,3 @@
         }
     }
 }
-
-/// The former name of [`EndpointLocation`], which the tests still use.
-pub use EndpointLocation as Place;
-/// The former name of [`EndpointTable`], which the tests still use.
-pub use EndpointTable as TargetTable;
-/// The former name of [`LocationChange`], which the tests still use.
-pub use LocationChange as PlaceChange;
--- a/crates/forwarder/src/event_loop/attempt_results.rs
+++ b/crates/forwarder/src/event_loop/attempt_results.rs
@@ -20,7 +20,7 @@
     /// again from `until` on, can't reach these any more.
     fn hold_back_requests(&self, endpoint: EndpointId, until: Duration) {
         for endpoint in self.policy.endpoints_sharing_circuit(endpoint) {
-            self.connections.rest(endpoint, self.clock.instant(until));
+            self.connections.set_retry_after(endpoint, self.clock.instant(until));
         }
     }
 
@@ -68,7 +68,7 @@
         if !matches!(result, AttemptResult::Malformed | AttemptResult::BatchMalformed) {
             return;
         }
-        if let Some(suppressed) = self.throttles.malformed_message.now() {
+        if let Some(suppressed) = self.throttles.malformed_message.admit() {
             tracing::warn!(message_id = &*id.0, suppressed, "endpoint reports malformed request");
         }
     }
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -51,7 +51,7 @@
         attempts.into_iter().partition(|attempt| {
             written.has_attempts()
                 && !withdrawn.contains(&attempt.message.id)
-                && self.state.endpoints().get(attempt.endpoint).is_some()
+                && self.state.endpoints().location(attempt.endpoint).is_some()
         })
     }
 
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -70,9 +70,9 @@
     pub(super) fn reject_malformed_list(&mut self, list: &MalformedList) {
         self.abort_endpoint_list();
         self.list_status.malformed(&list.fault);
-        if let Some(suppressed) = self.throttles.malformed_list.now() {
-            let (fault, bytes) = (&list.fault, list.bytes);
-            tracing::error!(%fault, bytes, suppressed, "endpoint list malformed, previous list stays");
+        if let Some(suppressed) = self.throttles.malformed_list.admit() {
+            let (error, bytes) = (&list.fault, list.bytes);
+            tracing::error!(%error, bytes, suppressed, "endpoint list malformed, previous list stays");
         }
     }
 
@@ -83,9 +83,9 @@
         if self.list_status.has_list() {
             return;
         }
-        if let Some(suppressed) = self.throttles.no_list.now() {
-            let fault = self.list_status.trouble();
-            tracing::warn!(fault, suppressed, "no endpoint list, nothing can be delivered");
+        if let Some(suppressed) = self.throttles.no_list.admit() {
+            let error = self.list_status.fault();
+            tracing::warn!(error, suppressed, "no endpoint list, nothing can be delivered");
         }
     }
 
@@ -100,9 +100,9 @@
             zone: &entry.zone,
             kind: &entry.kind,
         });
-        self.connections.listed(endpoint, &entry.kind, entry.state == EndpointState::Active);
+        self.connections.endpoint_listed(endpoint, &entry.kind, entry.state == EndpointState::Active);
         if entry.state == EndpointState::Removed {
-            self.connections.gone(endpoint);
+            self.connections.endpoint_removed(endpoint);
         }
         if let Some(progress) = self.state.list_progress_mut() {
             progress.entries += 1;
@@ -114,8 +114,8 @@
     /// still refer to the endpoint.
     fn update_location(&mut self, endpoint: EndpointId, entry: &Entry) {
         let Some(address) = entry.address else { return };
-        let location = EndpointLocation { address, batch: self.batch_limits.of_kind(&entry.kind) };
-        match self.state.endpoints_mut().place(endpoint, location) {
+        let location = EndpointLocation { address, max_batch: self.batch_limits.of_kind(&entry.kind) };
+        match self.state.endpoints_mut().set_location(endpoint, location) {
             LocationChange::New => self.log_new_endpoint(endpoint, entry),
             // Another machine may have the old address by now.
             LocationChange::Moved => self.connections.close_idle(endpoint),
@@ -140,7 +140,7 @@
     fn finish_endpoint_list(&mut self) {
         let dropped = self.policy.finish_endpoint_list();
         for endpoint in &dropped {
-            self.connections.gone(*endpoint);
+            self.connections.endpoint_removed(*endpoint);
         }
         let Some(progress) = self.state.list_progress_mut().take() else { return };
         if progress.whole || progress.new_endpoints > MAX_NEW_ENDPOINTS_LOGGED {
@@ -151,7 +151,7 @@
 
     fn log_applied_list(&self, progress: &ListProgress, dropped: usize) {
         let ListProgress { generation, whole, entries, new_endpoints } = *progress;
-        let endpoints = self.state.endpoints().placed();
+        let endpoints = self.state.endpoints().located();
         tracing::info!(
             generation,
             whole,
--- a/crates/forwarder/src/event_loop/log_writer.rs
+++ b/crates/forwarder/src/event_loop/log_writer.rs
@@ -40,7 +40,7 @@
         attempts: &[OutgoingAttempt],
         now: Duration,
     ) -> LogWrite {
-        let started_at = self.clock.stored(now);
+        let started_at = self.clock.to_unix_micros(now);
         let accepted = submissions.iter().map(|submission| Record::Accepted(submission.accepted.clone()));
         let finished = self.state.unwritten_records().iter().cloned();
         let started = attempts.iter().map(|attempt| self.attempt_record(attempt, started_at));
@@ -54,9 +54,9 @@
                     LogWrite::WithoutSubmissions
                 }
             }
-            Err(fault) => {
-                if let Some(suppressed) = self.throttles.capacity.now() {
-                    tracing::error!(%fault, suppressed, "write-ahead log append failed, no message accepted");
+            Err(error) => {
+                if let Some(suppressed) = self.throttles.capacity.admit() {
+                    tracing::error!(%error, suppressed, "write-ahead log append failed, no message accepted");
                 }
                 LogWrite::Failed
             }
--- a/crates/forwarder/src/event_loop/mod.rs
+++ b/crates/forwarder/src/event_loop/mod.rs
@@ -108,7 +108,7 @@
             tick: config.tick,
             max_message_bytes: config.max_message_bytes,
             batch_limits,
-            request_sender: RequestSender { connections: connections.clone() },
+            request_sender: RequestSender::new(connections.clone()),
             connections,
             requests: JoinSet::new(),
             list_status,
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -10,7 +10,7 @@
 
 use super::commands::{AttemptKey, OutgoingAttempt};
 use super::EventLoop;
-use crate::request_sender::{run_request, BatchDeparture, EndpointRequest, PendingAttempt};
+use crate::request_sender::{run_request, BatchMessage, EndpointRequest, PendingAttempt};
 
 impl EventLoop {
     /// Starts requests for these attempts, which the policy decided on at `decided_at`.
@@ -23,8 +23,8 @@
             requests.entry((attempt.timeouts.request, attempt.endpoint)).or_default().push(attempt);
         }
         for ((_, endpoint), attempts) in requests {
-            let Some(location) = self.state.endpoints().get(endpoint) else { continue };
-            for batch in split_attempts(attempts, location.batch) {
+            let Some(location) = self.state.endpoints().location(endpoint) else { continue };
+            for batch in split_attempts(attempts, location.max_batch) {
                 self.start_request(endpoint, location.address, batch, decided_at);
             }
         }
@@ -40,17 +40,18 @@
     ) {
         let now = Instant::now();
         let decided_at = self.clock.instant(decided_at);
-        let until = attempts.iter().map(|attempt| now + attempt.timeouts.response_within).collect();
-        let messages = attempts.iter().map(|attempt| attempt.message.clone()).collect();
+        let messages = attempts.iter().map(|attempt| BatchMessage {
+            message: attempt.message.clone(),
+            answer_by: now + attempt.timeouts.response_within,
+        });
+        let request = EndpointRequest::new(endpoint, address, messages.collect());
         let attempts = attempts.into_iter().map(|attempt| {
-            let begin_by = start_deadline(&attempt, decided_at, now);
+            let start_by = start_deadline(&attempt, decided_at, now);
             let key = AttemptKey { message: attempt.message.id, number: attempt.number };
             let cancelled = self.state.attempt_in_flight(key.clone());
-            PendingAttempt { message: key.message, no: key.number, begin_by, cancelled }
+            PendingAttempt { message: key.message, number: key.number, start_by, cancelled }
         });
         let attempts: Vec<PendingAttempt> = attempts.collect();
-        let departure = BatchDeparture::default();
-        let request = EndpointRequest { endpoint, to: address, messages, until, departure };
         let (sender, events) = (self.request_sender.clone(), self.events.clone());
         self.requests.spawn(run_request(sender, request, attempts, events));
     }
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -21,8 +21,8 @@
             let Some(pending) = self.log.index().get(&id).cloned() else { continue };
             match self.log.read_accepted(&pending) {
                 Ok(accepted) => self.restore_message(pending, accepted, now),
-                Err(fault) => {
-                    tracing::error!(%fault, message_id = &*id.0, "pending message unreadable, answered as failed");
+                Err(error) => {
+                    tracing::error!(%error, message_id = &*id.0, "pending message unreadable, answered as failed");
                     self.fail_unreadable(id);
                 }
             }
@@ -57,7 +57,7 @@
             // Its tenant's quota was charged for it by the process that accepted it.
             tenant: None,
             ordering_key: pending.key.map(OrderingKey),
-            deadline: self.clock.read(pending.deadline),
+            deadline: self.clock.from_unix_micros(pending.deadline),
             destination: DestinationId(pending.destination),
         };
         self.policy.submit(now, message, self.state.commands());
@@ -77,7 +77,7 @@
         for started in &pending.attempts {
             attempts.push(PreviousAttempt {
                 endpoint: self.state.endpoints_mut().number(&started.endpoint),
-                started_at: self.clock.read(started.at),
+                started_at: self.clock.from_unix_micros(started.at),
                 proves_not_executed: started.state.proves_not_executed(),
             });
         }
--- a/crates/forwarder/src/event_loop/run.rs
+++ b/crates/forwarder/src/event_loop/run.rs
@@ -32,7 +32,7 @@
             let first = self.wait_for_work(&mut events, &mut list_events).await;
             // What comes together goes together: messages for one endpoint in one request, and results of attempts
             // before the due work.
-            self.apply_list_events_until(self.clock.next(self.tick), &mut list_events).await;
+            self.apply_list_events_until(self.clock.next_tick(self.tick), &mut list_events).await;
             let now = self.clock.now();
             self.handle_events(first, &mut events, now);
             self.fire_timers(now);
@@ -87,13 +87,17 @@
 
     fn handle_event(&mut self, event: Event, now: Duration) {
         match event {
-            Event::Submission { submit, at, reply } => self.submit(submit, at, reply, now),
-            Event::Ended { message, no, result } => self.finish_attempt(message, no, result, now),
-            Event::Wait { endpoint, wait } => self.pause_endpoint(endpoint, wait, now),
-            Event::Reported { endpoint, report } => self.policy.load_reported(endpoint, report),
+            Event::Submission { submission, received_at, reply } => {
+                self.submit(submission, received_at, reply, now)
+            }
+            Event::AttemptFinished { message, number, result } => {
+                self.finish_attempt(message, number, result, now)
+            }
+            Event::RetryAfter { endpoint, retry_after } => self.pause_endpoint(endpoint, retry_after, now),
+            Event::LoadReported { endpoint, report } => self.policy.load_reported(endpoint, report),
             Event::ListEvents(piece) => self.apply_list_events(piece),
             Event::ListMalformed(list) => self.reject_malformed_list(&list),
-            Event::ListFailed => self.discovery_failed(),
+            Event::WatchLost => self.discovery_failed(),
             Event::NoticesAcknowledged(ids) => self.state.acknowledge_notices(&ids),
             Event::ShutdownRequested(deadline) => self.begin_shutdown(deadline),
             Event::ClientsDisconnected => self.shutdown.clients_disconnected = true,
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -76,7 +76,7 @@
             tenant: submission.tenant,
             key: submission.key.map(|key| key.0),
             destination: submission.destination.0,
-            deadline: self.clock.stored(deadline),
+            deadline: self.clock.to_unix_micros(deadline),
             body: submission.body,
             idempotency_key: submission.idempotency_key,
         }
@@ -88,7 +88,7 @@
         let memory_bytes = self.state.pending().bytes() + new_bytes;
         let has_capacity = new_bytes <= self.log.room() && memory_bytes <= self.max_message_bytes;
         if !has_capacity {
-            if let Some(suppressed) = self.throttles.capacity.now() {
+            if let Some(suppressed) = self.throttles.capacity.admit() {
                 tracing::warn!(memory_bytes, suppressed, "message refused: no capacity in memory or on disk");
             }
         }
--- a/crates/forwarder/src/events.rs
+++ b/crates/forwarder/src/events.rs
@@ -14,42 +14,41 @@
     /// A client submitted a message.
     Submission {
         /// What the client submitted.
-        submit: Submission,
+        submission: Submission,
         /// When its last byte was read; the time that it has left counts from here.
-        at: Instant,
+        received_at: Instant,
         /// Takes the response to the client. It is closed once the client has disconnected.
         reply: oneshot::Sender<ClientResponse>,
     },
     /// An attempt has finished.
-    Ended {
+    AttemptFinished {
         /// The message that was attempted.
         message: MessageId,
         /// The number of the attempt among those of its message.
-        no: AttemptNumber,
+        number: AttemptNumber,
         /// How it ended.
         result: AttemptResult,
     },
     /// An endpoint asked for a pause (`Retry-After`) although it accepted messages.
-    Wait {
+    RetryAfter {
         /// The endpoint that asked.
         endpoint: EndpointId,
-        /// For how long it is to be left alone, from now on.
-        wait: Duration,
+        /// For how long no request is to be sent to it, from now on.
+        retry_after: Duration,
     },
     /// A response carried a load report. The attempts that it finished follow as events of their own.
-    Reported {
+    LoadReported {
         /// The endpoint that responded.
         endpoint: EndpointId,
         /// The limit of its circuit, and what is left of it.
         report: LoadReport,
     },
-    /// Some of what a watch sent, in its order: at most
-    /// [`MAX_LIST_EVENTS_PER_PIECE`](crate::list_reader::MAX_LIST_EVENTS_PER_PIECE) events.
+    /// Some of what a watch sent, in its order: at most `MAX_LIST_EVENTS_PER_PIECE` events (`list_reader`).
     ListEvents(Vec<ListEvent>),
     /// A watch sent a malformed list; what it sent before that stays applied.
     ListMalformed(MalformedList),
     /// A watch has ended, or could not be opened; it may have ended in the middle of a list.
-    ListFailed,
+    WatchLost,
     /// The platform has acknowledged the notices about these messages, or they were dropped as malformed.
     NoticesAcknowledged(Vec<MessageId>),
     /// The process is to stop, at this time at the latest.
--- a/crates/forwarder/src/http_progress.rs
+++ b/crates/forwarder/src/http_progress.rs
@@ -55,7 +55,7 @@
     }
 
     /// Counts bytes that the operating system has taken.
-    pub fn gone(&mut self, bytes: &[u8]) {
+    pub fn sent(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
         self.body_left = self.body_left.saturating_sub(self.head.skip(bytes).len());
     }
@@ -103,7 +103,7 @@
     const MIN_BYTES: usize = 12;
 
     /// Takes bytes that were received; returns whether they complete the status line.
-    pub fn come(&mut self, bytes: &[u8]) -> bool {
+    pub fn received(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
             if matches!(self.state, StatusLineState::Complete) || self.line.len() > Self::MAX_BYTES {
                 return false;
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -37,7 +37,7 @@
 
 impl IdlePermits {
     /// The endpoint list names this endpoint as one of this kind.
-    pub fn listed(&mut self, endpoint: EndpointId, kind: &str) {
+    pub fn endpoint_listed(&mut self, endpoint: EndpointId, kind: &str) {
         if self.kind_of(endpoint).is_some_and(|listed| &*listed.name == kind) {
             return;
         }
@@ -56,7 +56,7 @@
     }
 
     /// The endpoint rejected one more connection.
-    pub fn turned_away(&mut self, endpoint: EndpointId, now: Instant) {
+    pub fn connection_rejected(&mut self, endpoint: EndpointId, now: Instant) {
         let index = self.kind_index.get(&endpoint.0).copied();
         if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
             kind.last_rejection = Some(now);
@@ -64,7 +64,7 @@
     }
 
     /// Whether a connection to the endpoint may be kept idle.
-    pub fn has_room(&self, endpoint: EndpointId, now: Instant) -> bool {
+    pub fn allows_idle(&self, endpoint: EndpointId, now: Instant) -> bool {
         let last_rejection = self.kind_of(endpoint).and_then(|kind| kind.last_rejection);
         last_rejection.is_none_or(|at| now >= at + REJECTION_REMEMBERED)
     }
--- a/crates/forwarder/src/ingress/accept.rs
+++ b/crates/forwarder/src/ingress/accept.rs
@@ -8,6 +8,7 @@
 use futures_util::FutureExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch, OwnedSemaphorePermit, Semaphore};
+use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
 use super::client_connection::ClientConnection;
@@ -22,19 +23,25 @@
 /// The pause before the next attempt to accept, where this machine has no capacity for a connection.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Accepts and serves clients until [`ClientConnections::close`] and until nobody waits to be accepted. Connections
-/// that are open then are served on by their own tasks; [`ClientConnections::empty`] is true once all have ended.
-pub async fn accept(
+/// Accepts and serves clients until [`ClientConnections::close_all`] and until nobody waits to be accepted.
+///
+/// Returns the tasks of the connections that are open then. They serve on for as long as the caller keeps them;
+/// [`ClientConnections::is_empty`] is true once all have ended but those of evicted connections.
+#[must_use = "dropping the tasks closes the connections"]
+pub(crate) async fn accept(
     listener: TcpListener,
     limits: Limits,
     clients: Arc<ClientConnections>,
     event_loop: mpsc::Sender<Event>,
-) {
+) -> JoinSet<()> {
     let slots = Arc::new(Semaphore::new(limits.accepted));
     let lingering = Arc::new(Semaphore::new(limits.lingering));
     let closing = clients.closing();
     let log_throttle = LogThrottle::default();
-    Acceptor { listener, limits, clients, event_loop, slots, lingering, closing, log_throttle }.run().await;
+    let tasks = JoinSet::new();
+    Acceptor { listener, limits, clients, event_loop, slots, lingering, closing, log_throttle, tasks }
+        .run()
+        .await
 }
 
 /// The accept loop and what each new connection gets from it.
@@ -49,9 +56,11 @@
     lingering: Arc<Semaphore>,
     closing: watch::Receiver<bool>,
     log_throttle: LogThrottle,
+    /// One task for each connection that is served.
+    tasks: JoinSet<()>,
 }
 
-/// A connection as the system hands it over.
+/// A connection as the listener returns it.
 struct AcceptedStream {
     stream: TcpStream,
     from: SocketAddr,
@@ -75,14 +84,17 @@
 }
 
 impl Acceptor {
-    async fn run(mut self) {
-        for number in 0.. {
+    /// Accepts until the listener is to be closed, and returns the tasks of connections that are still served.
+    async fn run(mut self) -> JoinSet<()> {
+        let mut next_number = 0;
+        loop {
             let slot = self.free_slot().await;
             match self.next_connection().await {
-                Accepted::Stream(accepted) => self.serve(number, accepted, slot),
+                Accepted::Stream(accepted) => self.serve(next_number, accepted, slot),
                 Accepted::Failed(error) => self.accept_failed(&error).await,
-                Accepted::Closed => return,
+                Accepted::Closed => return self.tasks,
             }
+            next_number += 1;
         }
     }
 
@@ -100,30 +112,34 @@
         }
     }
 
+    /// Waits for what the listener gives next, and meanwhile drops the tasks of connections that have ended.
     async fn next_connection(&mut self) -> Accepted {
-        tokio::select! {
-            biased;
-            accepted = self.listener.accept() => accepted.into(),
-            // Clients that have connected by now would be reset with the listener.
-            _ = self.closing.wait_for(|closing| *closing) => {
-                self.listener.accept().now_or_never().map_or(Accepted::Closed, Accepted::from)
+        loop {
+            tokio::select! {
+                biased;
+                Some(_) = self.tasks.join_next() => {}
+                accepted = self.listener.accept() => return accepted.into(),
+                // Clients that have connected by now would be reset with the listener.
+                _ = self.closing.wait_for(|closing| *closing) => {
+                    return self.listener.accept().now_or_never().map_or(Accepted::Closed, Accepted::from);
+                }
             }
         }
     }
 
-    /// Pauses where this machine has no descriptor; any other failure concerns one client only and is passed over.
+    /// Pauses where this machine has no descriptor; any other failure concerns one client only and is ignored.
     async fn accept_failed(&mut self, error: &io::Error) {
         if !out_of_descriptors(error) {
             return;
         }
-        if let Some(more) = self.log_throttle.now() {
-            tracing::warn!(%error, more, "no descriptor for a client's connection");
+        if let Some(suppressed) = self.log_throttle.admit() {
+            tracing::warn!(%error, suppressed, "no descriptor for a client's connection");
         }
         sleep(ACCEPT_RETRY).await;
     }
 
     /// Starts the task that serves a connection. It ends with the connection, which [`ClientConnections`] counts.
-    fn serve(&self, number: u64, accepted: AcceptedStream, slot: Option<OwnedSemaphorePermit>) {
+    fn serve(&mut self, number: u64, accepted: AcceptedStream, slot: Option<OwnedSemaphorePermit>) {
         let AcceptedStream { stream, from } = accepted;
         // With Nagle's algorithm a small response would wait for an acknowledgement.
         let _ = stream.set_nodelay(true);
@@ -139,7 +155,7 @@
         };
         let served = ServedConnection { stream, from, service, slot, lingering: self.lingering.clone() };
         let clients = self.clients.clone();
-        tokio::spawn(async move {
+        self.tasks.spawn(async move {
             served.run().await;
             clients.remove(number);
         });
--- a/crates/forwarder/src/ingress/clients.rs
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -27,17 +27,17 @@
     }
 
     /// From here on each response asks its client to use another forwarder.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
 
     /// Stops accepting. Idle connections are closed now, the others once their request is answered.
-    pub fn close(&self) {
+    pub fn close_all(&self) {
         self.closing.send_replace(true);
     }
 
     /// Whether no connection is open.
-    pub fn empty(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.open().is_empty()
     }
 
@@ -82,7 +82,7 @@
 
     /// What is wrong with the endpoint list, in one line.
     pub(super) fn list_fault(&self) -> Option<String> {
-        self.list.trouble()
+        self.list.fault()
     }
 
     fn open(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
--- a/crates/forwarder/src/ingress/mod.rs
+++ b/crates/forwarder/src/ingress/mod.rs
@@ -15,5 +15,5 @@
 mod service;
 mod serving;
 
-pub use accept::accept;
-pub use clients::ClientConnections;
+pub(crate) use accept::accept;
+pub(crate) use clients::ClientConnections;
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -103,14 +103,14 @@
         if self.connection.bytes_past_head() > body.len() {
             return Err(ClientResponse::LengthMismatch);
         }
-        let at = Instant::now();
-        let submit = Submission::decode(&parts, body).map_err(ClientResponse::Malformed)?;
+        let received_at = Instant::now();
+        let submission = Submission::decode(&parts, body).map_err(ClientResponse::Malformed)?;
         if self.capacity == ConnectionCapacity::Exceeded {
             return Err(ClientResponse::NoCapacity);
         }
         let (reply, answered) = oneshot::channel();
-        let submission = Event::Submission { submit, at, reply };
-        self.event_loop.try_send(submission).map_err(|_| ClientResponse::NoCapacity)?;
+        let event = Event::Submission { submission, received_at, reply };
+        self.event_loop.try_send(event).map_err(|_| ClientResponse::NoCapacity)?;
         answered.await.map_err(|_| ClientResponse::NoCapacity)
     }
 }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -8,7 +8,7 @@
 //! | --- | --- |
 //! | `serve` | starts the tasks, and ends them in order |
 //! | `options`, `error` | what a forwarder is given at its start, and why it may fail to start |
-//! | [`ingress`] | accepts client connections and their submissions |
+//! | `ingress` | accepts client connections and their submissions |
 //! | [`events`] | the events that reach the event loop |
 //! | `event_loop` | owns the delivery policy and the write-ahead log |
 //! | [`endpoints`] | names, numbers and addresses of endpoints |
@@ -18,13 +18,13 @@
 //! | [`idle_permits`] | which kinds of endpoint have capacity for idle connections |
 //! | [`discovery`] | the watch on the endpoint list |
 //! | [`watch_schedule`] | when a lost watch is opened again |
-//! | [`list_reader`] | reads the body of a watch |
-//! | [`malformed_list`] | how long a malformed list is left alone |
+//! | `list_reader` | reads the body of a watch |
+//! | [`malformed_list`] | how long to wait before a malformed list is asked for again |
 //! | [`cached_endpoint_list`] | the endpoint list as it was known before the start |
-//! | [`list_status`] | what the health check says of the endpoint list |
+//! | `list_status` | what the health check says of the endpoint list |
 //! | `notices` | delivery notices to the platform |
 //! | [`limits`] | the limits derived from the machine's resources |
-//! | [`log_throttle`] | keeps repeated log lines from flooding the log |
+//! | `log_throttle` | keeps repeated log lines from flooding the log |
 //! | [`clock`] | the policy's time, and wall-clock time for what is stored |
 
 pub mod cached_endpoint_list;
@@ -37,11 +37,11 @@
 pub mod events;
 pub mod http_progress;
 pub mod idle_permits;
-pub mod ingress;
+mod ingress;
 pub mod limits;
-pub mod list_reader;
-pub mod list_status;
-pub mod log_throttle;
+mod list_reader;
+mod list_status;
+mod log_throttle;
 pub mod malformed_list;
 mod notices;
 mod options;
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -82,7 +82,7 @@
                 Err(ReadError::EventLoopEnded) => return Loss::Broken("the forwarder stops".into()),
                 Err(ReadError::Malformed(list)) => {
                     drop((connection, body));
-                    return rest_after_malformed(list, self.event_loop).await;
+                    return back_off_after_malformed(list, self.event_loop).await;
                 }
             }
         }
@@ -140,12 +140,12 @@
 }
 
 /// Reports a malformed list to the event loop, and rests for as long as its bytes require.
-async fn rest_after_malformed(list: MalformedList, event_loop: &mpsc::Sender<Event>) -> Loss {
+async fn back_off_after_malformed(list: MalformedList, event_loop: &mpsc::Sender<Event>) -> Loss {
     let loss = Loss::Broken(format!("malformed endpoint list: {}", list.fault));
     // This randomness only keeps forwarders apart; it is not the policy's.
     let jitter = RandomState::new().hash_one(list.bytes) as f64 / u64::MAX as f64;
-    let rest = list.rest(jitter);
+    let backoff = list.backoff(jitter);
     let _ = event_loop.send(Event::ListMalformed(list)).await;
-    sleep(rest).await;
+    sleep(backoff).await;
     loss
 }
--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -32,7 +32,7 @@
     }
 
     /// What is wrong with the list, in the one line that the health check has for it.
-    pub fn trouble(&self) -> Option<String> {
+    pub fn fault(&self) -> Option<String> {
         let status = locked(&self.0);
         match (status.has_list, &status.fault) {
             (true, None) => None,
--- a/crates/forwarder/src/log_throttle.rs
+++ b/crates/forwarder/src/log_throttle.rs
@@ -16,7 +16,7 @@
 
 impl LogThrottle {
     /// Asks for a line now: `Some` lets it pass, with the number of lines that were suppressed since the last one.
-    pub fn now(&mut self) -> Option<u32> {
+    pub fn admit(&mut self) -> Option<u32> {
         if self.last.is_some_and(|last| last.elapsed() < MIN_INTERVAL) {
             self.suppressed += 1;
             return None;
--- a/crates/forwarder/src/malformed_list.rs
+++ b/crates/forwarder/src/malformed_list.rs
@@ -5,7 +5,7 @@
 /// Malformed lists may cost this many bytes a second on average.
 pub const BYTES_A_SECOND: u64 = 16 * 1024;
 /// The longest mean rest: a list that was corrected is read at the latest half as long again after that.
-pub const LONGEST_REST: Duration = Duration::from_secs(1800);
+pub const LONGEST_MEAN_BACKOFF: Duration = Duration::from_secs(1800);
 
 /// A list that was received and can't be read.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,8 +20,8 @@
     /// How long to rest before a list is asked for again, by the bytes that this one cost: the next one is about as
     /// long, and most likely malformed as well. `jitter`, from 0 to 1, keeps forwarders apart that read the same list
     /// at the same time.
-    pub fn rest(&self, jitter: f64) -> Duration {
+    pub fn backoff(&self, jitter: f64) -> Duration {
         let mean = Duration::from_millis(self.bytes.saturating_mul(1000) / BYTES_A_SECOND);
-        mean.min(LONGEST_REST).mul_f64(0.5 + jitter.clamp(0.0, 1.0))
+        mean.min(LONGEST_MEAN_BACKOFF).mul_f64(0.5 + jitter.clamp(0.0, 1.0))
     }
 }
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -59,8 +59,8 @@
 
 /// A malformed notice would never be read, and those behind it must not wait.
 fn log_dropped(notices: &[DeliveryNotice]) {
-    for DeliveryNotice { id, end } in notices {
-        tracing::error!(message_id = &*id.0, ?end, "notice dropped: the platform can't read it");
+    for DeliveryNotice { id, end: answer } in notices {
+        tracing::error!(message_id = &*id.0, ?answer, "notice dropped: the platform can't read it");
     }
 }
 
@@ -111,12 +111,12 @@
                     continue;
                 }
             };
-            let fault = match sent {
+            let error = match sent {
                 Ok(delivery) => return delivery,
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            if let Some(suppressed) = self.log_throttle.now() {
-                tracing::warn!(%fault, suppressed, count = notices.len(), "notices not acknowledged");
+            if let Some(suppressed) = self.log_throttle.admit() {
+                tracing::warn!(%error, suppressed, count = notices.len(), "notices not acknowledged");
             }
             self.connection = None;
             tokio::select! {
@@ -136,7 +136,7 @@
         Ok(Ok(StatusCode::BAD_REQUEST)) => Ok(Delivery::Malformed),
         Ok(Ok(status)) if status.is_success() => Ok(Delivery::Acknowledged),
         Ok(Ok(status)) => Err(NoticeError::UnexpectedStatus(status)),
-        Ok(Err(fault)) => Err(fault),
+        Ok(Err(error)) => Err(error),
         Err(_) => Err(NoticeError::NoAnswer),
     }
 }
@@ -152,7 +152,7 @@
         None => Connection::open(platform, ANSWER_TIMEOUT, None).await.map_err(NoticeError::Connection)?,
     };
     let request =
-        notices_request(platform, notices).map_err(|fault| NoticeError::Request(fault.to_string()))?;
+        notices_request(platform, notices).map_err(|error| NoticeError::Request(error.to_string()))?;
     let response = connection.send(request).await.map_err(NoticeError::Connection)?;
     let status = response.status();
     let mut body = response.into_body();
--- a/crates/forwarder/src/request_sender/mod.rs
+++ b/crates/forwarder/src/request_sender/mod.rs
@@ -12,7 +12,7 @@
 mod sender;
 mod supervisor;
 
-pub use departure::BatchDeparture;
+use departure::BatchDeparture;
 pub use request::{BatchMessage, EndpointRequest, MessageResult, PendingAttempt, RequestResult};
 pub use sender::RequestSender;
 pub use supervisor::run_request;
--- a/crates/forwarder/src/request_sender/request.rs
+++ b/crates/forwarder/src/request_sender/request.rs
@@ -15,13 +15,11 @@
     /// The endpoint, by its number.
     pub endpoint: EndpointId,
     /// The endpoint's address at the time when the request was decided.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// What is to be delivered.
-    pub messages: Vec<OutgoingMessage>,
-    /// For each message, until when its result is waited for.
-    pub until: Vec<Instant>,
+    pub messages: Vec<BatchMessage>,
     /// Which of the messages are still sent, shared with the supervisor.
-    pub departure: BatchDeparture,
+    pub(super) departure: BatchDeparture,
 }
 
 /// One message of a request.
@@ -35,14 +33,8 @@
 
 impl EndpointRequest {
     /// A request with these messages, none of which was sent or cancelled yet.
-    pub fn new(endpoint: EndpointId, to: SocketAddr, batch: Vec<BatchMessage>) -> EndpointRequest {
-        let (messages, until) = batch.into_iter().map(|member| (member.message, member.answer_by)).unzip();
-        EndpointRequest { endpoint, to, messages, until, departure: BatchDeparture::default() }
-    }
-
-    /// The message at a position.
-    pub(super) fn message(&self, position: usize) -> BatchMessage {
-        BatchMessage { message: self.messages[position].clone(), answer_by: self.until[position] }
+    pub fn new(endpoint: EndpointId, address: SocketAddr, messages: Vec<BatchMessage>) -> EndpointRequest {
+        EndpointRequest { endpoint, address, messages, departure: BatchDeparture::default() }
     }
 }
 
@@ -57,27 +49,27 @@
 
 /// The results of a request.
 pub struct RequestResult {
-    /// How each message that was sent ended, by its position in the request.
-    pub results: Vec<(usize, AttemptResult)>,
-    /// A wait that the endpoint asks for beside the results of a batch (`Retry-After`).
-    pub wait: Option<Duration>,
+    /// How each message that was sent ended.
+    pub results: Vec<MessageResult>,
+    /// A pause that the endpoint asks for beside the results of a batch (`Retry-After`).
+    pub retry_after: Option<Duration>,
     /// What the response reports of the endpoint's load.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
 }
 
 impl RequestResult {
+    /// These results, of a response that says nothing else of the endpoint.
+    pub fn new(results: Vec<MessageResult>) -> RequestResult {
+        RequestResult { results, retry_after: None, load_report: None }
+    }
+
     /// The same result for all of these positions.
     pub(super) fn same_for_all(
         positions: impl IntoIterator<Item = usize>,
         result: AttemptResult,
     ) -> RequestResult {
-        let results = positions.into_iter().map(|position| (position, result)).collect();
-        RequestResult { results, wait: None, report: None }
-    }
-
-    /// The results as named values.
-    pub(super) fn message_results(&self) -> impl Iterator<Item = MessageResult> + '_ {
-        self.results.iter().map(|(position, result)| MessageResult { position: *position, result: *result })
+        let message_result = |position| MessageResult { position, result };
+        RequestResult::new(positions.into_iter().map(message_result).collect())
     }
 }
 
@@ -86,9 +78,9 @@
     /// The message.
     pub message: MessageId,
     /// Which of the message's attempts it is.
-    pub no: AttemptNumber,
+    pub number: AttemptNumber,
     /// Its first byte is sent by then or never.
-    pub begin_by: Instant,
+    pub start_by: Instant,
     /// Resolves when the attempt is cancelled. Dropping the sender cancels nothing.
     pub cancelled: oneshot::Receiver<()>,
 }
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -4,6 +4,7 @@
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
+use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
 use std::time::Duration;
 
@@ -13,11 +14,12 @@
 use hyper::body::Incoming;
 use reeddock::EndpointId;
 use reeddock_protocol::{self as protocol, AttemptResult, OutgoingMessage};
+use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 use tower::Service;
 
-use super::request::{BatchMessage, EndpointRequest, RequestResult};
-use crate::connections::{Connection, Connections};
+use super::request::{BatchMessage, EndpointRequest, MessageResult, RequestResult};
+use crate::connections::{locked, Connection, Connections};
 
 /// How long the rest of a response is read before a result that is already certain is returned: a request that
 /// follows at once finds the connection free if the rest arrives by then.
@@ -28,10 +30,40 @@
 const MAX_RESPONSE_BYTES: usize = 2 * protocol::MAX_BODY_BYTES;
 
 /// Sends requests to endpoints. Dropping the future of one closes its connection and so cancels the request.
+///
+/// Clones share one pool of connections and one set of background tasks; these are aborted with the last clone.
 #[derive(Clone)]
 pub struct RequestSender {
     /// The pool that connections are taken from and given back to.
-    pub connections: Connections,
+    connections: Connections,
+    remainders: ResponseRemainders,
+}
+
+impl RequestSender {
+    /// A sender whose requests use the connections of this pool.
+    pub fn new(connections: Connections) -> RequestSender {
+        RequestSender { connections, remainders: ResponseRemainders::default() }
+    }
+
+    /// The pool that connections are taken from and given back to.
+    pub fn connections(&self) -> &Connections {
+        &self.connections
+    }
+}
+
+/// Owns the tasks that read the rest of responses whose results are known. None of them holds a clone of this.
+#[derive(Clone, Default)]
+struct ResponseRemainders(Arc<Mutex<JoinSet<()>>>);
+
+impl ResponseRemainders {
+    /// Starts a task that reads the rest of a response, and ends by its time limit at the latest.
+    fn spawn(&self, remainder: impl Future<Output = ()> + Send + 'static) {
+        let mut tasks = locked(&self.0);
+        while tasks.try_join_next().is_some() {}
+        tasks.spawn(async {
+            let _ = timeout(RESPONSE_REMAINDER_AFTER_RESULT, remainder).await;
+        });
+    }
 }
 
 impl Service<EndpointRequest> for RequestSender {
@@ -44,11 +76,11 @@
     }
 
     fn call(&mut self, request: EndpointRequest) -> Self::Future {
-        let connections = self.connections.clone();
+        let RequestSender { connections, remainders } = self.clone();
         Box::pin(async move {
             let positions = 0..request.messages.len();
             let not_sent = |result| RequestResult::same_for_all(positions, result);
-            let delivery = RequestDelivery { connections, request };
+            let delivery = RequestDelivery { connections, remainders, request };
             Ok(delivery.run().await.unwrap_or_else(not_sent))
         })
     }
@@ -71,12 +103,12 @@
         }
     }
 
-    /// The HTTP request that carries them, with the longest of their waits.
-    fn http_request(&self, to: SocketAddr) -> Result<Request<Full<Bytes>>, AttemptResult> {
-        let wait = self.answer_by.saturating_duration_since(Instant::now());
+    /// The HTTP request that carries them, with the longest of their time limits.
+    fn http_request(&self, address: SocketAddr) -> Result<Request<Full<Bytes>>, AttemptResult> {
+        let answer_within = self.answer_by.saturating_duration_since(Instant::now());
         let request = match self.single() {
-            Some(message) => protocol::single_request(to, message, wait),
-            None => protocol::batch_request(to, &self.messages, wait),
+            Some(message) => protocol::single_request(address, message, answer_within),
+            None => protocol::batch_request(address, &self.messages, answer_within),
         };
         request.map_err(|_| AttemptResult::NotSent)
     }
@@ -97,6 +129,7 @@
 /// One request, from its connection to its results.
 struct RequestDelivery {
     connections: Connections,
+    remainders: ResponseRemainders,
     request: EndpointRequest,
 }
 
@@ -104,7 +137,8 @@
     /// Sends the request. An error is the result of every message, none of which was sent.
     async fn run(self) -> Result<RequestResult, AttemptResult> {
         loop {
-            let mut connection = self.connections.acquire(self.request.endpoint, self.request.to).await?;
+            let mut connection =
+                self.connections.acquire(self.request.endpoint, self.request.address).await?;
             let batch = match self.start_sending() {
                 Ok(batch) => batch,
                 Err(result) => {
@@ -113,7 +147,7 @@
                 }
             };
             let http_request = batch
-                .http_request(self.request.to)
+                .http_request(self.request.address)
                 .inspect_err(|_| self.request.departure.revert_to_awaiting_connection())?;
             let response = match exchange(&mut connection, &batch, http_request).await {
                 Exchange::Finished(response) => response,
@@ -129,14 +163,14 @@
         }
     }
 
-    /// Decides which messages are sent, now that the connection is up. What held when the request was decided may
-    /// have ended meanwhile; an error is the result of every message then.
+    /// Decides which messages are sent, now that the connection is up. What was true when the request was decided
+    /// may have changed meanwhile; an error is the result of every message then.
     fn start_sending(&self) -> Result<SentBatch, AttemptResult> {
-        self.connections.open_to(self.request.endpoint)?;
+        self.connections.check_may_send(self.request.endpoint)?;
         let positions = self.request.departure.start_sending(self.request.messages.len());
-        let batch: Vec<BatchMessage> = positions.iter().map(|p| self.request.message(*p)).collect();
+        let batch: Vec<&BatchMessage> = positions.iter().map(|p| &self.request.messages[*p]).collect();
         let answer_by = batch.iter().map(|member| member.answer_by).max().ok_or(AttemptResult::NotSent)?;
-        let messages = batch.into_iter().map(|member| member.message).collect();
+        let messages = batch.into_iter().map(|member| member.message.clone()).collect();
         Ok(SentBatch { positions, messages, answer_by })
     }
 
@@ -167,14 +201,14 @@
         if connection.is_new() && protocol::rejects_connection(&head) {
             self.connections.connection_rejected(self.request.endpoint);
         }
-        let report = protocol::load_report_of(&head);
+        let load_report = protocol::load_report_of(&head);
         let result = if single && protocol::attempt_result_of(&head) == AttemptResult::Completed {
             self.finish_in_background(connection, body).await;
             batch.same_for_all(AttemptResult::Completed)
         } else {
             self.read_whole_response(connection, &head, body, batch).await
         };
-        RequestResult { report, ..result }
+        RequestResult { load_report, ..result }
     }
 
     /// The head holds the whole result: reads the rest of the response so that the connection can be reused, and
@@ -183,8 +217,7 @@
         let remainder = read_remainder(self.connections.clone(), self.request.endpoint, connection, body);
         let mut remainder = Box::pin(remainder);
         if timeout(RESPONSE_REMAINDER_BEFORE_RESULT, &mut remainder).await.is_err() {
-            // Not joined: it ends by its time limit, and owns nothing but the connection.
-            tokio::spawn(timeout(RESPONSE_REMAINDER_AFTER_RESULT, remainder));
+            self.remainders.spawn(remainder);
         }
     }
 
@@ -197,9 +230,9 @@
         batch: &SentBatch,
     ) -> RequestResult {
         let Ok(body) = Limited::new(body, MAX_RESPONSE_BYTES).collect().await else {
-            // The wait stands in the head, and is valid whatever became of the body.
-            let wait = protocol::retry_after_of(head);
-            return RequestResult { wait, ..batch.same_for_all(AttemptResult::MalformedResponse) };
+            // The pause stands in the head, and is valid whatever became of the body.
+            let retry_after = protocol::retry_after_of(head);
+            return RequestResult { retry_after, ..batch.same_for_all(AttemptResult::MalformedResponse) };
         };
         // Whether nothing was received behind the response.
         let clean = connection.ready().await;
@@ -210,8 +243,10 @@
             return batch.same_for_all(protocol::attempt_result_of(head));
         }
         let results = protocol::attempt_results_of_batch(head, &body.to_bytes(), clean, &batch.messages);
-        let results = batch.positions.iter().copied().zip(results).collect();
-        RequestResult { results, wait: protocol::retry_after_of(head), report: None }
+        let members = batch.positions.iter().zip(results);
+        let results =
+            members.map(|(position, result)| MessageResult { position: *position, result }).collect();
+        RequestResult { retry_after: protocol::retry_after_of(head), ..RequestResult::new(results) }
     }
 }
 
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -12,7 +12,7 @@
 use tower::{Service, ServiceExt};
 
 use super::departure::{BatchDeparture, MessageDeparture};
-use super::request::{EndpointRequest, MessageResult, PendingAttempt, RequestResult};
+use super::request::{BatchMessage, EndpointRequest, MessageResult, PendingAttempt, RequestResult};
 use crate::events::Event;
 
 /// Sends a request and reports to the event loop how each message ended. Once no message is waited for any more, the
@@ -24,7 +24,7 @@
     event_loop: mpsc::Sender<Event>,
 ) {
     let departure = request.departure.clone();
-    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.begin_by).collect());
+    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_by).collect());
     let mut supervisor = Supervisor::new(&request, &attempts, event_loop);
     let mut interruptions = watch_interruptions(&request, attempts);
     let mut exchange = Some(Box::pin(request_sender.oneshot(request)));
@@ -88,24 +88,24 @@
     request: &EndpointRequest,
     attempts: Vec<PendingAttempt>,
 ) -> FuturesUnordered<impl Future<Output = Interruption>> {
-    let limits = attempts.into_iter().zip(request.until.iter().copied()).enumerate();
-    limits
-        .map(|(position, (attempt, answer_by))| {
-            interruption(position, attempt.begin_by, answer_by, attempt.cancelled, request.departure.clone())
-        })
-        .collect()
+    let members = attempts.into_iter().zip(&request.messages).enumerate();
+    let interruptions = members.map(|(position, (attempt, message))| {
+        let PendingAttempt { start_by, cancelled, .. } = attempt;
+        interruption(position, start_by, message.answer_by, cancelled, request.departure.clone())
+    });
+    interruptions.collect()
 }
 
 /// Waits until the message at a position is not waited for any longer.
 async fn interruption(
     position: usize,
-    begin_by: Instant,
+    start_by: Instant,
     answer_by: Instant,
     cancelled: oneshot::Receiver<()>,
     departure: BatchDeparture,
 ) -> Interruption {
     let not_sent_in_time = async {
-        sleep_until(begin_by).await;
+        sleep_until(start_by).await;
         if departure.was_sent(position) {
             std::future::pending().await
         }
@@ -121,7 +121,7 @@
 /// Which attempt of which message a result is reported for.
 struct AttemptId {
     message: MessageId,
-    no: AttemptNumber,
+    number: AttemptNumber,
 }
 
 /// An attempt that has ended and was not reported yet.
@@ -152,11 +152,11 @@
         attempts: &[PendingAttempt],
         event_loop: mpsc::Sender<Event>,
     ) -> Supervisor {
-        let supervised = |(attempt, answer_by): (&PendingAttempt, &Instant)| {
-            let id = AttemptId { message: attempt.message.clone(), no: attempt.no };
-            SupervisedMessage { unfinished: Some(id), answer_by: *answer_by }
+        let supervised = |(attempt, message): (&PendingAttempt, &BatchMessage)| {
+            let id = AttemptId { message: attempt.message.clone(), number: attempt.number };
+            SupervisedMessage { unfinished: Some(id), answer_by: message.answer_by }
         };
-        let messages = attempts.iter().zip(&request.until).map(supervised).collect();
+        let messages = attempts.iter().zip(&request.messages).map(supervised).collect();
         Supervisor { endpoint: request.endpoint, messages, event_loop }
     }
 
@@ -168,9 +168,9 @@
     async fn request_finished(&self, request: RequestResult) -> Vec<MessageResult> {
         self.report_endpoint(&request).await;
         let now = Instant::now();
-        let mut results: Vec<MessageResult> =
-            request.message_results().map(|result| self.in_time(result, now)).collect();
-        // A message that was withheld may have no interruption yet, though its time to start is over.
+        let results = request.results.into_iter().map(|result| self.in_time(result, now));
+        let mut results: Vec<MessageResult> = results.collect();
+        // A message that was withheld may have no interruption yet, though its start deadline has passed.
         let withheld = |position: &usize| !results.iter().any(|result| result.position == *position);
         let withheld: Vec<usize> = (0..self.messages.len()).filter(withheld).collect();
         let not_sent = |position| MessageResult { position, result: AttemptResult::NotSent };
@@ -178,14 +178,14 @@
         results
     }
 
-    /// Reports the load report and the wait of a response, ahead of its results.
+    /// Reports the load report and the `Retry-After` of a response, ahead of its results.
     async fn report_endpoint(&self, request: &RequestResult) {
         let endpoint = self.endpoint;
-        if let Some(report) = request.report {
-            let _ = self.event_loop.send(Event::Reported { endpoint, report }).await;
+        if let Some(report) = request.load_report {
+            let _ = self.event_loop.send(Event::LoadReported { endpoint, report }).await;
         }
-        if let Some(wait) = request.wait {
-            let _ = self.event_loop.send(Event::Wait { endpoint, wait }).await;
+        if let Some(retry_after) = request.retry_after {
+            let _ = self.event_loop.send(Event::RetryAfter { endpoint, retry_after }).await;
         }
     }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Takes in results; returns those of messages that had none before.
+    /// Records results; returns those of messages that had none before.
     fn finish(&mut self, finished: Vec<MessageResult>) -> Vec<AttemptReport> {
         let take = |MessageResult { position, result }| {
             let attempt = self.messages.get_mut(position)?.unfinished.take()?;
@@ -209,9 +209,9 @@
     }
 
     async fn report(&self, reports: Vec<AttemptReport>) {
-        for AttemptReport { attempt: AttemptId { message, no }, result } in reports {
+        for AttemptReport { attempt: AttemptId { message, number }, result } in reports {
             // The event loop ends with the program only.
-            let _ = self.event_loop.send(Event::Ended { message, no, result }).await;
+            let _ = self.event_loop.send(Event::AttemptFinished { message, number, result }).await;
         }
     }
 }
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -27,7 +27,7 @@
 /// During a shutdown the client connections that are still open are counted this often.
 const CLIENTS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens and serves until `stop` completes, and then until the shutdown is complete or its grace period is over.
+/// Listens and serves until `stop` completes, and then until the shutdown is complete or its grace period has passed.
 pub async fn serve(options: ForwarderOptions, stop: impl Future<Output = ()>) -> Result<(), ForwarderError> {
     let address = options.listen;
     let listener =
@@ -108,8 +108,8 @@
 /// A graceful shutdown, as the clients see it. The event loop ends the process once it has no more to do.
 struct Shutdown {
     clients: Arc<ClientConnections>,
-    /// The one task that accepts client connections.
-    accepting: JoinSet<()>,
+    /// The one task that accepts client connections, which returns the tasks of those that are still served then.
+    accepting: JoinSet<JoinSet<()>>,
     events: mpsc::Sender<Event>,
     /// From the request to stop to the latest end of the process.
     grace: Duration,
@@ -118,18 +118,18 @@
 }
 
 impl Shutdown {
-    /// Waits for `stop`, sends the clients elsewhere, and reports to the event loop once the last has gone.
+    /// Waits for `stop`, sends the clients elsewhere, and reports to the event loop once the last has disconnected.
     async fn run_after(mut self, stop: impl Future<Output = ()>) -> Infallible {
         stop.await;
         tracing::info!("shutdown requested");
-        self.clients.leave();
+        self.clients.begin_shutdown();
         let deadline = Instant::now() + self.grace;
         let _ = self.events.send(Event::ShutdownRequested(deadline)).await;
         sleep(self.accept_grace).await;
-        self.clients.close();
-        // Ends with the last client that had connected before the close.
-        let _ = self.accepting.join_next().await;
-        while !self.clients.empty() {
+        self.clients.close_all();
+        // Ends with the last client that had connected before the close; the connections are served while this is kept.
+        let _connection_tasks = self.accepting.join_next().await;
+        while !self.clients.is_empty() {
             sleep(CLIENTS_CHECK_INTERVAL).await;
         }
         let _ = self.events.send(Event::ClientsDisconnected).await;
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Periods {
     /// A change has to be known this long after discovery had it.
-    pub told_after: Duration,
+    pub known_within: Duration,
     /// The same after the address of discovery has changed.
-    pub told_after_move: Duration,
+    pub known_within_after_move: Duration,
     /// How much of these two the answer to a request may take. Whoever answers runs on the forwarder's own machine.
-    /// Discovery that can answer each forwarder once in [`Periods::told_after`] is overbooked by requests that come
+    /// Discovery that can answer each forwarder once in [`Periods::known_within`] is overbooked by requests that come
     /// much sooner.
     pub answer: Duration,
     /// A request without an answer is not abandoned before this has passed.
@@ -56,8 +56,8 @@
 impl Default for Periods {
     fn default() -> Periods {
         Periods {
-            told_after: Duration::from_secs(6),
-            told_after_move: Duration::from_secs(4),
+            known_within: Duration::from_secs(6),
+            known_within_after_move: Duration::from_secs(4),
             answer: Duration::from_millis(250),
             patience: Duration::from_secs(1),
             connect: Duration::from_secs(1),
@@ -71,7 +71,7 @@
 impl Periods {
     /// The period: from the start of one request to the start of the next, while none succeeds.
     pub fn between_requests(&self) -> Duration {
-        self.told_after.saturating_sub(self.answer)
+        self.known_within.saturating_sub(self.answer)
     }
 }
 
@@ -187,7 +187,7 @@
     /// The address of discovery has changed; the caller asks at the new one at once.
     pub fn moved(&mut self, now: Duration) {
         self.quick_retries_left = QUICK_RETRIES;
-        let by = now + self.periods.told_after_move.saturating_sub(self.periods.answer);
+        let by = now + self.periods.known_within_after_move.saturating_sub(self.periods.answer);
         self.second_request = Some(Window { from: now, by });
     }
 
--- a/crates/forwarder/tests/loopback/deadlines.rs
+++ b/crates/forwarder/tests/loopback/deadlines.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use reeddock_forwarder::events::Event;
-use reeddock_forwarder::request_sender::{run_request, EndpointRequest, RequestResult};
+use reeddock_forwarder::request_sender::{run_request, EndpointRequest, MessageResult, RequestResult};
 use reeddock_protocol::AttemptResult;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::mpsc;
@@ -22,7 +22,9 @@
     if cancelled {
         cancels.remove(0).send(()).unwrap();
     }
-    let Some(Event::Ended { result, .. }) = events.recv().await else { panic!("expected its result") };
+    let Some(Event::AttemptFinished { result, .. }) = events.recv().await else {
+        panic!("expected its result")
+    };
     sending.await.unwrap();
     result
 }
@@ -73,7 +75,7 @@
         let request = request(endpoint.address, &[("a", NEVER_REACHED), ("b", NEVER_REACHED)]);
         let (mut attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
         // Its idempotency key runs out, say, long before the response would time out.
-        attempts[0].begin_by = Instant::now() + ms(100);
+        attempts[0].start_by = Instant::now() + ms(100);
         tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
         let (id, result) = next_result(&mut events).await;
         assert_eq!(
@@ -98,7 +100,7 @@
         let both = request(endpoint.address, &[("late", NEVER_REACHED), ("in-time", NEVER_REACHED)]);
         let (mut attempts, _cancels) = pending_attempts(&both, NEVER_REACHED);
         // Its idempotency key has run out, say, while the write-ahead log was written.
-        attempts[0].begin_by = Instant::now();
+        attempts[0].start_by = Instant::now();
         run_request(request_sender, both, attempts, sender).await;
         let mut results = BTreeMap::from([next_result(&mut events).await, next_result(&mut events).await]);
         assert!(results.remove("late").unwrap().outcome().proves_not_executed());
@@ -119,10 +121,11 @@
             let (attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
             // Blocks this thread until the first has timed out, and has the response ready then.
             let responds_late = tower::service_fn(move |request: EndpointRequest| async move {
-                while Instant::now() < request.until[0] {
+                while Instant::now() < request.messages[0].answer_by {
                     std::hint::spin_loop();
                 }
-                Ok(RequestResult { results: vec![(0, result), (1, result)], wait: None, report: None })
+                let results = [0, 1].map(|position| MessageResult { position, result });
+                Ok(RequestResult::new(results.into()))
             });
             tokio::spawn(run_request(responds_late, request, attempts, sender));
             let late = if result == AttemptResult::Completed { AttemptResult::TimedOut } else { result };
--- a/crates/forwarder/tests/loopback/endpoint_connections.rs
+++ b/crates/forwarder/tests/loopback/endpoint_connections.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use reeddock::EndpointId;
-use reeddock_forwarder::request_sender::{EndpointRequest, RequestSender};
+use reeddock_forwarder::request_sender::RequestSender;
 use reeddock_protocol::AttemptResult;
 use tokio::time::sleep;
 use tower::Service;
@@ -17,8 +17,9 @@
 
 /// Sends one message to the endpoint of this number, and returns how its attempt ends.
 async fn send_to(request_sender: &mut RequestSender, endpoint: u32, server: &StubServer) -> AttemptResult {
-    let request = EndpointRequest { endpoint: EndpointId(endpoint), ..request_to(server, "a") };
-    request_sender.call(request).await.unwrap().results[0].1
+    let mut request = request_to(server, "a");
+    request.endpoint = EndpointId(endpoint);
+    request_sender.call(request).await.unwrap().results[0].result
 }
 
 #[test]
@@ -70,7 +71,7 @@
         let full = StubServer::start(|_| ScriptedResponse::SendAndClose(UNAVAILABLE_AND_CLOSE.into())).await;
         let mut request_sender = patient_request_sender();
         for (endpoint, kind) in [(1, "small"), (2, "small"), (3, "large")] {
-            request_sender.connections.listed(EndpointId(endpoint), kind, true);
+            request_sender.connections().endpoint_listed(EndpointId(endpoint), kind, true);
         }
         for _ in 0..2 {
             assert_eq!(
@@ -101,7 +102,7 @@
         let open = StubServer::start(|_| ScriptedResponse::ok()).await;
         let mut request_sender = patient_request_sender();
         for endpoint in [1, 2] {
-            request_sender.connections.listed(EndpointId(endpoint), "small", true);
+            request_sender.connections().endpoint_listed(EndpointId(endpoint), "small", true);
         }
         for (endpoint, server) in [(1, &leaving), (2, &open)] {
             assert_eq!(send_to(&mut request_sender, endpoint, server).await, AttemptResult::Completed);
--- a/crates/forwarder/tests/loopback/retry_after.rs
+++ b/crates/forwarder/tests/loopback/retry_after.rs
@@ -1,7 +1,7 @@
 //! An endpoint that asks to wait, or starts to drain, holds back the requests that are still on their way to it.
 
 use reeddock_forwarder::connections::Connections;
-use reeddock_forwarder::request_sender::run_request;
+use reeddock_forwarder::request_sender::{run_request, MessageResult};
 use reeddock_protocol::AttemptResult;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -14,18 +14,18 @@
     run_test(async {
         let endpoint = StubServer::start(|_| ScriptedResponse::ok()).await;
         let mut request_sender = request_sender(ms(1000));
-        let connections = request_sender.connections.clone();
+        let connections = request_sender.connections().clone();
         // From the response to another request, while this one is on its way to a connection.
-        connections.rest(ENDPOINT, Instant::now() + ms(300));
+        connections.set_retry_after(ENDPOINT, Instant::now() + ms(300));
         let early = request_sender.call(request_to(&endpoint, "early")).await.unwrap();
         assert_eq!(
             (&early.results[..], endpoint.received().len()),
-            (&[(0, AttemptResult::RetryAfterActive)][..], 0)
+            (&[MessageResult { position: 0, result: AttemptResult::RetryAfterActive }][..], 0)
         );
         assert!(AttemptResult::RetryAfterActive.outcome().proves_not_executed());
-        wait_for("the end of the wait", || connections.open_to(ENDPOINT).ok()).await;
+        wait_for("the end of the wait", || connections.check_may_send(ENDPOINT).ok()).await;
         let after = request_sender.call(request_to(&endpoint, "after")).await.unwrap();
-        assert_eq!(after.results, [(0, AttemptResult::Completed)]);
+        assert_eq!(after.results, [MessageResult { position: 0, result: AttemptResult::Completed }]);
         assert_eq!(endpoint.received()[0].connection, 0, "on the connection that came up for the other");
     });
 }
@@ -37,8 +37,8 @@
         let endpoint = StubServer::start(|_| ScriptedResponse::SendAndClose(cut.into())).await;
         let result = request_sender(ms(1000)).call(request_to(&endpoint, "cut")).await.unwrap();
         assert_eq!(
-            (&result.results[..], result.wait),
-            (&[(0, AttemptResult::MalformedResponse)][..], Some(ms(700)))
+            (&result.results[..], result.retry_after),
+            (&[MessageResult { position: 0, result: AttemptResult::MalformedResponse }][..], Some(ms(700)))
         );
     });
 }
@@ -52,7 +52,7 @@
     let (attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
     let request_sender = patient_request_sender();
     tokio::spawn(run_request(request_sender.clone(), request, attempts, sender));
-    become_unavailable(&request_sender.connections);
+    become_unavailable(request_sender.connections());
     let mut stream = endpoint.accept_next().await;
     for id in ["a", "b"] {
         assert_eq!(next_result(&mut events).await, (id.into(), expected));
@@ -65,7 +65,7 @@
 #[test]
 fn an_endpoint_that_starts_to_drain_while_a_connection_comes_up_gets_nothing_on_it() {
     run_test(nothing_is_sent_after(
-        |connections| connections.listed(ENDPOINT, "many", false),
+        |connections| connections.endpoint_listed(ENDPOINT, "many", false),
         AttemptResult::EndpointDraining,
     ));
 }
@@ -73,7 +73,7 @@
 #[test]
 fn an_endpoint_that_asks_to_wait_while_a_connection_comes_up_gets_nothing_on_it() {
     run_test(nothing_is_sent_after(
-        |connections| connections.rest(ENDPOINT, Instant::now() + NEVER_REACHED),
+        |connections| connections.set_retry_after(ENDPOINT, Instant::now() + NEVER_REACHED),
         AttemptResult::RetryAfterActive,
     ));
 }
--- a/crates/forwarder/tests/loopback/support/requests.rs
+++ b/crates/forwarder/tests/loopback/support/requests.rs
@@ -6,7 +6,7 @@
 use reeddock::{AttemptNumber, EndpointId, MessageId};
 use reeddock_forwarder::connections::Connections;
 use reeddock_forwarder::events::Event;
-use reeddock_forwarder::request_sender::{EndpointRequest, PendingAttempt, RequestSender};
+use reeddock_forwarder::request_sender::{BatchMessage, EndpointRequest, PendingAttempt, RequestSender};
 use reeddock_protocol::{AttemptResult, OutgoingMessage};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -20,7 +20,7 @@
 
 /// A request sender with four connections to an endpoint at most, which waits for a new one so long.
 pub fn request_sender(connect_within: Duration) -> RequestSender {
-    RequestSender { connections: Connections::new(4, connect_within, ms(5000)) }
+    RequestSender::new(Connections::new(4, connect_within, ms(5000)))
 }
 
 /// A request sender that waits for connections for longer than the test lasts.
@@ -41,13 +41,9 @@
         body: Default::default(),
     };
     let now = Instant::now();
-    EndpointRequest {
-        endpoint: ENDPOINT,
-        to: address,
-        messages: messages.iter().map(|(id, _)| message(id)).collect(),
-        until: messages.iter().map(|(_, limit)| now + *limit).collect(),
-        departure: Default::default(),
-    }
+    let members = messages.iter();
+    let members = members.map(|(id, limit)| BatchMessage { message: message(id), answer_by: now + *limit });
+    EndpointRequest::new(ENDPOINT, address, members.collect())
 }
 
 /// One attempt for each message of a request, with what cancels it.
@@ -55,10 +51,11 @@
     request: &EndpointRequest,
     start_within: Duration,
 ) -> (Vec<PendingAttempt>, Vec<oneshot::Sender<()>>) {
-    let begin_by = Instant::now() + start_within;
-    let attempt = |message: &OutgoingMessage| {
+    let start_by = Instant::now() + start_within;
+    let attempt = |BatchMessage { message, .. }: &BatchMessage| {
         let (cancel, cancelled) = oneshot::channel();
-        (PendingAttempt { message: message.id.clone(), no: AttemptNumber(0), begin_by, cancelled }, cancel)
+        let (message, number) = (message.id.clone(), AttemptNumber(0));
+        (PendingAttempt { message, number, start_by, cancelled }, cancel)
     };
     request.messages.iter().map(attempt).unzip()
 }
@@ -66,7 +63,7 @@
 /// The next result that the event loop receives: the message of the attempt, and how it ended.
 pub async fn next_result(events: &mut mpsc::Receiver<Event>) -> (String, AttemptResult) {
     match events.recv().await {
-        Some(Event::Ended { message, result, .. }) => (message.0.to_string(), result),
+        Some(Event::AttemptFinished { message, result, .. }) => (message.0.to_string(), result),
         _ => panic!("expected the result of an attempt"),
     }
 }
--- a/crates/forwarder/tests/loopback/watch.rs
+++ b/crates/forwarder/tests/loopback/watch.rs
@@ -25,8 +25,8 @@
 /// Two fifths of those in use, with an empty line sooner.
 const fn short_periods() -> Periods {
     Periods {
-        told_after: ms(2400),
-        told_after_move: ms(1600),
+        known_within: ms(2400),
+        known_within_after_move: ms(1600),
         answer: ms(400),
         patience: ms(400),
         connect: ms(400),
@@ -154,7 +154,7 @@
     let address = watch::Sender::new(discovery.address);
     let schedule = WatchSchedule::new(short_periods(), seed);
     let following = tokio::spawn(follow(address.subscribe(), 1, schedule, sender));
-    while matches!(events.recv().await.expect("the watch goes on"), Event::ListFailed) {}
+    while matches!(events.recv().await.expect("the watch goes on"), Event::WatchLost) {}
     following.abort();
 }
 
@@ -166,7 +166,7 @@
         let discovery = ScriptedDiscovery::start(script).await;
         wait_until_received(&discovery, seed).await;
         let late = discovery.up_to_date_until.elapsed();
-        assert!(late <= short_periods().told_after, "{script:?}, seed {seed}: received after {late:?}");
+        assert!(late <= short_periods().known_within, "{script:?}, seed {seed}: received after {late:?}");
         assert!(
             discovery.requests() <= script.len() + 1,
             "{script:?}, seed {seed}: {} requests",
@@ -219,7 +219,7 @@
         };
         let ((), recovered) = tokio::join!(wait_until_received(&discovery, seed), recovers);
         let late = recovered.elapsed();
-        assert!(late <= short_periods().told_after, "{failure:?}, seed {seed}: received after {late:?}");
+        assert!(late <= short_periods().known_within, "{failure:?}, seed {seed}: received after {late:?}");
     });
     run_test(async {
         join_all(plays).await;
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -5,11 +5,11 @@
 
 use reeddock::EndpointId;
 use reeddock_forwarder::clock::Clock;
-use reeddock_forwarder::endpoints::{Place, PlaceChange, TargetTable};
+use reeddock_forwarder::endpoints::{EndpointLocation, EndpointTable, LocationChange};
 use reeddock_forwarder::http_progress::{RequestProgress, StatusLine};
 use reeddock_forwarder::idle_permits::IdlePermits;
 use reeddock_forwarder::limits::{Limits, ResourceLimits, RESERVE};
-use reeddock_forwarder::malformed_list::{MalformedList, BYTES_A_SECOND, LONGEST_REST};
+use reeddock_forwarder::malformed_list::{MalformedList, BYTES_A_SECOND, LONGEST_MEAN_BACKOFF};
 use tokio::time::Instant;
 
 #[test]
@@ -26,8 +26,8 @@
     ] {
         for split in 0..response.len() {
             let mut status_line = StatusLine::default();
-            status_line.come(&response.as_bytes()[..split]);
-            status_line.come(&response.as_bytes()[split..]);
+            status_line.received(&response.as_bytes()[..split]);
+            status_line.received(&response.as_bytes()[split..]);
             assert_eq!(status_line.says_ok(), ok, "{response:?} {split}");
         }
     }
@@ -39,16 +39,16 @@
     for split in 0..request.len() {
         let mut progress = RequestProgress::default();
         progress.begin(9);
-        progress.gone(&request[..split]);
+        progress.sent(&request[..split]);
         assert!(!progress.complete(), "{split}");
-        progress.gone(&request[split..]);
+        progress.sent(&request[split..]);
         assert!(progress.complete());
     }
     let mut empty = RequestProgress::default();
     empty.begin(0);
-    empty.gone(b"POST / HTTP/1.1\r\n\r");
+    empty.sent(b"POST / HTTP/1.1\r\n\r");
     assert!(!empty.complete());
-    empty.gone(b"\n");
+    empty.sent(b"\n");
     assert!(empty.complete());
 }
 
@@ -67,7 +67,7 @@
 fn a_stored_time_is_read_back_as_the_same_time() {
     let clock = Clock::start();
     let before = clock.now() - Duration::from_secs(60);
-    let read = clock.read(clock.stored(before));
+    let read = clock.from_unix_micros(clock.to_unix_micros(before));
     assert!(before - read < Duration::from_micros(2), "{before:?} {read:?}");
 }
 
@@ -76,9 +76,9 @@
     let clock = Clock::start();
     let width = Duration::from_millis(5);
     // Ticks are counted from a moment that lies a whole number of widths before the start.
-    let next = clock.at(clock.next(width));
+    let next = clock.at(clock.next_tick(width));
     assert_eq!(next.as_nanos() % width.as_nanos(), 0);
-    assert!(clock.next(Duration::ZERO) <= Instant::now());
+    assert!(clock.next_tick(Duration::ZERO) <= Instant::now());
 }
 
 #[test]
@@ -95,13 +95,13 @@
     for (bytes, millis) in table {
         let list = MalformedList { fault: "x".into(), bytes };
         let mean = Duration::from_millis(millis);
-        assert_eq!(list.rest(0.5), mean, "{bytes}");
-        assert_eq!((list.rest(0.0), list.rest(1.0)), (mean / 2, mean + mean / 2), "{bytes}");
-        assert_eq!(list.rest(f64::INFINITY), list.rest(1.0));
+        assert_eq!(list.backoff(0.5), mean, "{bytes}");
+        assert_eq!((list.backoff(0.0), list.backoff(1.0)), (mean / 2, mean + mean / 2), "{bytes}");
+        assert_eq!(list.backoff(f64::INFINITY), list.backoff(1.0));
         // On average no more bytes a second than this, unless a corrected list would have to wait too long for it.
-        let cost = bytes as f64 / list.rest(0.5).as_secs_f64();
+        let cost = bytes as f64 / list.backoff(0.5).as_secs_f64();
         assert!(
-            list.rest(0.5) >= LONGEST_REST || bytes < 2000 || cost <= BYTES_A_SECOND as f64 * 1.01,
+            list.backoff(0.5) >= LONGEST_MEAN_BACKOFF || bytes < 2000 || cost <= BYTES_A_SECOND as f64 * 1.01,
             "{bytes}"
         );
     }
@@ -109,35 +109,35 @@
 
 #[test]
 fn endpoints_are_numbered_once_and_a_forgotten_one_gets_another_number() {
-    let mut table = TargetTable::default();
-    let place = |port| Place { address: SocketAddr::from(([10, 0, 0, 1], port)), batch: 4 };
+    let mut table = EndpointTable::default();
+    let location = |port| EndpointLocation { address: SocketAddr::from(([10, 0, 0, 1], port)), max_batch: 4 };
     let long = "a name that does not fit into the row itself";
     let ids: Vec<_> = (0..1000).map(|n| table.number(&format!("{long}-{n}"))).collect();
     for (n, id) in ids.iter().enumerate() {
         assert_eq!(table.number(&format!("{long}-{n}")), *id);
-        assert_eq!((table.get(*id), table.name(*id)), (None, Some(format!("{long}-{n}").as_str())));
-        assert_eq!(table.place(*id, place(n as u16)), PlaceChange::New);
+        assert_eq!((table.location(*id), table.name(*id)), (None, Some(format!("{long}-{n}").as_str())));
+        assert_eq!(table.set_location(*id, location(n as u16)), LocationChange::New);
     }
-    assert_eq!(table.placed(), 1000);
+    assert_eq!(table.located(), 1000);
     for id in ids.iter().step_by(2) {
         table.forget(*id);
         table.forget(*id);
-        assert_eq!((table.get(*id), table.name(*id)), (None, None));
-        assert_eq!(table.place(*id, place(1)), PlaceChange::Same, "it has no place any more");
+        assert_eq!((table.location(*id), table.name(*id)), (None, None));
+        assert_eq!(table.set_location(*id, location(1)), LocationChange::Same, "it is unknown now");
     }
-    assert_eq!(table.placed(), 500);
+    assert_eq!(table.located(), 500);
     for (n, id) in ids.iter().enumerate() {
         let again = table.number(&format!("{long}-{n}"));
         assert_eq!(again == *id, n % 2 == 1, "{n}");
         assert!(again == *id || !ids.contains(&again));
     }
     let kept = ids[1];
-    assert_eq!(table.get(kept), Some(place(1)));
-    assert_eq!(table.place(kept, place(1)), PlaceChange::Same);
-    let ipv6 = Place { address: "[::1]:9".parse().unwrap(), batch: 1 };
-    assert_eq!((table.place(kept, ipv6), table.get(kept)), (PlaceChange::Moved, Some(ipv6)));
+    assert_eq!(table.location(kept), Some(location(1)));
+    assert_eq!(table.set_location(kept, location(1)), LocationChange::Same);
+    let ipv6 = EndpointLocation { address: "[::1]:9".parse().unwrap(), max_batch: 1 };
+    assert_eq!((table.set_location(kept, ipv6), table.location(kept)), (LocationChange::Moved, Some(ipv6)));
     table.forget(kept);
-    assert_eq!(table.placed(), 499);
+    assert_eq!(table.located(), 499);
 }
 
 #[test]
@@ -145,19 +145,19 @@
     let now = Instant::now();
     let mut permits = IdlePermits::default();
     for (endpoint, kind) in [(1, "small"), (2, "small"), (3, "large")] {
-        permits.listed(EndpointId(endpoint), kind);
+        permits.endpoint_listed(EndpointId(endpoint), kind);
     }
-    permits.turned_away(EndpointId(9), now);
-    permits.turned_away(EndpointId(1), now);
-    let has_room = |permits: &IdlePermits, after| {
+    permits.connection_rejected(EndpointId(9), now);
+    permits.connection_rejected(EndpointId(1), now);
+    let allows_idle = |permits: &IdlePermits, after| {
         let then = now + Duration::from_millis(after);
-        [1, 2, 3, 9].map(|endpoint| permits.has_room(EndpointId(endpoint), then))
+        [1, 2, 3, 9].map(|endpoint| permits.allows_idle(EndpointId(endpoint), then))
     };
-    assert_eq!(has_room(&permits, 29_000), [false, false, true, true]);
-    assert_eq!(has_room(&permits, 30_000), [true; 4]);
+    assert_eq!(allows_idle(&permits, 29_000), [false, false, true, true]);
+    assert_eq!(allows_idle(&permits, 30_000), [true; 4]);
     permits.forget(EndpointId(1));
-    assert_eq!(has_room(&permits, 0), [true, false, true, true], "another of the kind is still listed");
+    assert_eq!(allows_idle(&permits, 0), [true, false, true, true], "another of the kind is still listed");
     permits.forget(EndpointId(2));
-    permits.listed(EndpointId(2), "small");
-    assert_eq!(has_room(&permits, 0), [true; 4], "nothing is kept of a kind that nothing is listed for");
+    permits.endpoint_listed(EndpointId(2), "small");
+    assert_eq!(allows_idle(&permits, 0), [true; 4], "nothing is kept of a kind that nothing is listed for");
 }
