--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -88,7 +88,7 @@
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
         let mut permit = self.permits.clone().try_acquire_owned();
         if permit.is_err() && self.close_oldest_idle() {
-            // The permit comes back once the connection's task has seen that it is aborted.
+            // The permit is released once the connection's task has seen that it is aborted.
             tokio::task::yield_now().await;
             permit = self.permits.clone().try_acquire_owned();
         }
@@ -102,7 +102,7 @@
         oldest.and_then(VecDeque::pop_front).is_some()
     }
 
-    /// Takes back a connection whose response was read whole; keeps it idle if its endpoint has capacity for that.
+    /// Returns a connection to the pool whose response was read whole; keeps it idle if its endpoint has capacity for that.
     pub(crate) fn release(&self, endpoint: EndpointId, connection: Connection) {
         let permitted = locked(&self.idle_permits).allows_idle(endpoint, Instant::now());
         if permitted && connection.is_ready() {
--- a/crates/forwarder/src/connections/reuse_history.rs
+++ b/crates/forwarder/src/connections/reuse_history.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// How idle connections fare when they are reused.
+/// How reuses of idle connections ended.
 ///
 /// Some are dead without a sign, for instance where a firewall on the way has dropped their state: they break under
 /// the next request, before any byte of a response. That request may have been executed, so that each such
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -21,7 +21,7 @@
 
 /// Watches the endpoint list until the event loop ends.
 ///
-/// `generation` is that of the list which the event loop has already; the first watch asks for what came after it.
+/// `generation` is that of the list which the event loop has already; the first watch asks for what changed after it.
 pub async fn follow(
     mut address: watch::Receiver<SocketAddr>,
     generation: u64,
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -138,7 +138,7 @@
         self.with_address
     }
 
-    /// Forgets an endpoint. If its name comes again, it gets another number.
+    /// Forgets an endpoint. If its name is used again, it gets another number.
     pub fn forget(&mut self, id: EndpointId) {
         let Some(row) = self.rows.swap_remove(&id.0) else { return };
         self.with_address -= usize::from(row.address.get().is_some());
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes back messages whose clients know of no acceptance, and submit them anew.
+    /// Withdraws messages whose clients know of no acceptance and will submit them again.
     fn withdraw(&mut self, ids: BTreeSet<MessageId>) {
         for id in ids {
             self.policy.withdraw(&id, self.state.commands());
--- a/crates/forwarder/src/event_loop/pending_messages.rs
+++ b/crates/forwarder/src/event_loop/pending_messages.rs
@@ -8,8 +8,8 @@
 use reeddock::{AttemptNumber, MessageId};
 use reeddock_protocol::OutgoingMessage;
 
-/// An id is not accepted again for this long after its message is finished: the copy that a client or a stranger sends
-/// of an open request may come a moment after the end of that, and would have its effect twice.
+/// An id is not accepted again for this long after its message is finished: a copy of a request in progress, sent by
+/// its client or by anybody else, may arrive a moment after the message is finished, and would be executed a second time.
 const FINISHED_ID_KEPT_FOR: Duration = Duration::from_secs(15);
 
 /// A message that was accepted and has no final answer yet.
--- a/crates/forwarder/src/event_loop/run.rs
+++ b/crates/forwarder/src/event_loop/run.rs
@@ -13,7 +13,7 @@
 /// The most events that are handled before due work runs, so that a flood of them cannot keep the policy from deciding.
 const MAX_EVENTS_PER_STEP: usize = 256;
 
-/// How far a graceful shutdown has come.
+/// How far a graceful shutdown has got.
 #[derive(Default)]
 pub(super) struct ShutdownProgress {
     /// The process stops then at the latest. None until it is asked to stop.
@@ -25,13 +25,13 @@
     /// Decides and carries out until the process is to stop.
     ///
     /// `events` has the events of all tasks but the watch. The watch has a short queue of its own, `list_events`, so
-    /// that a long list and everything else hold each other up for a moment only.
+    /// that a long list and all other events delay each other for a moment only.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>, mut list_events: mpsc::Receiver<Event>) {
         self.run_due_work(self.clock.now());
         loop {
             let first = self.wait_for_work(&mut events, &mut list_events).await;
-            // What comes together goes together: messages for one endpoint in one request, and results of attempts
-            // before the due work.
+            // What arrives in one interval is handled in one step: messages for one endpoint share a request, and
+            // results of attempts are known before due work runs.
             self.apply_list_events_until(self.clock.next_tick(self.tick), &mut list_events).await;
             let now = self.clock.now();
             self.handle_events(first, &mut events, now);
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -21,7 +21,7 @@
 }
 
 impl EventLoop {
-    /// Passes a submission to the policy, or answers it at once where nothing can come of it. `received_at` is when
+    /// Passes a submission to the policy, or answers it at once where it can't be accepted. `received_at` is when
     /// the client's request had been read.
     pub(super) fn submit(
         &mut self,
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -15,8 +15,8 @@
 /// Says for each endpoint whether a connection to it may be kept idle.
 ///
 /// Endpoints accept a limited number of connections, idle ones counted. Where forwarders outnumber that limit, those
-/// that came first would hold all connections though they seldom use them, and the others would be rejected for
-/// good. A forwarder that holds a connection is not rejected by that endpoint but by others of its kind, so what one
+/// that connected first would keep all connections though they rarely use them, and the others would be rejected for
+/// good. A forwarder that has a connection is not rejected by that endpoint but by others of its kind, so what one
 /// endpoint says is taken for all endpoints of its kind.
 #[derive(Default)]
 pub struct IdlePermits {
--- a/crates/forwarder/src/ingress/accept.rs
+++ b/crates/forwarder/src/ingress/accept.rs
@@ -63,7 +63,7 @@
 /// A connection as the listener returns it.
 struct AcceptedStream {
     stream: TcpStream,
-    from: SocketAddr,
+    client: SocketAddr,
 }
 
 /// What the listener gave.
@@ -77,7 +77,7 @@
 impl From<io::Result<(TcpStream, SocketAddr)>> for Accepted {
     fn from(accepted: io::Result<(TcpStream, SocketAddr)>) -> Accepted {
         match accepted {
-            Ok((stream, from)) => Accepted::Stream(AcceptedStream { stream, from }),
+            Ok((stream, client)) => Accepted::Stream(AcceptedStream { stream, client }),
             Err(error) => Accepted::Failed(error),
         }
     }
@@ -140,10 +140,10 @@
 
     /// Starts the task that serves a connection. It ends with the connection, which [`ClientConnections`] counts.
     fn serve(&mut self, number: u64, accepted: AcceptedStream, slot: Option<OwnedSemaphorePermit>) {
-        let AcceptedStream { stream, from } = accepted;
+        let AcceptedStream { stream, client } = accepted;
         // With Nagle's algorithm a small response would wait for an acknowledgement.
         let _ = stream.set_nodelay(true);
-        let capacity = self.make_room();
+        let capacity = self.ensure_capacity();
         let connection = Arc::new(ClientConnection::accepted());
         self.clients.insert(number, connection.clone());
         let service = IngressService {
@@ -153,7 +153,7 @@
             capacity,
             keep_alive_limit: self.limits.kept,
         };
-        let served = ServedConnection { stream, from, service, slot, lingering: self.lingering.clone() };
+        let served = ServedConnection { stream, client, service, slot, lingering: self.lingering.clone() };
         let clients = self.clients.clone();
         self.tasks.spawn(async move {
             served.run().await;
@@ -162,7 +162,7 @@
     }
 
     /// Evicts another connection where the limit of served ones is reached.
-    fn make_room(&self) -> ConnectionCapacity {
+    fn ensure_capacity(&self) -> ConnectionCapacity {
         if self.clients.count() < self.limits.clients || self.clients.evict_one() {
             ConnectionCapacity::Available
         } else {
--- a/crates/forwarder/src/ingress/clients.rs
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -58,7 +58,7 @@
 
     /// Closes the connection whose loss matters least; returns whether there was one.
     ///
-    /// Of those that never had a request it is the oldest, so that silent clients do not crowd out others; if there
+    /// Of those that never had a request it is the oldest, so that silent clients do not displace others; if there
     /// is none, the one that has stood idle for longest, whose client uses another connection for its next request.
     pub(super) fn evict_one(&self) -> bool {
         let mut open = self.open();
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -84,10 +84,10 @@
 
     /// Whether the client is asked to use another connection after this response.
     fn closes_after(&self, response: &ClientResponse) -> bool {
-        let crowded = self.clients.count() > self.keep_alive_limit;
+        let above_keep_alive_limit = self.clients.count() > self.keep_alive_limit;
         self.capacity == ConnectionCapacity::Exceeded
             || leaves_bytes_unread(response)
-            || crowded
+            || above_keep_alive_limit
             || self.clients.shutting_down()
     }
 
--- a/crates/forwarder/src/ingress/serving.rs
+++ b/crates/forwarder/src/ingress/serving.rs
@@ -39,7 +39,7 @@
 /// One client connection that is served.
 pub(super) struct ServedConnection {
     pub(super) stream: TcpStream,
-    pub(super) from: SocketAddr,
+    pub(super) client: SocketAddr,
     pub(super) service: IngressService,
     /// Counts the connection; free once its descriptor is closed or lingers.
     pub(super) slot: Option<OwnedSemaphorePermit>,
@@ -62,7 +62,7 @@
             reason = close_reason => close(&mut http, &connection, reason).await,
         };
         if let Err(error) = ended {
-            tracing::debug!(from = %self.from, %error, "client connection failed");
+            tracing::debug!(client = %self.client, %error, "client connection failed");
         }
         // A connection that never had a request has no response in flight.
         let linger_permit = self.lingering.try_acquire_owned();
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a watch, and passes the list events in it to the event loop piece by piece, as they come.
+//! Reads the body of a watch, and passes the list events in it to the event loop in pieces, as they arrive.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -31,7 +31,7 @@
         locked(&self.0).has_list
     }
 
-    /// What is wrong with the list, in the one line that the health check has for it.
+    /// What is wrong with the list, in one line: the health check's body has it as it is here.
     pub fn fault(&self) -> Option<String> {
         let status = locked(&self.0);
         match (status.has_list, &status.fault) {
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -18,7 +18,7 @@
 
 /// The most notices in one request, well inside what a body may hold.
 const MAX_NOTICES_PER_REQUEST: usize = 128;
-/// The platform answers at once, and a notice is overdue 300 ms after its time: a connection that has gone silent must
+/// The platform answers at once, and a notice is overdue 300 ms after its time: a connection that has fallen silent must
 /// leave time for another.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 /// The first pause before a request is repeated; it doubles with each further one.
--- a/crates/forwarder/src/options.rs
+++ b/crates/forwarder/src/options.rs
@@ -12,7 +12,7 @@
 
 /// What one forwarder is given at its start.
 pub struct ForwarderOptions {
-    /// Where clients connect; [`serve_on`](crate::serve_on) uses the socket that it is given in place of this.
+    /// Where clients connect; [`serve_on`](crate::serve_on) uses the socket that it is given instead.
     pub listen: SocketAddr,
     /// The address of discovery and of the platform, which is the same, now and whenever it changes.
     pub discovery: watch::Receiver<SocketAddr>,
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -40,7 +40,7 @@
     /// The same after the address of discovery has changed.
     pub known_within_after_move: Duration,
     /// How much of these two the answer to a request may take. The agent that answers runs on the forwarder's own machine.
-    /// Discovery that can answer each forwarder once in [`Periods::known_within`] is overbooked by requests that come
+    /// Discovery that can answer each forwarder once in [`Periods::known_within`] is overbooked by requests that arrive
     /// much sooner.
     pub answer_time: Duration,
     /// A request without an answer is not abandoned before this has passed.
--- a/crates/forwarder/tests/loopback/client_connections.rs
+++ b/crates/forwarder/tests/loopback/client_connections.rs
@@ -68,7 +68,7 @@
         let forwarder = test_bed.start_forwarder().await;
         let mut evicted = forwarder.connect_and_send(&submission("a", "note", 15.0, "x")).await;
         test_bed.endpoint.wait_for_request().await;
-        // All other places are taken by requests that lack the end of their bodies; one more takes its place.
+        // Requests that lack the end of their bodies take all other connections; one more evicts this one.
         let mut others = Vec::new();
         for _ in 0..30 {
             others.push(forwarder.connect_and_send(&submission_without_its_last_byte()).await);
--- a/crates/forwarder/tests/loopback/restarts.rs
+++ b/crates/forwarder/tests/loopback/restarts.rs
@@ -143,7 +143,8 @@
         test_bed.endpoint.set_script(|_| ScriptedResponse::ok());
         let forwarder = test_bed.start_forwarder().await;
         test_bed.wait_until_all_finished().await;
-        // The class of the one is non-idempotent now, and it was possibly executed; that of the other is gone.
+        // The class of the one is non-idempotent now, and it was possibly executed; the settings have no class of
+        // the other any more.
         for id in ["in-flight", "unknown"] {
             let notice = format!(r#"{{"id":"{id}","status":"undeliverable"}}"#);
             assert!(test_bed.notices().contains(&notice), "{id}");
--- a/crates/forwarder/tests/loopback/shutdown.rs
+++ b/crates/forwarder/tests/loopback/shutdown.rs
@@ -45,7 +45,7 @@
         let mut forwarder = test_bed.start_forwarder().await;
         forwarder.request_shutdown();
         let mut stream = first_closing_connection(&forwarder).await;
-        // Its read end has come, and the connection is not closed yet.
+        // The forwarder has ended its writing side, and the connection is not closed yet.
         assert_eq!(stream.read(&mut [0; 1]).await.unwrap(), 0);
         let late = submission("late", "note", 5.0, "x");
         // A reset by the first half would refuse the second.
@@ -66,7 +66,7 @@
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await.with_descriptors(40).with_accept_grace(ms(0));
         let mut forwarder = test_bed.start_forwarder().await;
-        // Every place is taken by a request that lacks the end of its body.
+        // Every connection is taken by a request that lacks the end of its body.
         let mut occupants = Vec::new();
         for _ in 0..4 {
             occupants.push(forwarder.connect_and_send(&submission_without_its_last_byte()).await);
--- a/crates/forwarder/tests/watch_schedule.rs
+++ b/crates/forwarder/tests/watch_schedule.rs
@@ -5,9 +5,9 @@
 use http::StatusCode;
 use reeddock_forwarder::watch_schedule::{BreakCause, Loss, Periods, WatchSchedule};
 
-/// What becomes of one request for the watch, in this simulation.
+/// How one request ends for the watch, in this simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum RequestFate {
+enum RequestOutcome {
     Refused,
     RefusedForAWhile,
     RefusedForLong,
@@ -24,19 +24,19 @@
     SilentAfter(Duration),
 }
 
-const FATES: [RequestFate; 12] = [
-    RequestFate::Refused,
-    RequestFate::RefusedForAWhile,
-    RequestFate::RefusedForLong,
-    RequestFate::ConnectionRefused,
-    RequestFate::ConnectionNeverUp,
-    RequestFate::NoResponse,
-    RequestFate::BrokenWhileOpening,
-    RequestFate::SilentAfterSlowHead,
-    RequestFate::BrokenAfter(Duration::from_millis(30)),
-    RequestFate::BrokenAfter(Duration::from_secs(20)),
-    RequestFate::SilentAfter(Duration::from_millis(30)),
-    RequestFate::SilentAfter(Duration::from_secs(20)),
+const OUTCOMES: [RequestOutcome; 12] = [
+    RequestOutcome::Refused,
+    RequestOutcome::RefusedForAWhile,
+    RequestOutcome::RefusedForLong,
+    RequestOutcome::ConnectionRefused,
+    RequestOutcome::ConnectionNeverUp,
+    RequestOutcome::NoResponse,
+    RequestOutcome::BrokenWhileOpening,
+    RequestOutcome::SilentAfterSlowHead,
+    RequestOutcome::BrokenAfter(Duration::from_millis(30)),
+    RequestOutcome::BrokenAfter(Duration::from_secs(20)),
+    RequestOutcome::SilentAfter(Duration::from_millis(30)),
+    RequestOutcome::SilentAfter(Duration::from_secs(20)),
 ];
 
 const LONG_WAIT: Duration = Duration::from_secs(40);
@@ -50,7 +50,7 @@
 /// A request without a response does not time out before this.
 const PATIENCE: Duration = Duration::from_secs(1);
 
-/// The watch of one forwarder, whose requests meet the fates that a test chooses.
+/// The watch of one forwarder, whose requests have the outcomes that a test chooses.
 struct SimulatedWatch {
     schedule: WatchSchedule,
     now: Duration,
@@ -73,31 +73,31 @@
     }
 
     /// Makes one request, and moves on to the start of the next.
-    fn request(&mut self, fate: RequestFate) {
+    fn request(&mut self, outcome: RequestOutcome) {
         let began = self.now;
         let times_out_at = self.schedule.request_begun(began);
-        assert!(times_out_at >= began + PATIENCE, "{fate:?}: a response has its time");
+        assert!(times_out_at >= began + PATIENCE, "{outcome:?}: a response has its time");
         assert!(
             times_out_at + RESPONSE_WITHIN <= began + NOTIFIED_AFTER,
-            "{fate:?}: times out in time for another request"
+            "{outcome:?}: times out in time for another request"
         );
         self.starts.push(began);
         let periods = self.schedule.periods();
         let broken = || Loss::Broken(BreakCause::Body("broken".into()));
         let refused = |retry_after| Loss::Refused { status: StatusCode::SERVICE_UNAVAILABLE, retry_after };
-        let (ended, loss, up_to_date_until) = match fate {
-            RequestFate::Refused => (began + ROUND_TRIP, refused(None), None),
-            RequestFate::RefusedForAWhile => (began + ROUND_TRIP, refused(Some(SHORT_WAIT)), None),
-            RequestFate::RefusedForLong => (began + ROUND_TRIP, refused(Some(LONG_WAIT)), None),
-            RequestFate::ConnectionRefused => (began, broken(), None),
-            RequestFate::ConnectionNeverUp => (began + periods.connect_timeout, broken(), None),
-            RequestFate::NoResponse => (times_out_at, Loss::NoAnswer, None),
-            RequestFate::BrokenWhileOpening => (began + SLOW_RESPONSE, broken(), None),
-            RequestFate::SilentAfterSlowHead => {
+        let (ended, loss, up_to_date_until) = match outcome {
+            RequestOutcome::Refused => (began + ROUND_TRIP, refused(None), None),
+            RequestOutcome::RefusedForAWhile => (began + ROUND_TRIP, refused(Some(SHORT_WAIT)), None),
+            RequestOutcome::RefusedForLong => (began + ROUND_TRIP, refused(Some(LONG_WAIT)), None),
+            RequestOutcome::ConnectionRefused => (began, broken(), None),
+            RequestOutcome::ConnectionNeverUp => (began + periods.connect_timeout, broken(), None),
+            RequestOutcome::NoResponse => (times_out_at, Loss::NoAnswer, None),
+            RequestOutcome::BrokenWhileOpening => (began + SLOW_RESPONSE, broken(), None),
+            RequestOutcome::SilentAfterSlowHead => {
                 (began + SLOW_RESPONSE + periods.silent_after, Loss::Silent, None)
             }
-            RequestFate::BrokenAfter(stood) => (began + stood, broken(), Some(began + stood)),
-            RequestFate::SilentAfter(stood) => {
+            RequestOutcome::BrokenAfter(stood) => (began + stood, broken(), Some(began + stood)),
+            RequestOutcome::SilentAfter(stood) => {
                 (began + stood + periods.silent_after, Loss::Silent, Some(began + stood))
             }
         };
@@ -108,7 +108,7 @@
         let missing_since = up_to_date_until.unwrap_or(began);
         assert!(
             next + RESPONSE_WITHIN <= missing_since + NOTIFIED_AFTER,
-            "{fate:?}: {missing_since:?}, next at {next:?}"
+            "{outcome:?}: {missing_since:?}, next at {next:?}"
         );
         // So is what it had since the list was last up to date, for which two requests are in time: the first of them,
         // if it ends early enough, and another.
@@ -119,7 +119,7 @@
         if let Some(notified_at) = notified_at.filter(|at| first && ended + RESPONSE_WITHIN < *at) {
             assert!(
                 next + RESPONSE_WITHIN <= notified_at,
-                "{fate:?}: next at {next:?}, notified at {notified_at:?}"
+                "{outcome:?}: next at {next:?}, notified at {notified_at:?}"
             );
         }
         self.now = next;
@@ -129,27 +129,27 @@
 #[test]
 fn after_losses_in_any_order_the_next_request_is_in_time_for_what_was_missed() {
     const REQUESTS: u32 = 5;
-    for number in 0..FATES.len().pow(REQUESTS) {
+    for number in 0..OUTCOMES.len().pow(REQUESTS) {
         // Each order meets another phase, and another moment in the period.
         let seed = number as u64;
         let mut watch = SimulatedWatch::new(seed, Duration::from_millis(seed * 37 % 10_000));
         for request in 0..REQUESTS {
-            watch.request(FATES[number / FATES.len().pow(request) % FATES.len()]);
+            watch.request(OUTCOMES[number / OUTCOMES.len().pow(request) % OUTCOMES.len()]);
         }
     }
 }
 
 #[test]
 fn after_a_silent_watch_two_requests_are_in_time_for_what_was_missed() {
-    let second_fates = [
-        RequestFate::Refused,
-        RequestFate::RefusedForLong,
-        RequestFate::NoResponse,
-        RequestFate::ConnectionNeverUp,
+    let second_outcomes = [
+        RequestOutcome::Refused,
+        RequestOutcome::RefusedForLong,
+        RequestOutcome::NoResponse,
+        RequestOutcome::ConnectionNeverUp,
     ];
-    for (seed, second) in (0..400).flat_map(|seed| second_fates.map(|second| (seed, second))) {
+    for (seed, second) in (0..400).flat_map(|seed| second_outcomes.map(|second| (seed, second))) {
         let mut watch = SimulatedWatch::new(seed, Duration::from_millis(seed * 37));
-        watch.request(RequestFate::SilentAfter(Duration::from_secs(20)));
+        watch.request(RequestOutcome::SilentAfter(Duration::from_secs(20)));
         let silent_since = watch.up_to_date_until.unwrap();
         watch.request(second);
         assert!(watch.now + RESPONSE_WITHIN <= silent_since + NOTIFIED_AFTER, "{seed} {second:?}");
@@ -162,9 +162,9 @@
     const LATE: Duration = Duration::from_millis(300);
     for seed in 0..400 {
         let mut watch = SimulatedWatch::new(seed, Duration::from_millis(seed * 37));
-        watch.request(RequestFate::SilentAfter(Duration::from_secs(20)));
+        watch.request(RequestOutcome::SilentAfter(Duration::from_secs(20)));
         watch.now += LATE;
-        watch.request(RequestFate::NoResponse);
+        watch.request(RequestOutcome::NoResponse);
         let notified_at = watch.up_to_date_until.unwrap() + NOTIFIED_AFTER;
         assert!(
             watch.now + RESPONSE_WITHIN <= notified_at + LATE,
@@ -179,27 +179,27 @@
     const NOTIFIED_AFTER_MOVE: Duration = Duration::from_secs(4);
     for seed in 0..400 {
         let mut watch = SimulatedWatch::new(seed, Duration::from_millis(seed * 37));
-        watch.request(RequestFate::Refused);
+        watch.request(RequestOutcome::Refused);
         let moved = watch.now;
         watch.schedule.discovery_moved(moved);
-        watch.request(RequestFate::NoResponse);
+        watch.request(RequestOutcome::NoResponse);
         assert!(watch.now + RESPONSE_WITHIN <= moved + NOTIFIED_AFTER_MOVE, "{seed}");
     }
 }
 
 #[test]
 fn repeated_losses_of_any_one_kind_lead_to_one_request_in_a_period() {
-    for fate in FATES {
+    for outcome in OUTCOMES {
         let span = Duration::from_secs(600);
         for seed in 0..40 {
             let mut watch = SimulatedWatch::new(seed, Duration::ZERO);
             while watch.now < span {
-                watch.request(fate);
+                watch.request(outcome);
             }
             let between = span / watch.starts.len() as u32;
             // A silent watch is opened again sooner than that, as it had been silent before it was lost.
-            let least = if matches!(fate, RequestFate::SilentAfter(_)) { 3000 } else { 5500 };
-            assert!(between >= Duration::from_millis(least), "{fate:?} {between:?}");
+            let least = if matches!(outcome, RequestOutcome::SilentAfter(_)) { 3000 } else { 5500 };
+            assert!(between >= Duration::from_millis(least), "{outcome:?} {between:?}");
         }
     }
 }
@@ -208,15 +208,20 @@
 fn after_a_single_break_the_watch_is_opened_again_at_once() {
     for seed in 0..100 {
         let mut watch = SimulatedWatch::new(seed, Duration::ZERO);
-        watch.request(RequestFate::BrokenAfter(Duration::from_secs(20)));
+        watch.request(RequestOutcome::BrokenAfter(Duration::from_secs(20)));
         assert!(watch.now - watch.up_to_date_until.unwrap() <= Duration::from_millis(150));
-        watch.request(RequestFate::ConnectionRefused);
+        watch.request(RequestOutcome::ConnectionRefused);
         assert!(watch.now - watch.up_to_date_until.unwrap() <= Duration::from_millis(450));
     }
 }
 
-/// When the forwarders of a fleet send requests after a loss that they had in common; these meet the fate `then`.
-fn request_times_after(fleet: u64, common: RequestFate, then: RequestFate, span: Duration) -> Vec<Duration> {
+/// When the forwarders of a fleet send requests after a loss that they had in common; these have the outcome `then`.
+fn request_times_after(
+    fleet: u64,
+    common: RequestOutcome,
+    then: RequestOutcome,
+    span: Duration,
+) -> Vec<Duration> {
     let mut requests: Vec<Duration> = Vec::new();
     for seed in 0..fleet {
         let mut watch = SimulatedWatch::new(seed, Duration::from_secs(100));
@@ -246,13 +251,13 @@
     // How many times the mean may begin in one window. A draw of 300 phases alone gives up to 1.7.
     let stood = Duration::from_secs(20);
     for (common, then, most) in [
-        (RequestFate::Refused, RequestFate::Refused, 2.0),
-        (RequestFate::Refused, RequestFate::RefusedForLong, 2.0),
-        (RequestFate::RefusedForAWhile, RequestFate::RefusedForAWhile, 3.0),
-        (RequestFate::RefusedForLong, RequestFate::RefusedForLong, 3.0),
-        (RequestFate::Refused, RequestFate::NoResponse, 2.0),
+        (RequestOutcome::Refused, RequestOutcome::Refused, 2.0),
+        (RequestOutcome::Refused, RequestOutcome::RefusedForLong, 2.0),
+        (RequestOutcome::RefusedForAWhile, RequestOutcome::RefusedForAWhile, 3.0),
+        (RequestOutcome::RefusedForLong, RequestOutcome::RefusedForLong, 3.0),
+        (RequestOutcome::Refused, RequestOutcome::NoResponse, 2.0),
         // Two requests of each within the two seconds that are left of the six.
-        (RequestFate::SilentAfter(stood), RequestFate::Refused, 6.0),
+        (RequestOutcome::SilentAfter(stood), RequestOutcome::Refused, 6.0),
     ] {
         let requests = request_times_after(FLEET, common, then, Duration::from_secs(60));
         let times = most_within(WINDOW, &requests) as f64 / mean;
