--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -27,8 +27,8 @@
 /// Connections to endpoints. Clones share one pool.
 ///
 /// Idle ones are kept for the next request, for less time than the endpoint keeps them, and for that endpoint alone:
-/// its address may pass to another. Each lock guards one step and none is held over an await; where two are held,
-/// `idle_permits` is taken before `idle`.
+/// its address may pass to another. Each lock guards one step and none is kept over an await; where two are locked,
+/// `idle_permits` is locked before `idle`.
 #[derive(Clone)]
 pub struct Connections {
     idle: Arc<Mutex<IdleByEndpoint>>,
@@ -57,7 +57,11 @@
     }
 
     /// A connection to this endpoint: the idle one that was used last, or else a new one to its address.
-    pub async fn acquire(&self, endpoint: EndpointId, to: SocketAddr) -> Result<Connection, AttemptResult> {
+    pub(crate) async fn acquire(
+        &self,
+        endpoint: EndpointId,
+        to: SocketAddr,
+    ) -> Result<Connection, AttemptResult> {
         if let Some(connection) = self.take_idle(endpoint) {
             return Ok(connection);
         }
@@ -84,7 +88,7 @@
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
         let mut permit = self.permits.clone().try_acquire_owned();
         if permit.is_err() && self.close_oldest_idle() {
-            // The permit comes back once the connection's task has seen that it is aborted.
+            // The permit is released once the connection's task has seen that it is aborted.
             tokio::task::yield_now().await;
             permit = self.permits.clone().try_acquire_owned();
         }
@@ -94,13 +98,13 @@
     /// Closes the connection that has stood idle for longest; returns whether there was one.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = locked(&self.idle);
-        let oldest = idle.values_mut().filter(|line| !line.is_empty()).min_by_key(|line| line[0].since);
+        let oldest = idle.values_mut().filter(|idle| !idle.is_empty()).min_by_key(|idle| idle[0].since);
         oldest.and_then(VecDeque::pop_front).is_some()
     }
 
-    /// Takes back a connection whose response was read whole; keeps it idle if its endpoint has capacity for that.
-    pub fn release(&self, endpoint: EndpointId, connection: Connection) {
-        let permitted = locked(&self.idle_permits).has_room(endpoint, Instant::now());
+    /// Returns a connection to the pool whose response was read whole; keeps it idle if its endpoint has capacity for that.
+    pub(crate) fn release(&self, endpoint: EndpointId, connection: Connection) {
+        let permitted = locked(&self.idle_permits).allows_idle(endpoint, Instant::now());
         if permitted && connection.is_ready() {
             let idle = IdleConnection { connection, since: Instant::now() };
             locked(&self.idle).entry(endpoint).or_default().push_back(idle);
@@ -108,42 +112,42 @@
     }
 
     /// The last request on this connection was answered, or has broken it.
-    pub fn record_use(&self, connection: &Connection, answered: bool) {
+    pub(crate) fn record_use(&self, connection: &Connection, answered: bool) {
         let failed = !answered && !connection.response_begun();
         locked(&self.reuse_history).record(connection.idle_before_use(), failed);
     }
 
     /// The endpoint rejected this connection as it has too many: idle ones to its kind are closed for others.
-    pub fn connection_rejected(&self, endpoint: EndpointId) {
+    pub(crate) fn connection_rejected(&self, endpoint: EndpointId) {
         let now = Instant::now();
         let mut idle_permits = locked(&self.idle_permits);
-        idle_permits.turned_away(endpoint, now);
-        locked(&self.idle).retain(|endpoint, _| idle_permits.has_room(*endpoint, now));
+        idle_permits.connection_rejected(endpoint, now);
+        locked(&self.idle).retain(|endpoint, _| idle_permits.allows_idle(*endpoint, now));
     }
 
     /// The endpoint asked for no request until then (`Retry-After`).
     ///
     /// A request that was decided before may still wait for its connection, for up to a second where the endpoint
     /// accepts few or can't be reached, and must not be sent once that is up.
-    pub fn rest(&self, endpoint: EndpointId, until: Instant) {
+    pub fn set_retry_after(&self, endpoint: EndpointId, until: Instant) {
         locked(&self.send_restrictions).retry_after(endpoint, until);
     }
 
     /// The endpoint list names this endpoint. Requests must not be sent to one that drains, however long they
     /// waited for their connection.
-    pub fn listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
-        locked(&self.idle_permits).listed(endpoint, kind);
+    pub fn endpoint_listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
+        locked(&self.idle_permits).endpoint_listed(endpoint, kind);
         locked(&self.send_restrictions).set_active(endpoint, active);
     }
 
     /// The endpoint is removed, or a complete list does not name it any more.
-    pub fn gone(&self, endpoint: EndpointId) {
+    pub(crate) fn endpoint_removed(&self, endpoint: EndpointId) {
         locked(&self.send_restrictions).set_active(endpoint, false);
         self.close_idle(endpoint);
     }
 
     /// Forgets what the list said of endpoints that are not known any more.
-    pub fn forget(&self, endpoints: &[EndpointId]) {
+    pub(crate) fn forget(&self, endpoints: &[EndpointId]) {
         let mut send_restrictions = locked(&self.send_restrictions);
         endpoints.iter().for_each(|endpoint| send_restrictions.forget(*endpoint));
         drop(send_restrictions);
@@ -152,17 +156,17 @@
     }
 
     /// Whether a request that has waited for its connection may still be sent; if not, the result for its messages.
-    pub fn open_to(&self, endpoint: EndpointId) -> Result<(), AttemptResult> {
+    pub fn check_may_send(&self, endpoint: EndpointId) -> Result<(), AttemptResult> {
         locked(&self.send_restrictions).check(endpoint, Instant::now())
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close_idle(&self, endpoint: EndpointId) {
+    pub(crate) fn close_idle(&self, endpoint: EndpointId) {
         locked(&self.idle).remove(&endpoint);
     }
 
     /// Closes connections that have stood idle for too long or that the other side has closed. Run regularly.
-    pub fn sweep(&self) {
+    pub(crate) fn sweep(&self) {
         locked(&self.idle).retain(|_, connections| {
             connections.retain(|idle| idle.since.elapsed() < self.max_idle && !idle.connection.is_closed());
             !connections.is_empty()
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -51,7 +51,7 @@
         attempts.into_iter().partition(|attempt| {
             written.has_attempts()
                 && !withdrawn.contains(&attempt.message.id)
-                && self.state.endpoints().get(attempt.endpoint).is_some()
+                && self.state.endpoints().location(attempt.endpoint).is_some()
         })
     }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes back messages whose clients know of no acceptance, and submit them anew.
+    /// Withdraws messages whose clients know of no acceptance and will submit them again.
     fn withdraw(&mut self, ids: BTreeSet<MessageId>) {
         for id in ids {
             self.policy.withdraw(&id, self.state.commands());
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -21,7 +21,7 @@
 }
 
 impl EventLoop {
-    /// Passes a submission to the policy, or answers it at once where nothing can come of it. `received_at` is when
+    /// Passes a submission to the policy, or answers it at once where it can't be accepted. `received_at` is when
     /// the client's request had been read.
     pub(super) fn submit(
         &mut self,
@@ -76,7 +76,7 @@
             tenant: submission.tenant,
             key: submission.ordering_key.map(|key| key.0),
             destination: submission.destination.0,
-            deadline: self.clock.stored(deadline),
+            deadline: self.clock.to_unix_micros(deadline),
             body: submission.body,
             idempotency_key: submission.idempotency_key,
         }
@@ -88,8 +88,12 @@
         let memory_bytes = self.state.pending().bytes() + new_bytes;
         let has_capacity = new_bytes <= self.log.room() && memory_bytes <= self.max_message_bytes;
         if !has_capacity {
-            if let Some(suppressed) = self.throttles.capacity.now() {
-                tracing::warn!(memory_bytes, suppressed, "message refused: no capacity in memory or on disk");
+            if let Some(suppressed) = self.throttles.capacity.admit() {
+                tracing::warn!(
+                    memory_bytes,
+                    suppressed,
+                    "submission rejected, no capacity in memory or on disk"
+                );
             }
         }
         has_capacity
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -15,8 +15,8 @@
 /// Says for each endpoint whether a connection to it may be kept idle.
 ///
 /// Endpoints accept a limited number of connections, idle ones counted. Where forwarders outnumber that limit, those
-/// that came first would hold all connections though they seldom use them, and the others would be rejected for
-/// good. A forwarder that holds a connection is not rejected by that endpoint but by others of its kind, so what one
+/// that connected first would keep all connections though they rarely use them, and the others would be rejected for
+/// good. A forwarder that has a connection is not rejected by that endpoint but by others of its kind, so what one
 /// endpoint says is taken for all endpoints of its kind.
 #[derive(Default)]
 pub struct IdlePermits {
@@ -37,7 +37,7 @@
 
 impl IdlePermits {
     /// The endpoint list names this endpoint as one of this kind.
-    pub fn listed(&mut self, endpoint: EndpointId, kind: &str) {
+    pub fn endpoint_listed(&mut self, endpoint: EndpointId, kind: &str) {
         if self.kind_of(endpoint).is_some_and(|listed| &*listed.name == kind) {
             return;
         }
@@ -56,7 +56,7 @@
     }
 
     /// The endpoint rejected one more connection.
-    pub fn turned_away(&mut self, endpoint: EndpointId, now: Instant) {
+    pub fn connection_rejected(&mut self, endpoint: EndpointId, now: Instant) {
         let index = self.kind_index.get(&endpoint.0).copied();
         if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
             kind.last_rejection = Some(now);
@@ -64,7 +64,7 @@
     }
 
     /// Whether a connection to the endpoint may be kept idle.
-    pub fn has_room(&self, endpoint: EndpointId, now: Instant) -> bool {
+    pub fn allows_idle(&self, endpoint: EndpointId, now: Instant) -> bool {
         let last_rejection = self.kind_of(endpoint).and_then(|kind| kind.last_rejection);
         last_rejection.is_none_or(|at| now >= at + REJECTION_REMEMBERED)
     }
--- a/crates/forwarder/src/ingress/clients.rs
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -27,17 +27,17 @@
     }
 
     /// From here on each response asks its client to use another forwarder.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
 
     /// Stops accepting. Idle connections are closed now, the others once their request is answered.
-    pub fn close(&self) {
+    pub fn close_all(&self) {
         self.closing.send_replace(true);
     }
 
     /// Whether no connection is open.
-    pub fn empty(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.open().is_empty()
     }
 
@@ -58,7 +58,7 @@
 
     /// Closes the connection whose loss matters least; returns whether there was one.
     ///
-    /// Of those that never had a request it is the oldest, so that silent clients do not crowd out others; if there
+    /// Of those that never had a request it is the oldest, so that silent clients do not displace others; if there
     /// is none, the one that has stood idle for longest, whose client uses another connection for its next request.
     pub(super) fn evict_one(&self) -> bool {
         let mut open = self.open();
@@ -82,7 +82,7 @@
 
     /// What is wrong with the endpoint list, in one line.
     pub(super) fn list_fault(&self) -> Option<String> {
-        self.list.trouble()
+        self.list.fault()
     }
 
     fn open(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -84,10 +84,10 @@
 
     /// Whether the client is asked to use another connection after this response.
     fn closes_after(&self, response: &ClientResponse) -> bool {
-        let crowded = self.clients.count() > self.keep_alive_limit;
+        let above_keep_alive_limit = self.clients.count() > self.keep_alive_limit;
         self.capacity == ConnectionCapacity::Exceeded
             || leaves_bytes_unread(response)
-            || crowded
+            || above_keep_alive_limit
             || self.clients.shutting_down()
     }
 
@@ -103,14 +103,14 @@
         if self.connection.bytes_past_head() > body.len() {
             return Err(ClientResponse::LengthMismatch);
         }
-        let at = Instant::now();
-        let submit = Submission::decode(&parts, body).map_err(ClientResponse::Malformed)?;
+        let received_at = Instant::now();
+        let submission = Submission::decode(&parts, body).map_err(ClientResponse::Malformed)?;
         if self.capacity == ConnectionCapacity::Exceeded {
             return Err(ClientResponse::NoCapacity);
         }
         let (reply, answered) = oneshot::channel();
-        let submission = Event::Submission { submit, at, reply };
-        self.event_loop.try_send(submission).map_err(|_| ClientResponse::NoCapacity)?;
+        let event = Event::Submission { submission, received_at, reply };
+        self.event_loop.try_send(event).map_err(|_| ClientResponse::NoCapacity)?;
         answered.await.map_err(|_| ClientResponse::NoCapacity)
     }
 }
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -18,7 +18,7 @@
 
 /// The most notices in one request, well inside what a body may hold.
 const MAX_NOTICES_PER_REQUEST: usize = 128;
-/// The platform answers at once, and a notice is overdue 300 ms after its time: a connection that has gone silent must
+/// The platform answers at once, and a notice is overdue 300 ms after its time: a connection that has fallen silent must
 /// leave time for another.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 /// The first pause before a request is repeated; it doubles with each further one.
@@ -57,10 +57,10 @@
     }
 }
 
-/// A malformed notice would never be read, and those behind it must not wait.
+/// A malformed notice would never be read, and those after it must not wait for it.
 fn log_dropped(notices: &[DeliveryNotice]) {
     for DeliveryNotice { id, answer } in notices {
-        tracing::error!(message_id = &*id.0, end = ?answer, "notice dropped: the platform can't read it");
+        tracing::error!(message_id = &*id.0, ?answer, "notice dropped: the platform can't read it");
     }
 }
 
@@ -83,11 +83,12 @@
     /// The connection could not be opened, or broke.
     #[error("{0:?}")]
     Connection(AttemptResult),
-    #[error("{0}")]
-    Request(String),
+    /// The request could not be built.
+    #[error(transparent)]
+    Request(#[from] http::Error),
 }
 
-/// Sends requests with notices, over one connection while that holds.
+/// Sends requests with notices, over one connection for as long as it can be used.
 struct NoticeSender {
     address: watch::Receiver<SocketAddr>,
     connection: Option<Connection>,
@@ -111,12 +112,12 @@
                     continue;
                 }
             };
-            let fault = match sent {
+            let error = match sent {
                 Ok(delivery) => return delivery,
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            if let Some(suppressed) = self.log_throttle.now() {
-                tracing::warn!(%fault, suppressed, count = notices.len(), "notices not acknowledged");
+            if let Some(suppressed) = self.log_throttle.admit() {
+                tracing::warn!(%error, suppressed, count = notices.len(), "notices not acknowledged");
             }
             self.connection = None;
             tokio::select! {
@@ -136,7 +137,7 @@
         Ok(Ok(StatusCode::BAD_REQUEST)) => Ok(Delivery::Malformed),
         Ok(Ok(status)) if status.is_success() => Ok(Delivery::Acknowledged),
         Ok(Ok(status)) => Err(NoticeError::UnexpectedStatus(status)),
-        Ok(Err(fault)) => Err(fault),
+        Ok(Err(error)) => Err(error),
         Err(_) => Err(NoticeError::NoAnswer),
     }
 }
@@ -151,8 +152,7 @@
         Some(connection) => connection,
         None => Connection::open(platform, ANSWER_TIMEOUT, None).await.map_err(NoticeError::Connection)?,
     };
-    let request =
-        notices_request(platform, notices).map_err(|fault| NoticeError::Request(fault.to_string()))?;
+    let request = notices_request(platform, notices)?;
     let response = connection.send(request).await.map_err(NoticeError::Connection)?;
     let status = response.status();
     let mut body = response.into_body();
