--- a/crates/experiments/src/page.rs
+++ b/crates/experiments/src/page.rs
@@ -119,9 +119,9 @@
         (name.to_owned(), seconds.iter().enumerate().map(|(n, load)| (n as f64, of(load))).collect())
     };
     let mut all: Vec<Line> = vec![
-        line("calls", &|l| f64::from(l.calls)),
+        line("calls", &|l| f64::from(l.requests)),
         line("served", &|l| f64::from(l.served)),
-        line("refused", &|l| f64::from(l.refused)),
+        line("refused", &|l| f64::from(l.rejected)),
         line("capacity", &|l| l.capacity),
     ];
     if let Some(limit) = watched.limit {
--- a/crates/experiments/src/ramp.rs
+++ b/crates/experiments/src/ramp.rs
@@ -86,22 +86,22 @@
 
 /// A row for each size of destination, the busiest first.
 fn rows_of(values: &[String], policy: &str, days: &[Day]) -> Vec<RampRow> {
-    let first = |r: &&Ramp| !r.after_a_fall;
+    let first = |r: &&Ramp| !r.after_overload;
     let ramps = || days.iter().flat_map(|d| &d.ramps).filter(first);
-    let mut sizes: Vec<f64> = ramps().map(|r| rounded(r.usual_per_s)).collect();
+    let mut sizes: Vec<f64> = ramps().map(|r| rounded(r.baseline_per_s)).collect();
     sizes.sort_by(|a, b| b.total_cmp(a));
     sizes.dedup();
     sizes.into_iter().map(|size| row_of(values, policy, days, size)).collect()
 }
 
 fn row_of(values: &[String], policy: &str, days: &[Day], size: f64) -> RampRow {
-    let mine = |r: &&Ramp| !r.after_a_fall && rounded(r.usual_per_s) == size;
+    let mine = |r: &&Ramp| !r.after_overload && rounded(r.baseline_per_s) == size;
     let all: Vec<&Ramp> = days.iter().flat_map(|d| &d.ramps).filter(mine).collect();
     let spread = |f: &dyn Fn(&Ramp) -> f64| Spread::of(&all.iter().map(|r| f(r)).collect::<Vec<f64>>());
     let mut ratios: Vec<f64> = all.iter().map(|r| r.ratio()).collect();
     ratios.sort_by(f64::total_cmp);
     let known = |r: &Ramp| if r.sum > 0.0 { r.known / r.sum } else { 0.0 };
-    let broken = |r: &&Ramp| r.fell && 3.0 * r.known > 2.0 * r.sum;
+    let broken = |r: &&Ramp| r.overloaded && 3.0 * r.known > 2.0 * r.sum;
     let seeds_with = |f: &dyn Fn(&&Ramp) -> bool| {
         days.iter().filter(|d| d.ramps.iter().filter(mine).any(|r| f(&r))).count()
     };
@@ -116,7 +116,7 @@
         allowed: spread(&|r| r.allowed),
         sum: spread(&|r| r.sum),
         known: spread(&known),
-        seeds_over: seeds_with(&|r| r.fell),
+        seeds_over: seeds_with(&|r| r.overloaded),
         seeds_broken: seeds_with(&broken),
     }
 }
--- a/crates/experiments/src/record.rs
+++ b/crates/experiments/src/record.rs
@@ -20,7 +20,7 @@
 use reeddock_recorder::line::PolicyCall;
 use reeddock_recorder::recording::locked;
 use reeddock_recorder::{streams, Form, Recording, RecordingHost, RecordingWriter, Summary};
-use reeddock_simulation::policy::{ListLine, Policy, Submission, WorldView};
+use reeddock_simulation::policy::{ListedEndpoint, Policy, Submission, WorldView};
 use reeddock_simulation::{run_with, BuiltInPolicy, Scenario};
 use serde::Serialize;
 
@@ -89,29 +89,37 @@
 }
 
 impl Policy for RecordedPolicy {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost) {
+    fn update_endpoint_list(
+        &mut self,
+        now: Duration,
+        whole: bool,
+        lines: &[ListedEndpoint],
+        host: &mut dyn PolicyHost,
+    ) {
         self.writer.record(PolicyCall::BeginEndpointList { whole });
         for line in lines {
             self.writer.record(PolicyCall::UpdateEndpoint(&EndpointUpdate {
-                endpoint: line.target,
+                endpoint: line.endpoint,
                 destination: line.destination,
-                state: line.standing,
+                state: line.state,
                 weight: line.weight,
                 zone: &line.zone,
                 kind: &line.kind,
             }));
         }
-        self.call(PolicyCall::FinishEndpointList, host, |module, host| module.list(now, whole, lines, host));
+        self.call(PolicyCall::FinishEndpointList, host, |module, host| {
+            module.update_endpoint_list(now, whole, lines, host)
+        });
     }
 
     fn submit(&mut self, now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
         let input = PolicyCall::Submit {
             now,
             id: &e.id,
-            class: &e.category,
-            tenant: Some(&e.program),
-            key: e.key,
-            deadline: e.outer_limit,
+            class: &e.class,
+            tenant: Some(&e.tenant),
+            key: e.ordering_key,
+            deadline: e.deadline,
             destination: e.destination,
         };
         self.call(input, host, |module, host| module.submit(now, e, host));
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -73,18 +73,18 @@
             figures: Figures {
                 credit: Spread::of(&credit),
                 worst_span: mean(&|r| r.credit_worst_span),
-                worst_category: mean(&|r| r.credit_worst_category),
+                worst_category: mean(&|r| r.credit_worst_class),
                 p50_ms: mean(&|r| r.latency_ms.p50 as f64),
                 p99_ms: mean(&|r| r.latency_ms.p99 as f64),
-                dispatches_per_try: mean(&|r| r.dispatches_per_try),
-                refusals_per_try: mean(&|r| r.refusals_per_try),
+                dispatches_per_try: mean(&|r| r.attempts_per_submission),
+                refusals_per_try: mean(&|r| r.rejections_per_submission),
                 work_wasted: mean(&|r| r.work_wasted),
-                slots_used: mean(&|r| r.slots_used),
+                slots_used: mean(&|r| r.in_flight_used),
             },
             against_first: Spread::of(&against),
             rules_broken: reports.iter().map(|r| r.rules_broken).sum(),
             days_with_broken_rules: reports.iter().filter(|r| r.rules_broken > 0).count(),
-            falls: reports.iter().map(|r| r.falls).sum(),
+            falls: reports.iter().map(|r| r.overloads).sum(),
         }
     }
 
@@ -258,32 +258,32 @@
         r.seed,
         r.credit,
         r.credit_worst_span,
-        r.credit_worst_category,
-        r.first_tries,
-        r.envelopes,
+        r.credit_worst_class,
+        r.submissions,
+        r.messages,
         r.ends.completed_in_time,
         r.ends.completed_late,
-        r.ends.shed,
-        r.ends.broken_off,
+        r.ends.rejected,
+        r.ends.failed,
         r.ends.withdrawn,
-        r.ends.turned_away,
+        r.ends.not_accepted,
         r.ends.lost,
         r.latency_ms.p50,
         r.latency_ms.p90,
         r.latency_ms.p99,
         r.latency_ms.worst,
-        r.dispatches_per_try,
-        r.refusals_per_try,
-        r.new_connections_per_try,
+        r.attempts_per_submission,
+        r.rejections_per_submission,
+        r.new_connections_per_submission,
         r.work_wasted,
-        r.slots_used,
+        r.in_flight_used,
         r.events,
-        r.turns,
+        r.policy_runs,
         r.ran_s,
-        r.falls,
+        r.overloads,
     );
     for (what, parts) in
-        [("category", &r.categories), ("program", &r.programs), ("destination", &r.destinations)]
+        [("category", &r.classes), ("program", &r.programs), ("destination", &r.destinations)]
     {
         for part in parts.iter().take(6) {
             text += &format!("  {what} {}: {:.3} of {:.0}\n", part.name, part.share, part.asked);
@@ -291,7 +291,7 @@
     }
     if r.rules_broken > 0 {
         text += &format!("RULES BROKEN: {}\n", r.rules_broken);
-        r.broken.iter().take(5).for_each(|b| text += &format!("  {b}\n"));
+        r.violations.iter().take(5).for_each(|b| text += &format!("  {b}\n"));
     }
     text
 }
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -8,7 +8,7 @@
 use rayon::prelude::*;
 use rayon::BroadcastContext;
 use reeddock_simulation::invariants::Rule;
-use reeddock_simulation::scenario::Found;
+use reeddock_simulation::scenario::SearchFinding;
 use reeddock_simulation::{run, BuiltInPolicy, Scenario};
 
 use crate::draw::draw;
@@ -41,10 +41,10 @@
 fn see(seed: u64) -> Seen {
     let scenario = draw(seed);
     let module = run(&scenario, seed, BuiltInPolicy::DeliveryPolicy);
-    let one_try = run(&scenario, seed, BuiltInPolicy::OneTry);
+    let one_try = run(&scenario, seed, BuiltInPolicy::OneAttempt);
     let ceiling = run(&scenario, seed, BuiltInPolicy::UpperBound);
     let mut rules: Vec<(Rule, String)> = Vec::new();
-    for broken in &module.broken {
+    for broken in &module.violations {
         if rules.iter().all(|r| r.0 != broken.rule) {
             rules.push((broken.rule, broken.to_string()));
         }
@@ -114,19 +114,19 @@
     ) -> std::result::Result<Finding, ExperimentError> {
         let mut small = shrink(&draw(seen.seed), seen.seed, want);
         let [module, one_try, ceiling] =
-            [BuiltInPolicy::DeliveryPolicy, BuiltInPolicy::OneTry, BuiltInPolicy::UpperBound]
+            [BuiltInPolicy::DeliveryPolicy, BuiltInPolicy::OneAttempt, BuiltInPolicy::UpperBound]
                 .map(|p| run(&small, seen.seed, p));
         let rule = match want {
             Want::Broken(rule) => Some(rule),
             Want::Distance(_) => None,
         };
         small.about = told.lines().next().unwrap_or_default().to_owned();
-        small.found = Some(Found {
+        small.found = Some(SearchFinding {
             seed: seen.seed,
             rule,
             credit: module.credit,
-            one_try: one_try.credit,
-            ceiling: ceiling.credit,
+            one_attempt: one_try.credit,
+            upper_bound: ceiling.credit,
         });
         let name = match rule {
             Some(rule) => format!("rule-{}-{}.toml", rule.number(), seen.seed),
@@ -135,14 +135,14 @@
         let file = folder.join(name);
         std::fs::write(&file, small.to_text())
             .map_err(|e| ExperimentError::line(format!("{}: {e}", file.display())))?;
-        let now = module.broken.iter().find(|b| Some(b.rule) == rule).map(ToString::to_string);
+        let now = module.violations.iter().find(|b| Some(b.rule) == rule).map(ToString::to_string);
         Ok(Finding {
             file,
             what: now.unwrap_or_else(|| told.to_owned()),
             credit: module.credit,
             one_try: one_try.credit,
             ceiling: ceiling.credit,
-            first_tries: module.first_tries,
+            first_tries: module.submissions,
         })
     }
 
@@ -156,11 +156,11 @@
         let (seen, was) = match found.rule {
             Some(rule) => {
                 let was = format!("rule {} ({rule:?}) broken", rule.number());
-                (module.broken.iter().any(|b| b.rule == rule), was)
+                (module.violations.iter().any(|b| b.rule == rule), was)
             }
             None => {
                 let ceiling = run(&scenario, found.seed, BuiltInPolicy::UpperBound);
-                let (then, now) = (found.ceiling - found.credit, ceiling.credit - module.credit);
+                let (then, now) = (found.upper_bound - found.credit, ceiling.credit - module.credit);
                 (now >= then / 2.0, format!("{then:.3} under the ceiling, now {now:.3}"))
             }
         };
--- a/crates/experiments/src/sharing.rs
+++ b/crates/experiments/src/sharing.rs
@@ -13,8 +13,8 @@
 use reeddock_simulation::distribution::Span;
 use reeddock_simulation::fault::{EndpointSelector, Fault};
 use reeddock_simulation::observed::SentToDown;
-use reeddock_simulation::policies::sharing::{circuit, CircuitExchange};
-use reeddock_simulation::scenario::Scheduled;
+use reeddock_simulation::policies::sharing::{open_sharing_policy, CircuitExchange};
+use reeddock_simulation::scenario::ScheduledFault;
 use reeddock_simulation::{observe, BuiltInPolicy, Scenario};
 use serde::Serialize;
 
@@ -87,18 +87,18 @@
             Sharer::Ideal => observe(scenario, seed, "ideal", &|now, terms, host| {
                 BuiltInPolicy::UpperBound.open(now, terms, host)
             }),
-            Sharer::Alone => observe(scenario, seed, "alone", &|_, terms, host| {
-                circuit(&Arc::new(Mutex::new(CircuitExchange::new(Duration::ZERO))), terms, host)
+            Sharer::Alone => observe(scenario, seed, "alone", &|_, terms, _| {
+                open_sharing_policy(&Arc::new(Mutex::new(CircuitExchange::new(Duration::ZERO))), terms)
             }),
             Sharer::Shared(delay) => {
                 let exchange = Arc::new(Mutex::new(CircuitExchange::new(delay)));
-                observe(scenario, seed, "shared", &|_, terms, host| circuit(&exchange, terms, host))
+                observe(scenario, seed, "shared", &|_, terms, _| open_sharing_policy(&exchange, terms))
             }
         };
         Day {
             credit: report.credit,
             rules_broken: report.rules_broken,
-            first_tries: report.first_tries,
+            first_tries: report.submissions,
             down: observed.down,
         }
     }
@@ -183,12 +183,12 @@
         ];
         let instead: Vec<_> = instead.into_iter().map(|(key, value)| (key.to_owned(), value)).collect();
         let mut scenario = Scenario::parse(file, text, &instead)?;
-        scenario.troubles = self.outages(destinations, scenario.lasts.seconds(), seed);
+        scenario.faults = self.outages(destinations, scenario.duration.seconds(), seed);
         Ok(scenario)
     }
 
     /// Outages of each destination, as they stand when up and down have alternated for long.
-    fn outages(&self, destinations: u64, lasts: f64, seed: u64) -> Vec<Scheduled> {
+    fn outages(&self, destinations: u64, lasts: f64, seed: u64) -> Vec<ScheduledFault> {
         let mut chance = Pcg32::seed_from_u64(seed ^ OUTAGES);
         let mean_up = self.outage * (1.0 - self.down) / self.down;
         let mut all = Vec::new();
@@ -199,14 +199,14 @@
             }
             while at < lasts {
                 let from = at.max(0.0);
-                let whom = EndpointSelector {
+                let endpoints = EndpointSelector {
                     destinations: vec![destination as u32],
                     ..EndpointSelector::default()
                 };
-                all.push(Scheduled {
-                    at: Span::clamped(from),
-                    lasts: Span::clamped(at + self.outage - from),
-                    what: Fault::Refused { whom },
+                all.push(ScheduledFault {
+                    start: Span::clamped(from),
+                    duration: Span::clamped(at + self.outage - from),
+                    fault: Fault::ConnectionsRefused { endpoints },
                 });
                 at += self.outage - mean_up * (1.0 - chance.random::<f64>()).ln();
             }
@@ -240,7 +240,7 @@
         let mut rows = Vec::new();
         for (n, days) in days.chunks(what.seeds as usize).enumerate() {
             let forwarders = what.forwarders[n / SHARERS.len()];
-            rows.push(what.row(forwarders, SHARERS[n % SHARERS.len()], days, plain.lasts.seconds()));
+            rows.push(what.row(forwarders, SHARERS[n % SHARERS.len()], days, plain.duration.seconds()));
         }
         Ok(SharingTable { scenario: plain.name, rows })
     }
@@ -258,14 +258,14 @@
             destinations,
             policy: sharer.name(),
             seeds: days.len() as u64,
-            trials_per_s: spread(&|d| per_s(d.down.dispatches)),
+            trials_per_s: spread(&|d| per_s(d.down.attempts)),
             connections_per_s: spread(&|d| per_s(d.down.connections)),
-            trials_per_envelope: spread(&|d| part(d.down.dispatches, d.down.handed_in)),
+            trials_per_envelope: spread(&|d| part(d.down.attempts, d.down.submitted)),
             first_lost: spread(&|d| part(d.down.first_lost, d.first_tries)),
             first_lost_to_known: spread(&|d| part(d.down.first_lost_to_known, d.first_tries)),
             credit: spread(&|d| d.credit),
             credit_down: spread(&|d| d.down.credit_earned / d.down.credit_asked.max(1e-9)),
-            down: spread(&|d| d.down.target_seconds / (destinations as f64 * lasts)),
+            down: spread(&|d| d.down.endpoint_seconds / (destinations as f64 * lasts)),
             rules_broken: days.iter().map(|d| d.rules_broken).sum(),
         }
     }
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -26,10 +26,10 @@
     pub fn seen(self, scenario: &Scenario, seed: u64) -> Option<Report> {
         let module = run(scenario, seed, BuiltInPolicy::DeliveryPolicy);
         let seen = match self {
-            Want::Broken(rule) => module.broken.iter().any(|b| b.rule == rule),
+            Want::Broken(rule) => module.violations.iter().any(|b| b.rule == rule),
             Want::Distance(distance) => {
                 let ceiling = run(scenario, seed, BuiltInPolicy::UpperBound);
-                module.first_tries >= LEAST_TRIES
+                module.submissions >= LEAST_TRIES
                     && ceiling.credit - module.credit >= distance * DISTANCE_LEFT
             }
         };
@@ -42,30 +42,29 @@
 /// Ways to make a scenario smaller or plainer, those that cut most first.
 fn steps(scenario: &Scenario) -> Vec<Step> {
     let mut steps: Vec<Step> = Vec::new();
-    for n in 0..scenario.troubles.len() {
-        steps.push(Box::new(move |s| drop(s.troubles.remove(n))));
+    for n in 0..scenario.faults.len() {
+        steps.push(Box::new(move |s| drop(s.faults.remove(n))));
     }
     for n in 0..scenario.kinds.len().min(if scenario.kinds.len() > 1 { 8 } else { 0 }) {
         steps.push(Box::new(move |s| drop(s.kinds.remove(n))));
     }
-    for n in (0..scenario.categories.len()).filter(|_| scenario.categories.len() > 1) {
+    for n in (0..scenario.classes.len()).filter(|_| scenario.classes.len() > 1) {
         steps.push(Box::new(move |s| {
-            let gone = s.categories.remove(n).name;
-            s.troubles
-                .retain(|t| !matches!(&t.what, Fault::CategoryFails { category, .. } if *category == gone));
+            let gone = s.classes.remove(n).name;
+            s.faults.retain(|t| !matches!(&t.fault, Fault::ClassFails { class, .. } if *class == gone));
         }));
     }
     for n in (0..scenario.programs.len()).filter(|_| scenario.programs.len() > 1) {
         steps.push(Box::new(move |s| {
             let gone = s.programs.remove(n).name;
-            s.troubles.retain(|t| !matches!(&t.what, Fault::Surge { program, .. } if *program == gone));
+            s.faults.retain(|t| !matches!(&t.fault, Fault::ProgramSurge { program, .. } if *program == gone));
         }));
     }
     if scenario.fleet.forwarders > 1 {
         steps.push(Box::new(|s| {
             // Half the fleet and half of all else: each forwarder sees what it saw.
             s.fleet.forwarders = s.fleet.forwarders.div_ceil(2);
-            s.traffic.usual_per_s = Amount::clamped(s.traffic.usual_per_s.get() / 2.0);
+            s.traffic.baseline_per_s = Amount::clamped(s.traffic.baseline_per_s.get() / 2.0);
             s.kinds.iter_mut().for_each(|k| k.destinations = k.destinations.div_ceil(2));
         }));
         steps.push(Box::new(|s| s.fleet.forwarders = s.fleet.forwarders.div_ceil(2)));
@@ -73,19 +72,20 @@
     for n in 0..scenario.kinds.len() {
         steps.push(Box::new(move |s| s.kinds[n].destinations = s.kinds[n].destinations.div_ceil(2)));
     }
-    steps.push(Box::new(|s| s.traffic.usual_per_s = Amount::clamped(s.traffic.usual_per_s.get() * 0.7)));
-    steps.push(Box::new(|s| s.lasts = Span::clamped((s.lasts.seconds() * 0.75).max(5.0))));
+    steps
+        .push(Box::new(|s| s.traffic.baseline_per_s = Amount::clamped(s.traffic.baseline_per_s.get() * 0.7)));
+    steps.push(Box::new(|s| s.duration = Span::clamped((s.duration.seconds() * 0.75).max(5.0))));
     steps.push(Box::new(|s| s.traffic.clumped = Share::NONE));
     steps.push(Box::new(|s| s.traffic.skew = 0.0));
-    steps.push(Box::new(|s| s.fleet.uneven = Share::NONE));
+    steps.push(Box::new(|s| s.fleet.unevenness = Share::NONE));
     steps.push(Box::new(|s| s.fleet.zones = 1));
     steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.withdraws_after_s = None)));
-    steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.returns = 0)));
-    steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.share_per_s = None)));
-    steps.push(Box::new(|s| s.categories.iter_mut().for_each(|c| c.ordered_keys = None)));
-    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.refused_use_up = false)));
-    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.connections = None)));
-    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.batch = 1)));
+    steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.max_resubmissions = 0)));
+    steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.quota_per_s = None)));
+    steps.push(Box::new(|s| s.classes.iter_mut().for_each(|c| c.ordered_keys = None)));
+    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.rejected_use_up_limit = false)));
+    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.max_connections = None)));
+    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.max_batch = 1)));
     steps
 }
 
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -44,7 +44,7 @@
     let seed = (0..200)
         .find(|seed| {
             let drawn = draw(*seed);
-            let few = drawn.fleet.forwarders <= 3 && drawn.traffic.usual_per_s.get() < 60.0;
+            let few = drawn.fleet.forwarders <= 3 && drawn.traffic.baseline_per_s.get() < 60.0;
             few && run(&drawn, *seed, BuiltInPolicy::UpperBound).credit
                 - run(&drawn, *seed, BuiltInPolicy::DeliveryPolicy).credit
                 > 0.03
@@ -60,12 +60,12 @@
 
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("found.toml");
-    small.found = Some(reeddock_simulation::scenario::Found {
+    small.found = Some(reeddock_simulation::scenario::SearchFinding {
         seed,
         rule: None,
         credit: run(&small, seed, BuiltInPolicy::DeliveryPolicy).credit,
-        one_try: 0.0,
-        ceiling: run(&small, seed, BuiltInPolicy::UpperBound).credit,
+        one_attempt: 0.0,
+        upper_bound: run(&small, seed, BuiltInPolicy::UpperBound).credit,
     });
     std::fs::write(&file, small.to_text()).unwrap();
     let replayed = program(&["replay", file.to_str().unwrap()]);
--- /dev/null
+++ b/crates/simulation/src/account/quota.rs
@@ -0,0 +1,30 @@
+//! Whether a tenant's message is within its quota, as the operators count it; written apart from the delivery policy.
+
+use std::time::Duration;
+
+/// Seconds of its quota that a tenant may use at once.
+const QUOTA_BURST_SECONDS: f64 = 2.0;
+
+/// A tenant's quota that is left.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct QuotaBucket {
+    tokens: f64,
+    refilled_at: Duration,
+}
+
+impl QuotaBucket {
+    /// Counts a message against a quota in messages a second; whether it is within it.
+    pub(super) fn take(&mut self, now: Duration, quota_per_s: f64) -> bool {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        let filled = self.tokens + quota_per_s * elapsed;
+        let burst = QUOTA_BURST_SECONDS * quota_per_s.max(1.0);
+        let unused = self.refilled_at.is_zero() && self.tokens == 0.0;
+        self.tokens = if unused { burst } else { filled.min(burst) };
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
+            return false;
+        }
+        self.tokens -= 1.0;
+        true
+    }
+}
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -1,4 +1,4 @@
-//! Numbers of a scenario: bounded as they are read, told outright or drawn from a stated distribution.
+//! Numbers of a scenario: bounded as they are read, constant or drawn from a stated distribution.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,12 +9,21 @@
 use serde::de::{Deserializer, Error, MapAccess, Visitor};
 use serde::{Deserialize, Serialize};
 
-/// Source of chance of an emulated world. Each use has a stream of its own, so that one more draw in one
+/// Source of random numbers of a simulated world. Each use has a stream of its own, so that one more draw in one
 /// place leaves the others as they were and two policies meet the same arrivals.
-pub type Chance = rand_pcg::Pcg64;
+pub type RandomSource = rand_pcg::Pcg64;
 
-/// The longest span that a scenario may name.
-const LONGEST: f64 = 86_400.0;
+/// The longest span that a scenario may name, in seconds: a day.
+const LONGEST_SPAN: f64 = 86_400.0;
+
+/// Bounds of an [`Amount`].
+const AMOUNT_RANGE: std::ops::RangeInclusive<f64> = 1e-6..=1e6;
+
+/// Largest number that a [`Distribution`] may name.
+const LARGEST_NUMBER: f64 = 1e9;
+
+/// Largest spread of the logarithm in a log-normal distribution: beyond it no mean means anything.
+const LARGEST_SIGMA: f64 = 3.0;
 
 /// A part of a whole, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -22,20 +31,23 @@
 pub struct Share(f64);
 
 impl Share {
+    /// Nothing.
     pub const NONE: Share = Share(0.0);
 
+    /// The share as a number from 0 to 1.
     pub fn get(self) -> f64 {
         self.0
     }
 
+    /// The nearest share; none where the value is not finite.
     pub fn clamped(value: f64) -> Share {
         Share(if value.is_finite() { value.clamp(0.0, 1.0) } else { 0.0 })
     }
 
-    /// Whether it happens this time.
-    pub fn strikes(self, chance: &mut Chance) -> bool {
+    /// Draws whether an event with this probability occurs.
+    pub fn occurs(self, random: &mut RandomSource) -> bool {
         // Drawn in any case, so that a share of 0 does not shift what is drawn after it.
-        chance.random::<f64>() < self.0
+        random.random::<f64>() < self.0
     }
 }
 
@@ -62,21 +74,24 @@
 pub struct Amount(f64);
 
 impl Amount {
+    /// One.
     pub const ONE: Amount = Amount(1.0);
 
+    /// The amount as a number.
     pub fn get(self) -> f64 {
         self.0
     }
 
+    /// The nearest amount; one where the value is not finite.
     pub fn clamped(value: f64) -> Amount {
-        Amount(if value.is_finite() { value.clamp(1e-6, 1e6) } else { 1.0 })
+        Amount(if value.is_finite() { value.clamp(*AMOUNT_RANGE.start(), *AMOUNT_RANGE.end()) } else { 1.0 })
     }
 }
 
 impl TryFrom<f64> for Amount {
     type Error = String;
     fn try_from(value: f64) -> Result<Amount, String> {
-        if value > 0.0 && value <= 1e6 {
+        if value > 0.0 && value <= *AMOUNT_RANGE.end() {
             Ok(Amount(value))
         } else {
             Err(format!("{value} is out of range: expected a number over 0, 1000000 at most"))
@@ -96,26 +111,29 @@
 pub struct Span(pub Duration);
 
 impl Span {
+    /// A span of whole milliseconds.
     pub const fn millis(ms: u64) -> Span {
         Span(Duration::from_millis(ms))
     }
 
+    /// The span in seconds.
     pub fn seconds(self) -> f64 {
         self.0.as_secs_f64()
     }
 
+    /// The nearest span that a scenario may name.
     pub fn clamped(seconds: f64) -> Span {
-        Span(to_span(seconds))
+        Span(duration_from_seconds(seconds))
     }
 }
 
 impl TryFrom<f64> for Span {
     type Error = String;
     fn try_from(value: f64) -> Result<Span, String> {
-        if (0.0..=LONGEST).contains(&value) {
-            Ok(Span(to_span(value)))
+        if (0.0..=LONGEST_SPAN).contains(&value) {
+            Ok(Span(duration_from_seconds(value)))
         } else {
-            Err(format!("{value} is no span: expected seconds from 0 to {LONGEST}"))
+            Err(format!("{value} is no span: expected seconds from 0 to {LONGEST_SPAN}"))
         }
     }
 }
@@ -126,20 +144,23 @@
     }
 }
 
-/// Whole microseconds, so that the last bits of a platform's logarithms seldom matter.
-pub fn to_span(seconds: f64) -> Duration {
-    let micros = if seconds.is_finite() { seconds.clamp(0.0, LONGEST) * 1e6 } else { 0.0 };
+/// Seconds as whole microseconds, a day at most: whole, so that the last bits of a platform's logarithms seldom matter.
+pub fn duration_from_seconds(seconds: f64) -> Duration {
+    let micros = if seconds.is_finite() { seconds.clamp(0.0, LONGEST_SPAN) * 1e6 } else { 0.0 };
     Duration::from_micros(micros.round() as u64)
 }
 
-/// A number that is told, or drawn anew at each use.
+/// A number that is constant, or drawn anew at each use.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Distribution {
-    Told(f64),
-    Drawn(RandomDistribution),
+    /// The same number at each use.
+    Constant(f64),
+    /// Drawn at each use.
+    Random(RandomDistribution),
 }
 
+/// A distribution to draw from.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RandomDistribution {
@@ -147,64 +168,72 @@
     Uniform([f64; 2]),
     /// By its mean.
     Exponential(f64),
-    /// Half lie under the median; sigma is the spread of the logarithm.
-    LogNormal { median: f64, sigma: f64 },
+    /// Log-normal.
+    LogNormal {
+        /// Half of all draws lie under it.
+        median: f64,
+        /// Spread of the logarithm.
+        sigma: f64,
+    },
 }
 
 impl Distribution {
-    pub fn draw(&self, chance: &mut Chance) -> f64 {
+    /// Draws a number.
+    pub fn draw(&self, random: &mut RandomSource) -> f64 {
         match *self {
-            Distribution::Told(value) => value,
-            Distribution::Drawn(RandomDistribution::Uniform([low, high])) => {
-                low + (high - low) * chance.random::<f64>()
+            Distribution::Constant(value) => value,
+            Distribution::Random(RandomDistribution::Uniform([low, high])) => {
+                low + (high - low) * random.random::<f64>()
             }
-            Distribution::Drawn(RandomDistribution::Exponential(mean)) => {
-                Exp::new(1.0 / mean).map_or(mean, |d| d.sample(chance))
+            Distribution::Random(RandomDistribution::Exponential(mean)) => {
+                Exp::new(1.0 / mean).map_or(mean, |d| d.sample(random))
             }
-            Distribution::Drawn(RandomDistribution::LogNormal { median, sigma }) => {
-                LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(chance))
+            Distribution::Random(RandomDistribution::LogNormal { median, sigma }) => {
+                LogNormal::new(median.ln(), sigma).map_or(median, |d| d.sample(random))
             }
         }
     }
 
-    /// A span of so many seconds.
-    pub fn span(&self, chance: &mut Chance) -> Duration {
-        to_span(self.draw(chance))
+    /// Draws a duration, in seconds.
+    pub fn span(&self, random: &mut RandomSource) -> Duration {
+        duration_from_seconds(self.draw(random))
     }
 
-    /// A span of so many milliseconds.
-    pub fn millis(&self, chance: &mut Chance) -> Duration {
-        to_span(self.draw(chance) / 1e3)
+    /// Draws a duration, in milliseconds.
+    pub fn millis(&self, random: &mut RandomSource) -> Duration {
+        duration_from_seconds(self.draw(random) / 1e3)
     }
 
+    /// The mean of all draws.
     pub fn mean(&self) -> f64 {
         match *self {
-            Distribution::Told(value) => value,
-            Distribution::Drawn(RandomDistribution::Uniform([low, high])) => (low + high) / 2.0,
-            Distribution::Drawn(RandomDistribution::Exponential(mean)) => mean,
-            Distribution::Drawn(RandomDistribution::LogNormal { median, sigma }) => {
+            Distribution::Constant(value) => value,
+            Distribution::Random(RandomDistribution::Uniform([low, high])) => (low + high) / 2.0,
+            Distribution::Random(RandomDistribution::Exponential(mean)) => mean,
+            Distribution::Random(RandomDistribution::LogNormal { median, sigma }) => {
                 median * (sigma * sigma / 2.0).exp()
             }
         }
     }
 
-    fn check(self) -> Result<Distribution, String> {
-        let fine = |v: f64| v.is_finite() && (0.0..=1e9).contains(&v);
-        let good = match self {
-            Distribution::Told(v) => fine(v),
-            Distribution::Drawn(RandomDistribution::Uniform([low, high])) => {
-                fine(low) && fine(high) && low <= high
+    /// Refuses parameters that are out of range.
+    fn validated(self) -> Result<Distribution, String> {
+        let in_range = |v: f64| v.is_finite() && (0.0..=LARGEST_NUMBER).contains(&v);
+        let valid = match self {
+            Distribution::Constant(v) => in_range(v),
+            Distribution::Random(RandomDistribution::Uniform([low, high])) => {
+                in_range(low) && in_range(high) && low <= high
             }
-            Distribution::Drawn(RandomDistribution::Exponential(mean)) => fine(mean) && mean > 0.0,
-            Distribution::Drawn(RandomDistribution::LogNormal { median, sigma }) => {
-                fine(median) && median > 0.0 && (0.0..=3.0).contains(&sigma)
+            Distribution::Random(RandomDistribution::Exponential(mean)) => in_range(mean) && mean > 0.0,
+            Distribution::Random(RandomDistribution::LogNormal { median, sigma }) => {
+                in_range(median) && median > 0.0 && (0.0..=LARGEST_SIGMA).contains(&sigma)
             }
         };
-        let wanted = "numbers from 0 up, uniform = [low, high], a mean or median over 0, sigma 3 at most";
-        if good {
+        let expected = "numbers from 0 up, uniform = [low, high], a mean or median over 0, sigma 3 at most";
+        if valid {
             Ok(self)
         } else {
-            Err(format!("figure out of range: expected {wanted}"))
+            Err(format!("figure out of range: expected {expected}"))
         }
     }
 }
@@ -218,15 +247,15 @@
                 to.write_str("a number, or a table with one of uniform, exponential, log_normal")
             }
             fn visit_f64<E: Error>(self, value: f64) -> Result<Distribution, E> {
-                Ok(Distribution::Told(value))
+                Ok(Distribution::Constant(value))
             }
             fn visit_i64<E: Error>(self, value: i64) -> Result<Distribution, E> {
-                Ok(Distribution::Told(value as f64))
+                Ok(Distribution::Constant(value as f64))
             }
             fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Distribution, A::Error> {
-                RandomDistribution::deserialize(MapAccessDeserializer::new(map)).map(Distribution::Drawn)
+                RandomDistribution::deserialize(MapAccessDeserializer::new(map)).map(Distribution::Random)
             }
         }
-        from.deserialize_any(Reader)?.check().map_err(D::Error::custom)
+        from.deserialize_any(Reader)?.validated().map_err(D::Error::custom)
     }
 }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,11 +1,13 @@
-//! What goes wrong. A new fault is an arm of [`Fault`], and the places that the compiler then names.
+//! Faults that a scenario injects. A new one is an arm of [`Fault`], and the places that the compiler then names.
 
 use serde::{Deserialize, Serialize};
 
 use crate::distribution::{Amount, Distribution, Share, Span};
-use crate::scenario::Scenario;
 
-/// Whom a fault meets.
+/// Share of failing requests above which an endpoint counts as down.
+const OUTAGE_ERROR_SHARE: f64 = 0.5;
+
+/// The endpoints that a fault strikes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointSelector {
@@ -13,161 +15,227 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub destinations: Vec<u32>,
     /// Share of all destinations, drawn by the seed.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub share: Option<Share>,
-    /// Share of the endpoints of each that it meets, one at least; all of them where it is absent.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub targets: Option<Share>,
+    #[serde(rename = "share", skip_serializing_if = "Option::is_none")]
+    pub destination_share: Option<Share>,
+    /// Share of the endpoints of each of these, one at least; all of them where it is absent.
+    #[serde(rename = "targets", skip_serializing_if = "Option::is_none")]
+    pub endpoint_share: Option<Share>,
 }
 
 /// Forwarders, by number or as a share of the fleet from the first one on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ForwarderSelector {
+    /// Forwarders by number, from 0.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub forwarders: Vec<u32>,
+    /// Share of all forwarders, where none are named.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub share: Option<Share>,
 }
 
+/// Something that goes wrong for a while.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// Connections are refused at once, those that stood break.
-    Refused { whom: EndpointSelector },
-    /// Nothing comes back at all: no connection is made, calls are never answered.
-    Silent { whom: EndpointSelector },
-    /// Calls are taken and not answered before the end of it.
-    Hang { whom: EndpointSelector },
-    /// Calls are turned away as full, perhaps with the wait until it opens.
-    Shut { whom: EndpointSelector },
-    /// A share of calls is answered with an error at once, and nothing ran.
+    /// Connections are refused at once, and those that stand are reset.
+    #[serde(rename = "refused")]
+    ConnectionsRefused {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+    },
+    /// Packets are lost: no connection is made, and requests are never answered.
+    #[serde(rename = "silent")]
+    Unreachable {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+    },
+    /// Requests are accepted and not answered before the end of the fault.
+    #[serde(rename = "hang")]
+    Hang {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+    },
+    /// All requests are rejected, some with Retry-After up to the end of the fault.
+    #[serde(rename = "shut")]
+    RejectsAll {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+    },
+    /// A share of requests is answered with an error at once, and nothing is executed.
+    #[serde(rename = "fast_errors")]
     FastErrors {
-        whom: EndpointSelector,
-        #[serde(default = "most")]
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+        /// Share of requests that fail.
+        #[serde(default = "default_error_share")]
         share: Share,
     },
-    /// All work takes so many times as long.
-    Slow { whom: EndpointSelector, times: Amount },
-    /// It stands still for so long, again and again.
-    Pauses { whom: EndpointSelector, each_s: Span, every_s: Span },
-    /// A share of calls takes so many times as long.
-    HeavyTail { whom: EndpointSelector, share: Share, times: Distribution },
-    /// Calls with a message of this category are answered with an error.
-    CategoryFails { whom: EndpointSelector, category: String },
-    /// The work runs, and the connection breaks before its answer.
-    AnswersLost { whom: EndpointSelector, share: Share },
-    /// Endpoints are replaced by others under the same address; the list says so late.
-    Replaced { whom: EndpointSelector },
-    /// Endpoints leave: the list says so, and at the end they are gone.
-    Leaves { whom: EndpointSelector },
-    /// No change of the list is told.
+    /// All work takes several times as long.
+    #[serde(rename = "slow")]
+    Slow {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+        /// Factor of the time that work takes.
+        #[serde(rename = "times")]
+        factor: Amount,
+    },
+    /// All work stands still again and again.
+    #[serde(rename = "pauses")]
+    Pauses {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+        /// Length of each pause.
+        #[serde(rename = "each_s")]
+        duration: Span,
+        /// From the start of a pause to the start of the next.
+        #[serde(rename = "every_s")]
+        interval: Span,
+    },
+    /// A share of requests takes several times as long.
+    #[serde(rename = "heavy_tail")]
+    HeavyTail {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+        /// Share of requests that take longer.
+        share: Share,
+        /// Factor of the time that these take.
+        #[serde(rename = "times")]
+        factor: Distribution,
+    },
+    /// Requests with a message of one class are answered with an error.
+    #[serde(rename = "category_fails")]
+    ClassFails {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+        /// Name of the message class.
+        #[serde(rename = "category")]
+        class: String,
+    },
+    /// Requests are executed, and the connection is reset before the response.
+    #[serde(rename = "answers_lost")]
+    ResponsesLost {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+        /// Share of responses that are lost.
+        share: Share,
+    },
+    /// Endpoints are replaced by others at the same address; the endpoint list says so late.
+    #[serde(rename = "replaced")]
+    Replaced {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+    },
+    /// Endpoints drain by the endpoint list, and are removed at the end of the fault.
+    #[serde(rename = "leaves")]
+    Drains {
+        /// Endpoints that are struck.
+        #[serde(rename = "whom")]
+        endpoints: EndpointSelector,
+    },
+    /// No forwarder is told of a change of the endpoint list.
+    #[serde(rename = "list_frozen")]
     ListFrozen {},
-    /// Forwarders are killed, and started again at the end.
-    Killed { which: ForwarderSelector },
-    /// No note passes between these forwarders and the others.
-    CutOff { which: ForwarderSelector },
-    /// This share of all traffic comes to these forwarders.
-    Shift { which: ForwarderSelector, share: Share },
-    /// All traffic is so many times the usual.
-    Burst { times: Amount },
-    /// One program sends so many times its usual traffic.
-    Surge { program: String, times: Amount },
+    /// Forwarders are killed, and started again at the end of the fault.
+    #[serde(rename = "killed")]
+    ForwardersKilled {
+        /// Forwarders that are struck.
+        #[serde(rename = "which")]
+        forwarders: ForwarderSelector,
+    },
+    /// No gossip passes between these forwarders and the others.
+    #[serde(rename = "cut_off")]
+    GossipPartition {
+        /// Forwarders on one side.
+        #[serde(rename = "which")]
+        forwarders: ForwarderSelector,
+    },
+    /// A share of all traffic comes to these forwarders.
+    #[serde(rename = "shift")]
+    TrafficShift {
+        /// Forwarders that get it.
+        #[serde(rename = "which")]
+        forwarders: ForwarderSelector,
+        /// Share of the traffic.
+        share: Share,
+    },
+    /// All traffic is several times the usual.
+    #[serde(rename = "burst")]
+    TrafficBurst {
+        /// Factor of the traffic.
+        #[serde(rename = "times")]
+        factor: Amount,
+    },
+    /// One program sends several times its usual traffic.
+    #[serde(rename = "surge")]
+    ProgramSurge {
+        /// Name of the program.
+        program: String,
+        /// Factor of its traffic.
+        #[serde(rename = "times")]
+        factor: Amount,
+    },
 }
 
-fn most() -> Share {
+fn default_error_share() -> Share {
     Share::clamped(0.95)
 }
 
 impl Fault {
-    /// The endpoints it meets, where it meets endpoints.
-    pub fn whom(&self) -> Option<&EndpointSelector> {
-        use Fault::*;
+    /// The endpoints it strikes, where it strikes endpoints.
+    pub fn endpoint_selector(&self) -> Option<&EndpointSelector> {
         match self {
-            Refused { whom } | Silent { whom } | Hang { whom } | Shut { whom } => Some(whom),
-            FastErrors { whom, .. } | Slow { whom, .. } | Pauses { whom, .. } => Some(whom),
-            HeavyTail { whom, .. } | CategoryFails { whom, .. } | AnswersLost { whom, .. } => Some(whom),
-            Replaced { whom } | Leaves { whom } => Some(whom),
-            ListFrozen {} | Killed { .. } | CutOff { .. } | Shift { .. } | Burst { .. } | Surge { .. } => {
-                None
-            }
+            Fault::ConnectionsRefused { endpoints }
+            | Fault::Unreachable { endpoints }
+            | Fault::Hang { endpoints }
+            | Fault::RejectsAll { endpoints }
+            | Fault::FastErrors { endpoints, .. }
+            | Fault::Slow { endpoints, .. }
+            | Fault::Pauses { endpoints, .. }
+            | Fault::HeavyTail { endpoints, .. }
+            | Fault::ClassFails { endpoints, .. }
+            | Fault::ResponsesLost { endpoints, .. }
+            | Fault::Replaced { endpoints }
+            | Fault::Drains { endpoints } => Some(endpoints),
+            Fault::ListFrozen {}
+            | Fault::ForwardersKilled { .. }
+            | Fault::GossipPartition { .. }
+            | Fault::TrafficShift { .. }
+            | Fault::TrafficBurst { .. }
+            | Fault::ProgramSurge { .. } => None,
         }
     }
 
-    pub fn which(&self) -> Option<&ForwarderSelector> {
+    /// The forwarders it strikes, where it strikes forwarders.
+    pub fn forwarder_selector(&self) -> Option<&ForwarderSelector> {
         match self {
-            Fault::Killed { which } | Fault::CutOff { which } | Fault::Shift { which, .. } => Some(which),
+            Fault::ForwardersKilled { forwarders }
+            | Fault::GossipPartition { forwarders }
+            | Fault::TrafficShift { forwarders, .. } => Some(forwarders),
             _ => None,
         }
     }
 
-    /// Whether an endpoint is down by it, in the sense of the rule on returning destinations.
+    /// Whether an endpoint is down by it, in the sense of [`Rule::NotPushedOver`](crate::rule::Rule::NotPushedOver).
     pub fn is_outage(&self) -> bool {
-        use Fault::*;
         match self {
-            Refused { .. } | Silent { .. } | Hang { .. } | Shut { .. } => true,
-            FastErrors { share, .. } => share.get() > 0.5,
+            Fault::ConnectionsRefused { .. }
+            | Fault::Unreachable { .. }
+            | Fault::Hang { .. }
+            | Fault::RejectsAll { .. } => true,
+            Fault::FastErrors { share, .. } => share.get() > OUTAGE_ERROR_SHARE,
             _ => false,
         }
     }
-
-    /// Its name in the scenario file.
-    pub fn name(&self) -> &'static str {
-        use Fault::*;
-        match self {
-            Refused { .. } => "refused",
-            Silent { .. } => "silent",
-            Hang { .. } => "hang",
-            Shut { .. } => "shut",
-            FastErrors { .. } => "fast_errors",
-            Slow { .. } => "slow",
-            Pauses { .. } => "pauses",
-            HeavyTail { .. } => "heavy_tail",
-            CategoryFails { .. } => "category_fails",
-            AnswersLost { .. } => "answers_lost",
-            Replaced { .. } => "replaced",
-            Leaves { .. } => "leaves",
-            ListFrozen {} => "list_frozen",
-            Killed { .. } => "killed",
-            CutOff { .. } => "cut_off",
-            Shift { .. } => "shift",
-            Burst { .. } => "burst",
-            Surge { .. } => "surge",
-        }
-    }
-
-    pub(crate) fn check(&self, scenario: &Scenario) -> Result<(), String> {
-        let destinations: u32 = scenario.kinds.iter().map(|k| k.destinations).sum();
-        if let Some(whom) = self.whom() {
-            if let Some(far) = whom.destinations.iter().find(|d| **d >= destinations) {
-                return Err(format!("destination {far}: expected a number under {destinations}"));
-            }
-            if whom.destinations.is_empty() == whom.share.is_none() {
-                return Err("whom: expected either destinations or a share".to_owned());
-            }
-        }
-        if let Some(which) = self.which() {
-            let fleet = scenario.fleet.forwarders;
-            if let Some(far) = which.forwarders.iter().find(|f| **f >= fleet) {
-                return Err(format!("forwarder {far}: expected a number under {fleet}"));
-            }
-            if which.forwarders.is_empty() == which.share.is_none() {
-                return Err("which: expected either forwarders or a share".to_owned());
-            }
-        }
-        match self {
-            Fault::CategoryFails { category, .. } => {
-                let known = scenario.categories.iter().any(|c| c.name == *category);
-                known.then_some(()).ok_or_else(|| format!("category {category:?} is not in this scenario"))
-            }
-            Fault::Surge { program, .. } => {
-                let known = scenario.programs.iter().any(|p| p.name == *program);
-                known.then_some(()).ok_or_else(|| format!("program {program:?} is not in this scenario"))
-            }
-            Fault::Pauses { each_s, every_s, .. } if each_s >= every_s => {
-                Err("pauses: expected each_s under every_s".to_owned())
-            }
-            _ => Ok(()),
-        }
-    }
 }
--- /dev/null
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -0,0 +1,123 @@
+//! Checks at the start and the end of an attempt.
+
+use std::time::Duration;
+
+use reeddock::{AttemptOutcome, EndpointState, Idempotency};
+
+use super::checker::InvariantChecker;
+use super::history::{AttemptHistory, MessageHistory, ReportedOutcome};
+use super::violation::RetryAfterScope;
+use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
+use crate::rule::Rule;
+
+/// A rule that an attempt breaks, and how.
+struct BrokenRule {
+    rule: Rule,
+    what: String,
+}
+
+impl BrokenRule {
+    fn new(rule: Rule, what: impl Into<String>) -> BrokenRule {
+        BrokenRule { rule, what: what.into() }
+    }
+}
+
+impl InvariantChecker {
+    /// A forwarder starts an attempt; the scopes are those whose Retry-After it must honor.
+    pub(crate) fn attempt_started(
+        &mut self,
+        now: Duration,
+        message: MessageIndex,
+        endpoint: EndpointIndex,
+        scopes: [RetryAfterScope; 2],
+    ) {
+        let history = &self.histories[message.0];
+        let (forwarder, ordering_key) = (history.message.forwarder, history.message.ordering_key);
+        let mut broken: Vec<BrokenRule> = Vec::new();
+        broken.extend(after_answer(history, endpoint));
+        broken.extend(self.repeats_effect(now, history));
+        broken.extend(self.ignores_list(now, forwarder, endpoint));
+        broken.extend(scopes.iter().filter_map(|scope| self.ignores_retry_after(now, forwarder, *scope)));
+        let blocker = ordering_key.and_then(|key| self.blocked_by_order(now, forwarder, key, message));
+        broken.extend(blocker.map(|what| BrokenRule::new(Rule::Order, what)));
+        for BrokenRule { rule, what } in broken {
+            self.record_violation(rule, now, Some(message), what);
+        }
+        self.histories[message.0].attempts.push(AttemptHistory { started_at: now, endpoint, ended: None });
+    }
+
+    /// An attempt that may have its effect a second time.
+    fn repeats_effect(&self, now: Duration, history: &MessageHistory) -> Option<BrokenRule> {
+        let first = history.first_possible_execution()?;
+        match self.classes[history.message.class].idempotency {
+            Idempotency::Idempotent => None,
+            Idempotency::NonIdempotent => {
+                let what = "effectful, sent again though it may have run";
+                Some(BrokenRule::new(Rule::NoDoubleEffect, what))
+            }
+            Idempotency::WithKey { window, .. } if now >= first + window => {
+                let what = "receipted, sent again after its window";
+                Some(BrokenRule::new(Rule::NoDoubleEffect, what))
+            }
+            Idempotency::WithKey { .. } => None,
+        }
+    }
+
+    /// An attempt to an endpoint that is not listed, or has been draining for longer than the grace period.
+    fn ignores_list(
+        &self,
+        now: Duration,
+        forwarder: ForwarderIndex,
+        endpoint: EndpointIndex,
+    ) -> Option<BrokenRule> {
+        let Some(listed) = self.endpoint_lists[forwarder.0].get(&endpoint) else {
+            let what = format!("target {} was in none of its lists", endpoint.0);
+            return Some(BrokenRule::new(Rule::Drains, what));
+        };
+        if listed.state == EndpointState::Active || now <= listed.since + self.drain_grace {
+            return None;
+        }
+        let since = listed.since.as_secs_f64();
+        let what = format!("target {} is {:?}, told at {since:.6}", endpoint.0, listed.state);
+        Some(BrokenRule::new(Rule::Drains, what))
+    }
+
+    /// An attempt before a Retry-After has passed.
+    fn ignores_retry_after(
+        &self,
+        now: Duration,
+        forwarder: ForwarderIndex,
+        scope: RetryAfterScope,
+    ) -> Option<BrokenRule> {
+        let until = self.retry_after.get(&(forwarder, scope)).filter(|until| now < **until)?;
+        let what = format!("{scope} asked it to wait until {:.6}", until.as_secs_f64());
+        Some(BrokenRule::new(Rule::Waits, what))
+    }
+
+    /// An attempt has ended, and the forwarder is told now.
+    pub(crate) fn attempt_finished(
+        &mut self,
+        now: Duration,
+        message: MessageIndex,
+        number: usize,
+        outcome: AttemptOutcome,
+        scope: RetryAfterScope,
+    ) {
+        let history = &mut self.histories[message.0];
+        if let Some(attempt) = history.attempts.get_mut(number) {
+            attempt.ended = Some(ReportedOutcome { outcome, at: now });
+        }
+        if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
+            let until = self.retry_after.entry((history.message.forwarder, scope)).or_default();
+            *until = (*until).max(now + wait);
+        }
+    }
+}
+
+/// An attempt for a message that has its final answer.
+fn after_answer(history: &MessageHistory, endpoint: EndpointIndex) -> Option<BrokenRule> {
+    let given = history.answer?;
+    let at = given.at.as_secs_f64();
+    let what = format!("sent to target {} after {} at {at:.6}", endpoint.0, given.answer);
+    Some(BrokenRule::new(Rule::OneAnswer, what))
+}
--- /dev/null
+++ b/crates/simulation/src/invariants/checker.rs
@@ -0,0 +1,142 @@
+//! What the checks have in common: the history of each message, and the violations found.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use reeddock::{EndpointState, Idempotency};
+
+use super::history::{AcceptedMessage, MessageHistory};
+use super::violation::{RetryAfterScope, Violation};
+use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex, SubmissionIndex};
+use crate::rule::Rule;
+
+/// So many violations are kept in full; the others are counted.
+const MAX_KEPT_VIOLATIONS: usize = 20;
+
+/// What the rules need to know of a message class.
+pub struct ClassRules {
+    /// What a further attempt may do.
+    pub idempotency: Idempotency,
+    /// Whether messages of one key go one after the other.
+    pub ordered: bool,
+}
+
+/// A state on an endpoint list, and when the forwarder was told.
+#[derive(Clone, Copy)]
+pub(super) struct ListedState {
+    pub(super) state: EndpointState,
+    pub(super) since: Duration,
+}
+
+/// Watches a run and keeps what breaks a rule. Times are since the start of the run.
+pub struct InvariantChecker {
+    pub(super) classes: Vec<ClassRules>,
+    pub(super) drain_grace: Duration,
+    pub(super) ordering_hold_off: Duration,
+    answer_slack: Duration,
+    pub(super) histories: Vec<MessageHistory>,
+    /// By forwarder: the endpoint list as it was told.
+    pub(super) endpoint_lists: Vec<BTreeMap<EndpointIndex, ListedState>>,
+    /// Until when a forwarder was told to wait.
+    pub(super) retry_after: BTreeMap<(ForwarderIndex, RetryAfterScope), Duration>,
+    /// Messages of each ordering key that still matter, in the order in which they were accepted.
+    pub(super) ordering_queues: BTreeMap<(ForwarderIndex, u64), Vec<MessageIndex>>,
+    /// Forwarders that were told of a failure during the present outage of an endpoint, or its last one.
+    pub(super) told_of_outage: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
+    /// How often what is not idempotent had its effect.
+    pub(super) effects: BTreeMap<SubmissionIndex, u32>,
+    violations: Vec<Violation>,
+    violation_count: usize,
+}
+
+impl InvariantChecker {
+    /// A checker of a fleet; the slack is the time past a deadline in which a final answer still counts.
+    pub fn new(
+        classes: Vec<ClassRules>,
+        forwarders: usize,
+        drain_grace: Duration,
+        ordering_hold_off: Duration,
+        answer_slack: Duration,
+    ) -> InvariantChecker {
+        InvariantChecker {
+            classes,
+            drain_grace,
+            ordering_hold_off,
+            answer_slack,
+            histories: Vec::new(),
+            endpoint_lists: vec![BTreeMap::new(); forwarders],
+            retry_after: BTreeMap::new(),
+            ordering_queues: BTreeMap::new(),
+            told_of_outage: BTreeMap::new(),
+            effects: BTreeMap::new(),
+            violations: Vec::new(),
+            violation_count: 0,
+        }
+    }
+
+    /// How often rules were broken, and the first of these in full.
+    pub fn into_violations(self) -> (usize, Vec<Violation>) {
+        (self.violation_count, self.violations)
+    }
+
+    /// A rule was broken, by what happened to a message where one is named.
+    pub(crate) fn record_violation(
+        &mut self,
+        rule: Rule,
+        at: Duration,
+        message: Option<MessageIndex>,
+        what: String,
+    ) {
+        let history = message.and_then(|message| self.histories.get(message.0));
+        let violation = Violation {
+            rule,
+            at_s: at.as_secs_f64(),
+            forwarder: history.map(|history| history.message.forwarder.0),
+            message: message.map(|message| message.0),
+            what,
+            led_by: history.map(MessageHistory::lines).unwrap_or_default(),
+        };
+        self.keep(violation);
+    }
+
+    /// Counts a violation, and keeps it where it is one of the first.
+    pub(super) fn keep(&mut self, violation: Violation) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
+            self.violations.push(violation);
+        }
+    }
+
+    /// A forwarder accepted a message; messages are numbered in this order.
+    pub(crate) fn message_accepted(&mut self, now: Duration, accepted: AcceptedMessage) {
+        let ordered = self.classes[accepted.class].ordered;
+        let ordering_key = accepted.ordering_key.filter(|_| ordered);
+        if let Some(key) = ordering_key {
+            let message = MessageIndex(self.histories.len());
+            self.ordering_queues.entry((accepted.forwarder, key)).or_default().push(message);
+        }
+        let answer_due = accepted.deadline + self.answer_slack;
+        let accepted = AcceptedMessage { ordering_key, ..accepted };
+        self.histories.push(MessageHistory::new(accepted, now, answer_due));
+    }
+
+    /// A forwarder was killed. What it held is void, or waits in its write-ahead log for the next start.
+    pub(crate) fn forwarder_killed(&mut self, forwarder: ForwarderIndex, write_ahead_log: bool) {
+        self.endpoint_lists[forwarder.0].clear();
+        self.retry_after.retain(|(told, _), _| *told != forwarder);
+        let histories = &mut self.histories;
+        for history in histories.iter_mut().filter(|history| history.message.forwarder == forwarder) {
+            history.void |= !write_ahead_log || history.answer.is_some();
+        }
+        // The rules bind a start to what it accepted, and to what its write-ahead log still holds.
+        for (_, queue) in self.ordering_queues.iter_mut().filter(|((owner, _), _)| *owner == forwarder) {
+            queue.retain(|message| !histories[message.0].void);
+        }
+    }
+
+    /// A forwarder found a message in its write-ahead log when it started; its time ran on meanwhile.
+    pub(crate) fn message_restored(&mut self, now: Duration, message: MessageIndex) {
+        let answer_slack = self.answer_slack;
+        self.histories[message.0].restore(now, answer_slack);
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -0,0 +1,103 @@
+//! What forwarders were told of endpoints, and whether they overloaded one that had just recovered.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use reeddock::EndpointState;
+
+use super::checker::{InvariantChecker, ListedState};
+use super::violation::Violation;
+use crate::ids::{EndpointIndex, ForwarderIndex};
+use crate::received_work::ReceivedWork;
+use crate::rule::Rule;
+
+/// Senders named in a violation, those that sent most first.
+const MAX_NAMED_SENDERS: usize = 8;
+
+impl InvariantChecker {
+    /// A forwarder was told of an endpoint's state by its endpoint list.
+    pub(crate) fn endpoint_listed(
+        &mut self,
+        now: Duration,
+        forwarder: ForwarderIndex,
+        endpoint: EndpointIndex,
+        state: EndpointState,
+    ) {
+        let told = ListedState { state, since: now };
+        let listed = self.endpoint_lists[forwarder.0].entry(endpoint).or_insert(told);
+        // Told again of what it knew, or from draining to removed, its grace period runs from the first time.
+        let to_or_from_active = state == EndpointState::Active || listed.state == EndpointState::Active;
+        if listed.state != state && to_or_from_active {
+            *listed = told;
+        }
+        listed.state = state;
+    }
+
+    /// An endpoint goes down: who was told of an earlier outage knows nothing of this one.
+    pub(crate) fn outage_started(&mut self, endpoint: EndpointIndex) {
+        self.told_of_outage.remove(&endpoint);
+    }
+
+    /// A forwarder was told of a failed or rejected request to an endpoint during its outage.
+    pub fn failure_reported(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) {
+        self.told_of_outage.entry(endpoint).or_default().insert(forwarder);
+    }
+
+    /// Whether a forwarder was told of an endpoint's present outage, or its last one.
+    pub(crate) fn knows_of_outage(&self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> bool {
+        self.told_of_outage.get(&endpoint).is_some_and(|told| told.contains(&forwarder))
+    }
+
+    /// Whether any forwarder was told of it.
+    pub(crate) fn is_outage_known(&self, endpoint: EndpointIndex) -> bool {
+        self.told_of_outage.get(&endpoint).is_some_and(|told| !told.is_empty())
+    }
+
+    /// A cold endpoint was overloaded by what it was sent in the overload window. The rule is broken where over two
+    /// thirds of it came from forwarders that had been told of the outage.
+    pub fn endpoint_overloaded(
+        &mut self,
+        now: Duration,
+        endpoint: EndpointIndex,
+        received: &[ReceivedWork],
+        budget: f64,
+    ) {
+        let knew = |work: &&ReceivedWork| self.knows_of_outage(work.sender, endpoint);
+        let total = ReceivedWork::total(received);
+        let from_knowing = ReceivedWork::total(received.iter().filter(knew));
+        if from_knowing * 3.0 <= total * 2.0 {
+            return;
+        }
+        let violation = Violation {
+            rule: Rule::NotPushedOver,
+            at_s: now.as_secs_f64(),
+            forwarder: None,
+            message: None,
+            what: format!(
+                "target {} fell over: sent {total:.2} against {budget:.2}, {from_knowing:.2} of it by forwarders that knew",
+                endpoint.0
+            ),
+            led_by: self.describe_senders(endpoint, received),
+        };
+        self.keep(violation);
+    }
+
+    /// What each sender sent, those that sent most first.
+    fn describe_senders(&self, endpoint: EndpointIndex, received: &[ReceivedWork]) -> Vec<String> {
+        let sent_by = |sender: &ForwarderIndex| {
+            ReceivedWork::total(received.iter().filter(|work| work.sender == *sender))
+        };
+        let senders: BTreeSet<ForwarderIndex> = received.iter().map(|work| work.sender).collect();
+        let mut senders: Vec<ForwarderIndex> = senders.into_iter().collect();
+        senders.sort_by(|a, b| sent_by(b).total_cmp(&sent_by(a)).then(a.cmp(b)));
+        let describe = |sender: &ForwarderIndex| {
+            let knowledge = if self.knows_of_outage(*sender, endpoint) {
+                "had seen a failure there"
+            } else {
+                "had seen nothing"
+            };
+            format!("forwarder {}: {:.2} of work, {knowledge}", sender.0, sent_by(sender))
+        };
+        senders.iter().take(MAX_NAMED_SENDERS).map(describe).collect()
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/invariants/ordering.rs
@@ -0,0 +1,33 @@
+//! Messages of one ordering key go one after the other.
+
+use std::time::Duration;
+
+use super::checker::InvariantChecker;
+use super::history::MessageHistory;
+use crate::ids::{ForwarderIndex, MessageIndex};
+
+impl InvariantChecker {
+    /// What stands in the way of an attempt for a message in the queue of its ordering key. Drops from the queue what
+    /// no longer matters.
+    pub(super) fn blocked_by_order(
+        &mut self,
+        now: Duration,
+        forwarder: ForwarderIndex,
+        key: u64,
+        message: MessageIndex,
+    ) -> Option<String> {
+        let (histories, hold_off) = (&self.histories, self.ordering_hold_off);
+        let history = |message: &MessageIndex| -> &MessageHistory { &histories[message.0] };
+        let held_until = |message: &MessageIndex| history(message).held_until(hold_off);
+        let queue = self.ordering_queues.get_mut(&(forwarder, key))?;
+        queue.retain(|other| *other == message || !history(other).is_finished() || now < held_until(other));
+        let mut earlier = queue.iter().take_while(|other| **other != message);
+        if let Some(open) = earlier.find(|other| !history(other).is_finished()) {
+            return Some(format!("envelope {} of key {key} was taken before and is not over", open.0));
+        }
+        let mut others = queue.iter().filter(|other| **other != message);
+        let holding = others.find(|other| now < held_until(other))?;
+        let until = held_until(holding).as_secs_f64();
+        Some(format!("key {key} rests until {until:.6} after an unsure end of envelope {}", holding.0))
+    }
+}
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -1,38 +1,44 @@
 //! What only the simulation can see of a run, kept beside the [`Report`](crate::Report) so that reports keep
-//! their bytes: what cold endpoints were sent after each return, and what was sent to endpoints that were down.
+//! their bytes: what cold endpoints were sent after each recovery, and what was sent to endpoints that were down.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use crate::layout::{DestinationIndex, EndpointIndex};
+use crate::ids::{DestinationIndex, EndpointIndex};
 
 /// What an endpoint was sent while it warmed up after an outage, in the worst window of the length that the
-/// terms name: the one whose sum was largest against what may be sent.
+/// settings name: the one whose sum was largest against what may be sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ramp {
-    pub target: usize,
+    /// Index of the endpoint.
+    #[serde(rename = "target")]
+    pub endpoint: usize,
+    /// Rank of its destination.
     pub destination: usize,
-    /// Calls a second that the destination gets on a usual day, from all forwarders.
-    pub usual_per_s: f64,
-    /// Whether the outage was itself a fall of this cold endpoint.
-    pub after_a_fall: bool,
-    /// Seconds from the return to the end of the worst window.
+    /// Messages a second for the destination on a usual day, from all forwarders.
+    #[serde(rename = "usual_per_s")]
+    pub baseline_per_s: f64,
+    /// Whether the outage was itself an overload of this endpoint while it was cold.
+    #[serde(rename = "after_a_fall")]
+    pub after_overload: bool,
+    /// Seconds from the recovery to the end of the worst window.
     pub after_s: f64,
-    /// Work that reached the endpoint in that window, in calls.
+    /// Work that reached the endpoint in that window, in requests of one message.
     pub sum: f64,
-    /// What the terms allow in it, without what is left to chance: N.
+    /// What the settings allow in it, without what is left to chance: N.
     pub allowed: f64,
-    /// What it falls over at: N + 2 * sqrt(N) + 2.
+    /// What overloads it: N + 2 * sqrt(N) + 2.
     pub budget: f64,
     /// Part of the sum that came from forwarders that had been told of the outage.
     pub known: f64,
-    /// The endpoint fell over.
-    pub fell: bool,
+    /// The endpoint was overloaded.
+    #[serde(rename = "fell")]
+    pub overloaded: bool,
 }
 
 impl Ramp {
-    /// The worst windowed sum against the budget; over 1 the endpoint falls.
+    /// The worst window's sum against the budget; over 1 the endpoint is overloaded.
     pub fn ratio(&self) -> f64 {
         if self.budget > 0.0 {
             self.sum / self.budget
@@ -46,12 +52,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SentToDown {
     /// Messages that were submitted while all endpoints of their destination were down.
-    pub handed_in: u64,
-    /// Credit asked for and earned by these.
+    #[serde(rename = "handed_in")]
+    pub submitted: u64,
+    /// Priority weight of these.
     pub credit_asked: f64,
+    /// Priority weight that these earned.
     pub credit_earned: f64,
-    /// Dispatches that left for an endpoint that was down then.
-    pub dispatches: u64,
+    /// Attempts that left for an endpoint that was down then.
+    #[serde(rename = "dispatches")]
+    pub attempts: u64,
     /// New connections that were asked for there.
     pub connections: u64,
     /// Messages whose first attempt was one of these.
@@ -59,47 +68,62 @@
     /// The same, where some forwarder had already been told of a failure in that outage.
     pub first_lost_to_known: u64,
     /// Seconds that an endpoint was down, summed over all endpoints.
-    pub target_seconds: f64,
+    #[serde(rename = "target_seconds")]
+    pub endpoint_seconds: f64,
 }
 
 /// All that was observed in a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Observed {
+    /// One for each recovery of an endpoint.
     pub ramps: Vec<Ramp>,
+    /// What was sent to endpoints that were down.
     pub down: SentToDown,
 }
 
-/// An endpoint's return and what it was sent since, while the run goes on.
+/// An endpoint's recovery and what it was sent since, while the run goes on.
 #[derive(Clone, Debug)]
-pub(crate) struct Return {
-    pub at: Duration,
-    pub after_a_fall: bool,
-    pub worst: Option<Ramp>,
+pub(crate) struct Recovery {
+    /// End of the outage, since the start of the run.
+    pub(crate) at: Duration,
+    after_overload: bool,
+    worst: Option<Ramp>,
 }
 
-impl Return {
-    pub fn new(at: Duration, after_a_fall: bool) -> Return {
-        Return { at, after_a_fall, worst: None }
+impl Recovery {
+    pub(crate) fn new(at: Duration, after_overload: bool) -> Recovery {
+        Recovery { at, after_overload, worst: None }
     }
 
     /// Whether a window with this sum is worse than all before.
-    pub fn is_worse(&self, sum: f64, budget: f64) -> bool {
+    pub(crate) fn is_worse(&self, sum: f64, budget: f64) -> bool {
         self.worst.as_ref().is_none_or(|worst| sum > worst.ratio() * budget)
     }
 
-    pub fn ramp(&self, target: EndpointIndex, destination: DestinationIndex, usual_per_s: f64) -> Ramp {
-        let nothing = Ramp {
-            target: target.0,
+    /// Keeps the worst window so far.
+    pub(crate) fn set_worst(&mut self, ramp: Ramp) {
+        self.worst = Some(ramp);
+    }
+
+    /// The worst window so far, or one in which nothing was sent.
+    pub(crate) fn ramp(
+        &self,
+        endpoint: EndpointIndex,
+        destination: DestinationIndex,
+        baseline_per_s: f64,
+    ) -> Ramp {
+        let nothing_sent = Ramp {
+            endpoint: endpoint.0,
             destination: destination.0,
-            usual_per_s,
-            after_a_fall: self.after_a_fall,
+            baseline_per_s,
+            after_overload: self.after_overload,
             after_s: 0.0,
             sum: 0.0,
             allowed: 0.0,
             budget: 0.0,
             known: 0.0,
-            fell: false,
+            overloaded: false,
         };
-        self.worst.clone().unwrap_or(nothing)
+        self.worst.clone().unwrap_or(nothing_sent)
     }
 }
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -1,8 +1,9 @@
-//! What the baselines have in common: the messages in hand, the endpoints as the list has them, and the rules.
-//! A baseline is a [`BaselinePolicy`] at this desk; it chooses an endpoint and says whether there is another time. The
-//! desk lets nothing through that breaks a rule which one forwarder can keep by book-keeping alone (one
-//! answer, no double effect, drains, order, waits); whether a returning destination is pushed over is the
-//! habit's own affair.
+//! What the baselines have in common: pending messages, the endpoint list, and the rules.
+//!
+//! A baseline is a [`BaselinePolicy`] in this host; it chooses an endpoint and says whether there is a retry. The
+//! host lets nothing through that breaks a rule which one forwarder can keep by its own records alone (one answer,
+//! no double effect, drains, order, waits); whether a recovering destination is overloaded is the baseline's own
+//! affair.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -13,285 +14,390 @@
     MessageId, OrderingKey, PeerId, PolicyHost, PreviousAttempt, RequestId, Settings,
 };
 
-use crate::distribution::Chance;
-use crate::policy::{ListLine, Policy, Submission, WorldView};
-
-pub struct QueuedMessage {
-    pub id: MessageId,
-    pub category: usize,
-    pub key: Option<OrderingKey>,
-    pub destination: DestinationId,
-    pub outer_limit: Duration,
-    pub promised_by: Duration,
-    pub dispatches: u32,
-    pub not_before: Duration,
-    out: BTreeSet<AttemptNumber>,
-    /// Where each attempt went, when, and in which call.
-    sent: Vec<(EndpointId, Duration, u64)>,
-    may_have_run: Option<Duration>,
-}
+use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView, StartedAttempt};
+use super::baseline_sending::DepartingBatches;
+use crate::distribution::RandomSource;
+use crate::policy::{ListedEndpoint, Policy, Submission, WorldView};
 
-struct Left {
-    call: u64,
+/// An attempt in flight for a message that has its final answer.
+struct DetachedAttempt {
+    request: u64,
+    /// Number of the message.
     number: u64,
-    key: Option<OrderingKey>,
+    ordering_key: Option<OrderingKey>,
 }
 
-struct BuiltInPolicy {
+/// An endpoint that a list has named.
+struct KnownEndpoint {
     destination: DestinationId,
-    standing: EndpointState,
-    apart: bool,
-    batch: usize,
-    wait_until: Duration,
-}
-
-/// What a habit may look at when it picks.
-pub struct View<'v> {
-    /// Endpoints that the rules let the message go to.
-    pub able: &'v [EndpointId],
-    /// Places left in calls that this turn has begun to fill.
-    pub forming: &'v BTreeMap<EndpointId, usize>,
-    pub now: Duration,
-    pub sight: &'v dyn WorldView,
+    state: EndpointState,
+    circuit_per_endpoint: bool,
+    max_batch: usize,
+    /// End of the Retry-After of this endpoint alone.
+    retry_after: Duration,
 }
 
-/// How a baseline differs from the others.
-pub trait BaselinePolicy: Send {
-    /// Which of the able endpoints gets the message now; none: it stays.
-    fn pick(&mut self, envelope: &QueuedMessage, view: &View, chance: &mut Chance) -> Option<EndpointId>;
-    /// A attempt has ended.
-    fn ended(&mut self, target: EndpointId, outcome: AttemptOutcome, now: Duration);
-    /// After how long a message whose attempt so ended may go again; none: never.
-    fn again(
-        &mut self,
-        envelope: &QueuedMessage,
-        outcome: AttemptOutcome,
-        chance: &mut Chance,
-    ) -> Option<Duration>;
-    /// The order in which messages are taken up: first those with the least.
-    fn urgency(&self, _envelope: &QueuedMessage) -> Duration {
-        Duration::ZERO
-    }
-    fn time_out(&self, promised: Duration) -> Duration {
-        promised
-    }
-    /// It looks again after so long while anything waits.
-    fn looks_every(&self) -> Duration;
+/// An ordering key that is held after an attempt that may still be running.
+struct OrderingHold {
+    until: Duration,
+    /// Number of the message; its own retries pass.
+    holder: u64,
 }
 
-pub struct BaselineHost<H> {
-    habit: H,
-    chance: Chance,
-    terms: Settings,
-    held: BTreeMap<u64, QueuedMessage>,
+/// A forwarder that decides by a baseline. Messages are numbered in the order in which they were submitted.
+pub(super) struct BaselineHost<B> {
+    baseline: B,
+    random: RandomSource,
+    settings: Settings,
+    messages: BTreeMap<u64, PendingMessage>,
     numbers: BTreeMap<MessageId, u64>,
-    /// Dispatches that are out for messages that have left.
-    left: BTreeMap<(MessageId, AttemptNumber), Left>,
-    /// Held and not out, in the order in which they were taken.
-    waiting: VecDeque<u64>,
-    known: BTreeMap<EndpointId, BuiltInPolicy>,
-    /// Endpoints of each destination, and those that have told a wait.
+    detached: BTreeMap<(MessageId, AttemptNumber), DetachedAttempt>,
+    /// Messages without an attempt in flight, in the order in which they came.
+    queue: VecDeque<u64>,
+    endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
-    told_waits: BTreeSet<EndpointId>,
-    /// Waits told by destinations whose endpoints share one.
-    waits: BTreeMap<DestinationId, Duration>,
-    lines: BTreeMap<OrderingKey, VecDeque<u64>>,
-    rests: BTreeMap<OrderingKey, (Duration, u64)>,
-    /// Calls out, with the attempts in each that have not ended.
-    calls: BTreeMap<u64, u32>,
-    call: u64,
-    taken: u64,
-    wake_at: Option<Duration>,
+    /// Endpoints that have sent a Retry-After of their own.
+    endpoints_with_retry_after: BTreeSet<EndpointId>,
+    /// End of the Retry-After of destinations whose endpoints share one.
+    retry_after: BTreeMap<DestinationId, Duration>,
+    ordering_queues: BTreeMap<OrderingKey, VecDeque<u64>>,
+    ordering_holds: BTreeMap<OrderingKey, OrderingHold>,
+    /// Requests in flight, with the attempts in each that have not ended.
+    requests: BTreeMap<u64, u32>,
+    last_request: u64,
+    last_number: u64,
+    timer_at: Option<Duration>,
 }
 
-impl<H: BaselinePolicy> BaselineHost<H> {
-    pub fn open(terms: Settings, habit: H) -> BaselineHost<H> {
+impl<B: BaselinePolicy> BaselineHost<B> {
+    /// A host that has not been told anything.
+    pub(super) fn new(settings: Settings, baseline: B) -> BaselineHost<B> {
         BaselineHost {
-            habit,
-            chance: Chance::seed_from_u64(terms.seed),
-            terms,
-            held: BTreeMap::new(),
+            baseline,
+            random: RandomSource::seed_from_u64(settings.seed),
+            settings,
+            messages: BTreeMap::new(),
             numbers: BTreeMap::new(),
-            left: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            known: BTreeMap::new(),
+            detached: BTreeMap::new(),
+            queue: VecDeque::new(),
+            endpoints: BTreeMap::new(),
             by_destination: BTreeMap::new(),
-            told_waits: BTreeSet::new(),
-            waits: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            rests: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            call: 0,
-            taken: 0,
-            wake_at: None,
+            endpoints_with_retry_after: BTreeSet::new(),
+            retry_after: BTreeMap::new(),
+            ordering_queues: BTreeMap::new(),
+            ordering_holds: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            last_request: 0,
+            last_number: 0,
+            timer_at: None,
         }
     }
 
-    fn effect(&self, envelope: &QueuedMessage) -> Idempotency {
-        self.terms.classes[envelope.category].idempotency.unwrap_or(Idempotency::NonIdempotent)
+    fn max_in_flight(&self) -> usize {
+        self.settings.max_in_flight.unwrap_or(u64::MAX) as usize
     }
 
-    fn may_run_again(&self, envelope: &QueuedMessage, now: Duration) -> bool {
-        match (self.effect(envelope), envelope.may_have_run) {
+    fn ordering_hold_off(&self) -> Duration {
+        self.settings.ordering_hold_off.unwrap_or_default()
+    }
+
+    // # Messages that end.
+
+    fn may_execute_again(&self, message: &PendingMessage, now: Duration) -> bool {
+        let class = &self.settings.classes[message.class];
+        let idempotency = class.idempotency.unwrap_or(Idempotency::NonIdempotent);
+        match (idempotency, message.possibly_executed_at) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::WithKey { window, .. }, Some(first)) => now < first + window,
             (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
-    fn leave(&mut self, number: u64) -> Option<QueuedMessage> {
-        let envelope = self.held.remove(&number)?;
-        self.numbers.remove(&envelope.id);
-        self.waiting.retain(|n| *n != number);
-        for no in &envelope.out {
-            let call = envelope.sent.get(no.0 as usize).map_or(0, |s| s.2);
-            let left = Left { call, number, key: envelope.key };
-            self.left.insert((envelope.id.clone(), *no), left);
+    /// Forgets a message, but for its attempts in flight.
+    fn remove(&mut self, number: u64) -> Option<PendingMessage> {
+        let message = self.messages.remove(&number)?;
+        self.numbers.remove(&message.id);
+        self.queue.retain(|queued| *queued != number);
+        for attempt in &message.in_flight {
+            let request = message.started.get(attempt.0 as usize).map_or(0, |started| started.request);
+            let detached = DetachedAttempt { request, number, ordering_key: message.ordering_key };
+            self.detached.insert((message.id.clone(), *attempt), detached);
         }
-        self.leave_line(envelope.key, number);
-        Some(envelope)
+        self.leave_ordering_queue(message.ordering_key, number);
+        Some(message)
     }
 
-    /// Takes a message out of its key's line once it is over and nothing is out for it.
-    fn leave_line(&mut self, key: Option<OrderingKey>, number: u64) {
-        let open = self.held.contains_key(&number) || self.left.values().any(|l| l.number == number);
-        if let Some(line) = key.and_then(|k| self.lines.get_mut(&k)).filter(|_| !open) {
-            line.retain(|n| *n != number);
+    /// Takes a message out of its key's queue once it is finished and nothing is in flight for it.
+    fn leave_ordering_queue(&mut self, key: Option<OrderingKey>, number: u64) {
+        let is_open = self.messages.contains_key(&number)
+            || self.detached.values().any(|detached| detached.number == number);
+        let queue = key.and_then(|key| self.ordering_queues.get_mut(&key));
+        if let Some(queue) = queue.filter(|_| !is_open) {
+            queue.retain(|queued| *queued != number);
         }
     }
 
-    /// A key rests after an end that may still be running.
-    fn rest(&mut self, key: Option<OrderingKey>, number: u64, outcome: AttemptOutcome, now: Duration) {
-        let unsure = matches!(
+    /// Holds a key after an attempt that may still be running.
+    fn hold_key(&mut self, key: Option<OrderingKey>, holder: u64, outcome: AttemptOutcome, now: Duration) {
+        let may_still_run = matches!(
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         );
-        if let Some(key) = key.filter(|_| unsure) {
-            self.rests.insert(key, (now + self.terms.ordering_hold_off.unwrap_or_default(), number));
+        if let Some(key) = key.filter(|_| may_still_run) {
+            let until = now + self.ordering_hold_off();
+            self.ordering_holds.insert(key, OrderingHold { until, holder });
         }
     }
 
-    fn give_up(&mut self, number: u64, now: Duration, host: &mut dyn PolicyHost) {
-        let Some(envelope) = self.leave(number) else { return };
-        let harmless = self.may_run_again(&envelope, now) && envelope.out.is_empty();
-        if harmless && now < envelope.outer_limit {
-            let until = self.waits.get(&envelope.destination).copied().unwrap_or_default();
-            let wait = self.terms.max_retry_after.map(|most| until.saturating_sub(now).min(most));
-            host.reject(&envelope.id, wait.filter(|w| !w.is_zero()));
+    /// Rejects a message where its client may submit it again without harm, and fails it otherwise.
+    fn give_final_answer(&mut self, number: u64, now: Duration, host: &mut dyn PolicyHost) {
+        let Some(message) = self.remove(number) else { return };
+        let harmless = self.may_execute_again(&message, now) && message.in_flight.is_empty();
+        if harmless && now < message.deadline {
+            let until = self.retry_after.get(&message.destination).copied().unwrap_or_default();
+            let wait = self.settings.max_retry_after.map(|max| until.saturating_sub(now).min(max));
+            host.reject(&message.id, wait.filter(|wait| !wait.is_zero()));
         } else {
-            host.fail(&envelope.id);
+            host.fail(&message.id);
+        }
+        for attempt in &message.in_flight {
+            host.cancel(&message.id, *attempt);
+        }
+    }
+
+    /// Ends what can no longer be sent, and makes room for new messages: the newest queued one goes first.
+    fn drop_undeliverable(&mut self, now: Duration, host: &mut dyn PolicyHost) {
+        let is_expired = |number: &&u64| {
+            let message = self.messages.get(*number);
+            message.is_none_or(|m| now >= m.deadline || !self.may_execute_again(m, now))
+        };
+        let expired: Vec<u64> = self.queue.iter().filter(is_expired).copied().collect();
+        for number in expired {
+            self.give_final_answer(number, now, host);
         }
-        for no in &envelope.out {
-            host.cancel(&envelope.id, *no);
+        let capacity = self.settings.capacity.unwrap_or(u64::MAX) as usize;
+        while self.messages.len() >= capacity {
+            let Some(newest) = self.queue.back().copied() else { break };
+            self.give_final_answer(newest, now, host);
         }
     }
 
-    fn key_free(&self, number: u64, envelope: &QueuedMessage, now: Duration) -> bool {
-        let Some(key) = envelope.key else { return true };
-        let first = self.lines.get(&key).and_then(|l| l.front()).is_none_or(|f| *f == number);
-        let rest = self.rests.get(&key);
-        first && rest.is_none_or(|(until, owner)| now >= *until || *owner == number)
+    // # What stands in the way of an attempt.
+
+    fn is_key_free(&self, number: u64, message: &PendingMessage, now: Duration) -> bool {
+        let Some(key) = message.ordering_key else { return true };
+        let front = self.ordering_queues.get(&key).and_then(|queue| queue.front());
+        let hold = self.ordering_holds.get(&key);
+        front.is_none_or(|front| *front == number)
+            && hold.is_none_or(|hold| now >= hold.until || hold.holder == number)
+    }
+
+    /// Endpoints that the list and Retry-After let a message go to.
+    fn candidates(&self, message: &PendingMessage, now: Duration) -> Vec<EndpointId> {
+        let shared = self.retry_after.get(&message.destination).copied().unwrap_or_default();
+        let is_candidate = |endpoint: &KnownEndpoint| {
+            let retry_after = if endpoint.circuit_per_endpoint { endpoint.retry_after } else { shared };
+            endpoint.state == EndpointState::Active && now >= retry_after
+        };
+        let endpoints = self.by_destination.get(&message.destination).into_iter().flatten();
+        endpoints.filter(|id| self.endpoints.get(id).is_some_and(is_candidate)).copied().collect()
+    }
+
+    /// A destination or an endpoint has asked to be left alone for so long.
+    fn note_retry_after(&mut self, id: EndpointId, wait: Duration, now: Duration) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let until = if endpoint.circuit_per_endpoint {
+            self.endpoints_with_retry_after.insert(id);
+            &mut endpoint.retry_after
+        } else {
+            self.retry_after.entry(endpoint.destination).or_default()
+        };
+        *until = (*until).max(now + wait);
     }
 
-    /// One attempt of a call has ended.
-    fn close_part(&mut self, call: u64) {
-        if let Some(left) = self.calls.get_mut(&call) {
-            *left -= 1;
-            if *left == 0 {
-                self.calls.remove(&call);
+    // # Requests and attempts.
+
+    /// One attempt of a request has ended.
+    fn release_request(&mut self, request: u64) {
+        if let Some(unfinished) = self.requests.get_mut(&request) {
+            *unfinished -= 1;
+            if *unfinished == 0 {
+                self.requests.remove(&request);
             }
         }
     }
 
-    fn able(&self, envelope: &QueuedMessage, now: Duration) -> Vec<EndpointId> {
-        let shared = self.waits.get(&envelope.destination).copied().unwrap_or_default();
-        let open = |t: &BuiltInPolicy| {
-            t.standing == EndpointState::Active && now >= if t.apart { t.wait_until } else { shared }
+    /// Queued messages in the order in which they are to be sent, while another request may leave.
+    fn sending_order(&self) -> Vec<u64> {
+        if self.requests.len() >= self.max_in_flight() {
+            return Vec::new();
+        }
+        let urgency = |number: &u64| {
+            self.messages.get(number).map_or(Duration::MAX, |message| self.baseline.urgency(message))
         };
-        let targets = self.by_destination.get(&envelope.destination).into_iter().flatten();
-        targets.filter(|id| self.known.get(id).is_some_and(open)).copied().collect()
+        let positions = self.queue.iter().enumerate();
+        let mut order: Vec<(Duration, usize, u64)> =
+            positions.map(|(position, number)| (urgency(number), position, *number)).collect();
+        order.sort();
+        order.into_iter().map(|(_, _, number)| number).collect()
+    }
+
+    /// Chooses an endpoint for a message, if it may go to one now.
+    fn select_endpoint(
+        &mut self,
+        number: u64,
+        now: Duration,
+        world: &dyn WorldView,
+        batches: &DepartingBatches,
+    ) -> Option<EndpointId> {
+        let message = self.messages.get(&number)?;
+        if now < message.not_before || !self.is_key_free(number, message, now) {
+            return None;
+        }
+        let mut candidates = self.candidates(message, now);
+        if self.requests.len() >= self.max_in_flight() {
+            candidates.retain(|endpoint| batches.has_room(*endpoint));
+        }
+        if candidates.is_empty() {
+            return None;
+        }
+        let view = SelectionView { candidates: &candidates, batches: batches.free_places(), now, world };
+        self.baseline.select(message, &view, &mut self.random)
+    }
+
+    /// Starts an attempt, in the request that is being filled for the endpoint or in a new one.
+    fn start_attempt(
+        &mut self,
+        number: u64,
+        endpoint: EndpointId,
+        now: Duration,
+        batches: &mut DepartingBatches,
+        host: &mut dyn PolicyHost,
+    ) {
+        let Some(message) = self.messages.get_mut(&number) else { return };
+        let objective = self.settings.classes[message.class].latency_objective.unwrap_or_default();
+        let timeout = self.baseline.attempt_timeout(objective).min(message.deadline - now);
+        let max_batch = self.endpoints.get(&endpoint).map_or(1, |known| known.max_batch);
+        let request = batches.join_or_open(endpoint, max_batch, &mut self.last_request);
+        *self.requests.entry(request).or_default() += 1;
+        message.in_flight.insert(AttemptNumber(message.attempts));
+        message.attempts += 1;
+        message.started.push(StartedAttempt { endpoint, at: now, request });
+        let id = message.id.clone();
+        self.queue.retain(|queued| *queued != number);
+        let timeouts =
+            AttemptTimeouts { request: RequestId(request), start_within: timeout, response_within: timeout };
+        host.start_attempt(&id, endpoint, timeouts);
+    }
+
+    /// Queues a message for its retry, or gives its final answer.
+    fn retry_or_finish(
+        &mut self,
+        number: u64,
+        outcome: AttemptOutcome,
+        now: Duration,
+        host: &mut dyn PolicyHost,
+    ) {
+        let max_attempts = self.settings.max_attempts.unwrap_or(u64::MAX);
+        let Some(message) = self.messages.get_mut(&number) else { return };
+        let mut delay = None;
+        if u64::from(message.attempts) < max_attempts {
+            delay = self.baseline.retry_after(message, outcome, &mut self.random);
+        }
+        let Some(delay) = delay else { return self.give_final_answer(number, now, host) };
+        message.not_before = now + delay;
+        self.queue.push_back(number);
+        if self.messages.get(&number).is_some_and(|message| !self.may_execute_again(message, now)) {
+            self.give_final_answer(number, now, host);
+        }
     }
 
-    fn next_wake(&self, now: Duration) -> Option<Duration> {
-        let told = self.told_waits.iter().filter_map(|id| self.known.get(id)).map(|t| &t.wait_until);
-        let waits = self.waits.values().chain(told).copied();
-        let held = self.waiting.iter().filter_map(|n| self.held.get(n));
-        let times = held.flat_map(|e| [e.outer_limit, e.not_before]);
-        let rests = self.rests.values().map(|r| r.0);
-        let look = (!self.waiting.is_empty()).then(|| now + self.habit.looks_every());
-        waits.chain(times).chain(rests).chain(look).filter(|at| *at > now).min()
+    /// When something may change that the host is not told of.
+    fn next_timer(&self, now: Duration) -> Option<Duration> {
+        let own = self.endpoints_with_retry_after.iter().filter_map(|id| self.endpoints.get(id));
+        let own = own.map(|endpoint| endpoint.retry_after);
+        let queued = self.queue.iter().filter_map(|number| self.messages.get(number));
+        let queued = queued.flat_map(|message| [message.deadline, message.not_before]);
+        let holds = self.ordering_holds.values().map(|hold| hold.until);
+        let poll = (!self.queue.is_empty()).then(|| now + self.baseline.poll_interval());
+        let times = self.retry_after.values().copied().chain(own).chain(queued).chain(holds).chain(poll);
+        times.filter(|at| *at > now).min()
     }
 }
 
-impl<H: BaselinePolicy> Policy for BaselineHost<H> {
-    fn list(&mut self, _now: Duration, whole: bool, lines: &[ListLine], _host: &mut dyn PolicyHost) {
-        if whole {
-            self.known.values_mut().for_each(|t| t.standing = EndpointState::Removed);
+impl<B: BaselinePolicy> Policy for BaselineHost<B> {
+    fn update_endpoint_list(
+        &mut self,
+        _now: Duration,
+        complete: bool,
+        endpoints: &[ListedEndpoint],
+        _host: &mut dyn PolicyHost,
+    ) {
+        if complete {
+            self.endpoints.values_mut().for_each(|known| known.state = EndpointState::Removed);
         }
-        for line in lines {
-            let kind = self.terms.endpoint_kinds.iter().find(|k| k.name == line.kind);
-            let (apart, batch) = kind.map_or((false, None), |k| (k.circuit_per_endpoint, k.max_batch));
-            let known = self.known.entry(line.target).or_insert(BuiltInPolicy {
-                destination: line.destination,
-                standing: line.standing,
-                apart,
-                batch: batch.unwrap_or(1).max(1) as usize,
-                wait_until: Duration::ZERO,
+        for listed in endpoints {
+            let kind = self.settings.endpoint_kinds.iter().find(|kind| kind.name == listed.kind);
+            let known = self.endpoints.entry(listed.endpoint).or_insert_with(|| KnownEndpoint {
+                destination: listed.destination,
+                state: listed.state,
+                circuit_per_endpoint: kind.is_some_and(|kind| kind.circuit_per_endpoint),
+                max_batch: kind.and_then(|kind| kind.max_batch).unwrap_or(1).max(1) as usize,
+                retry_after: Duration::ZERO,
             });
-            known.standing = line.standing;
-            self.by_destination.entry(known.destination).or_default().insert(line.target);
+            known.state = listed.state;
+            self.by_destination.entry(known.destination).or_default().insert(listed.endpoint);
         }
     }
 
-    fn submit(&mut self, _now: Duration, e: &Submission, host: &mut dyn PolicyHost) {
-        let Some(category) = self.terms.classes.iter().position(|c| c.name == e.category) else {
-            return host.fail(&e.id);
+    fn submit(&mut self, _now: Duration, submission: &Submission, host: &mut dyn PolicyHost) {
+        let classes = &self.settings.classes;
+        let Some(index) = classes.iter().position(|class| class.name == submission.class) else {
+            return host.fail(&submission.id);
         };
-        self.taken += 1;
-        let number = self.taken;
-        let terms = &self.terms.classes[category];
-        let limit = terms.deadline.unwrap_or_default();
-        let key = e.key.filter(|_| terms.ordered);
-        if let Some(key) = key {
-            self.lines.entry(key).or_default().push_back(number);
+        let class = &classes[index];
+        let ordering_key = submission.ordering_key.filter(|_| class.ordered);
+        let time_to_deadline = class.deadline.unwrap_or_default();
+        let submitted_at = submission.deadline.saturating_sub(time_to_deadline);
+        self.last_number += 1;
+        let number = self.last_number;
+        if let Some(key) = ordering_key {
+            self.ordering_queues.entry(key).or_default().push_back(number);
         }
-        let held = QueuedMessage {
-            id: e.id.clone(),
-            category,
-            key,
-            destination: e.destination,
-            outer_limit: e.outer_limit,
-            promised_by: e.outer_limit.saturating_sub(limit) + terms.latency_objective.unwrap_or(limit),
-            dispatches: 0,
+        let message = PendingMessage {
+            id: submission.id.clone(),
+            class: index,
+            ordering_key,
+            destination: submission.destination,
+            deadline: submission.deadline,
+            objective_at: submitted_at + class.latency_objective.unwrap_or(time_to_deadline),
+            attempts: 0,
             not_before: Duration::ZERO,
-            out: BTreeSet::new(),
-            sent: Vec::new(),
-            may_have_run: None,
+            in_flight: BTreeSet::new(),
+            started: Vec::new(),
+            possibly_executed_at: None,
         };
-        self.held.insert(number, held);
-        self.numbers.insert(e.id.clone(), number);
-        self.waiting.push_back(number);
+        self.messages.insert(number, message);
+        self.numbers.insert(submission.id.clone(), number);
+        self.queue.push_back(number);
     }
 
     fn restore(
         &mut self,
         now: Duration,
         id: &MessageId,
-        past: &[PreviousAttempt],
+        previous: &[PreviousAttempt],
         host: &mut dyn PolicyHost,
     ) {
         let Some(number) = self.numbers.get(id).copied() else { return };
-        let rest = now + self.terms.ordering_hold_off.unwrap_or_default();
-        let Some(envelope) = self.held.get_mut(&number) else { return };
-        envelope.dispatches = past.len() as u32;
-        envelope.sent = past.iter().map(|p| (p.endpoint, p.started_at, 0)).collect();
-        envelope.may_have_run = past.iter().filter(|p| !p.proves_not_executed).map(|p| p.started_at).min();
-        if let (Some(key), Some(_)) = (envelope.key, envelope.may_have_run) {
-            self.rests.insert(key, (rest, number));
+        let until = now + self.ordering_hold_off();
+        let Some(message) = self.messages.get_mut(&number) else { return };
+        message.restore(previous);
+        if let (Some(key), Some(_)) = (message.ordering_key, message.possibly_executed_at) {
+            self.ordering_holds.insert(key, OrderingHold { until, holder: number });
         }
-        let again = self.held.get(&number).is_some_and(|e| self.may_run_again(e, now));
-        if !again {
-            self.give_up(number, now, host);
+        if self.messages.get(&number).is_some_and(|message| !self.may_execute_again(message, now)) {
+            self.give_final_answer(number, now, host);
         }
     }
 
@@ -299,142 +405,68 @@
         &mut self,
         now: Duration,
         id: &MessageId,
-        no: AttemptNumber,
+        number: AttemptNumber,
         outcome: AttemptOutcome,
-        over: bool,
+        finished: bool,
         host: &mut dyn PolicyHost,
     ) {
-        if let Some(left) = self.left.remove(&(id.clone(), no)) {
-            self.close_part(left.call);
-            self.rest(left.key, left.number, outcome, now);
-            self.leave_line(left.key, left.number);
+        if let Some(detached) = self.detached.remove(&(id.clone(), number)) {
+            self.release_request(detached.request);
+            self.hold_key(detached.ordering_key, detached.number, outcome, now);
+            self.leave_ordering_queue(detached.ordering_key, detached.number);
         }
-        let Some(number) = self.numbers.get(id).copied() else { return };
-        let Some(envelope) = self.held.get_mut(&number) else { return };
-        envelope.out.remove(&no);
-        let Some((target, sent, call)) = envelope.sent.get(no.0 as usize).copied() else { return };
-        self.close_part(call);
-        let Some(envelope) = self.held.get_mut(&number) else { return };
+        let Some(message_number) = self.numbers.get(id).copied() else { return };
+        let Some(message) = self.messages.get_mut(&message_number) else { return };
+        message.in_flight.remove(&number);
+        let Some(attempt) = message.started.get(number.0 as usize).copied() else { return };
         if !outcome.proves_not_executed() {
-            envelope.may_have_run = Some(envelope.may_have_run.map_or(sent, |first| first.min(sent)));
-        }
-        let key = envelope.key;
-        self.rest(key, number, outcome, now);
-        if let Some(known) = self.known.get_mut(&target) {
-            if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
-                let until = if known.apart {
-                    self.told_waits.insert(target);
-                    &mut known.wait_until
-                } else {
-                    self.waits.entry(known.destination).or_default()
-                };
-                *until = (*until).max(now + wait);
-            }
+            let first = message.possibly_executed_at.map_or(attempt.at, |first| first.min(attempt.at));
+            message.possibly_executed_at = Some(first);
         }
-        self.habit.ended(target, outcome, now);
-        if over {
-            self.leave(number);
-            return;
+        let ordering_key = message.ordering_key;
+        self.release_request(attempt.request);
+        self.hold_key(ordering_key, message_number, outcome, now);
+        if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
+            self.note_retry_after(attempt.endpoint, wait, now);
         }
-        let cap = self.terms.max_attempts.unwrap_or(u64::MAX);
-        let left = self.held.get(&number).filter(|e| u64::from(e.dispatches) < cap);
-        let again = left.and_then(|e| self.habit.again(e, outcome, &mut self.chance));
-        let Some(envelope) = self.held.get_mut(&number) else { return };
-        match again {
-            Some(after) => {
-                envelope.not_before = now + after;
-                self.waiting.push_back(number);
-                if self.held.get(&number).is_some_and(|e| !self.may_run_again(e, now)) {
-                    self.give_up(number, now, host);
-                }
-            }
-            None => self.give_up(number, now, host),
+        self.baseline.attempt_finished(attempt.endpoint, outcome, now);
+        if finished {
+            self.remove(message_number);
+        } else {
+            self.retry_or_finish(message_number, outcome, now, host);
         }
     }
 
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
         let Some(number) = self.numbers.get(id).copied() else { return };
-        if let Some(envelope) = self.leave(number) {
-            for no in &envelope.out {
-                host.cancel(id, *no);
+        if let Some(message) = self.remove(number) {
+            for attempt in &message.in_flight {
+                host.cancel(id, *attempt);
             }
         }
     }
 
     fn timer_fired(&mut self, _now: Duration) {
-        self.wake_at = None;
+        self.timer_at = None;
     }
 
-    fn health_checked(&mut self, _now: Duration, _target: EndpointId, _well: bool) {}
+    fn health_checked(&mut self, _now: Duration, _endpoint: EndpointId, _healthy: bool) {}
 
-    fn gossip_received(&mut self, _now: Duration, _from: PeerId, _note: &[u8]) {}
+    fn gossip_received(&mut self, _now: Duration, _from: PeerId, _gossip: &[u8]) {}
 
-    fn run_due_work(&mut self, now: Duration, sight: &dyn WorldView, host: &mut dyn PolicyHost) {
-        self.rests.retain(|_, (until, _)| *until > now);
-        let past =
-            |n: &u64| self.held.get(n).is_none_or(|e| now >= e.outer_limit || !self.may_run_again(e, now));
-        let hopeless: Vec<u64> = self.waiting.iter().filter(|n| past(n)).copied().collect();
-        for number in hopeless {
-            self.give_up(number, now, host);
-        }
-        let room = self.terms.capacity.unwrap_or(u64::MAX) as usize;
-        while self.held.len() >= room {
-            let Some(last) = self.waiting.back().copied() else { break };
-            self.give_up(last, now, host);
-        }
-        let slots = self.terms.max_in_flight.unwrap_or(u64::MAX) as usize;
-        let mut order: Vec<(Duration, usize, u64)> = Vec::new();
-        if self.calls.len() < slots {
-            let urgency = |n: &u64| self.held.get(n).map_or(Duration::MAX, |e| self.habit.urgency(e));
-            order = self.waiting.iter().enumerate().map(|(place, n)| (urgency(n), place, *n)).collect();
-            order.sort();
-        }
-        // The call that this turn fills for each endpoint, and the places left in it.
-        let mut numbers: BTreeMap<EndpointId, u64> = BTreeMap::new();
-        let mut forming: BTreeMap<EndpointId, usize> = BTreeMap::new();
-        for (_, _, number) in order {
-            let Some(envelope) = self.held.get(&number) else { continue };
-            if now < envelope.not_before || !self.key_free(number, envelope, now) {
-                continue;
-            }
-            let mut able = self.able(envelope, now);
-            if self.calls.len() >= slots {
-                able.retain(|t| forming.get(t).is_some_and(|places| *places > 0));
-            }
-            if able.is_empty() {
-                continue;
-            }
-            let view = View { able: &able, forming: &forming, now, sight };
-            let Some(target) = self.habit.pick(envelope, &view, &mut self.chance) else { continue };
-            let promised = self.terms.classes[envelope.category].latency_objective.unwrap_or_default();
-            let time_out = self.habit.time_out(promised).min(envelope.outer_limit - now);
-            let Some(envelope) = self.held.get_mut(&number) else { continue };
-            envelope.out.insert(AttemptNumber(envelope.dispatches));
-            envelope.dispatches += 1;
-            let places = forming.entry(target).or_default();
-            if *places == 0 {
-                self.call += 1;
-                numbers.insert(target, self.call);
-                *places = self.known.get(&target).map_or(1, |t| t.batch);
+    fn run_due_work(&mut self, now: Duration, world: &dyn WorldView, host: &mut dyn PolicyHost) {
+        self.ordering_holds.retain(|_, hold| hold.until > now);
+        self.drop_undeliverable(now, host);
+        let mut batches = DepartingBatches::default();
+        for number in self.sending_order() {
+            if let Some(endpoint) = self.select_endpoint(number, now, world, &batches) {
+                self.start_attempt(number, endpoint, now, &mut batches, host);
             }
-            *places -= 1;
-            let call = numbers.get(&target).copied().unwrap_or_default();
-            *self.calls.entry(call).or_default() += 1;
-            envelope.sent.push((target, now, call));
-            let id = envelope.id.clone();
-            self.waiting.retain(|n| *n != number);
-            host.start_attempt(
-                &id,
-                target,
-                AttemptTimeouts {
-                    request: RequestId(call),
-                    start_within: time_out,
-                    response_within: time_out,
-                },
-            );
         }
-        if let Some(at) = self.next_wake(now).filter(|at| self.wake_at.is_none_or(|w| *at < w || w <= now)) {
-            self.wake_at = Some(at);
+        let due = self.next_timer(now);
+        let is_earlier = |at: &Duration| self.timer_at.is_none_or(|timer| *at < timer || timer <= now);
+        if let Some(at) = due.filter(is_earlier) {
+            self.timer_at = Some(at);
             host.set_timer(at - now);
         }
     }
--- /dev/null
+++ b/crates/simulation/src/policies/baseline_policy.rs
@@ -0,0 +1,98 @@
+//! How a baseline differs from the others: which endpoint it chooses, and when it retries.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use reeddock::{
+    AttemptNumber, AttemptOutcome, DestinationId, EndpointId, MessageId, OrderingKey, PreviousAttempt,
+};
+
+use crate::distribution::RandomSource;
+use crate::policy::WorldView;
+
+/// An attempt that a baseline has started.
+#[derive(Clone, Copy)]
+pub(super) struct StartedAttempt {
+    pub(super) endpoint: EndpointId,
+    pub(super) at: Duration,
+    /// The request that carries it; 0 where it was started before a restart.
+    pub(super) request: u64,
+}
+
+/// A message without a final answer, queued or in flight.
+pub struct PendingMessage {
+    pub(super) id: MessageId,
+    /// Index of its class in the settings.
+    pub(super) class: usize,
+    pub(super) ordering_key: Option<OrderingKey>,
+    pub(super) destination: DestinationId,
+    pub(super) deadline: Duration,
+    pub(super) objective_at: Duration,
+    /// Attempts started.
+    pub(super) attempts: u32,
+    /// No retry before this.
+    pub(super) not_before: Duration,
+    pub(super) in_flight: BTreeSet<AttemptNumber>,
+    /// By attempt number.
+    pub(super) started: Vec<StartedAttempt>,
+    /// Start of the first attempt that may have been executed.
+    pub(super) possibly_executed_at: Option<Duration>,
+}
+
+impl PendingMessage {
+    /// Takes over the attempts before a restart.
+    pub(super) fn restore(&mut self, previous: &[PreviousAttempt]) {
+        self.attempts = previous.len() as u32;
+        let started =
+            |p: &PreviousAttempt| StartedAttempt { endpoint: p.endpoint, at: p.started_at, request: 0 };
+        self.started = previous.iter().map(started).collect();
+        let possibly_executed = previous.iter().filter(|p| !p.proves_not_executed);
+        self.possibly_executed_at = possibly_executed.map(|p| p.started_at).min();
+    }
+}
+
+/// What a baseline may look at when it chooses an endpoint.
+pub struct SelectionView<'v> {
+    /// Endpoints that the rules let the message go to.
+    pub(super) candidates: &'v [EndpointId],
+    /// Free places in the batches that are being filled now.
+    pub(super) batches: &'v BTreeMap<EndpointId, usize>,
+    pub(super) now: Duration,
+    /// The true state; only [`UpperBound`](super::BuiltInPolicy::UpperBound) looks.
+    pub(super) world: &'v dyn WorldView,
+}
+
+/// How a baseline differs from the others.
+pub trait BaselinePolicy: Send {
+    /// Which of the candidates gets the message now; none: it stays queued.
+    fn select(
+        &mut self,
+        message: &PendingMessage,
+        view: &SelectionView,
+        random: &mut RandomSource,
+    ) -> Option<EndpointId>;
+
+    /// An attempt has ended.
+    fn attempt_finished(&mut self, endpoint: EndpointId, outcome: AttemptOutcome, now: Duration);
+
+    /// After how long a message whose attempt ended so is retried; none: never.
+    fn retry_after(
+        &mut self,
+        message: &PendingMessage,
+        outcome: AttemptOutcome,
+        random: &mut RandomSource,
+    ) -> Option<Duration>;
+
+    /// The order in which messages are sent: first those with the least.
+    fn urgency(&self, _message: &PendingMessage) -> Duration {
+        Duration::ZERO
+    }
+
+    /// Timeout of an attempt for a message with this latency objective.
+    fn attempt_timeout(&self, latency_objective: Duration) -> Duration {
+        latency_objective
+    }
+
+    /// How often it looks for work while anything is queued.
+    fn poll_interval(&self) -> Duration;
+}
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -1,189 +1,230 @@
-//! What forwarders could tell each other of destinations that are down: the same circuit, kept by each alone or
-//! fed by all. A baseline that shows what sharing is worth; nothing of it reaches the daemon.
+//! What forwarders could tell each other of destinations that are down: the same circuit breaker, fed by each
+//! forwarder alone or by all. A baseline that shows what sharing is worth; nothing of it reaches the daemon.
 
 use std::collections::{BTreeMap, VecDeque};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use rand::RngExt;
-use reeddock::{AttemptOutcome, EndpointId, PolicyHost, Settings};
+use reeddock::{AttemptOutcome, EndpointId, Settings};
 
-use super::baseline_host::{BaselineHost, BaselinePolicy, QueuedMessage, View};
-use super::baseline_policies::back_off;
-use crate::distribution::Chance;
+use super::baseline_host::BaselineHost;
+use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView};
+use super::baselines::backoff;
+use crate::distribution::RandomSource;
 use crate::policy::Policy;
 
-/// Failures within the window that restrain an endpoint.
-const THRESHOLD: usize = 3;
-/// From a failure or a trial to the next trial.
+/// Failures within the window that open a circuit.
+const FAILURES_TO_OPEN: usize = 3;
+/// From a failure or a half-open trial to the next trial.
 const RECOVERY_DELAY: Duration = Duration::from_secs(5);
 /// Failures count together for so long.
-const WINDOW: Duration = Duration::from_secs(50);
-/// A record that can no longer matter is dropped after so much longer.
-const RECORD_MARGIN: Duration = Duration::from_secs(5);
-/// News kept for each endpoint.
-const NEWS_KEPT: usize = 64;
-/// How often a forwarder that holds something looks at the record.
-const LOOK: Duration = Duration::from_millis(250);
+const FAILURE_WINDOW: Duration = Duration::from_secs(50);
+/// A circuit that can no longer matter is dropped after so much longer.
+const EXPIRY_MARGIN: Duration = Duration::from_secs(5);
+/// Events kept for each endpoint.
+const MAX_KEPT_EVENTS: usize = 64;
+/// How often a forwarder with queued messages looks at its circuits.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum News {
+enum CircuitEvent {
     Failed,
     Succeeded,
-    /// A trial left.
-    Tried,
+    TrialStarted,
 }
 
-struct Told {
+/// An event, and which member reported it.
+struct ReportedEvent {
     at: Duration,
-    from: usize,
-    news: News,
+    member: usize,
+    event: CircuitEvent,
 }
 
 /// What an endpoint's circuit says to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitAdmission {
-    Send,
-    Trial,
-    Hold,
+    /// The circuit is closed.
+    Admit,
+    /// The circuit is half-open: one attempt may try.
+    HalfOpenTrial,
+    /// The circuit is open.
+    Wait,
+}
+
+/// A circuit as it follows from the events that have reached a member.
+#[derive(Default)]
+struct Circuit {
+    /// Failures within the window.
+    failures: Vec<Duration>,
+    open_until: Option<Duration>,
+    last_event_at: Duration,
 }
 
-/// The news of all members, and how long they take from one to another.
+impl Circuit {
+    fn apply(&mut self, at: Duration, event: CircuitEvent) {
+        if self.is_expired(at) {
+            self.close();
+        }
+        self.last_event_at = self.last_event_at.max(at);
+        match event {
+            CircuitEvent::Succeeded => self.close(),
+            CircuitEvent::TrialStarted => self.open_until = Some(at + RECOVERY_DELAY),
+            CircuitEvent::Failed => {
+                self.failures.push(at);
+                self.failures.retain(|failure| at.saturating_sub(*failure) <= FAILURE_WINDOW);
+                if self.open_until.is_some() || self.failures.len() >= FAILURES_TO_OPEN {
+                    self.open_until = self.open_until.max(Some(at + RECOVERY_DELAY));
+                }
+            }
+        }
+    }
+
+    fn close(&mut self) {
+        self.failures.clear();
+        self.open_until = None;
+    }
+
+    fn is_expired(&self, now: Duration) -> bool {
+        let matters_until = self.open_until.unwrap_or_default().max(self.last_event_at + FAILURE_WINDOW);
+        now > matters_until + EXPIRY_MARGIN
+    }
+
+    fn admission(&self, now: Duration) -> CircuitAdmission {
+        match self.open_until {
+            Some(_) if self.is_expired(now) => CircuitAdmission::Admit,
+            Some(until) if now < until => CircuitAdmission::Wait,
+            Some(_) => CircuitAdmission::HalfOpenTrial,
+            None => CircuitAdmission::Admit,
+        }
+    }
+}
+
+/// The events that all members have reported, and how long they take from one to another.
 pub struct CircuitExchange {
     delay: Duration,
     members: usize,
-    told: BTreeMap<EndpointId, VecDeque<Told>>,
+    events: BTreeMap<EndpointId, VecDeque<ReportedEvent>>,
 }
 
 impl CircuitExchange {
-    /// An exchange whose news reach other members after this delay.
+    /// An exchange whose events reach other members after this delay.
     pub fn new(delay: Duration) -> CircuitExchange {
-        CircuitExchange { delay, members: 0, told: BTreeMap::new() }
+        CircuitExchange { delay, members: 0, events: BTreeMap::new() }
     }
 
-    /// The number of a further member.
+    /// Adds a member and gives its number.
     pub fn join(&mut self) -> usize {
         self.members += 1;
         self.members - 1
     }
 
-    fn tell(&mut self, target: EndpointId, at: Duration, from: usize, news: News) {
-        let told = self.told.entry(target).or_default();
-        // Nothing is known against it, so that a success is no news.
-        if news == News::Succeeded && told.is_empty() {
-            return;
-        }
-        told.push_back(Told { at, from, news });
-        if told.len() > NEWS_KEPT {
-            told.pop_front();
+    /// What the circuit of an endpoint says at one member, by the events that have reached it.
+    pub fn admission(&self, endpoint: EndpointId, now: Duration, member: usize) -> CircuitAdmission {
+        let Some(events) = self.events.get(&endpoint) else { return CircuitAdmission::Admit };
+        let mut circuit = Circuit::default();
+        for reported in events.iter().filter(|e| e.member == member || e.at + self.delay <= now) {
+            circuit.apply(reported.at, reported.event);
         }
+        circuit.admission(now)
     }
 
-    /// What the circuit of an endpoint is at one member, by the news that have reached it.
-    pub fn leave(&self, target: EndpointId, now: Duration, member: usize) -> CircuitAdmission {
-        let Some(told) = self.told.get(&target) else { return CircuitAdmission::Send };
-        let reached = told.iter().filter(|t| t.from == member || t.at + self.delay <= now);
-        let mut failures: Vec<Duration> = Vec::new();
-        let mut restrained_until: Option<Duration> = None;
-        let mut last_write = Duration::ZERO;
-        let expired = |until: Option<Duration>, last: Duration, now: Duration| {
-            now > until.unwrap_or_default().max(last + WINDOW) + RECORD_MARGIN
-        };
-        for news in reached {
-            if expired(restrained_until, last_write, news.at) {
-                failures.clear();
-                restrained_until = None;
-            }
-            last_write = last_write.max(news.at);
-            match news.news {
-                News::Succeeded => {
-                    failures.clear();
-                    restrained_until = None;
-                }
-                News::Tried => restrained_until = Some(news.at + RECOVERY_DELAY),
-                News::Failed => {
-                    failures.push(news.at);
-                    failures.retain(|at| news.at.saturating_sub(*at) <= WINDOW);
-                    if restrained_until.is_some() || failures.len() >= THRESHOLD {
-                        restrained_until = restrained_until.max(Some(news.at + RECOVERY_DELAY));
-                    }
-                }
-            }
-        }
-        match restrained_until {
-            Some(_) if expired(restrained_until, last_write, now) => CircuitAdmission::Send,
-            Some(until) if now < until => CircuitAdmission::Hold,
-            Some(_) => CircuitAdmission::Trial,
-            None => CircuitAdmission::Send,
-        }
-    }
-
-    /// A attempt is about to leave as a trial.
-    pub fn tried(&mut self, target: EndpointId, now: Duration, member: usize) {
-        self.tell(target, now, member, News::Tried);
+    /// A member starts a half-open trial.
+    pub fn trial_started(&mut self, endpoint: EndpointId, now: Duration, member: usize) {
+        self.report(endpoint, now, member, CircuitEvent::TrialStarted);
     }
 
-    /// A attempt has ended at one member.
-    pub fn ended(&mut self, target: EndpointId, now: Duration, member: usize, outcome: AttemptOutcome) {
+    /// An attempt has ended at one member.
+    pub fn attempt_finished(
+        &mut self,
+        endpoint: EndpointId,
+        now: Duration,
+        member: usize,
+        outcome: AttemptOutcome,
+    ) {
         match outcome {
-            AttemptOutcome::Completed => self.tell(target, now, member, News::Succeeded),
+            AttemptOutcome::Completed => self.report(endpoint, now, member, CircuitEvent::Succeeded),
             AttemptOutcome::Error
             | AttemptOutcome::TimedOut
             | AttemptOutcome::ConnectionReset
-            | AttemptOutcome::NoConnection => {
-                self.tell(target, now, member, News::Failed);
-            }
+            | AttemptOutcome::NoConnection => self.report(endpoint, now, member, CircuitEvent::Failed),
             AttemptOutcome::Rejected { .. }
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent
             | AttemptOutcome::Malformed => {}
         }
     }
+
+    fn report(&mut self, endpoint: EndpointId, at: Duration, member: usize, event: CircuitEvent) {
+        let events = self.events.entry(endpoint).or_default();
+        // Nothing is known against the endpoint, so that a success changes nothing.
+        if event == CircuitEvent::Succeeded && events.is_empty() {
+            return;
+        }
+        events.push_back(ReportedEvent { at, member, event });
+        if events.len() > MAX_KEPT_EVENTS {
+            events.pop_front();
+        }
+    }
 }
 
 /// An exchange that the forwarders of one run hold together.
 pub type SharedExchange = Arc<Mutex<CircuitExchange>>;
 
-/// Opens a forwarder whose circuits are fed by an exchange; by one of its own it knows only what it saw itself.
-pub fn circuit(exchange: &SharedExchange, terms: Settings, _host: &mut dyn PolicyHost) -> Box<dyn Policy> {
-    let member = exchange.lock().unwrap_or_else(PoisonError::into_inner).join();
-    Box::new(BaselineHost::open(terms, FedCircuit { exchange: exchange.clone(), member }))
+/// Opens a forwarder whose circuits are fed by an exchange; with an exchange of its own it knows only what it saw
+/// itself.
+pub fn open_sharing_policy(exchange: &SharedExchange, settings: Settings) -> Box<dyn Policy> {
+    let member = locked(exchange).join();
+    Box::new(BaselineHost::new(settings, SharingBreaker { exchange: exchange.clone(), member }))
+}
+
+/// A panic elsewhere leaves events that are still whole.
+fn locked(exchange: &SharedExchange) -> MutexGuard<'_, CircuitExchange> {
+    exchange.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct FedCircuit {
+/// Any endpoint whose circuit is closed, else a half-open trial; retries with backoff.
+struct SharingBreaker {
     exchange: SharedExchange,
     member: usize,
 }
 
-impl BaselinePolicy for FedCircuit {
-    fn pick(&mut self, _: &QueuedMessage, view: &View, chance: &mut Chance) -> Option<EndpointId> {
-        let mut exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner);
-        let leave = |t: &EndpointId| exchange.leave(*t, view.now, self.member);
-        let open: Vec<EndpointId> =
-            view.able.iter().filter(|t| leave(t) == CircuitAdmission::Send).copied().collect();
-        if !open.is_empty() {
-            return Some(open[chance.random_range(0..open.len())]);
+impl BaselinePolicy for SharingBreaker {
+    fn select(
+        &mut self,
+        _: &PendingMessage,
+        view: &SelectionView,
+        random: &mut RandomSource,
+    ) -> Option<EndpointId> {
+        let mut exchange = locked(&self.exchange);
+        let admission = |endpoint: &EndpointId| exchange.admission(*endpoint, view.now, self.member);
+        let closed: Vec<EndpointId> = (view.candidates.iter())
+            .filter(|endpoint| admission(endpoint) == CircuitAdmission::Admit)
+            .copied()
+            .collect();
+        if !closed.is_empty() {
+            return Some(closed[random.random_range(0..closed.len())]);
         }
-        let trial = view.able.iter().find(|t| leave(t) == CircuitAdmission::Trial).copied()?;
-        exchange.tried(trial, view.now, self.member);
+        let is_half_open = |endpoint: &&EndpointId| admission(endpoint) == CircuitAdmission::HalfOpenTrial;
+        let trial = view.candidates.iter().find(is_half_open).copied()?;
+        exchange.trial_started(trial, view.now, self.member);
         Some(trial)
     }
 
-    fn ended(&mut self, target: EndpointId, outcome: AttemptOutcome, now: Duration) {
-        let mut exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner);
-        exchange.ended(target, now, self.member, outcome);
+    fn attempt_finished(&mut self, endpoint: EndpointId, outcome: AttemptOutcome, now: Duration) {
+        locked(&self.exchange).attempt_finished(endpoint, now, self.member, outcome);
     }
 
-    fn again(
+    fn retry_after(
         &mut self,
-        envelope: &QueuedMessage,
+        message: &PendingMessage,
         _: AttemptOutcome,
-        chance: &mut Chance,
+        random: &mut RandomSource,
     ) -> Option<Duration> {
-        Some(back_off(envelope.dispatches, chance))
+        Some(backoff(message.attempts, random))
     }
 
-    fn looks_every(&self) -> Duration {
-        LOOK
+    fn poll_interval(&self) -> Duration {
+        POLL_INTERVAL
     }
 }
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,5 +1,5 @@
-//! What may decide for a forwarder: the delivery policy, and the baselines that it is measured against. Baselines live
-//! here and in [`crate::policies`] only; the daemon never sees them.
+//! What may decide for a forwarder: the delivery policy, and the baselines that it is measured against. Baselines
+//! live here and in [`crate::policies`] only; the daemon never sees them.
 
 use std::time::Duration;
 
@@ -8,59 +8,93 @@
     PolicyHost, PreviousAttempt, Settings,
 };
 
-/// One line of the list, as a forwarder is told it.
+/// One entry of the endpoint list, as a forwarder is told it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListLine {
-    pub target: EndpointId,
+pub struct ListedEndpoint {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// The destination that it belongs to.
     pub destination: DestinationId,
-    pub standing: EndpointState,
+    /// Active, draining or removed.
+    pub state: EndpointState,
+    /// Requests a second that it accepts, where the list gives rates.
     pub weight: Option<f64>,
+    /// Its zone.
     pub zone: String,
+    /// Name of its kind in the settings.
     pub kind: String,
 }
 
 /// A message as it is submitted.
 #[derive(Clone, Debug)]
 pub struct Submission {
+    /// The message.
     pub id: MessageId,
-    pub category: String,
-    pub program: String,
-    pub key: Option<OrderingKey>,
-    pub outer_limit: Duration,
+    /// Name of its class in the settings.
+    pub class: String,
+    /// Name of the tenant that submits it.
+    pub tenant: String,
+    /// Messages of one key go one after the other.
+    pub ordering_key: Option<OrderingKey>,
+    /// Deadline of its final answer, since the start of the run.
+    pub deadline: Duration,
+    /// Where it is to go.
     pub destination: DestinationId,
 }
 
-/// The true state of the world. Only the ceiling may look; what a forwarder can know does not come by here.
+/// The true state of the world. Only [`BuiltInPolicy::UpperBound`](crate::BuiltInPolicy::UpperBound) may look; what
+/// a forwarder can know does not come by here.
 pub trait WorldView {
-    /// Whether a call with a message of this category, sent now, would be taken and answered and push nothing
-    /// over, with those on their way and so many more to its destination before it.
-    fn would_take(&self, target: EndpointId, category: usize, before: u32) -> bool;
-    /// Work that it has taken and not finished, for each of its workers.
-    fn burden(&self, target: EndpointId) -> f64;
-    /// Times as long as usual that work takes there now.
-    fn slowness(&self, target: EndpointId) -> f64;
+    /// Whether a request with a message of this class, sent now, would be accepted and answered and overload
+    /// nothing, with those in transit and so many more to its destination before it.
+    fn would_accept(&self, endpoint: EndpointId, class: usize, sent_before: u32) -> bool;
+    /// Requests that the endpoint has not finished, for each of its workers.
+    fn load(&self, endpoint: EndpointId) -> f64;
+    /// Factor of the time that work takes there now.
+    fn slowdown(&self, endpoint: EndpointId) -> f64;
 }
 
-/// One instance that decides for one forwarder, called as the delivery policy is.
+/// One instance that decides for one forwarder, called as the delivery policy is. Times are since the start of the
+/// run.
 pub trait Policy: Send {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost);
-    fn submit(&mut self, now: Duration, envelope: &Submission, host: &mut dyn PolicyHost);
-    /// The host itself has submitted again what it owed before a start.
-    fn restore(&mut self, now: Duration, id: &MessageId, past: &[PreviousAttempt], host: &mut dyn PolicyHost);
+    /// The endpoint list was read: all of it, or its changes.
+    fn update_endpoint_list(
+        &mut self,
+        now: Duration,
+        complete: bool,
+        endpoints: &[ListedEndpoint],
+        host: &mut dyn PolicyHost,
+    );
+    /// A message was submitted.
+    fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost);
+    /// After a restart, and after [`submit`](Policy::submit): the attempts that a pending message had before.
+    fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        previous: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    );
+    /// An attempt has ended; `finished` where the message has its final answer by now.
     fn attempt_finished(
         &mut self,
         now: Duration,
         id: &MessageId,
-        no: AttemptNumber,
+        number: AttemptNumber,
         outcome: AttemptOutcome,
-        over: bool,
+        finished: bool,
         host: &mut dyn PolicyHost,
     );
+    /// The client withdrew a message.
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost);
+    /// The timer that the policy set has fired.
     fn timer_fired(&mut self, now: Duration);
-    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool);
-    fn gossip_received(&mut self, now: Duration, from: PeerId, note: &[u8]);
-    fn run_due_work(&mut self, now: Duration, sight: &dyn WorldView, host: &mut dyn PolicyHost);
+    /// A health check has ended.
+    fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool);
+    /// Gossip has come from another forwarder.
+    fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]);
+    /// All that has come in was told; the policy may now give commands.
+    fn run_due_work(&mut self, now: Duration, world: &dyn WorldView, host: &mut dyn PolicyHost);
 }
 
 /// Makes the instance of a forwarder that starts.
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,81 +1,124 @@
-//! What a run came to. All figures are emulated.
+//! What a run came to. All figures are of simulated time.
 
 use serde::{Deserialize, Serialize};
 
-use crate::account::{Dispatches, Ends, Load, Second};
-use crate::invariants::Broken;
+use crate::account::{AttemptCounts, Ends, Load, Second};
+use crate::invariants::Violation;
 
 /// Seconds in the worst span that is reported.
 pub const WORST_SPAN: usize = 10;
 
-/// Part of the credit asked for that was earned, and how much was asked for.
+/// Credit of one class, program or destination.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
+    /// Name of the class, program or destination.
     pub name: String,
+    /// Credit asked for.
     pub asked: f64,
+    /// Part of it that was earned.
     pub share: f64,
 }
 
+/// All figures of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
+    /// Name of the scenario.
     pub scenario: String,
+    /// Name of the policy.
     pub policy: String,
+    /// Seed of the run.
     pub seed: u64,
     /// Part of the credit asked for that was earned.
     pub credit: f64,
-    /// The same in the worst ten seconds, by first tries.
+    /// The same in the worst [`WORST_SPAN`] seconds, by first submissions.
     pub credit_worst_span: f64,
-    pub credit_worst_category: f64,
-    pub first_tries: u64,
-    pub envelopes: u64,
-    pub categories: Vec<Part>,
+    /// The same for the worst message class.
+    #[serde(rename = "credit_worst_category")]
+    pub credit_worst_class: f64,
+    /// What clients wanted delivered.
+    #[serde(rename = "first_tries")]
+    pub submissions: u64,
+    /// Messages that forwarders accepted, each submission after a rejection counted again.
+    #[serde(rename = "envelopes")]
+    pub messages: u64,
+    /// By message class.
+    #[serde(rename = "categories")]
+    pub classes: Vec<Part>,
+    /// By program.
     pub programs: Vec<Part>,
     /// The destinations that lost most credit, the worst first.
     pub destinations: Vec<Part>,
+    /// How messages ended.
     pub ends: Ends,
-    pub dispatches: Dispatches,
-    /// Milliseconds from a first try to its completion.
+    /// How attempts ended.
+    #[serde(rename = "dispatches")]
+    pub attempts: AttemptCounts,
+    /// Milliseconds from a first submission to its completion.
     pub latency_ms: Latency,
-    pub dispatches_per_try: f64,
-    pub refusals_per_try: f64,
+    /// Attempts for each submission, in the mean.
+    #[serde(rename = "dispatches_per_try")]
+    pub attempts_per_submission: f64,
+    /// Attempts that endpoints rejected, for each submission in the mean.
+    #[serde(rename = "refusals_per_try")]
+    pub rejections_per_submission: f64,
     /// Part of the work done by destinations that completed nothing.
     pub work_wasted: f64,
-    /// Mean part of all slots in use while messages arrive.
-    pub slots_used: f64,
-    pub new_connections_per_try: f64,
-    /// Effects applied again where a category allows that.
+    /// Mean part of all requests that may be in flight that were, while messages arrive.
+    #[serde(rename = "slots_used")]
+    pub in_flight_used: f64,
+    /// New connections for each submission, in the mean.
+    #[serde(rename = "new_connections_per_try")]
+    pub new_connections_per_submission: f64,
+    /// Effects applied again where a class allows that.
     pub repeats_applied: u64,
-    pub falls: u64,
+    /// Endpoints that were overloaded while cold.
+    #[serde(rename = "falls")]
+    pub overloads: u64,
+    /// How often a rule was broken.
     pub rules_broken: usize,
-    /// The first of them in full.
-    pub broken: Vec<Broken>,
+    /// The first of these in full.
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
+    /// Second by second.
     pub seconds: Vec<Second>,
+    /// The destinations with most traffic, second by second.
     pub watched: Vec<Watched>,
     /// Upper end of each step in milliseconds, and its count.
     pub latency_steps: Vec<(u64, u64)>,
-    /// First tries without an end; one would be a fault of the simulation.
+    /// Submissions without an end; one would be a fault of the simulation.
     pub unfinished: usize,
-    /// Seconds that the run went on for, and events that it took.
+    /// Simulated seconds that the run went on for.
     pub ran_s: f64,
+    /// Events that it took.
     pub events: u64,
-    pub turns: u64,
+    /// Times that a policy ran its due work.
+    #[serde(rename = "turns")]
+    pub policy_runs: u64,
 }
 
+/// Quantiles of the latency, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
+    /// Median.
     pub p50: u64,
+    /// 90th percentile.
     pub p90: u64,
+    /// 99th percentile.
     pub p99: u64,
+    /// Maximum.
     pub worst: u64,
 }
 
 /// A destination with much traffic, second by second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Watched {
+    /// Its rank by traffic.
     pub destination: usize,
+    /// Name of its kind.
     pub kind: String,
-    /// Calls a second that it takes at most by its limit; none: its capacity alone.
+    /// Requests a second that pass its limit at most; absent where there is none but its capacity.
     pub limit: Option<f64>,
+    /// What it met in each second.
     pub seconds: Vec<Load>,
 }
 
--- /dev/null
+++ b/crates/simulation/src/scenario/reader.rs
@@ -0,0 +1,72 @@
+//! Reads a scenario from its file, and writes it as one.
+
+use std::path::Path;
+
+use super::error::ScenarioError;
+use super::model::Scenario;
+use super::overrides::apply_override;
+use super::validation::validate;
+
+impl Scenario {
+    /// Reads a scenario file.
+    ///
+    /// # Errors
+    ///
+    /// A file that cannot be read, and all that [`Scenario::parse`] refuses.
+    pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
+        let file = path.display().to_string();
+        let text = std::fs::read_to_string(path).map_err(|error| ScenarioError {
+            file: file.clone(),
+            line: None,
+            what: format!("cannot be read: {error}"),
+        })?;
+        Scenario::parse(&file, &text, &[])
+    }
+
+    /// Reads a scenario's text, with single values put in the place of those that stand there: each a path
+    /// of keys and numbers joined by dots, and a value as TOML has it.
+    ///
+    /// # Errors
+    ///
+    /// Text that is no TOML, unknown keys, and values that are out of range or contradict each other.
+    pub fn parse(file: &str, text: &str, overrides: &[(String, String)]) -> Result<Scenario, ScenarioError> {
+        let error = |line, what: String| ScenarioError { file: file.to_owned(), line, what };
+        let syntax_error = |fault: toml::de::Error| {
+            let line = fault.span().map(|span| line_at(text, span.start));
+            error(line, one_line(fault.message()))
+        };
+        let scenario: Scenario = if overrides.is_empty() {
+            toml::from_str(text).map_err(syntax_error)?
+        } else {
+            let table: toml::Table = toml::from_str(text).map_err(syntax_error)?;
+            parse_with_overrides(table, overrides).map_err(|what| error(None, what))?
+        };
+        validate(&scenario).map_err(|invalid| error(invalid.section.line_in(text), invalid.what))?;
+        Ok(scenario)
+    }
+
+    /// As a file that [`Scenario::read`] takes.
+    pub fn to_text(&self) -> String {
+        toml::to_string(self).unwrap_or_default()
+    }
+}
+
+fn parse_with_overrides(mut table: toml::Table, overrides: &[(String, String)]) -> Result<Scenario, String> {
+    for (path, value) in overrides {
+        apply_override(&mut table, path, value)?;
+    }
+    let text = toml::to_string(&table).map_err(|error| error.to_string())?;
+    toml::from_str(&text).map_err(|error| {
+        let paths: Vec<&str> = overrides.iter().map(|(path, _)| path.as_str()).collect();
+        format!("with {} put in: {}", paths.join(", "), one_line(error.message()))
+    })
+}
+
+/// The line of a byte offset, counted from 1.
+fn line_at(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
+}
+
+fn one_line(message: &str) -> String {
+    message.trim().replace('\n', "; ")
+}
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,5 +1,5 @@
-//! What is still to come, in order of time; what falls on one instant comes in the order in which it was
-//! entered.
+//! Events that are still to come, in order of time; those of one instant come in the order in which they were
+//! scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -7,59 +7,65 @@
 
 struct Entry<E> {
     at: Duration,
-    place: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> PartialEq for Entry<E> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.place) == (other.at, other.place)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
+
 impl<E> Eq for Entry<E> {}
+
 impl<E> PartialOrd for Entry<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
+
 impl<E> Ord for Entry<E> {
     /// Reversed: the heap gives its greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.place).cmp(&(self.at, self.place))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
+/// The simulated clock and the events that move it.
 pub struct EventSchedule<E> {
     heap: BinaryHeap<Entry<E>>,
-    entered: u64,
+    scheduled: u64,
     now: Duration,
 }
 
 impl<E> Default for EventSchedule<E> {
     fn default() -> Self {
-        EventSchedule { heap: BinaryHeap::new(), entered: 0, now: Duration::ZERO }
+        EventSchedule { heap: BinaryHeap::new(), scheduled: 0, now: Duration::ZERO }
     }
 }
 
 impl<E> EventSchedule<E> {
+    /// The simulated time, since the start of the run: that of the last event taken.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// What would lie in the past comes now.
-    pub fn enter(&mut self, at: Duration, event: E) {
-        self.entered += 1;
-        self.heap.push(Entry { at: at.max(self.now), place: self.entered, event });
+    /// Schedules an event; one that would lie in the past comes now.
+    pub fn schedule(&mut self, at: Duration, event: E) {
+        self.scheduled += 1;
+        self.heap.push(Entry { at: at.max(self.now), sequence: self.scheduled, event });
     }
 
+    /// Takes the next event and moves the clock to it.
     pub fn pop(&mut self) -> Option<(Duration, E)> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
         Some((entry.at, entry.event))
     }
 
-    /// Events entered so far.
-    pub fn entered(&self) -> u64 {
-        self.entered
+    /// Events scheduled so far.
+    pub fn scheduled(&self) -> u64 {
+        self.scheduled
     }
 }
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -1,176 +1,231 @@
-//! One endpoint as it really is: its queue, its work, its faults, how cold it is and whether it falls over.
+//! One endpoint as it really is: its queue, its work, its faults, how far it has warmed up after an outage, and
+//! whether it is overloaded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::layout::{EndpointIndex, EndpointPlan, ForwarderIndex};
-use crate::limit::EndpointLimit;
-use crate::observed::Return;
-use crate::scenario::Returning;
-
-/// One call on its way to, at, or from an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RequestId(pub usize);
-
-/// Calls that a cold endpoint takes within the span that counts before it falls, where the terms allow it so many:
-/// what comes over that by chance is borne, and is counted over all forwarders, however many they are.
-pub fn falls_over(allowed: f64) -> f64 {
+use crate::ids::{EndpointIndex, ForwarderIndex, RequestIndex};
+use crate::layout::EndpointPlan;
+use crate::limit::RequestLimit;
+use crate::observed::Recovery;
+use crate::received_work::ReceivedWork;
+use crate::scenario::RecoverySettings;
+
+/// Least warmth of an endpoint, so that slow work ends.
+const MIN_WARMTH: f64 = 0.01;
+/// Guards the division by the slow start's duration, in seconds.
+const MIN_SLOW_START: f64 = 1e-6;
+
+/// Work in a window that overloads a cold endpoint, where the settings allow it so much: what comes over that by
+/// chance is borne, and is counted over all forwarders, however many they are.
+pub fn overload_budget(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.max(0.0).sqrt() + 2.0
 }
 
+/// The state of one endpoint.
 pub struct SimulatedEndpoint {
-    pub plan: EndpointPlan,
-    pub gate: EndpointLimit,
-    pub busy: usize,
-    pub queue: VecDeque<RequestId>,
-    pub serving: Vec<RequestId>,
-    /// Taken while it hangs, and answers that wait for the end of it.
-    pub stuck: Vec<RequestId>,
-    pub stuck_answers: Vec<RequestId>,
-    /// Troubles that stand, by their place in the scenario.
-    pub troubles: Vec<usize>,
-    /// Outages among these.
-    pub outages: u32,
-    pub returned: Option<Duration>,
-    /// All returns so far, each with what the endpoint was sent after it.
-    pub(crate) returns: Vec<Return>,
-    /// Since when it is down.
+    pub(crate) plan: EndpointPlan,
+    /// What is left of its own limit.
+    pub(crate) limit: RequestLimit,
+    pub(crate) busy_workers: usize,
+    pub(crate) queue: VecDeque<RequestIndex>,
+    pub(crate) serving: Vec<RequestIndex>,
+    /// Accepted while it hangs.
+    pub(crate) hung_requests: Vec<RequestIndex>,
+    /// Responses that wait until it no longer hangs.
+    pub(crate) hung_responses: Vec<RequestIndex>,
+    /// Faults that strike it now, by their place in the scenario.
+    pub(crate) active_faults: Vec<usize>,
+    /// Outages among these, overload counted.
+    pub(crate) active_outages: u32,
+    /// End of its last outage.
+    recovered_at: Option<Duration>,
+    /// All recoveries so far, each with what the endpoint was sent after it.
+    pub(crate) recoveries: Vec<Recovery>,
     pub(crate) down_since: Option<Duration>,
-    pub fallen_until: Option<Duration>,
-    /// Not there any more: replaced, or left for good.
-    pub gone: bool,
-    pushed: VecDeque<(Duration, f64, ForwarderIndex)>,
-    /// Raised when all connections break.
-    pub life: u32,
-    pub on_the_way: u32,
-    pub connections: u32,
-    /// Idle connections by forwarder, with the times since when.
-    pub idle: BTreeMap<ForwarderIndex, Vec<Duration>>,
+    pub(crate) overloaded_until: Option<Duration>,
+    /// Not there any more: replaced, or drained and removed.
+    pub(crate) removed: bool,
+    /// What it was sent in the overload window, while it is cold.
+    recent_work: VecDeque<ReceivedWork>,
+    /// Raised when all connections are reset: what belongs to an earlier one is void.
+    pub(crate) incarnation: u32,
+    /// Requests that were sent and have not arrived.
+    pub(crate) in_transit: u32,
+    /// Connections that it counts, idle ones among them.
+    pub(crate) connections: u32,
+    /// Idle connections by forwarder, each with the time since when.
+    pub(crate) idle_connections: BTreeMap<ForwarderIndex, Vec<Duration>>,
 }
 
-/// What a cold endpoint was sent in the span that counts.
-pub(crate) struct Window<'a> {
-    pub pushed: &'a VecDeque<(Duration, f64, ForwarderIndex)>,
-    pub sum: f64,
-    /// What the terms allow in that span, without what is left to chance.
-    pub allowed: f64,
+/// What a cold endpoint was sent in the overload window.
+pub(crate) struct WarmUpWindow<'a> {
+    pub(crate) received: &'a VecDeque<ReceivedWork>,
+    /// Sum of it, in requests of one message.
+    pub(crate) total: f64,
+    /// What the settings allow in that window, without what is left to chance.
+    pub(crate) allowed: f64,
 }
 
-/// What a cold endpoint was sent when that was more than it bears.
-pub struct Fall {
-    pub pushed: Vec<(Duration, f64, ForwarderIndex)>,
+/// What a cold endpoint was sent when that overloaded it.
+pub struct Overload {
+    /// The work in the window, oldest first.
+    pub received: Vec<ReceivedWork>,
+    /// [`overload_budget`] at that time.
     pub budget: f64,
 }
 
 impl SimulatedEndpoint {
+    /// An endpoint that is up, warm and idle.
     pub fn new(plan: EndpointPlan) -> SimulatedEndpoint {
         SimulatedEndpoint {
-            gate: plan.gate.clone(),
+            limit: plan.limit.clone(),
             plan,
-            busy: 0,
+            busy_workers: 0,
             queue: VecDeque::new(),
             serving: Vec::new(),
-            stuck: Vec::new(),
-            stuck_answers: Vec::new(),
-            troubles: Vec::new(),
-            outages: 0,
-            returned: None,
-            returns: Vec::new(),
+            hung_requests: Vec::new(),
+            hung_responses: Vec::new(),
+            active_faults: Vec::new(),
+            active_outages: 0,
+            recovered_at: None,
+            recoveries: Vec::new(),
             down_since: None,
-            fallen_until: None,
-            gone: false,
-            pushed: VecDeque::new(),
-            life: 0,
-            on_the_way: 0,
+            overloaded_until: None,
+            removed: false,
+            recent_work: VecDeque::new(),
+            incarnation: 0,
+            in_transit: 0,
             connections: 0,
-            idle: BTreeMap::new(),
+            idle_connections: BTreeMap::new(),
         }
     }
 
+    /// Its last outage ends: it starts to warm up.
+    pub fn recover(&mut self, now: Duration, after_overload: bool) {
+        self.recovered_at = Some(now);
+        self.recoveries.push(Recovery::new(now, after_overload));
+    }
+
     /// Share of its capacity that it has now.
-    pub fn warmth(&self, now: Duration, terms: &Returning) -> f64 {
-        let Some(returned) = self.returned else { return 1.0 };
-        let cold = terms.cold_from.get().max(0.01);
-        let warmed = now.saturating_sub(returned).as_secs_f64() / terms.warm_within.seconds().max(1e-6);
-        (cold + (1.0 - cold) * warmed).min(1.0)
+    pub(crate) fn warmth(&self, now: Duration, settings: &RecoverySettings) -> f64 {
+        let Some(recovered_at) = self.recovered_at else { return 1.0 };
+        let floor = settings.slow_start_floor.get().max(MIN_WARMTH);
+        let elapsed = now.saturating_sub(recovered_at).as_secs_f64();
+        let warmed = elapsed / settings.slow_start_duration.seconds().max(MIN_SLOW_START);
+        (floor + (1.0 - floor) * warmed).min(1.0)
     }
 
-    pub fn fallen(&self, now: Duration) -> bool {
-        self.fallen_until.is_some_and(|until| now < until)
+    pub(crate) fn is_overloaded(&self, now: Duration) -> bool {
+        self.overloaded_until.is_some_and(|until| now < until)
     }
 
-    /// Work that it bears within the span that counts, as warm as it is now.
-    fn budget(&self, now: Duration, terms: &Returning) -> f64 {
-        let span = terms.tip_after.seconds();
-        terms.fall_multiple.get() * self.warmth(now, terms) * self.plan.capacity * span
+    pub(crate) fn is_down(&self) -> bool {
+        self.active_outages > 0
     }
 
-    /// Work that it can be sent now without falling over.
-    pub fn push_room(&self, now: Duration, terms: &Returning) -> f64 {
-        if self.warmth(now, terms) >= 1.0 {
+    /// Requests that it has accepted and not finished, or that are on their way to it.
+    pub(crate) fn unfinished_requests(&self) -> usize {
+        self.busy_workers + self.queue.len() + self.in_transit as usize
+    }
+
+    /// Work that the settings allow within the overload window, as warm as it is now.
+    fn allowed_work(&self, now: Duration, settings: &RecoverySettings) -> f64 {
+        let window = settings.overload_window.seconds();
+        settings.overload_multiple.get() * self.warmth(now, settings) * self.plan.capacity_per_s * window
+    }
+
+    /// Work that the settings still allow now.
+    pub(crate) fn remaining_allowance(&self, now: Duration, settings: &RecoverySettings) -> f64 {
+        if self.warmth(now, settings) >= 1.0 {
             return f64::MAX;
         }
-        let recent = self.pushed.iter().filter(|p| now.saturating_sub(p.0) <= terms.tip_after.0);
-        self.budget(now, terms) - recent.map(|p| p.1).sum::<f64>()
+        let in_window =
+            self.recent_work.iter().filter(|work| now.saturating_sub(work.at) <= settings.overload_window.0);
+        self.allowed_work(now, settings) - ReceivedWork::total(in_window)
     }
 
-    /// Work that it was sent in the span that counts, by whom, with what is allowed in it now; none once it is warm.
-    pub(crate) fn window(&self, now: Duration, terms: &Returning) -> Option<Window<'_>> {
-        if self.warmth(now, terms) >= 1.0 {
+    /// What it was sent in the overload window, with what is allowed in it now; absent once it is warm.
+    pub(crate) fn warm_up_window(
+        &self,
+        now: Duration,
+        settings: &RecoverySettings,
+    ) -> Option<WarmUpWindow<'_>> {
+        if self.warmth(now, settings) >= 1.0 {
             return None;
         }
-        let sum = self.pushed.iter().map(|p| p.1).sum();
-        Some(Window { pushed: &self.pushed, sum, allowed: self.budget(now, terms) })
+        let total = ReceivedWork::total(&self.recent_work);
+        let allowed = self.allowed_work(now, settings);
+        Some(WarmUpWindow { received: &self.recent_work, total, allowed })
     }
 
-    /// Work has reached it. While it is cold, more than a multiple of what it can do within a span tips it.
-    pub fn push(&mut self, now: Duration, work: f64, by: ForwarderIndex, terms: &Returning) -> Option<Fall> {
-        let warmth = self.warmth(now, terms);
-        if warmth >= 1.0 {
-            self.pushed.clear();
+    /// Work has reached it. While it is cold, more than a multiple of what it can do within a window overloads it.
+    #[must_use = "an endpoint that is overloaded goes down"]
+    pub fn receive_work(
+        &mut self,
+        now: Duration,
+        amount: f64,
+        sender: ForwarderIndex,
+        settings: &RecoverySettings,
+    ) -> Option<Overload> {
+        if self.warmth(now, settings) >= 1.0 {
+            self.recent_work.clear();
             return None;
         }
-        let span = terms.tip_after.0;
-        self.pushed.push_back((now, work, by));
-        while self.pushed.front().is_some_and(|p| now.saturating_sub(p.0) > span) {
-            self.pushed.pop_front();
+        let window = settings.overload_window.0;
+        self.recent_work.push_back(ReceivedWork { at: now, amount, sender });
+        while self.recent_work.front().is_some_and(|work| now.saturating_sub(work.at) > window) {
+            self.recent_work.pop_front();
         }
-        let sent: f64 = self.pushed.iter().map(|p| p.1).sum();
-        let budget = falls_over(self.budget(now, terms));
-        if sent <= budget {
+        let budget = overload_budget(self.allowed_work(now, settings));
+        if ReceivedWork::total(&self.recent_work) <= budget {
             return None;
         }
-        Some(Fall { pushed: self.pushed.drain(..).collect(), budget })
+        Some(Overload { received: self.recent_work.drain(..).collect(), budget })
     }
 
-    /// All connections break; names the calls that were queued, served or stuck.
-    pub fn break_all(&mut self) -> Vec<RequestId> {
-        self.life += 1;
+    /// All connections are reset; names the requests that were queued, served or hung.
+    #[must_use = "the senders of these requests see the reset"]
+    pub(crate) fn reset_connections(&mut self) -> Vec<RequestIndex> {
+        self.incarnation += 1;
         self.connections = 0;
-        self.idle.clear();
-        self.busy = 0;
-        let mut calls: Vec<RequestId> = self.queue.drain(..).collect();
-        calls.append(&mut self.serving);
-        calls.append(&mut self.stuck);
-        calls.append(&mut self.stuck_answers);
-        calls
+        self.idle_connections.clear();
+        self.busy_workers = 0;
+        let mut requests: Vec<RequestIndex> = self.queue.drain(..).collect();
+        requests.append(&mut self.serving);
+        requests.append(&mut self.hung_requests);
+        requests.append(&mut self.hung_responses);
+        requests
     }
 
-    /// Drops connections that have been idle for too long.
-    pub fn close_idle_before(&mut self, since: Duration) {
+    /// Closes connections that have been idle since before this time.
+    pub(crate) fn close_idle_before(&mut self, since: Duration) {
         let mut closed = 0;
-        self.idle.retain(|_, times| {
+        self.idle_connections.retain(|_, times| {
             let before = times.len();
-            times.retain(|t| *t >= since);
+            times.retain(|idle_since| *idle_since >= since);
             closed += (before - times.len()) as u32;
             !times.is_empty()
         });
-        self.connections = self.connections.saturating_sub(closed);
+        self.release_connections(closed);
+    }
+
+    /// Closes all idle connections of a forwarder.
+    pub(crate) fn close_idle_of(&mut self, forwarder: ForwarderIndex) {
+        if let Some(idle) = self.idle_connections.remove(&forwarder) {
+            self.release_connections(idle.len() as u32);
+        }
+    }
+
+    pub(crate) fn release_connections(&mut self, count: u32) {
+        self.connections = self.connections.saturating_sub(count);
     }
 }
 
-/// A destination's own state beside its endpoints'.
-pub struct DestinationState {
-    pub gate: EndpointLimit,
-    pub targets: Vec<EndpointIndex>,
+/// A destination's state beside its endpoints'.
+pub(crate) struct SimulatedDestination {
+    /// What is left of the limit that its endpoints share.
+    pub(crate) limit: RequestLimit,
+    /// Its endpoints, those that replaced others among them.
+    pub(crate) endpoints: Vec<EndpointIndex>,
 }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -1,214 +1,232 @@
-//! Programs and their clients: first tries, returns after a shed, withdrawals.
+//! Client programs: arrivals of messages, and the forwarder that a client reaches.
 
 use std::time::Duration;
 
 use rand::RngExt;
 
-use super::{Event, World};
+use super::event::Event;
+use super::records::ClientSubmission;
+use super::state::World;
+use crate::distribution::duration_from_seconds;
 use crate::fault::Fault;
-use crate::invariants::{Answer, MessageIndex, SubmissionIndex};
-use crate::layout::{DestinationIndex, ForwarderIndex};
-
-/// What a client wants delivered, over all its hand-ins.
-pub(crate) struct FirstTry {
-    pub category: usize,
-    pub program: usize,
-    pub key: Option<u64>,
-    pub destination: DestinationIndex,
-    pub first: Duration,
-    /// Seconds at a destination of usual pace.
-    pub work: f64,
-    pub returns_left: u32,
-    /// How often its effect was applied.
-    pub applied: u32,
-    pub over: bool,
+use crate::ids::{DestinationIndex, ForwarderIndex, SubmissionIndex};
+
+/// Between two events that must not fall on one instant.
+const MIN_DELAY: Duration = Duration::from_micros(1);
+/// From the kill of a forwarder to the next submission of its messages at least.
+const MIN_FAILOVER_DELAY: Duration = Duration::from_millis(1);
+/// Messages in one clump at most.
+const MAX_CLUMP: f64 = 1e4;
+/// Messages in one arrival at most, clumps aside.
+const MAX_ARRIVAL: f64 = 1e5;
+/// Guards logarithms and divisions against zero.
+const TINY: f64 = 1e-12;
+/// Guards divisions by rates and sizes against zero.
+const MIN_DIVISOR: f64 = 1e-9;
+/// Multiplier that spreads ordering keys over forwarders: 2^64 divided by the golden ratio.
+const KEY_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Bits of a spread key that are dropped, as the low ones vary least.
+const KEY_SHIFT: u32 = 33;
+/// Ordering keys of one destination; those of the next one lie above.
+const DESTINATION_KEY_SHIFT: u32 = 24;
+
+/// How messages come together.
+struct ArrivalShape {
+    /// Probability that an arrival is a clump for one destination.
+    clump_probability: f64,
+    /// Messages of an arrival, in the mean.
+    mean_messages: f64,
 }
 
-/// Which part of a running sum a draw falls in.
-fn part_of(sums: &[f64], drawn: f64) -> usize {
+/// Which part of a running sum a draw from 0 to 1 falls in.
+fn part_at(sums: &[f64], drawn: f64) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
-    sums.partition_point(|s| *s <= drawn * total).min(sums.len().saturating_sub(1))
+    sums.partition_point(|sum| *sum <= drawn * total).min(sums.len().saturating_sub(1))
 }
 
 impl World<'_> {
+    // # Arrivals.
+
     /// How many times its usual traffic a program sends now.
-    fn swell(&self, program: usize) -> f64 {
-        let times = self.met.keys().map(|n| match &self.scenario.troubles[*n].what {
-            Fault::Burst { times } => times.get(),
-            Fault::Surge { program: p, times } if *p == self.scenario.programs[program].name => times.get(),
+    fn traffic_factor(&self, program: usize) -> f64 {
+        let name = &self.scenario.programs[program].name;
+        let factors = self.active_faults.keys().map(|index| match self.fault(*index) {
+            Fault::TrafficBurst { factor } => factor.get(),
+            Fault::ProgramSurge { program, factor } if program == name => factor.get(),
             _ => 1.0,
         });
-        times.product()
+        factors.product()
     }
 
-    /// Messages of one clump against single ones, for each arrival that is not one.
-    fn per_arrival(&self, program: usize) -> (f64, f64) {
-        let (share, size) =
-            (self.scenario.traffic.clumped.get(), self.scenario.traffic.clump.mean().max(1.0));
-        let chance = share / (size * (1.0 - share) + share).max(1e-9);
-        let bunch = self.scenario.programs[program].bunch.mean().max(1.0);
-        (chance, bunch * (chance * size + 1.0 - chance))
+    fn arrival_shape(&self, program: usize) -> ArrivalShape {
+        let traffic = &self.scenario.traffic;
+        let (clumped, clump_size) = (traffic.clumped.get(), traffic.clump_size.mean().max(1.0));
+        let clump_probability = clumped / (clump_size * (1.0 - clumped) + clumped).max(MIN_DIVISOR);
+        let arrival_size = self.scenario.programs[program].arrival_size.mean().max(1.0);
+        let mean_messages = arrival_size * (clump_probability * clump_size + 1.0 - clump_probability);
+        ArrivalShape { clump_probability, mean_messages }
     }
 
+    /// Draws the time of a program's next arrival.
     pub(super) fn next_arrival(&mut self, program: usize) -> Duration {
         let traffic = &self.scenario.traffic;
-        let parts: f64 = self.scenario.programs.iter().map(|p| p.part.get()).sum();
-        let part = self.scenario.programs[program].part.get() / parts;
-        let (_, envelopes) = self.per_arrival(program);
-        let rate = traffic.usual_per_s.get() * traffic.load.get() * part * self.swell(program) / envelopes;
-        let drawn: f64 = self.chances.arrivals.random();
-        let gap = crate::distribution::to_span(-(1.0 - drawn).max(1e-12).ln() / rate.max(1e-9));
-        self.now() + gap.max(Duration::from_micros(1))
+        let all_parts: f64 = self.scenario.programs.iter().map(|program| program.part.get()).sum();
+        let part = self.scenario.programs[program].part.get() / all_parts;
+        let messages_per_s =
+            traffic.baseline_per_s.get() * traffic.load.get() * part * self.traffic_factor(program);
+        let arrivals_per_s = messages_per_s / self.arrival_shape(program).mean_messages;
+        let drawn: f64 = self.random.arrivals.random();
+        let gap = -(1.0 - drawn).max(TINY).ln() / arrivals_per_s.max(MIN_DIVISOR);
+        self.now() + duration_from_seconds(gap).max(MIN_DELAY)
     }
 
-    pub(super) fn arrive(&mut self, program: usize) {
-        if self.now() >= self.scenario.lasts.0 {
-            self.arrivals_over += 1;
+    /// Messages of a program arrive, and the next arrival is scheduled.
+    pub(super) fn messages_arrive(&mut self, program: usize) {
+        if self.now() >= self.scenario.duration.0 {
+            self.programs_done += 1;
             return;
         }
-        let (clump_chance, _) = self.per_arrival(program);
+        let shape = self.arrival_shape(program);
         let scenario = self.scenario;
-        let chance = &mut self.chances.arrivals;
-        let clumped = chance.random::<f64>() < clump_chance;
-        let clump = scenario.traffic.clump.draw(chance).round().clamp(1.0, 1e4) as usize;
-        let bunch = scenario.programs[program].bunch.draw(chance).round().clamp(1.0, 1e5) as usize;
-        let many = bunch * if clumped { clump } else { 1 };
-        let mut destination = None;
-        for _ in 0..many {
-            let drawn = DestinationIndex(part_of(&self.destination_sums, self.chances.arrivals.random()));
-            let to = *destination.get_or_insert(drawn);
-            self.first_try(program, to);
-            if !clumped {
-                destination = None;
+        let random = &mut self.random.arrivals;
+        let is_clump = random.random::<f64>() < shape.clump_probability;
+        let clump_size = scenario.traffic.clump_size.draw(random).round().clamp(1.0, MAX_CLUMP) as usize;
+        let arrival_size = scenario.programs[program].arrival_size.draw(random);
+        let arrival_size = arrival_size.round().clamp(1.0, MAX_ARRIVAL) as usize;
+        let messages = arrival_size * if is_clump { clump_size } else { 1 };
+        let mut clump_destination = None;
+        for _ in 0..messages {
+            // Drawn in any case, so that clumps do not shift what is drawn later.
+            let drawn = DestinationIndex(part_at(&self.destination_sums, self.random.arrivals.random()));
+            let destination = *clump_destination.get_or_insert(drawn);
+            self.message_arrives(program, destination);
+            if !is_clump {
+                clump_destination = None;
             }
         }
         let next = self.next_arrival(program);
-        self.schedule.enter(next, Event::Arrive { program });
+        self.schedule.schedule(next, Event::Arrival { program });
     }
 
-    fn first_try(&mut self, program: usize, destination: DestinationIndex) {
+    fn message_arrives(&mut self, program: usize, destination: DestinationIndex) {
         let now = self.now();
-        let chance = &mut self.chances.arrivals;
-        let category = part_of(&self.category_sums, chance.random());
-        let terms = &self.scenario.categories[category];
-        let key = chance.random::<u64>();
-        let work = terms.work_ms.draw(chance) / 1e3;
-        let first_try = SubmissionIndex(self.tries.len());
-        self.account.asked(self.scenario, now, category, program, destination);
-        self.tries.push(FirstTry {
-            category,
+        let random = &mut self.random.arrivals;
+        let class_index = part_at(&self.class_sums, random.random());
+        let class = &self.scenario.classes[class_index];
+        let key = random.random::<u64>();
+        let work = class.work_ms.draw(random) / 1e3;
+        // Keys are of one destination: an order across destinations means nothing.
+        let key_of = |keys: u32| ((destination.0 as u64) << DESTINATION_KEY_SHIFT) | (key % u64::from(keys));
+        let submission = SubmissionIndex(self.submissions.len());
+        self.account.submitted(self.scenario, now, class_index, program, destination);
+        self.submissions.push(ClientSubmission {
+            class: class_index,
             program,
-            // Keys are of one destination: an order across destinations means nothing.
-            key: terms.ordered_keys.map(|keys| ((destination.0 as u64) << 24) | (key % u64::from(keys))),
+            ordering_key: class.ordered_keys.map(key_of),
             destination,
-            first: now,
+            submitted_at: now,
             work,
-            returns_left: self.scenario.programs[program].returns,
+            resubmissions_left: self.scenario.programs[program].max_resubmissions,
             applied: 0,
-            over: false,
+            finished: false,
         });
-        self.open += 1;
-        self.submit(first_try);
+        self.open_submissions += 1;
+        self.submit(submission);
     }
 
-    /// The forwarder that a client reaches: messages of one key come to one while it runs.
-    fn reached_forwarder(&mut self, key: Option<u64>) -> Option<ForwarderIndex> {
-        let many = self.stations.len();
-        let drawn: f64 = self.chances.clients.random();
-        let spread: f64 = self.chances.clients.random();
-        let mut shift = None;
-        for n in self.met.keys() {
-            if let Fault::Shift { which, share } = &self.scenario.troubles[*n].what {
-                shift = Some((self.layout.which(which), share.get()));
+    // # Submissions.
+
+    /// A client submits a message to the forwarder that it reaches.
+    fn submit(&mut self, submission: SubmissionIndex) {
+        let ordering_key = self.submissions[submission.0].ordering_key;
+        let capacity = self.scenario.fleet.capacity as usize;
+        let reached = self.choose_forwarder(ordering_key);
+        let has_room = |forwarder: &ForwarderIndex| self.forwarders[forwarder.0].open_messages < capacity;
+        match reached.filter(has_room) {
+            Some(forwarder) => self.accept(submission, forwarder),
+            None => {
+                self.account.ends.not_accepted += 1;
+                self.submission_rejected(submission, None);
             }
         }
-        let first = match (key, shift) {
-            (Some(key), _) => (key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % many,
-            (None, Some((to, share))) if drawn < share && !to.is_empty() => {
-                to[((spread * to.len() as f64) as usize).min(to.len() - 1)].0
-            }
-            (None, _) => {
-                let mut left = spread * self.layout.forwarders.iter().map(|f| f.1).sum::<f64>();
-                let fits = |f: &(u32, f64)| {
-                    left -= f.1;
-                    left < 0.0
-                };
-                self.layout.forwarders.iter().position(fits).unwrap_or(many - 1)
-            }
-        };
-        let runs = |n: &usize| self.stations[*n].runs();
-        (0..many).map(|step| (first + step) % many).find(runs).map(ForwarderIndex)
     }
 
-    pub(super) fn submit(&mut self, first_try: SubmissionIndex) {
-        let key = self.tries[first_try.0].key;
-        let room = self.scenario.fleet.room as usize;
-        let forwarder = self.reached_forwarder(key).filter(|f| self.stations[f.0].open < room);
-        match forwarder {
-            Some(forwarder) => self.take(first_try, forwarder),
-            None => {
-                self.account.ends.turned_away += 1;
-                self.refused(first_try, None);
+    /// The running forwarder that a client reaches: messages of one key come to one while it runs.
+    fn choose_forwarder(&mut self, ordering_key: Option<u64>) -> Option<ForwarderIndex> {
+        let count = self.forwarders.len();
+        let shift_draw: f64 = self.random.clients.random();
+        let spread_draw: f64 = self.random.clients.random();
+        let first = match (ordering_key, self.traffic_shift()) {
+            (Some(key), _) => (key.wrapping_mul(KEY_SPREAD) >> KEY_SHIFT) as usize % count,
+            (None, Some((forwarders, share))) if shift_draw < share && !forwarders.is_empty() => {
+                let position = (spread_draw * forwarders.len() as f64) as usize;
+                forwarders[position.min(forwarders.len() - 1)].0
             }
-        }
+            (None, _) => self.forwarder_at(spread_draw),
+        };
+        let is_running = |index: &usize| self.forwarders[*index].is_running();
+        (0..count).map(|step| (first + step) % count).find(is_running).map(ForwarderIndex)
     }
 
-    /// A shed message's client hears so, or was turned away at the door.
-    pub(super) fn refused(&mut self, first_try: SubmissionIndex, come_back: Option<Duration>) {
-        let program = &self.scenario.programs[self.tries[first_try.0].program];
-        let after = program.return_after_s.span(&mut self.chances.clients);
-        let heeds = program.heeds.strikes(&mut self.chances.clients);
-        let wait = come_back.filter(|_| heeds).unwrap_or_default();
-        let t = &mut self.tries[first_try.0];
-        if t.returns_left == 0 || t.over {
-            return self.try_over(first_try);
-        }
-        t.returns_left -= 1;
-        let at = self.now() + after.max(wait).max(Duration::from_micros(1));
-        self.schedule.enter(at, Event::Return(first_try));
+    /// Forwarders that get more traffic by a fault, and the share of it; the last fault in the scenario wins.
+    fn traffic_shift(&self) -> Option<(Vec<ForwarderIndex>, f64)> {
+        self.active_faults.keys().rev().find_map(|index| match self.fault(*index) {
+            Fault::TrafficShift { forwarders, share } => {
+                Some((self.layout.select_forwarders(forwarders), share.get()))
+            }
+            _ => None,
+        })
     }
 
-    /// Comes to a live forwarder again after its own was killed; that is no return of the client's.
-    pub(super) fn orphaned(&mut self, first_try: SubmissionIndex) {
-        let program = &self.scenario.programs[self.tries[first_try.0].program];
-        let after = program.return_after_s.span(&mut self.chances.clients);
-        let at = self.now() + after.max(Duration::from_millis(1));
-        self.schedule.enter(at, Event::Return(first_try));
+    /// The forwarder whose part of the traffic a draw from 0 to 1 falls in.
+    fn forwarder_at(&self, drawn: f64) -> usize {
+        let plans = &self.layout.forwarders;
+        let mut left = drawn * plans.iter().map(|plan| plan.traffic_part).sum::<f64>();
+        let position = plans.iter().position(|plan| {
+            left -= plan.traffic_part;
+            left < 0.0
+        });
+        position.unwrap_or(plans.len() - 1)
     }
 
-    pub(super) fn come_again(&mut self, first_try: SubmissionIndex) {
-        let t = &self.tries[first_try.0];
-        let limit = t.first + self.scenario.categories[t.category].outer_limit.0;
-        if t.over || self.now() >= limit {
-            return self.try_over(first_try);
+    /// A client learns that its message was rejected, or not accepted at all.
+    pub(super) fn submission_rejected(&mut self, submission: SubmissionIndex, retry_after: Option<Duration>) {
+        let program = &self.scenario.programs[self.submissions[submission.0].program];
+        let delay = program.resubmission_delay_s.span(&mut self.random.clients);
+        let honors = program.honors_retry_after.occurs(&mut self.random.clients);
+        let retry_after = retry_after.filter(|_| honors).unwrap_or_default();
+        let record = &mut self.submissions[submission.0];
+        if record.resubmissions_left == 0 || record.finished {
+            return self.finish_submission(submission);
         }
-        self.submit(first_try);
+        record.resubmissions_left -= 1;
+        let at = self.now() + delay.max(retry_after).max(MIN_DELAY);
+        self.schedule.schedule(at, Event::Resubmission(submission));
     }
 
-    pub(super) fn try_over(&mut self, first_try: SubmissionIndex) {
-        let t = &mut self.tries[first_try.0];
-        if !t.over {
-            t.over = true;
-            self.open -= 1;
-        }
+    /// Its forwarder was killed: the client submits the message to another one, which counts as no resubmission.
+    pub(super) fn submission_orphaned(&mut self, submission: SubmissionIndex) {
+        let program = &self.scenario.programs[self.submissions[submission.0].program];
+        let delay = program.resubmission_delay_s.span(&mut self.random.clients);
+        let at = self.now() + delay.max(MIN_FAILOVER_DELAY);
+        self.schedule.schedule(at, Event::Resubmission(submission));
     }
 
-    pub(super) fn withdraw(&mut self, envelope: MessageIndex) {
-        // One that is down hears nothing, and goes on with what its ledger holds.
-        let owner = self.envelopes[envelope.0].forwarder;
-        if !self.envelopes[envelope.0].over && self.stations[owner.0].runs() {
-            self.invariants.answered(self.now(), envelope, Answer::Withdrawn);
-            self.account.ends.withdrawn += 1;
-            self.gone(envelope);
+    pub(super) fn resubmit(&mut self, submission: SubmissionIndex) {
+        let record = &self.submissions[submission.0];
+        let deadline = record.submitted_at + self.scenario.classes[record.class].deadline.0;
+        if record.finished || self.now() >= deadline {
+            return self.finish_submission(submission);
         }
+        self.submit(submission);
     }
 
-    pub(super) fn overdue(&mut self, envelope: MessageIndex) {
-        // A forwarder that is down answers for what its ledger holds once it runs again.
-        let owner = self.envelopes[envelope.0].forwarder;
-        let open = !self.envelopes[envelope.0].over && self.stations[owner.0].runs();
-        if open && self.invariants.overdue(self.now(), envelope) {
-            self.gone(envelope);
+    /// Nothing more happens to a submission.
+    pub(super) fn finish_submission(&mut self, submission: SubmissionIndex) {
+        let record = &mut self.submissions[submission.0];
+        if !record.finished {
+            record.finished = true;
+            self.open_submissions -= 1;
         }
     }
 }
--- /dev/null
+++ b/crates/simulation/src/world/inbox.rs
@@ -0,0 +1,225 @@
+//! What forwarders are told, and the runs of their policies in which they handle it.
+
+use std::time::Duration;
+
+use reeddock::{
+    AttemptNumber, AttemptOutcome, EndpointState, OrderingKey, PeerId, PolicyHost, PreviousAttempt,
+};
+
+use super::commands::CommandBuffer;
+use super::event::{Event, ForwarderIncarnation, ForwarderInput, ListChange};
+use super::external_ids::{destination_id, endpoint_id};
+use super::records::{AttemptEnd, AttemptRecord};
+use super::state::World;
+use super::true_state::TrueState;
+use crate::fault::Fault;
+use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
+use crate::invariants::proves_not_executed;
+use crate::policy::{ListedEndpoint, Policy, Submission};
+use crate::scenario::{zone_name, ListWeights};
+
+impl World<'_> {
+    /// Puts an input into the inbox of a forwarder, and has its policy run at the next tick. What is meant for an
+    /// earlier incarnation is dropped.
+    pub(super) fn deliver(&mut self, to: ForwarderIncarnation, input: ForwarderInput) {
+        let now = self.now();
+        let tick = self.scenario.fleet.tick.0;
+        let forwarder = &mut self.forwarders[to.forwarder.0];
+        if forwarder.incarnation != to.number || !forwarder.is_running() {
+            return;
+        }
+        forwarder.inbox.push_back(input);
+        if !forwarder.run_scheduled {
+            forwarder.run_scheduled = true;
+            self.schedule.schedule(next_tick(now, tick), Event::PolicyRun(to));
+        }
+    }
+
+    // # The endpoint list.
+
+    /// The endpoint list has changed; each forwarder learns of it after a delay of its own, in order.
+    pub(super) fn change_endpoint_list(&mut self, changes: &[ListChange]) {
+        for change in changes {
+            let index = change.endpoint.0;
+            if self.listed_states.len() <= index {
+                self.listed_states.resize(index + 1, EndpointState::Removed);
+            }
+            self.listed_states[index] = change.state;
+        }
+        for index in 0..self.forwarders.len() {
+            let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
+            let at = (self.now() + delay).max(self.forwarders[index].list_told_until);
+            self.forwarders[index].list_told_until = at;
+            self.schedule.schedule(at, Event::ListChanged(ForwarderIndex(index), changes.to_vec()));
+        }
+    }
+
+    /// A forwarder learns of changes of the endpoint list, unless the list is frozen.
+    pub(super) fn deliver_list_changes(&mut self, forwarder: ForwarderIndex, changes: Vec<ListChange>) {
+        let freezes = |index: &usize| matches!(self.fault(*index), Fault::ListFrozen {});
+        if self.active_faults.keys().any(freezes) {
+            self.frozen_list_changes.push((forwarder, changes));
+            return;
+        }
+        let incarnation = self.incarnation_of(forwarder);
+        self.deliver(incarnation, ForwarderInput::EndpointList { complete: false, changes });
+    }
+
+    // # Runs of the policy.
+
+    /// A forwarder handles its inbox, lets its policy run, and executes what it asks for.
+    pub(super) fn run_policy(&mut self, incarnation: ForwarderIncarnation) {
+        let now = self.now();
+        let index = incarnation.forwarder;
+        let forwarder = &mut self.forwarders[index.0];
+        if forwarder.incarnation != incarnation.number {
+            return;
+        }
+        forwarder.run_scheduled = false;
+        let Some(mut policy) = forwarder.policy.take() else { return };
+        let inbox = std::mem::take(&mut forwarder.inbox);
+        self.policy_runs += 1;
+        let mut commands = CommandBuffer::default();
+        for input in inbox {
+            self.handle_input(index, input, policy.as_mut(), &mut commands);
+        }
+        policy.run_due_work(now, &TrueState::new(self, index), &mut commands);
+        self.forwarders[index.0].policy = Some(policy);
+        self.execute(index, commands);
+    }
+
+    fn handle_input(
+        &mut self,
+        forwarder: ForwarderIndex,
+        input: ForwarderInput,
+        policy: &mut dyn Policy,
+        host: &mut dyn PolicyHost,
+    ) {
+        let now = self.now();
+        match input {
+            ForwarderInput::EndpointList { complete, changes } => {
+                let endpoints = self.read_endpoint_list(forwarder, complete, &changes);
+                policy.update_endpoint_list(now, complete, &endpoints, host);
+            }
+            ForwarderInput::Submitted(message) => policy.submit(now, &self.submission_of(message), host),
+            ForwarderInput::Restored(message) => {
+                policy.submit(now, &self.submission_of(message), host);
+                let previous = self.previous_attempts(message);
+                policy.restore(now, &self.messages[message.0].id, &previous, host);
+            }
+            ForwarderInput::AttemptFinished(end) => {
+                self.report_attempt_end(forwarder, end);
+                let id = &self.messages[end.attempt.message.0].id;
+                let number = AttemptNumber(end.attempt.number as u32);
+                policy.attempt_finished(now, id, number, end.outcome, end.finished, host);
+            }
+            ForwarderInput::Withdrawn(message) => policy.withdraw(&self.messages[message.0].id, host),
+            ForwarderInput::TimerFired => policy.timer_fired(now),
+            ForwarderInput::Gossip { from, content } => {
+                policy.gossip_received(now, PeerId(from.0 as u32), &content);
+            }
+            ForwarderInput::HealthChecked { endpoint, healthy } => {
+                if !healthy && self.endpoints[endpoint.0].is_down() {
+                    self.invariants.failure_reported(forwarder, endpoint);
+                }
+                policy.health_checked(now, endpoint_id(endpoint), healthy);
+            }
+        }
+    }
+
+    /// Tells the checks what a forwarder reads, and gives the entries as the policy gets them.
+    fn read_endpoint_list(
+        &mut self,
+        forwarder: ForwarderIndex,
+        complete: bool,
+        changes: &[ListChange],
+    ) -> Vec<ListedEndpoint> {
+        let now = self.now();
+        if complete {
+            // What a complete list does not name is removed.
+            let named: Vec<EndpointIndex> = changes.iter().map(|change| change.endpoint).collect();
+            let all = (0..self.listed_states.len()).map(EndpointIndex);
+            for endpoint in all.filter(|endpoint| !named.contains(endpoint)) {
+                self.invariants.endpoint_listed(now, forwarder, endpoint, EndpointState::Removed);
+            }
+        }
+        for change in changes {
+            self.invariants.endpoint_listed(now, forwarder, change.endpoint, change.state);
+        }
+        changes.iter().map(|change| self.listed_endpoint(*change)).collect()
+    }
+
+    fn listed_endpoint(&self, change: ListChange) -> ListedEndpoint {
+        let plan = &self.endpoints[change.endpoint.0].plan;
+        let lists_rates = self.scenario.endpoint_list.weights == ListWeights::Rates;
+        ListedEndpoint {
+            endpoint: endpoint_id(change.endpoint),
+            destination: destination_id(plan.destination),
+            state: change.state,
+            weight: plan.listed_rate.filter(|_| lists_rates),
+            zone: zone_name(plan.zone),
+            kind: self.kind_of(plan.destination).name.clone(),
+        }
+    }
+
+    fn submission_of(&self, message: MessageIndex) -> Submission {
+        let record = &self.messages[message.0];
+        let submission = &self.submissions[record.submission.0];
+        Submission {
+            id: record.id.clone(),
+            class: self.scenario.classes[submission.class].name.clone(),
+            tenant: self.scenario.programs[submission.program].name.clone(),
+            ordering_key: submission.ordering_key.map(OrderingKey),
+            deadline: record.deadline,
+            destination: destination_id(submission.destination),
+        }
+    }
+
+    /// The attempts before a restart, as the write-ahead log holds them.
+    fn previous_attempts(&self, message: MessageIndex) -> Vec<PreviousAttempt> {
+        let previous = |attempt: &AttemptRecord| PreviousAttempt {
+            endpoint: endpoint_id(attempt.endpoint),
+            started_at: attempt.started_at,
+            proves_not_executed: attempt.reported && attempt.outcome.is_some_and(proves_not_executed),
+        };
+        self.messages[message.0].attempts.iter().map(previous).collect()
+    }
+
+    /// A forwarder is told how an attempt ended.
+    fn report_attempt_end(&mut self, forwarder: ForwarderIndex, end: AttemptEnd) {
+        let AttemptEnd { attempt, outcome, scope, .. } = end;
+        let now = self.now();
+        self.invariants.attempt_finished(now, attempt.message, attempt.number, outcome, scope);
+        let attempts = &mut self.messages[attempt.message.0].attempts;
+        let Some(record) = attempts.get_mut(attempt.number) else { return };
+        record.reported = true;
+        let endpoint = record.endpoint;
+        if shows_failure(outcome) && self.endpoints[endpoint.0].is_down() {
+            self.invariants.failure_reported(forwarder, endpoint);
+        }
+    }
+}
+
+/// The first tick that is not before a time; the time itself where there are no ticks.
+fn next_tick(now: Duration, tick: Duration) -> Duration {
+    if tick.is_zero() {
+        return now;
+    }
+    let ticks = now.as_nanos().div_ceil(tick.as_nanos());
+    tick * u32::try_from(ticks).unwrap_or(u32::MAX)
+}
+
+/// Whether an outcome tells a forwarder that something is wrong with the endpoint.
+fn shows_failure(outcome: AttemptOutcome) -> bool {
+    match outcome {
+        AttemptOutcome::Error
+        | AttemptOutcome::Rejected { .. }
+        | AttemptOutcome::TimedOut
+        | AttemptOutcome::NoConnection
+        | AttemptOutcome::ConnectionReset => true,
+        AttemptOutcome::Completed
+        | AttemptOutcome::Cancelled
+        | AttemptOutcome::NotSent
+        | AttemptOutcome::Malformed => false,
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/world/outages.rs
@@ -0,0 +1,109 @@
+//! Outages of endpoints, their recovery, and the overload of endpoints that are still cold.
+
+use super::event::Event;
+use super::state::World;
+use crate::ids::{DestinationIndex, EndpointIndex, ForwarderIndex};
+use crate::observed::Ramp;
+use crate::received_work::ReceivedWork;
+use crate::report::rounded;
+use crate::simulated_endpoint::{overload_budget, Overload};
+
+impl World<'_> {
+    /// Whether no endpoint of a destination is up now.
+    pub(super) fn is_destination_down(&self, destination: DestinationIndex) -> bool {
+        let endpoints = &self.destinations[destination.0].endpoints;
+        endpoints.iter().all(|endpoint| {
+            let state = &self.endpoints[endpoint.0];
+            state.is_down() || state.removed
+        })
+    }
+
+    pub(super) fn start_outage(&mut self, endpoint: EndpointIndex) {
+        let now = self.now();
+        let state = &mut self.endpoints[endpoint.0];
+        state.active_outages += 1;
+        if state.active_outages == 1 {
+            state.down_since = Some(now);
+            self.invariants.outage_started(endpoint);
+        }
+    }
+
+    pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, was_overload: bool) {
+        let now = self.now();
+        let state = &mut self.endpoints[endpoint.0];
+        state.active_outages = state.active_outages.saturating_sub(1);
+        if state.active_outages == 0 {
+            state.recover(now, was_overload);
+            let since = state.down_since.take().unwrap_or(now);
+            self.sent_to_down.endpoint_seconds += now.saturating_sub(since).as_secs_f64();
+        }
+    }
+
+    /// An endpoint has been sent this much; where it is cold that may overload it.
+    pub(super) fn receive_work(&mut self, endpoint: EndpointIndex, amount: f64, sender: ForwarderIndex) {
+        let now = self.now();
+        let settings = &self.scenario.recovery;
+        let overload = self.endpoints[endpoint.0].receive_work(now, amount, sender, settings);
+        self.observe_warm_up(endpoint, overload.as_ref());
+        let Some(overload) = overload else { return };
+        self.account.overloads += 1;
+        self.invariants.endpoint_overloaded(now, endpoint, &overload.received, overload.budget);
+        let until = now + settings.overload_outage.0;
+        self.endpoints[endpoint.0].overloaded_until = Some(until);
+        self.schedule.schedule(until, Event::OverloadEnds(endpoint));
+        self.start_outage(endpoint);
+        self.reset_connections(endpoint);
+    }
+
+    pub(super) fn end_overload(&mut self, endpoint: EndpointIndex) {
+        self.endpoints[endpoint.0].overloaded_until = None;
+        self.end_outage(endpoint, true);
+    }
+
+    /// All that is at an endpoint or tied to it by a connection is lost.
+    pub(super) fn reset_connections(&mut self, endpoint: EndpointIndex) {
+        for request in self.endpoints[endpoint.0].reset_connections() {
+            self.return_reset(request);
+        }
+    }
+
+    /// Keeps the worst window of an endpoint that warms up.
+    fn observe_warm_up(&mut self, endpoint: EndpointIndex, overload: Option<&Overload>) {
+        if let Some(ramp) = self.worse_window(endpoint, overload) {
+            if let Some(last) = self.endpoints[endpoint.0].recoveries.last_mut() {
+                last.set_worst(ramp);
+            }
+        }
+    }
+
+    /// The present window of an endpoint that warms up, if it is worse than all before.
+    fn worse_window(&self, endpoint: EndpointIndex, overload: Option<&Overload>) -> Option<Ramp> {
+        let now = self.now();
+        let state = &self.endpoints[endpoint.0];
+        let last = state.recoveries.last()?;
+        let window = state.warm_up_window(now, &self.scenario.recovery)?;
+        let knew = |work: &&ReceivedWork| self.invariants.knows_of_outage(work.sender, endpoint);
+        let (sum, known) = match overload {
+            Some(overload) => {
+                let received = &overload.received;
+                (ReceivedWork::total(received), ReceivedWork::total(received.iter().filter(knew)))
+            }
+            None => (window.total, ReceivedWork::total(window.received.iter().filter(knew))),
+        };
+        let budget = overload_budget(window.allowed);
+        if !last.is_worse(sum, budget) {
+            return None;
+        }
+        let destination = state.plan.destination;
+        let baseline_per_s = self.layout.destinations[destination.0].baseline_per_s;
+        Some(Ramp {
+            after_s: rounded(now.saturating_sub(last.at).as_secs_f64()),
+            sum: rounded(sum),
+            allowed: rounded(window.allowed),
+            budget: rounded(budget),
+            known: rounded(known),
+            overloaded: overload.is_some(),
+            ..last.ramp(endpoint, destination, baseline_per_s)
+        })
+    }
+}
