--- /dev/null
+++ b/crates/simulation/src/world/results.rs
@@ -0,0 +1,136 @@
+//! What a run came to, read at its end.
+
+use super::state::World;
+use crate::account::{Account, Credit, Second, WATCHED_DESTINATIONS};
+use crate::ids::EndpointIndex;
+use crate::observed::Observed;
+use crate::report::{rounded, Latency, Part, Report, Watched, WORST_SPAN};
+
+/// Destinations that a report names, those that lost most credit first.
+const NAMED_DESTINATIONS: usize = 2 * WATCHED_DESTINATIONS;
+/// Guards the division by the work done, in seconds.
+const MIN_WORK: f64 = 1e-9;
+
+fn part(name: String, credit: Credit) -> Part {
+    Part { name, asked: rounded(credit.asked), share: rounded(credit.share()) }
+}
+
+fn rounded_second(second: &Second) -> Second {
+    let credit = Credit { asked: rounded(second.credit.asked), earned: rounded(second.credit.earned) };
+    Second { credit, ..*second }
+}
+
+fn latency_quantiles(account: &Account) -> Latency {
+    let latency = account.latency();
+    Latency {
+        p50: latency.value_at_quantile(0.5),
+        p90: latency.value_at_quantile(0.9),
+        p99: latency.value_at_quantile(0.99),
+        worst: latency.max(),
+    }
+}
+
+impl World<'_> {
+    /// What only the simulation can see.
+    pub(super) fn observed(&self) -> Observed {
+        let mut ramps = Vec::new();
+        let mut down = self.sent_to_down;
+        for (index, endpoint) in self.endpoints.iter().enumerate() {
+            let destination = endpoint.plan.destination;
+            let baseline_per_s = self.layout.destinations[destination.0].baseline_per_s;
+            let recoveries = endpoint.recoveries.iter();
+            ramps.extend(recoveries.map(|r| r.ramp(EndpointIndex(index), destination, baseline_per_s)));
+            let since = endpoint.down_since.unwrap_or(self.scenario.duration.0);
+            down.endpoint_seconds += self.scenario.duration.0.saturating_sub(since).as_secs_f64();
+        }
+        let credit = self.account.credit_while_down();
+        down.credit_asked = rounded(credit.asked);
+        down.credit_earned = rounded(credit.earned);
+        down.endpoint_seconds = rounded(down.endpoint_seconds);
+        Observed { ramps, down }
+    }
+
+    pub(super) fn report(self) -> Report {
+        let (classes, programs) = (self.class_parts(), self.program_parts());
+        let (destinations, watched) = (self.worst_destinations(), self.watched_destinations());
+        let (rules_broken, violations) = self.invariants.into_violations();
+        let (account, scenario) = (&self.account, self.scenario);
+        let submissions = account.submission_count();
+        let per_submission = |count: u64| rounded(count as f64 / submissions.max(1) as f64);
+        let max_in_flight = scenario.fleet.max_in_flight as f64 * scenario.fleet.forwarders as f64;
+        Report {
+            scenario: scenario.name.clone(),
+            policy: self.policy_name.to_owned(),
+            seed: self.seed,
+            credit: rounded(account.total().share()),
+            credit_worst_span: rounded(account.worst_share_over(WORST_SPAN)),
+            credit_worst_class: classes.iter().map(|class| class.share).fold(1.0, f64::min),
+            submissions: submissions as u64,
+            messages: self.messages.len() as u64,
+            classes,
+            programs,
+            destinations,
+            ends: account.ends,
+            attempts: account.attempts,
+            latency_ms: latency_quantiles(account),
+            attempts_per_submission: per_submission(account.attempts.all),
+            rejections_per_submission: per_submission(account.attempts.rejected),
+            work_wasted: rounded(1.0 - account.work_useful / account.work_done.max(MIN_WORK)),
+            in_flight_used: rounded(
+                account.in_flight_seconds / (max_in_flight * scenario.duration.seconds()),
+            ),
+            new_connections_per_submission: per_submission(account.new_connections),
+            repeats_applied: account.repeats_applied,
+            overloads: account.overloads,
+            rules_broken,
+            violations,
+            seconds: account.seconds.iter().map(rounded_second).collect(),
+            watched,
+            latency_steps: account.latency_steps(),
+            unfinished: self.open_submissions,
+            ran_s: rounded(self.schedule.now().as_secs_f64()),
+            events: self.schedule.scheduled(),
+            policy_runs: self.policy_runs,
+        }
+    }
+
+    fn class_parts(&self) -> Vec<Part> {
+        let classes = self.scenario.classes.iter().enumerate();
+        classes.map(|(index, class)| part(class.name.clone(), self.account.class(index))).collect()
+    }
+
+    fn program_parts(&self) -> Vec<Part> {
+        let programs = self.scenario.programs.iter().enumerate();
+        programs.map(|(index, program)| part(program.name.clone(), self.account.program(index))).collect()
+    }
+
+    /// The destinations that lost most credit, the worst first.
+    fn worst_destinations(&self) -> Vec<Part> {
+        let lost = |rank: &usize| {
+            let credit = self.account.destination(*rank);
+            credit.asked - credit.earned
+        };
+        let mut ranks: Vec<usize> = (0..self.layout.destinations.len()).collect();
+        ranks.sort_by(|a, b| lost(b).total_cmp(&lost(a)).then(a.cmp(b)));
+        let named = ranks.into_iter().take(NAMED_DESTINATIONS);
+        named
+            .map(|rank| part(format!("{rank} ({})", self.kind_name(rank)), self.account.destination(rank)))
+            .collect()
+    }
+
+    fn watched_destinations(&self) -> Vec<Watched> {
+        let loads = self.account.loads.iter().enumerate();
+        loads
+            .map(|(rank, seconds)| Watched {
+                destination: rank,
+                kind: self.kind_name(rank).to_owned(),
+                limit: self.layout.destinations[rank].limit.per_s().map(rounded),
+                seconds: seconds.clone(),
+            })
+            .collect()
+    }
+
+    fn kind_name(&self, rank: usize) -> &str {
+        &self.scenario.kinds[self.layout.destinations[rank].kind].name
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/world/service.rs
@@ -0,0 +1,153 @@
+//! How an endpoint executes the requests that it has accepted.
+
+use std::time::Duration;
+
+use reeddock::{AttemptOutcome, Idempotency};
+
+use super::endpoints::WORK_PER_EXTRA_MESSAGE;
+use super::event::Event;
+use super::state::World;
+use crate::distribution::duration_from_seconds;
+use crate::fault::Fault;
+use crate::ids::{EndpointIndex, MessageIndex, RequestIndex};
+
+/// Least interval of pauses, so that a loop over them ends.
+const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(1);
+
+impl World<'_> {
+    pub(super) fn begin_serving(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
+        let work = self.draw_work(request, endpoint);
+        let now = self.now();
+        let state = &mut self.endpoints[endpoint.0];
+        state.busy_workers += 1;
+        state.serving.push(request);
+        let incarnation = state.incarnation;
+        self.requests[request.0].work = work;
+        self.requests[request.0].serving_began = true;
+        let served_at = self.with_pauses(endpoint, now, duration_from_seconds(work));
+        self.schedule.schedule(served_at, Event::Served { endpoint, incarnation, request });
+    }
+
+    /// Seconds of work that a request is at its endpoint now.
+    fn draw_work(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> f64 {
+        let batch = &self.requests[request.0].batch;
+        let work_of = |message: MessageIndex| self.submissions[self.messages[message.0].submission.0].work;
+        let works: Vec<f64> = batch.iter().map(|entry| work_of(entry.attempt.message)).collect();
+        let longest = works.iter().copied().fold(0.0, f64::max);
+        let mut work = longest + WORK_PER_EXTRA_MESSAGE * (works.iter().sum::<f64>() - longest);
+        work *= self.slowdown(endpoint);
+        for index in self.endpoints[endpoint.0].active_faults.clone() {
+            if let Fault::HeavyTail { share, factor, .. } = self.fault(index) {
+                let is_long = share.occurs(&mut self.random.service);
+                // Drawn in any case, so that the outcome does not shift what is drawn later.
+                let drawn = factor.draw(&mut self.random.service);
+                if is_long {
+                    work *= drawn.max(1.0);
+                }
+            }
+        }
+        work
+    }
+
+    /// When work that is begun now is done, where an endpoint stands still again and again.
+    fn with_pauses(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
+        let mut done = now + work;
+        for index in &self.endpoints[endpoint.0].active_faults {
+            let scheduled = &self.scenario.faults[*index];
+            let Fault::Pauses { duration, interval, .. } = scheduled.fault else { continue };
+            let mut pause_start = scheduled.start.0;
+            while pause_start < done && pause_start < scheduled.end() {
+                let pause_end = pause_start + duration.0;
+                if pause_end > now {
+                    done += pause_end - pause_start.max(now);
+                }
+                pause_start += interval.0.max(MIN_PAUSE_INTERVAL);
+            }
+        }
+        done
+    }
+
+    /// A worker is done with a request.
+    pub(super) fn request_served(
+        &mut self,
+        endpoint: EndpointIndex,
+        incarnation: u32,
+        request: RequestIndex,
+    ) {
+        let now = self.now();
+        let state = &mut self.endpoints[endpoint.0];
+        if state.incarnation != incarnation {
+            return;
+        }
+        state.busy_workers = state.busy_workers.saturating_sub(1);
+        state.serving.retain(|serving| *serving != request);
+        self.apply_effects(request);
+        let destination = self.destination_of(endpoint);
+        if let Some(load) = self.account.load(destination, now) {
+            load.served += 1;
+        }
+        if self.hangs(endpoint) {
+            self.endpoints[endpoint.0].hung_responses.push(request);
+        } else {
+            self.send_response(request);
+        }
+        self.serve_queue(endpoint);
+    }
+
+    /// The effects of a request's messages.
+    fn apply_effects(&mut self, request: RequestIndex) {
+        let now = self.now();
+        let record = &self.requests[request.0];
+        self.account.work_done += record.work;
+        if record.is_awaited() {
+            self.account.work_useful += record.work;
+        }
+        for entry in record.batch.clone() {
+            let message = entry.attempt.message;
+            let submission = &mut self.submissions[self.messages[message.0].submission.0];
+            submission.applied += 1;
+            let idempotency = Idempotency::from(self.scenario.classes[submission.class].idempotency);
+            if submission.applied > 1 && idempotency != Idempotency::NonIdempotent {
+                self.account.repeats_applied += 1;
+            }
+            self.invariants.effect_applied(now, message);
+        }
+    }
+
+    /// Work ends with a response, or with a connection that is reset before it.
+    fn send_response(&mut self, request: RequestIndex) {
+        let endpoint = self.requests[request.0].endpoint;
+        let mut is_lost = false;
+        for index in self.endpoints[endpoint.0].active_faults.clone() {
+            if let Fault::ResponsesLost { share, .. } = self.fault(index) {
+                is_lost |= share.occurs(&mut self.random.service);
+            }
+        }
+        let outcome = if is_lost { AttemptOutcome::ConnectionReset } else { AttemptOutcome::Completed };
+        self.respond(request, outcome);
+    }
+
+    fn serve_queue(&mut self, endpoint: EndpointIndex) {
+        while self.endpoints[endpoint.0].busy_workers < self.endpoints[endpoint.0].plan.workers {
+            let Some(next) = self.endpoints[endpoint.0].queue.pop_front() else { return };
+            if !self.requests[next.0].void {
+                self.begin_serving(next, endpoint);
+            }
+        }
+    }
+
+    /// An endpoint no longer hangs: responses leave first, then the requests that it held are served.
+    pub(super) fn resume_after_hang(&mut self, endpoint: EndpointIndex) {
+        if self.hangs(endpoint) {
+            return;
+        }
+        for request in std::mem::take(&mut self.endpoints[endpoint.0].hung_responses) {
+            self.send_response(request);
+        }
+        for request in std::mem::take(&mut self.endpoints[endpoint.0].hung_requests) {
+            if !self.requests[request.0].void {
+                self.enqueue(request, endpoint);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -0,0 +1,209 @@
+//! The delivery policy with a defect put in on purpose: what it is told or what it asks for is altered on the way to
+//! or from its host, as a defect in either would.
+
+use std::time::Duration;
+
+use reeddock::{
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointState, MessageId, PeerId, PolicyHost,
+    PreviousAttempt, Settings,
+};
+use reeddock_simulation::policies::DeliveryPolicyAdapter;
+use reeddock_simulation::policy::{ListedEndpoint, Policy, Submission, WorldView};
+
+/// Every so many messages one is ignored by [`Defect::IgnoresSome`].
+const IGNORED_INTERVAL: u32 = 50;
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Defect {
+    None,
+    /// Retry-After is not read.
+    IgnoresRetryAfter,
+    /// What may have been executed counts as proven not to have been.
+    RepeatsNonIdempotent,
+    AnswersTwice,
+    /// Every fiftieth message is never looked at.
+    IgnoresSome,
+    /// Draining endpoints count as active.
+    IgnoresDraining,
+    /// Knows nothing of cold destinations, and learns nothing from requests that fail.
+    OverloadsRecovering,
+    /// Ordering keys are not read.
+    IgnoresOrder,
+    /// No defect, but each attempt has this timeout.
+    ShortTimeout(Duration),
+}
+
+pub struct DefectivePolicy {
+    policy: DeliveryPolicyAdapter,
+    defect: Defect,
+    submitted: u32,
+}
+
+impl DefectivePolicy {
+    pub fn open(
+        defect: Defect,
+        now: Duration,
+        mut settings: Settings,
+        host: &mut dyn PolicyHost,
+    ) -> Box<dyn Policy> {
+        if defect == Defect::OverloadsRecovering {
+            settings.slow_start_floor = Some(1.0);
+            settings.overload_multiple = Some(1000.0);
+            settings.slow_start_duration = Some(Duration::from_millis(1));
+        }
+        let policy = DeliveryPolicyAdapter::new(now, settings, host);
+        Box::new(DefectivePolicy { policy, defect, submitted: 0 })
+    }
+}
+
+/// The host as the policy sees it.
+struct AlteredHost<'h> {
+    host: &'h mut dyn PolicyHost,
+    defect: Defect,
+}
+
+impl<'h> AlteredHost<'h> {
+    fn new(host: &'h mut dyn PolicyHost, defect: Defect) -> AlteredHost<'h> {
+        AlteredHost { host, defect }
+    }
+}
+
+impl PolicyHost for AlteredHost<'_> {
+    fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, mut timeouts: AttemptTimeouts) {
+        if let Defect::ShortTimeout(timeout) = self.defect {
+            timeouts.response_within = timeout;
+        }
+        self.host.start_attempt(message, endpoint, timeouts);
+    }
+
+    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber) {
+        self.host.cancel(message, attempt);
+    }
+
+    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+        self.host.reject(message, retry_after);
+        if self.defect == Defect::AnswersTwice {
+            self.host.fail(message);
+        }
+    }
+
+    fn fail(&mut self, message: &MessageId) {
+        self.host.fail(message);
+        if self.defect == Defect::AnswersTwice {
+            self.host.fail(message);
+        }
+    }
+
+    fn set_timer(&mut self, after: Duration) {
+        self.host.set_timer(after);
+    }
+
+    fn start_health_check(&mut self, endpoint: EndpointId) {
+        self.host.start_health_check(endpoint);
+    }
+
+    fn send_gossip(&mut self, peer: Option<PeerId>, gossip: &[u8]) {
+        self.host.send_gossip(peer, gossip);
+    }
+
+    fn subscribe(&mut self, on: bool) {
+        self.host.subscribe(on);
+    }
+
+    fn fetch_endpoint_list(&mut self) {
+        self.host.fetch_endpoint_list();
+    }
+
+    fn log(&mut self, line: &str) {
+        self.host.log(line);
+    }
+}
+
+/// The outcome that a defect makes of another.
+fn altered_outcome(defect: Defect, outcome: AttemptOutcome) -> AttemptOutcome {
+    match (defect, outcome) {
+        (Defect::IgnoresRetryAfter, AttemptOutcome::Rejected { .. }) => {
+            AttemptOutcome::Rejected { retry_after: None }
+        }
+        (
+            Defect::RepeatsNonIdempotent,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Error,
+        ) => AttemptOutcome::NoConnection,
+        (
+            Defect::OverloadsRecovering,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::NoConnection,
+        ) => AttemptOutcome::Cancelled,
+        _ => outcome,
+    }
+}
+
+impl Policy for DefectivePolicy {
+    fn update_endpoint_list(
+        &mut self,
+        now: Duration,
+        complete: bool,
+        endpoints: &[ListedEndpoint],
+        host: &mut dyn PolicyHost,
+    ) {
+        let mut endpoints = endpoints.to_vec();
+        if self.defect == Defect::IgnoresDraining {
+            endpoints.iter_mut().for_each(|listed| listed.state = EndpointState::Active);
+        }
+        let mut host = AlteredHost::new(host, self.defect);
+        self.policy.update_endpoint_list(now, complete, &endpoints, &mut host);
+    }
+
+    fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost) {
+        self.submitted += 1;
+        if self.defect == Defect::IgnoresSome && self.submitted.is_multiple_of(IGNORED_INTERVAL) {
+            return;
+        }
+        let mut submission = submission.clone();
+        submission.ordering_key = submission.ordering_key.filter(|_| self.defect != Defect::IgnoresOrder);
+        self.policy.submit(now, &submission, &mut AlteredHost::new(host, self.defect));
+    }
+
+    fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        previous: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
+        self.policy.restore(now, id, previous, &mut AlteredHost::new(host, self.defect));
+    }
+
+    fn attempt_finished(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        number: AttemptNumber,
+        outcome: AttemptOutcome,
+        finished: bool,
+        host: &mut dyn PolicyHost,
+    ) {
+        let outcome = altered_outcome(self.defect, outcome);
+        let mut host = AlteredHost::new(host, self.defect);
+        self.policy.attempt_finished(now, id, number, outcome, finished, &mut host);
+    }
+
+    fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
+        self.policy.withdraw(id, &mut AlteredHost::new(host, self.defect));
+    }
+
+    fn timer_fired(&mut self, now: Duration) {
+        self.policy.timer_fired(now);
+    }
+
+    fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool) {
+        self.policy.health_checked(now, endpoint, healthy);
+    }
+
+    fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]) {
+        self.policy.gossip_received(now, from, gossip);
+    }
+
+    fn run_due_work(&mut self, now: Duration, world: &dyn WorldView, host: &mut dyn PolicyHost) {
+        self.policy.run_due_work(now, world, &mut AlteredHost::new(host, self.defect));
+    }
+}
--- a/crates/simulation/tests/simulation/main.rs
+++ b/crates/simulation/tests/simulation/main.rs
@@ -1,7 +1,7 @@
 //! The simulation and its invariant checks.
 
-mod returning;
+mod defective_policy;
+mod recovery;
 mod rules;
 mod sharing;
-mod spoilt;
-mod worlds;
+mod world;
--- /dev/null
+++ b/crates/simulation/tests/simulation/recovery.rs
@@ -0,0 +1,97 @@
+//! Endpoints that are cold after an outage: what they bear, and who is held to have overloaded them.
+
+use std::time::Duration;
+
+use reeddock_simulation::ids::{EndpointIndex, ForwarderIndex};
+use reeddock_simulation::invariants::InvariantChecker;
+use reeddock_simulation::layout::FleetLayout;
+use reeddock_simulation::received_work::ReceivedWork;
+use reeddock_simulation::simulated_endpoint::{overload_budget, SimulatedEndpoint};
+use reeddock_simulation::Scenario;
+
+const WORLD: &str = r#"
+version = 1
+name = "returning"
+lasts_s = 10
+[fleet]
+forwarders = 30
+slots = 12
+room = 100
+[traffic]
+usual_per_s = 10
+[[category]]
+name = "note"
+effect = "pure"
+promised_s = 3
+outer_limit_s = 15
+work_ms = 100
+[[program]]
+name = "all"
+[[kind]]
+name = "one"
+destinations = 1
+"#;
+
+/// A cold endpoint, with the requests that the settings allow it in the overload window, at its recovery.
+fn recovered(scenario: &Scenario) -> (SimulatedEndpoint, f64) {
+    let plan = FleetLayout::draw(scenario, 1).endpoints.remove(0);
+    let settings = &scenario.recovery;
+    let allowed = settings.overload_multiple.get()
+        * settings.slow_start_floor.get()
+        * plan.capacity_per_s
+        * settings.overload_window.seconds();
+    let mut endpoint = SimulatedEndpoint::new(plan);
+    endpoint.recover(Duration::ZERO, false);
+    (endpoint, allowed)
+}
+
+#[test]
+fn a_cold_endpoint_bears_n_and_twice_its_root_and_two_requests_summed_over_all_forwarders() {
+    let scenario = Scenario::parse("returning.toml", WORLD, &[]).unwrap();
+    for forwarders in [1, 3, 30] {
+        let (mut endpoint, allowed) = recovered(&scenario);
+        let borne = (allowed + 2.0 * allowed.sqrt() + 2.0).floor() as usize;
+        assert!(borne as f64 > allowed + 2.0, "the root counts here: {allowed}");
+        for request in 0..borne {
+            let sender = ForwarderIndex(request % forwarders);
+            assert!(
+                endpoint.receive_work(Duration::ZERO, 1.0, sender, &scenario.recovery).is_none(),
+                "request {request}"
+            );
+        }
+        let overload =
+            endpoint.receive_work(Duration::ZERO, 1.0, ForwarderIndex(0), &scenario.recovery).unwrap();
+        assert_eq!(overload.received.len(), borne + 1);
+        assert!((overload.budget - overload_budget(allowed)).abs() < 1e-9);
+    }
+}
+
+#[test]
+fn requests_older_than_the_window_do_not_count() {
+    let scenario = Scenario::parse("returning.toml", WORLD, &[]).unwrap();
+    let (mut endpoint, allowed) = recovered(&scenario);
+    let window = scenario.recovery.overload_window.0;
+    let borne = overload_budget(allowed).floor() as usize;
+    for round in 0..3u32 {
+        let at = round * (window + Duration::from_millis(1));
+        for _ in 0..borne {
+            assert!(endpoint.receive_work(at, 1.0, ForwarderIndex(0), &scenario.recovery).is_none());
+        }
+    }
+}
+
+#[test]
+fn the_rule_is_broken_where_over_two_thirds_came_from_forwarders_that_knew() {
+    let broken = |known: usize, all: usize| {
+        let mut invariants =
+            InvariantChecker::new(Vec::new(), all, Duration::ZERO, Duration::ZERO, Duration::ZERO);
+        (0..known).for_each(|n| invariants.failure_reported(ForwarderIndex(n), EndpointIndex(0)));
+        let work = |n| ReceivedWork { at: Duration::ZERO, amount: 1.0, sender: ForwarderIndex(n) };
+        let received: Vec<ReceivedWork> = (0..all).map(work).collect();
+        invariants.endpoint_overloaded(Duration::ZERO, EndpointIndex(0), &received, 1.0);
+        invariants.into_violations().0
+    };
+    assert_eq!(broken(20, 30), 0, "two thirds are not over two thirds");
+    assert_eq!(broken(21, 30), 1);
+    assert_eq!(broken(0, 30), 0);
+}
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -1,11 +1,10 @@
-//! Each of the six rules has an invariant check that speaks when the delivery policy is spoilt on purpose, and none that speaks
-//! when it is not.
+//! Each of the six rules has a check that finds a delivery policy with a defect, and no check finds one without.
 
-use crate::spoilt::{Defect, Spoilt};
+use crate::defective_policy::{Defect, DefectivePolicy};
 use reeddock_simulation::invariants::Rule;
 use reeddock_simulation::{run_with, Report, Scenario};
 
-/// Three forwarders, destinations with told waits, and room for each fault.
+/// Three forwarders, destinations that send Retry-After, and capacity for each fault.
 const WORLD: &str = r#"
 version = 1
 name = "spoilt"
@@ -50,38 +49,40 @@
 told_waits = 0.8
 "#;
 
-fn play(troubles: &str, defect: Defect, seed: u64) -> Report {
-    let scenario = Scenario::parse("spoilt.toml", &format!("{WORLD}{troubles}"), &[]).unwrap();
-    run_with(&scenario, seed, "spoilt", &|now, terms, host| Spoilt::open(defect, now, terms, host))
+fn play(faults: &str, defect: Defect, seed: u64) -> Report {
+    let scenario = Scenario::parse("spoilt.toml", &format!("{WORLD}{faults}"), &[]).unwrap();
+    run_with(&scenario, seed, "spoilt", &|now, settings, host| {
+        DefectivePolicy::open(defect, now, settings, host)
+    })
 }
 
-/// The spoilt module breaks the rule on some of these days, the delivery policy as it is breaks none on any.
-fn speaks(troubles: &str, defect: Defect, rule: Rule) -> Report {
-    let mut spoken = None;
+/// The defective policy breaks the rule in some of these runs, the delivery policy as it is breaks none in any.
+fn finds(faults: &str, defect: Defect, rule: Rule) -> Report {
+    let mut found = None;
     for seed in 1..=3 {
-        let sound = play(troubles, Defect::None, seed);
-        assert_eq!(sound.broken, [], "the module as it is, seed {seed}");
-        let spoilt = play(troubles, defect, seed);
-        if spoilt.broken.iter().any(|b| b.rule == rule) {
-            spoken.get_or_insert(spoilt);
+        let sound = play(faults, Defect::None, seed);
+        assert_eq!(sound.violations, [], "the policy as it is, seed {seed}");
+        let defective = play(faults, defect, seed);
+        if defective.violations.iter().any(|violation| violation.rule == rule) {
+            found.get_or_insert(defective);
         }
     }
-    spoken.unwrap_or_else(|| panic!("no oracle for {rule:?} has seen {defect:?}"))
+    found.unwrap_or_else(|| panic!("no check of {rule:?} has found {defect:?}"))
 }
 
-const ANSWERS_LOST: &str = r#"
+const RESPONSES_LOST: &str = r#"
 [[trouble]]
 at_s = 8
 for_s = 15
 what = { answers_lost = { whom = { share = 0.5 }, share = 0.5 } }
 "#;
-const LEAVES: &str = r#"
+const DRAINS: &str = r#"
 [[trouble]]
 at_s = 8
 for_s = 12
 what = { leaves = { whom = { share = 1, targets = 0.5 } } }
 "#;
-/// Destinations that come back bear little, so that whoever pushes them is seen on every seed.
+/// Recovering destinations bear little, so that whoever overloads them is found with every seed.
 const DOWN: &str = r#"
 [returning]
 cold_from = 0.1
@@ -94,45 +95,49 @@
 
 #[test]
 fn one_final_answer_each() {
-    let report = speaks(ANSWERS_LOST, Defect::AnswersTwice, Rule::OneAnswer);
-    let broken = report.broken.iter().find(|b| b.rule == Rule::OneAnswer).unwrap();
+    let report = finds(RESPONSES_LOST, Defect::AnswersTwice, Rule::OneAnswer);
+    let broken = report.violations.iter().find(|b| b.rule == Rule::OneAnswer).unwrap();
     // It names the message, the instant and what led to it.
-    assert!(broken.envelope.is_some() && broken.forwarder.is_some() && broken.at_s > 0.0);
+    assert!(broken.message.is_some() && broken.forwarder.is_some() && broken.at_s > 0.0);
     assert!(broken.led_by.first().unwrap().contains("taken by forwarder"), "{:?}", broken.led_by);
     assert!(broken.led_by.iter().any(|l| l.contains("answered")), "{:?}", broken.led_by);
 }
 
 #[test]
-fn an_answer_for_every_envelope() {
-    let report = speaks("", Defect::ForgetsOne, Rule::OneAnswer);
-    assert!(report.broken.iter().any(|b| b.what.contains("no final answer")));
+fn an_answer_for_every_message() {
+    let report = finds("", Defect::IgnoresSome, Rule::OneAnswer);
+    assert!(report.violations.iter().any(|b| b.what.contains("no final answer")));
 }
 
 #[test]
 fn no_effect_twice() {
-    let report = speaks(ANSWERS_LOST, Defect::SendsEffectfulAgain, Rule::NoDoubleEffect);
-    // The book of the destination says it too, apart from what the forwarder was told.
-    assert!(report.broken.iter().any(|b| b.what.contains("applied first try")), "{:?}", report.broken);
+    let report = finds(RESPONSES_LOST, Defect::RepeatsNonIdempotent, Rule::NoDoubleEffect);
+    // The effects at the destination show it too, apart from what the forwarder was told.
+    assert!(
+        report.violations.iter().any(|b| b.what.contains("applied first try")),
+        "{:?}",
+        report.violations
+    );
 }
 
 #[test]
-fn drains_are_kept() {
-    speaks(LEAVES, Defect::SendsPastDrains, Rule::Drains);
+fn draining_endpoints_get_nothing_new() {
+    finds(DRAINS, Defect::IgnoresDraining, Rule::Drains);
 }
 
 #[test]
-fn a_returning_destination_is_not_pushed_over() {
-    let report = speaks(DOWN, Defect::PushesReturning, Rule::NotPushedOver);
-    let broken = report.broken.iter().find(|b| b.rule == Rule::NotPushedOver).unwrap();
+fn a_recovering_destination_is_not_overloaded() {
+    let report = finds(DOWN, Defect::OverloadsRecovering, Rule::NotPushedOver);
+    let broken = report.violations.iter().find(|b| b.rule == Rule::NotPushedOver).unwrap();
     assert!(broken.led_by.iter().any(|l| l.contains("had seen a failure")), "{:?}", broken.led_by);
 }
 
 #[test]
-fn order_is_kept_by_key() {
-    speaks("", Defect::IgnoresOrder, Rule::Order);
+fn order_is_kept_within_a_key() {
+    finds("", Defect::IgnoresOrder, Rule::Order);
 }
 
 #[test]
-fn waits_are_kept() {
-    speaks("", Defect::DeafToWaits, Rule::Waits);
+fn retry_after_is_honored() {
+    finds("", Defect::IgnoresRetryAfter, Rule::Waits);
 }
--- a/crates/simulation/tests/simulation/worlds.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use crate::spoilt::{Defect, Spoilt};
+use crate::defective_policy::{Defect, DefectivePolicy};
 use reeddock_simulation::schedule::EventSchedule;
 use reeddock_simulation::{run, run_with, BuiltInPolicy, Report, Scenario};
 
-/// Every figure told and none drawn but the arrivals: an answer comes 108 ms after its attempt where a
-/// connection is made for it, and 102 ms after it where one stood.
+/// Every number is constant but the arrivals: a response comes 108 ms after its attempt where a connection is made
+/// for it, and 102 ms after it where one was idle.
 const EXACT: &str = r#"
 version = 1
 name = "exact"
@@ -52,15 +52,15 @@
     Scenario::parse("exact.toml", &format!("{EXACT}{further}"), &instead).unwrap()
 }
 
-/// Every first try has one end, every attempt one outcome, and no rule is broken.
+/// Every submission has one end, every attempt one outcome, and no rule is broken.
 fn sound(report: &Report) {
-    assert_eq!(report.broken, []);
+    assert_eq!(report.violations, []);
     assert_eq!(report.unfinished, 0);
-    let d = &report.dispatches;
-    let ends = d.completed + d.errors + d.full + d.timed_out + d.no_connection + d.broken;
-    let all = ends + d.called_off + d.unsent;
+    let d = &report.attempts;
+    let ends = d.completed + d.errors + d.rejected + d.timed_out + d.no_connection + d.connection_reset;
+    let all = ends + d.cancelled + d.not_sent;
     assert!(all <= d.all, "{d:?}");
-    // What a killed forwarder had out has no outcome.
+    // What a killed forwarder had in flight has no outcome.
     assert!(report.ends.lost > 0 || all == d.all, "{d:?}");
 }
 
@@ -71,16 +71,16 @@
 }
 
 #[test]
-fn events_of_one_instant_come_in_the_order_in_which_they_were_entered() {
+fn events_of_one_instant_come_in_the_order_in_which_they_were_scheduled() {
     let mut schedule = EventSchedule::default();
     let at = Duration::from_secs;
     for (n, s) in [(0, 2), (1, 1), (2, 2), (3, 1), (4, 2)] {
-        schedule.enter(at(s), n);
+        schedule.schedule(at(s), n);
     }
     let order: Vec<i32> = std::iter::from_fn(|| schedule.pop().map(|e| e.1)).collect();
     assert_eq!(order, [1, 3, 0, 2, 4]);
     // What would lie in the past comes now, after what is here already.
-    schedule.enter(at(1), 5);
+    schedule.schedule(at(1), 5);
     assert_eq!(schedule.pop(), Some((at(2), 5)));
 }
 
@@ -103,78 +103,81 @@
 fn bytes_do_not_depend_on_the_machine() {
     // Of a policy that no change of the delivery policy touches. A change of the simulation may move this figure.
     let scenario = exact("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
-    let bytes = serde_json::to_string(&run(&scenario, 1, BuiltInPolicy::OneTry)).unwrap();
+    let bytes = serde_json::to_string(&run(&scenario, 1, BuiltInPolicy::OneAttempt)).unwrap();
     assert_eq!(crc32fast::hash(bytes.as_bytes()), 4_076_750_070);
 }
 
 #[test]
 fn two_policies_meet_the_same_day() {
     let scenario = exact("", &[]);
-    let [a, b] = [BuiltInPolicy::OneTry, BuiltInPolicy::UpperBound].map(|p| run(&scenario, 3, p));
-    assert_eq!(a.first_tries, b.first_tries);
+    let [a, b] = [BuiltInPolicy::OneAttempt, BuiltInPolicy::UpperBound].map(|p| run(&scenario, 3, p));
+    assert_eq!(a.submissions, b.submissions);
     let asked = |r: &Report| r.seconds.iter().map(|s| s.credit.asked).collect::<Vec<_>>();
     let last = asked(&a).len().min(asked(&b).len());
     assert_eq!(asked(&a)[..last], asked(&b)[..last]);
 }
 
 #[test]
-fn a_forwarder_is_killed_with_calls_out() {
+fn a_forwarder_is_killed_with_requests_in_flight() {
     let killed = "[[trouble]]\nat_s = 8\nfor_s = 3\nwhat = { killed = { which = { forwarders = [0] } } }\n";
     let without = module(&exact(killed, &[("category.0.work_ms", "800"), ("category.1.work_ms", "800")]));
-    // An effectful message that was out may have run, and comes to nobody again.
+    // A message that is not idempotent and was in flight may have been executed, and is submitted to nobody again.
     assert!(without.ends.lost > 0);
     let slow = [("category.0.work_ms", "800"), ("category.1.work_ms", "800"), ("fleet.ledger", "true")];
     let with = run(&exact(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
-    assert_eq!((with.broken.as_slice(), with.unfinished, with.ends.lost), (&[][..], 0, 0));
-    assert!(with.ends.broken_off > 0, "the ledger's forwarder says so of those itself");
+    assert_eq!((with.violations.as_slice(), with.unfinished, with.ends.lost), (&[][..], 0, 0));
+    assert!(with.ends.failed > 0, "with a write-ahead log the forwarder says so itself");
 }
 
 #[test]
-fn a_call_that_nobody_waits_for_runs_on() {
+fn a_request_that_nobody_waits_for_is_still_served() {
     let slow = "[[trouble]]\nat_s = 5\nfor_s = 6\nwhat = { slow = { whom = { share = 1 }, times = 40 } }\n";
     let on = module(&exact(slow, &[]));
-    assert!(on.dispatches.timed_out > 0 && on.repeats_applied > 0 && on.work_wasted > 0.0);
+    assert!(on.attempts.timed_out > 0 && on.repeats_applied > 0 && on.work_wasted > 0.0);
     let off = module(&exact(slow, &[("kind.0.runs_on", "0")]));
     assert!(off.work_wasted < on.work_wasted, "{} against {}", off.work_wasted, on.work_wasted);
 }
 
 #[test]
-fn a_target_goes_while_it_serves() {
+fn an_endpoint_is_replaced_while_it_serves() {
     let replaced = "[[trouble]]\nat_s = 8\nfor_s = 1\nwhat = { replaced = { whom = { share = 1 } } }\n";
     let long = [("category.0.work_ms", "600"), ("category.1.work_ms", "600")];
     let report = module(&exact(replaced, &long));
-    assert!(report.dispatches.broken > 0, "{:?}", report.dispatches);
+    assert!(report.attempts.connection_reset > 0, "{:?}", report.attempts);
     // The list is late: until then the old address answers nobody.
-    assert!(report.dispatches.no_connection > 0);
+    assert!(report.attempts.no_connection > 0);
     let second = |n: usize| report.seconds[n].credit;
     assert_eq!(second(15).share(), 1.0, "the new ones serve once they are listed");
 }
 
 #[test]
-fn a_retry_crosses_the_end_of_the_first_try() {
-    // Each call is given up on in the very instant of its answer, which comes second and is not heard.
+fn a_retry_crosses_the_response_to_the_first_attempt() {
+    // Each request times out in the very instant of its response, which comes second and is ignored.
     let scenario = exact("", &[("fleet.tick_s", "0"), ("kind.0.spare", "30")]);
-    let cut = Defect::CutsShort(Duration::from_millis(108));
-    let report = run_with(&scenario, 1, "cut", &|now, terms, host| Spoilt::open(cut, now, terms, host));
+    let cut = Defect::ShortTimeout(Duration::from_millis(108));
+    let report =
+        run_with(&scenario, 1, "cut", &|now, settings, host| DefectivePolicy::open(cut, now, settings, host));
     sound(&report);
-    assert_eq!(report.dispatches.completed, 0);
-    assert!(report.dispatches.timed_out > 0 && report.repeats_applied > 0);
-    // One microsecond more, and it is heard.
-    let heard = Defect::CutsShort(Duration::from_micros(108_001));
-    let report = run_with(&scenario, 1, "heard", &|now, terms, host| Spoilt::open(heard, now, terms, host));
+    assert_eq!(report.attempts.completed, 0);
+    assert!(report.attempts.timed_out > 0 && report.repeats_applied > 0);
+    // One microsecond more, and the response counts.
+    let heard = Defect::ShortTimeout(Duration::from_micros(108_001));
+    let report = run_with(&scenario, 1, "heard", &|now, settings, host| {
+        DefectivePolicy::open(heard, now, settings, host)
+    });
     sound(&report);
-    assert_eq!(report.dispatches.timed_out, 0);
+    assert_eq!(report.attempts.timed_out, 0);
 }
 
 #[test]
-fn a_deadline_falls_in_the_tick_of_an_answer() {
+fn a_deadline_falls_in_the_tick_of_a_response() {
     let limits: Vec<_> = ["category.0", "category.1"]
         .iter()
         .flat_map(|c| [(format!("{c}.promised_s"), "0.1"), (format!("{c}.outer_limit_s"), "0.1105")])
         .collect();
     let limits: Vec<(&str, &str)> = limits.iter().map(|(k, v)| (k.as_str(), *v)).collect();
     let report = module(&exact("", &limits));
-    assert!(report.ends.completed_late > 0 && report.ends.broken_off > 0, "{:?}", report.ends);
+    assert!(report.ends.completed_late > 0 && report.ends.failed > 0, "{:?}", report.ends);
 }
 
 #[test]
@@ -193,7 +196,7 @@
 }
 
 #[test]
-fn what_is_wrong_in_a_scenario_is_told_with_its_line() {
+fn an_error_in_a_scenario_names_its_line() {
     let fault = |from: &str, to: &str| {
         let text = EXACT.replacen(from, to, 1);
         assert_ne!(text, EXACT, "{from} stands in the scenario");
