--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -93,7 +93,7 @@
     pub lost: u64,
 }
 
-/// How attempts ended, as the forwarders were told.
+/// How attempts ended, as reported to the forwarders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AttemptCounts {
     /// Attempts in all.
--- a/crates/simulation/src/account/keeper.rs
+++ b/crates/simulation/src/account/keeper.rs
@@ -12,7 +12,7 @@
 /// Destinations whose seconds are kept: the ones with most traffic.
 pub(crate) const WATCHED_DESTINATIONS: usize = 6;
 
-/// Longest latency that is told apart, in milliseconds: a day.
+/// Longest latency that the histogram distinguishes, in milliseconds: a day.
 const MAX_LATENCY_MS: u64 = 86_400_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 2;
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -9,7 +9,7 @@
 
 /// The endpoints that a fault strikes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(deny_unknown_fields, default, expecting = "struct Whom")]
 pub struct EndpointSelector {
     /// Destinations by rank of traffic, from 0; where none are named, a share is drawn.
     #[serde(skip_serializing_if = "Vec::is_empty")]
@@ -24,7 +24,7 @@
 
 /// Forwarders, by number or as a share of the fleet from the first one on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(deny_unknown_fields, default, expecting = "struct Which")]
 pub struct ForwarderSelector {
     /// Forwarders by number, from 0.
     #[serde(skip_serializing_if = "Vec::is_empty")]
@@ -144,7 +144,7 @@
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
     },
-    /// No forwarder is told of a change of the endpoint list.
+    /// No forwarder learns of a change of the endpoint list.
     #[serde(rename = "list_frozen")]
     ListFrozen {},
     /// Forwarders are killed, and started again at the end of the fault.
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -4,6 +4,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ForwarderIndex(pub usize);
 
+/// A forwarder between one start and its end: what was meant for an earlier incarnation is void.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ForwarderIncarnation {
+    pub(crate) forwarder: ForwarderIndex,
+    /// Raised at each start and each kill.
+    pub(crate) number: u32,
+}
+
 /// A destination, by rank of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DestinationIndex(pub usize);
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -94,7 +94,7 @@
         Some(BrokenRule::new(Rule::Waits, what))
     }
 
-    /// An attempt has ended, and the forwarder is told now.
+    /// An attempt has ended, and its forwarder learns of it now.
     pub(crate) fn attempt_finished(
         &mut self,
         now: Duration,
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -21,7 +21,7 @@
     pub ordered: bool,
 }
 
-/// A state on an endpoint list, and when the forwarder was told.
+/// A state on an endpoint list, and when the forwarder learned of it.
 #[derive(Clone, Copy)]
 pub(super) struct ListedState {
     pub(super) state: EndpointState,
@@ -35,14 +35,14 @@
     pub(super) ordering_hold_off: Duration,
     answer_slack: Duration,
     pub(super) histories: Vec<MessageHistory>,
-    /// By forwarder: the endpoint list as it was told.
+    /// By forwarder: the endpoint list as it was read.
     pub(super) endpoint_lists: Vec<BTreeMap<EndpointIndex, ListedState>>,
-    /// Until when a forwarder was told to wait.
+    /// End of each Retry-After.
     pub(super) retry_after: BTreeMap<(ForwarderIndex, RetryAfterScope), Duration>,
     /// Messages of each ordering key that still matter, in the order in which they were accepted.
     pub(super) ordering_queues: BTreeMap<(ForwarderIndex, u64), Vec<MessageIndex>>,
-    /// Forwarders that were told of a failure during the present outage of an endpoint, or its last one.
-    pub(super) told_of_outage: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
+    /// Forwarders that saw a failure during the present outage of an endpoint, or its last one.
+    pub(super) aware_of_outage: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
     /// How often what is not idempotent had its effect.
     pub(super) effects: BTreeMap<SubmissionIndex, u32>,
     violations: Vec<Violation>,
@@ -67,7 +67,7 @@
             endpoint_lists: vec![BTreeMap::new(); forwarders],
             retry_after: BTreeMap::new(),
             ordering_queues: BTreeMap::new(),
-            told_of_outage: BTreeMap::new(),
+            aware_of_outage: BTreeMap::new(),
             effects: BTreeMap::new(),
             violations: Vec::new(),
             violation_count: 0,
@@ -123,7 +123,7 @@
     /// A forwarder was killed. What it held is void, or waits in its write-ahead log for the next start.
     pub(crate) fn forwarder_killed(&mut self, forwarder: ForwarderIndex, write_ahead_log: bool) {
         self.endpoint_lists[forwarder.0].clear();
-        self.retry_after.retain(|(told, _), _| *told != forwarder);
+        self.retry_after.retain(|(waiting, _), _| *waiting != forwarder);
         let histories = &mut self.histories;
         for history in histories.iter_mut().filter(|history| history.message.forwarder == forwarder) {
             history.void |= !write_ahead_log || history.answer.is_some();
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -1,4 +1,4 @@
-//! What forwarders were told of endpoints, and whether they overloaded one that had just recovered.
+//! What forwarders know of endpoints, and whether they overloaded one that had just recovered.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const MAX_NAMED_SENDERS: usize = 8;
 
 impl InvariantChecker {
-    /// A forwarder was told of an endpoint's state by its endpoint list.
+    /// A forwarder read an endpoint's state in its endpoint list.
     pub(crate) fn endpoint_listed(
         &mut self,
         now: Duration,
@@ -23,38 +23,38 @@
         endpoint: EndpointIndex,
         state: EndpointState,
     ) {
-        let told = ListedState { state, since: now };
-        let listed = self.endpoint_lists[forwarder.0].entry(endpoint).or_insert(told);
-        // Told again of what it knew, or from draining to removed, its grace period runs from the first time.
+        let read = ListedState { state, since: now };
+        let listed = self.endpoint_lists[forwarder.0].entry(endpoint).or_insert(read);
+        // When it reads again what it knew, or that a draining endpoint is removed, its grace period runs from the first time.
         let to_or_from_active = state == EndpointState::Active || listed.state == EndpointState::Active;
         if listed.state != state && to_or_from_active {
-            *listed = told;
+            *listed = read;
         }
         listed.state = state;
     }
 
-    /// An endpoint goes down: who was told of an earlier outage knows nothing of this one.
+    /// An endpoint goes down: who saw an earlier outage knows nothing of this one.
     pub(crate) fn outage_started(&mut self, endpoint: EndpointIndex) {
-        self.told_of_outage.remove(&endpoint);
+        self.aware_of_outage.remove(&endpoint);
     }
 
-    /// A forwarder was told of a failed or rejected request to an endpoint during its outage.
+    /// A forwarder saw a failed or rejected request to an endpoint during its outage.
     pub fn failure_reported(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) {
-        self.told_of_outage.entry(endpoint).or_default().insert(forwarder);
+        self.aware_of_outage.entry(endpoint).or_default().insert(forwarder);
     }
 
-    /// Whether a forwarder was told of an endpoint's present outage, or its last one.
+    /// Whether a forwarder saw a failure in an endpoint's present outage, or its last one.
     pub(crate) fn knows_of_outage(&self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> bool {
-        self.told_of_outage.get(&endpoint).is_some_and(|told| told.contains(&forwarder))
+        self.aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
     }
 
-    /// Whether any forwarder was told of it.
+    /// Whether any forwarder did.
     pub(crate) fn is_outage_known(&self, endpoint: EndpointIndex) -> bool {
-        self.told_of_outage.get(&endpoint).is_some_and(|told| !told.is_empty())
+        self.aware_of_outage.get(&endpoint).is_some_and(|aware| !aware.is_empty())
     }
 
     /// A cold endpoint was overloaded by what it was sent in the overload window. The rule is broken where over two
-    /// thirds of it came from forwarders that had been told of the outage.
+    /// thirds of it came from forwarders that had seen the outage.
     pub fn endpoint_overloaded(
         &mut self,
         now: Duration,
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -67,7 +67,7 @@
     matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled)
 }
 
-/// An outcome, and when the forwarder was told of it.
+/// An outcome, and when it was reported to the forwarder.
 #[derive(Clone, Copy)]
 pub(super) struct ReportedOutcome {
     pub(super) outcome: AttemptOutcome,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,5 +1,5 @@
 //! A fleet of forwarders, their client programs and their destinations in simulated time: what the delivery policy
-//! balances, at sizes that sockets don't reach. All figures that come out of it are emulated.
+//! balances, at sizes that sockets don't reach. All its results are of simulated time.
 //!
 //! # Guarantees
 //!
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -30,7 +30,7 @@
     pub allowed: f64,
     /// What overloads it: N + 2 * sqrt(N) + 2.
     pub budget: f64,
-    /// Part of the sum that came from forwarders that had been told of the outage.
+    /// Part of the sum that came from forwarders that had seen the outage.
     pub known: f64,
     /// The endpoint was overloaded.
     #[serde(rename = "fell")]
@@ -65,7 +65,7 @@
     pub connections: u64,
     /// Messages whose first attempt was one of these.
     pub first_lost: u64,
-    /// The same, where some forwarder had already been told of a failure in that outage.
+    /// The same, where some forwarder had already seen a failure in that outage.
     pub first_lost_to_known: u64,
     /// Seconds that an endpoint was down, summed over all endpoints.
     #[serde(rename = "target_seconds")]
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -70,7 +70,7 @@
 }
 
 impl<B: BaselinePolicy> BaselineHost<B> {
-    /// A host that has not been told anything.
+    /// A host without messages and endpoints.
     pub(super) fn new(settings: Settings, baseline: B) -> BaselineHost<B> {
         BaselineHost {
             baseline,
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Ends what can no longer be sent, and makes room for new messages: the newest queued one goes first.
+    /// Ends what can no longer be sent, and frees capacity for new messages: the newest queued one goes first.
     fn drop_undeliverable(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         let is_expired = |number: &&u64| {
             let message = self.messages.get(*number);
@@ -312,7 +312,7 @@
         }
     }
 
-    /// When something may change that the host is not told of.
+    /// When something may change without a call to the host.
     fn next_timer(&self, now: Duration) -> Option<Duration> {
         let own = self.endpoints_with_retry_after.iter().filter_map(|id| self.endpoints.get(id));
         let own = own.map(|endpoint| endpoint.retry_after);
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -1,4 +1,4 @@
-//! What forwarders could tell each other of destinations that are down: the same circuit breaker, fed by each
+//! What forwarders could report to each other of destinations that are down: the same circuit breaker, fed by each
 //! forwarder alone or by all. A baseline that shows what sharing is worth; nothing of it reaches the daemon.
 
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -8,7 +8,7 @@
     PolicyHost, PreviousAttempt, Settings,
 };
 
-/// One entry of the endpoint list, as a forwarder is told it.
+/// One entry of the endpoint list, as a forwarder reads it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
     /// The endpoint.
@@ -93,7 +93,7 @@
     fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool);
     /// Gossip has come from another forwarder.
     fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]);
-    /// All that has come in was told; the policy may now give commands.
+    /// All inputs were passed on; the policy may now give commands.
     fn run_due_work(&mut self, now: Duration, world: &dyn WorldView, host: &mut dyn PolicyHost);
 }
 
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to. All figures are of simulated time.
+//! The results of a run, in simulated time.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +19,7 @@
     pub share: f64,
 }
 
-/// All figures of a run.
+/// All results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the scenario.
@@ -122,7 +122,7 @@
     pub seconds: Vec<Load>,
 }
 
-/// Six digits: beyond that no figure here means anything, and the last bits differ between platforms.
+/// Six digits: beyond that no result means anything, and the last bits differ between platforms.
 pub fn rounded(value: f64) -> f64 {
     if value.is_finite() {
         (value * 1e6).round() / 1e6
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -35,7 +35,7 @@
     /// Delays and timeouts of connections.
     #[serde(default)]
     pub network: Network,
-    /// How forwarders are told of endpoints.
+    /// How forwarders learn of endpoints.
     #[serde(rename = "list", default)]
     pub endpoint_list: EndpointListSettings,
     /// Gossip between forwarders.
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -14,7 +14,7 @@
 pub struct Fleet {
     /// How many forwarders there are.
     pub forwarders: u32,
-    /// Zones over which forwarders and endpoints are spread in turn.
+    /// Zones over which forwarders and endpoints are spread round robin.
     #[serde(default = "defaults::one_zone")]
     pub zones: u32,
     /// Requests that one forwarder may have in flight.
@@ -115,11 +115,11 @@
     }
 }
 
-/// How forwarders are told of endpoints.
+/// How forwarders learn of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(deny_unknown_fields, default, expecting = "struct ListTerms")]
 pub struct EndpointListSettings {
-    /// From a change of the endpoint list until a forwarder is told of it, in seconds.
+    /// From a change of the endpoint list until a forwarder learns of it, in seconds.
     pub delay_s: Distribution,
     /// What the list says of the endpoints' rates.
     pub weights: ListWeights,
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -59,7 +59,7 @@
         self.0.push(HostCommand::SendGossip { to: peer, content: gossip.to_vec() });
     }
 
-    /// Forwarders of a simulation are always told of changes.
+    /// Forwarders of a simulation always learn of changes.
     fn subscribe(&mut self, _on: bool) {}
 
     fn fetch_endpoint_list(&mut self) {
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -4,11 +4,11 @@
 
 use reeddock::AttemptOutcome;
 
-use super::event::{Event, ForwarderIncarnation, ForwarderInput};
+use super::event::{Event, ForwarderInput};
 use super::state::World;
 use crate::distribution::duration_from_seconds;
 use crate::fault::Fault;
-use crate::ids::{DestinationIndex, EndpointIndex, RequestIndex};
+use crate::ids::{DestinationIndex, EndpointIndex, ForwarderIncarnation, RequestIndex};
 use crate::report::rounded;
 
 /// Work of one more message within a request, against the request itself.
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -3,14 +3,9 @@
 use reeddock::{AttemptOutcome, EndpointState};
 
 use super::records::{AttemptEnd, BatchPosition};
-use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex, RequestIndex, SubmissionIndex};
-
-/// A forwarder between one start and its end: what was meant for an earlier incarnation is void.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct ForwarderIncarnation {
-    pub(super) forwarder: ForwarderIndex,
-    pub(super) number: u32,
-}
+use crate::ids::{
+    EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex, RequestIndex, SubmissionIndex,
+};
 
 /// A change of one endpoint on the endpoint list.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +14,7 @@
     pub(super) state: EndpointState,
 }
 
-/// What a forwarder is told when it next runs its policy.
+/// What a forwarder passes to its policy when that next runs.
 pub(super) enum ForwarderInput {
     /// The whole endpoint list, or changes of it.
     EndpointList { complete: bool, changes: Vec<ListChange> },
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -1,4 +1,4 @@
-//! What forwarders are told, and the runs of their policies in which they handle it.
+//! Inputs of forwarders, and the runs of their policies in which they handle them.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 };
 
 use super::commands::CommandBuffer;
-use super::event::{Event, ForwarderIncarnation, ForwarderInput, ListChange};
+use super::event::{Event, ForwarderInput, ListChange};
 use super::external_ids::{destination_id, endpoint_id};
 use super::records::{AttemptEnd, AttemptRecord};
 use super::state::World;
 use super::true_state::TrueState;
 use crate::fault::Fault;
-use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
+use crate::ids::{EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex};
 use crate::invariants::proves_not_executed;
 use crate::policy::{ListedEndpoint, Policy, Submission};
 use crate::scenario::{zone_name, ListWeights};
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells the checks what a forwarder reads, and gives the entries as the policy gets them.
+    /// Reports to the checks what a forwarder reads, and gives the entries as the policy gets them.
     fn read_endpoint_list(
         &mut self,
         forwarder: ForwarderIndex,
@@ -185,7 +185,7 @@
         self.messages[message.0].attempts.iter().map(previous).collect()
     }
 
-    /// A forwarder is told how an attempt ended.
+    /// The end of an attempt is reported to its forwarder.
     fn report_attempt_end(&mut self, forwarder: ForwarderIndex, end: AttemptEnd) {
         let AttemptEnd { attempt, outcome, scope, .. } = end;
         let now = self.now();
@@ -209,7 +209,7 @@
     tick * u32::try_from(ticks).unwrap_or(u32::MAX)
 }
 
-/// Whether an outcome tells a forwarder that something is wrong with the endpoint.
+/// Whether an outcome shows a forwarder that something is wrong with the endpoint.
 fn shows_failure(outcome: AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::Error
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,7 +1,7 @@
 //! The run itself: events in order of time, each handled by the part that it belongs to.
 //!
 //! [`state`] holds the world. All other modules add to it what they do: [`clients`] submit messages, [`messages`]
-//! follow them to their final answer, [`inbox`] tells forwarders what happens, [`commands`] are what their policies
+//! follow them to their final answer, [`inbox`] passes events on to forwarders, [`commands`] are what their policies
 //! ask for, [`attempts`] travel in [`requests`], [`endpoints`] accept or reject these and [`service`] executes them,
 //! [`outages`] and [`faults`] come and go, and [`results`] are read at the end.
 
--- a/crates/simulation/src/world/records.rs
+++ b/crates/simulation/src/world/records.rs
@@ -4,8 +4,9 @@
 
 use reeddock::{AttemptOutcome, MessageId};
 
-use super::event::ForwarderIncarnation;
-use crate::ids::{DestinationIndex, EndpointIndex, MessageIndex, RequestIndex, SubmissionIndex};
+use crate::ids::{
+    DestinationIndex, EndpointIndex, ForwarderIncarnation, MessageIndex, RequestIndex, SubmissionIndex,
+};
 use crate::invariants::RetryAfterScope;
 
 /// What a client wants delivered, over all its submissions.
@@ -45,7 +46,7 @@
     /// Where it travels; absent where it was never sent.
     pub(super) position: Option<BatchPosition>,
     pub(super) outcome: Option<AttemptOutcome>,
-    /// The forwarder was told of the outcome, and its write-ahead log holds it.
+    /// The outcome was reported to the forwarder, and its write-ahead log holds it.
     pub(super) reported: bool,
 }
 
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -5,13 +5,15 @@
 
 use reeddock::EndpointState;
 
-use super::event::{Event, ForwarderIncarnation, ListChange};
+use super::event::{Event, ListChange};
 use super::forwarder::SimulatedForwarder;
 use super::records::{ClientSubmission, MessageRecord, RequestRecord};
 use crate::account::Account;
 use crate::distribution::RandomSource;
 use crate::fault::Fault;
-use crate::ids::{DestinationIndex, EndpointIndex, ForwarderIndex, MessageIndex, RequestIndex};
+use crate::ids::{
+    DestinationIndex, EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex, RequestIndex,
+};
 use crate::invariants::{ClassRules, InvariantChecker, RetryAfterScope};
 use crate::layout::FleetLayout;
 use crate::observed::SentToDown;
@@ -59,7 +61,7 @@
     pub(super) forwarders: Vec<SimulatedForwarder>,
     pub(super) endpoints: Vec<SimulatedEndpoint>,
     pub(super) destinations: Vec<SimulatedDestination>,
-    /// State of each endpoint on the endpoint list, whoever was told of it yet.
+    /// State of each endpoint on the endpoint list, whichever forwarders have read it yet.
     pub(super) listed_states: Vec<EndpointState>,
     /// Endpoints that each active fault strikes, by the fault's place in the scenario.
     pub(super) active_faults: BTreeMap<usize, Vec<EndpointIndex>>,
