--- a/crates/experiments/src/ramp.rs
+++ b/crates/experiments/src/ramp.rs
@@ -69,9 +69,9 @@
             }
         }
         let days = self.gather(&runs, "ramps", |(scenario, seed, policy)| {
-            let (_, observed) =
+            let run =
                 observe(scenario, *seed, policy.name(), &|now, terms, host| policy.open(now, terms, host));
-            Day { ramps: observed.ramps }
+            Day { ramps: run.observed.ramps }
         })?;
         let each = what.policies.0.len();
         let mut rows = Vec::new();
--- a/crates/experiments/src/sharing.rs
+++ b/crates/experiments/src/sharing.rs
@@ -80,7 +80,7 @@
 
     /// Plays one day.
     fn play(self, scenario: &Scenario, seed: u64) -> Day {
-        let (report, observed) = match self {
+        let run = match self {
             Sharer::DeliveryPolicyAdapter => observe(scenario, seed, "module", &|now, terms, host| {
                 BuiltInPolicy::DeliveryPolicy.open(now, terms, host)
             }),
@@ -96,10 +96,10 @@
             }
         };
         Day {
-            credit: report.credit,
-            rules_broken: report.rules_broken,
-            first_tries: report.submissions,
-            down: observed.down,
+            credit: run.report.credit,
+            rules_broken: run.report.rules_broken,
+            first_tries: run.report.submissions,
+            down: run.observed.down,
         }
     }
 }
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -25,6 +25,26 @@
 /// Largest spread of the logarithm in a log-normal distribution: beyond it no mean means anything.
 const LARGEST_SIGMA: f64 = 3.0;
 
+/// A number that a scenario may not name.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum NumberError {
+    /// Not a [`Share`].
+    #[error("{0} is no share: expected a number from 0 to 1")]
+    Share(f64),
+    /// Not an [`Amount`].
+    #[error("{0} is out of range: expected a number over 0, 1000000 at most")]
+    Amount(f64),
+    /// Not a [`Span`].
+    #[error("{0} is no span: expected seconds from 0 to {LONGEST_SPAN}")]
+    Span(f64),
+    /// Parameters of a [`Distribution`] that are out of range.
+    #[error(
+        "figure out of range: expected numbers from 0 up, uniform = [low, high], a mean or median over 0, \
+         sigma 3 at most"
+    )]
+    Distribution,
+}
+
 /// A part of a whole, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
@@ -52,12 +72,12 @@
 }
 
 impl TryFrom<f64> for Share {
-    type Error = String;
-    fn try_from(value: f64) -> Result<Share, String> {
+    type Error = NumberError;
+    fn try_from(value: f64) -> Result<Share, NumberError> {
         if (0.0..=1.0).contains(&value) {
             Ok(Share(value))
         } else {
-            Err(format!("{value} is no share: expected a number from 0 to 1"))
+            Err(NumberError::Share(value))
         }
     }
 }
@@ -89,12 +109,12 @@
 }
 
 impl TryFrom<f64> for Amount {
-    type Error = String;
-    fn try_from(value: f64) -> Result<Amount, String> {
+    type Error = NumberError;
+    fn try_from(value: f64) -> Result<Amount, NumberError> {
         if value > 0.0 && value <= *AMOUNT_RANGE.end() {
             Ok(Amount(value))
         } else {
-            Err(format!("{value} is out of range: expected a number over 0, 1000000 at most"))
+            Err(NumberError::Amount(value))
         }
     }
 }
@@ -128,12 +148,12 @@
 }
 
 impl TryFrom<f64> for Span {
-    type Error = String;
-    fn try_from(value: f64) -> Result<Span, String> {
+    type Error = NumberError;
+    fn try_from(value: f64) -> Result<Span, NumberError> {
         if (0.0..=LONGEST_SPAN).contains(&value) {
             Ok(Span(duration_from_seconds(value)))
         } else {
-            Err(format!("{value} is no span: expected seconds from 0 to {LONGEST_SPAN}"))
+            Err(NumberError::Span(value))
         }
     }
 }
@@ -217,7 +237,7 @@
     }
 
     /// Refuses parameters that are out of range.
-    fn validated(self) -> Result<Distribution, String> {
+    fn validated(self) -> Result<Distribution, NumberError> {
         let in_range = |v: f64| v.is_finite() && (0.0..=LARGEST_NUMBER).contains(&v);
         let valid = match self {
             Distribution::Constant(v) => in_range(v),
@@ -229,11 +249,10 @@
                 in_range(median) && median > 0.0 && (0.0..=LARGEST_SIGMA).contains(&sigma)
             }
         };
-        let expected = "numbers from 0 up, uniform = [low, high], a mean or median over 0, sigma 3 at most";
         if valid {
             Ok(self)
         } else {
-            Err(format!("figure out of range: expected {expected}"))
+            Err(NumberError::Distribution)
         }
     }
 }
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -28,6 +28,15 @@
     pub(super) since: Duration,
 }
 
+/// What broke a rule in a run.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Violations {
+    /// How often rules were broken.
+    pub count: usize,
+    /// The first violations.
+    pub first: Vec<Violation>,
+}
+
 /// Watches a run and keeps what breaks a rule. Times are since the start of the run.
 pub struct InvariantChecker {
     pub(super) classes: Vec<ClassRules>,
@@ -74,9 +83,9 @@
         }
     }
 
-    /// How often rules were broken, and the first of these in full.
-    pub fn into_violations(self) -> (usize, Vec<Violation>) {
-        (self.violation_count, self.violations)
+    /// All that broke a rule.
+    pub fn into_violations(self) -> Violations {
+        Violations { count: self.violation_count, first: self.violations }
     }
 
     /// A rule was broken, by what happened to a message where one is named.
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -10,7 +10,7 @@
 mod ordering;
 mod violation;
 
-pub use checker::{ClassRules, InvariantChecker};
+pub use checker::{ClassRules, InvariantChecker, Violations};
 pub use history::{proves_not_executed, AcceptedMessage, FinalAnswer};
 pub use violation::{RetryAfterScope, Violation};
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -57,6 +57,6 @@
     seed: u64,
     name: &str,
     factory: &policy::PolicyFactory,
-) -> (Report, observed::Observed) {
+) -> observed::ObservedRun {
     world::World::new(scenario, seed, name, factory).play_observed()
 }
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{DestinationIndex, EndpointIndex};
+use crate::report::Report;
 
 /// What an endpoint was sent while it warmed up after an outage, in the worst window of the length that the
 /// settings name: the one whose sum was largest against what may be sent.
@@ -81,6 +82,15 @@
     pub down: SentToDown,
 }
 
+/// A run, with what only the simulation can see of it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ObservedRun {
+    /// Its results.
+    pub report: Report,
+    /// What was observed beside them.
+    pub observed: Observed,
+}
+
 /// An endpoint's recovery and what it was sent since, while the run goes on.
 #[derive(Clone, Debug)]
 pub(crate) struct Recovery {
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -15,10 +15,12 @@
 mod world;
 
 pub use destinations::{DestinationKind, RateLimit};
-pub use error::ScenarioError;
+pub use error::{ScenarioError, ScenarioProblem};
 pub use messages::{ClassDecay, ClassIdempotency, ClassSpec, Program};
 pub use model::{Scenario, ScheduledFault, SearchFinding, VERSION};
+pub use overrides::OverrideError;
 pub use settings::{zone_name, OVER_QUOTA_WEIGHT};
+pub use validation::ValidationError;
 pub use world::{
     EndpointListSettings, Fleet, GossipSettings, ListWeights, Network, RecoverySettings, Traffic,
 };
--- a/crates/simulation/src/scenario/overrides.rs
+++ b/crates/simulation/src/scenario/overrides.rs
@@ -1,7 +1,28 @@
 //! Single values put in the place of those of a scenario file, as `--set` on the command line does.
 
+use thiserror::Error;
+
+/// Why a value could not be put into a scenario.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum OverrideError {
+    /// The value is no TOML value, nor text.
+    #[error("{0}")]
+    InvalidValue(String),
+    /// The value is empty.
+    #[error("no value")]
+    NoValue,
+    /// A step of the path names nothing in the file.
+    #[error("{path}: nothing at {step:?}, expected keys and numbers, as kind.0.batch")]
+    NothingAt {
+        /// The whole path.
+        path: String,
+        /// The step that failed.
+        step: String,
+    },
+}
+
 /// Puts one value into a table that was read, by a path such as `traffic.load` or `kind.0.told_waits`.
-pub(super) fn apply_override(table: &mut toml::Table, path: &str, value: &str) -> Result<(), String> {
+pub(super) fn apply_override(table: &mut toml::Table, path: &str, value: &str) -> Result<(), OverrideError> {
     let value = parse_value(value)?;
     let mut steps = path.split('.');
     let first = steps.next().unwrap_or_default();
@@ -12,7 +33,7 @@
             toml::Value::Array(array) => step.parse::<usize>().ok().and_then(|index| array.get_mut(index)),
             _ => None,
         };
-        let missing = || format!("{path}: nothing at {step:?}, expected keys and numbers, as kind.0.batch");
+        let missing = || OverrideError::NothingAt { path: path.to_owned(), step: step.to_owned() };
         at = next.ok_or_else(missing)?;
     }
     *at = value;
@@ -24,9 +45,10 @@
 }
 
 /// Reads a TOML value; what is none is meant as text.
-fn parse_value(value: &str) -> Result<toml::Value, String> {
+fn parse_value(value: &str) -> Result<toml::Value, OverrideError> {
     let read = |text: &str| toml::from_str::<toml::Table>(&format!("value = {text}"));
-    let table =
-        read(value).or_else(|_| read(&format!("{value:?}"))).map_err(|error| error.message().to_owned())?;
-    table.into_iter().next().map(|(_, value)| value).ok_or_else(|| "no value".to_owned())
+    let table = read(value)
+        .or_else(|_| read(&format!("{value:?}")))
+        .map_err(|error| OverrideError::InvalidValue(error.message().to_owned()))?;
+    table.into_iter().next().map(|(_, value)| value).ok_or(OverrideError::NoValue)
 }
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use super::error::ScenarioError;
+use super::error::{ScenarioError, ScenarioProblem};
 use super::model::Scenario;
 use super::overrides::apply_override;
 use super::validation::validate;
@@ -15,12 +15,13 @@
     /// A file that cannot be read, and all that [`Scenario::parse`] refuses.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| ScenarioError {
-            file: file.clone(),
-            line: None,
-            what: format!("cannot be read: {error}"),
-        })?;
-        Scenario::parse(&file, &text, &[])
+        match std::fs::read_to_string(path) {
+            Ok(text) => Scenario::parse(&file, &text, &[]),
+            Err(error) => {
+                let problem = ScenarioProblem::Unreadable(error.to_string());
+                Err(ScenarioError { file, line: None, problem })
+            }
+        }
     }
 
     /// Reads a scenario's text, with single values put in the place of those that stand there: each a path
@@ -30,18 +31,18 @@
     ///
     /// Text that is no TOML, unknown keys, and values that are out of range or contradict each other.
     pub fn parse(file: &str, text: &str, overrides: &[(String, String)]) -> Result<Scenario, ScenarioError> {
-        let error = |line, what: String| ScenarioError { file: file.to_owned(), line, what };
+        let error = |line, problem| ScenarioError { file: file.to_owned(), line, problem };
         let syntax_error = |fault: toml::de::Error| {
             let line = fault.span().map(|span| line_at(text, span.start));
-            error(line, one_line(fault.message()))
+            error(line, ScenarioProblem::Syntax(one_line(fault.message())))
         };
         let scenario: Scenario = if overrides.is_empty() {
             toml::from_str(text).map_err(syntax_error)?
         } else {
             let table: toml::Table = toml::from_str(text).map_err(syntax_error)?;
-            parse_with_overrides(table, overrides).map_err(|what| error(None, what))?
+            parse_with_overrides(table, overrides).map_err(|problem| error(None, problem))?
         };
-        validate(&scenario).map_err(|invalid| error(invalid.section.line_in(text), invalid.what))?;
+        validate(&scenario).map_err(|invalid| error(invalid.section.line_in(text), invalid.error.into()))?;
         Ok(scenario)
     }
 
@@ -51,14 +52,17 @@
     }
 }
 
-fn parse_with_overrides(mut table: toml::Table, overrides: &[(String, String)]) -> Result<Scenario, String> {
+fn parse_with_overrides(
+    mut table: toml::Table,
+    overrides: &[(String, String)],
+) -> Result<Scenario, ScenarioProblem> {
     for (path, value) in overrides {
         apply_override(&mut table, path, value)?;
     }
-    let text = toml::to_string(&table).map_err(|error| error.to_string())?;
+    let text = toml::to_string(&table).map_err(|error| ScenarioProblem::Syntax(error.to_string()))?;
     toml::from_str(&text).map_err(|error| {
         let paths: Vec<&str> = overrides.iter().map(|(path, _)| path.as_str()).collect();
-        format!("with {} put in: {}", paths.join(", "), one_line(error.message()))
+        ScenarioProblem::Overridden { paths: paths.join(", "), message: one_line(error.message()) }
     })
 }
 
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -1,10 +1,15 @@
 //! Checks of a scenario that span several of its values: ranges, unique names, and that faults name what exists.
 
+use thiserror::Error;
+
 use super::destinations::{DestinationKind, RateLimit};
 use super::messages::{ClassSpec, Program};
 use super::model::{Scenario, VERSION};
 use crate::fault::Fault;
 
+/// Sections of one kind at most.
+const MAX_SECTIONS: usize = 1000;
+
 /// A section of the scenario file: the text with which it begins, and which one of those.
 #[derive(Clone, Copy)]
 pub(super) struct Section {
@@ -34,23 +39,97 @@
         text.lines().enumerate().filter(begins_here).nth(self.index).map(|(line, _)| line + 1)
     }
 
-    fn invalid(self, what: String) -> InvalidSection {
-        InvalidSection { section: self, what }
+    fn invalid(self, error: ValidationError) -> InvalidSection {
+        InvalidSection { section: self, error }
     }
 
     /// Refuses a value outside a range.
-    fn check_range(self, what: &str, value: f64, low: f64, high: f64) -> Result<(), InvalidSection> {
+    fn check_range(self, name: &'static str, value: f64, low: f64, high: f64) -> Result<(), InvalidSection> {
         if (low..=high).contains(&value) {
             return Ok(());
         }
-        Err(self.invalid(format!("{what} is {value}: expected {low} to {high}")))
+        Err(self.invalid(ValidationError::OutOfRange { name, value, low, high }))
     }
 }
 
-/// What is wrong with a section, and what was expected.
+/// A section that is not valid, and why.
 pub(super) struct InvalidSection {
     pub(super) section: Section,
-    pub(super) what: String,
+    pub(super) error: ValidationError,
+}
+
+/// A value that is out of range, or contradicts another one.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum ValidationError {
+    /// The version of the file's format is not [`VERSION`].
+    #[error("version {0} is not known: expected {VERSION}")]
+    UnknownVersion(u32),
+    /// A number is out of range.
+    #[error("{name} is {value}: expected {low} to {high}")]
+    OutOfRange {
+        /// The number's name in the file.
+        name: &'static str,
+        /// The number.
+        value: f64,
+        /// Least number that is accepted.
+        low: f64,
+        /// Greatest number that is accepted.
+        high: f64,
+    },
+    /// No sections of a kind, or too many.
+    #[error("{count} {sections}: expected 1 to {MAX_SECTIONS}")]
+    SectionCount {
+        /// What the sections describe.
+        sections: &'static str,
+        /// How many there are.
+        count: usize,
+    },
+    /// A name that stands twice.
+    #[error("name used before: expected a name that stands once only")]
+    RepeatedName,
+    /// A latency objective of zero, or after the deadline.
+    #[error(
+        "promised_s of {class:?} is {objective}: expected over 0, and its outer_limit_s {deadline} at most"
+    )]
+    LatencyObjective {
+        /// Name of the class.
+        class: String,
+        /// Its latency objective, in seconds.
+        objective: f64,
+        /// Its deadline, in seconds.
+        deadline: f64,
+    },
+    /// A fault names a destination that is not there.
+    #[error("destination {index}: expected a number under {count}")]
+    UnknownDestination {
+        /// Its index.
+        index: u32,
+        /// How many there are.
+        count: u32,
+    },
+    /// A fault names a forwarder that is not there.
+    #[error("forwarder {index}: expected a number under {count}")]
+    UnknownForwarder {
+        /// Its index.
+        index: u32,
+        /// How many there are.
+        count: u32,
+    },
+    /// A fault names destinations and a share of them, or neither.
+    #[error("whom: expected either destinations or a share")]
+    EndpointSelector,
+    /// A fault names forwarders and a share of them, or neither.
+    #[error("which: expected either forwarders or a share")]
+    ForwarderSelector,
+    /// A fault names a message class that is not there.
+    #[error("category {0:?} is not in this scenario")]
+    UnknownClass(String),
+    /// A fault names a program that is not there.
+    #[error("program {0:?} is not in this scenario")]
+    UnknownProgram(String),
+    /// Pauses that are as long as their interval, or longer.
+    #[error("pauses: expected each_s under every_s")]
+    PauseInterval,
 }
 
 /// Checks what single values cannot show when they are read.
@@ -73,15 +152,15 @@
     }
     for (index, scheduled) in scenario.faults.iter().enumerate() {
         let section = Section::nth(Section::FAULT, index);
-        check_fault(scenario, &scheduled.fault).map_err(|what| section.invalid(what))?;
+        check_fault(scenario, &scheduled.fault).map_err(|error| section.invalid(error))?;
     }
     Ok(())
 }
 
 fn check_top_level(scenario: &Scenario) -> Result<(), InvalidSection> {
     if scenario.version != VERSION {
-        let what = format!("version {} is not known: expected {VERSION}", scenario.version);
-        return Err(Section::first("version").invalid(what));
+        let unknown = ValidationError::UnknownVersion(scenario.version);
+        return Err(Section::first("version").invalid(unknown));
     }
     Section::first("lasts_s").check_range("lasts_s", scenario.duration.seconds(), 1.0, 3600.0)
 }
@@ -109,9 +188,9 @@
         ("programs", Section::PROGRAM, scenario.programs.len()),
         ("kinds", Section::KIND, scenario.kinds.len()),
     ] {
-        if count == 0 || count > 1000 {
-            let what = format!("{count} {sections}: expected 1 to 1000");
-            return Err(Section::first(header).invalid(what));
+        if count == 0 || count > MAX_SECTIONS {
+            let error = ValidationError::SectionCount { sections, count };
+            return Err(Section::first(header).invalid(error));
         }
     }
     Ok(())
@@ -124,21 +203,17 @@
     let names: Vec<&String> = names.collect();
     match (1..names.len()).find(|index| names[..*index].contains(&names[*index])) {
         None => Ok(()),
-        Some(repeated) => {
-            let what = "name used before: expected a name that stands once only".to_owned();
-            Err(Section::nth(header, repeated).invalid(what))
-        }
+        Some(repeated) => Err(Section::nth(header, repeated).invalid(ValidationError::RepeatedName)),
     }
 }
 
 fn check_class(section: Section, class: &ClassSpec) -> Result<(), InvalidSection> {
     if class.latency_objective > class.deadline || class.latency_objective.0.is_zero() {
-        return Err(section.invalid(format!(
-            "promised_s of {:?} is {}: expected over 0, and its outer_limit_s {} at most",
-            class.name,
-            class.latency_objective.seconds(),
-            class.deadline.seconds()
-        )));
+        return Err(section.invalid(ValidationError::LatencyObjective {
+            class: class.name.clone(),
+            objective: class.latency_objective.seconds(),
+            deadline: class.deadline.seconds(),
+        }));
     }
     section.check_range("work_ms in the mean", class.work_ms.mean(), 0.001, 1e6)?;
     match class.ordered_keys {
@@ -165,45 +240,45 @@
     }
 }
 
-fn check_fault(scenario: &Scenario, fault: &Fault) -> Result<(), String> {
+fn check_fault(scenario: &Scenario, fault: &Fault) -> Result<(), ValidationError> {
     check_endpoint_selector(scenario, fault)?;
     check_forwarder_selector(scenario, fault)?;
     match fault {
         Fault::ClassFails { class, .. } => {
             let known = scenario.classes.iter().any(|known| known.name == *class);
-            known.then_some(()).ok_or_else(|| format!("category {class:?} is not in this scenario"))
+            known.then_some(()).ok_or_else(|| ValidationError::UnknownClass(class.clone()))
         }
         Fault::ProgramSurge { program, .. } => {
             let known = scenario.programs.iter().any(|known| known.name == *program);
-            known.then_some(()).ok_or_else(|| format!("program {program:?} is not in this scenario"))
+            known.then_some(()).ok_or_else(|| ValidationError::UnknownProgram(program.clone()))
         }
         Fault::Pauses { duration, interval, .. } if duration >= interval => {
-            Err("pauses: expected each_s under every_s".to_owned())
+            Err(ValidationError::PauseInterval)
         }
         _ => Ok(()),
     }
 }
 
-fn check_endpoint_selector(scenario: &Scenario, fault: &Fault) -> Result<(), String> {
+fn check_endpoint_selector(scenario: &Scenario, fault: &Fault) -> Result<(), ValidationError> {
     let Some(selector) = fault.endpoint_selector() else { return Ok(()) };
-    let destinations: u32 = scenario.kinds.iter().map(|kind| kind.destinations).sum();
-    if let Some(unknown) = selector.destinations.iter().find(|index| **index >= destinations) {
-        return Err(format!("destination {unknown}: expected a number under {destinations}"));
+    let count: u32 = scenario.kinds.iter().map(|kind| kind.destinations).sum();
+    if let Some(unknown) = selector.destinations.iter().find(|index| **index >= count) {
+        return Err(ValidationError::UnknownDestination { index: *unknown, count });
     }
     if selector.destinations.is_empty() == selector.destination_share.is_none() {
-        return Err("whom: expected either destinations or a share".to_owned());
+        return Err(ValidationError::EndpointSelector);
     }
     Ok(())
 }
 
-fn check_forwarder_selector(scenario: &Scenario, fault: &Fault) -> Result<(), String> {
+fn check_forwarder_selector(scenario: &Scenario, fault: &Fault) -> Result<(), ValidationError> {
     let Some(selector) = fault.forwarder_selector() else { return Ok(()) };
-    let forwarders = scenario.fleet.forwarders;
-    if let Some(unknown) = selector.forwarders.iter().find(|index| **index >= forwarders) {
-        return Err(format!("forwarder {unknown}: expected a number under {forwarders}"));
+    let count = scenario.fleet.forwarders;
+    if let Some(unknown) = selector.forwarders.iter().find(|index| **index >= count) {
+        return Err(ValidationError::UnknownForwarder { index: *unknown, count });
     }
     if selector.forwarders.is_empty() == selector.share.is_none() {
-        return Err("which: expected either forwarders or a share".to_owned());
+        return Err(ValidationError::ForwarderSelector);
     }
     Ok(())
 }
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -53,7 +53,7 @@
     pub(super) fn report(self) -> Report {
         let (classes, programs) = (self.class_parts(), self.program_parts());
         let (destinations, watched) = (self.worst_destinations(), self.watched_destinations());
-        let (rules_broken, violations) = self.invariants.into_violations();
+        let violations = self.invariants.into_violations();
         let (account, scenario) = (&self.account, self.scenario);
         let submissions = account.submission_count();
         let per_submission = |count: u64| rounded(count as f64 / submissions.max(1) as f64);
@@ -82,8 +82,8 @@
             new_connections_per_submission: per_submission(account.new_connections),
             repeats_applied: account.repeats_applied,
             overloads: account.overloads,
-            rules_broken,
-            violations,
+            rules_broken: violations.count,
+            violations: violations.first,
             seconds: account.seconds.iter().map(rounded_second).collect(),
             watched,
             latency_steps: account.latency_steps(),
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -8,7 +8,7 @@
 use super::state::World;
 use crate::account::WATCHED_DESTINATIONS;
 use crate::ids::{DestinationIndex, ForwarderIndex};
-use crate::observed::Observed;
+use crate::observed::ObservedRun;
 use crate::report::Report;
 
 /// From one sample of the capacity to the next.
@@ -22,10 +22,10 @@
     }
 
     /// The same, and gives what only the simulation can see.
-    pub(crate) fn play_observed(mut self) -> (Report, Observed) {
+    pub(crate) fn play_observed(mut self) -> ObservedRun {
         self.play_events();
         let observed = self.observed();
-        (self.report(), observed)
+        ObservedRun { report: self.report(), observed }
     }
 
     fn play_events(&mut self) {
--- a/crates/simulation/tests/simulation/recovery.rs
+++ b/crates/simulation/tests/simulation/recovery.rs
@@ -89,7 +89,7 @@
         let work = |n| ReceivedWork { at: Duration::ZERO, amount: 1.0, sender: ForwarderIndex(n) };
         let received: Vec<ReceivedWork> = (0..all).map(work).collect();
         invariants.endpoint_overloaded(Duration::ZERO, EndpointIndex(0), &received, 1.0);
-        invariants.into_violations().0
+        invariants.into_violations().count
     };
     assert_eq!(broken(20, 30), 0, "two thirds are not over two thirds");
     assert_eq!(broken(21, 30), 1);
