--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -1,103 +1,116 @@
-//! What has to hold at the end of a run.
+//! Checks what has to hold at the end of a run.
 
 use std::collections::BTreeSet;
 
-use crate::clients::Answer;
-use crate::hollow::locked as known_of;
-use crate::real::probe_client;
-use crate::report::{check, Line};
-use crate::stage::{locked, Stage};
-use crate::truth::Target;
+use crate::client::SubmitResult;
+use crate::endpoint_list::ListSnapshot;
+use crate::lock::lock;
+use crate::probe::probe_client;
+use crate::report::ResultLine;
+use crate::test_bed::TestBed;
 
-/// Destinations listed while the run lasted that each real forwarder is asked for at its end, at most.
-const ASKED_AT_END: usize = 64;
-/// Differences that are told one by one.
-const TOLD_DIFFERENCES: usize = 3;
+/// The most new destinations that each real forwarder is probed for at the end.
+const FINAL_PROBES: usize = 64;
+/// The most differences that the detail of a check shows.
+const MAX_REPORTED_DIFFERENCES: usize = 3;
 
-impl Stage {
-    /// All checks; `settled` says whether the last change came into force in time.
-    pub async fn checks(&self, settled: bool) -> Vec<Line> {
-        let (generation, targets) = self.truth.targets();
-        let mut lines = vec![check(
-            "the last change is in force everywhere",
-            settled,
-            format!("waited up to {} s", self.scenario.changes.settle_within_s),
-        )];
-        lines.push(self.check_states(generation, &targets));
-        lines.push(self.check_counts(generation));
-        let expected = self.probes() * self.reals.len();
-        let seen = locked(&self.probed).len();
-        lines.push(check(
-            "each new destination became known at each real forwarder",
-            seen == expected,
-            format!("{seen} of {expected}"),
-        ));
-        let (known, asked) = self.ask_at_end(targets.len()).await;
-        lines.push(check(
-            "new destinations are known at each real forwarder at the end",
-            known == asked,
-            format!("{known} of {asked}"),
-        ));
-        let mut crashed = Vec::new();
-        for real in &self.reals {
-            let mut real = real.lock().await;
-            if real.has_crashed() {
-                crashed.push(format!("{}: {}", real.number, real.last_words()));
-            }
-        }
-        let detail = if crashed.is_empty() { "none ended".to_owned() } else { crashed.join("; ") };
-        lines.push(check("no process ended by itself", crashed.is_empty(), detail));
-        lines
+impl TestBed {
+    /// The verdicts of all checks; `settled` says whether the last change came into force in time.
+    pub(crate) async fn check_results(&self, settled: bool) -> Vec<ResultLine> {
+        let authoritative = self.list.snapshot();
+        vec![
+            ResultLine::check(
+                "the last change is in force everywhere",
+                settled,
+                format!("waited up to {} s", self.scenario.changes.settle_within_s),
+            ),
+            self.check_hollow_lists(&authoritative),
+            self.check_skipped_changes(authoritative.generation),
+            self.check_probes(),
+            self.check_new_destinations(authoritative.endpoints.len()).await,
+            self.check_processes().await,
+        ]
     }
 
-    fn check_states(&self, generation: u64, targets: &[Target]) -> Line {
-        let (mut faulty, mut told) = (0, Vec::new());
-        for hollow in &self.hollows {
-            let hollow = locked(hollow);
-            let differences = known_of(&hollow.known).differences(generation, targets);
-            faulty += usize::from(!differences.is_empty());
-            for difference in differences.into_iter().take(TOLD_DIFFERENCES) {
-                told.push(format!("forwarder {}: {difference:?}", hollow.number));
+    fn check_hollow_lists(&self, authoritative: &ListSnapshot) -> ResultLine {
+        let mut differing = 0;
+        let mut shown = Vec::new();
+        for hollow in &self.hollow_forwarders {
+            let hollow = lock(hollow);
+            let differences = hollow.state().differences(authoritative);
+            differing += usize::from(!differences.is_empty());
+            for difference in differences.into_iter().take(MAX_REPORTED_DIFFERENCES) {
+                shown.push(format!("forwarder {}: {difference}", hollow.number()));
             }
         }
-        told.truncate(TOLD_DIFFERENCES);
-        let all = self.hollows.len();
-        let detail = format!("{faulty} of {all} differ {}", told.join("; "));
-        check("hollow forwarders have the control side's list", faulty == 0, detail.trim_end())
+        shown.truncate(MAX_REPORTED_DIFFERENCES);
+        let all = self.hollow_forwarders.len();
+        let detail = format!("{differing} of {all} differ {}", shown.join("; "));
+        ResultLine::check("hollow forwarders have the control side's list", differing == 0, detail.trim_end())
     }
 
-    /// Each change that a hollow forwarder did not have with its first list came into force there once.
-    fn check_counts(&self, generation: u64) -> Line {
+    /// Each change after a hollow forwarder's first list came into force there.
+    fn check_skipped_changes(&self, generation: u64) -> ResultLine {
         let mut missing = 0;
-        for hollow in &self.hollows {
-            let hollow = locked(hollow);
-            let known = known_of(&hollow.known);
-            let seen = &known.in_force;
-            let first = known.first_generation();
-            let expected = (first + 1..=generation).collect::<BTreeSet<_>>();
-            let had: BTreeSet<_> = seen.iter().map(|in_force| in_force.generation).collect();
-            missing += expected.difference(&had).count();
+        for hollow in &self.hollow_forwarders {
+            let hollow = lock(hollow);
+            let state = hollow.state();
+            let expected: BTreeSet<u64> = (state.first_generation() + 1..=generation).collect();
+            let applied: BTreeSet<u64> = state.applied().iter().map(|change| change.generation).collect();
+            missing += expected.difference(&applied).count();
         }
-        check("no change is missing at a hollow forwarder", missing == 0, format!("{missing} missing"))
+        ResultLine::check(
+            "no change is missing at a hollow forwarder",
+            missing == 0,
+            format!("{missing} missing"),
+        )
+    }
+
+    fn check_probes(&self) -> ResultLine {
+        let expected = self.new_destinations() * self.real_forwarders.len();
+        let arrived = lock(&self.probe_records).len();
+        ResultLine::check(
+            "each new destination became known at each real forwarder",
+            arrived == expected,
+            format!("{arrived} of {expected}"),
+        )
     }
 
-    /// Hands an envelope in at each real forwarder for the destinations that were listed last.
-    async fn ask_at_end(&self, targets: usize) -> (usize, usize) {
-        let first = (self.scenario.list.targets as usize).max(targets.saturating_sub(ASKED_AT_END));
-        let (mut known, mut asked) = (0, 0);
-        for real in &self.reals {
-            let (listen, number) = {
-                let real = real.lock().await;
-                (real.listen, real.number)
+    /// Submits a message at each real forwarder for each of the destinations that were listed last.
+    async fn check_new_destinations(&self, endpoints: usize) -> ResultLine {
+        let first_new = self.scenario.list.endpoints as usize;
+        let first = first_new.max(endpoints.saturating_sub(FINAL_PROBES));
+        let mut accepted = 0;
+        let mut submitted = 0;
+        for forwarder in &self.real_forwarders {
+            let (address, number) = {
+                let forwarder = forwarder.lock().await;
+                (forwarder.address(), forwarder.number())
             };
-            let mut client = probe_client(listen);
-            for place in first..targets {
-                let destination = u32::try_from(place).unwrap_or(u32::MAX);
-                let answer = client.hand_in(&format!("end-{number}-{place}"), destination).await;
-                known += usize::from(answer == Answer::TakenOn);
-                asked += 1;
+            let mut client = probe_client(address);
+            for index in first..endpoints {
+                let destination = u32::try_from(index).unwrap_or(u32::MAX);
+                let result = client.submit(&format!("end-{number}-{index}"), destination).await;
+                accepted += usize::from(result == SubmitResult::Accepted);
+                submitted += 1;
+            }
+        }
+        ResultLine::check(
+            "new destinations are known at each real forwarder at the end",
+            accepted == submitted,
+            format!("{accepted} of {submitted}"),
+        )
+    }
+
+    async fn check_processes(&self) -> ResultLine {
+        let mut crashed = Vec::new();
+        for forwarder in &self.real_forwarders {
+            let mut forwarder = forwarder.lock().await;
+            if forwarder.has_crashed() {
+                crashed.push(format!("{}: {}", forwarder.number(), forwarder.last_log_line()));
             }
         }
-        (known, asked)
+        let detail = if crashed.is_empty() { "none ended".to_owned() } else { crashed.join("; ") };
+        ResultLine::check("no process ended by itself", crashed.is_empty(), detail)
     }
 }
--- /dev/null
+++ b/crates/scale-test/src/client.rs
@@ -0,0 +1,91 @@
+//! Submits messages at one forwarder, over a connection that is kept.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{Request, StatusCode};
+use http_body_util::{BodyExt, Full};
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+use crate::task::AbortOnDrop;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// The content of each message.
+const MESSAGE_BODY: &[u8] = b"an envelope of the scale run";
+
+/// The result of one submission.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum SubmitResult {
+    /// The forwarder is responsible for the message until it has a final answer.
+    Accepted,
+    /// Rejected, for example because the list has no such destination.
+    Rejected,
+    /// No connection, a connection that was lost, or no answer in time.
+    NoAnswer,
+}
+
+/// A client with one connection at most.
+pub(crate) struct Client {
+    forwarder: SocketAddr,
+    response_timeout: Duration,
+    connection: Option<Connection>,
+}
+
+/// An open connection, closed when this is dropped.
+struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    _driver: AbortOnDrop,
+}
+
+impl Client {
+    /// A client of the forwarder at an address; it connects with the first submission.
+    pub(crate) fn new(forwarder: SocketAddr, response_timeout: Duration) -> Client {
+        Client { forwarder, response_timeout, connection: None }
+    }
+
+    /// Submits one message.
+    pub(crate) async fn submit(&mut self, message_id: &str, destination: u32) -> SubmitResult {
+        let request = Request::post("/api")
+            .header("host", "api.internal")
+            .header("x-call-id", message_id)
+            .header("x-call-class", "update")
+            .header("x-budget", "20.000")
+            .header("x-route-to", format!("dest={destination}"))
+            .body(Full::from(Bytes::from_static(MESSAGE_BODY)));
+        let Ok(request) = request else { return SubmitResult::NoAnswer };
+        match self.send(request).await {
+            Some(StatusCode::ACCEPTED | StatusCode::OK) => SubmitResult::Accepted,
+            Some(_) => SubmitResult::Rejected,
+            None => SubmitResult::NoAnswer,
+        }
+    }
+
+    /// Sends a request and returns the status of the response. The connection is kept after a complete response only.
+    async fn send(&mut self, request: Request<Full<Bytes>>) -> Option<StatusCode> {
+        let kept = self.connection.take().filter(|connection| !connection.sender.is_closed());
+        let mut connection = match kept {
+            Some(connection) => connection,
+            None => self.connect().await?,
+        };
+        let exchange = async {
+            connection.sender.ready().await.ok()?;
+            let mut response = connection.sender.send_request(request).await.ok()?;
+            while let Some(Ok(_)) = response.frame().await {}
+            Some(response.status())
+        };
+        let status = timeout(self.response_timeout, exchange).await.ok()??;
+        self.connection = Some(connection);
+        Some(status)
+    }
+
+    async fn connect(&self) -> Option<Connection> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.forwarder)).await.ok()?.ok()?;
+        let _ = stream.set_nodelay(true);
+        let (sender, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+        Some(Connection { sender, _driver: AbortOnDrop::spawn(driver) })
+    }
+}
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -3,13 +3,15 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use reeddock_scale_test::fault::Fault;
-use reeddock_scale_test::fit::{fit, slopes};
+use reeddock_scale_test::error::ScaleTestError;
+use reeddock_scale_test::fit::{fit, slope_table, FittedFigure};
 use reeddock_scale_test::report::Results;
 use reeddock_scale_test::run::{run, Options};
 use reeddock_scale_test::scenario::Scenario;
+use reeddock_scale_test::tables::tables;
 use tokio::signal::unix::{signal, SignalKind};
 
 /// Plays real and hollow forwarders against a control side on loopback, and measures them.
@@ -21,17 +23,17 @@
     #[command(subcommand)]
     command: Option<Command>,
     #[command(flatten)]
-    run: Option<Run>,
+    run: Option<RunArguments>,
 }
 
 #[derive(Subcommand)]
 enum Command {
     /// Run a scenario at the sizes of its table [fit], and fit slopes.
-    Fit(Run),
+    Fit(RunArguments),
 }
 
 #[derive(Args)]
-struct Run {
+struct RunArguments {
     scenario: PathBuf,
     /// Results are appended here, one JSON object a line.
     #[arg(long, value_name = "FILE")]
@@ -41,110 +43,138 @@
     forwarder: Option<PathBuf>,
 }
 
-/// Threads for clients and for what is left.
+/// Threads for clients and for all tasks without a thread of their own.
 const MAIN_THREADS: usize = 2;
+/// How long tasks that are left may take to end.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
+/// The exit code where there is no result.
+const EXIT_NO_RESULT: u8 = 2;
+
+/// Whether every check of all runs passed.
+#[derive(Clone, Copy)]
+enum Outcome {
+    AllPassed,
+    SomeFailed,
+}
+
+impl Outcome {
+    fn of(results: &[Results]) -> Outcome {
+        if results.iter().all(Results::all_passed) {
+            Outcome::AllPassed
+        } else {
+            Outcome::SomeFailed
+        }
+    }
+}
 
 fn main() -> ExitCode {
-    let line = match CommandLine::try_parse() {
-        Ok(line) => line,
-        Err(told) if !told.use_stderr() => told.exit(),
-        Err(fault) => {
-            eprintln!("reeddock-scale-test: {}", in_one_line(&fault.to_string()));
-            return ExitCode::from(2);
+    let command_line = match CommandLine::try_parse() {
+        Ok(command_line) => command_line,
+        Err(help_or_version) if !help_or_version.use_stderr() => help_or_version.exit(),
+        Err(error) => {
+            eprintln!("reeddock-scale-test: {}", usage_error_line(&error.to_string()));
+            return ExitCode::from(EXIT_NO_RESULT);
         }
     };
+    match run_on_runtime(command_line) {
+        Ok(Outcome::AllPassed) => ExitCode::SUCCESS,
+        Ok(Outcome::SomeFailed) => ExitCode::from(1),
+        Err(error) => {
+            eprintln!("reeddock-scale-test: {}", error.to_string().replace('\n', " "));
+            ExitCode::from(EXIT_NO_RESULT)
+        }
+    }
+}
+
+fn run_on_runtime(command_line: CommandLine) -> Result<Outcome, ScaleTestError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(MAIN_THREADS)
         .thread_name("clients")
         .enable_all()
-        .build();
-    let played = match runtime {
-        Ok(runtime) => {
-            let played = runtime.block_on(until_told(line));
-            // What a broken run leaves, children too, ends with its tasks.
-            runtime.shutdown_timeout(std::time::Duration::from_secs(5));
-            played
-        }
-        Err(e) => Err(Fault::broken("the runtime can't be started", e)),
-    };
-    match played {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("reeddock-scale-test: {}", fault.to_string().replace('\n', " "));
-            ExitCode::from(2)
-        }
-    }
+        .build()
+        .map_err(|e| ScaleTestError::aborted("the runtime can't be started", e))?;
+    let outcome = runtime.block_on(run_until_signal(command_line));
+    // What an aborted run leaves, child processes too, ends with its tasks.
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
+    outcome
 }
 
-/// What is wrong with the command line, without the help that stands below it.
-fn in_one_line(fault: &str) -> String {
-    let told = fault.split("Usage:").next().unwrap_or(fault).trim_start_matches("error: ");
-    let words: Vec<&str> = told.split_whitespace().collect();
+/// What is wrong with the command line, in one line, without the help that stands below it.
+fn usage_error_line(error: &str) -> String {
+    let message = error.split("Usage:").next().unwrap_or(error).trim_start_matches("error: ");
+    let words: Vec<&str> = message.split_whitespace().collect();
     format!("command line: {}; see --help", words.join(" "))
 }
 
-/// Plays until it is over or a signal comes.
-async fn until_told(line: CommandLine) -> Result<bool, Fault> {
-    let told = |kind| signal(kind).map_err(|e| Fault::broken("signals can't be waited for", e));
-    let (mut interrupt, mut terminate) = (told(SignalKind::interrupt())?, told(SignalKind::terminate())?);
+/// Runs until it is over or a signal comes.
+async fn run_until_signal(command_line: CommandLine) -> Result<Outcome, ScaleTestError> {
+    let listen = |kind| signal(kind).map_err(|e| ScaleTestError::aborted("signals can't be waited for", e));
+    let mut interrupt = listen(SignalKind::interrupt())?;
+    let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
-        played = play(line) => played,
-        _ = interrupt.recv() => Err(Fault::broken("the run", "interrupted")),
-        _ = terminate.recv() => Err(Fault::broken("the run", "told to stop")),
+        outcome = run_command(command_line) => outcome,
+        _ = interrupt.recv() => Err(ScaleTestError::aborted("the run", "interrupted")),
+        _ = terminate.recv() => Err(ScaleTestError::aborted("the run", "told to stop")),
     }
 }
 
-async fn play(line: CommandLine) -> Result<bool, Fault> {
-    match (line.command, line.run) {
-        (Some(Command::Fit(run)), _) => play_fit(run).await,
-        (None, Some(run)) => play_one(run).await,
-        (None, None) => Err(Fault::input("the command line", "SCENARIO or fit SCENARIO", "neither")),
+async fn run_command(command_line: CommandLine) -> Result<Outcome, ScaleTestError> {
+    match (command_line.command, command_line.run) {
+        (Some(Command::Fit(arguments)), _) => run_fit(arguments).await,
+        (None, Some(arguments)) => run_scenario(arguments).await,
+        (None, None) => {
+            Err(ScaleTestError::invalid_input("the command line", "SCENARIO or fit SCENARIO", "neither"))
+        }
     }
 }
 
-async fn play_one(line: Run) -> Result<bool, Fault> {
-    let scenario = Scenario::read(&line.scenario)?;
-    let results = run(scenario, options(&line)).await?;
-    print(&results.tables());
-    keep(&line, |file| results.append(file))?;
-    Ok(results.sound())
+async fn run_scenario(arguments: RunArguments) -> Result<Outcome, ScaleTestError> {
+    let scenario = Scenario::read(&arguments.scenario)?;
+    let results = run(scenario, arguments.options()).await?;
+    print(&tables(&results));
+    if let Some(file) = &arguments.jsonl {
+        results.append_to(file)?;
+    }
+    Ok(Outcome::of(&[results]))
 }
 
-async fn play_fit(line: Run) -> Result<bool, Fault> {
-    let scenario = Scenario::read(&line.scenario)?;
-    let options = options(&line);
-    let done = |size: &str, results: &Results| {
-        eprintln!("{size}: {}", if results.sound() { "every check passed" } else { "a check FAILED" });
+async fn run_fit(arguments: RunArguments) -> Result<Outcome, ScaleTestError> {
+    let scenario = Scenario::read(&arguments.scenario)?;
+    let report_run = |size: &str, results: &Results| {
+        let verdict = if results.all_passed() { "every check passed" } else { "a check FAILED" };
+        eprintln!("{size}: {verdict}");
     };
-    let outcome = fit(&scenario, &options, done).await?;
-    print(&slopes(&outcome.fitted));
-    keep(&line, |file| outcome.runs.iter().try_for_each(|run| run.append(file)))?;
-    keep(&line, |file| append_slopes(file, &outcome.fitted))?;
-    Ok(outcome.runs.iter().all(|run| run.sound()))
+    let results = fit(&scenario, &arguments.options(), report_run).await?;
+    print(&slope_table(&results.fitted));
+    if let Some(file) = &arguments.jsonl {
+        results.runs.iter().try_for_each(|run| run.append_to(file))?;
+        append_slopes(file, &results.fitted)?;
+    }
+    Ok(Outcome::of(&results.runs))
 }
 
-fn append_slopes(file: &Path, fitted: &[reeddock_scale_test::fit::Fitted]) -> Result<(), Fault> {
-    let broken =
-        |e: std::io::Error| Fault::broken(format!("slopes can't be written to {}", file.display()), e);
-    let mut to = std::fs::File::options().create(true).append(true).open(file).map_err(broken)?;
-    for line in fitted {
-        let text = serde_json::json!({"line": "slope", "slope": line});
-        writeln!(to, "{text}").map_err(broken)?;
+/// Appends one JSON object a line for each fitted figure.
+fn append_slopes(file: &Path, fitted: &[FittedFigure]) -> Result<(), ScaleTestError> {
+    let write_error = |e: std::io::Error| {
+        ScaleTestError::aborted(format!("slopes can't be written to {}", file.display()), e)
+    };
+    let mut output = std::fs::File::options().create(true).append(true).open(file).map_err(write_error)?;
+    for figure in fitted {
+        let text = serde_json::json!({"line": "slope", "slope": figure});
+        writeln!(output, "{text}").map_err(write_error)?;
     }
     Ok(())
 }
 
-fn keep(line: &Run, kept: impl FnOnce(&Path) -> Result<(), Fault>) -> Result<(), Fault> {
-    line.jsonl.as_deref().map_or(Ok(()), kept)
-}
-
-/// Whoever has read enough may close the pipe.
+/// Prints to standard output, whose reader may have closed the pipe.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-fn options(line: &Run) -> Options {
-    let beside = || std::env::current_exe().ok().map(|me| me.with_file_name("reeddock"));
-    Options { program: line.forwarder.clone().or_else(beside), ..Options::default() }
+impl RunArguments {
+    fn options(&self) -> Options {
+        let beside_this_program =
+            || std::env::current_exe().ok().map(|program| program.with_file_name("reeddock"));
+        Options { program: self.forwarder.clone().or_else(beside_this_program), ..Options::default() }
+    }
 }
--- a/crates/scale-test/src/ports.rs
+++ b/crates/scale-test/src/ports.rs
@@ -1,34 +1,38 @@
-//! Ports that nobody is given by chance: below those that systems deal out, so that one which is let go for a
-//! while, as in a restart, is still free when it is wanted again.
+//! Ports below the range that systems assign to outgoing connections, so that one which is released for a while, as
+//! in a restart, is still free when it is wanted again.
 //!
-//! They are claimed in blocks. Whoever holds a block listens on its first port for as long as the process lasts,
-//! so that runs side by side never so much as try each other's ports.
+//! They are claimed in blocks. The process that holds a block listens on its first port until it ends, so that runs
+//! side by side never so much as try each other's ports.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 
-const FIRST: u16 = 16_000;
+use crate::lock::lock;
+
+/// The first port of the first block.
+const FIRST_PORT: u16 = 16_000;
 const BLOCKS: u16 = 120;
 /// Ports of a block, with the one that claims it.
-const BLOCK: u16 = 128;
+const BLOCK_SIZE: u16 = 128;
 
-/// The block that ports are given out of.
+/// A claimed block of ports.
 struct Block {
+    /// Held so that no other process takes the block.
     _claim: TcpListener,
     next: u16,
     end: u16,
 }
 
 /// The blocks of this process; the last one is in use.
-static CLAIMED: Mutex<Vec<Block>> = Mutex::new(Vec::new());
+static CLAIMED_BLOCKS: Mutex<Vec<Block>> = Mutex::new(Vec::new());
 
-/// An address on loopback that nobody listens on, and that this process does not give out again.
+/// An address on loopback that nobody listens on, and that this process does not return again.
 pub fn free() -> io::Result<SocketAddr> {
-    let mut claimed = CLAIMED.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut blocks = lock(&CLAIMED_BLOCKS);
     loop {
-        let Some(block) = claimed.last_mut().filter(|block| block.next < block.end) else {
-            claimed.push(claim()?);
+        let Some(block) = blocks.last_mut().filter(|block| block.next < block.end) else {
+            blocks.push(claim_block()?);
             continue;
         };
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, block.next));
@@ -40,13 +44,14 @@
     }
 }
 
-fn claim() -> io::Result<Block> {
+fn claim_block() -> io::Result<Block> {
     for block in 0..BLOCKS {
-        let first = FIRST + block * BLOCK;
+        let first = FIRST_PORT + block * BLOCK_SIZE;
         if let Ok(claim) = TcpListener::bind((Ipv4Addr::LOCALHOST, first)) {
-            return Ok(Block { _claim: claim, next: first + 1, end: first + BLOCK });
+            return Ok(Block { _claim: claim, next: first + 1, end: first + BLOCK_SIZE });
         }
     }
-    let last = FIRST + BLOCKS * BLOCK;
-    Err(io::Error::new(io::ErrorKind::AddrInUse, format!("no free block of ports from {FIRST} to {last}")))
+    let last = FIRST_PORT + BLOCKS * BLOCK_SIZE;
+    let message = format!("no free block of ports from {FIRST_PORT} to {last}");
+    Err(io::Error::new(io::ErrorKind::AddrInUse, message))
 }
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,269 +1,224 @@
-//! Figures of a run: as JSON lines for programs, and as tables for people.
+//! The results of a run, and their form as JSON lines. `rename` keeps the keys that the output has always had.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
-use std::time::Duration;
 
-use comfy_table::presets::ASCII_MARKDOWN;
-use comfy_table::Table;
-use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::fault::Fault;
-use crate::real::Used;
+use crate::error::ScaleTestError;
+pub use crate::labels::{Occasion, Phase, Role, Since};
+pub use crate::latency::LatencySummary;
+pub use crate::process_usage::ForwarderUsage;
 use crate::scenario::Scenario;
 
-/// The longest span that a histogram tells apart, and its digits.
-const LONGEST_US: u64 = 3_600_000_000;
-const DIGITS: u8 = 3;
-
-/// Spans of time, gathered.
-pub struct Spans(Histogram<u64>);
-
-impl Default for Spans {
-    fn default() -> Spans {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
-        Spans(histogram.unwrap_or_else(|_| unreachable!("the bounds are constant and valid")))
-    }
-}
-
-impl Spans {
-    pub fn add(&mut self, span: Duration) {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(LONGEST_US);
-        self.0.saturating_record(micros.max(1));
-    }
-
-    pub fn summary(&self) -> Summary {
-        let ms = |micros: u64| micros as f64 / 1e3;
-        Summary {
-            count: self.0.len(),
-            p50_ms: ms(self.0.value_at_quantile(0.5)),
-            p99_ms: ms(self.0.value_at_quantile(0.99)),
-            worst_ms: ms(self.0.max()),
-        }
-    }
-}
-
-/// What a histogram comes down to.
-#[derive(Clone, Copy, Debug, Serialize)]
-pub struct Summary {
-    pub count: u64,
-    pub p50_ms: f64,
-    pub p99_ms: f64,
-    pub worst_ms: f64,
-}
-
 /// One line of the results.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
-pub enum Line {
+pub enum ResultLine {
+    /// What was run, and where.
     Run {
+        /// The scenario as it was read.
         scenario: Box<Scenario>,
+        /// The version of this program.
         version: &'static str,
+        /// The cores that this process may use.
         cores: usize,
     },
-    /// A second's sample of a real process.
+    /// A sample of a running real process, taken each second.
     Sample {
+        /// The time since the run began, in seconds.
         at_s: f64,
-        used: Used,
+        /// What the forwarder has used.
+        #[serde(rename = "used")]
+        usage: ForwarderUsage,
     },
-    /// From a start until the whole list was in force.
+    /// The latency from a start until the full list was in force.
     ListInForce {
-        role: &'static str,
-        occasion: &'static str,
-        spans: Summary,
+        /// The role of the forwarders.
+        role: Role,
+        /// Why they were started.
+        occasion: Occasion,
+        /// The distribution over all starts.
+        #[serde(rename = "spans")]
+        latency: LatencySummary,
     },
-    /// From a change until it was in force, for changes made in calm or about a trouble.
+    /// The latency from a change until it was in force.
     ChangeInForce {
-        role: &'static str,
-        occasion: &'static str,
-        since: &'static str,
-        spans: Summary,
+        /// The role of the forwarders.
+        role: Role,
+        /// Whether the change was made in calm operation or is attributed to a fault.
+        occasion: Occasion,
+        /// From when the latency counts.
+        since: Since,
+        /// The distribution over all changes and forwarders.
+        #[serde(rename = "spans")]
+        latency: LatencySummary,
     },
-    /// How far apart a probe's last refusal and its acceptance lay: real forwarders' spans are sure to this.
+    /// The resolution of change latencies of real forwarders: from a probe's last rejection to its arrival.
     ProbeResolution {
-        spans: Summary,
+        /// The distribution over all probes.
+        #[serde(rename = "spans")]
+        latency: LatencySummary,
     },
-    /// Clients' hand-ins, with the time until any answer.
-    HandIn {
-        phase: &'static str,
-        spans: Summary,
-        taken_on: u64,
-        refused: u64,
+    /// Submissions of clients.
+    #[serde(rename = "hand_in")]
+    Submissions {
+        /// The phase of the run.
+        phase: Phase,
+        /// The latency until an answer of any kind came.
+        #[serde(rename = "spans")]
+        latency: LatencySummary,
+        /// Messages that were accepted.
+        #[serde(rename = "taken_on")]
+        accepted: u64,
+        /// Messages that were rejected.
+        #[serde(rename = "refused")]
+        rejected: u64,
+        /// Submissions without an answer in time.
         unanswered: u64,
     },
-    /// Calls that came to targets, and notices, those of probes too.
-    Ends {
-        calls: u64,
+    /// What came of all messages, those of probes too.
+    #[serde(rename = "ends")]
+    Deliveries {
+        /// Requests that came to stub endpoints.
+        #[serde(rename = "calls")]
+        requests: u64,
+        /// Delivery notices that came to the control plane.
         notices: u64,
     },
-    /// What a role exchanged with the control side, from its own end, in the whole start or for a second after.
+    /// What a role exchanged with the control plane, counted from its own end.
     Exchange {
-        role: &'static str,
-        phase: &'static str,
+        /// The role.
+        role: Role,
+        /// The phase of the run.
+        phase: Phase,
+        /// The number of forwarders that share the traffic.
         forwarders: u32,
+        /// The length of the phase, in seconds.
         seconds: f64,
-        figures: Rates,
+        /// The mean rates over the phase.
+        #[serde(rename = "figures")]
+        rates: TrafficRates,
     },
+    /// What a real forwarder has used in the whole run.
     Process {
-        used: Used,
+        /// The usage of all its processes.
+        #[serde(rename = "used")]
+        usage: ForwarderUsage,
     },
-    /// Processor time of a part of this program, as a share of one core, after the start.
-    Part {
-        part: String,
+    /// Processor time of the threads of one name in this program, after the start.
+    #[serde(rename = "part")]
+    Thread {
+        /// The name of the threads.
+        #[serde(rename = "part")]
+        name: String,
+        /// Processor time as a share of one core.
         core_share: f64,
     },
+    /// Memory of this program.
     Program {
+        /// Resident memory at the end, in bytes.
         resident_bytes: u64,
+        /// The most resident memory, in bytes.
         resident_peak_bytes: u64,
     },
+    /// A single figure, over which slopes can be fitted.
     Figure {
+        /// The name, with its unit.
         name: String,
+        /// The value.
         value: f64,
     },
+    /// A condition that has to hold at the end of the run.
     Check {
-        check: &'static str,
+        /// The condition.
+        #[serde(rename = "check")]
+        name: &'static str,
+        /// Whether it holds.
         passed: bool,
+        /// What was found.
         detail: String,
     },
 }
 
-/// Bytes and messages a second.
+impl ResultLine {
+    /// A single figure.
+    pub(crate) fn figure(name: impl Into<String>, value: f64) -> ResultLine {
+        ResultLine::Figure { name: name.into(), value }
+    }
+
+    /// The verdict of a check.
+    pub(crate) fn check(name: &'static str, passed: bool, detail: impl Display) -> ResultLine {
+        ResultLine::Check { name, passed, detail: detail.to_string() }
+    }
+}
+
+/// Mean rates of traffic.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Rates {
+pub struct TrafficRates {
+    /// Bytes received per second.
     pub received_bytes_per_s: f64,
+    /// Bytes sent per second.
     pub sent_bytes_per_s: f64,
+    /// Requests and lines of the endpoint list per second.
     pub messages_per_s: f64,
 }
 
-/// All that a run has shown.
+/// The verdict of a check.
+#[derive(Clone, Copy, Debug)]
+pub struct Verdict<'a> {
+    /// Whether the condition holds.
+    pub passed: bool,
+    /// What was found.
+    pub detail: &'a str,
+}
+
+/// All results of a run.
 #[derive(Clone, Debug)]
 pub struct Results {
-    pub lines: Vec<Line>,
+    /// The results, in the order in which they are written.
+    pub lines: Vec<ResultLine>,
 }
 
 impl Results {
     /// Whether every check passed.
-    pub fn sound(&self) -> bool {
-        self.lines.iter().all(|line| !matches!(line, Line::Check { passed: false, .. }))
+    pub fn all_passed(&self) -> bool {
+        self.lines.iter().all(|line| !matches!(line, ResultLine::Check { passed: false, .. }))
     }
 
-    /// The check of this name, as passed or not and with its detail.
-    pub fn check(&self, name: &str) -> Option<(bool, &str)> {
+    /// The verdict of the check of this name.
+    pub fn check(&self, check: &str) -> Option<Verdict<'_>> {
         self.lines.iter().find_map(|line| match line {
-            Line::Check { check, passed, detail } if *check == name => Some((*passed, detail.as_str())),
+            ResultLine::Check { name, passed, detail } if *name == check => {
+                Some(Verdict { passed: *passed, detail })
+            }
             _ => None,
         })
     }
 
-    /// Single figures, by name, over which slopes are fitted.
+    /// The single figures, by name.
     pub fn figures(&self) -> BTreeMap<&str, f64> {
         let figure = |line| match line {
-            &Line::Figure { ref name, value } => Some((name.as_str(), value)),
+            &ResultLine::Figure { ref name, value } => Some((name.as_str(), value)),
             _ => None,
         };
         self.lines.iter().filter_map(figure).collect()
     }
 
-    /// Appends all lines to a file.
-    pub fn append(&self, file: &Path) -> Result<(), Fault> {
-        let place =
-            |e: io::Error| Fault::broken(format!("results can't be written to {}", file.display()), e);
-        let mut to = BufWriter::new(File::options().create(true).append(true).open(file).map_err(place)?);
-        for line in &self.lines {
-            let text = serde_json::to_string(line).map_err(|e| place(e.into()))?;
-            writeln!(to, "{text}").map_err(place)?;
-        }
-        to.flush().map_err(place)
-    }
-
-    /// The tables.
-    pub fn tables(&self) -> String {
-        let mut spans =
-            table(&["time", "role", "occasion", "since", "count", "p50 ms", "p99 ms", "worst ms"]);
-        let mut rates = table(&["role", "phase", "forwarders", "in B/s", "out B/s", "messages/s"]);
-        let mut processes = table(&["forwarder", "starts", "processor s", "resident MB", "peak resident MB"]);
-        let mut parts = table(&["figure", "value"]);
-        let mut checks = table(&["check", "verdict", "detail"]);
+    /// Appends all lines to a file, each as a JSON object.
+    pub fn append_to(&self, file: &Path) -> Result<(), ScaleTestError> {
+        let write_error = |e: io::Error| {
+            ScaleTestError::aborted(format!("results can't be written to {}", file.display()), e)
+        };
+        let file = File::options().create(true).append(true).open(file).map_err(write_error)?;
+        let mut writer = BufWriter::new(file);
         for line in &self.lines {
-            match line {
-                Line::ListInForce { role, occasion, spans: s } => {
-                    spans.add_row(span_row("list in force", role, occasion, "start", s));
-                }
-                Line::ChangeInForce { role, occasion, since, spans: s } => {
-                    spans.add_row(span_row("change in force", role, occasion, since, s));
-                }
-                Line::ProbeResolution { spans: s } => {
-                    spans.add_row(span_row("sure to", "real", "probes", "last refusal", s));
-                }
-                Line::HandIn { phase, spans: s, taken_on, refused, unanswered } => {
-                    spans.add_row(span_row("hand-in answered", "real", phase, "request", s));
-                    let counts = format!("{taken_on} taken on, {refused} refused, {unanswered} unanswered");
-                    parts.add_row([format!("hand-ins {phase}"), counts]);
-                }
-                Line::Ends { calls, notices } => {
-                    parts.add_row(["calls to targets".to_owned(), calls.to_string()]);
-                    parts.add_row(["notices".to_owned(), notices.to_string()]);
-                }
-                Line::Exchange { role, phase, forwarders, figures, .. } => {
-                    let shown =
-                        [figures.received_bytes_per_s, figures.sent_bytes_per_s, figures.messages_per_s];
-                    let mut row = vec![(*role).to_owned(), (*phase).to_owned(), forwarders.to_string()];
-                    row.extend(shown.map(|value| format!("{value:.1}")));
-                    rates.add_row(row);
-                }
-                Line::Process { used } => {
-                    processes.add_row([
-                        used.forwarder.to_string(),
-                        used.starts.to_string(),
-                        format!("{:.2}", used.processor_s),
-                        mb(used.resident_bytes),
-                        mb(used.resident_peak_bytes),
-                    ]);
-                }
-                Line::Part { part, core_share } => {
-                    parts.add_row([format!("core share of {part}"), format!("{core_share:.4}")]);
-                }
-                Line::Program { resident_peak_bytes, .. } => {
-                    parts.add_row(["this program, peak resident MB".to_owned(), mb(*resident_peak_bytes)]);
-                }
-                Line::Figure { name, value } => {
-                    parts.add_row([name.clone(), format!("{value:.4}")]);
-                }
-                Line::Check { check, passed, detail } => {
-                    let verdict = if *passed { "passed" } else { "FAILED" };
-                    checks.add_row([(*check).to_owned(), verdict.to_owned(), detail.clone()]);
-                }
-                Line::Run { .. } | Line::Sample { .. } => {}
-            }
+            let text = serde_json::to_string(line).map_err(|e| write_error(e.into()))?;
+            writeln!(writer, "{text}").map_err(write_error)?;
         }
-        [spans, rates, processes, parts, checks].map(|table| format!("{table}\n")).join("\n")
+        writer.flush().map_err(write_error)
     }
 }
-
-/// An empty table with these columns.
-pub fn table(columns: &[&str]) -> Table {
-    let mut table = Table::new();
-    table.load_preset(ASCII_MARKDOWN).set_header(columns);
-    table
-}
-
-fn mb(bytes: u64) -> String {
-    format!("{:.1}", bytes as f64 / 1e6)
-}
-
-fn span_row(what: &str, role: &str, occasion: &str, since: &str, spans: &Summary) -> Vec<String> {
-    let ms = |value: f64| format!("{value:.1}");
-    let mut row: Vec<String> = [what, role, occasion, since].map(str::to_owned).into();
-    row.push(spans.count.to_string());
-    row.extend([spans.p50_ms, spans.p99_ms, spans.worst_ms].map(ms));
-    row
-}
-
-/// A check's line.
-pub fn check(check: &'static str, passed: bool, detail: impl Display) -> Line {
-    Line::Check { check, passed, detail: detail.to_string() }
-}
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,6 +1,5 @@
 //! One run, from the first process to the last check.
 
-use std::net::SocketAddrV4;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,288 +8,297 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use tokio::sync::mpsc;
-use tokio::task::JoinHandle;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-use crate::clients::{Answer, Client};
-use crate::fault::Fault;
-use crate::hollow::{locked as known_of, Hollow};
-use crate::real::{probe_client, until_reached, Real};
-use crate::report::{Line, Results};
-use crate::room;
+use crate::client::Client;
+use crate::error::ScaleTestError;
+use crate::hollow_forwarder::HollowForwarder;
+use crate::lock::lock;
+use crate::probe::{probe_client, probe_until_delivered, ProbeTarget};
+use crate::real_forwarder::RealForwarder;
+use crate::report::{Occasion, Phase, ResultLine, Results};
+use crate::resource_budget::ResourceBudget;
 use crate::scenario::Scenario;
-use crate::stage::{locked, ProbeRecord, Stage};
+use crate::task::AbortOnDrop;
+use crate::test_bed::{ProbeRecord, StartRecord, TestBed};
 
-pub use crate::stage::{Faults, Options};
+pub use crate::control_plane::LostChange;
+pub use crate::test_bed::{DroppedChange, Options, SeededDefects};
 
-/// Between two looks at whether all have come so far.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-const SAMPLE_EVERY: Duration = Duration::from_secs(1);
-/// How long a client waits for the answer to a hand-in.
-const CLIENT_PATIENCE: Duration = Duration::from_millis(400);
-/// The phases of a run, as results name them.
-const AT_START: &str = "at the start";
-const AFTER_START: &str = "after the start";
+/// Distance between two checks of whether all forwarders have come so far.
+const PROGRESS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Distance between two samples of the real forwarders' usage.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a client waits for the answer to a submission.
+const CLIENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A destination to probe for.
+/// A change that listed a new destination, by which a real forwarder is probed.
 #[derive(Clone, Copy)]
-struct Probe {
+struct ProbeOrder {
     generation: u64,
-    place: u32,
-    address: SocketAddrV4,
+    target: ProbeTarget,
 }
 
-/// Plays a scenario. Nothing that it started runs on after it, however it ends.
-pub async fn run(scenario: Scenario, options: Options) -> Result<Results, Fault> {
-    room::check(&scenario)?;
+/// Runs a scenario. Nothing that it started runs on after it, however it ends.
+pub async fn run(scenario: Scenario, options: Options) -> Result<Results, ScaleTestError> {
+    ResourceBudget::needed_by(&scenario).check_against_machine()?;
     let limit = Duration::from_secs_f64(scenario.limit_s);
-    let stage = Arc::new(Stage::set_up(scenario, options).await?);
-    let memory = stage.clone().watch_memory();
-    let played = tokio::select! {
-        played = timeout(limit, stage.clone().play()) => played,
-        broken = memory => Ok(Err(broken)),
+    let test_bed = Arc::new(TestBed::set_up(scenario, options).await?);
+    let memory_exceeded = test_bed.clone().watch_memory();
+    let outcome = tokio::select! {
+        outcome = timeout(limit, test_bed.clone().run()) => outcome,
+        error = memory_exceeded => Ok(Err(error)),
     };
-    stage.tear_down().await;
-    played.unwrap_or_else(|_| {
-        let limit_s = stage.scenario.limit_s;
-        Err(Fault::broken("the run", format!("not over within limit_s = {limit_s}")))
+    test_bed.tear_down().await;
+    outcome.unwrap_or_else(|_| {
+        let limit_s = test_bed.scenario.limit_s;
+        Err(ScaleTestError::aborted("the run", format!("not over within limit_s = {limit_s}")))
     })
 }
 
-/// Ends a task with its owner.
-struct Task(JoinHandle<()>);
-
-impl Drop for Task {
-    fn drop(&mut self) {
-        self.0.abort();
-    }
-}
-
-impl Stage {
-    async fn play(self: Arc<Stage>) -> Result<Results, Fault> {
-        let mut lines = vec![Line::Run {
+impl TestBed {
+    async fn run(self: Arc<TestBed>) -> Result<Results, ScaleTestError> {
+        let mut lines = vec![ResultLine::Run {
             scenario: Box::new(self.scenario.clone()),
             version: env!("CARGO_PKG_VERSION"),
             cores: std::thread::available_parallelism().map_or(0, usize::from),
         }];
         let began = Instant::now();
-        let _traffic = self.hand_in_everywhere().await;
-        self.start().await?;
+        let _traffic = self.start_traffic().await;
+        self.start_forwarders().await?;
         self.started.store(true, Ordering::Relaxed);
         let start_s = began.elapsed().as_secs_f64();
         let before = self.snapshot().await;
-        lines.extend(self.start_lines(&before, start_s));
+        lines.extend(self.start_results(&before, start_s));
         self.run_changes(&mut lines, began).await?;
-        let settled = self.settle().await;
+        let settled = self.wait_until_settled().await;
         let after = self.snapshot().await;
-        self.changing.store(false, Ordering::Relaxed);
-        lines.extend(self.exchange(AFTER_START, &before, &after));
-        lines.extend(self.processes(&before, &after).await);
-        lines.extend(self.spans());
-        lines.extend(self.checks(settled).await);
+        self.probing.store(false, Ordering::Relaxed);
+        lines.extend(self.exchange_results(Phase::AfterStart, &before, &after));
+        lines.extend(self.process_results(&before, &after).await);
+        lines.extend(self.latency_results());
+        lines.extend(self.check_results(settled).await);
         Ok(Results { lines })
     }
 
-    /// Starts all real forwarders together, then all hollow ones, and waits until each has the list. Real ones do
+    /// Starts all forwarders and waits until each has the list.
+    async fn start_forwarders(&self) -> Result<(), ScaleTestError> {
+        let limit = Duration::from_secs_f64(self.scenario.list.start_within_s);
+        for forwarder in &self.real_forwarders {
+            forwarder.lock().await.start()?;
+        }
+        match timeout(limit, self.wait_for_first_lists()).await {
+            Ok(()) => Ok(()),
+            Err(_) => Err(self.start_error().await),
+        }
+    }
+
+    /// Waits until all real forwarders have the list, then starts the hollow ones and waits for those. Real ones do
     /// not queue behind hollow ones, which share few threads.
-    async fn start(self: &Arc<Stage>) -> Result<(), Fault> {
-        let within = Duration::from_secs_f64(self.scenario.list.start_within_s);
-        for real in &self.reals {
-            real.lock().await.start()?;
+    async fn wait_for_first_lists(&self) {
+        let real = self.real_forwarders.iter();
+        join_all(real.map(|forwarder| self.wait_for_list(forwarder, Occasion::FirstStart))).await;
+        for hollow in &self.hollow_forwarders {
+            self.start_hollow(&mut lock(hollow));
         }
-        let reals = join_all(self.reals.iter().map(|real| self.list_in_force(real, "first start")));
-        let all = async {
-            reals.await;
-            for hollow in &self.hollows {
-                self.start_hollow(&mut locked(hollow));
-            }
-            while self.hollows.iter().any(|hollow| !known_of(&locked(hollow).known).has_list()) {
-                sleep(LOOK_EVERY).await;
-            }
-        };
-        if timeout(within, all).await.is_ok() {
-            return Ok(());
+        while self.hollow_without_list() > 0 {
+            sleep(PROGRESS_CHECK_INTERVAL).await;
         }
-        let missing = self.hollows.iter().filter(|h| !known_of(&locked(h).known).has_list()).count();
-        let in_force = locked(&self.starts).len();
-        let mut words = String::new();
-        for real in &self.reals {
-            words = real.lock().await.last_words();
+    }
+
+    fn hollow_without_list(&self) -> usize {
+        self.hollow_forwarders.iter().filter(|hollow| !lock(hollow).state().has_list()).count()
+    }
+
+    /// The error of a start that was not over in time.
+    async fn start_error(&self) -> ScaleTestError {
+        let hollow_missing = self.hollow_without_list();
+        let real_in_force = lock(&self.start_records).len();
+        let mut last_log_line = String::new();
+        for forwarder in &self.real_forwarders {
+            last_log_line = forwarder.lock().await.last_log_line();
         }
-        Err(Fault::broken(
-            format!("the list was not in force everywhere within {} s", self.scenario.list.start_within_s),
+        let limit_s = self.scenario.list.start_within_s;
+        ScaleTestError::aborted(
+            format!("the list was not in force everywhere within {limit_s} s"),
             format!(
-                "{} of {} real and {missing} of {} hollow forwarders lack it; last log line: {words}",
-                self.reals.len() - in_force,
-                self.reals.len(),
-                self.hollows.len()
+                "{} of {} real and {hollow_missing} of {} hollow forwarders lack it; last log line: {last_log_line}",
+                self.real_forwarders.len() - real_in_force,
+                self.real_forwarders.len(),
+                self.hollow_forwarders.len()
             ),
-        ))
+        )
     }
 
     /// Starts a hollow forwarder on its thread.
-    pub fn start_hollow(&self, hollow: &mut Hollow) {
-        let worker = hollow.number as usize % self.hollow_workers.len();
-        hollow.start(&self.hollow_workers[worker].handle);
+    pub(crate) fn start_hollow(&self, hollow: &mut HollowForwarder) {
+        let thread = hollow.number() as usize % self.hollow_threads.len();
+        hollow.start(self.hollow_threads[thread].handle());
     }
 
-    /// Waits until a real forwarder that was started knows the last target of the list.
-    pub async fn list_in_force(&self, real: &tokio::sync::Mutex<Real>, occasion: &'static str) {
-        let (listen, started, number) = {
-            let real = real.lock().await;
-            (real.listen, real.started, real.number)
+    /// Waits until a real forwarder that was started knows the last endpoint of the list, and records how long it
+    /// took.
+    pub(crate) async fn wait_for_list(
+        &self,
+        forwarder: &tokio::sync::Mutex<RealForwarder>,
+        occasion: Occasion,
+    ) {
+        let (address, started_at, number) = {
+            let forwarder = forwarder.lock().await;
+            (forwarder.address(), forwarder.started_at(), forwarder.number())
         };
-        let id = format!("list-{number}-{}", self.truth.generation());
-        let last = self.scenario.list.targets - 1;
-        let address = self.targets.address(last, 0);
-        let probed = until_reached(&mut probe_client(listen), &self.targets, &id, last, address).await;
-        locked(&self.starts).push((occasion, probed.arrived.duration_since(started)));
+        let id = format!("list-{number}-{}", self.list.generation());
+        let last = self.scenario.list.endpoints - 1;
+        let target = ProbeTarget { destination: last, address: self.endpoints.address(last, 0) };
+        let mut client = probe_client(address);
+        let result = probe_until_delivered(&mut client, &self.endpoints, &id, target).await;
+        let list_latency = result.arrived.duration_since(started_at);
+        lock(&self.start_records).push(StartRecord { occasion, list_latency });
     }
 
-    /// Changes, probes, traffic, troubles and samples, until all are over.
-    async fn run_changes(self: &Arc<Stage>, lines: &mut Vec<Line>, began: Instant) -> Result<(), Fault> {
-        let mut probes = Vec::new();
-        for real in &self.reals {
-            let (listen, number) = {
-                let real = real.lock().await;
-                (real.listen, real.number)
-            };
-            let (sender, queue) = mpsc::unbounded_channel();
-            probes.push(sender);
-            tokio::spawn(self.clone().probe(number, probe_client(listen), queue));
-        }
-        let troubles = self.scenario.trouble.to_vec();
-        let troubles = join_all(troubles.into_iter().map(|trouble| self.clone().trouble(trouble)));
-        let changes = self.clone().changes(probes);
-        let work = async { tokio::join!(changes, troubles).1.into_iter().collect::<Result<(), Fault>>() };
+    /// Makes changes, probes, carries out faults and takes samples, until all changes and faults are over.
+    async fn run_changes(
+        self: &Arc<TestBed>,
+        lines: &mut Vec<ResultLine>,
+        began: Instant,
+    ) -> Result<(), ScaleTestError> {
+        let probes = self.start_probes().await;
+        let changes = self.clone().make_changes(probes);
+        let faults = self.clone().run_fault_schedule();
+        let work = async { tokio::join!(changes, faults).1 };
         tokio::pin!(work);
-        let mut tick = interval(SAMPLE_EVERY);
+        let mut tick = interval(SAMPLE_INTERVAL);
         loop {
             tokio::select! {
-                worked = &mut work => return worked,
-                _ = tick.tick() => self.sample(lines, began),
+                result = &mut work => return result,
+                _ = tick.tick() => self.sample_usage(lines, began),
             }
         }
     }
 
-    fn sample(&self, lines: &mut Vec<Line>, began: Instant) {
+    /// Starts one task for each real forwarder, which probes by the changes that it is sent.
+    async fn start_probes(self: &Arc<TestBed>) -> Vec<mpsc::UnboundedSender<ProbeOrder>> {
+        let mut senders = Vec::new();
+        for forwarder in &self.real_forwarders {
+            let (address, number) = {
+                let forwarder = forwarder.lock().await;
+                (forwarder.address(), forwarder.number())
+            };
+            let (sender, orders) = mpsc::unbounded_channel();
+            senders.push(sender);
+            tokio::spawn(self.clone().run_probes(number, probe_client(address), orders));
+        }
+        senders
+    }
+
+    /// Adds a sample of each real forwarder that runs and is not being restarted.
+    fn sample_usage(&self, lines: &mut Vec<ResultLine>, began: Instant) {
         let at_s = began.elapsed().as_secs_f64();
-        for real in &self.reals {
-            if let Ok(real) = real.try_lock() {
-                if real.is_running() {
-                    lines.push(Line::Sample { at_s, used: real.used() });
+        for forwarder in &self.real_forwarders {
+            if let Ok(forwarder) = forwarder.try_lock() {
+                if forwarder.is_running() {
+                    lines.push(ResultLine::Sample { at_s, usage: forwarder.usage() });
                 }
             }
         }
     }
 
-    async fn changes(self: Arc<Stage>, probes: Vec<mpsc::UnboundedSender<Probe>>) {
+    /// Makes all changes of the scenario, and sends those that list a new destination to the probes.
+    async fn make_changes(self: Arc<TestBed>, probes: Vec<mpsc::UnboundedSender<ProbeOrder>>) {
         let changes = &self.scenario.changes;
-        let mut chance = Pcg32::seed_from_u64(self.scenario.seed);
+        let mut rng = Pcg32::seed_from_u64(self.scenario.seed);
         let mut tick = interval(Duration::from_secs_f64(changes.every_s));
         let count = (changes.lasts_s / changes.every_s).ceil() as u64;
-        let mut listed = self.scenario.list.targets;
-        for n in 1..=count {
+        let mut listed = self.scenario.list.endpoints;
+        for number in 1..=count {
             tick.tick().await;
-            if n % u64::from(changes.probe_every) != 0 {
-                // The last one stays where it is: starts are probed by it.
-                let place = chance.random_range(0..self.scenario.list.targets - 1);
-                self.truth.put(place, self.targets.address(place, n));
+            if number % u64::from(changes.probe_every) != 0 {
+                // The last endpoint of the first list stays where it is: starts are probed by it.
+                let index = rng.random_range(0..self.scenario.list.endpoints - 1);
+                self.list.put(index, self.endpoints.address(index, number));
                 continue;
             }
-            let place = listed;
+            let target = ProbeTarget { destination: listed, address: self.endpoints.address(listed, number) };
             listed += 1;
-            let address = self.targets.address(place, n);
-            let generation = self.truth.put(place, address);
+            let generation = self.list.put(target.destination, target.address);
             for probe in &probes {
-                // A worker that has gone is found missing at the end.
-                let _ = probe.send(Probe { generation, place, address });
+                // A probe task that has ended is found by a check at the end.
+                let _ = probe.send(ProbeOrder { generation, target });
             }
         }
         tick.tick().await;
     }
 
-    async fn probe(
-        self: Arc<Stage>,
+    /// Probes one real forwarder by each change in turn, until the run needs no result any more.
+    async fn run_probes(
+        self: Arc<TestBed>,
         forwarder: u32,
         mut client: Client,
-        mut queue: mpsc::UnboundedReceiver<Probe>,
+        mut orders: mpsc::UnboundedReceiver<ProbeOrder>,
     ) {
-        while let Some(Probe { generation, place, address }) = queue.recv().await {
+        while let Some(ProbeOrder { generation, target }) = orders.recv().await {
             let id = format!("probe-{forwarder}-{generation}");
             tokio::select! {
-                probed = until_reached(&mut client, &self.targets, &id, place, address) => {
-                    locked(&self.probed).push(ProbeRecord { forwarder, generation, probed });
+                result = probe_until_delivered(&mut client, &self.endpoints, &id, target) => {
+                    lock(&self.probe_records).push(ProbeRecord { forwarder, generation, result });
                 }
-                () = self.over() => return,
+                () = self.wait_until_probing_ends() => return,
             }
         }
     }
 
-    /// Comes when the run's changes are over and none is waited for any more.
-    async fn over(&self) {
-        while self.changing.load(Ordering::Relaxed) {
-            sleep(LOOK_EVERY).await;
+    async fn wait_until_probing_ends(&self) {
+        while self.probing.load(Ordering::Relaxed) {
+            sleep(PROGRESS_CHECK_INTERVAL).await;
         }
     }
 
-    /// Clients at all real forwarders, from before these are up.
-    async fn hand_in_everywhere(self: &Arc<Stage>) -> Vec<Task> {
+    /// Starts a client at each real forwarder, from before this is up.
+    async fn start_traffic(self: &Arc<TestBed>) -> Vec<AbortOnDrop> {
         let mut tasks = Vec::new();
         if self.scenario.traffic.per_forwarder_per_s > 0.0 {
-            for real in &self.reals {
-                let real = real.lock().await;
-                let client = Client::new(real.listen, CLIENT_PATIENCE);
-                tasks.push(Task(tokio::spawn(self.clone().traffic(real.number, client))));
+            for forwarder in &self.real_forwarders {
+                let forwarder = forwarder.lock().await;
+                let client = Client::new(forwarder.address(), CLIENT_RESPONSE_TIMEOUT);
+                tasks.push(AbortOnDrop::spawn(self.clone().submit_traffic(forwarder.number(), client)));
             }
         }
         tasks
     }
 
-    async fn traffic(self: Arc<Stage>, forwarder: u32, mut client: Client) {
-        let mut chance = Pcg32::seed_from_u64(self.scenario.seed ^ (u64::from(forwarder) << 40));
+    /// Submits messages at one forwarder without end.
+    async fn submit_traffic(self: Arc<TestBed>, forwarder: u32, mut client: Client) {
+        let mut rng = Pcg32::seed_from_u64(self.scenario.seed ^ (u64::from(forwarder) << 40));
         let mut tick = interval(Duration::from_secs_f64(1.0 / self.scenario.traffic.per_forwarder_per_s));
         tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
-        for n in 0_u64.. {
+        for number in 0_u64.. {
             tick.tick().await;
-            let destination = chance.random_range(0..self.scenario.list.targets);
+            let destination = rng.random_range(0..self.scenario.list.endpoints);
             let sent = Instant::now();
-            let answer = client.hand_in(&format!("traffic-{forwarder}-{n}"), destination).await;
+            let result = client.submit(&format!("traffic-{forwarder}-{number}"), destination).await;
             let started = self.started.load(Ordering::Relaxed);
-            let mut phases = locked(&self.hand_ins);
-            let phase = phases.entry(if started { AFTER_START } else { AT_START }).or_default();
-            match answer {
-                Answer::TakenOn => phase.taken_on += 1,
-                Answer::Refused(_) => phase.refused += 1,
-                Answer::None => phase.unanswered += 1,
-            }
-            if answer != Answer::None {
-                phase.spans.add(sent.elapsed());
-            }
+            let phase = if started { Phase::AfterStart } else { Phase::Start };
+            lock(&self.submissions).entry(phase).or_default().record(result, sent.elapsed());
         }
     }
 
     /// Waits until the last change is in force everywhere; false if it is not in time.
-    async fn settle(&self) -> bool {
-        let within = Duration::from_secs_f64(self.scenario.changes.settle_within_s);
-        let generation = self.truth.generation();
-        let probes = self.probes() * self.reals.len();
-        let all = async {
-            while locked(&self.probed).len() < probes
-                || self.hollows.iter().any(|h| {
-                    let hollow = locked(h);
-                    let known = known_of(&hollow.known);
-                    known.asks_after() < generation
-                })
-            {
-                sleep(LOOK_EVERY).await;
-            }
+    async fn wait_until_settled(&self) -> bool {
+        let limit = Duration::from_secs_f64(self.scenario.changes.settle_within_s);
+        let generation = self.list.generation();
+        let probes = self.new_destinations() * self.real_forwarders.len();
+        let settled = || {
+            let hollow = &self.hollow_forwarders;
+            lock(&self.probe_records).len() >= probes
+                && hollow.iter().all(|hollow| lock(hollow).state().watch_index() >= generation)
         };
-        timeout(within, all).await.is_ok()
+        timeout(limit, wait_until(settled)).await.is_ok()
     }
+}
 
-    /// Changes that listed a new destination.
-    pub fn probes(&self) -> usize {
-        self.truth.targets().1.len() - self.scenario.list.targets as usize
+/// Waits until a condition holds.
+async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
+        sleep(PROGRESS_CHECK_INTERVAL).await;
     }
 }
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -1,279 +1,305 @@
-//! What a scenario file asks for, read strictly and checked for sizes that make sense.
+//! The scenario file: what a run is to do, read strictly and checked for sizes that make sense.
+//!
+//! Field names follow the code's terms; `rename` keeps the keys and the type names that the file format and its
+//! error lines have always had.
+
+mod validation;
 
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
 
-use crate::fault::Fault;
+use crate::error::ScaleTestError;
 
-/// The only version of the form that is read.
+/// The only version of the file format that is read.
 pub const VERSION: u32 = 1;
 
 /// One scale run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// The version of the file format.
     pub version: u32,
+    /// The name under which results refer to the scenario.
     pub name: String,
+    /// What the scenario is for.
     pub about: String,
+    /// The seed from which changes and traffic are drawn.
     pub seed: u64,
-    /// The whole run takes no longer, in seconds; one that does is broken off.
+    /// The longest that the whole run may take, in seconds; a longer one is aborted.
     pub limit_s: f64,
+    /// The forwarders.
     pub fleet: Fleet,
+    /// The endpoint list at the start.
     pub list: List,
+    /// Changes of the endpoint list during the run.
     pub changes: Changes,
-    #[serde(default)]
-    pub process: Process,
+    /// The resource limits of each real forwarder.
+    #[serde(default, rename = "process")]
+    pub process_limits: ProcessLimits,
+    /// Messages that clients submit.
     #[serde(default)]
     pub traffic: Traffic,
-    #[serde(default)]
-    pub trouble: Vec<Trouble>,
-    pub fit: Option<Fit>,
+    /// The faults that are carried out.
+    #[serde(default, rename = "trouble")]
+    pub faults: Vec<Fault>,
+    /// The sizes of a fit; needed only by the command `fit`.
+    pub fit: Option<FitSizes>,
 }
 
 /// The forwarders, numbered through: real ones first. Number `n` stands in zone `n mod zones`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Processes of the daemon.
+    /// Real forwarders: processes of the daemon.
     pub real: u32,
     /// Hollow forwarders, all in this program.
     pub hollow: u32,
     /// Threads that hollow forwarders share.
-    #[serde(default = "one")]
+    #[serde(default = "default_hollow_threads")]
     pub hollow_threads: u32,
+    /// Number of zones.
     pub zones: u32,
-    /// Zone `z` belongs to region `z mod regions`.
+    /// Number of regions; zone `z` belongs to region `z mod regions`.
     pub regions: u32,
 }
 
-/// The whole list.
+/// The endpoint list at the start.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct List {
-    /// Targets, each with a destination of its own.
-    pub targets: u32,
-    /// Whole lists that the control side sends side by side; further ones wait.
-    #[serde(default = "eight")]
-    pub whole_at_once: u32,
-    /// How long all forwarders may take until the list is in force at each, in seconds.
+    /// Endpoints, each with a destination of its own.
+    #[serde(rename = "targets")]
+    pub endpoints: u32,
+    /// Full lists that the control plane sends concurrently; further ones wait.
+    #[serde(default = "default_concurrent_full_lists", rename = "whole_at_once")]
+    pub concurrent_full_lists: u32,
+    /// How long it may take until the list is in force at each forwarder, in seconds.
     pub start_within_s: f64,
 }
 
-/// Changes of the list while the run lasts.
+/// Changes of the endpoint list during the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Changes {
-    /// One change each so many seconds.
+    /// Time between two changes, in seconds.
     pub every_s: f64,
-    /// Each so-many-th change lists a new destination, by which real forwarders are probed; others move a target.
+    /// Each so-many-th change lists a new destination, by which real forwarders are probed; the others move an
+    /// endpoint.
     pub probe_every: u32,
-    /// Changes go on for so many seconds.
+    /// How long changes go on, in seconds.
     pub lasts_s: f64,
     /// How long the last change may take to be in force everywhere, in seconds.
     pub settle_within_s: f64,
 }
 
-/// What each real forwarder is told of its machine.
+/// The resource limits that each real forwarder is configured with.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct Process {
+#[serde(deny_unknown_fields, rename = "Process")]
+pub struct ProcessLimits {
+    /// Memory, in MiB.
     pub memory_mb: u32,
+    /// File descriptors.
     pub descriptors: u32,
+    /// Disk space, in MiB.
     pub disk_mb: u32,
 }
 
-impl Default for Process {
-    fn default() -> Process {
-        Process { memory_mb: 192, descriptors: 1024, disk_mb: 3 }
+impl Default for ProcessLimits {
+    fn default() -> ProcessLimits {
+        ProcessLimits { memory_mb: 192, descriptors: 1024, disk_mb: 3 }
     }
 }
 
-/// Envelopes that clients hand in at real forwarders.
+/// Messages that clients submit at real forwarders.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// At each real forwarder; 0 for none.
+    /// Messages per second at each real forwarder; 0 for none.
     pub per_forwarder_per_s: f64,
 }
 
-/// What goes wrong, and when, in seconds from the end of the start.
+/// A fault that is carried out. `at_s` is its time in seconds after the end of the start.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Trouble {
-    /// Each `one_in`-th forwarder is restarted, one each `gap_s`, by SIGTERM and 3.7 s later SIGKILL.
-    RollingRestart { at_s: f64, one_in: u32, gap_s: f64, down_s: f64 },
-    /// The control side ends, and is back `down_s` later; `forgets` says that it knows no changes from before.
-    ControlRestart { at_s: f64, down_s: f64, forgets: bool },
-    /// All forwarders of a zone are killed and come back at once.
-    Zone { at_s: f64, down_s: f64, zone: u32 },
-    /// So many forwarders of a zone are killed and come back at once.
-    Rack { at_s: f64, down_s: f64, zone: u32, machines: u32 },
-    /// The control side can't be reached from a region; nothing is reset before the cut ends.
-    RegionCut { at_s: f64, lasts_s: f64, region: u32 },
+#[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields, rename = "Trouble")]
+pub enum Fault {
+    /// Some forwarders are restarted one after the other, each by SIGTERM and 3.7 s later SIGKILL.
+    RollingRestart {
+        /// When the first one is stopped.
+        at_s: f64,
+        /// Each so-many-th forwarder is restarted.
+        one_in: u32,
+        /// Time from one forwarder's stop to the next one's, in seconds.
+        gap_s: f64,
+        /// Time from a forwarder's end to its next start, in seconds.
+        down_s: f64,
+    },
+    /// The control plane ends and restarts.
+    ControlRestart {
+        /// When it ends.
+        at_s: f64,
+        /// How long it is down, in seconds.
+        down_s: f64,
+        /// Whether it comes up without the changes from before, so that it has to send full lists.
+        forgets: bool,
+    },
+    /// All forwarders of a zone are killed and restarted at once.
+    #[serde(rename = "zone")]
+    ZoneOutage {
+        /// When they are killed.
+        at_s: f64,
+        /// How long they are down, in seconds.
+        down_s: f64,
+        /// The zone.
+        zone: u32,
+    },
+    /// Some forwarders of a zone are killed and restarted at once.
+    #[serde(rename = "rack")]
+    RackOutage {
+        /// When they are killed.
+        at_s: f64,
+        /// How long they are down, in seconds.
+        down_s: f64,
+        /// The zone that the rack stands in.
+        zone: u32,
+        /// How many forwarders the rack has.
+        machines: u32,
+    },
+    /// A network partition: the control plane can't be reached from a region, and no connection is reset before the
+    /// partition ends.
+    #[serde(rename = "region_cut")]
+    RegionPartition {
+        /// When it begins.
+        at_s: f64,
+        /// How long it lasts, in seconds.
+        lasts_s: f64,
+        /// The region.
+        region: u32,
+    },
+}
+
+/// The kind of a fault, ordered by its name in results.
+#[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
+pub enum FaultKind {
+    /// [`Fault::ControlRestart`]
+    ControlRestart,
+    /// [`Fault::RackOutage`]
+    RackOutage,
+    /// [`Fault::RegionPartition`]
+    RegionPartition,
+    /// [`Fault::RollingRestart`]
+    RollingRestart,
+    /// [`Fault::ZoneOutage`]
+    ZoneOutage,
 }
 
-/// Sizes for `fit`, of which one line is run after the other; the other sizes stay as the scenario has them.
+/// The sizes of a fit: two series, of which one is run after the other. Sizes that a series does not vary stay as
+/// the scenario has them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct Fit {
-    #[serde(default)]
-    pub targets: Vec<u32>,
+#[serde(deny_unknown_fields, rename = "Fit")]
+pub struct FitSizes {
+    /// The series over endpoints.
+    #[serde(default, rename = "targets")]
+    pub endpoints: Vec<u32>,
+    /// The series over hollow forwarders.
     #[serde(default)]
     pub hollow: Vec<u32>,
-    /// The sizes that the slopes are told for.
-    pub target_targets: u32,
-    pub target_forwarders: u32,
+    /// The number of endpoints for which the fitted lines are evaluated.
+    #[serde(rename = "target_targets")]
+    pub planned_endpoints: u32,
+    /// The number of forwarders for which the fitted lines are evaluated.
+    #[serde(rename = "target_forwarders")]
+    pub planned_forwarders: u32,
 }
 
-fn one() -> u32 {
+fn default_hollow_threads() -> u32 {
     1
 }
 
-fn eight() -> u32 {
+fn default_concurrent_full_lists() -> u32 {
     8
 }
 
-/// Sizes that no run on one machine goes beyond.
-const MOST_REAL: u32 = 100;
-const MOST_HOLLOW: u32 = 2_000;
-const MOST_TARGETS: u32 = 1_000_000;
-const MOST_CHANGES: f64 = 100_000.0;
-const MOST_SECONDS: f64 = 7_200.0;
-/// Least sizes in a line of `fit`.
-pub const LEAST_SIZES: usize = 4;
-
 impl Scenario {
-    /// Reads a scenario and checks it.
-    pub fn read(file: &Path) -> Result<Scenario, Fault> {
+    /// Reads a scenario file and checks it.
+    pub fn read(file: &Path) -> Result<Scenario, ScaleTestError> {
         let name = file.display();
-        let text = std::fs::read_to_string(file).map_err(|e| Fault::input(&name, "a scenario file", e))?;
+        let text = std::fs::read_to_string(file)
+            .map_err(|e| ScaleTestError::invalid_input(&name, "a scenario file", e))?;
         Scenario::parse(&name.to_string(), &text)
     }
 
-    /// Reads the text of a scenario; `place` names it in faults.
-    pub fn parse(place: &str, text: &str) -> Result<Scenario, Fault> {
+    /// Parses the text of a scenario and checks it; `place` names the text in errors.
+    pub fn parse(place: &str, text: &str) -> Result<Scenario, ScaleTestError> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| {
-            let line =
-                e.span().map_or(0, |span| text[..span.start.min(text.len())].matches('\n').count() + 1);
-            Fault::input(format!("{place} line {line}"), "a scale scenario", e.message().replace('\n', " "))
+            let line = e.span().map_or(0, |span| line_number(text, span.start));
+            let found = e.message().replace('\n', " ");
+            ScaleTestError::invalid_input(format!("{place} line {line}"), "a scale scenario", found)
+        })?;
+        scenario.validate().map_err(|invalid| {
+            ScaleTestError::invalid_input(
+                format!("{place} key {}", invalid.key),
+                invalid.expected,
+                invalid.found,
+            )
         })?;
-        scenario
-            .check()
-            .map_err(|(key, expected, found)| Fault::input(format!("{place} key {key}"), expected, found))?;
         Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), (String, String, String)> {
-        let within = |key: &str, value: f64, least: f64, most: f64| {
-            let fits = value.is_finite() && value >= least && value <= most;
-            fits.then_some(()).ok_or((key.to_owned(), format!("{least} to {most}"), value.to_string()))
-        };
-        let count = |key: &str, value: u32, least: u32, most: u32| {
-            within(key, f64::from(value), f64::from(least), f64::from(most))
-        };
-        let seconds = |key: &str, value: f64| within(key, value, 0.001, MOST_SECONDS);
-        count("version", self.version, VERSION, VERSION)?;
-        seconds("limit_s", self.limit_s)?;
-        count("fleet.real", self.fleet.real, 0, MOST_REAL)?;
-        count("fleet.hollow", self.fleet.hollow, 0, MOST_HOLLOW)?;
-        count("fleet.real and fleet.hollow", self.forwarders(), 1, MOST_REAL + MOST_HOLLOW)?;
-        count("fleet.hollow_threads", self.fleet.hollow_threads, 1, 64)?;
-        count("fleet.zones", self.fleet.zones, 1, 100)?;
-        count("fleet.regions", self.fleet.regions, 1, self.fleet.zones)?;
-        count("list.targets", self.list.targets, 2, MOST_TARGETS)?;
-        count("list.whole_at_once", self.list.whole_at_once, 1, MOST_HOLLOW)?;
-        seconds("list.start_within_s", self.list.start_within_s)?;
-        seconds("changes.every_s", self.changes.every_s)?;
-        seconds("changes.lasts_s", self.changes.lasts_s)?;
-        seconds("changes.settle_within_s", self.changes.settle_within_s)?;
-        count("changes.probe_every", self.changes.probe_every, 1, 1_000)?;
-        within("changes.lasts_s by every_s", self.changes.lasts_s / self.changes.every_s, 1.0, MOST_CHANGES)?;
-        count("process.memory_mb", self.process.memory_mb, 8, 16_384)?;
-        count("process.descriptors", self.process.descriptors, 64, 1_048_576)?;
-        count("process.disk_mb", self.process.disk_mb, 1, 4_096)?;
-        within("traffic.per_forwarder_per_s", self.traffic.per_forwarder_per_s, 0.0, 2_000.0)?;
-        for (n, trouble) in self.trouble.iter().enumerate() {
-            let key = |name: &str| format!("trouble[{n}].{name}");
-            within(&key("at_s"), trouble.at_s(), 0.0, self.changes.lasts_s)?;
-            match trouble {
-                Trouble::RollingRestart { one_in, gap_s, down_s, .. } => {
-                    count(&key("one_in"), *one_in, 1, MOST_HOLLOW)?;
-                    within(&key("gap_s"), *gap_s, 0.0, 600.0)?;
-                    within(&key("down_s"), *down_s, 0.0, 600.0)?;
-                }
-                Trouble::ControlRestart { down_s, .. } => within(&key("down_s"), *down_s, 0.0, 600.0)?,
-                Trouble::Zone { down_s, zone, .. } => {
-                    within(&key("down_s"), *down_s, 0.0, 600.0)?;
-                    count(&key("zone"), *zone, 0, self.fleet.zones - 1)?;
-                }
-                Trouble::Rack { down_s, zone, machines, .. } => {
-                    within(&key("down_s"), *down_s, 0.0, 600.0)?;
-                    count(&key("zone"), *zone, 0, self.fleet.zones - 1)?;
-                    count(&key("machines"), *machines, 1, MOST_HOLLOW)?;
-                }
-                Trouble::RegionCut { lasts_s, region, .. } => {
-                    within(&key("lasts_s"), *lasts_s, 0.0, 3_600.0)?;
-                    count(&key("region"), *region, 0, self.fleet.regions - 1)?;
-                }
-            }
-        }
-        if let Some(fit) = &self.fit {
-            for (key, sizes, most) in
-                [("fit.targets", &fit.targets, MOST_TARGETS), ("fit.hollow", &fit.hollow, MOST_HOLLOW)]
-            {
-                sizes.iter().try_for_each(|size| count(key, *size, 1, most))?;
-                let mut distinct = sizes.clone();
-                distinct.sort_unstable();
-                distinct.dedup();
-                if !sizes.is_empty() && distinct.len() < LEAST_SIZES {
-                    let expected = format!("{LEAST_SIZES} different sizes or more, or none");
-                    return Err((key.to_owned(), expected, distinct.len().to_string()));
-                }
-            }
-            if fit.targets.is_empty() && fit.hollow.is_empty() {
-                let expected = "a line of sizes in fit.targets or fit.hollow".to_owned();
-                return Err(("fit".to_owned(), expected, "none".to_owned()));
-            }
-            count("fit.target_targets", fit.target_targets, 1, u32::MAX)?;
-            count("fit.target_forwarders", fit.target_forwarders, 1, u32::MAX)?;
-        }
-        Ok(())
-    }
-
-    /// All forwarders, real and hollow.
+    /// The number of all forwarders, real and hollow.
     pub fn forwarders(&self) -> u32 {
         self.fleet.real.saturating_add(self.fleet.hollow)
     }
 
+    /// The zone that a forwarder stands in.
     pub fn zone_of(&self, forwarder: u32) -> u32 {
         forwarder % self.fleet.zones
     }
 
+    /// The region that a forwarder stands in.
     pub fn region_of(&self, forwarder: u32) -> u32 {
         self.zone_of(forwarder) % self.fleet.regions
     }
 }
 
-impl Trouble {
+/// The line, counted from 1, that a byte of a text stands in.
+fn line_number(text: &str, byte: usize) -> usize {
+    text[..byte.min(text.len())].matches('\n').count() + 1
+}
+
+impl Fault {
+    /// When the fault begins, in seconds after the end of the start.
     pub fn at_s(&self) -> f64 {
         match self {
-            Trouble::RollingRestart { at_s, .. }
-            | Trouble::ControlRestart { at_s, .. }
-            | Trouble::Zone { at_s, .. }
-            | Trouble::Rack { at_s, .. }
-            | Trouble::RegionCut { at_s, .. } => *at_s,
+            Fault::RollingRestart { at_s, .. }
+            | Fault::ControlRestart { at_s, .. }
+            | Fault::ZoneOutage { at_s, .. }
+            | Fault::RackOutage { at_s, .. }
+            | Fault::RegionPartition { at_s, .. } => *at_s,
         }
     }
 
-    /// As results name it.
-    pub fn name(&self) -> &'static str {
+    /// The kind of this fault.
+    pub fn kind(&self) -> FaultKind {
+        match self {
+            Fault::RollingRestart { .. } => FaultKind::RollingRestart,
+            Fault::ControlRestart { .. } => FaultKind::ControlRestart,
+            Fault::ZoneOutage { .. } => FaultKind::ZoneOutage,
+            Fault::RackOutage { .. } => FaultKind::RackOutage,
+            Fault::RegionPartition { .. } => FaultKind::RegionPartition,
+        }
+    }
+}
+
+impl FaultKind {
+    /// The name in scenario files and in results.
+    pub fn name(self) -> &'static str {
         match self {
-            Trouble::RollingRestart { .. } => "rolling_restart",
-            Trouble::ControlRestart { .. } => "control_restart",
-            Trouble::Zone { .. } => "zone",
-            Trouble::Rack { .. } => "rack",
-            Trouble::RegionCut { .. } => "region_cut",
+            FaultKind::ControlRestart => "control_restart",
+            FaultKind::RackOutage => "rack",
+            FaultKind::RegionPartition => "region_cut",
+            FaultKind::RollingRestart => "rolling_restart",
+            FaultKind::ZoneOutage => "zone",
         }
     }
 }
--- /dev/null
+++ b/crates/scale-test/src/tables.rs
@@ -0,0 +1,133 @@
+//! Results as tables for people.
+
+use comfy_table::presets::ASCII_MARKDOWN;
+use comfy_table::Table;
+
+use crate::latency::LatencySummary;
+use crate::process_usage::ForwarderUsage;
+use crate::report::{ResultLine, Results, TrafficRates};
+
+/// All tables of a run's results.
+pub fn tables(results: &Results) -> String {
+    let mut tables = Tables::new();
+    for line in &results.lines {
+        tables.add(line);
+    }
+    tables.into_text()
+}
+
+/// An empty table with these columns.
+pub(crate) fn empty_table(columns: &[&str]) -> Table {
+    let mut table = Table::new();
+    table.load_preset(ASCII_MARKDOWN).set_header(columns);
+    table
+}
+
+/// The tables of a run, as they are filled.
+struct Tables {
+    latencies: Table,
+    traffic: Table,
+    processes: Table,
+    figures: Table,
+    checks: Table,
+}
+
+impl Tables {
+    fn new() -> Tables {
+        Tables {
+            latencies: empty_table(&[
+                "time", "role", "occasion", "since", "count", "p50 ms", "p99 ms", "worst ms",
+            ]),
+            traffic: empty_table(&["role", "phase", "forwarders", "in B/s", "out B/s", "messages/s"]),
+            processes: empty_table(&[
+                "forwarder",
+                "starts",
+                "processor s",
+                "resident MB",
+                "peak resident MB",
+            ]),
+            figures: empty_table(&["figure", "value"]),
+            checks: empty_table(&["check", "verdict", "detail"]),
+        }
+    }
+
+    fn into_text(self) -> String {
+        let tables = [self.latencies, self.traffic, self.processes, self.figures, self.checks];
+        tables.map(|table| format!("{table}\n")).join("\n")
+    }
+
+    fn add(&mut self, line: &ResultLine) {
+        match line {
+            ResultLine::ListInForce { role, occasion, latency } => {
+                self.add_latency(["list in force", role.name(), occasion.name(), "start"], latency);
+            }
+            ResultLine::ChangeInForce { role, occasion, since, latency } => {
+                let labels = ["change in force", role.name(), occasion.name(), since.name()];
+                self.add_latency(labels, latency);
+            }
+            ResultLine::ProbeResolution { latency } => {
+                self.add_latency(["sure to", "real", "probes", "last refusal"], latency);
+            }
+            ResultLine::Submissions { phase, latency, accepted, rejected, unanswered } => {
+                self.add_latency(["hand-in answered", "real", phase.name(), "request"], latency);
+                let counts = format!("{accepted} taken on, {rejected} refused, {unanswered} unanswered");
+                self.add_figure(format!("hand-ins {}", phase.name()), counts);
+            }
+            ResultLine::Deliveries { requests, notices } => {
+                self.add_figure("calls to targets", requests.to_string());
+                self.add_figure("notices", notices.to_string());
+            }
+            ResultLine::Exchange { role, phase, forwarders, rates, .. } => {
+                self.add_traffic([role.name(), phase.name()], *forwarders, rates);
+            }
+            ResultLine::Process { usage } => self.add_process(usage),
+            ResultLine::Thread { name, core_share } => {
+                self.add_figure(format!("core share of {name}"), format!("{core_share:.4}"));
+            }
+            ResultLine::Program { resident_peak_bytes, .. } => {
+                self.add_figure("this program, peak resident MB", megabytes(*resident_peak_bytes));
+            }
+            ResultLine::Figure { name, value } => self.add_figure(name.clone(), format!("{value:.4}")),
+            ResultLine::Check { name, passed, detail } => {
+                let verdict = if *passed { "passed" } else { "FAILED" };
+                self.checks.add_row([*name, verdict, detail]);
+            }
+            ResultLine::Run { .. } | ResultLine::Sample { .. } => {}
+        }
+    }
+
+    /// The labels stand for what was measured, the role, the occasion and the moment from which it counts.
+    fn add_latency(&mut self, labels: [&str; 4], latency: &LatencySummary) {
+        let mut row: Vec<String> = labels.map(str::to_owned).into();
+        row.push(latency.count.to_string());
+        let milliseconds = [latency.p50_ms, latency.p99_ms, latency.worst_ms];
+        row.extend(milliseconds.map(|value| format!("{value:.1}")));
+        self.latencies.add_row(row);
+    }
+
+    fn add_figure(&mut self, name: impl Into<String>, value: String) {
+        self.figures.add_row([name.into(), value]);
+    }
+
+    fn add_traffic(&mut self, labels: [&str; 2], forwarders: u32, rates: &TrafficRates) {
+        let mut row: Vec<String> = labels.map(str::to_owned).into();
+        row.push(forwarders.to_string());
+        let shown = [rates.received_bytes_per_s, rates.sent_bytes_per_s, rates.messages_per_s];
+        row.extend(shown.map(|value| format!("{value:.1}")));
+        self.traffic.add_row(row);
+    }
+
+    fn add_process(&mut self, usage: &ForwarderUsage) {
+        self.processes.add_row([
+            usage.forwarder.to_string(),
+            usage.starts.to_string(),
+            format!("{:.2}", usage.processor_s),
+            megabytes(usage.resident_bytes),
+            megabytes(usage.resident_peak_bytes),
+        ]);
+    }
+}
+
+fn megabytes(bytes: u64) -> String {
+    format!("{:.1}", bytes as f64 / 1e6)
+}
--- /dev/null
+++ b/crates/scale-test/src/task.rs
@@ -0,0 +1,36 @@
+//! Tasks that end with their owner.
+
+use std::future::Future;
+
+use tokio::runtime::Handle;
+use tokio::task::AbortHandle;
+
+/// A running task, aborted when this is dropped.
+#[must_use = "the task is aborted when this is dropped"]
+pub(crate) struct AbortOnDrop(AbortHandle);
+
+impl AbortOnDrop {
+    /// Spawns a task on the current runtime.
+    pub(crate) fn spawn<F>(task: F) -> AbortOnDrop
+    where
+        F: Future + Send + 'static,
+        F::Output: Send + 'static,
+    {
+        AbortOnDrop::spawn_on(&Handle::current(), task)
+    }
+
+    /// Spawns a task on a given runtime.
+    pub(crate) fn spawn_on<F>(runtime: &Handle, task: F) -> AbortOnDrop
+    where
+        F: Future + Send + 'static,
+        F::Output: Send + 'static,
+    {
+        AbortOnDrop(runtime.spawn(task).abort_handle())
+    }
+}
+
+impl Drop for AbortOnDrop {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
--- a/crates/scale-test/tests/runs.rs
+++ b/crates/scale-test/tests/runs.rs
@@ -1,11 +1,11 @@
-//! Whole runs of the small form, sound and with a fault that its checks have to find.
+//! Whole runs of the small form, sound and with a seeded defect that its checks have to find.
 
 use std::path::{Path, PathBuf};
 
-use reeddock_scale_test::control::LostChange;
-use reeddock_scale_test::report::{Line, Results};
-use reeddock_scale_test::run::{run, Faults, Options};
+use reeddock_scale_test::report::{ResultLine, Results, Role, Since};
+use reeddock_scale_test::run::{run, DroppedChange, LostChange, Options, SeededDefects};
 use reeddock_scale_test::scenario::Scenario;
+use reeddock_scale_test::tables::tables;
 
 const STATES: &str = "hollow forwarders have the control side's list";
 const COUNTS: &str = "no change is missing at a hollow forwarder";
@@ -17,45 +17,45 @@
     Scenario::read(&file).unwrap()
 }
 
-/// Only hollow forwarders, few changes, and no trouble.
+/// Only hollow forwarders, few changes, and no fault.
 fn hollow_only() -> Scenario {
     let mut scenario = small();
     scenario.fleet.real = 0;
     scenario.fleet.hollow = 10;
     scenario.changes.every_s = 0.02;
     scenario.changes.lasts_s = 0.4;
-    scenario.trouble.clear();
+    scenario.faults.clear();
     scenario
 }
 
-fn play(scenario: Scenario, faults: Faults) -> Results {
+fn run_with_defects(scenario: Scenario, defects: SeededDefects) -> Results {
     let program = Some(PathBuf::from(env!("CARGO_BIN_EXE_reeddock-scale-test-forwarder")));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    runtime.unwrap().block_on(run(scenario, Options { program, faults })).unwrap()
+    runtime.unwrap().block_on(run(scenario, Options { program, defects })).unwrap()
 }
 
 fn verdict(results: &Results, check: &str) -> bool {
-    results.check(check).unwrap_or_else(|| panic!("no check {check:?}")).0
+    results.check(check).unwrap_or_else(|| panic!("no check {check:?}")).passed
 }
 
 #[test]
-fn the_small_form_passes_every_check_through_every_kind_of_trouble() {
-    let results = play(small(), Faults::default());
-    assert!(results.sound(), "{}", results.tables());
+fn the_small_form_passes_every_check_through_every_kind_of_fault() {
+    let results = run_with_defects(small(), SeededDefects::default());
+    assert!(results.all_passed(), "{}", tables(&results));
     let occasions: Vec<&str> = results
         .lines
         .iter()
         .filter_map(|line| match line {
-            Line::ChangeInForce { role: "hollow", occasion, since: "reachable", spans }
-                if spans.count > 0 =>
+            ResultLine::ChangeInForce { role: Role::Hollow, occasion, since: Since::Reachable, latency }
+                if latency.count > 0 =>
             {
-                Some(*occasion)
+                Some(occasion.name())
             }
             _ => None,
         })
         .collect();
     assert_eq!(occasions, ["control_restart", "rack", "region_cut", "rolling_restart", "zone"]);
-    let restarted = |line: &Line| matches!(line, Line::Process { used } if used.starts == 2);
+    let restarted = |line: &ResultLine| matches!(line, ResultLine::Process { usage } if usage.starts == 2);
     assert!(results.lines.iter().any(restarted), "a real forwarder was restarted");
     let figures = results.figures();
     for name in ["change_p99.real_over_hollow", "real.resident_peak_mb", "list.whole_bytes"] {
@@ -66,26 +66,29 @@
 
 #[test]
 fn a_sound_run_of_hollow_forwarders_alone_passes() {
-    let results = play(hollow_only(), Faults::default());
-    assert!(results.sound(), "{}", results.tables());
+    let results = run_with_defects(hollow_only(), SeededDefects::default());
+    assert!(results.all_passed(), "{}", tables(&results));
 }
 
 #[test]
 fn a_hollow_forwarder_that_drops_a_change_is_found() {
-    let results = play(hollow_only(), Faults { hollow_drops: Some((3, 9)), control_loses: None });
+    let dropped = DroppedChange { hollow_forwarder: 3, generation: 9 };
+    let results =
+        run_with_defects(hollow_only(), SeededDefects { dropped_change: Some(dropped), lost_change: None });
     assert!(verdict(&results, IN_FORCE), "it says that it is up to date");
-    assert!(!verdict(&results, STATES) && !verdict(&results, COUNTS), "{}", results.tables());
-    let (_, detail) = results.check(STATES).unwrap();
+    assert!(!verdict(&results, STATES) && !verdict(&results, COUNTS), "{}", tables(&results));
+    let detail = results.check(STATES).unwrap().detail;
     assert!(detail.starts_with("1 of 10 differ forwarder 3: Target"), "{detail}");
 }
 
 #[test]
 fn a_change_that_the_control_side_loses_is_found() {
     let zone = 2;
-    let lost = LostChange { door: zone, generation: 9 };
-    let results = play(hollow_only(), Faults { hollow_drops: None, control_loses: Some(lost) });
-    assert!(!verdict(&results, STATES), "{}", results.tables());
-    let (_, detail) = results.check(STATES).unwrap();
+    let lost = LostChange { listener: zone, generation: 9 };
+    let results =
+        run_with_defects(hollow_only(), SeededDefects { dropped_change: None, lost_change: Some(lost) });
+    assert!(!verdict(&results, STATES), "{}", tables(&results));
+    let detail = results.check(STATES).unwrap().detail;
     // Forwarders 2 and 9 stand in zone 2.
     assert!(detail.starts_with("2 of 10 differ"), "{detail}");
 }
@@ -95,9 +98,9 @@
     let mut scenario = hollow_only();
     scenario.changes.settle_within_s = 0.3;
     // The list is of generation 1, and twenty changes follow.
-    let lost = LostChange { door: 0, generation: 21 };
-    let results = play(scenario, Faults { hollow_drops: None, control_loses: Some(lost) });
-    assert!(!verdict(&results, IN_FORCE) && !verdict(&results, STATES), "{}", results.tables());
+    let lost = LostChange { listener: 0, generation: 21 };
+    let results = run_with_defects(scenario, SeededDefects { dropped_change: None, lost_change: Some(lost) });
+    assert!(!verdict(&results, IN_FORCE) && !verdict(&results, STATES), "{}", tables(&results));
 }
 
 #[test]
@@ -106,7 +109,7 @@
     scenario.fleet.real = 1;
     scenario.changes.settle_within_s = 1.0;
     // Each fourth change lists a new destination: generations 5, 9, and so on.
-    let lost = LostChange { door: 0, generation: 9 };
-    let results = play(scenario, Faults { hollow_drops: None, control_loses: Some(lost) });
-    assert!(!verdict(&results, PROBED) && verdict(&results, STATES), "{}", results.tables());
+    let lost = LostChange { listener: 0, generation: 9 };
+    let results = run_with_defects(scenario, SeededDefects { dropped_change: None, lost_change: Some(lost) });
+    assert!(!verdict(&results, PROBED) && verdict(&results, STATES), "{}", tables(&results));
 }
