--- /dev/null
+++ b/crates/experiments/src/html_report.rs
@@ -0,0 +1,198 @@
+//! One HTML page with tables and plots of the results in a folder.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+use maud::{html, Markup, PreEscaped, DOCTYPE};
+use reeddock_simulation::Report;
+
+use crate::error::{ExperimentError, FileAction};
+use crate::report_plots::{run_plots, sweep_plot};
+use crate::results::{ExperimentResult, PolicySummary, SearchFinding};
+
+const SUMMARY_HEADER: [&str; 11] = [
+    "policy",
+    "credit",
+    "+-",
+    "least",
+    "p50 ms",
+    "p99 ms",
+    "sent",
+    "refused",
+    "wasted",
+    "slots",
+    "rules broken",
+];
+
+const STYLE: &str = "body{font:15px sans-serif;max-width:60rem;margin:2rem auto;color:#222}\
+    table{border-collapse:collapse;margin:1rem 0}td,th{padding:.2rem .6rem;text-align:right;\
+    border-bottom:1px solid #ddd}figure{margin:1rem 0}svg{max-width:100%;height:auto}";
+
+/// A result on the page.
+struct Section {
+    title: String,
+    table: Markup,
+    /// The plots, as SVG.
+    plots: Vec<String>,
+}
+
+impl Section {
+    fn of(result: &ExperimentResult) -> Result<Section, ExperimentError> {
+        Ok(match result {
+            ExperimentResult::Runs { reports } => {
+                let summary =
+                    |run: &Report| PolicySummary::of(&run.policy, std::slice::from_ref(run), reports);
+                Section {
+                    title: reports.first().map(|run| run.scenario.clone()).unwrap_or_default(),
+                    table: summary_table(&reports.iter().map(summary).collect::<Vec<_>>()),
+                    plots: run_plots(reports)?,
+                }
+            }
+            ExperimentResult::Comparison { scenario, rows, first_days } => {
+                Section { title: scenario.clone(), table: summary_table(rows), plots: run_plots(first_days)? }
+            }
+            ExperimentResult::Sweep { scenario, keys, rows } => {
+                let rows_with_values: Vec<_> =
+                    rows.iter().map(|row| (&row.values[..], &row.summary)).collect();
+                Section {
+                    title: format!("{scenario}: {}", keys.join(", ")),
+                    table: table_with_values(keys, &rows_with_values),
+                    plots: vec![sweep_plot(keys, rows)?],
+                }
+            }
+            ExperimentResult::Replay { description, report, .. } => Section {
+                title: description.clone(),
+                table: html! {},
+                plots: run_plots(std::slice::from_ref(report.as_ref()))?,
+            },
+            ExperimentResult::Search { scenarios, found, .. } => Section {
+                title: format!("search over {scenarios} scenarios"),
+                table: findings_table(found),
+                plots: Vec::new(),
+            },
+        })
+    }
+
+    fn markup(&self, file_name: &str) -> Markup {
+        html! {
+            section {
+                h2 { (self.title) }
+                p { "from " (file_name) ", emulated" }
+                (self.table)
+                @for svg in &self.plots { figure { (PreEscaped(svg)) } }
+            }
+        }
+    }
+}
+
+fn summary_table(summaries: &[PolicySummary]) -> Markup {
+    let rows: Vec<(&[String], &PolicySummary)> = summaries.iter().map(|summary| (&[][..], summary)).collect();
+    table_with_values(&[], &rows)
+}
+
+/// A table of summaries, each after its values of these keys.
+fn table_with_values(keys: &[String], rows: &[(&[String], &PolicySummary)]) -> Markup {
+    html! {
+        table {
+            tr {
+                @for key in keys { th { (key) } }
+                @for head in SUMMARY_HEADER { th { (head) } }
+            }
+            @for (values, summary) in rows {
+                tr {
+                    @for value in *values { td { (value) } }
+                    @for cell in summary_cells(summary) { td { (cell) } }
+                }
+            }
+        }
+    }
+}
+
+fn summary_cells(summary: &PolicySummary) -> [String; SUMMARY_HEADER.len()] {
+    let metrics = &summary.metrics;
+    [
+        summary.policy.clone(),
+        format!("{:.3}", metrics.credit.mean),
+        format!("{:.3}", metrics.credit.deviation),
+        format!("{:.3}", metrics.credit.minimum),
+        format!("{:.0}", metrics.p50_ms),
+        format!("{:.0}", metrics.p99_ms),
+        format!("{:.2}", metrics.attempts_per_message),
+        format!("{:.2}", metrics.rejections_per_message),
+        format!("{:.2}", metrics.work_wasted),
+        format!("{:.2}", metrics.slots_used),
+        summary.violations.to_string(),
+    ]
+}
+
+fn findings_table(findings: &[SearchFinding]) -> Markup {
+    html! {
+        table {
+            tr { th { "file" } th { "credit" } th { "one try" } th { "ceiling" } th { "what" } }
+            @for finding in findings {
+                tr {
+                    td { (finding.file.display()) }
+                    td { (format!("{:.3}", finding.credit)) }
+                    td { (format!("{:.3}", finding.one_try_credit)) }
+                    td { (format!("{:.3}", finding.upper_bound_credit)) }
+                    td { (finding.description) }
+                }
+            }
+        }
+    }
+}
+
+/// The JSON files of a folder, by name.
+fn result_files(folder: &Path) -> Result<Vec<PathBuf>, ExperimentError> {
+    let entries = fs::read_dir(folder).map_err(ExperimentError::file(folder, FileAction::Access))?;
+    let mut files: Vec<PathBuf> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
+    files.retain(|file| file.extension().is_some_and(|extension| extension == "json"));
+    files.sort();
+    if files.is_empty() {
+        return Err(ExperimentError::NoResults(folder.to_owned()));
+    }
+    Ok(files)
+}
+
+fn read_result(file: &Path) -> Result<ExperimentResult, ExperimentError> {
+    let text = fs::read_to_string(file).map_err(ExperimentError::file(file, FileAction::Access))?;
+    serde_json::from_str(&text)
+        .map_err(|source| ExperimentError::MalformedResult { path: file.to_owned(), source })
+}
+
+fn page(sections: &[Markup]) -> Markup {
+    html! {
+        (DOCTYPE)
+        html lang="en" {
+            head {
+                meta charset="utf-8";
+                title { "reeddock laboratory" }
+                style { (STYLE) }
+            }
+            body {
+                h1 { "Laboratory" }
+                p { "All figures are emulated: from simulated time, not from sockets." }
+                @for section in sections { (section) }
+            }
+        }
+    }
+}
+
+/// Writes a page of all results in a folder, and gives the number of plots on it.
+///
+/// # Errors
+///
+/// A folder without results, a file that is not a result, or a page that can't be written.
+pub fn write_html_report(folder: &Path, page_file: &Path) -> Result<usize, ExperimentError> {
+    let mut sections = Vec::new();
+    let mut plot_count = 0;
+    for file in result_files(folder)? {
+        let section = Section::of(&read_result(&file)?)?;
+        let file_name = file.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        sections.push(section.markup(&file_name));
+        plot_count += section.plots.len();
+    }
+    fs::write(page_file, page(&sections).into_string())
+        .map_err(ExperimentError::file(page_file, FileAction::Access))?;
+    Ok(plot_count)
+}
--- /dev/null
+++ b/crates/experiments/src/line_plot.rs
@@ -0,0 +1,100 @@
+//! Line plots as SVG.
+
+use plotters::coord::Shift;
+use plotters::prelude::*;
+
+use crate::error::ExperimentError;
+
+/// Width and height of a plot, in pixels.
+const SIZE: (u32, u32) = (860, 320);
+/// Height of the axis against the highest point: some room is left above it.
+const AXIS_HEADROOM: f64 = 1.05;
+/// Length of a line in the legend, in pixels.
+const LEGEND_LINE_LENGTH: i32 = 16;
+
+/// A line of a plot.
+pub(crate) struct Line {
+    pub(crate) name: String,
+    pub(crate) points: Vec<(f64, f64)>,
+}
+
+/// A plot of several lines over a common axis; the other axis begins at 0.
+pub(crate) struct LinePlot<'a> {
+    pub(crate) title: &'a str,
+    pub(crate) x_label: &'a str,
+    pub(crate) y_label: &'a str,
+    pub(crate) lines: Vec<Line>,
+}
+
+/// What the plotting library's calls give.
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
+
+impl LinePlot<'_> {
+    /// The plot as SVG text.
+    pub(crate) fn to_svg(&self) -> Result<String, ExperimentError> {
+        let mut svg = String::new();
+        {
+            let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+            area.fill(&WHITE).map_err(ExperimentError::plot)?;
+            self.draw(&area).map_err(ExperimentError::plot)?;
+            area.present().map_err(ExperimentError::plot)?;
+        }
+        Ok(svg)
+    }
+
+    /// The ends of the horizontal axis.
+    fn x_range(&self) -> std::ops::Range<f64> {
+        let x_values = || self.lines.iter().flat_map(|line| &line.points).map(|point| point.0);
+        let left = x_values().fold(f64::INFINITY, f64::min);
+        let right = x_values().fold(f64::NEG_INFINITY, f64::max);
+        if left < right {
+            left..right
+        } else {
+            0.0..1.0
+        }
+    }
+
+    /// The ends of the vertical axis.
+    fn y_range(&self) -> std::ops::Range<f64> {
+        let y_values = self.lines.iter().flat_map(|line| &line.points).map(|point| point.1);
+        let top = y_values.fold(0.0, f64::max);
+        0.0..if top > 0.0 { top * AXIS_HEADROOM } else { 1.0 }
+    }
+
+    fn draw(&self, area: &DrawingArea<SVGBackend, Shift>) -> DrawResult {
+        let mut chart = ChartBuilder::on(area)
+            .caption(self.title, ("sans-serif", 16))
+            .margin(8)
+            .x_label_area_size(34)
+            .y_label_area_size(48)
+            .build_cartesian_2d(self.x_range(), self.y_range())?;
+        let mut mesh = chart.configure_mesh();
+        mesh.x_desc(self.x_label).y_desc(self.y_label).light_line_style(WHITE).draw()?;
+        for (number, line) in self.lines.iter().enumerate() {
+            let style = colour(number).stroke_width(2);
+            chart
+                .draw_series(LineSeries::new(line.points.iter().copied(), style))?
+                .label(&line.name)
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], style));
+        }
+        chart
+            .configure_series_labels()
+            .position(SeriesLabelPosition::LowerLeft)
+            .background_style(WHITE.mix(0.8))
+            .border_style(BLACK)
+            .draw()?;
+        Ok(())
+    }
+}
+
+fn colour(number: usize) -> RGBColor {
+    const COLOURS: [RGBColor; 6] = [
+        RGBColor(31, 119, 180),
+        RGBColor(214, 90, 20),
+        RGBColor(44, 140, 60),
+        RGBColor(170, 40, 60),
+        RGBColor(120, 90, 170),
+        RGBColor(90, 90, 90),
+    ];
+    COLOURS[number % COLOURS.len()]
+}
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,6 +1,9 @@
 //! The program `reeddock-experiment`. All figures that it prints are emulated.
+//!
+//! Exit codes: 0; 1 where an invariant was broken or recordings differ; 2 where the command line or a file was
+//! wrong. Doc comments on the structs of the command line are its help text.
 
-mod studies;
+mod study_arguments;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,14 +11,15 @@
 
 use clap::{Args, Parser, Subcommand};
 use reeddock_experiments::{
-    Comparison, ExperimentError, Lab, Policies, RecordingRun, Search, Setting, StreamRun, Sweep,
+    compare_recordings, write_html_report, ComparisonPlan, ExperimentError, ExperimentRunner, PolicyList,
+    ScenarioOverride, ScenarioRecordingPlan, SearchPlan, StreamRecordingPlan, SweepPlan, MAX_SEARCH_MINUTES,
 };
 use reeddock_recorder::Form;
 
 /// Plays fleets of forwarders in simulated time and says what they earn, cost and break.
 #[derive(Parser)]
 #[command(name = "reeddock-experiment", version)]
-struct Line {
+struct CommandLine {
     /// Results as JSON, for machines; progress goes to standard error in any case.
     #[arg(long, global = true)]
     json: bool,
@@ -32,27 +36,27 @@
     Run {
         scenario: PathBuf,
         #[command(flatten)]
-        one: One,
+        run: RunArguments,
     },
     /// Play one scenario under several policies, on the same days.
     Compare {
         scenario: PathBuf,
         /// Names joined by commas: module, one-try, back-off, breaker, ceiling.
         #[arg(long, default_value = "module,one-try,back-off,breaker,ceiling")]
-        policies: Policies,
+        policies: PolicyList,
         #[command(flatten)]
-        many: Many,
+        repeated: RepeatedRunArguments,
     },
     /// Play one scenario with values put in the place of those that it has.
     Sweep {
         scenario: PathBuf,
         /// A place in the scenario and the values to put there; may stand several times.
         #[arg(long = "set", value_name = "KEY=V1,V2", required = true)]
-        settings: Vec<Setting>,
+        settings: Vec<ScenarioOverride>,
         #[arg(long, default_value = "module")]
-        policies: Policies,
+        policies: PolicyList,
         #[command(flatten)]
-        many: Many,
+        repeated: RepeatedRunArguments,
     },
     /// Draw scenarios and look for a broken rule, or for credit far under what the ceiling earns.
     Search {
@@ -71,11 +75,11 @@
     /// Play what a search found, and say whether it is still seen.
     Replay { file: PathBuf },
     /// What a fleet sends to destinations that come back cold, against the budget over which they fall.
-    Ramp(studies::RampLine),
+    Ramp(study_arguments::RecoveryStudyArguments),
     /// What forwarders that share nothing lose at destinations that are down, against ones that share.
-    Sharing(studies::SharingLine),
+    Sharing(study_arguments::SharingStudyArguments),
     /// Write down every call into the decision module and every request that it makes.
-    Record(Record),
+    Record(RecordArguments),
     /// One HTML page with plots of the results in a folder.
     Report {
         folder: PathBuf,
@@ -86,18 +90,18 @@
 }
 
 #[derive(Args)]
-struct One {
+struct RunArguments {
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[arg(long, default_value = "module")]
-    policy: Policies,
+    policy: PolicyList,
     /// Keep the result in this folder, for `report`.
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
 
 #[derive(Args)]
-struct Many {
+struct RepeatedRunArguments {
     /// Days, each drawn by a seed of its own, from 1 up.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
@@ -107,7 +111,7 @@
 }
 
 #[derive(Args)]
-struct Record {
+struct RecordArguments {
     /// Scenarios to play in the simulation under the delivery policy.
     scenarios: Vec<PathBuf>,
     /// So many random event streams straight at the delivery policy, with seeds from --seed up.
@@ -130,76 +134,73 @@
     compare: Option<Vec<PathBuf>>,
 }
 
-fn record(lab: &Lab, what: Record, json: bool) -> Result<ExitCode, ExperimentError> {
-    if let Some([left, right]) = what.compare.as_deref() {
-        return reeddock_experiments::compare_recordings(left, right)?.print(json);
-    }
-    let form = if what.digest { Form::Digest } else { Form::Full };
-    let (out, seed) = (what.out, what.seed);
-    let recorded = match what.streams {
-        Some(count) => lab.record_streams(&StreamRun { count, seed, out, form })?,
-        None => {
-            let scenarios = what.scenarios;
-            lab.record_scenarios(&RecordingRun { scenarios, seed, seeds: what.seeds, out, form })?
-        }
-    };
-    recorded.print(json)
-}
-
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false).init();
-    let line = Line::parse();
-    let lab = match Lab::with_threads(line.threads) {
-        Ok(lab) => lab,
-        Err(fault) => return told(&fault),
-    };
-    match lab_command(&lab, line.command, line.json) {
-        Ok(sound) => sound,
-        Err(fault) => told(&fault),
+    let CommandLine { json, threads, command } = CommandLine::parse();
+    let result = ExperimentRunner::with_threads(threads).and_then(|runner| command.execute(&runner, json));
+    result.unwrap_or_else(|error| {
+        eprintln!("reeddock-experiment: {error}");
+        ExitCode::from(2)
+    })
+}
+
+impl Command {
+    fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+        match self {
+            Command::Run { scenario, run } => {
+                let result = runner.run(&scenario, run.seed, &run.policy)?;
+                result.keep(run.out.as_deref())?;
+                result.print(json)
+            }
+            Command::Compare { scenario, policies, repeated } => {
+                let plan = ComparisonPlan { policies, seeds: repeated.seeds };
+                let result = runner.compare(&scenario, &plan)?;
+                result.keep(repeated.out.as_deref())?;
+                result.print(json)
+            }
+            Command::Sweep { scenario, settings, policies, repeated } => {
+                let plan = SweepPlan { overrides: settings, policies, seeds: repeated.seeds };
+                let result = runner.sweep(&scenario, &plan)?;
+                result.keep(repeated.out.as_deref())?;
+                result.print(json)
+            }
+            Command::Search { minutes, seed, out, keep } => {
+                let duration = search_duration(minutes)?;
+                runner.search(&SearchPlan { duration, seed, out, keep })?.print(json)
+            }
+            Command::Replay { file } => runner.replay(&file)?.print(json),
+            Command::Ramp(arguments) => arguments.execute(runner, json),
+            Command::Sharing(arguments) => arguments.execute(runner, json),
+            Command::Record(arguments) => arguments.execute(runner, json),
+            Command::Report { folder, to } => {
+                let page = to.unwrap_or_else(|| folder.join("report.html"));
+                let plots = write_html_report(&folder, &page)?;
+                println!("{}: {plots} plots", page.display());
+                Ok(ExitCode::SUCCESS)
+            }
+        }
     }
 }
 
-fn told(fault: &ExperimentError) -> ExitCode {
-    eprintln!("reeddock-experiment: {fault}");
-    ExitCode::from(2)
+fn search_duration(minutes: f64) -> Result<Duration, ExperimentError> {
+    if minutes > 0.0 && minutes <= MAX_SEARCH_MINUTES {
+        Ok(Duration::from_secs_f64(minutes * 60.0))
+    } else {
+        Err(ExperimentError::SearchDuration { minutes })
+    }
 }
 
-fn lab_command(lab: &Lab, command: Command, json: bool) -> Result<ExitCode, ExperimentError> {
-    match command {
-        Command::Run { scenario, one } => {
-            let result = lab.run(&scenario, one.seed, &one.policy)?;
-            result.keep(one.out.as_deref())?;
-            result.print(json)
-        }
-        Command::Compare { scenario, policies, many } => {
-            let result = lab.compare(&scenario, &Comparison { policies, seeds: many.seeds })?;
-            result.keep(many.out.as_deref())?;
-            result.print(json)
-        }
-        Command::Sweep { scenario, settings, policies, many } => {
-            let result = lab.sweep(&scenario, &Sweep { settings, policies, seeds: many.seeds })?;
-            result.keep(many.out.as_deref())?;
-            result.print(json)
-        }
-        Command::Search { minutes, seed, out, keep } => {
-            let most = 24.0 * 60.0;
-            if !(minutes > 0.0 && minutes <= most) {
-                return Err(ExperimentError::line(format!(
-                    "--minutes is {minutes}: expected over 0, {most} at most"
-                )));
-            }
-            let lasts = Duration::from_secs_f64(minutes * 60.0);
-            lab.search(&Search { lasts, seed, out, keep })?.print(json)
-        }
-        Command::Replay { file } => lab.replay(&file)?.print(json),
-        Command::Ramp(line) => line.play(lab, json),
-        Command::Sharing(line) => line.play(lab, json),
-        Command::Record(what) => record(lab, what, json),
-        Command::Report { folder, to } => {
-            let to = to.unwrap_or_else(|| folder.join("report.html"));
-            let plots = reeddock_experiments::page(&folder, &to)?;
-            println!("{}: {plots} plots", to.display());
-            Ok(ExitCode::SUCCESS)
+impl RecordArguments {
+    fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+        if let Some([left, right]) = self.compare.as_deref() {
+            return compare_recordings(left, right)?.print(json);
         }
+        let form = if self.digest { Form::Digest } else { Form::Full };
+        let RecordArguments { scenarios, streams, seed, seeds, out, .. } = self;
+        let recorded = match streams {
+            Some(count) => runner.record_streams(&StreamRecordingPlan { count, seed, out, form })?,
+            None => runner.record_scenarios(&ScenarioRecordingPlan { scenarios, seed, seeds, out, form })?,
+        };
+        recorded.print(json)
     }
 }
--- /dev/null
+++ b/crates/experiments/src/recorded_policy.rs
@@ -0,0 +1,123 @@
+//! The delivery policy in the simulation, recorded.
+
+use std::time::Duration;
+
+use reeddock::{
+    AttemptNumber, AttemptOutcome, EndpointId, EndpointUpdate, MessageId, PeerId, PolicyHost,
+    PreviousAttempt, Settings,
+};
+use reeddock_recorder::line::PolicyCall;
+use reeddock_recorder::{RecordingHost, RecordingWriter};
+use reeddock_simulation::policy::{ListLine, Policy, Submission, WorldView};
+use reeddock_simulation::BuiltInPolicy;
+
+/// The delivery policy, with a line in a recording for each call into it and each command that it gives.
+pub(crate) struct RecordedPolicy {
+    policy: Box<dyn Policy>,
+    writer: RecordingWriter,
+}
+
+impl RecordedPolicy {
+    /// Opens the delivery policy, and records that as the first call.
+    pub(crate) fn open(
+        now: Duration,
+        settings: Settings,
+        host: &mut dyn PolicyHost,
+        writer: RecordingWriter,
+    ) -> RecordedPolicy {
+        writer.record(PolicyCall::Open { now, settings: &settings });
+        let mut recording_host = RecordingHost { writer: &writer, host };
+        let policy = BuiltInPolicy::DeliveryPolicy.open(now, settings, &mut recording_host);
+        RecordedPolicy { policy, writer }
+    }
+
+    /// Records a call, and makes it with a host that records each command.
+    fn call(
+        &mut self,
+        input: PolicyCall,
+        host: &mut dyn PolicyHost,
+        call: impl FnOnce(&mut dyn Policy, &mut dyn PolicyHost),
+    ) {
+        self.writer.record(input);
+        call(self.policy.as_mut(), &mut RecordingHost { writer: &self.writer, host });
+    }
+}
+
+impl Policy for RecordedPolicy {
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListLine], host: &mut dyn PolicyHost) {
+        self.writer.record(PolicyCall::BeginEndpointList { whole });
+        for line in lines {
+            self.writer.record(PolicyCall::UpdateEndpoint(&EndpointUpdate {
+                endpoint: line.target,
+                destination: line.destination,
+                state: line.standing,
+                weight: line.weight,
+                zone: &line.zone,
+                kind: &line.kind,
+            }));
+        }
+        self.call(PolicyCall::FinishEndpointList, host, |policy, host| policy.list(now, whole, lines, host));
+    }
+
+    fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost) {
+        let input = PolicyCall::Submit {
+            now,
+            id: &submission.id,
+            class: &submission.category,
+            tenant: Some(&submission.program),
+            key: submission.key,
+            deadline: submission.outer_limit,
+            destination: submission.destination,
+        };
+        self.call(input, host, |policy, host| policy.submit(now, submission, host));
+    }
+
+    fn restore(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        previous: &[PreviousAttempt],
+        host: &mut dyn PolicyHost,
+    ) {
+        let input = PolicyCall::Restore { now, id, previous };
+        self.call(input, host, |policy, host| policy.restore(now, id, previous, host));
+    }
+
+    fn attempt_finished(
+        &mut self,
+        now: Duration,
+        id: &MessageId,
+        number: AttemptNumber,
+        outcome: AttemptOutcome,
+        finished: bool,
+        host: &mut dyn PolicyHost,
+    ) {
+        let input = PolicyCall::AttemptFinished { now, id, number, outcome, finished };
+        self.call(input, host, |policy, host| {
+            policy.attempt_finished(now, id, number, outcome, finished, host)
+        });
+    }
+
+    fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
+        self.call(PolicyCall::Withdraw { id }, host, |policy, host| policy.withdraw(id, host));
+    }
+
+    fn timer_fired(&mut self, now: Duration) {
+        self.writer.record(PolicyCall::TimerFired { now });
+        self.policy.timer_fired(now);
+    }
+
+    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool) {
+        self.writer.record(PolicyCall::HealthChecked { now, endpoint: target, well });
+        self.policy.health_checked(now, target, well);
+    }
+
+    fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]) {
+        self.writer.record(PolicyCall::GossipReceived { now, from, gossip });
+        self.policy.gossip_received(now, from, gossip);
+    }
+
+    fn run_due_work(&mut self, now: Duration, view: &dyn WorldView, host: &mut dyn PolicyHost) {
+        self.call(PolicyCall::RunDueWork { now }, host, |policy, host| policy.run_due_work(now, view, host));
+    }
+}
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -1,297 +1,287 @@
-//! What an experiment came to: printed as a table or as JSON, and kept for plots.
+//! Results of experiments, and their form as JSON: for machines, and kept in a folder for plots.
+//!
+//! The keys of the JSON form are fixed by `docs/experiments.md`; where a field has another name, `rename`
+//! stands beside it.
 
+use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use comfy_table::presets::NOTHING;
-use comfy_table::Table;
 use reeddock_simulation::report::rounded;
 use reeddock_simulation::Report;
 use serde::{Deserialize, Serialize};
 
-use crate::ExperimentError;
+use crate::error::{ExperimentError, FileAction};
+use crate::text_report;
 
-/// Mean, spread and ends of one figure over several days.
+/// Mean, deviation and range of one measurement over several days.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct Statistics {
+    /// Arithmetic mean.
     pub mean: f64,
-    /// Standard deviation over the days; 0 for one day.
+    /// Standard deviation of the sample; 0 for one day.
     pub deviation: f64,
-    pub least: f64,
-    pub most: f64,
+    /// The least value.
+    #[serde(rename = "least")]
+    pub minimum: f64,
+    /// The greatest value.
+    #[serde(rename = "most")]
+    pub maximum: f64,
 }
 
-impl Spread {
-    pub fn of(values: &[f64]) -> Spread {
-        let many = values.len().max(1) as f64;
-        let mean = values.iter().sum::<f64>() / many;
-        let squares: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
-        Spread {
+impl Statistics {
+    /// The statistics of these values; all are 0 where there are none.
+    pub fn of(values: &[f64]) -> Statistics {
+        let count = values.len().max(1) as f64;
+        let mean = values.iter().sum::<f64>() / count;
+        let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
+        Statistics {
             mean: rounded(mean),
-            deviation: rounded((squares / (many - 1.0).max(1.0)).sqrt()),
-            least: rounded(values.iter().copied().fold(f64::INFINITY, f64::min)),
-            most: rounded(values.iter().copied().fold(f64::NEG_INFINITY, f64::max)),
+            deviation: rounded((squares / (count - 1.0).max(1.0)).sqrt()),
+            minimum: rounded(values.iter().copied().fold(f64::INFINITY, f64::min)),
+            maximum: rounded(values.iter().copied().fold(f64::NEG_INFINITY, f64::max)),
         }
     }
+
+    /// The statistics of one measurement of each item.
+    pub(crate) fn over<Item>(items: &[Item], measurement: impl Fn(&Item) -> f64) -> Statistics {
+        Statistics::of(&items.iter().map(measurement).collect::<Vec<f64>>())
+    }
 }
 
 /// One policy over several days.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct PolicySummary {
+    /// The policy's name on the command line.
     pub policy: String,
+    /// Number of days.
     pub days: usize,
-    pub figures: Figures,
-    /// Credit against the first policy's on the same days.
-    pub against_first: Spread,
-    pub rules_broken: usize,
-    pub days_with_broken_rules: usize,
-    pub falls: u64,
+    /// What the days gave.
+    #[serde(rename = "figures")]
+    pub metrics: PolicyMetrics,
+    /// Credit less that of the first policy on the same day.
+    #[serde(rename = "against_first")]
+    pub credit_difference: Statistics,
+    /// Invariants broken, over all days.
+    #[serde(rename = "rules_broken")]
+    pub violations: usize,
+    /// Days on which an invariant was broken.
+    #[serde(rename = "days_with_broken_rules")]
+    pub days_with_violations: usize,
+    /// Times that a returning endpoint was overloaded and failed again, over all days.
+    #[serde(rename = "falls")]
+    pub overload_failures: u64,
 }
 
-/// Means over the days, and the spread of credit.
+/// Means over the days, and the statistics of credit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
-    pub credit: Spread,
-    pub worst_span: f64,
-    pub worst_category: f64,
+pub struct PolicyMetrics {
+    /// Share of the credit asked for that was earned.
+    pub credit: Statistics,
+    /// The same in the worst ten seconds.
+    #[serde(rename = "worst_span")]
+    pub worst_window_credit: f64,
+    /// The same for the worst message class.
+    #[serde(rename = "worst_category")]
+    pub worst_class_credit: f64,
+    /// Median latency of completed messages, in milliseconds.
     pub p50_ms: f64,
+    /// The 99th percentile of that latency, in milliseconds.
     pub p99_ms: f64,
-    pub dispatches_per_try: f64,
-    pub refusals_per_try: f64,
+    /// Delivery attempts for each message, which counts once however often its program submits it.
+    #[serde(rename = "dispatches_per_try")]
+    pub attempts_per_message: f64,
+    /// Attempts that endpoints rejected, for each message.
+    #[serde(rename = "refusals_per_try")]
+    pub rejections_per_message: f64,
+    /// Share of the endpoints' work that completed no message.
     pub work_wasted: f64,
+    /// Mean share of the attempt slots in use while messages arrive.
     pub slots_used: f64,
 }
 
-impl Row {
-    pub fn of(policy: &str, reports: &[Report], first: &[Report]) -> Row {
-        let mean = |f: &dyn Fn(&Report) -> f64| Spread::of(&reports.iter().map(f).collect::<Vec<f64>>()).mean;
-        let credit: Vec<f64> = reports.iter().map(|r| r.credit).collect();
-        let against: Vec<f64> = reports.iter().zip(first).map(|(r, f)| r.credit - f.credit).collect();
-        Row {
+impl PolicySummary {
+    /// Summarizes the days of one policy, beside the same days of the first one.
+    pub fn of(policy: &str, days: &[Report], days_of_first: &[Report]) -> PolicySummary {
+        let pairs: Vec<(&Report, &Report)> = days.iter().zip(days_of_first).collect();
+        PolicySummary {
             policy: policy.to_owned(),
-            days: reports.len(),
-            figures: Figures {
-                credit: Spread::of(&credit),
-                worst_span: mean(&|r| r.credit_worst_span),
-                worst_category: mean(&|r| r.credit_worst_category),
-                p50_ms: mean(&|r| r.latency_ms.p50 as f64),
-                p99_ms: mean(&|r| r.latency_ms.p99 as f64),
-                dispatches_per_try: mean(&|r| r.dispatches_per_try),
-                refusals_per_try: mean(&|r| r.refusals_per_try),
-                work_wasted: mean(&|r| r.work_wasted),
-                slots_used: mean(&|r| r.slots_used),
-            },
-            against_first: Spread::of(&against),
-            rules_broken: reports.iter().map(|r| r.rules_broken).sum(),
-            days_with_broken_rules: reports.iter().filter(|r| r.rules_broken > 0).count(),
-            falls: reports.iter().map(|r| r.falls).sum(),
+            days: days.len(),
+            metrics: PolicyMetrics::of(days),
+            credit_difference: Statistics::over(&pairs, |(own, first)| own.credit - first.credit),
+            violations: days.iter().map(|day| day.rules_broken).sum(),
+            days_with_violations: days.iter().filter(|day| day.rules_broken > 0).count(),
+            overload_failures: days.iter().map(|day| day.falls).sum(),
         }
     }
+}
 
-    const HEAD: [&str; 12] = [
-        "policy",
-        "credit",
-        "+-",
-        "against",
-        "worst 10 s",
-        "p50 ms",
-        "p99 ms",
-        "sent",
-        "refused",
-        "wasted",
-        "slots",
-        "broken",
-    ];
-
-    fn cells(&self) -> Vec<String> {
-        let f = &self.figures;
-        vec![
-            self.policy.clone(),
-            format!("{:.3}", f.credit.mean),
-            format!("{:.3}", f.credit.deviation),
-            format!("{:+.3}", self.against_first.mean),
-            format!("{:.3}", f.worst_span),
-            format!("{:.0}", f.p50_ms),
-            format!("{:.0}", f.p99_ms),
-            format!("{:.2}", f.dispatches_per_try),
-            format!("{:.2}", f.refusals_per_try),
-            format!("{:.2}", f.work_wasted),
-            format!("{:.2}", f.slots_used),
-            format!("{} on {} of {}", self.rules_broken, self.days_with_broken_rules, self.days),
-        ]
+impl PolicyMetrics {
+    fn of(days: &[Report]) -> PolicyMetrics {
+        let mean = |measurement: fn(&Report) -> f64| Statistics::over(days, measurement).mean;
+        PolicyMetrics {
+            credit: Statistics::over(days, |day| day.credit),
+            worst_window_credit: mean(|day| day.credit_worst_span),
+            worst_class_credit: mean(|day| day.credit_worst_category),
+            p50_ms: mean(|day| day.latency_ms.p50 as f64),
+            p99_ms: mean(|day| day.latency_ms.p99 as f64),
+            attempts_per_message: mean(|day| day.dispatches_per_try),
+            rejections_per_message: mean(|day| day.refusals_per_try),
+            work_wasted: mean(|day| day.work_wasted),
+            slots_used: mean(|day| day.slots_used),
+        }
     }
 }
 
+/// One policy at one combination of overridden scenario values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SweepRow {
     /// One value for each key, in their order.
     pub values: Vec<String>,
-    pub row: Row,
+    /// What the days with these values gave.
+    #[serde(rename = "row")]
+    pub summary: PolicySummary,
 }
 
-/// One thing that a search found.
+/// A scenario that a search kept, as it was shrunk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Finding {
+pub struct SearchFinding {
+    /// The scenario file.
     pub file: PathBuf,
-    pub what: String,
+    /// The broken invariant, or how far the delivery policy's credit lies under the upper bound.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Credit of the delivery policy.
     pub credit: f64,
-    pub one_try: f64,
-    pub ceiling: f64,
-    pub first_tries: u64,
+    /// Credit of the baseline that attempts each message once.
+    #[serde(rename = "one_try")]
+    pub one_try_credit: f64,
+    /// Credit of the upper bound.
+    #[serde(rename = "ceiling")]
+    pub upper_bound_credit: f64,
+    /// Messages, each counted once however often its program submits it.
+    #[serde(rename = "first_tries")]
+    pub messages: u64,
 }
 
+/// What an experiment gave.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Result {
-    Runs { reports: Vec<Report> },
-    Comparison { scenario: String, rows: Vec<Row>, first_days: Vec<Report> },
-    Sweep { scenario: String, keys: Vec<String>, rows: Vec<SweepRow> },
-    Search { scenarios: usize, with_broken_rules: usize, under_one_try: usize, found: Vec<Finding> },
-    Replay { seen: bool, was: String, report: Box<Report> },
+pub enum ExperimentResult {
+    /// One day under one or more policies.
+    Runs {
+        /// One report for each policy.
+        reports: Vec<Report>,
+    },
+    /// Several policies on the same days.
+    Comparison {
+        /// The scenario's name.
+        scenario: String,
+        /// One summary for each policy.
+        rows: Vec<PolicySummary>,
+        /// The first day under each policy, for plots.
+        first_days: Vec<Report>,
+    },
+    /// Several policies at each combination of overridden scenario values.
+    Sweep {
+        /// The scenario's name.
+        scenario: String,
+        /// The overridden keys.
+        keys: Vec<String>,
+        /// One row for each combination and policy.
+        rows: Vec<SweepRow>,
+    },
+    /// A search of random scenarios.
+    Search {
+        /// Scenarios played.
+        scenarios: usize,
+        /// Scenarios in which the delivery policy broke an invariant.
+        #[serde(rename = "with_broken_rules")]
+        with_violations: usize,
+        /// Scenarios in which one attempt for each message earned clearly more than the delivery policy.
+        under_one_try: usize,
+        /// What was kept.
+        found: Vec<SearchFinding>,
+    },
+    /// A scenario that a search had kept, played again.
+    Replay {
+        /// Whether it still shows what it was kept for.
+        #[serde(rename = "seen")]
+        reproduced: bool,
+        /// What it was kept for.
+        #[serde(rename = "was")]
+        description: String,
+        /// The delivery policy's report.
+        report: Box<Report>,
+    },
 }
 
-impl Result {
-    /// The name of the file that it is kept under.
+impl ExperimentResult {
+    /// The name of the file that it is kept in.
     fn file_name(&self) -> String {
-        let plain = |name: &str| name.replace(|c: char| !c.is_ascii_alphanumeric() && c != '-', "_");
         match self {
-            Result::Runs { reports } => {
-                let of = |r: &Report| format!("{}-{}-{}", plain(&r.scenario), r.policy, r.seed);
-                format!("run-{}.json", reports.first().map(of).unwrap_or_default())
+            ExperimentResult::Runs { reports } => {
+                let name = |run: &Report| format!("{}-{}-{}", file_stem(&run.scenario), run.policy, run.seed);
+                format!("run-{}.json", reports.first().map(name).unwrap_or_default())
             }
-            Result::Comparison { scenario, .. } => format!("compare-{}.json", plain(scenario)),
-            Result::Sweep { scenario, keys, .. } => {
-                format!("sweep-{}-{}.json", plain(scenario), plain(&keys.join("-")))
+            ExperimentResult::Comparison { scenario, .. } => format!("compare-{}.json", file_stem(scenario)),
+            ExperimentResult::Sweep { scenario, keys, .. } => {
+                format!("sweep-{}-{}.json", file_stem(scenario), file_stem(&keys.join("-")))
             }
-            Result::Search { .. } => "search.json".to_owned(),
-            Result::Replay { .. } => "replay.json".to_owned(),
+            ExperimentResult::Search { .. } => "search.json".to_owned(),
+            ExperimentResult::Replay { .. } => "replay.json".to_owned(),
         }
     }
 
-    pub fn keep(&self, folder: Option<&Path>) -> std::result::Result<(), ExperimentError> {
+    /// Keeps the result in a folder, if one is named, for [`crate::write_html_report`].
+    ///
+    /// # Errors
+    ///
+    /// A folder or file that can't be written.
+    pub fn keep(&self, folder: Option<&Path>) -> Result<(), ExperimentError> {
         let Some(folder) = folder else { return Ok(()) };
-        let at = |what: std::io::Error| ExperimentError::line(format!("{}: {what}", folder.display()));
-        std::fs::create_dir_all(folder).map_err(at)?;
-        std::fs::write(folder.join(self.file_name()), self.to_json()?).map_err(at)
+        fs::create_dir_all(folder).map_err(ExperimentError::file(folder, FileAction::Access))?;
+        fs::write(folder.join(self.file_name()), self.to_json()?)
+            .map_err(ExperimentError::file(folder, FileAction::Access))
     }
 
-    pub fn to_json(&self) -> std::result::Result<String, ExperimentError> {
-        serde_json::to_string(self).map_err(ExperimentError::line)
+    /// The result as JSON on one line.
+    ///
+    /// # Errors
+    ///
+    /// Only those of the JSON writer.
+    pub fn to_json(&self) -> Result<String, ExperimentError> {
+        Ok(serde_json::to_string(self)?)
     }
 
-    /// Prints it; the exit code is 1 where a rule was broken, or a finding is not seen any more.
-    pub fn print(&self, json: bool) -> std::result::Result<ExitCode, ExperimentError> {
+    /// Prints the result to standard output as text or JSON. The exit code is 1 where an invariant was broken,
+    /// or a replayed scenario no longer shows what it was kept for.
+    ///
+    /// # Errors
+    ///
+    /// Only those of the JSON writer.
+    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
         if json {
             println!("{}", self.to_json()?);
         } else {
-            print!("{}", self.to_text());
-        }
-        Ok(ExitCode::from(u8::from(!self.sound())))
-    }
-
-    fn sound(&self) -> bool {
-        match self {
-            Result::Runs { reports } => reports.iter().all(|r| r.rules_broken == 0),
-            Result::Comparison { rows, .. } => rows.iter().take(1).all(|r| r.rules_broken == 0),
-            Result::Sweep { rows, .. } => rows.iter().all(|r| r.row.rules_broken == 0),
-            Result::Search { with_broken_rules, .. } => *with_broken_rules == 0,
-            Result::Replay { seen, .. } => *seen,
+            print!("{}", text_report::render(self));
         }
+        Ok(ExitCode::from(u8::from(!self.is_success())))
     }
 
-    fn to_text(&self) -> String {
-        let mut table = Table::new();
-        table.load_preset(NOTHING);
-        let text;
+    fn is_success(&self) -> bool {
         match self {
-            Result::Runs { reports } => return reports.iter().map(told).collect(),
-            Result::Replay { seen, was, report } => {
-                let now = if *seen { "seen again" } else { "NOT seen any more" };
-                return format!("{was}: {now}\n{}", told(report));
-            }
-            Result::Comparison { scenario, rows, .. } => {
-                text = format!("{scenario}, emulated\n");
-                table.set_header(Row::HEAD);
-                for row in rows {
-                    table.add_row(row.cells());
-                }
-            }
-            Result::Sweep { scenario, keys, rows } => {
-                text = format!("{scenario}, emulated\n");
-                table.set_header(keys.iter().map(String::as_str).chain(Row::HEAD));
-                for r in rows {
-                    table.add_row(r.values.iter().cloned().chain(r.row.cells()));
-                }
-            }
-            Result::Search { scenarios, with_broken_rules, under_one_try, found } => {
-                text = format!(
-                    "{scenarios} scenarios, emulated; {with_broken_rules} with a broken rule, \
-                     {under_one_try} under one try\n"
-                );
-                table.set_header(["file", "credit", "one try", "ceiling", "tries", "what"]);
-                for f in found {
-                    let file = f.file.display().to_string();
-                    let credits = [f.credit, f.one_try, f.ceiling].map(|c| format!("{c:.3}"));
-                    let [credit, one_try, ceiling] = credits;
-                    let what = f.what.lines().next().unwrap_or_default().to_owned();
-                    table.add_row([file, credit, one_try, ceiling, f.first_tries.to_string(), what]);
-                }
-            }
+            ExperimentResult::Runs { reports } => reports.iter().all(|report| report.rules_broken == 0),
+            // The baselines after the first policy are there to be measured, whatever they break.
+            ExperimentResult::Comparison { rows, .. } => rows.iter().take(1).all(|row| row.violations == 0),
+            ExperimentResult::Sweep { rows, .. } => rows.iter().all(|row| row.summary.violations == 0),
+            ExperimentResult::Search { with_violations, .. } => *with_violations == 0,
+            ExperimentResult::Replay { reproduced, .. } => *reproduced,
         }
-        text + &table.to_string() + "\n"
     }
 }
 
-/// One run for people.
-fn told(r: &Report) -> String {
-    let mut text = format!(
-        "{} under {}, seed {}, emulated\n\
-         credit {:.3}, worst 10 s {:.3}, worst category {:.3}\n\
-         {} first tries, {} envelopes: {} in time, {} late, {} shed, {} broken off, {} withdrawn, \
-         {} turned away, {} lost\n\
-         latency ms: p50 {}, p90 {}, p99 {}, worst {}\n\
-         for each try {:.2} dispatches, {:.2} refused, {:.2} new connections; \
-         work wasted {:.2}, slots in use {:.2}\n\
-         {} events, {} turns, ran {:.1} s; {} fell over\n",
-        r.scenario,
-        r.policy,
-        r.seed,
-        r.credit,
-        r.credit_worst_span,
-        r.credit_worst_category,
-        r.first_tries,
-        r.envelopes,
-        r.ends.completed_in_time,
-        r.ends.completed_late,
-        r.ends.shed,
-        r.ends.broken_off,
-        r.ends.withdrawn,
-        r.ends.turned_away,
-        r.ends.lost,
-        r.latency_ms.p50,
-        r.latency_ms.p90,
-        r.latency_ms.p99,
-        r.latency_ms.worst,
-        r.dispatches_per_try,
-        r.refusals_per_try,
-        r.new_connections_per_try,
-        r.work_wasted,
-        r.slots_used,
-        r.events,
-        r.turns,
-        r.ran_s,
-        r.falls,
-    );
-    for (what, parts) in
-        [("category", &r.categories), ("program", &r.programs), ("destination", &r.destinations)]
-    {
-        for part in parts.iter().take(6) {
-            text += &format!("  {what} {}: {:.3} of {:.0}\n", part.name, part.share, part.asked);
-        }
-    }
-    if r.rules_broken > 0 {
-        text += &format!("RULES BROKEN: {}\n", r.rules_broken);
-        r.broken.iter().take(5).for_each(|b| text += &format!("  {b}\n"));
-    }
-    text
+/// Characters that a file name may hold on any system; all others become `_`.
+fn file_stem(name: &str) -> String {
+    name.replace(|character: char| !character.is_ascii_alphanumeric() && character != '-', "_")
 }
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -1,169 +1,237 @@
-//! A search: scenarios are drawn until the time is up, each is played by the delivery policy, one try and the ceiling;
-//! what breaks a rule or lies farthest under the ceiling is shrunk and kept as a file that replays it.
+//! A search for faults: random scenarios are played until the time is up, each by the delivery policy, by one
+//! attempt for each message and by the upper bound. Scenarios in which the delivery policy breaks an invariant
+//! or lies farthest under the upper bound are shrunk, and each is kept as a file that replays it.
 
+use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use rayon::prelude::*;
 use rayon::BroadcastContext;
 use reeddock_simulation::invariants::Rule;
 use reeddock_simulation::scenario::Found;
-use reeddock_simulation::{run, BuiltInPolicy, Scenario};
+use reeddock_simulation::{run, BuiltInPolicy, Report, Scenario};
 
-use crate::draw::draw;
-use crate::results::{Finding, Result};
-use crate::runs::{progress, Lab};
-use crate::shrink::{shrink, Want};
-use crate::ExperimentError;
+use crate::error::{ExperimentError, FileAction};
+use crate::random_scenario::random_scenario;
+use crate::results::{ExperimentResult, SearchFinding};
+use crate::runner::{progress_bar, ExperimentRunner};
+use crate::shrink::{shrink, ShrinkGoal};
 
-pub struct Search {
-    pub lasts: Duration,
+/// The longest search, in minutes: a day.
+pub const MAX_SEARCH_MINUTES: f64 = 24.0 * 60.0;
+
+/// Share of the time in which random scenarios are played; the rest is for shrinking.
+const PLAYING_SHARE: f64 = 0.8;
+/// Scenarios that are shrunk for each invariant: more of them mostly show the same fault.
+const MAX_FINDINGS_OF_A_RULE: usize = 3;
+/// Credit by which the delivery policy must lie under one attempt for each message to be counted: less is noise.
+const ONE_TRY_MARGIN: f64 = 0.01;
+/// The seeds of one search lie in a block of this many bits, so that searches of different seeds share none.
+const SEED_BLOCK_BITS: u32 = 20;
+
+/// A search for faults.
+pub struct SearchPlan {
+    /// How long the search takes.
+    pub duration: Duration,
+    /// The same seed draws the same scenarios; how many of them are reached depends on the machine.
     pub seed: u64,
+    /// The folder for the scenario files that are kept.
     pub out: PathBuf,
+    /// Scenarios kept for the credit gap to the upper bound alone.
     pub keep: usize,
 }
 
-/// Part of the time that drawing takes; the rest is for shrinking.
-const DRAWING: f64 = 0.8;
-/// Findings of one rule that are shrunk.
-const MOST_OF_A_RULE: usize = 3;
+/// A scenario under the three policies of a search.
+struct PolicyReports {
+    delivery_policy: Report,
+    one_try: Report,
+    upper_bound: Report,
+}
+
+/// An invariant that the delivery policy broke.
+struct Violation {
+    rule: Rule,
+    description: String,
+}
 
-/// What one drawn scenario came to.
-struct Seen {
+/// What is kept of one random scenario; the scenario itself is drawn again from its seed.
+struct Candidate {
     seed: u64,
-    rules: Vec<(Rule, String)>,
+    /// The first violation of each invariant.
+    violations: Vec<Violation>,
     credit: f64,
-    one_try: f64,
-    ceiling: f64,
+    one_try_credit: f64,
+    upper_bound_credit: f64,
 }
 
-fn see(seed: u64) -> Seen {
-    let scenario = draw(seed);
-    let module = run(&scenario, seed, BuiltInPolicy::DeliveryPolicy);
-    let one_try = run(&scenario, seed, BuiltInPolicy::OneTry);
-    let ceiling = run(&scenario, seed, BuiltInPolicy::UpperBound);
-    let mut rules: Vec<(Rule, String)> = Vec::new();
-    for broken in &module.broken {
-        if rules.iter().all(|r| r.0 != broken.rule) {
-            rules.push((broken.rule, broken.to_string()));
+/// A scenario to be shrunk and kept.
+struct ShrinkTask<'a> {
+    candidate: &'a Candidate,
+    goal: ShrinkGoal,
+    /// What the whole scenario showed.
+    description: String,
+}
+
+impl PolicyReports {
+    fn of(scenario: &Scenario, seed: u64) -> PolicyReports {
+        PolicyReports {
+            delivery_policy: run(scenario, seed, BuiltInPolicy::DeliveryPolicy),
+            one_try: run(scenario, seed, BuiltInPolicy::OneTry),
+            upper_bound: run(scenario, seed, BuiltInPolicy::UpperBound),
         }
     }
-    Seen { seed, rules, credit: module.credit, one_try: one_try.credit, ceiling: ceiling.credit }
 }
 
-impl Lab {
-    pub fn search(&self, what: &Search) -> std::result::Result<Result, ExperimentError> {
-        std::fs::create_dir_all(&what.out)
-            .map_err(|e| ExperimentError::line(format!("{}: {e}", what.out.display())))?;
-        let begun = Instant::now();
-        let until = what.lasts.mul_f64(DRAWING);
-        let bar = progress(until.as_secs().max(1), "search, seconds");
-        let next = AtomicU64::new(what.seed << 20);
-        // Each thread takes the next seed until the time is up; which one took which is put out of sight.
-        let draws = |_: BroadcastContext<'_>| {
-            let mut seen = Vec::new();
-            while begun.elapsed() < until {
-                seen.push(see(next.fetch_add(1, Ordering::Relaxed)));
-                bar.set_position(begun.elapsed().as_secs());
-            }
-            seen
-        };
-        let mut all: Vec<Seen> = self.pool().broadcast(draws).into_iter().flatten().collect();
-        all.sort_by_key(|s| s.seed);
-        bar.finish_and_clear();
-
-        let mut wanted: Vec<(&Seen, Want, String)> = Vec::new();
-        for seen in &all {
-            for (rule, told) in &seen.rules {
-                let same = |w: &&(&Seen, Want, String)| w.1 == Want::Broken(*rule);
-                if wanted.iter().filter(same).count() < MOST_OF_A_RULE {
-                    wanted.push((seen, Want::Broken(*rule), told.clone()));
-                }
+impl Candidate {
+    /// Draws and plays the scenario of a seed.
+    fn play(seed: u64) -> Candidate {
+        let reports = PolicyReports::of(&random_scenario(seed), seed);
+        let mut violations: Vec<Violation> = Vec::new();
+        for broken in &reports.delivery_policy.broken {
+            if violations.iter().all(|known| known.rule != broken.rule) {
+                violations.push(Violation { rule: broken.rule, description: broken.to_string() });
             }
         }
-        let mut by_distance: Vec<&Seen> = all.iter().filter(|s| s.rules.is_empty()).collect();
-        by_distance.sort_by(|a, b| (b.ceiling - b.credit).total_cmp(&(a.ceiling - a.credit)));
-        for seen in by_distance.into_iter().take(what.keep) {
-            let distance = seen.ceiling - seen.credit;
-            let told = format!("{distance:.3} under the ceiling");
-            wanted.push((seen, Want::Distance(distance), told));
+        Candidate {
+            seed,
+            violations,
+            credit: reports.delivery_policy.credit,
+            one_try_credit: reports.one_try.credit,
+            upper_bound_credit: reports.upper_bound.credit,
         }
-        let bar = progress(wanted.len() as u64, "shrinking");
-        let one = |(seen, want, told): &(&Seen, Want, String)| {
-            let found = self.keep_finding(seen, *want, told, &what.out);
-            bar.inc(1);
-            found
-        };
-        let found = self.pool().install(|| wanted.par_iter().map(one).collect::<Vec<_>>());
-        bar.finish_and_clear();
-        Ok(Result::Search {
-            scenarios: all.len(),
-            with_broken_rules: all.iter().filter(|s| !s.rules.is_empty()).count(),
-            under_one_try: all.iter().filter(|s| s.credit < s.one_try - 0.01).count(),
-            found: found.into_iter().collect::<std::result::Result<Vec<_>, _>>()?,
+    }
+
+    fn credit_gap(&self) -> f64 {
+        self.upper_bound_credit - self.credit
+    }
+}
+
+impl ExperimentRunner {
+    /// Searches random scenarios, and keeps what it finds in a folder.
+    ///
+    /// # Errors
+    ///
+    /// A folder or file that can't be written.
+    pub fn search(&self, plan: &SearchPlan) -> Result<ExperimentResult, ExperimentError> {
+        fs::create_dir_all(&plan.out).map_err(ExperimentError::file(&plan.out, FileAction::Access))?;
+        let candidates = self.play_candidates(plan);
+        let mut tasks = violation_tasks(&candidates);
+        tasks.extend(credit_gap_tasks(&candidates, plan.keep));
+        let found: Vec<_> = self.map(&tasks, "shrinking", |task| keep_finding(task, &plan.out));
+        let under_one_try =
+            |candidate: &&Candidate| candidate.credit < candidate.one_try_credit - ONE_TRY_MARGIN;
+        Ok(ExperimentResult::Search {
+            scenarios: candidates.len(),
+            with_violations: candidates.iter().filter(|one| !one.violations.is_empty()).count(),
+            under_one_try: candidates.iter().filter(under_one_try).count(),
+            found: found.into_iter().collect::<Result<Vec<_>, _>>()?,
         })
     }
 
-    fn keep_finding(
-        &self,
-        seen: &Seen,
-        want: Want,
-        told: &str,
-        folder: &Path,
-    ) -> std::result::Result<Finding, ExperimentError> {
-        let mut small = shrink(&draw(seen.seed), seen.seed, want);
-        let [module, one_try, ceiling] =
-            [BuiltInPolicy::DeliveryPolicy, BuiltInPolicy::OneTry, BuiltInPolicy::UpperBound]
-                .map(|p| run(&small, seen.seed, p));
-        let rule = match want {
-            Want::Broken(rule) => Some(rule),
-            Want::Distance(_) => None,
-        };
-        small.about = told.lines().next().unwrap_or_default().to_owned();
-        small.found = Some(Found {
-            seed: seen.seed,
-            rule,
-            credit: module.credit,
-            one_try: one_try.credit,
-            ceiling: ceiling.credit,
-        });
-        let name = match rule {
-            Some(rule) => format!("rule-{}-{}.toml", rule.number(), seen.seed),
-            None => format!("distance-{}.toml", seen.seed),
+    /// Plays random scenarios on all threads until the time is up; in the order of their seeds.
+    fn play_candidates(&self, plan: &SearchPlan) -> Vec<Candidate> {
+        let begun = Instant::now();
+        let limit = plan.duration.mul_f64(PLAYING_SHARE);
+        let bar = progress_bar(limit.as_secs().max(1), "search, seconds");
+        let next_seed = AtomicU64::new(plan.seed << SEED_BLOCK_BITS);
+        // Each thread takes the next seed until the time is up; sorting hides which thread took which.
+        let play_until_limit = |_: BroadcastContext<'_>| {
+            let mut candidates = Vec::new();
+            while begun.elapsed() < limit {
+                candidates.push(Candidate::play(next_seed.fetch_add(1, Ordering::Relaxed)));
+                bar.set_position(begun.elapsed().as_secs());
+            }
+            candidates
         };
-        let file = folder.join(name);
-        std::fs::write(&file, small.to_text())
-            .map_err(|e| ExperimentError::line(format!("{}: {e}", file.display())))?;
-        let now = module.broken.iter().find(|b| Some(b.rule) == rule).map(ToString::to_string);
-        Ok(Finding {
-            file,
-            what: now.unwrap_or_else(|| told.to_owned()),
-            credit: module.credit,
-            one_try: one_try.credit,
-            ceiling: ceiling.credit,
-            first_tries: module.first_tries,
-        })
+        let mut candidates: Vec<Candidate> =
+            self.pool().broadcast(play_until_limit).into_iter().flatten().collect();
+        candidates.sort_by_key(|candidate| candidate.seed);
+        bar.finish_and_clear();
+        candidates
     }
 
-    pub fn replay(&self, file: &Path) -> std::result::Result<Result, ExperimentError> {
+    /// Plays a scenario that a search kept, and says whether it still shows what it was kept for: the broken
+    /// invariant, or at least half the credit gap.
+    ///
+    /// # Errors
+    ///
+    /// A scenario that can't be read, or that no search wrote.
+    pub fn replay(&self, file: &Path) -> Result<ExperimentResult, ExperimentError> {
         let scenario = Scenario::read(file)?;
-        let Some(found) = scenario.found.clone() else {
-            let what = "holds no [found] with a seed: expected a file that a search wrote";
-            return Err(ExperimentError::line(format!("{}: {what}", file.display())));
+        let Some(found) = &scenario.found else {
+            return Err(ExperimentError::NoFinding(file.to_owned()));
         };
-        let module = run(&scenario, found.seed, BuiltInPolicy::DeliveryPolicy);
-        let (seen, was) = match found.rule {
+        let report = run(&scenario, found.seed, BuiltInPolicy::DeliveryPolicy);
+        let (reproduced, description) = match found.rule {
             Some(rule) => {
-                let was = format!("rule {} ({rule:?}) broken", rule.number());
-                (module.broken.iter().any(|b| b.rule == rule), was)
+                let description = format!("rule {} ({rule:?}) broken", rule.number());
+                (report.broken.iter().any(|broken| broken.rule == rule), description)
             }
             None => {
-                let ceiling = run(&scenario, found.seed, BuiltInPolicy::UpperBound);
-                let (then, now) = (found.ceiling - found.credit, ceiling.credit - module.credit);
+                let upper_bound = run(&scenario, found.seed, BuiltInPolicy::UpperBound);
+                let (then, now) = (found.ceiling - found.credit, upper_bound.credit - report.credit);
                 (now >= then / 2.0, format!("{then:.3} under the ceiling, now {now:.3}"))
             }
         };
-        Ok(Result::Replay { seen, was, report: Box::new(module) })
+        Ok(ExperimentResult::Replay { reproduced, description, report: Box::new(report) })
     }
 }
+
+/// The first candidates that broke each invariant.
+fn violation_tasks(candidates: &[Candidate]) -> Vec<ShrinkTask<'_>> {
+    let mut tasks: Vec<ShrinkTask<'_>> = Vec::new();
+    for candidate in candidates {
+        for violation in &candidate.violations {
+            let goal = ShrinkGoal::Violation(violation.rule);
+            let of_the_same_rule = tasks.iter().filter(|task| task.goal == goal).count();
+            if of_the_same_rule < MAX_FINDINGS_OF_A_RULE {
+                tasks.push(ShrinkTask { candidate, goal, description: violation.description.clone() });
+            }
+        }
+    }
+    tasks
+}
+
+/// The candidates without a violation that lie farthest under the upper bound, the farthest first.
+fn credit_gap_tasks(candidates: &[Candidate], count: usize) -> Vec<ShrinkTask<'_>> {
+    let mut by_gap: Vec<&Candidate> =
+        candidates.iter().filter(|candidate| candidate.violations.is_empty()).collect();
+    by_gap.sort_by(|left, right| right.credit_gap().total_cmp(&left.credit_gap()));
+    let task = |candidate| {
+        let gap = Candidate::credit_gap(candidate);
+        let description = format!("{gap:.3} under the ceiling");
+        ShrinkTask { candidate, goal: ShrinkGoal::CreditGap(gap), description }
+    };
+    by_gap.into_iter().take(count).map(task).collect()
+}
+
+/// Shrinks a scenario and writes it to a file that `replay` reads.
+fn keep_finding(task: &ShrinkTask<'_>, folder: &Path) -> Result<SearchFinding, ExperimentError> {
+    let seed = task.candidate.seed;
+    let mut scenario = shrink(&random_scenario(seed), seed, task.goal);
+    let reports = PolicyReports::of(&scenario, seed);
+    let (rule, file_name) = match task.goal {
+        ShrinkGoal::Violation(rule) => (Some(rule), format!("rule-{}-{seed}.toml", rule.number())),
+        ShrinkGoal::CreditGap(_) => (None, format!("distance-{seed}.toml")),
+    };
+    scenario.about = task.description.lines().next().unwrap_or_default().to_owned();
+    scenario.found = Some(Found {
+        seed,
+        rule,
+        credit: reports.delivery_policy.credit,
+        one_try: reports.one_try.credit,
+        ceiling: reports.upper_bound.credit,
+    });
+    let file = folder.join(file_name);
+    fs::write(&file, scenario.to_text()).map_err(ExperimentError::file(&file, FileAction::Access))?;
+    let violation = reports.delivery_policy.broken.iter().find(|broken| Some(broken.rule) == rule);
+    Ok(SearchFinding {
+        file,
+        description: violation.map_or_else(|| task.description.clone(), ToString::to_string),
+        credit: reports.delivery_policy.credit,
+        one_try_credit: reports.one_try.credit,
+        upper_bound_credit: reports.upper_bound.credit,
+        messages: reports.delivery_policy.first_tries,
+    })
+}
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -1,121 +1,180 @@
-//! A found scenario, cut down to what it takes to see the same again.
+//! Shrinks a scenario to the least that still shows the same fault.
 
 use reeddock_simulation::distribution::{Amount, Share, Span};
 use reeddock_simulation::fault::Fault;
 use reeddock_simulation::invariants::Rule;
 use reeddock_simulation::{run, BuiltInPolicy, Report, Scenario};
 
-/// What a smaller scenario must still show.
+/// What a shrunk scenario must still show.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Want {
-    /// This rule broken by the delivery policy.
-    Broken(Rule),
-    /// The delivery policy's credit so far under the ceiling's.
-    Distance(f64),
+pub enum ShrinkGoal {
+    /// The delivery policy breaks this invariant.
+    Violation(Rule),
+    /// The delivery policy's credit lies so far under that of the upper bound.
+    CreditGap(f64),
 }
 
-/// Part of a distance that must be left.
-const DISTANCE_LEFT: f64 = 0.85;
-/// First tries under which a distance is chance.
-const LEAST_TRIES: u64 = 400;
-/// Candidates tried for one finding.
-const MOST_TRIED: usize = 120;
-
-impl Want {
-    /// Whether a scenario shows it; with the delivery policy's report.
-    pub fn seen(self, scenario: &Scenario, seed: u64) -> Option<Report> {
-        let module = run(scenario, seed, BuiltInPolicy::DeliveryPolicy);
-        let seen = match self {
-            Want::Broken(rule) => module.broken.iter().any(|b| b.rule == rule),
-            Want::Distance(distance) => {
-                let ceiling = run(scenario, seed, BuiltInPolicy::UpperBound);
-                module.first_tries >= LEAST_TRIES
-                    && ceiling.credit - module.credit >= distance * DISTANCE_LEFT
+/// Share of a credit gap that must be left.
+const GAP_LEFT: f64 = 0.85;
+/// Messages below which a credit gap may be chance.
+const MIN_MESSAGES: u64 = 400;
+/// Scenarios played for one goal: bounds the time that a search spends on it.
+const MAX_TRIALS: usize = 120;
+/// Kinds of destinations whose removal is tried.
+const MAX_KINDS_REMOVED: usize = 8;
+/// The shortest scenario, in seconds.
+const MIN_DURATION: f64 = 5.0;
+
+impl ShrinkGoal {
+    /// The delivery policy's report, if the scenario shows what is wanted.
+    pub fn reproduce(self, scenario: &Scenario, seed: u64) -> Option<Report> {
+        let report = run(scenario, seed, BuiltInPolicy::DeliveryPolicy);
+        let reproduced = match self {
+            ShrinkGoal::Violation(rule) => report.broken.iter().any(|broken| broken.rule == rule),
+            ShrinkGoal::CreditGap(gap) => {
+                let upper_bound = run(scenario, seed, BuiltInPolicy::UpperBound);
+                report.first_tries >= MIN_MESSAGES && upper_bound.credit - report.credit >= gap * GAP_LEFT
             }
         };
-        seen.then_some(module)
+        reproduced.then_some(report)
     }
 }
 
-type Step = Box<dyn Fn(&mut Scenario)>;
+/// One way to make a scenario smaller or plainer. Positions are those in the scenario that it was made for.
+#[derive(Clone, Copy, Debug)]
+enum Reduction {
+    RemoveFault(usize),
+    RemoveKind(usize),
+    RemoveCategory(usize),
+    RemoveProgram(usize),
+    /// Half the fleet and half of all else: each forwarder still sees what it saw.
+    HalveFleetAndLoad,
+    HalveFleet,
+    HalveDestinations(usize),
+    ReduceTraffic,
+    Shorten,
+    /// One of the settings that make a scenario plainer where they are off.
+    Simplify(fn(&mut Scenario)),
+}
 
-/// Ways to make a scenario smaller or plainer, those that cut most first.
-fn steps(scenario: &Scenario) -> Vec<Step> {
-    let mut steps: Vec<Step> = Vec::new();
-    for n in 0..scenario.troubles.len() {
-        steps.push(Box::new(move |s| drop(s.troubles.remove(n))));
-    }
-    for n in 0..scenario.kinds.len().min(if scenario.kinds.len() > 1 { 8 } else { 0 }) {
-        steps.push(Box::new(move |s| drop(s.kinds.remove(n))));
-    }
-    for n in (0..scenario.categories.len()).filter(|_| scenario.categories.len() > 1) {
-        steps.push(Box::new(move |s| {
-            let gone = s.categories.remove(n).name;
-            s.troubles
-                .retain(|t| !matches!(&t.what, Fault::CategoryFails { category, .. } if *category == gone));
-        }));
-    }
-    for n in (0..scenario.programs.len()).filter(|_| scenario.programs.len() > 1) {
-        steps.push(Box::new(move |s| {
-            let gone = s.programs.remove(n).name;
-            s.troubles.retain(|t| !matches!(&t.what, Fault::Surge { program, .. } if *program == gone));
-        }));
+impl Reduction {
+    fn apply(self, scenario: &mut Scenario) {
+        match self {
+            Reduction::RemoveFault(position) => drop(scenario.troubles.remove(position)),
+            Reduction::RemoveKind(position) => drop(scenario.kinds.remove(position)),
+            Reduction::RemoveCategory(position) => remove_category(scenario, position),
+            Reduction::RemoveProgram(position) => remove_program(scenario, position),
+            Reduction::HalveFleetAndLoad => {
+                halve_fleet(scenario);
+                scale_traffic(scenario, 0.5);
+                (0..scenario.kinds.len()).for_each(|position| halve_destinations(scenario, position));
+            }
+            Reduction::HalveFleet => halve_fleet(scenario),
+            Reduction::HalveDestinations(position) => halve_destinations(scenario, position),
+            Reduction::ReduceTraffic => scale_traffic(scenario, 0.7),
+            Reduction::Shorten => {
+                scenario.lasts = Span::clamped((scenario.lasts.seconds() * 0.75).max(MIN_DURATION));
+            }
+            Reduction::Simplify(simplify) => simplify(scenario),
+        }
     }
+}
+
+/// Settings that make a scenario plainer where they are off.
+const SIMPLIFICATIONS: [fn(&mut Scenario); 11] = [
+    |scenario| scenario.traffic.clumped = Share::NONE,
+    |scenario| scenario.traffic.skew = 0.0,
+    |scenario| scenario.fleet.uneven = Share::NONE,
+    |scenario| scenario.fleet.zones = 1,
+    |scenario| scenario.programs.iter_mut().for_each(|program| program.withdraws_after_s = None),
+    |scenario| scenario.programs.iter_mut().for_each(|program| program.returns = 0),
+    |scenario| scenario.programs.iter_mut().for_each(|program| program.share_per_s = None),
+    |scenario| scenario.categories.iter_mut().for_each(|category| category.ordered_keys = None),
+    |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.refused_use_up = false),
+    |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.connections = None),
+    |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.batch = 1),
+];
+
+/// Removes a message class, and the faults that name it.
+fn remove_category(scenario: &mut Scenario, position: usize) {
+    let removed = scenario.categories.remove(position).name;
+    scenario.troubles.retain(
+        |fault| !matches!(&fault.what, Fault::CategoryFails { category, .. } if *category == removed),
+    );
+}
+
+/// Removes a client program, and the faults that name it.
+fn remove_program(scenario: &mut Scenario, position: usize) {
+    let removed = scenario.programs.remove(position).name;
+    scenario
+        .troubles
+        .retain(|fault| !matches!(&fault.what, Fault::Surge { program, .. } if *program == removed));
+}
+
+fn halve_fleet(scenario: &mut Scenario) {
+    scenario.fleet.forwarders = scenario.fleet.forwarders.div_ceil(2);
+}
+
+fn halve_destinations(scenario: &mut Scenario, position: usize) {
+    let kind = &mut scenario.kinds[position];
+    kind.destinations = kind.destinations.div_ceil(2);
+}
+
+fn scale_traffic(scenario: &mut Scenario, factor: f64) {
+    scenario.traffic.usual_per_s = Amount::clamped(scenario.traffic.usual_per_s.get() * factor);
+}
+
+/// The positions of parts that may be removed: at least one part must be left.
+fn removable(length: usize) -> std::ops::Range<usize> {
+    0..if length > 1 { length } else { 0 }
+}
+
+/// All reductions of a scenario, those that remove most first.
+fn reductions(scenario: &Scenario) -> Vec<Reduction> {
+    let mut reductions = Vec::new();
+    reductions.extend((0..scenario.troubles.len()).map(Reduction::RemoveFault));
+    reductions.extend(removable(scenario.kinds.len()).take(MAX_KINDS_REMOVED).map(Reduction::RemoveKind));
+    reductions.extend(removable(scenario.categories.len()).map(Reduction::RemoveCategory));
+    reductions.extend(removable(scenario.programs.len()).map(Reduction::RemoveProgram));
     if scenario.fleet.forwarders > 1 {
-        steps.push(Box::new(|s| {
-            // Half the fleet and half of all else: each forwarder sees what it saw.
-            s.fleet.forwarders = s.fleet.forwarders.div_ceil(2);
-            s.traffic.usual_per_s = Amount::clamped(s.traffic.usual_per_s.get() / 2.0);
-            s.kinds.iter_mut().for_each(|k| k.destinations = k.destinations.div_ceil(2));
-        }));
-        steps.push(Box::new(|s| s.fleet.forwarders = s.fleet.forwarders.div_ceil(2)));
+        reductions.extend([Reduction::HalveFleetAndLoad, Reduction::HalveFleet]);
     }
-    for n in 0..scenario.kinds.len() {
-        steps.push(Box::new(move |s| s.kinds[n].destinations = s.kinds[n].destinations.div_ceil(2)));
-    }
-    steps.push(Box::new(|s| s.traffic.usual_per_s = Amount::clamped(s.traffic.usual_per_s.get() * 0.7)));
-    steps.push(Box::new(|s| s.lasts = Span::clamped((s.lasts.seconds() * 0.75).max(5.0))));
-    steps.push(Box::new(|s| s.traffic.clumped = Share::NONE));
-    steps.push(Box::new(|s| s.traffic.skew = 0.0));
-    steps.push(Box::new(|s| s.fleet.uneven = Share::NONE));
-    steps.push(Box::new(|s| s.fleet.zones = 1));
-    steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.withdraws_after_s = None)));
-    steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.returns = 0)));
-    steps.push(Box::new(|s| s.programs.iter_mut().for_each(|p| p.share_per_s = None)));
-    steps.push(Box::new(|s| s.categories.iter_mut().for_each(|c| c.ordered_keys = None)));
-    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.refused_use_up = false)));
-    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.connections = None)));
-    steps.push(Box::new(|s| s.kinds.iter_mut().for_each(|k| k.batch = 1)));
-    steps
+    reductions.extend((0..scenario.kinds.len()).map(Reduction::HalveDestinations));
+    reductions.extend([Reduction::ReduceTraffic, Reduction::Shorten]);
+    reductions.extend(SIMPLIFICATIONS.map(Reduction::Simplify));
+    reductions
+}
+
+/// Whether the scenario can be written to a file and read back as it is.
+fn is_valid(scenario: &Scenario) -> bool {
+    Scenario::parse("candidate", &scenario.to_text(), &[]).is_ok_and(|read| read == *scenario)
 }
 
-/// The smallest scenario that was reached which still shows what is wanted.
-pub fn shrink(scenario: &Scenario, seed: u64, want: Want) -> Scenario {
+/// Shrinks a scenario until no reduction leaves what is wanted, or enough of them were tried.
+#[must_use]
+pub fn shrink(scenario: &Scenario, seed: u64, goal: ShrinkGoal) -> Scenario {
     let mut smallest = scenario.clone();
-    let mut tried = 0;
+    let mut trials = 0;
     loop {
-        let mut cut = false;
-        let many = steps(&smallest).len();
-        for n in 0..many {
-            // Made anew each time: a step that was taken moves the numbers of those after it.
-            let Some(step) = steps(&smallest).into_iter().nth(n) else { break };
+        let mut reduced = false;
+        for number in 0..reductions(&smallest).len() {
+            // Listed anew each time: a reduction that was kept moves the positions of those after it.
+            let Some(reduction) = reductions(&smallest).get(number).copied() else { break };
             let mut candidate = smallest.clone();
-            step(&mut candidate);
+            reduction.apply(&mut candidate);
             if candidate == smallest {
                 continue;
             }
-            tried += 1;
-            let text = candidate.to_text();
-            let sound = Scenario::parse("candidate", &text, &[]).is_ok_and(|read| read == candidate);
-            if sound && want.seen(&candidate, seed).is_some() {
+            trials += 1;
+            if is_valid(&candidate) && goal.reproduce(&candidate, seed).is_some() {
                 smallest = candidate;
-                cut = true;
+                reduced = true;
             }
-            if tried >= MOST_TRIED {
+            if trials >= MAX_TRIALS {
                 return smallest;
             }
         }
-        if !cut {
+        if !reduced {
             return smallest;
         }
     }
--- a/crates/experiments/src/studies.rs
+++ b/crates/experiments/src/study_arguments.rs
@@ -1,35 +1,37 @@
-//! The command lines of the studies that `docs/CAPACITY.md` quotes.
+//! The arguments of the studies that `docs/CAPACITY.md` quotes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::Args;
-use reeddock_experiments::{Comparison, ExperimentError, Lab, Policies, Setting, Sharing};
+use reeddock_experiments::{
+    ComparisonPlan, ExperimentError, ExperimentRunner, PolicyList, ScenarioOverride, SharingStudyPlan,
+};
 
 /// Sums of calls to destinations that come back cold.
 #[derive(Args)]
-pub struct RampLine {
+pub struct RecoveryStudyArguments {
     scenario: PathBuf,
     /// A place in the scenario and the values to put there; may stand several times.
     #[arg(long = "set", value_name = "KEY=V1,V2", default_value = "fleet.forwarders=3,30,300")]
-    settings: Vec<Setting>,
+    settings: Vec<ScenarioOverride>,
     #[arg(long, default_value = "module")]
-    policies: Policies,
+    policies: PolicyList,
     /// Days, each drawn by a seed of its own, from 1 up.
     #[arg(long, default_value_t = 30)]
     seeds: u64,
 }
 
-impl RampLine {
-    pub fn play(self, lab: &Lab, json: bool) -> Result<ExitCode, ExperimentError> {
-        let what = Comparison { policies: self.policies, seeds: self.seeds };
-        lab.ramps(&self.scenario, &self.settings, &what)?.print(json)
+impl RecoveryStudyArguments {
+    pub fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+        let plan = ComparisonPlan { policies: self.policies, seeds: self.seeds };
+        runner.study_recovery(&self.scenario, &self.settings, &plan)?.print(json)
     }
 }
 
 /// Fleets that share nothing of destinations that are down, beside ones that do.
 #[derive(Args)]
-pub struct SharingLine {
+pub struct SharingStudyArguments {
     scenario: PathBuf,
     /// Sizes of the fleet.
     #[arg(long, value_delimiter = ',', default_value = "10,30,100,300,1000")]
@@ -54,9 +56,9 @@
     seeds: u64,
 }
 
-impl SharingLine {
-    pub fn play(self, lab: &Lab, json: bool) -> Result<ExitCode, ExperimentError> {
-        let what = Sharing {
+impl SharingStudyArguments {
+    pub fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+        let plan = SharingStudyPlan {
             forwarders: self.forwarders,
             meet_every: self.meet_every,
             down: self.down,
@@ -65,6 +67,6 @@
             full: self.full,
             seeds: self.seeds,
         };
-        lab.sharing(&self.scenario, &what)?.print(json)
+        runner.study_sharing(&self.scenario, &plan)?.print(json)
     }
 }
--- /dev/null
+++ b/crates/experiments/src/text_report.rs
@@ -0,0 +1,175 @@
+//! Results as text for people.
+
+use comfy_table::presets::NOTHING;
+use comfy_table::Table;
+use reeddock_simulation::Report;
+
+use crate::results::{ExperimentResult, PolicySummary, SearchFinding, SweepRow};
+
+/// Message classes, programs and destinations that are listed of each run.
+const LISTED_PARTS: usize = 6;
+/// Broken invariants that are listed of each run.
+const LISTED_VIOLATIONS: usize = 5;
+
+const SUMMARY_HEADER: [&str; 12] = [
+    "policy",
+    "credit",
+    "+-",
+    "against",
+    "worst 10 s",
+    "p50 ms",
+    "p99 ms",
+    "sent",
+    "refused",
+    "wasted",
+    "slots",
+    "broken",
+];
+
+/// A table without borders.
+pub(crate) fn plain_table() -> Table {
+    let mut table = Table::new();
+    table.load_preset(NOTHING);
+    table
+}
+
+/// The whole text, with a line break at its end.
+pub(crate) fn render(result: &ExperimentResult) -> String {
+    match result {
+        ExperimentResult::Runs { reports } => reports.iter().map(run_text).collect(),
+        ExperimentResult::Replay { reproduced, description, report } => {
+            let now = if *reproduced { "seen again" } else { "NOT seen any more" };
+            format!("{description}: {now}\n{}", run_text(report))
+        }
+        ExperimentResult::Comparison { scenario, rows, .. } => {
+            format!("{scenario}, emulated\n{}\n", comparison_table(rows))
+        }
+        ExperimentResult::Sweep { scenario, keys, rows } => {
+            format!("{scenario}, emulated\n{}\n", sweep_table(keys, rows))
+        }
+        ExperimentResult::Search { scenarios, with_violations, under_one_try, found } => format!(
+            "{scenarios} scenarios, emulated; {with_violations} with a broken rule, \
+             {under_one_try} under one try\n{}\n",
+            findings_table(found)
+        ),
+    }
+}
+
+fn comparison_table(rows: &[PolicySummary]) -> Table {
+    let mut table = plain_table();
+    table.set_header(SUMMARY_HEADER);
+    for row in rows {
+        table.add_row(summary_cells(row));
+    }
+    table
+}
+
+fn sweep_table(keys: &[String], rows: &[SweepRow]) -> Table {
+    let mut table = plain_table();
+    table.set_header(keys.iter().map(String::as_str).chain(SUMMARY_HEADER));
+    for row in rows {
+        table.add_row(row.values.iter().cloned().chain(summary_cells(&row.summary)));
+    }
+    table
+}
+
+fn findings_table(findings: &[SearchFinding]) -> Table {
+    let mut table = plain_table();
+    table.set_header(["file", "credit", "one try", "ceiling", "tries", "what"]);
+    for finding in findings {
+        table.add_row([
+            finding.file.display().to_string(),
+            format!("{:.3}", finding.credit),
+            format!("{:.3}", finding.one_try_credit),
+            format!("{:.3}", finding.upper_bound_credit),
+            finding.messages.to_string(),
+            finding.description.lines().next().unwrap_or_default().to_owned(),
+        ]);
+    }
+    table
+}
+
+fn summary_cells(summary: &PolicySummary) -> [String; SUMMARY_HEADER.len()] {
+    let metrics = &summary.metrics;
+    [
+        summary.policy.clone(),
+        format!("{:.3}", metrics.credit.mean),
+        format!("{:.3}", metrics.credit.deviation),
+        format!("{:+.3}", summary.credit_difference.mean),
+        format!("{:.3}", metrics.worst_window_credit),
+        format!("{:.0}", metrics.p50_ms),
+        format!("{:.0}", metrics.p99_ms),
+        format!("{:.2}", metrics.attempts_per_message),
+        format!("{:.2}", metrics.rejections_per_message),
+        format!("{:.2}", metrics.work_wasted),
+        format!("{:.2}", metrics.slots_used),
+        format!("{} on {} of {}", summary.violations, summary.days_with_violations, summary.days),
+    ]
+}
+
+/// One run: its measurements, the parts that lost most credit, and the invariants that it broke.
+fn run_text(run: &Report) -> String {
+    let mut text = [credit_lines(run), message_lines(run), cost_lines(run)].concat();
+    let parts =
+        [("category", &run.categories), ("program", &run.programs), ("destination", &run.destinations)];
+    for (kind, parts) in parts {
+        for part in parts.iter().take(LISTED_PARTS) {
+            text += &format!("  {kind} {}: {:.3} of {:.0}\n", part.name, part.share, part.asked);
+        }
+    }
+    if run.rules_broken > 0 {
+        text += &format!("RULES BROKEN: {}\n", run.rules_broken);
+        for violation in run.broken.iter().take(LISTED_VIOLATIONS) {
+            text += &format!("  {violation}\n");
+        }
+    }
+    text
+}
+
+fn credit_lines(run: &Report) -> String {
+    format!(
+        "{} under {}, seed {}, emulated\n\
+         credit {:.3}, worst 10 s {:.3}, worst category {:.3}\n",
+        run.scenario, run.policy, run.seed, run.credit, run.credit_worst_span, run.credit_worst_category,
+    )
+}
+
+/// How the messages ended, and how long they took.
+fn message_lines(run: &Report) -> String {
+    format!(
+        "{} first tries, {} envelopes: {} in time, {} late, {} shed, {} broken off, {} withdrawn, \
+         {} turned away, {} lost\n\
+         latency ms: p50 {}, p90 {}, p99 {}, worst {}\n",
+        run.first_tries,
+        run.envelopes,
+        run.ends.completed_in_time,
+        run.ends.completed_late,
+        run.ends.shed,
+        run.ends.broken_off,
+        run.ends.withdrawn,
+        run.ends.turned_away,
+        run.ends.lost,
+        run.latency_ms.p50,
+        run.latency_ms.p90,
+        run.latency_ms.p99,
+        run.latency_ms.worst,
+    )
+}
+
+/// What the deliveries took from forwarders and endpoints, and the run from this machine.
+fn cost_lines(run: &Report) -> String {
+    format!(
+        "for each try {:.2} dispatches, {:.2} refused, {:.2} new connections; \
+         work wasted {:.2}, slots in use {:.2}\n\
+         {} events, {} turns, ran {:.1} s; {} fell over\n",
+        run.dispatches_per_try,
+        run.refusals_per_try,
+        run.new_connections_per_try,
+        run.work_wasted,
+        run.slots_used,
+        run.events,
+        run.turns,
+        run.ran_s,
+        run.falls,
+    )
+}
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -1,9 +1,12 @@
-//! Experiments of the laboratory, small.
+//! Small experiments, through the library and the program.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use reeddock_experiments::{draw, shrink, Comparison, Lab, Policies, Setting, Sweep, Want};
+use reeddock_experiments::{
+    random_scenario, shrink, write_html_report, ComparisonPlan, ExperimentRunner, PolicyList,
+    ScenarioOverride, ShrinkGoal, SweepPlan,
+};
 use reeddock_simulation::{run, BuiltInPolicy, Scenario};
 
 fn scenario() -> PathBuf {
@@ -17,12 +20,20 @@
 #[test]
 fn a_sweep_gives_the_same_bytes_with_any_number_of_threads() {
     let bytes = |threads| {
-        let sweep = Sweep {
-            settings: vec!["traffic.load=0.4,0.8".parse::<Setting>().unwrap(), "lasts_s=15".parse().unwrap()],
-            policies: "module,one-try".parse::<Policies>().unwrap(),
+        let plan = SweepPlan {
+            overrides: vec![
+                "traffic.load=0.4,0.8".parse::<ScenarioOverride>().unwrap(),
+                "lasts_s=15".parse().unwrap(),
+            ],
+            policies: "module,one-try".parse::<PolicyList>().unwrap(),
             seeds: 2,
         };
-        Lab::with_threads(Some(threads)).unwrap().sweep(&scenario(), &sweep).unwrap().to_json().unwrap()
+        ExperimentRunner::with_threads(Some(threads))
+            .unwrap()
+            .sweep(&scenario(), &plan)
+            .unwrap()
+            .to_json()
+            .unwrap()
     };
     let alone = bytes(1);
     assert_eq!(alone, bytes(3));
@@ -32,7 +43,7 @@
 #[test]
 fn drawn_scenarios_are_sound_and_read_as_written() {
     for seed in 0..400 {
-        let drawn = draw(seed);
+        let drawn = random_scenario(seed);
         let read = Scenario::parse("drawn", &drawn.to_text(), &[]).unwrap_or_else(|e| panic!("{seed}: {e}"));
         assert_eq!(read, drawn, "seed {seed}");
     }
@@ -43,19 +54,19 @@
     // A distance to the ceiling that any scenario has which is worse than perfect.
     let seed = (0..200)
         .find(|seed| {
-            let drawn = draw(*seed);
+            let drawn = random_scenario(*seed);
             let few = drawn.fleet.forwarders <= 3 && drawn.traffic.usual_per_s.get() < 60.0;
             few && run(&drawn, *seed, BuiltInPolicy::UpperBound).credit
                 - run(&drawn, *seed, BuiltInPolicy::DeliveryPolicy).credit
                 > 0.03
         })
         .expect("one of these days is worse than perfect");
-    let drawn = draw(seed);
-    let distance = run(&drawn, seed, BuiltInPolicy::UpperBound).credit
+    let drawn = random_scenario(seed);
+    let gap = run(&drawn, seed, BuiltInPolicy::UpperBound).credit
         - run(&drawn, seed, BuiltInPolicy::DeliveryPolicy).credit;
-    let want = Want::Distance(distance);
-    let mut small = shrink(&drawn, seed, want);
-    assert!(want.seen(&small, seed).is_some(), "it still shows what was found");
+    let goal = ShrinkGoal::CreditGap(gap);
+    let mut small = shrink(&drawn, seed, goal);
+    assert!(goal.reproduce(&small, seed).is_some(), "it still shows what was found");
     assert!(small.to_text().len() < drawn.to_text().len());
 
     let folder = tempfile::tempdir().unwrap();
@@ -80,12 +91,12 @@
 #[test]
 fn results_are_kept_and_plotted_on_one_page() {
     let folder = tempfile::tempdir().unwrap();
-    let lab = Lab::with_threads(None).unwrap();
-    let policies: Policies = "module,ceiling".parse().unwrap();
-    let compared = lab.compare(&scenario(), &Comparison { policies, seeds: 1 }).unwrap();
+    let runner = ExperimentRunner::with_threads(None).unwrap();
+    let policies: PolicyList = "module,ceiling".parse().unwrap();
+    let compared = runner.compare(&scenario(), &ComparisonPlan { policies, seeds: 1 }).unwrap();
     compared.keep(Some(folder.path())).unwrap();
     let page = folder.path().join("page.html");
-    let plots = reeddock_experiments::page(folder.path(), &page).unwrap();
+    let plots = write_html_report(folder.path(), &page).unwrap();
     let text = std::fs::read_to_string(page).unwrap();
     assert!(plots >= 4 && text.matches("<svg").count() == plots, "{plots} plots");
     assert!(text.contains("emulated") && text.contains("first-morning"));
@@ -95,7 +106,7 @@
 fn a_wrong_line_is_answered_with_one_line() {
     let scenario = scenario();
     let file = scenario.to_str().unwrap();
-    for (arguments, told) in [
+    for (arguments, expected) in [
         (vec!["run", "none.toml"], "none.toml: cannot be read"),
         (vec!["compare", file, "--policies", "modul"], "expected module, one-try"),
         (vec!["sweep", file, "--set", "traffic.load"], "expected KEY=VALUE"),
@@ -110,6 +121,6 @@
         let output = program(&arguments);
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {text}");
-        assert!(text.contains(told), "{arguments:?}: {text}");
+        assert!(text.contains(expected), "{arguments:?}: {text}");
     }
 }
--- a/crates/experiments/tests/recordings.rs
+++ b/crates/experiments/tests/recordings.rs
@@ -68,7 +68,7 @@
     let out = out.to_str().unwrap();
     let first = scenario("first-morning.toml");
     record(Path::new(out), &["--streams", "1"]);
-    for (arguments, told) in [
+    for (arguments, expected) in [
         (vec!["--out", out], "nothing to record"),
         (vec!["none.toml", "--out", out], "none.toml: cannot be read"),
         (vec!["--streams", "0", "--out", out], "--streams 0: expected 1 or more"),
@@ -83,7 +83,7 @@
         let output = program(&[&["record"], &arguments[..]].concat());
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {text}");
-        assert!(text.contains(told), "{arguments:?}: {text}");
+        assert!(text.contains(expected), "{arguments:?}: {text}");
         // The parser of arguments adds a hint of its own.
         let lines = text.lines().count();
         assert!(lines == 1 || text.contains("For more information"), "{arguments:?}: {text}");
--- a/crates/experiments/tests/studies.rs
+++ b/crates/experiments/tests/studies.rs
@@ -2,7 +2,9 @@
 
 use std::path::{Path, PathBuf};
 
-use reeddock_experiments::{Comparison, Lab, Policies, Setting, Sharing};
+use reeddock_experiments::{
+    ComparisonPlan, ExperimentRunner, PolicyList, ScenarioOverride, SharingStudyPlan,
+};
 
 fn scenario(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
@@ -11,29 +13,30 @@
 #[test]
 fn ramps_are_summed_over_the_fleet_and_the_same_with_any_number_of_threads() {
     let rows = |threads| {
-        let settings: Vec<Setting> =
+        let overrides: Vec<ScenarioOverride> =
             vec!["fleet.forwarders=3,12".parse().unwrap(), "lasts_s=40".parse().unwrap()];
-        let what = Comparison { policies: "module,back-off".parse::<Policies>().unwrap(), seeds: 2 };
-        let lab = Lab::with_threads(Some(threads)).unwrap();
-        lab.ramps(&scenario("cold-return.toml"), &settings, &what).unwrap().rows
+        let plan = ComparisonPlan { policies: "module,back-off".parse::<PolicyList>().unwrap(), seeds: 2 };
+        let runner = ExperimentRunner::with_threads(Some(threads)).unwrap();
+        runner.study_recovery(&scenario("cold-return.toml"), &overrides, &plan).unwrap().rows
     };
     let alone = rows(1);
     assert_eq!(serde_json::to_string(&alone).unwrap(), serde_json::to_string(&rows(3)).unwrap());
     // Four sizes of destinations for each fleet and policy; each of twelve returns once a day.
     assert_eq!(alone.len(), 2 * 2 * 4);
-    let returns: usize = alone.iter().map(|r| r.returns).sum();
+    let returns: usize = alone.iter().map(|r| r.recoveries).sum();
     assert_eq!(returns, 2 * 2 * 2 * 12);
     // Retries without a guard push a returning destination over, and the study sees it.
-    let fell =
-        |policy: &str| alone.iter().filter(|r| r.policy == policy).map(|r| r.seeds_over).sum::<usize>();
+    let fell = |policy: &str| {
+        alone.iter().filter(|r| r.policy == policy).map(|r| r.seeds_with_overload).sum::<usize>()
+    };
     assert!(fell("back-off") > 0);
-    assert!(alone.iter().filter(|r| r.policy == "back-off").any(|r| r.ratio.most > 1.0));
+    assert!(alone.iter().filter(|row| row.policy == "back-off").any(|row| row.load_ratio.maximum > 1.0));
     assert_eq!(fell("module"), 0);
 }
 
 #[test]
 fn forwarders_that_share_send_less_to_what_is_down() {
-    let what = Sharing {
+    let plan = SharingStudyPlan {
         forwarders: vec![30],
         meet_every: 25.0,
         down: 0.1,
@@ -42,20 +45,23 @@
         full: 1_000,
         seeds: 1,
     };
-    let table = Lab::with_threads(None).unwrap().sharing(&scenario("seldom-met.toml"), &what).unwrap();
+    let table = ExperimentRunner::with_threads(None)
+        .unwrap()
+        .study_sharing(&scenario("seldom-met.toml"), &plan)
+        .unwrap();
     let row = |name: &str| table.rows.iter().find(|r| r.policy.contains(name)).unwrap();
     let (alone, late) = (row("circuit, shares nothing"), row("after 1 s"));
     let (at_once, ideal) = (row("at once"), row("true state"));
     assert!(at_once.first_lost_to_known.mean < 0.5 * alone.first_lost_to_known.mean);
     // While the news of a trial are on their way, all that hold something go too: a delay costs most of the gain.
-    assert!(late.trials_per_s.mean > 1.5 * at_once.trials_per_s.mean);
-    assert!(ideal.trials_per_s.mean < 0.1 * at_once.trials_per_s.mean);
-    assert!(table.rows.iter().all(|r| r.rules_broken == 0));
+    assert!(late.attempts_per_s.mean > 1.5 * at_once.attempts_per_s.mean);
+    assert!(ideal.attempts_per_s.mean < 0.1 * at_once.attempts_per_s.mean);
+    assert!(table.rows.iter().all(|r| r.violations == 0));
 }
 
 #[test]
 fn sizes_of_nonsense_are_refused_in_one_line() {
-    let what = Sharing {
+    let plan = SharingStudyPlan {
         forwarders: vec![0],
         meet_every: 30.0,
         down: 0.1,
@@ -64,6 +70,9 @@
         full: 1_000,
         seeds: 1,
     };
-    let fault = Lab::with_threads(None).unwrap().sharing(&scenario("seldom-met.toml"), &what).unwrap_err();
+    let fault = ExperimentRunner::with_threads(None)
+        .unwrap()
+        .study_sharing(&scenario("seldom-met.toml"), &plan)
+        .unwrap_err();
     assert_eq!(fault.to_string(), "--forwarders is 0: expected 1 to 10000");
 }
