--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -31,7 +31,7 @@
 
 impl Statistics {
     /// The statistics of these values; all are 0 where there are none.
-    pub fn of(values: &[f64]) -> Statistics {
+    pub(crate) fn of(values: &[f64]) -> Statistics {
         let count = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / count;
         let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
@@ -102,7 +102,7 @@
 
 impl PolicySummary {
     /// Summarizes the days of one policy, beside the same days of the first one.
-    pub fn of(policy: &str, days: &[Report], days_of_first: &[Report]) -> PolicySummary {
+    pub(crate) fn of(policy: &str, days: &[Report], days_of_first: &[Report]) -> PolicySummary {
         let pairs: Vec<(&Report, &Report)> = days.iter().zip(days_of_first).collect();
         PolicySummary {
             policy: policy.to_owned(),
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -3,7 +3,7 @@
 use reeddock_simulation::distribution::{Amount, Share, Span};
 use reeddock_simulation::fault::Fault;
 use reeddock_simulation::invariants::Rule;
-use reeddock_simulation::{run, BuiltInPolicy, Report, Scenario};
+use reeddock_simulation::{run, BuiltInPolicy, Scenario};
 
 /// What a shrunk scenario must still show.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,17 +26,17 @@
 const MIN_DURATION: f64 = 5.0;
 
 impl ShrinkGoal {
-    /// The delivery policy's report, if the scenario shows what is wanted.
-    pub fn reproduce(self, scenario: &Scenario, seed: u64) -> Option<Report> {
+    /// Whether the scenario shows what is wanted; plays it.
+    #[must_use]
+    pub fn is_reproduced_by(self, scenario: &Scenario, seed: u64) -> bool {
         let report = run(scenario, seed, BuiltInPolicy::DeliveryPolicy);
-        let reproduced = match self {
+        match self {
             ShrinkGoal::Violation(rule) => report.broken.iter().any(|broken| broken.rule == rule),
             ShrinkGoal::CreditGap(gap) => {
                 let upper_bound = run(scenario, seed, BuiltInPolicy::UpperBound);
                 report.first_tries >= MIN_MESSAGES && upper_bound.credit - report.credit >= gap * GAP_LEFT
             }
-        };
-        reproduced.then_some(report)
+        }
     }
 }
 
@@ -158,7 +158,7 @@
     loop {
         let mut reduced = false;
         for number in 0..reductions(&smallest).len() {
-            // Listed anew each time: a reduction that was kept moves the positions of those after it.
+            // Listed anew each time: a reduction that was kept changes the positions that those after it name.
             let Some(reduction) = reductions(&smallest).get(number).copied() else { break };
             let mut candidate = smallest.clone();
             reduction.apply(&mut candidate);
@@ -166,7 +166,7 @@
                 continue;
             }
             trials += 1;
-            if is_valid(&candidate) && goal.reproduce(&candidate, seed).is_some() {
+            if is_valid(&candidate) && goal.is_reproduced_by(&candidate, seed) {
                 smallest = candidate;
                 reduced = true;
             }
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 use reeddock_experiments::{
-    random_scenario, shrink, write_html_report, ComparisonPlan, ExperimentRunner, PolicyList,
+    random_scenario, shrink, write_html_report, ArgumentError, ComparisonPlan, ExperimentRunner, PolicyList,
     ScenarioOverride, ShrinkGoal, SweepPlan,
 };
 use reeddock_simulation::{run, BuiltInPolicy, Scenario};
@@ -49,6 +49,29 @@
     }
 }
 
+/// FNV-1a of 64 bits.
+fn checksum(text: &str) -> u64 {
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
+}
+
+#[test]
+fn a_seed_draws_the_same_scenario_as_ever() {
+    // Files in `scenarios/found/` name the seeds that they were drawn from.
+    let scenarios: String = (0..100).map(|number| random_scenario(number * 7919).to_text()).collect();
+    assert_eq!(checksum(&scenarios), 0xbdb2_4db3_feaf_fff8);
+}
+
+#[test]
+fn values_of_an_override_may_hold_the_commas_of_lists_and_tables() {
+    let parsed: ScenarioOverride = r#" kind.0.limit = "none", { span = 2 } ,[1, 2]"#.parse().unwrap();
+    assert_eq!(parsed.key, "kind.0.limit");
+    assert_eq!(parsed.values, [r#""none""#, "{ span = 2 }", "[1, 2]"]);
+    for malformed in ["", "key", "key=", "=1", "key=1,,2", "key=1,"] {
+        assert_eq!(malformed.parse::<ScenarioOverride>().unwrap_err(), ArgumentError::MalformedOverride);
+    }
+}
+
 #[test]
 fn what_is_found_is_shrunk_and_replayed() {
     // A distance to the ceiling that any scenario has which is worse than perfect.
@@ -66,7 +89,7 @@
         - run(&drawn, seed, BuiltInPolicy::DeliveryPolicy).credit;
     let goal = ShrinkGoal::CreditGap(gap);
     let mut small = shrink(&drawn, seed, goal);
-    assert!(goal.reproduce(&small, seed).is_some(), "it still shows what was found");
+    assert!(goal.is_reproduced_by(&small, seed), "it still shows what was found");
     assert!(small.to_text().len() < drawn.to_text().len());
 
     let folder = tempfile::tempdir().unwrap();
--- a/crates/experiments/tests/studies.rs
+++ b/crates/experiments/tests/studies.rs
@@ -59,6 +59,25 @@
     assert!(table.rows.iter().all(|r| r.violations == 0));
 }
 
+#[test]
+fn a_fleet_size_may_be_named_twice() {
+    // Its rows once were looked for past the end of the sizes.
+    let plan = SharingStudyPlan {
+        forwarders: vec![2, 2],
+        meet_every: 25.0,
+        down: 0.1,
+        outage: 60.0,
+        cells: 1_000,
+        full: 1_000,
+        seeds: 1,
+    };
+    let runner = ExperimentRunner::with_threads(None).unwrap();
+    let rows = runner.study_sharing(&scenario("seldom-met.toml"), &plan).unwrap().rows;
+    let (first, second) = rows.split_at(rows.len() / 2);
+    assert_eq!(serde_json::to_string(first).unwrap(), serde_json::to_string(second).unwrap());
+    assert!(!first.is_empty() && rows.iter().all(|row| row.forwarders == 2));
+}
+
 #[test]
 fn sizes_of_nonsense_are_refused_in_one_line() {
     let plan = SharingStudyPlan {
