--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -15,13 +15,13 @@
 const MAX_REPORTED_DIFFERENCES: usize = 3;
 
 impl TestBed {
-    /// The verdicts of all checks; `settled` says whether the last change came into force in time.
-    pub(crate) async fn check_results(&self, settled: bool) -> Vec<ResultLine> {
+    /// The verdicts of all checks; `converged` says whether the last change came into force in time.
+    pub(crate) async fn check_results(&self, converged: bool) -> Vec<ResultLine> {
         let authoritative = self.list.snapshot();
         vec![
             ResultLine::check(
                 "the last change is in force everywhere",
-                settled,
+                converged,
                 format!("waited up to {} s", self.scenario.changes.settle_within_s),
             ),
             self.check_hollow_lists(&authoritative),
--- a/crates/scale-test/src/latency.rs
+++ b/crates/scale-test/src/latency.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The longest latency that a histogram tells apart, in microseconds: an hour.
+/// The longest latency that a histogram distinguishes, in microseconds: an hour.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 /// Significant decimal digits of a histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
--- a/crates/scale-test/src/probe.rs
+++ b/crates/scale-test/src/probe.rs
@@ -18,7 +18,7 @@
 /// How long the request of an accepted message is waited for before the next probe.
 const ACCEPTED_PROBE_WAIT: Duration = Duration::from_secs(1);
 
-/// When the first message for a destination arrived where the list says, as far as probes can tell.
+/// When the first message for a destination arrived where the list says, as far as probes show.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeResult {
     /// When the last probe that was rejected began; none where the first one was accepted.
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -71,13 +71,13 @@
         let before = self.snapshot().await;
         lines.extend(self.start_results(&before, start_s));
         self.run_changes(&mut lines, began).await?;
-        let settled = self.wait_until_settled().await;
+        let converged = self.wait_for_convergence().await;
         let after = self.snapshot().await;
         self.probing.store(false, Ordering::Relaxed);
         lines.extend(self.exchange_results(Phase::AfterStart, &before, &after));
         lines.extend(self.process_results(&before, &after).await);
         lines.extend(self.latency_results());
-        lines.extend(self.check_results(settled).await);
+        lines.extend(self.check_results(converged).await);
         Ok(Results { lines })
     }
 
@@ -229,7 +229,7 @@
         tick.tick().await;
     }
 
-    /// Probes one real forwarder by each change in turn, until the run needs no result any more.
+    /// Probes one real forwarder by one change after the other, until the run needs no result any more.
     async fn run_probes(
         self: Arc<TestBed>,
         forwarder: u32,
@@ -283,16 +283,16 @@
     }
 
     /// Waits until the last change is in force everywhere; false if it is not in time.
-    async fn wait_until_settled(&self) -> bool {
+    async fn wait_for_convergence(&self) -> bool {
         let limit = Duration::from_secs_f64(self.scenario.changes.settle_within_s);
         let generation = self.list.generation();
         let probes = self.new_destinations() * self.real_forwarders.len();
-        let settled = || {
+        let converged = || {
             let hollow = &self.hollow_forwarders;
             lock(&self.probe_records).len() >= probes
                 && hollow.iter().all(|hollow| lock(hollow).state().watch_index() >= generation)
         };
-        timeout(limit, wait_until(settled)).await.is_ok()
+        timeout(limit, wait_until(converged)).await.is_ok()
     }
 }
 
--- a/crates/scale-test/tests/endpoint_list.rs
+++ b/crates/scale-test/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list as it is written, read in chunks of any length, and kept.
+//! The endpoint list: serialized, decoded in chunks of any length, and applied.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_whole_list_drops_what_it_does_not_name_and_one_that_breaks_off_drops_nothing() {
+fn a_full_list_drops_what_it_does_not_name_and_an_incomplete_one_drops_nothing() {
     let (long, short) =
         (Arc::new(AuthoritativeList::new(5, address)), Arc::new(AuthoritativeList::new(3, address)));
     let mut state = HollowState::new(None);
--- a/crates/scale-test/tests/program.rs
+++ b/crates/scale-test/tests/program.rs
@@ -28,7 +28,7 @@
 }
 
 /// What the program says of a scenario in which something stands for something else.
-fn refusal(arguments: &[&str], from: &str, to: &str) -> String {
+fn rejection(arguments: &[&str], from: &str, to: &str) -> String {
     let text = small();
     assert!(text.contains(from), "{from}");
     let folder = tempfile::tempdir().unwrap();
@@ -40,7 +40,7 @@
 
 #[test]
 fn bad_scenarios_are_refused_in_a_line_with_place_and_expectation() {
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("hollow = 40", "hollow = 40\nhallow = 1", ["line 11", "unknown field `hallow`"]),
         (
             "forgets = true",
@@ -71,17 +71,17 @@
     ] {
         let from_real =
             if to.starts_with("memory_mb") || to.starts_with("descriptors") { "real = 2" } else { "" };
-        // Many real forwarders, so that no machine and no limit has the room.
-        let text = if from_real.is_empty() { refusal(&[], from, to) } else { refusal_of_many(from, to) };
-        assert!(told.iter().all(|told| text.contains(told)), "{to}: {text}");
+        // Many real forwarders, so that they go beyond every machine and limit.
+        let text = if from_real.is_empty() { rejection(&[], from, to) } else { rejection_of_many(from, to) };
+        assert!(expected.iter().all(|expected| text.contains(expected)), "{to}: {text}");
     }
 }
 
-fn refusal_of_many(from: &str, to: &str) -> String {
+fn rejection_of_many(from: &str, to: &str) -> String {
     let text = small().replacen("real = 2", "real = 100", 1).replacen(from, to, 1);
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("bad.toml");
-    // Memory is looked at first.
+    // Memory is checked first.
     let text = if to.starts_with("descriptors") {
         text.replacen("memory_mb = 64", "memory_mb = 8", 1)
     } else {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn files_and_programs_that_are_missing_are_told() {
+fn missing_files_and_programs_are_errors() {
     let run = |arguments: &[&str]| line(&Command::new(PROGRAM).args(arguments).output().unwrap());
     assert!(run(&["no-such.toml"]).contains("no-such.toml: expected a scenario file"));
     let file = scenarios().join("small.toml");
@@ -106,18 +106,21 @@
 }
 
 #[test]
-fn a_run_over_its_limit_is_broken_off() {
-    let told = refusal(&[], "limit_s = 60", "limit_s = 0.5");
-    assert!(told.contains("the run: not over within limit_s = 0.5"), "{told}");
+fn a_run_over_its_limit_is_aborted() {
+    let message = rejection(&[], "limit_s = 60", "limit_s = 0.5");
+    assert!(message.contains("the run: not over within limit_s = 0.5"), "{message}");
 }
 
 #[test]
 fn a_fit_needs_four_sizes() {
     let fit = "\n[fit]\ntargets = [100, 200, 200, 300]\ntarget_targets = 320000\ntarget_forwarders = 1000\n";
-    let told = refusal(&["fit"], "[process]", &format!("{fit}[process]"));
-    assert!(told.contains("key fit.targets: expected 4 different sizes or more, or none, found 3"), "{told}");
-    let told = refusal(&["fit"], "small", "small");
-    assert!(told.contains("expected a table [fit]"), "{told}");
+    let message = rejection(&["fit"], "[process]", &format!("{fit}[process]"));
+    assert!(
+        message.contains("key fit.targets: expected 4 different sizes or more, or none, found 3"),
+        "{message}"
+    );
+    let message = rejection(&["fit"], "small", "small");
+    assert!(message.contains("expected a table [fit]"), "{message}");
 }
 
 #[test]
@@ -145,7 +148,7 @@
 
 #[test]
 fn a_run_that_is_interrupted_ends_its_processes() {
-    for told in [Signal::INT, Signal::TERM] {
+    for signal in [Signal::INT, Signal::TERM] {
         let mut command = Command::new(PROGRAM);
         command.arg(scenarios().join("small.toml")).args(["--forwarder", FORWARDER]);
         let mut running = Running(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
@@ -156,7 +159,7 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         let started = children(pid);
-        kill_process(Pid::from_raw(pid).unwrap(), told).unwrap();
+        kill_process(Pid::from_raw(pid).unwrap(), signal).unwrap();
         assert_eq!(running.0.wait().unwrap().code(), Some(2));
         // One that is killed may take a moment to go.
         let alive = |child: &i32| Process::new(*child).is_ok_and(|p| p.stat().is_ok_and(|s| s.state != 'Z'));
