--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -162,14 +162,13 @@
         for _ in 0..MESSAGES_PER_RUN {
             let Some(attempt) = self.host.in_flight.pop_front() else { break };
             self.host.attempts.remove(&attempt.message.0);
-            self.policy.attempt_finished(
-                self.now,
-                &attempt.message,
-                attempt.number,
-                AttemptOutcome::Completed,
-                true,
-                &mut self.host,
-            );
+            let ended = FinishedAttempt {
+                message: &attempt.message,
+                number: attempt.number,
+                outcome: AttemptOutcome::Completed,
+                message_finished: true,
+            };
+            self.policy.attempt_finished(self.now, &ended, &mut self.host);
         }
         for n in 0..MESSAGES_PER_RUN as u64 {
             self.submit(n % self.served);
--- a/crates/experiments/src/recorded_policy.rs
+++ b/crates/experiments/src/recorded_policy.rs
@@ -3,8 +3,7 @@
 use std::time::Duration;
 
 use reeddock::{
-    AttemptNumber, AttemptOutcome, EndpointId, EndpointUpdate, MessageId, PeerId, PolicyHost,
-    PreviousAttempt, Settings,
+    EndpointId, EndpointUpdate, FinishedAttempt, MessageId, PeerId, PolicyHost, PreviousAttempt, Settings,
 };
 use reeddock_recorder::line::PolicyCall;
 use reeddock_recorder::{RecordingHost, RecordingWriter};
@@ -91,19 +90,10 @@
         self.call(input, host, |policy, host| policy.restore(now, id, previous, host));
     }
 
-    fn attempt_finished(
-        &mut self,
-        now: Duration,
-        id: &MessageId,
-        number: AttemptNumber,
-        outcome: AttemptOutcome,
-        finished: bool,
-        host: &mut dyn PolicyHost,
-    ) {
+    fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
+        let FinishedAttempt { message: id, number, outcome, message_finished: finished } = *ended;
         let input = PolicyCall::AttemptFinished { now, id, number, outcome, finished };
-        self.call(input, host, |policy, host| {
-            policy.attempt_finished(now, id, number, outcome, finished, host)
-        });
+        self.call(input, host, |policy, host| policy.attempt_finished(now, ended, host));
     }
 
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
--- a/crates/forwarder/src/event_loop/attempt_results.rs
+++ b/crates/forwarder/src/event_loop/attempt_results.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reeddock::{AttemptNumber, AttemptOutcome, EndpointId, MessageId};
+use reeddock::{AttemptNumber, AttemptOutcome, EndpointId, FinishedAttempt, MessageId};
 use reeddock_protocol::AttemptResult;
 use reeddock_wal::Record;
 
@@ -43,7 +43,8 @@
                 self.hold_back_requests(endpoint, now + pause);
             }
         }
-        self.policy.attempt_finished(now, id, number, outcome, message_finished, self.state.commands());
+        let ended = FinishedAttempt { message: id, number, outcome, message_finished };
+        self.policy.attempt_finished(now, &ended, self.state.commands());
     }
 
     /// Records a result for the write-ahead log. Returns whether its message is finished, with this result or before.
--- a/crates/recorder/src/recorded_policy.rs
+++ b/crates/recorder/src/recorded_policy.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use reeddock::{
-    AttemptNumber, AttemptOutcome, AttemptTimeouts, DeliveryPolicy, DestinationId, EndpointId,
-    EndpointUpdate, LoadReport, MessageId, NewMessage, OrderingKey, PeerId, PolicyHost, PreviousAttempt,
+    AttemptNumber, AttemptTimeouts, DeliveryPolicy, DestinationId, EndpointId, EndpointUpdate,
+    FinishedAttempt, LoadReport, MessageId, NewMessage, OrderingKey, PeerId, PolicyHost, PreviousAttempt,
     Settings,
 };
 
@@ -170,24 +170,10 @@
     }
 
     /// Records and makes the call [`DeliveryPolicy::attempt_finished`].
-    pub fn attempt_finished(
-        &mut self,
-        now: Duration,
-        id: &MessageId,
-        number: AttemptNumber,
-        outcome: AttemptOutcome,
-        finished: bool,
-        host: &mut dyn PolicyHost,
-    ) {
+    pub fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
+        let FinishedAttempt { message: id, number, outcome, message_finished: finished } = *ended;
         self.writer.record(PolicyCall::AttemptFinished { now, id, number, outcome, finished });
-        self.policy.attempt_finished(
-            now,
-            id,
-            number,
-            outcome,
-            finished,
-            &mut RecordingHost { writer: &self.writer, host },
-        );
+        self.policy.attempt_finished(now, ended, &mut RecordingHost { writer: &self.writer, host });
     }
 
     /// Records and makes the call [`DeliveryPolicy::load_reported`].
--- a/crates/recorder/src/streams/driver.rs
+++ b/crates/recorder/src/streams/driver.rs
@@ -6,8 +6,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use reeddock::{
-    AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointUpdate, LoadReport, MessageId,
-    PeerId, RequestId,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointUpdate, FinishedAttempt, LoadReport,
+    MessageId, PeerId, RequestId,
 };
 
 use super::command_log::{CommandLog, HostCommand};
@@ -190,25 +190,15 @@
             self.policy.record_attempt_endpoint(&ended.id, ended.number);
         }
         self.model.attempt_finished(&ended.id, ended.number, ended.outcome, finished);
-        self.policy.attempt_finished(
-            self.now,
-            &ended.id,
-            ended.number,
-            ended.outcome,
-            finished,
-            &mut self.commands,
-        );
+        let AttemptInFlight { id, number, outcome, .. } = &ended;
+        let report =
+            FinishedAttempt { message: id, number: *number, outcome: *outcome, message_finished: finished };
+        self.policy.attempt_finished(self.now, &report, &mut self.commands);
         self.execute_commands();
         if self.one_in(200) {
-            // Told twice, as a host might in a race.
-            self.policy.attempt_finished(
-                self.now,
-                &ended.id,
-                ended.number,
-                ended.outcome,
-                true,
-                &mut self.commands,
-            );
+            // Reported twice, as a host might in a race.
+            let again = FinishedAttempt { message_finished: true, ..report };
+            self.policy.attempt_finished(self.now, &again, &mut self.commands);
             self.execute_commands();
         }
     }
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -76,14 +76,13 @@
 
     fn finish_attempt(&mut self, finished: &FinishedAttempt, now: Duration, commands: &mut Commands) {
         self.apply_load_report(finished.endpoint, finished.load_report);
-        self.policy.attempt_finished(
-            now,
-            &finished.message,
-            finished.attempt,
-            finished.outcome,
-            finished.message_finished,
-            commands,
-        );
+        let ended = reeddock::FinishedAttempt {
+            message: &finished.message,
+            number: finished.attempt,
+            outcome: finished.outcome,
+            message_finished: finished.message_finished,
+        };
+        self.policy.attempt_finished(now, &ended, commands);
     }
 
     /// Gives the delivery policy the load report that stands beside an outcome, before the outcome itself.
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -10,8 +10,9 @@
 
 use rand::SeedableRng;
 use reeddock::{
-    AttemptNumber, AttemptOutcome, AttemptTimeouts, DestinationId, EndpointId, EndpointState, Idempotency,
-    MessageId, OrderingKey, PeerId, PolicyHost, PreviousAttempt, RequestId, Settings,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, DestinationId, EndpointId, EndpointState,
+    FinishedAttempt, Idempotency, MessageId, OrderingKey, PeerId, PolicyHost, PreviousAttempt, RequestId,
+    Settings,
 };
 
 use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView, StartedAttempt};
@@ -401,15 +402,8 @@
         }
     }
 
-    fn attempt_finished(
-        &mut self,
-        now: Duration,
-        id: &MessageId,
-        number: AttemptNumber,
-        outcome: AttemptOutcome,
-        finished: bool,
-        host: &mut dyn PolicyHost,
-    ) {
+    fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
+        let FinishedAttempt { message: id, number, outcome, message_finished: finished } = *ended;
         if let Some(detached) = self.detached.remove(&(id.clone(), number)) {
             self.release_request(detached.request);
             self.hold_key(detached.ordering_key, detached.number, outcome, now);
--- a/crates/simulation/src/policies/delivery_policy.rs
+++ b/crates/simulation/src/policies/delivery_policy.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use reeddock::{
-    AttemptNumber, AttemptOutcome, DeliveryPolicy, EndpointId, EndpointUpdate, MessageId, NewMessage, PeerId,
-    PolicyHost, PreviousAttempt, Settings,
+    DeliveryPolicy, EndpointId, EndpointUpdate, FinishedAttempt, MessageId, NewMessage, PeerId, PolicyHost,
+    PreviousAttempt, Settings,
 };
 
 use crate::policy::{ListedEndpoint, Policy, Submission, WorldView};
@@ -63,16 +63,8 @@
         self.0.restore(now, id, previous, host);
     }
 
-    fn attempt_finished(
-        &mut self,
-        now: Duration,
-        id: &MessageId,
-        number: AttemptNumber,
-        outcome: AttemptOutcome,
-        finished: bool,
-        host: &mut dyn PolicyHost,
-    ) {
-        self.0.attempt_finished(now, id, number, outcome, finished, host);
+    fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
+        self.0.attempt_finished(now, ended, host);
     }
 
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use reeddock::{
-    AttemptNumber, AttemptOutcome, DestinationId, EndpointId, EndpointState, MessageId, OrderingKey, PeerId,
-    PolicyHost, PreviousAttempt, Settings,
+    DestinationId, EndpointId, EndpointState, FinishedAttempt, MessageId, OrderingKey, PeerId, PolicyHost,
+    PreviousAttempt, Settings,
 };
 
 /// One entry of the endpoint list, as a forwarder reads it.
@@ -75,16 +75,8 @@
         previous: &[PreviousAttempt],
         host: &mut dyn PolicyHost,
     );
-    /// An attempt has ended; `finished` where the message has its final answer by now.
-    fn attempt_finished(
-        &mut self,
-        now: Duration,
-        id: &MessageId,
-        number: AttemptNumber,
-        outcome: AttemptOutcome,
-        finished: bool,
-        host: &mut dyn PolicyHost,
-    );
+    /// An attempt has ended.
+    fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost);
     /// The client withdrew a message.
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost);
     /// The timer that the policy set has fired.
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use reeddock::{
-    AttemptNumber, AttemptOutcome, EndpointState, OrderingKey, PeerId, PolicyHost, PreviousAttempt,
+    AttemptNumber, AttemptOutcome, EndpointState, FinishedAttempt, OrderingKey, PeerId, PolicyHost,
+    PreviousAttempt,
 };
 
 use super::commands::CommandBuffer;
@@ -111,7 +112,13 @@
                 self.report_attempt_end(forwarder, end);
                 let id = &self.messages[end.attempt.message.0].id;
                 let number = AttemptNumber(end.attempt.number as u32);
-                policy.attempt_finished(now, id, number, end.outcome, end.finished, host);
+                let ended = FinishedAttempt {
+                    message: id,
+                    number,
+                    outcome: end.outcome,
+                    message_finished: end.finished,
+                };
+                policy.attempt_finished(now, &ended, host);
             }
             ForwarderInput::Withdrawn(message) => policy.withdraw(&self.messages[message.0].id, host),
             ForwarderInput::TimerFired => policy.timer_fired(now),
--- a/crates/simulation/tests/simulation/defective_policy.rs
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use reeddock::{
-    AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointState, MessageId, PeerId, PolicyHost,
-    PreviousAttempt, Settings,
+    AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointState, FinishedAttempt, MessageId,
+    PeerId, PolicyHost, PreviousAttempt, Settings,
 };
 use reeddock_simulation::policies::DeliveryPolicyAdapter;
 use reeddock_simulation::policy::{ListedEndpoint, Policy, Submission, WorldView};
@@ -173,18 +173,15 @@
         self.policy.restore(now, id, previous, &mut AlteredHost::new(host, self.defect));
     }
 
-    fn attempt_finished(
-        &mut self,
-        now: Duration,
-        id: &MessageId,
-        number: AttemptNumber,
-        outcome: AttemptOutcome,
-        finished: bool,
-        host: &mut dyn PolicyHost,
-    ) {
+    fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
+        let FinishedAttempt { message: id, number, outcome, message_finished: finished } = *ended;
         let outcome = altered_outcome(self.defect, outcome);
         let mut host = AlteredHost::new(host, self.defect);
-        self.policy.attempt_finished(now, id, number, outcome, finished, &mut host);
+        self.policy.attempt_finished(
+            now,
+            &FinishedAttempt { message: id, number, outcome, message_finished: finished },
+            &mut host,
+        );
     }
 
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-use super::ids::{DestinationId, EndpointId, MessageId, OrderingKey};
+use super::ids::{AttemptNumber, DestinationId, EndpointId, MessageId, OrderingKey};
+use super::outcomes::AttemptOutcome;
 
 /// A message that a client has submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,3 +32,16 @@
     /// It is known to have ended in a way that proves that the message was not executed.
     pub proves_not_executed: bool,
 }
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FinishedAttempt<'a> {
+    /// The message that was attempted.
+    pub message: &'a MessageId,
+    /// Which of its attempts.
+    pub number: AttemptNumber,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// The message has its final answer, by this end or before it.
+    pub message_finished: bool,
+}
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -15,7 +15,7 @@
 pub use commands::{AttemptTimeouts, PolicyHost};
 pub use endpoints::{EndpointState, EndpointUpdate, ListedWeights, LoadReport};
 pub use ids::{AttemptNumber, DestinationId, EndpointId, MessageId, OrderingKey, PeerId, RequestId};
-pub use messages::{NewMessage, PreviousAttempt};
+pub use messages::{FinishedAttempt, NewMessage, PreviousAttempt};
 pub use outcomes::AttemptOutcome;
 pub use settings::{
     EndpointKind, Idempotency, KeyScope, LateDecay, MessageClass, Settings, TenantQuota, ZoneFee,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -79,7 +79,13 @@
 //! assert_eq!(host.started, [id.clone()]);
 //!
 //! let later = start + Duration::from_millis(80);
-//! policy.attempt_finished(later, &id, AttemptNumber(0), AttemptOutcome::Completed, true, &mut host);
+//! let ended = FinishedAttempt {
+//!     message: &id,
+//!     number: AttemptNumber(0),
+//!     outcome: AttemptOutcome::Completed,
+//!     message_finished: true,
+//! };
+//! policy.attempt_finished(later, &ended, &mut host);
 //! policy.run_due_work(later, &mut host);
 //! ```
 
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::DeliveryPolicy;
-use crate::interface::{AttemptNumber, AttemptOutcome, MessageId, PolicyHost};
+use crate::interface::{AttemptOutcome, FinishedAttempt, PolicyHost};
 use crate::state::{Attempt, AttemptKey, EndedAttempt, Endpoint, PossibleExecution};
 
 /// Weight of a new response time in a running mean.
@@ -14,16 +14,9 @@
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 impl DeliveryPolicy {
-    /// An attempt has ended; `finished` says that its message has its final answer, by this end or before it.
-    pub fn attempt_finished(
-        &mut self,
-        now: Duration,
-        id: &MessageId,
-        number: AttemptNumber,
-        outcome: AttemptOutcome,
-        finished: bool,
-        host: &mut dyn PolicyHost,
-    ) {
+    /// An attempt has ended.
+    pub fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
+        let FinishedAttempt { message: id, number, outcome, message_finished } = *ended;
         let key = AttemptKey { message: id.clone(), number };
         let Some(EndedAttempt { attempt, request_ended }) = self.end_attempt(&key) else { return };
         if let Some(endpoint) = self.endpoints.get(attempt.endpoint) {
@@ -45,7 +38,7 @@
             self.ordering.hold_off(attempt.ordering_key, attempt.arrival, until);
         }
         self.leave_ordering_queue(id, attempt.ordering_key, attempt.arrival);
-        if finished {
+        if message_finished {
             self.remove_message(attempt.message, host);
         } else {
             self.continue_message(&attempt, now, outcome, host);
--- a/tests/policy/support/policy_test.rs
+++ b/tests/policy/support/policy_test.rs
@@ -151,7 +151,9 @@
     pub fn finish_attempt(&mut self, name: &str, attempt: u32, outcome: AttemptOutcome) {
         let finished = outcome == AttemptOutcome::Completed;
         let attempt = AttemptNumber(attempt);
-        self.policy.attempt_finished(self.now, &id(name), attempt, outcome, finished, &mut self.host);
+        let message = &id(name);
+        let ended = FinishedAttempt { message, number: attempt, outcome, message_finished: finished };
+        self.policy.attempt_finished(self.now, &ended, &mut self.host);
     }
 
     pub fn complete_attempt(&mut self, name: &str, attempt: u32) {
