--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -7,8 +7,7 @@
 use reeddock_recorder::compare::CompareError;
 use reeddock_simulation::ScenarioError;
 
-use crate::recording::MAX_RECORDINGS;
-use crate::runner::MAX_RUNS;
+use crate::limits::{MAX_RECORDINGS, MAX_RUNS, MAX_SEARCH_MINUTES};
 
 /// Why an experiment could not be carried out. Each message says where the fault lies and what was expected.
 #[derive(Debug, thiserror::Error)]
@@ -50,7 +49,7 @@
         high: f64,
     },
     /// A search of no time, or of more than [`crate::MAX_SEARCH_MINUTES`].
-    #[error("--minutes is {minutes}: expected over 0, {} at most", crate::MAX_SEARCH_MINUTES)]
+    #[error("--minutes is {minutes}: expected over 0, {MAX_SEARCH_MINUTES} at most")]
     SearchDuration {
         /// The duration on the command line, in minutes.
         minutes: f64,
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -7,6 +7,7 @@
 mod arguments;
 mod error;
 mod html_report;
+mod limits;
 mod line_plot;
 mod random_scenario;
 mod recorded_policy;
@@ -23,6 +24,7 @@
 pub use arguments::{ArgumentError, PolicyList, ScenarioOverride};
 pub use error::{ExperimentError, FileAction};
 pub use html_report::write_html_report;
+pub use limits::MAX_SEARCH_MINUTES;
 pub use random_scenario::random_scenario;
 pub use recording::{
     compare_recordings, RecordedFile, RecordedFiles, RecordingComparison, ScenarioRecordingPlan,
@@ -31,6 +33,6 @@
 pub use recovery_study::{RecoveryRow, RecoveryTable};
 pub use results::{ExperimentResult, FoundScenario, PolicyMetrics, PolicySummary, Statistics, SweepRow};
 pub use runner::{ComparisonPlan, ExperimentRunner, SweepPlan};
-pub use search::{SearchPlan, MAX_SEARCH_MINUTES};
+pub use search::SearchPlan;
 pub use sharing_study::{SharingRow, SharingStudyPlan, SharingTable};
 pub use shrink::{shrink, ShrinkGoal};
--- a/crates/experiments/src/recording.rs
+++ b/crates/experiments/src/recording.rs
@@ -16,14 +16,13 @@
 use serde::Serialize;
 
 use crate::error::{ExperimentError, FileAction};
+use crate::limits::MAX_RECORDINGS;
 use crate::recorded_policy::RecordedPolicy;
 use crate::runner::ExperimentRunner;
 use crate::text_report::plain_table;
 
 /// Streams in one recording, so that thousands of them are few files.
 const STREAMS_PER_FILE: u64 = 100;
-/// Recordings that one command makes at most: each is a file.
-pub(crate) const MAX_RECORDINGS: u64 = 10_000;
 /// Digits of a digest in the table for people.
 const SHOWN_DIGEST_LENGTH: usize = 16;
 
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -5,14 +5,12 @@
 
 use std::fs;
 use std::path::{Path, PathBuf};
-use std::process::ExitCode;
 
 use reeddock_simulation::report::rounded;
 use reeddock_simulation::Report;
 use serde::{Deserialize, Serialize};
 
 use crate::error::{ExperimentError, FileAction};
-use crate::text_report;
 
 /// Mean, deviation and range of one measurement over several days.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -254,22 +252,8 @@
         Ok(serde_json::to_string(self)?)
     }
 
-    /// Prints the result to standard output as text or JSON. The exit code is 1 where an invariant was broken,
-    /// or a replayed scenario no longer shows what it was kept for.
-    ///
-    /// # Errors
-    ///
-    /// Only those of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
-        if json {
-            println!("{}", self.to_json()?);
-        } else {
-            print!("{}", text_report::render(self));
-        }
-        Ok(ExitCode::from(u8::from(!self.is_success())))
-    }
-
-    fn is_success(&self) -> bool {
+    /// Whether no invariant was broken, and a replayed scenario shows what it was kept for.
+    pub(crate) fn is_success(&self) -> bool {
         match self {
             ExperimentResult::Runs { reports } => reports.iter().all(|report| report.rules_broken == 0),
             // The baselines after the first policy are there to be measured, whatever they break.
--- a/crates/experiments/src/runner.rs
+++ b/crates/experiments/src/runner.rs
@@ -11,11 +11,9 @@
 
 use crate::arguments::{PolicyList, ScenarioOverride};
 use crate::error::{ExperimentError, FileAction};
+use crate::limits::MAX_RUNS;
 use crate::results::{ExperimentResult, PolicySummary, SweepRow};
 
-/// Runs of one experiment at most: more would take days, and their reports the memory of the machine.
-pub(crate) const MAX_RUNS: u64 = 100_000;
-
 /// Carries out experiments on a pool of threads of its own.
 pub struct ExperimentRunner {
     pool: ThreadPool,
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -18,9 +18,6 @@
 use crate::runner::{progress_bar, ExperimentRunner};
 use crate::shrink::{shrink, ShrinkGoal};
 
-/// The longest search, in minutes: a day.
-pub const MAX_SEARCH_MINUTES: f64 = 24.0 * 60.0;
-
 /// Share of the time in which random scenarios are played; the rest is for shrinking.
 const PLAYING_SHARE: f64 = 0.8;
 /// Scenarios that are shrunk for each invariant: more of them mostly show the same fault.
--- a/crates/experiments/src/text_report.rs
+++ b/crates/experiments/src/text_report.rs
@@ -1,9 +1,12 @@
 //! Results as text for people.
 
+use std::process::ExitCode;
+
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
 use reeddock_simulation::Report;
 
+use crate::error::ExperimentError;
 use crate::results::{ExperimentResult, FoundScenario, PolicySummary, SweepRow};
 
 /// Message classes, programs and destinations that are listed of each run.
@@ -34,7 +37,7 @@
 }
 
 /// The whole text, with a line break at its end.
-pub(crate) fn render(result: &ExperimentResult) -> String {
+fn render(result: &ExperimentResult) -> String {
     match result {
         ExperimentResult::Runs { reports } => reports.iter().map(run_text).collect(),
         ExperimentResult::Replay { reproduced, description, report } => {
@@ -172,3 +175,20 @@
         run.overloads,
     )
 }
+
+impl ExperimentResult {
+    /// Prints the result to standard output as text or JSON. The exit code is 1 where an invariant was broken,
+    /// or a replayed scenario no longer shows what it was kept for.
+    ///
+    /// # Errors
+    ///
+    /// Only those of the JSON writer.
+    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
+        if json {
+            println!("{}", self.to_json()?);
+        } else {
+            print!("{}", render(self));
+        }
+        Ok(ExitCode::from(u8::from(!self.is_success())))
+    }
+}
