--- a/crates/scale-test/src/ports.rs
+++ b/crates/scale-test/src/ports.rs
@@ -8,6 +8,8 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::Mutex;
 
+use tokio::net::TcpSocket;
+
 use crate::lock::lock;
 
 /// The first port of the first block.
@@ -38,12 +40,21 @@
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, block.next));
         block.next += 1;
         // Other programs may have taken it.
-        if TcpListener::bind(address).is_ok() {
+        if can_bind(address) {
             return Ok(address);
         }
     }
 }
 
+/// Whether an address can be bound.
+///
+/// The socket never listens: a process that another thread starts meanwhile holds a copy of it until its `exec`, and a
+/// copy that listens would keep the address from the caller who was just told that it is free.
+fn can_bind(address: SocketAddr) -> bool {
+    let Ok(socket) = TcpSocket::new_v4() else { return false };
+    socket.set_reuseaddr(true).is_ok() && socket.bind(address).is_ok()
+}
+
 fn claim_block() -> io::Result<Block> {
     for block in 0..BLOCKS {
         let first = FIRST_PORT + block * BLOCK_SIZE;
