--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -58,7 +58,7 @@
     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn subscribe(&mut self, _: bool) {}
     fn fetch_endpoint_list(&mut self) {}
-    fn log(&mut self, _: &str) {}
+    fn report(&mut self, _: &PolicyEvent) {}
 }
 
 /// A policy with its host and clock.
--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -2,8 +2,11 @@
 
 use std::time::Duration;
 
-use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyHost};
+use reeddock::{
+    AttemptNumber, AttemptTimeouts, CircuitScope, EndpointId, MessageId, PeerId, PolicyEvent, PolicyHost,
+};
 use reeddock_protocol::{DeliveryNotice, FinalAnswer, OutgoingMessage};
+use tracing::field::{self, DebugValue};
 
 /// A command of the policy.
 enum Command {
@@ -72,6 +75,23 @@
     }
 }
 
+/// What a circuit is kept for, as log fields: the one that is given is written.
+struct CircuitFields {
+    destination: Option<u64>,
+    endpoint: Option<DebugValue<EndpointId>>,
+}
+
+impl From<CircuitScope> for CircuitFields {
+    fn from(scope: CircuitScope) -> CircuitFields {
+        match scope {
+            CircuitScope::Destination(id) => CircuitFields { destination: Some(id.0), endpoint: None },
+            CircuitScope::Endpoint(id) => {
+                CircuitFields { destination: None, endpoint: Some(field::debug(id)) }
+            }
+        }
+    }
+}
+
 impl PolicyHost for CommandBuffer {
     fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
         let attempt = AttemptCommand { message: message.clone(), endpoint, timeouts };
@@ -101,7 +121,16 @@
     fn subscribe(&mut self, _: bool) {}
     fn fetch_endpoint_list(&mut self) {}
 
-    fn log(&mut self, line: &str) {
-        tracing::info!("{line}");
+    fn report(&mut self, event: &PolicyEvent) {
+        match *event {
+            PolicyEvent::CircuitOpened { scope, after } => {
+                let CircuitFields { destination, endpoint } = scope.into();
+                tracing::info!(destination, endpoint, ?after, "circuit opened");
+            }
+            PolicyEvent::CircuitClosed { scope, after } => {
+                let CircuitFields { destination, endpoint } = scope.into();
+                tracing::info!(destination, endpoint, ?after, "circuit closed");
+            }
+        }
     }
 }
--- a/crates/recorder/src/line/mod.rs
+++ b/crates/recorder/src/line/mod.rs
@@ -5,7 +5,7 @@
 
 use reeddock::{
     AttemptNumber, AttemptOutcome, AttemptTimeouts, DestinationId, EndpointId, EndpointUpdate, LoadReport,
-    MessageId, OrderingKey, PeerId, PreviousAttempt, Settings,
+    MessageId, OrderingKey, PeerId, PolicyEvent, PreviousAttempt, Settings,
 };
 
 mod text;
@@ -185,10 +185,10 @@
     },
     /// Fetch the endpoint list once.
     FetchEndpointList,
-    /// Write a line to the log.
-    Log {
-        /// The line.
-        line: &'a str,
+    /// Report an event for the log.
+    Report {
+        /// The event, recorded in the words of its `Display`.
+        event: &'a PolicyEvent,
     },
 }
 
--- a/crates/recorder/src/line/text.rs
+++ b/crates/recorder/src/line/text.rs
@@ -256,7 +256,7 @@
             }
             PolicyCommand::Subscribe { on } => write!(to, "subscribe on={on}"),
             PolicyCommand::FetchEndpointList => to.write_str("fetch_list"),
-            PolicyCommand::Log { line } => write!(to, "log line={line:?}"),
+            PolicyCommand::Report { event } => write!(to, "log line={:?}", event.to_string()),
         }
     }
 }
--- a/crates/recorder/src/recorded_policy.rs
+++ b/crates/recorder/src/recorded_policy.rs
@@ -4,8 +4,8 @@
 
 use reeddock::{
     AttemptNumber, AttemptTimeouts, DeliveryPolicy, DestinationId, EndpointId, EndpointUpdate,
-    FinishedAttempt, LoadReport, MessageId, NewMessage, OrderingKey, PeerId, PolicyHost, PreviousAttempt,
-    Settings,
+    FinishedAttempt, LoadReport, MessageId, NewMessage, OrderingKey, PeerId, PolicyEvent, PolicyHost,
+    PreviousAttempt, Settings,
 };
 
 use crate::line::{PolicyCall, PolicyCommand, ReturnedValue};
@@ -56,9 +56,9 @@
         self.writer.record(PolicyCommand::FetchEndpointList);
         self.host.fetch_endpoint_list();
     }
-    fn log(&mut self, line: &str) {
-        self.writer.record(PolicyCommand::Log { line });
-        self.host.log(line);
+    fn report(&mut self, event: &PolicyEvent) {
+        self.writer.record(PolicyCommand::Report { event });
+        self.host.report(event);
     }
 }
 
--- a/crates/recorder/src/streams/command_log.rs
+++ b/crates/recorder/src/streams/command_log.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyHost};
+use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyEvent, PolicyHost};
 
 /// What the delivery policy asked for, for the driver to act upon.
 pub enum HostCommand {
@@ -39,5 +39,5 @@
         self.0.push(HostCommand::Subscribe);
     }
     fn fetch_endpoint_list(&mut self) {}
-    fn log(&mut self, _: &str) {}
+    fn report(&mut self, _: &PolicyEvent) {}
 }
--- a/crates/sim-adapter/src/commands.rs
+++ b/crates/sim-adapter/src/commands.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyHost};
+use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyEvent, PolicyHost};
 use serde_json::{json, Value};
 
 /// Commands in the order in which they were given.
@@ -75,7 +75,7 @@
         self.0.push(json!(["Fetch"]));
     }
 
-    fn log(&mut self, line: &str) {
-        self.0.push(json!(["SayLog", line]));
+    fn report(&mut self, event: &PolicyEvent) {
+        self.0.push(json!(["SayLog", event.to_string()]));
     }
 }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyHost};
+use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyEvent, PolicyHost};
 
 use super::attempts::OpenBatches;
 use super::event::{Event, ForwarderInput};
@@ -66,7 +66,7 @@
         self.0.push(HostCommand::FetchEndpointList);
     }
 
-    fn log(&mut self, _line: &str) {}
+    fn report(&mut self, _event: &PolicyEvent) {}
 }
 
 impl World<'_> {
--- a/crates/simulation/tests/simulation/defective_policy.rs
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -5,7 +5,7 @@
 
 use reeddock::{
     AttemptNumber, AttemptOutcome, AttemptTimeouts, EndpointId, EndpointState, FinishedAttempt, MessageId,
-    PeerId, PolicyHost, PreviousAttempt, Settings,
+    PeerId, PolicyEvent, PolicyHost, PreviousAttempt, Settings,
 };
 use reeddock_simulation::policies::DeliveryPolicyAdapter;
 use reeddock_simulation::policy::{ListedEndpoint, Policy, Submission, WorldView};
@@ -114,8 +114,8 @@
         self.host.fetch_endpoint_list();
     }
 
-    fn log(&mut self, line: &str) {
-        self.host.log(line);
+    fn report(&mut self, event: &PolicyEvent) {
+        self.host.report(event);
     }
 }
 
--- a/src/interface/commands.rs
+++ b/src/interface/commands.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use super::events::PolicyEvent;
 use super::ids::{AttemptNumber, EndpointId, MessageId, PeerId, RequestId};
 
 /// The request that an attempt travels in, and how long it may take.
@@ -36,6 +37,6 @@
     fn subscribe(&mut self, on: bool);
     /// Asks for the whole endpoint list once.
     fn fetch_endpoint_list(&mut self);
-    /// Writes a line to the log.
-    fn log(&mut self, line: &str);
+    /// Reports an event for the log.
+    fn report(&mut self, event: &PolicyEvent);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,8 +36,8 @@
 //!     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
 //!     fn subscribe(&mut self, _: bool) {}
 //!     fn fetch_endpoint_list(&mut self) {}
-//!     fn log(&mut self, line: &str) {
-//!         println!("{line}");
+//!     fn report(&mut self, event: &PolicyEvent) {
+//!         println!("{event}");
 //!     }
 //! }
 //!
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -4,8 +4,8 @@
 
 use super::slow_start::SlowStartBudget;
 use super::{seconds, DeliveryPolicy};
-use crate::interface::DestinationId;
-use crate::state::{AdmittedEndpoint, CircuitBreaker, CircuitScope, Endpoint, NextWake};
+use crate::interface::{CircuitScope, DestinationId};
+use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, NextWake};
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -47,13 +47,14 @@
 
 use self::random::RandomSources;
 use crate::interface::{
-    AttemptNumber, DestinationId, EndpointId, Idempotency, MessageId, PeerId, PolicyHost, Settings,
+    AttemptNumber, CircuitScope, DestinationId, EndpointId, Idempotency, MessageId, PeerId, PolicyHost,
+    Settings,
 };
 use crate::queue::MessageQueue;
 use crate::state::{
-    AttemptKey, CircuitBreaker, CircuitScope, CircuitTable, EndpointDirectory, InFlight, KindParameters,
-    Message, MessageTable, OrderingQueues, PolicyParameters, PolicyTimer, PollSchedule, ResponseTimes,
-    Sequence, TenantAccounts,
+    AttemptKey, CircuitBreaker, CircuitTable, EndpointDirectory, InFlight, KindParameters, Message,
+    MessageTable, OrderingQueues, PolicyParameters, PolicyTimer, PollSchedule, ResponseTimes, Sequence,
+    TenantAccounts,
 };
 
 /// One instance of the delivery policy. It does no input or output and reads no clock.
@@ -82,8 +83,8 @@
     /// Numbers the entries of the queue.
     queue_entries: Sequence,
     timer: PolicyTimer,
-    /// No log line before this time.
-    next_log_at: Duration,
+    /// No event is reported before this time.
+    next_report_at: Duration,
     /// The program stops by then.
     shutdown_deadline: Option<Duration>,
 }
@@ -111,7 +112,7 @@
             numbers: Sequence::default(),
             queue_entries: Sequence::default(),
             timer: PolicyTimer::default(),
-            next_log_at: Duration::ZERO,
+            next_report_at: Duration::ZERO,
             shutdown_deadline: None,
             parameters,
         }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use super::DeliveryPolicy;
-use crate::interface::{AttemptOutcome, FinishedAttempt, PolicyHost};
+use crate::interface::{AttemptOutcome, FinishedAttempt, PolicyEvent, PolicyHost};
 use crate::state::{Attempt, AttemptKey, EndedAttempt, Endpoint, PossibleExecution};
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
 /// After an attempt that was not sent, a circuit pauses for this part of the recovery delay.
 const NOT_SENT_PAUSE_PART: u32 = 4;
-/// At most one log line about circuits in this span.
-const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// At most one event about circuits is reported in this span.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 impl DeliveryPolicy {
     /// An attempt has ended.
@@ -28,7 +28,7 @@
         let message_to_blame = self.count_error(&attempt, outcome);
         // What travels together ends together, and counts once.
         if request_ended && !message_to_blame {
-            self.record_and_log_outcome(&attempt, now, outcome, host);
+            self.record_and_report_outcome(&attempt, now, outcome, host);
         }
         if matches!(
             outcome,
@@ -83,8 +83,8 @@
         message.errors > 1
     }
 
-    /// Records what an outcome shows, and writes a log line if the circuit opened or closed by it.
-    fn record_and_log_outcome(
+    /// Records what an outcome shows, and reports it if the circuit opened or closed by it.
+    fn record_and_report_outcome(
         &mut self,
         attempt: &Attempt,
         now: Duration,
@@ -96,10 +96,13 @@
             |policy: &DeliveryPolicy| policy.circuits.get(scope).is_none_or(|circuit| circuit.is_closed());
         let was_closed = is_closed(self);
         self.record_outcome(attempt, now, outcome);
-        if was_closed != is_closed(self) && now >= self.next_log_at {
-            self.next_log_at = now + LOG_INTERVAL;
-            let change = if was_closed { "circuit opened" } else { "circuit closed" };
-            host.log(&format!("{change}: {scope:?}, after {outcome:?}"));
+        if was_closed != is_closed(self) && now >= self.next_report_at {
+            self.next_report_at = now + REPORT_INTERVAL;
+            host.report(&if was_closed {
+                PolicyEvent::CircuitOpened { scope, after: outcome }
+            } else {
+                PolicyEvent::CircuitClosed { scope, after: outcome }
+            });
         }
     }
 
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use super::{seconds, DeliveryPolicy};
-use crate::state::{CircuitScope, Endpoint, Pacing, MIN_TIMER};
+use crate::interface::CircuitScope;
+use crate::state::{Endpoint, Pacing, MIN_TIMER};
 
 /// The pacing interval grows by this factor with each rejection and shrinks with each answer.
 pub(super) const PACING_GROWTH: f64 = 1.6;
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -4,8 +4,8 @@
 
 use super::circuit_breaker::RECORD_MARGIN;
 use super::DeliveryPolicy;
-use crate::interface::{DestinationId, EndpointId};
-use crate::state::{CircuitScope, Endpoint};
+use crate::interface::{CircuitScope, DestinationId, EndpointId};
+use crate::state::Endpoint;
 
 /// A circuit that was not used for so many times the longest deadline is forgotten.
 const IDLE_RETENTION_FACTOR: u32 = 10;
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::DeliveryPolicy;
-use crate::interface::{DestinationId, EndpointId};
-use crate::state::{CircuitBreaker, CircuitScope};
+use crate::interface::{CircuitScope, DestinationId, EndpointId};
+use crate::state::CircuitBreaker;
 
 impl DeliveryPolicy {
     /// A response that rejected no message carried a Retry-After.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -4,7 +4,8 @@
 
 use super::capacity_share::{MIN_DESTINATION_CAPACITY, MIN_RATE};
 use super::{seconds, DeliveryPolicy};
-use crate::state::{CircuitScope, Endpoint};
+use crate::interface::CircuitScope;
+use crate::state::Endpoint;
 
 /// What may be sent, against the budget read from usual traffic. Over 1, as a destination is built for more
 /// than its usual traffic. Measured at 0.75, 1.1 and 1.5: faster recoveries each time, no rule broken by it.
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{seconds, DeliveryPolicy};
-use crate::interface::Idempotency;
-use crate::state::{CircuitScope, Message};
+use crate::interface::{CircuitScope, Idempotency};
+use crate::state::Message;
 
 /// The response timeout in mean response times of the circuit; measured at 8, 12 and 16.
 const TIMEOUT_MEANS: f64 = 12.0;
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::{CircuitScope, Message};
-use crate::interface::{AttemptNumber, EndpointId, MessageId, OrderingKey, RequestId};
+use super::Message;
+use crate::interface::{AttemptNumber, CircuitScope, EndpointId, MessageId, OrderingKey, RequestId};
 use crate::message_key::MessageKey;
 
 /// Names an attempt: its message and its number. The attempts of one message sort by number.
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::{AttemptKey, CircuitScope, RequestInFlight};
+use super::{AttemptKey, RequestInFlight};
+use crate::interface::CircuitScope;
 
 /// The state of a circuit breaker at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -7,8 +7,8 @@
 use super::destination::{Destination, Traffic};
 use super::removed_endpoints::RemovedEndpoints;
 use super::zones::Zones;
-use super::{CircuitScope, Endpoint, EndpointUsage, KindParameters};
-use crate::interface::{DestinationId, EndpointId, EndpointState, EndpointUpdate};
+use super::{Endpoint, EndpointUsage, KindParameters};
+use crate::interface::{CircuitScope, DestinationId, EndpointId, EndpointState, EndpointUpdate};
 
 /// Removed endpoints that one run forgets at most, so that a list which drops many does not hold the run up.
 const FORGOTTEN_PER_RUN: usize = 1_000;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,7 +4,6 @@
 
 mod attempt;
 mod circuit;
-mod circuit_scope;
 mod destination;
 mod endpoint;
 mod endpoint_directory;
@@ -24,7 +23,6 @@
 
 pub(crate) use attempt::{AdmittedEndpoint, Attempt, AttemptKey, RequestInFlight};
 pub(crate) use circuit::{CircuitBreaker, CircuitState, CircuitTable, Pacing};
-pub(crate) use circuit_scope::CircuitScope;
 pub(crate) use endpoint::{Endpoint, EndpointUsage, SentLoad};
 pub(crate) use endpoint_directory::EndpointDirectory;
 pub(crate) use in_flight::{EndedAttempt, InFlight};
--- a/tests/policy/circuit_breaker.rs
+++ b/tests/policy/circuit_breaker.rs
@@ -29,6 +29,28 @@
     assert_eq!(test.started_after(ms(200)).len(), 1);
 }
 
+#[test]
+fn circuit_that_opens_and_closes_is_reported_with_its_scope_and_the_outcome() {
+    let mut test = with_open_circuit();
+    let scope = CircuitScope::Destination(DestinationId(9));
+    let opened = PolicyEvent::CircuitOpened { scope, after: AttemptOutcome::NoConnection };
+    assert_eq!(test.host.events, [opened]);
+    let trial = test.started_after(ms(6000));
+    test.complete_attempt(&trial[0], 1);
+    let closed = PolicyEvent::CircuitClosed { scope, after: AttemptOutcome::Completed };
+    assert_eq!(test.host.events, [opened, closed]);
+    assert_eq!(opened.to_string(), "circuit opened: destination 9, after NoConnection");
+    assert_eq!(closed.to_string(), "circuit closed: destination 9, after Completed");
+}
+
+#[test]
+fn circuit_that_closes_within_five_seconds_of_a_report_is_not_reported() {
+    let mut test = with_open_circuit();
+    let trial = test.started_after(ms(1100));
+    test.complete_attempt(&trial[0], 1);
+    assert_eq!(test.host.events.len(), 1, "that it opened");
+}
+
 #[test]
 fn recovery_ramp_starts_with_one_request_at_a_time() {
     let mut test = with_open_circuit();
--- a/tests/policy/support/host.rs
+++ b/tests/policy/support/host.rs
@@ -48,6 +48,8 @@
 pub struct RecordingHost {
     /// Since a test last took them.
     pub commands: Vec<HostCommand>,
+    /// All events that were reported.
+    pub events: Vec<PolicyEvent>,
     /// The spans of all timers that were set.
     pub timers: Vec<Duration>,
     /// Those of the last attempt of each message.
@@ -78,5 +80,7 @@
         self.commands.push(HostCommand::Subscribe);
     }
     fn fetch_endpoint_list(&mut self) {}
-    fn log(&mut self, _line: &str) {}
+    fn report(&mut self, event: &PolicyEvent) {
+        self.events.push(*event);
+    }
 }
