--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -80,23 +80,23 @@
 
     /// What the circuit's own record allows: Retry-After, pacing, its state and the recovery ramp.
     fn admit_by_circuit(&self, circuit: &CircuitBreaker, now: Duration) -> Admission {
-        if now < circuit.retry_after_until {
-            return Admission::Wait(Some(circuit.retry_after_until));
+        if now < circuit.retry_after_until() {
+            return Admission::Wait(Some(circuit.retry_after_until()));
         }
         // Symptom: requests are rejected as over a limit, which rejected requests, trials too, may use up as
         // well. Also covers full queues. It can harm by staying slow for some answers after a limit was met only
         // once.
-        let after_last = circuit.last_sent + seconds(circuit.pacing.interval);
+        let after_last = circuit.last_sent() + seconds(circuit.pacing().interval());
         let paced_until =
-            if self.parameters.sparse_traffic { circuit.pacing.put_off_until } else { after_last };
+            if self.parameters.sparse_traffic { circuit.pacing().put_off_until() } else { after_last };
         let admission = circuit.admission(now);
         if !matches!(admission, Admission::Wait(_)) && now < paced_until {
             return Admission::Wait(Some(paced_until));
         }
         // Requests that nothing has answered since. Of those from before an answer, which hang or are long, none
         // holds back the recovery.
-        let unanswered = || circuit.requests_since(circuit.last_answer);
-        if admission == Admission::Admit && circuit.recovery_ramp.is_some_and(|most| unanswered() >= most) {
+        let unanswered = || circuit.requests_since(circuit.last_completion());
+        if admission == Admission::Admit && circuit.recovery_ramp().is_some_and(|most| unanswered() >= most) {
             return Admission::Wait(None);
         }
         admission
@@ -106,11 +106,11 @@
     /// destination that takes all slots before its first timeout; also covers stalls and slowdowns, which it paces
     /// by their own answers. It can harm by waiting behind one very long piece of work, hence two requests.
     fn is_silent(&self, circuit: &CircuitBreaker, now: Duration) -> bool {
-        if circuit.in_flight.len() < 2 || circuit.requests_since(circuit.last_answer) == 0 {
+        if circuit.in_flight().len() < 2 || circuit.requests_since(circuit.last_completion()) == 0 {
             return false;
         }
-        let oldest = circuit.in_flight.front().map_or(now, |request| request.started_at);
-        let since = oldest.max(circuit.last_answer);
+        let oldest = circuit.in_flight().front().map_or(now, |request| request.started_at);
+        let since = oldest.max(circuit.last_completion());
         now.saturating_sub(since) > self.straggler_after(circuit)
     }
 }
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -23,7 +23,7 @@
         let Some(scope) = known.map(|known| self.endpoints.scope_of(endpoint, known)) else { return };
         let limit = Some(report.limit).filter(|limit| *limit > 0.0);
         self.endpoints.update_usage(&self.endpoints.in_scope(scope), |usage| usage.limit = limit);
-        self.circuit_mut(scope).limit_left = limit.map(|_| report.left);
+        self.circuit_mut(scope).set_limit_left(limit.map(|_| report.left));
     }
 
     /// Messages a second that this forwarder usually has for an endpoint. All forwarders together have no more
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -1,6 +1,6 @@
 //! The circuit breaker, as the design page has it from its source: a circuit opens after some failures within a
-//! window, and closes again with a trial that succeeds. Only the failure times and `open_until` matter; all
-//! else is derived from them.
+//! window, and closes again with a trial that succeeds. Only the failure times and until when it is open matter;
+//! all else is derived from them.
 
 use std::time::Duration;
 
@@ -22,15 +22,14 @@
             CircuitState::Closed => Admission::Admit,
             CircuitState::Open { until } => Admission::Wait(Some(until)),
             // Added to the design: no new trial while one is in flight.
-            CircuitState::HalfOpen if self.trial.is_some() => Admission::Wait(None),
+            CircuitState::HalfOpen if self.has_trial() => Admission::Wait(None),
             CircuitState::HalfOpen => Admission::HalfOpenTrial,
         }
     }
 
     /// Opens the circuit until the delay has passed, whatever it was.
     pub(super) fn reopen(&mut self, now: Duration, recovery_delay: Duration) {
-        self.open_until = Some(now + recovery_delay);
-        self.changed_at = now;
+        self.open(now, now + recovery_delay);
     }
 
     /// Counts a failure. It opens the circuit at the threshold, and keeps one open that was not closed.
@@ -40,37 +39,31 @@
         recovery_delay: Duration,
         parameters: &PolicyParameters,
     ) {
-        self.failures.push(now);
-        self.failures.retain(|failure| now.saturating_sub(*failure) <= parameters.failure_window);
-        self.failures.drain(..self.failures.len().saturating_sub(MAX_FAILURES_KEPT));
-        if !self.is_closed() || self.failures.len() >= FAILURE_THRESHOLD {
+        self.add_failure(now, parameters.failure_window, MAX_FAILURES_KEPT);
+        if !self.is_closed() || self.failure_count() >= FAILURE_THRESHOLD {
             // Never sooner than a Retry-After that was received.
-            self.open_until = self.open_until.max(Some(now + recovery_delay));
+            self.extend_open(now, now + recovery_delay);
         }
-        self.changed_at = now;
     }
 
     /// Closes the circuit and forgets its failures.
     pub(super) fn record_success(&mut self, now: Duration) {
         if !self.is_closed() {
             // Added to the design: queued messages return one request in flight at a time, then twice as many.
-            self.recovery_ramp = Some(1);
-        } else if let Some(requests) = self.recovery_ramp {
-            self.recovery_ramp = Some(requests.saturating_mul(2));
+            self.set_recovery_ramp(Some(1));
+        } else if let Some(requests) = self.recovery_ramp() {
+            self.set_recovery_ramp(Some(requests.saturating_mul(2)));
         }
-        self.failures.clear();
-        self.open_until = None;
-        self.changed_at = now;
+        self.close(now);
     }
 
     /// The design's expiry, derived: a record that can no longer matter is as good as none. With one recovery
     /// delay it is max(delay, window) + margin after the last change; a Retry-After may make that longer.
     pub(super) fn expire_if_stale(&mut self, now: Duration, parameters: &PolicyParameters) {
         let matters_until =
-            self.open_until.unwrap_or_default().max(self.changed_at + parameters.failure_window);
-        if self.trial.is_none() && now > matters_until + RECORD_MARGIN {
-            self.failures.clear();
-            self.open_until = None;
+            self.open_until().unwrap_or_default().max(self.changed_at() + parameters.failure_window);
+        if !self.has_trial() && now > matters_until + RECORD_MARGIN {
+            self.reset();
         }
     }
 }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -57,8 +57,8 @@
 
     /// How many times as long as any request one to this circuit takes; no less than once.
     pub(super) fn slowness(&self, circuit: Option<&CircuitBreaker>) -> f64 {
-        let mean_latency = self.response_times.mean_latency.unwrap_or(1.0).max(MIN_MEAN_LATENCY);
-        (circuit.and_then(|circuit| circuit.mean_latency).unwrap_or(mean_latency) / mean_latency).max(1.0)
+        let mean_latency = self.response_times.mean_latency().unwrap_or(1.0).max(MIN_MEAN_LATENCY);
+        (circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(mean_latency) / mean_latency).max(1.0)
     }
 
     /// Price points that a request to the endpoint costs: its zone's fee, crossing zones, and a new connection.
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -43,7 +43,7 @@
     /// Retry-After of every endpoint ends too late, or an idempotency key has expired. While some time is left it
     /// can still be said that submitting again is harmless.
     pub(super) fn expire_messages(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
-        let mean_latency = self.response_times.mean_latency.unwrap_or_default();
+        let mean_latency = self.response_times.mean_latency().unwrap_or_default();
         let answer_time = seconds(mean_latency).max(MIN_ANSWER_TIME);
         self.refresh_indices();
         let mut expired: Vec<_> = self.queue.expiring(now, answer_time).into_iter().collect();
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -61,9 +61,9 @@
         }
         if let Some(circuit) = self.circuits.get_mut(attempt.scope) {
             if ended.request_ended {
-                circuit.in_flight.retain(|request| request.id != attempt.request);
+                circuit.end_request(attempt.request);
             }
-            circuit.trial.take_if(|trial| trial == key);
+            circuit.end_trial(key);
         }
         Some(ended)
     }
@@ -132,7 +132,7 @@
     fn record_not_sent(&mut self, attempt: &Attempt, now: Duration) {
         let pause = self.parameters.recovery_delay / NOT_SENT_PAUSE_PART;
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
-        circuit.retry_after_until = circuit.retry_after_until.max(now + pause);
+        circuit.extend_retry_after(now + pause);
     }
 
     fn record_completion(&mut self, attempt: &Attempt, now: Duration) {
@@ -144,16 +144,14 @@
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         let recovered = !circuit.is_closed();
         circuit.record_success(now);
-        circuit.pacing.shrink(circuit.limit_left, parameters.sparse_traffic);
-        circuit.consecutive_timeouts = 0;
-        circuit.last_retry_after /= 2;
-        circuit.last_answer = now;
+        let limit_left = circuit.limit_left();
+        circuit.pacing_mut().shrink(limit_left, parameters.sparse_traffic);
+        circuit.set_last_retry_after(circuit.last_retry_after() / 2);
         let latency = now.saturating_sub(attempt.started_at).as_secs_f64();
-        update_mean(&mut circuit.mean_latency, latency);
-        update_mean(&mut self.response_times.mean_latency, latency);
-        self.response_times.last_answer = now;
-        if circuit.recovery_ramp.is_some_and(|requests| requests >= parameters.max_in_flight) {
-            circuit.recovery_ramp = None;
+        circuit.record_completion(now, next_mean(circuit.mean_latency(), latency));
+        self.response_times.record_completion(now, next_mean(self.response_times.mean_latency(), latency));
+        if circuit.recovery_ramp().is_some_and(|requests| requests >= parameters.max_in_flight) {
+            circuit.set_recovery_ramp(None);
         }
         if let Some(usage) = self.endpoints.get_mut(attempt.endpoint).map(Endpoint::usage_mut) {
             usage.consecutive_failures.remove(&attempt.class);
@@ -175,11 +173,11 @@
         match outcome {
             // The request never reached the destination, and put no load on it.
             AttemptOutcome::NoConnection => drop(usage.recent_load.pop_back()),
-            AttemptOutcome::TimedOut => circuit.consecutive_timeouts += 1,
+            AttemptOutcome::TimedOut => circuit.record_timeout(),
             _ => {}
         }
         // One broken connection between answers shows something of itself, and is no outage.
-        if outcome == AttemptOutcome::TimedOut || circuit.failures.len() > 1 {
+        if outcome == AttemptOutcome::TimedOut || circuit.failure_count() > 1 {
             usage.last_fault = Some(now);
         }
     }
@@ -217,7 +215,7 @@
     }
 }
 
-/// Takes a response time, in seconds, into a running mean.
-fn update_mean(mean: &mut Option<f64>, latency: f64) {
-    *mean = Some(mean.map_or(latency, |mean| mean + MEAN_LATENCY_WEIGHT * (latency - mean)));
+/// A running mean with one more response time, in seconds.
+fn next_mean(mean: Option<f64>, latency: f64) -> f64 {
+    mean.map_or(latency, |mean| mean + MEAN_LATENCY_WEIGHT * (latency - mean))
 }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -43,7 +43,7 @@
         let slot = self.time_slot_seconds(endpoint, listed, now);
         let slots_passed = now.as_secs_f64() / slot + endpoint.slot_phase;
         let began = now.saturating_sub(seconds(slots_passed.fract() * slot));
-        let used = self.circuits.get(scope).is_some_and(|circuit| circuit.last_sent > began);
+        let used = self.circuits.get(scope).is_some_and(|circuit| circuit.last_sent() > began);
         let open = (TIME_SLOT_OPEN_SHARE * slot).max(TIME_SLOT_OPEN_MIN_SECONDS);
         (used || slots_passed.fract() * slot > open).then(|| began + seconds(slot) + MIN_TIMER)
     }
@@ -66,6 +66,7 @@
     pub(super) fn shrink(&mut self, limit_left: Option<f64>, sparse_traffic: bool) {
         let shrink = if sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
         // What rejected requests use up as well needs fewer of them; what has capacity left needs no pacing.
-        self.interval *= limit_left.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
+        let factor = limit_left.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
+        self.set_interval(self.interval() * factor);
     }
 }
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -112,7 +112,7 @@
             let attempts = self.in_flight.attempts().map(|(_, attempt)| attempt);
             let requests: BTreeSet<RequestId> =
                 attempts.filter(|attempt| attempt.scope == scope).map(|attempt| attempt.request).collect();
-            let recorded = circuit.in_flight.iter().map(|request| &request.id);
+            let recorded = circuit.in_flight().iter().map(|request| &request.id);
             assert!(requests.iter().eq(recorded), "requests in flight to {scope:?}");
         }
     }
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -47,7 +47,7 @@
         while let Some(scope) = self.circuits.take_due_review(now) {
             let Some(circuit) = self.circuits.get(scope) else { continue };
             let used_until = circuit.used_until();
-            let is_used = used_until + keep > now || !circuit.in_flight.is_empty();
+            let is_used = used_until + keep > now || !circuit.in_flight().is_empty();
             if is_used || self.has_queued(scope) {
                 self.circuits.schedule_review(scope, now.max(used_until) + keep);
                 continue;
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -42,32 +42,31 @@
         let Some(load) = self.load_at_rejection(attempt, now) else { return };
         let parameters = &self.parameters;
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
-        let wait = retry_after.unwrap_or(circuit.last_retry_after);
+        let wait = retry_after.unwrap_or(circuit.last_retry_after());
         let limit_used_up = circuit.limit_is_used_up();
         // Requests in flight together that are rejected together count once.
-        let follows_last_change = attempt.started_at >= circuit.pacing.changed_at;
+        let follows_last_change = attempt.started_at >= circuit.pacing().changed_at();
         if parameters.sparse_traffic && follows_last_change {
             // Symptom: many forwarders are rejected at about the same time, or have Retry-After waits that end
             // together, and all send again at once, over the limit again. Each is put off by chance.
-            circuit.pacing.widen_sparse(load.fair_share, limit_used_up, parameters);
+            let pacing = circuit.pacing_mut();
+            pacing.widen_sparse(load.fair_share, limit_used_up, parameters, now);
             let jitter = self.random.draw_jitter();
-            circuit.pacing.put_off_until = now + wait + seconds(jitter * circuit.pacing.interval);
-            circuit.pacing.changed_at = now;
+            pacing.put_off(now + wait + seconds(jitter * pacing.interval()));
         }
         // A short wait comes from a limit, which is no outage: there is capacity at its end.
         let is_limited = parameters.sparse_traffic
             && (limit_used_up || !wait.is_zero())
             && wait < parameters.overload_window;
-        let paced_for = circuit.pacing.put_off_until.saturating_sub(now);
+        let paced_for = circuit.pacing().put_off_until().saturating_sub(now);
         circuit.record_failure(now, if is_limited { paced_for } else { load.recovery_delay }, parameters);
         let all_faulty = circuit.shows_outage(now, retry_after, parameters);
         if retry_after.is_none() {
             // Where some waits are received, the others are guessed from them: at a destination whose rejected
             // requests use up its limit, each early request makes the wait longer for all.
-            circuit.retry_after_until = circuit.retry_after_until.max(now + circuit.last_retry_after);
+            circuit.extend_retry_after(now + circuit.last_retry_after());
             if !parameters.sparse_traffic && follows_last_change {
-                circuit.pacing.widen(&load, parameters);
-                circuit.pacing.changed_at = now;
+                circuit.pacing_mut().widen(&load, parameters, now);
             }
         }
         if all_faulty {
@@ -98,7 +97,7 @@
     /// Whether a rejection is explained by a rate limit. What rejects again and again may be down, whatever is
     /// left.
     fn limit_is_used_up(&self) -> bool {
-        self.failures.is_empty() && self.limit_left.is_some_and(|left| left < LIMIT_USED_UP)
+        self.failure_count() == 0 && self.limit_left().is_some_and(|left| left < LIMIT_USED_UP)
     }
 
     /// Whether a rejection shows an outage. A limit lets some requests through, or asks for a short wait; what
@@ -109,7 +108,7 @@
         retry_after: Option<Duration>,
         parameters: &PolicyParameters,
     ) -> bool {
-        let silent = now.saturating_sub(self.last_answer) >= parameters.overload_window / 2;
+        let silent = now.saturating_sub(self.last_completion()) >= parameters.overload_window / 2;
         let rejects_all = !self.is_closed() && silent;
         retry_after.map_or(rejects_all, |wait| wait >= parameters.overload_window)
     }
@@ -117,7 +116,13 @@
 
 impl Pacing {
     /// Widens the interval where a forwarder sees little of the destination.
-    fn widen_sparse(&mut self, fair_share: f64, limit_used_up: bool, parameters: &PolicyParameters) {
+    fn widen_sparse(
+        &mut self,
+        fair_share: f64,
+        limit_used_up: bool,
+        parameters: &PolicyParameters,
+        now: Duration,
+    ) {
         let first = parameters.listed_rate_margin.unwrap_or(APPROXIMATE_RATE_MARGIN) / fair_share;
         // Where responses report that there is capacity again, no rejection need be the last word on it.
         let (longest_first, growth) = if !parameters.responses_carry_load_reports {
@@ -127,14 +132,15 @@
         } else {
             (parameters.recovery_delay, UNEXPLAINED_REJECTION_GROWTH)
         };
-        let wider = (self.interval * growth).max(first.min(longest_first.as_secs_f64()));
+        let wider = (self.interval() * growth).max(first.min(longest_first.as_secs_f64()));
         // Longer than a message lasts it would be no pacing but an end.
-        self.interval =
+        let interval =
             wider.min(MAX_PACING_GAPS / fair_share).min(parameters.longest_deadline.as_secs_f64() / 2.0);
+        self.set_interval_after_rejection(interval, now);
     }
 
     /// Widens the interval where a forwarder's own requests show much of the destination.
-    fn widen(&mut self, load: &LoadAtRejection, parameters: &PolicyParameters) {
+    fn widen(&mut self, load: &LoadAtRejection, parameters: &PolicyParameters, now: Duration) {
         let recent_gap = if load.recent_requests > 1 {
             parameters.overload_window.as_secs_f64() / load.recent_requests as f64
         } else {
@@ -145,6 +151,7 @@
         // A destination takes at least half of what it is usually sent, in so many requests or in fewer, fuller
         // ones.
         let longest = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / usual_rate);
-        self.interval = (self.interval * PACING_GROWTH).max(first).min(longest);
+        let interval = (self.interval() * PACING_GROWTH).max(first).min(longest);
+        self.set_interval_after_rejection(interval, now);
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -25,9 +25,8 @@
             self.start_attempt(key, to, request, shared_timeout, host);
         }
         self.record_request(to, request, load);
-        let circuit = self.circuit_mut(to.scope);
-        circuit.pacing.put_off_until =
-            circuit.pacing.put_off_until.max(now + seconds(circuit.pacing.interval));
+        let pacing = self.circuit_mut(to.scope).pacing_mut();
+        pacing.put_off(pacing.put_off_until().max(now + seconds(pacing.interval())));
     }
 
     /// The response timeout that all attempts of a request have at least. One that timed out alone and was sent
@@ -67,7 +66,7 @@
             let recovery_delay = self.recovery_delay(&self.endpoints[to.endpoint], now);
             let circuit = self.circuit_mut(to.scope);
             circuit.reopen(now, recovery_delay);
-            circuit.trial = Some(attempt_key.clone());
+            circuit.begin_trial(attempt_key.clone());
         }
         let timeouts = AttemptTimeouts { request: request.id, start_within, response_within };
         host.start_attempt(&attempt_key.message, to.endpoint, timeouts);
@@ -89,9 +88,7 @@
     /// Records a request that has gone out, with what it adds to the load of its endpoint.
     fn record_request(&mut self, to: AdmittedEndpoint, request: RequestInFlight, load: f64) {
         let now = request.started_at;
-        let circuit = self.circuit_mut(to.scope);
-        circuit.in_flight.push_back(request);
-        circuit.last_sent = now;
+        self.circuit_mut(to.scope).record_request(request);
         self.endpoints.update_usage(&[to.endpoint], |usage| {
             usage.requests_in_flight += 1;
             usage.last_sent = now;
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -49,14 +49,14 @@
             .map(|(id, endpoint)| (self.endpoints.scope_of(id, endpoint), self.fair_share(endpoint, now)))
             .collect();
         for (scope, fair_share) in shares {
-            let is_first = self.circuit_mut(scope).pacing.interval == 0.0;
+            let is_first = self.circuit_mut(scope).pacing().interval() == 0.0;
             let drawn = if is_first { self.random.draw() } else { 0.0 };
-            let circuit = self.circuit_mut(scope);
+            let pacing = self.circuit_mut(scope).pacing_mut();
             if is_first {
-                circuit.pacing.interval = APPROXIMATE_RATE_MARGIN / fair_share;
-                circuit.pacing.put_off_until = now + seconds(drawn * circuit.pacing.interval);
+                pacing.set_interval(APPROXIMATE_RATE_MARGIN / fair_share);
+                pacing.put_off(now + seconds(drawn * pacing.interval()));
             }
-            circuit.pacing.put_off_until = circuit.pacing.put_off_until.min(objective_at);
+            pacing.put_off(pacing.put_off_until().min(objective_at));
         }
     }
 }
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -36,8 +36,8 @@
             self.parameters.recovery_delay
         };
         let Some(circuit) = self.circuits.get_mut(scope) else { return };
-        circuit.retry_after_until = circuit.retry_after_until.max(now + wait);
-        circuit.last_retry_after = wait;
+        circuit.extend_retry_after(now + wait);
+        circuit.set_last_retry_after(wait);
         if wait >= opens_from {
             circuit.reopen(now, wait);
         }
@@ -50,14 +50,15 @@
         now: Duration,
     ) -> Option<Duration> {
         let most = self.parameters.max_retry_after?;
-        let closed_at =
-            |circuit: &CircuitBreaker| circuit.retry_after_until.max(circuit.open_until.unwrap_or_default());
+        let closed_at = |circuit: &CircuitBreaker| {
+            circuit.retry_after_until().max(circuit.open_until().unwrap_or_default())
+        };
         let available_at = self.circuits_of(destination).map(closed_at).min().unwrap_or_default();
         Some(available_at.saturating_sub(now).max(self.parameters.recovery_delay).min(most))
     }
 
     /// When the first of a destination's endpoints may be called again, as far as Retry-After goes.
     pub(super) fn retry_after_ends(&self, destination: DestinationId) -> Duration {
-        self.circuits_of(destination).map(|circuit| circuit.retry_after_until).min().unwrap_or_default()
+        self.circuits_of(destination).map(|circuit| circuit.retry_after_until()).min().unwrap_or_default()
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -45,7 +45,8 @@
         let Some(last_fault) = endpoint.usage().last_fault else { return SlowStartBudget::UNLIMITED };
         let parameters = &self.parameters;
         // What has not answered many forwarders may still be down, and sooner requests of each would overload it.
-        let answered = self.circuits.get(scope).is_some_and(|circuit| circuit.last_answer >= last_fault);
+        let answered =
+            self.circuits.get(scope).is_some_and(|circuit| circuit.last_completion() >= last_fault);
         let down = if answered || !parameters.sparse_traffic {
             Duration::ZERO
         } else {
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -27,10 +27,10 @@
     /// sooner.
     pub(super) fn straggler_after(&self, circuit: &CircuitBreaker) -> Duration {
         let mean = circuit
-            .mean_latency
-            .or(self.response_times.mean_latency)
+            .mean_latency()
+            .or(self.response_times.mean_latency())
             .unwrap_or(self.parameters.recovery_delay.as_secs_f64() / 2.0);
-        let sharing = circuit.in_flight.len().max(1) as f64;
+        let sharing = circuit.in_flight().len().max(1) as f64;
         seconds(mean * (STRAGGLER_MEANS + STRAGGLER_SHARED_MEANS / sharing))
             .max(self.parameters.recovery_delay / MIN_STRAGGLER_PART)
     }
@@ -69,10 +69,11 @@
                 if self.admit(scope, endpoint, now) != Admission::Admit {
                     continue;
                 }
-                let own = self.circuits.get(scope).map_or(Duration::ZERO, |circuit| circuit.last_answer);
+                let own =
+                    self.circuits.get(scope).map_or(Duration::ZERO, |circuit| circuit.last_completion());
                 let is_recent =
                     own > Duration::ZERO && now.saturating_sub(own) < self.parameters.failure_window;
-                newest = newest.max(if is_recent { own } else { self.response_times.last_answer });
+                newest = newest.max(if is_recent { own } else { self.response_times.last_completion() });
             }
         }
         newest
@@ -82,7 +83,7 @@
     /// message is finished.
     fn allowed_time(&self, attempt: &Attempt) -> Option<Duration> {
         let circuit = self.circuits.get(attempt.scope)?;
-        if circuit.last_answer > attempt.started_at {
+        if circuit.last_completion() > attempt.started_at {
             return None;
         }
         let message = self.messages.get(attempt.message)?;
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -31,8 +31,8 @@
     /// Until when an attempt may begin. What is in flight when the program stops may have been executed, and a
     /// non-idempotent message is lost by it.
     pub(super) fn start_by(&self, message: &Message, scope: CircuitScope) -> Duration {
-        let own = self.circuits.get(scope).and_then(|circuit| circuit.mean_latency);
-        let mean = own.or(self.response_times.mean_latency).unwrap_or_default();
+        let own = self.circuits.get(scope).and_then(|circuit| circuit.mean_latency());
+        let mean = own.or(self.response_times.mean_latency()).unwrap_or_default();
         let means = if self.idempotency(message) == Idempotency::NonIdempotent { TRIAL_MEANS } else { 0.0 };
         let shutdown =
             self.shutdown_deadline.map_or(Duration::MAX, |by| by.saturating_sub(seconds(means * mean)));
@@ -43,8 +43,8 @@
     pub(super) fn response_timeout(&self, message: &Message, scope: CircuitScope, trial: bool) -> Duration {
         let class = &self.parameters.classes[message.class];
         let circuit = self.circuits.get(scope);
-        let mean = circuit.and_then(|circuit| circuit.mean_latency).unwrap_or(0.0);
-        let timeouts = circuit.map_or(0, |circuit| circuit.consecutive_timeouts.min(MAX_TIMEOUT_GROWTHS));
+        let mean = circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(0.0);
+        let timeouts = circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_TIMEOUT_GROWTHS));
         let growth = TIMEOUT_GROWTH.powi(timeouts as i32);
         // No second trial goes while one is in flight, so that a long one would hide the recovery.
         let ordinary = (TIMEOUT_MEANS, class.latency_objective);
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -1,10 +1,10 @@
-//! Circuit breakers: the record of each, and the table of those in use.
+//! The record of one circuit breaker.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::{AttemptKey, RequestInFlight};
-use crate::interface::CircuitScope;
+use super::{AttemptKey, Pacing, RequestInFlight};
+use crate::interface::RequestId;
 
 /// The state of a circuit breaker at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,48 +20,36 @@
     HalfOpen,
 }
 
-/// What rejections have shown of how far apart requests have to be.
-#[derive(Default)]
-pub(crate) struct Pacing {
-    /// Least seconds between two requests.
-    pub(crate) interval: f64,
-    /// The last time at which a rejection widened it.
-    pub(crate) changed_at: Duration,
-    /// Until when the next request is put off by chance after a rejection.
-    pub(crate) put_off_until: Duration,
-}
-
 /// The record of one circuit breaker, and what the guards around it remember. The decisions on it are in
 /// [`policy::circuit_breaker`](crate::policy).
 #[derive(Default)]
 pub(crate) struct CircuitBreaker {
     /// Times of the latest failures, oldest first.
-    pub(crate) failures: Vec<Duration>,
+    failures: Vec<Duration>,
     /// None while the circuit is closed.
-    pub(crate) open_until: Option<Duration>,
-    /// The last change of the two fields above.
-    pub(crate) changed_at: Duration,
-    /// The trial that is in flight.
-    pub(crate) trial: Option<AttemptKey>,
+    open_until: Option<Duration>,
+    /// The last change of the two fields above, but for a reset.
+    changed_at: Duration,
+    /// The half-open trial that is in flight.
+    trial: Option<AttemptKey>,
     /// Most requests in flight at once while traffic returns after a recovery; none: no such limit.
-    pub(crate) recovery_ramp: Option<usize>,
-    /// No request before this time, as the destination asked.
-    pub(crate) retry_after_until: Duration,
-    /// The last Retry-After received, halved with each later completion.
-    pub(crate) last_retry_after: Duration,
-    pub(crate) pacing: Pacing,
-    pub(crate) consecutive_timeouts: u32,
-    pub(crate) last_sent: Duration,
+    recovery_ramp: Option<usize>,
+    retry_after_until: Duration,
+    last_retry_after: Duration,
+    pacing: Pacing,
+    /// Since the last completion.
+    consecutive_timeouts: u32,
+    last_sent: Duration,
     /// Requests in flight, in the order in which they were sent.
-    pub(crate) in_flight: VecDeque<RequestInFlight>,
+    in_flight: VecDeque<RequestInFlight>,
     /// Running mean of its response times, in seconds.
-    pub(crate) mean_latency: Option<f64>,
-    /// The last completion.
-    pub(crate) last_answer: Duration,
+    mean_latency: Option<f64>,
+    last_completion: Duration,
     /// Share of its rate limit that was left by the last report; none where no limit is reported.
-    pub(crate) limit_left: Option<f64>,
+    limit_left: Option<f64>,
 }
 
+// Failures, and the state that follows from them.
 impl CircuitBreaker {
     /// The state at this time.
     pub(crate) fn state(&self, now: Duration) -> CircuitState {
@@ -77,73 +65,175 @@
         self.open_until.is_none()
     }
 
-    /// How many requests in flight were sent at this time or later.
-    pub(crate) fn requests_since(&self, since: Duration) -> usize {
-        self.in_flight.iter().rev().take_while(|request| request.started_at >= since).count()
+    /// When an open circuit becomes half-open, or has become so; none while it is closed.
+    pub(crate) fn open_until(&self) -> Option<Duration> {
+        self.open_until
     }
 
-    /// The last time at which the record was used, or until which it holds requests back.
-    pub(crate) fn used_until(&self) -> Duration {
-        let used = self.last_sent.max(self.changed_at).max(self.pacing.put_off_until);
-        used.max(self.retry_after_until).max(self.open_until.unwrap_or_default())
+    /// The last failure, opening or closing.
+    pub(crate) fn changed_at(&self) -> Duration {
+        self.changed_at
+    }
+
+    /// How many failures are kept.
+    pub(crate) fn failure_count(&self) -> usize {
+        self.failures.len()
+    }
+
+    /// Adds a failure, and drops those that are older than the window, or the oldest if there are too many.
+    pub(crate) fn add_failure(&mut self, now: Duration, window: Duration, max_kept: usize) {
+        self.failures.push(now);
+        self.failures.retain(|failure| now.saturating_sub(*failure) <= window);
+        self.failures.drain(..self.failures.len().saturating_sub(max_kept));
+        self.changed_at = now;
+    }
+
+    /// Opens the circuit until this time, in place of an earlier or a later one.
+    pub(crate) fn open(&mut self, now: Duration, until: Duration) {
+        self.open_until = Some(until);
+        self.changed_at = now;
+    }
+
+    /// Opens the circuit until this time, unless it is open for longer.
+    pub(crate) fn extend_open(&mut self, now: Duration, until: Duration) {
+        self.open_until = self.open_until.max(Some(until));
+        self.changed_at = now;
+    }
+
+    /// Closes the circuit and drops its failures.
+    pub(crate) fn close(&mut self, now: Duration) {
+        self.reset();
+        self.changed_at = now;
+    }
+
+    /// Closes the circuit and drops its failures, which counts as no change of the record.
+    pub(crate) fn reset(&mut self) {
+        self.failures.clear();
+        self.open_until = None;
+    }
+
+    /// Whether a half-open trial is in flight.
+    pub(crate) fn has_trial(&self) -> bool {
+        self.trial.is_some()
+    }
+
+    /// A half-open trial has been sent.
+    pub(crate) fn begin_trial(&mut self, attempt: AttemptKey) {
+        self.trial = Some(attempt);
+    }
+
+    /// An attempt has ended, which may be the trial.
+    pub(crate) fn end_trial(&mut self, attempt: &AttemptKey) {
+        self.trial.take_if(|trial| trial == attempt);
+    }
+
+    /// Most requests in flight at once while traffic returns after a recovery; none: no such limit.
+    pub(crate) fn recovery_ramp(&self) -> Option<usize> {
+        self.recovery_ramp
+    }
+
+    pub(crate) fn set_recovery_ramp(&mut self, most: Option<usize>) {
+        self.recovery_ramp = most;
     }
 }
 
-/// The circuit breakers in use. One is made when it is first changed and removed when idle for long.
-#[derive(Default)]
-pub(crate) struct CircuitTable {
-    circuits: BTreeMap<CircuitScope, CircuitBreaker>,
-    /// When each is next looked at for its removal.
-    review_at: BTreeSet<(Duration, CircuitScope)>,
-    /// Made since reviews were last scheduled.
-    without_review: Vec<CircuitScope>,
+// What the destination asks for.
+impl CircuitBreaker {
+    /// No request is sent before this time, as the destination asked.
+    pub(crate) fn retry_after_until(&self) -> Duration {
+        self.retry_after_until
+    }
+
+    /// Holds requests back until this time, unless they are held back for longer.
+    pub(crate) fn extend_retry_after(&mut self, until: Duration) {
+        self.retry_after_until = self.retry_after_until.max(until);
+    }
+
+    /// The last Retry-After, by which missing ones are estimated.
+    pub(crate) fn last_retry_after(&self) -> Duration {
+        self.last_retry_after
+    }
+
+    pub(crate) fn set_last_retry_after(&mut self, wait: Duration) {
+        self.last_retry_after = wait;
+    }
+
+    /// Share of its rate limit that was left by the last report; none where no limit is reported.
+    pub(crate) fn limit_left(&self) -> Option<f64> {
+        self.limit_left
+    }
+
+    pub(crate) fn set_limit_left(&mut self, share: Option<f64>) {
+        self.limit_left = share;
+    }
+
+    pub(crate) fn pacing(&self) -> &Pacing {
+        &self.pacing
+    }
+
+    pub(crate) fn pacing_mut(&mut self) -> &mut Pacing {
+        &mut self.pacing
+    }
 }
 
-impl CircuitTable {
-    pub(crate) fn len(&self) -> usize {
-        self.circuits.len()
+// Its requests, and how long they take.
+impl CircuitBreaker {
+    /// A request has been sent.
+    pub(crate) fn record_request(&mut self, request: RequestInFlight) {
+        self.in_flight.push_back(request);
+        self.last_sent = request.started_at;
     }
 
-    pub(crate) fn get(&self, scope: CircuitScope) -> Option<&CircuitBreaker> {
-        self.circuits.get(&scope)
+    /// A request has ended, with whatever outcome.
+    pub(crate) fn end_request(&mut self, id: RequestId) {
+        self.in_flight.retain(|request| request.id != id);
     }
 
-    pub(crate) fn get_mut(&mut self, scope: CircuitScope) -> Option<&mut CircuitBreaker> {
-        self.circuits.get_mut(&scope)
+    /// A request was completed; `mean_latency` is the running mean of response times with this one, in seconds.
+    pub(crate) fn record_completion(&mut self, now: Duration, mean_latency: f64) {
+        self.last_completion = now;
+        self.mean_latency = Some(mean_latency);
+        self.consecutive_timeouts = 0;
     }
 
-    /// The circuit breaker of a scope, made if there is none.
-    pub(crate) fn get_or_insert(&mut self, scope: CircuitScope) -> &mut CircuitBreaker {
-        self.circuits.entry(scope).or_insert_with(|| {
-            self.without_review.push(scope);
-            CircuitBreaker::default()
-        })
+    /// A request has timed out.
+    pub(crate) fn record_timeout(&mut self) {
+        self.consecutive_timeouts += 1;
     }
 
-    pub(crate) fn remove(&mut self, scope: CircuitScope) {
-        self.circuits.remove(&scope);
+    /// Requests in flight, in the order in which they were sent.
+    pub(crate) fn in_flight(&self) -> &VecDeque<RequestInFlight> {
+        &self.in_flight
     }
 
-    /// All, in the order of their scopes.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (CircuitScope, &CircuitBreaker)> {
-        self.circuits.iter().map(|(scope, circuit)| (*scope, circuit))
+    /// How many requests in flight were sent at this time or later.
+    pub(crate) fn requests_since(&self, since: Duration) -> usize {
+        self.in_flight.iter().rev().take_while(|request| request.started_at >= since).count()
     }
 
-    /// Schedules the first review of those that were made since the last call.
-    pub(crate) fn schedule_first_reviews(&mut self, at: Duration) {
-        for scope in std::mem::take(&mut self.without_review) {
-            self.schedule_review(scope, at);
-        }
+    /// When the last request was sent; zero if none was.
+    pub(crate) fn last_sent(&self) -> Duration {
+        self.last_sent
     }
 
-    pub(crate) fn schedule_review(&mut self, scope: CircuitScope, at: Duration) {
-        self.review_at.insert((at, scope));
+    /// When the last request was completed; zero if none was.
+    pub(crate) fn last_completion(&self) -> Duration {
+        self.last_completion
     }
 
-    /// Takes the next scope whose review is due.
-    pub(crate) fn take_due_review(&mut self, now: Duration) -> Option<CircuitScope> {
-        let (_, scope) = self.review_at.first().copied().filter(|(due, _)| *due <= now)?;
-        self.review_at.pop_first();
-        Some(scope)
+    /// Running mean of its response times, in seconds; none before the first completion.
+    pub(crate) fn mean_latency(&self) -> Option<f64> {
+        self.mean_latency
+    }
+
+    /// Timeouts since the last completion.
+    pub(crate) fn consecutive_timeouts(&self) -> u32 {
+        self.consecutive_timeouts
+    }
+
+    /// The last time at which the record was used, or until which it holds requests back.
+    pub(crate) fn used_until(&self) -> Duration {
+        let used = self.last_sent.max(self.changed_at).max(self.pacing.put_off_until());
+        used.max(self.retry_after_until).max(self.open_until.unwrap_or_default())
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,6 +4,7 @@
 
 mod attempt;
 mod circuit;
+mod circuit_table;
 mod destination;
 mod endpoint;
 mod endpoint_directory;
@@ -12,6 +13,7 @@
 mod message_table;
 mod next_wake;
 mod ordering;
+mod pacing;
 mod parameters;
 mod poll_schedule;
 mod removed_endpoints;
@@ -22,7 +24,8 @@
 mod zones;
 
 pub(crate) use attempt::{AdmittedEndpoint, Attempt, AttemptKey, RequestInFlight};
-pub(crate) use circuit::{CircuitBreaker, CircuitState, CircuitTable, Pacing};
+pub(crate) use circuit::{CircuitBreaker, CircuitState};
+pub(crate) use circuit_table::CircuitTable;
 pub(crate) use endpoint::{Endpoint, EndpointUsage, SentLoad};
 pub(crate) use endpoint_directory::EndpointDirectory;
 pub(crate) use in_flight::{EndedAttempt, InFlight};
@@ -30,6 +33,7 @@
 pub(crate) use message_table::MessageTable;
 pub(crate) use next_wake::NextWake;
 pub(crate) use ordering::OrderingQueues;
+pub(crate) use pacing::Pacing;
 pub(crate) use parameters::{ClassParameters, KindParameters, PolicyParameters, TenantParameters};
 pub(crate) use poll_schedule::PollSchedule;
 pub(crate) use response_times::ResponseTimes;
--- a/src/state/response_times.rs
+++ b/src/state/response_times.rs
@@ -6,7 +6,24 @@
 #[derive(Default)]
 pub(crate) struct ResponseTimes {
     /// Running mean of all response times, in seconds.
-    pub(crate) mean_latency: Option<f64>,
-    /// The last completion.
-    pub(crate) last_answer: Duration,
+    mean_latency: Option<f64>,
+    last_completion: Duration,
+}
+
+impl ResponseTimes {
+    /// An attempt was completed; `mean_latency` is the running mean with this one, in seconds.
+    pub(crate) fn record_completion(&mut self, now: Duration, mean_latency: f64) {
+        self.last_completion = now;
+        self.mean_latency = Some(mean_latency);
+    }
+
+    /// Running mean of all response times, in seconds; none before the first completion.
+    pub(crate) fn mean_latency(&self) -> Option<f64> {
+        self.mean_latency
+    }
+
+    /// When the last attempt was completed; zero if none was.
+    pub(crate) fn last_completion(&self) -> Duration {
+        self.last_completion
+    }
 }
