--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -22,7 +22,7 @@
         let known = self.endpoints.get(endpoint).filter(|_| self.parameters.responses_carry_load_reports);
         let Some(scope) = known.map(|known| self.endpoints.scope_of(endpoint, known)) else { return };
         let limit = Some(report.limit).filter(|limit| *limit > 0.0);
-        self.endpoints.update_usage(&self.endpoints.in_scope(scope), |usage| usage.limit = limit);
+        self.endpoints.update_usage(&self.endpoints.in_scope(scope), |usage| usage.set_limit(limit));
         self.circuit_mut(scope).set_limit_left(limit.map(|_| report.left));
     }
 
@@ -45,7 +45,7 @@
     /// Requests a second that an endpoint takes from all forwarders: as listed, or less if it reports less.
     pub(super) fn listed_rate(&self, endpoint: &Endpoint) -> Option<f64> {
         let listed = endpoint.weight().filter(|_| self.parameters.listed_rate_margin.is_some())?;
-        Some(endpoint.usage().limit.map_or(listed, |limit| listed.min(limit)))
+        Some(endpoint.usage().limit().map_or(listed, |limit| listed.min(limit)))
     }
 
     /// Whether the list says how many requests with many messages each an endpoint takes.
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -76,8 +76,8 @@
     /// Whether an idle connection to the endpoint is likely to be open.
     fn has_idle_connection(&self, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
-        usage.requests_in_flight == 0
-            && usage.answered.is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
+        usage.requests_in_flight() == 0
+            && usage.answered().is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
     }
 
     /// Leaves out endpoints that failed this class and were called lately, if any other is left.
@@ -88,7 +88,7 @@
         let rested = |able: &AdmittedEndpoint| {
             let endpoint = &self.endpoints[able.endpoint];
             let delays = endpoint.consecutive_failures(class).min(MAX_REST_DELAYS);
-            now >= endpoint.usage().last_sent + self.parameters.recovery_delay * delays
+            now >= endpoint.usage().last_sent() + self.parameters.recovery_delay * delays
         };
         if able.iter().any(rested) {
             able.retain(rested);
@@ -127,7 +127,7 @@
             consecutive_failures: endpoint.consecutive_failures(class).min(MAX_COUNTED_FAILURES),
             slowness: self.slowness(circuit).log2() as u64,
             price: (self.price(endpoint, now) * PRICE_STEPS) as u64,
-            requests_in_flight: endpoint.usage().requests_in_flight,
+            requests_in_flight: endpoint.usage().requests_in_flight(),
         }
     }
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -55,8 +55,7 @@
         self.wake_scope(attempt.scope);
         if ended.request_ended {
             if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
-                let usage = endpoint.usage_mut();
-                usage.requests_in_flight = usage.requests_in_flight.saturating_sub(1);
+                endpoint.usage_mut().end_request();
             }
         }
         if let Some(circuit) = self.circuits.get_mut(attempt.scope) {
@@ -113,7 +112,7 @@
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
         );
-        endpoint.usage_mut().answered = answered.then_some(now);
+        endpoint.usage_mut().set_answered(answered.then_some(now));
         self.circuit_mut(attempt.scope);
         match outcome {
             AttemptOutcome::Cancelled | AttemptOutcome::Malformed => {}
@@ -138,7 +137,7 @@
     fn record_completion(&mut self, attempt: &Attempt, now: Duration) {
         let in_scope = self.endpoints.in_scope(attempt.scope);
         let has_fault =
-            |id: &_| self.endpoints.get(*id).is_some_and(|endpoint| endpoint.usage().last_fault.is_some());
+            |id: &_| self.endpoints.get(*id).is_some_and(|endpoint| endpoint.usage().last_fault().is_some());
         let had_faults = in_scope.iter().any(has_fault);
         let parameters = &self.parameters;
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
@@ -154,12 +153,12 @@
             circuit.set_recovery_ramp(None);
         }
         if let Some(usage) = self.endpoints.get_mut(attempt.endpoint).map(Endpoint::usage_mut) {
-            usage.consecutive_failures.remove(&attempt.class);
+            usage.reset_failures(attempt.class);
             usage.earn_retry_tokens(parameters.initial_retry_tokens);
         }
         // Whatever the circuit's endpoints showed before, they have only now recovered.
         if recovered && had_faults {
-            self.endpoints.update_usage(&in_scope, |usage| usage.last_fault = Some(now));
+            self.endpoints.update_usage(&in_scope, |usage| usage.record_fault(now));
         }
     }
 
@@ -169,16 +168,16 @@
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         let Some(usage) = self.endpoints.get_mut(attempt.endpoint).map(Endpoint::usage_mut) else { return };
         circuit.record_failure(now, recovery_delay, &self.parameters);
-        *usage.consecutive_failures.entry(attempt.class).or_default() += 1;
+        usage.record_failure(attempt.class);
         match outcome {
             // The request never reached the destination, and put no load on it.
-            AttemptOutcome::NoConnection => drop(usage.recent_load.pop_back()),
+            AttemptOutcome::NoConnection => usage.drop_last_load(),
             AttemptOutcome::TimedOut => circuit.record_timeout(),
             _ => {}
         }
         // One broken connection between answers shows something of itself, and is no outage.
         if outcome == AttemptOutcome::TimedOut || circuit.failure_count() > 1 {
-            usage.last_fault = Some(now);
+            usage.record_fault(now);
         }
     }
 
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -55,7 +55,7 @@
             self.circuits.remove(scope);
             for id in self.endpoints.in_scope(scope) {
                 let endpoint = self.endpoints.get_mut(id);
-                if let Some(endpoint) = endpoint.filter(|e| e.usage().requests_in_flight == 0) {
+                if let Some(endpoint) = endpoint.filter(|e| e.usage().requests_in_flight() == 0) {
                     endpoint.forget_usage();
                 }
             }
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -71,7 +71,7 @@
         }
         if all_faulty {
             let until = now + retry_after.unwrap_or_default();
-            self.endpoints.update_usage(&load.in_scope, |usage| usage.last_fault = Some(until));
+            self.endpoints.update_usage(&load.in_scope, |usage| usage.record_fault(until));
         }
     }
 
@@ -81,7 +81,7 @@
         let usual = self.baseline_rate(endpoint, now);
         let usual_rate = usual * in_scope.len() as f64 / self.endpoints.max_batch(endpoint) as f64;
         let endpoints = in_scope.iter().filter_map(|id| self.endpoints.get(*id));
-        let recent_load = endpoints.flat_map(|endpoint| &endpoint.usage().recent_load);
+        let recent_load = endpoints.flat_map(|endpoint| endpoint.usage().recent_load());
         let is_recent = |at: Duration| now.saturating_sub(at) < self.parameters.overload_window;
         Some(LoadAtRejection {
             recovery_delay: self.recovery_delay(endpoint, now),
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -87,13 +87,9 @@
 
     /// Records a request that has gone out, with what it adds to the load of its endpoint.
     fn record_request(&mut self, to: AdmittedEndpoint, request: RequestInFlight, load: f64) {
-        let now = request.started_at;
         self.circuit_mut(to.scope).record_request(request);
-        self.endpoints.update_usage(&[to.endpoint], |usage| {
-            usage.requests_in_flight += 1;
-            usage.last_sent = now;
-            usage.recent_load.push_back(SentLoad { at: now, load });
-        });
+        let sent = SentLoad { at: request.started_at, load };
+        self.endpoints.update_usage(&[to.endpoint], |usage| usage.record_request(sent));
     }
 
     /// Commands to cancel every attempt that a request carries.
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -21,14 +21,14 @@
 impl EndpointUsage {
     /// A completion earns a part of a retry.
     pub(super) fn earn_retry_tokens(&mut self, initial: f64) {
-        let tokens = self.retry_tokens.unwrap_or(initial);
-        self.retry_tokens = Some((tokens + RETRY_BUDGET_PER_ANSWER).min(RETRY_BUDGET_MAX));
+        let tokens = self.retry_tokens().unwrap_or(initial);
+        self.set_retry_tokens((tokens + RETRY_BUDGET_PER_ANSWER).min(RETRY_BUDGET_MAX));
     }
 
     /// A retry has been sent.
     pub(super) fn spend_retry_token(&mut self, initial: f64) {
-        let tokens = self.retry_tokens.unwrap_or(initial);
-        self.retry_tokens = Some((tokens - 1.0).max(0.0));
+        let tokens = self.retry_tokens().unwrap_or(initial);
+        self.set_retry_tokens((tokens - 1.0).max(0.0));
     }
 }
 
@@ -37,13 +37,14 @@
     /// may also go by the pacing alone; where forwarders are few, after a usual gap.
     pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
-        if message.attempts == 0 || usage.retry_tokens.unwrap_or(self.parameters.initial_retry_tokens) >= 1.0
+        if message.attempts == 0
+            || usage.retry_tokens().unwrap_or(self.parameters.initial_retry_tokens) >= 1.0
         {
             return true;
         }
         let usual = self.baseline_rate(endpoint, now).max(MIN_RATE);
         let latency_objective = self.parameters.classes[message.class].latency_objective;
-        let idle = now.saturating_sub(usage.last_sent);
+        let idle = now.saturating_sub(usage.last_sent());
         if message.possibly_executed.is_some() {
             return idle >= self.parameters.recovery_delay;
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -42,7 +42,7 @@
         endpoint: &Endpoint,
         now: Duration,
     ) -> SlowStartBudget {
-        let Some(last_fault) = endpoint.usage().last_fault else { return SlowStartBudget::UNLIMITED };
+        let Some(last_fault) = endpoint.usage().last_fault() else { return SlowStartBudget::UNLIMITED };
         let parameters = &self.parameters;
         // What has not answered many forwarders may still be down, and sooner requests of each would overload it.
         let answered =
@@ -63,7 +63,7 @@
         let usual = self.baseline_rate(endpoint, now);
         let per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * usual;
         // One forwarder's share is few requests in each span, so that they are paced and not counted.
-        let last = endpoint.usage().recent_load.back();
+        let last = endpoint.usage().recent_load().back();
         let next = last.map(|sent| sent.at + seconds(sent.load / per_second.max(MIN_RATE)));
         let budget = (per_second * parameters.overload_window.as_secs_f64()).max(1.0);
         match next {
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -27,19 +27,19 @@
 #[derive(Default)]
 pub(crate) struct EndpointUsage {
     /// Requests a second that its rate limit allows, by the last report.
-    pub(crate) limit: Option<f64>,
-    /// Retries that completions have earned and retries have not spent; none before the first completion.
-    pub(crate) retry_tokens: Option<f64>,
-    pub(crate) requests_in_flight: u32,
+    limit: Option<f64>,
+    /// Retries that completions have earned and retries have not spent; none before the first of either.
+    retry_tokens: Option<f64>,
+    requests_in_flight: u32,
     /// Failures of each class since its last completion, by class index.
-    pub(crate) consecutive_failures: BTreeMap<usize, u32>,
+    consecutive_failures: BTreeMap<usize, u32>,
     /// Last evidence that it may be down or cold.
-    pub(crate) last_fault: Option<Duration>,
+    last_fault: Option<Duration>,
     /// What was sent lately, oldest first.
-    pub(crate) recent_load: VecDeque<SentLoad>,
-    pub(crate) last_sent: Duration,
+    recent_load: VecDeque<SentLoad>,
+    last_sent: Duration,
     /// When its last request ended, if that ended with an answer, which leaves a connection idle.
-    pub(crate) answered: Option<Duration>,
+    answered: Option<Duration>,
 }
 
 /// The load that one request put on an endpoint, in requests with one message.
@@ -50,6 +50,84 @@
 }
 
 impl EndpointUsage {
+    /// Requests a second that its rate limit allows, by the last report; none if there is no limit.
+    pub(crate) fn limit(&self) -> Option<f64> {
+        self.limit
+    }
+
+    pub(crate) fn set_limit(&mut self, limit: Option<f64>) {
+        self.limit = limit;
+    }
+
+    /// Retries that completions have earned and retries have not spent; none before the first of either.
+    pub(crate) fn retry_tokens(&self) -> Option<f64> {
+        self.retry_tokens
+    }
+
+    pub(crate) fn set_retry_tokens(&mut self, tokens: f64) {
+        self.retry_tokens = Some(tokens);
+    }
+
+    /// A request has been sent, which puts so much load on the endpoint.
+    pub(crate) fn record_request(&mut self, sent: SentLoad) {
+        self.requests_in_flight += 1;
+        self.last_sent = sent.at;
+        self.recent_load.push_back(sent);
+    }
+
+    /// A request has ended, with whatever outcome.
+    pub(crate) fn end_request(&mut self) {
+        self.requests_in_flight = self.requests_in_flight.saturating_sub(1);
+    }
+
+    /// Takes back the load of the last request, which never reached the endpoint.
+    pub(crate) fn drop_last_load(&mut self) {
+        self.recent_load.pop_back();
+    }
+
+    pub(crate) fn requests_in_flight(&self) -> u32 {
+        self.requests_in_flight
+    }
+
+    /// When the last request was sent; zero if none was.
+    pub(crate) fn last_sent(&self) -> Duration {
+        self.last_sent
+    }
+
+    /// What was sent lately, oldest first.
+    pub(crate) fn recent_load(&self) -> &VecDeque<SentLoad> {
+        &self.recent_load
+    }
+
+    /// When the last request ended, if that ended with an answer, which leaves a connection idle.
+    pub(crate) fn answered(&self) -> Option<Duration> {
+        self.answered
+    }
+
+    pub(crate) fn set_answered(&mut self, at: Option<Duration>) {
+        self.answered = at;
+    }
+
+    /// A message of a class, by its index, has failed.
+    pub(crate) fn record_failure(&mut self, class: usize) {
+        *self.consecutive_failures.entry(class).or_default() += 1;
+    }
+
+    /// A message of a class, by its index, was completed.
+    pub(crate) fn reset_failures(&mut self, class: usize) {
+        self.consecutive_failures.remove(&class);
+    }
+
+    /// Last evidence that the endpoint may be down or cold.
+    pub(crate) fn last_fault(&self) -> Option<Duration> {
+        self.last_fault
+    }
+
+    /// The endpoint may be down or cold as of this time.
+    pub(crate) fn record_fault(&mut self, at: Duration) {
+        self.last_fault = Some(at);
+    }
+
     /// Drops load and faults that are older than the given spans; the last load is kept.
     pub(crate) fn forget_stale(&mut self, now: Duration, load_for: Duration, fault_for: Duration) {
         while self.recent_load.len() > 1 && now.saturating_sub(self.recent_load[0].at) > load_for {
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -85,7 +85,7 @@
 
     /// Requests in flight to all endpoints of a destination.
     pub(crate) fn requests_in_flight(&self, id: DestinationId) -> usize {
-        self.of_destination(id).map(|(_, endpoint)| endpoint.usage().requests_in_flight as usize).sum()
+        self.of_destination(id).map(|(_, endpoint)| endpoint.usage().requests_in_flight() as usize).sum()
     }
 
     fn kind(&self, endpoint: &Endpoint) -> Option<&KindParameters> {
@@ -241,7 +241,7 @@
     /// number of them. Those that were removed since the last call count as removed now.
     pub(crate) fn expired(&mut self, now: Duration, keep: Duration) -> Vec<EndpointId> {
         self.removed.stamp(now);
-        let idle = |id: &EndpointId| self.get(*id).is_none_or(|e| e.usage().requests_in_flight == 0);
+        let idle = |id: &EndpointId| self.get(*id).is_none_or(|e| e.usage().requests_in_flight() == 0);
         self.removed.older_than(now, keep).filter(idle).take(FORGOTTEN_PER_RUN).collect()
     }
 
