--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -4,7 +4,7 @@
 
 use super::DeliveryPolicy;
 use crate::interface::{AttemptOutcome, FinishedAttempt, PolicyEvent, PolicyHost};
-use crate::state::{Attempt, AttemptKey, EndedAttempt, Endpoint, PossibleExecution};
+use crate::state::{Attempt, AttemptKey, EndedAttempt, PossibleExecution};
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
@@ -54,8 +54,8 @@
         }
         self.wake_scope(attempt.scope);
         if ended.request_ended {
-            if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
-                endpoint.usage_mut().end_request();
+            if let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) {
+                usage.end_request();
             }
         }
         if let Some(circuit) = self.circuits.get_mut(attempt.scope) {
@@ -107,12 +107,12 @@
 
     /// What one outcome shows of the circuit and the endpoint.
     fn record_outcome(&mut self, attempt: &Attempt, now: Duration, outcome: AttemptOutcome) {
-        let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) else { return };
+        let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) else { return };
         let answered = matches!(
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
         );
-        endpoint.usage_mut().set_answered(answered.then_some(now));
+        usage.set_answered(answered.then_some(now));
         self.circuit_mut(attempt.scope);
         match outcome {
             AttemptOutcome::Cancelled | AttemptOutcome::Malformed => {}
@@ -152,7 +152,7 @@
         if circuit.recovery_ramp().is_some_and(|requests| requests >= parameters.max_in_flight) {
             circuit.set_recovery_ramp(None);
         }
-        if let Some(usage) = self.endpoints.get_mut(attempt.endpoint).map(Endpoint::usage_mut) {
+        if let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) {
             usage.reset_failures(attempt.class);
             usage.earn_retry_tokens(parameters.initial_retry_tokens);
         }
@@ -166,7 +166,7 @@
         let Some(endpoint) = self.endpoints.get(attempt.endpoint) else { return };
         let recovery_delay = self.recovery_delay(endpoint, now);
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
-        let Some(usage) = self.endpoints.get_mut(attempt.endpoint).map(Endpoint::usage_mut) else { return };
+        let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) else { return };
         circuit.record_failure(now, recovery_delay, &self.parameters);
         usage.record_failure(attempt.class);
         match outcome {
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -5,7 +5,6 @@
 use super::circuit_breaker::RECORD_MARGIN;
 use super::DeliveryPolicy;
 use crate::interface::{CircuitScope, DestinationId, EndpointId};
-use crate::state::Endpoint;
 
 /// A circuit that was not used for so many times the longest deadline is forgotten.
 const IDLE_RETENTION_FACTOR: u32 = 10;
@@ -54,10 +53,7 @@
             }
             self.circuits.remove(scope);
             for id in self.endpoints.in_scope(scope) {
-                let endpoint = self.endpoints.get_mut(id);
-                if let Some(endpoint) = endpoint.filter(|e| e.usage().requests_in_flight() == 0) {
-                    endpoint.forget_usage();
-                }
+                self.endpoints.forget_idle_usage(id);
             }
         }
     }
@@ -79,7 +75,7 @@
             if let Some(circuit) = self.circuits.get_mut(self.endpoints.scope_of(id, endpoint)) {
                 circuit.expire_if_stale(now, &self.parameters);
             }
-            if let Some(usage) = self.endpoints.get_mut(id).and_then(Endpoint::usage_if_any) {
+            if let Some(usage) = self.endpoints.usage_if_any(id) {
                 usage.forget_stale(now, load_for, fault_for);
             }
         }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -165,17 +165,18 @@
     }
 
     /// What requests have shown, made if there was none yet.
-    pub(crate) fn usage_mut(&mut self) -> &mut EndpointUsage {
+    pub(super) fn usage_mut(&mut self) -> &mut EndpointUsage {
         self.usage.get_or_insert_default()
     }
 
     /// The same, for what matters only of an endpoint that requests were sent to.
-    pub(crate) fn usage_if_any(&mut self) -> Option<&mut EndpointUsage> {
+    pub(super) fn usage_if_any(&mut self) -> Option<&mut EndpointUsage> {
         self.usage.as_deref_mut()
     }
 
-    pub(crate) fn forget_usage(&mut self) {
-        self.usage = None;
+    /// Drops what requests have shown, unless one is in flight.
+    pub(super) fn forget_idle_usage(&mut self) {
+        self.usage.take_if(|usage| usage.requests_in_flight == 0);
     }
 
     /// Failures of a class, by its index, since the endpoint last completed one.
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -54,8 +54,21 @@
         self.endpoints.get(&id)
     }
 
-    pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
-        self.endpoints.get_mut(&id)
+    /// What requests have shown of an endpoint, made if there was none yet.
+    pub(crate) fn usage_mut(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
+        self.endpoints.get_mut(&id).map(Endpoint::usage_mut)
+    }
+
+    /// The same, for what matters only of an endpoint that requests were sent to.
+    pub(crate) fn usage_if_any(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
+        self.endpoints.get_mut(&id).and_then(Endpoint::usage_if_any)
+    }
+
+    /// Drops what requests have shown of an endpoint, unless one is in flight to it.
+    pub(crate) fn forget_idle_usage(&mut self, id: EndpointId) {
+        if let Some(endpoint) = self.endpoints.get_mut(&id) {
+            endpoint.forget_idle_usage();
+        }
     }
 
     pub(crate) fn destination(&self, id: DestinationId) -> Option<&Destination> {
