--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn message_progress(&self, id: &MessageId) -> Option<MessageProgress> {
         let message = self.messages().get(self.messages().key_of(id)?)?;
-        Some(MessageProgress { attempts: message.attempts, objective_at: message.objective_at })
+        Some(MessageProgress { attempts: message.attempts(), objective_at: message.objective_at() })
     }
 
     /// Whether an endpoint is kept, though it may have been removed from the list.
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -52,7 +52,7 @@
         let in_same_zone = |other: EndpointId| {
             id == other || self.endpoints.get(other).is_some_and(|other| other.is_in_zone_of(endpoint))
         };
-        by_zone && message.possibly_executed.is_some_and(|attempt| !in_same_zone(attempt.endpoint))
+        by_zone && message.possibly_executed().is_some_and(|attempt| !in_same_zone(attempt.endpoint))
     }
 
     /// How many times as long as any request one to this circuit takes; no less than once.
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -14,18 +14,18 @@
     /// Whether a message may not be sent again, whatever its destination does.
     pub(super) fn is_exhausted(&self, key: MessageKey, now: Duration) -> bool {
         let Some(message) = self.messages.get(key) else { return true };
-        message.attempts >= self.parameters.max_attempts
+        message.attempts() >= self.parameters.max_attempts
             || now >= message.deadline
             || (self.idempotency(message) == Idempotency::NonIdempotent
-                && message.possibly_executed.is_some())
+                && message.possibly_executed().is_some())
     }
 
     /// Gives the final answer for a message that is not delivered: it is rejected where submitting it again is
     /// harmless, and failed otherwise.
     pub(super) fn finish_undelivered(&mut self, key: MessageKey, now: Duration, host: &mut dyn PolicyHost) {
         let Some(message) = self.messages.get(key) else { return };
-        let not_executed = message.possibly_executed.is_none() && message.in_flight.is_empty();
-        let has_valid_key = message.possibly_executed.is_some() && now < self.key_valid_until(message);
+        let not_executed = message.possibly_executed().is_none() && message.in_flight().is_empty();
+        let has_valid_key = message.possibly_executed().is_some() && now < self.key_valid_until(message);
         let repeatable = match self.idempotency(message) {
             Idempotency::Idempotent => true,
             Idempotency::WithKey { scope, .. } => has_valid_key && scope == KeyScope::Region,
@@ -49,7 +49,7 @@
         let mut expired: Vec<_> = self.queue.expiring(now, answer_time).into_iter().collect();
         expired.sort_by_key(|key| {
             let message = &self.messages[*key];
-            (message.destination, message.queued.map(|entry| entry.number))
+            (message.destination, message.queued().map(|entry| entry.number))
         });
         for key in expired {
             self.finish_undelivered(key, now, host);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -50,7 +50,7 @@
         let ended = self.in_flight.end_attempt(key)?;
         let attempt = &ended.attempt;
         if let Some(message) = self.messages.get_mut(attempt.message) {
-            message.in_flight.remove(&key.number);
+            message.end_attempt(key.number);
         }
         self.wake_scope(attempt.scope);
         if ended.request_ended {
@@ -78,8 +78,8 @@
             return false;
         }
         let Some(message) = self.messages.get_mut(attempt.message) else { return false };
-        message.errors += 1;
-        message.errors > 1
+        message.record_error();
+        message.errors() > 1
     }
 
     /// Records what an outcome shows, and reports it if the circuit opened or closed by it.
@@ -193,13 +193,13 @@
         let key = attempt.message;
         let Some(message) = self.messages.get_mut(key) else { return };
         if !outcome.proves_not_executed() {
-            let earlier = message.possibly_executed.map(|earlier| earlier.started_at);
-            message.possibly_executed = Some(PossibleExecution {
+            let earlier = message.possibly_executed().map(|earlier| earlier.started_at);
+            message.set_possibly_executed(Some(PossibleExecution {
                 started_at: earlier.map_or(attempt.started_at, |at| at.min(attempt.started_at)),
                 endpoint: attempt.endpoint,
-            });
+            }));
         }
-        if !message.in_flight.is_empty() {
+        if !message.in_flight().is_empty() {
             return;
         }
         if outcome == AttemptOutcome::Malformed {
--- a/src/policy/priority.rs
+++ b/src/policy/priority.rs
@@ -13,7 +13,7 @@
     /// The priority weight of a message now: that of its class, less what lateness and its tenant's quota take.
     pub(super) fn priority(&self, message: &Message, now: Duration) -> f64 {
         let class = &self.parameters.classes[message.class];
-        let late = now.saturating_sub(message.objective_at).as_secs_f64();
+        let late = now.saturating_sub(message.objective_at()).as_secs_f64();
         let left = match self.parameters.late_decay {
             LateDecay::Exponential => exponential_decay(class, late),
             LateDecay::Linear => linear_decay(class, late),
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -19,7 +19,7 @@
         if self.messages.contains(&message.id) {
             return;
         }
-        message.arrival = self.numbers.next();
+        message.set_arrival(self.numbers.next());
         let (destination, ordering_key, arrival) =
             (message.destination, message.ordering_key, message.arrival);
         let key = self.messages.insert(message);
@@ -42,7 +42,7 @@
         let (destination, position) = (message.destination, self.queue_position(message));
         self.queue.insert(destination, key, &position);
         if let Some(message) = self.messages.get_mut(key) {
-            message.queued = Some(QueueEntry { number, position });
+            message.set_queued(QueueEntry { number, position });
         }
     }
 
@@ -52,12 +52,12 @@
         QueuePosition {
             queue_class: QueueClass {
                 priority: PriorityClass { class: message.class, over_quota: message.over_quota },
-                errors: message.errors,
-                tried: message.attempts > 0,
-                possibly_executed: message.possibly_executed.is_some(),
+                errors: message.errors(),
+                tried: message.attempts() > 0,
+                possibly_executed: message.possibly_executed().is_some(),
                 blocked: !self.ordering.is_first(message.ordering_key, message.arrival),
             },
-            objective_at: message.objective_at,
+            objective_at: message.objective_at(),
             arrival: message.arrival,
             deadline: message.deadline,
             key_valid_until: Some(until).filter(|until| *until < Duration::MAX),
@@ -67,7 +67,7 @@
     /// Takes a message out of the queue; returns the number of its entry, if it had one.
     pub(super) fn dequeue(&mut self, key: MessageKey) -> Option<u64> {
         let message = self.messages.get_mut(key)?;
-        let entry = message.queued.take()?;
+        let entry = message.take_queued()?;
         self.queue.remove(message.destination, key, &entry.position);
         Some(entry.number)
     }
@@ -100,12 +100,12 @@
         let queued = self
             .messages
             .iter()
-            .filter_map(|(key, message)| Some((message.destination, key, message.queued.as_ref()?.position)));
+            .filter_map(|(key, message)| Some((message.destination, key, message.queued()?.position)));
         self.queue.check(queued);
         for (_, message) in self.messages.iter() {
-            if let Some(entry) = message.queued {
+            if let Some(entry) = message.queued() {
                 assert_eq!(entry.position, self.queue_position(message), "position of {:?}", message.id);
-                assert!(message.in_flight.is_empty(), "{:?} is queued and in flight", message.id);
+                assert!(message.in_flight().is_empty(), "{:?} is queued and in flight", message.id);
             }
         }
         for (scope, circuit) in self.circuits.iter() {
@@ -129,7 +129,7 @@
         self.dequeue(key);
         let Some(message) = self.messages.remove(key) else { return };
         self.leave_ordering_queue(&message.id, message.ordering_key, message.arrival);
-        message.in_flight.iter().for_each(|number| host.cancel(&message.id, *number));
+        message.in_flight().iter().for_each(|number| host.cancel(&message.id, *number));
     }
 
     /// Takes a message out of its key's queue once it is finished and none of its attempts is in flight.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -4,7 +4,7 @@
 
 use super::slow_start::LOAD_PER_EXTRA_MESSAGE;
 use super::{seconds, DeliveryPolicy};
-use crate::interface::{AttemptNumber, AttemptTimeouts, PolicyHost, RequestId};
+use crate::interface::{AttemptTimeouts, PolicyHost, RequestId};
 use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, Attempt, AttemptKey, RequestInFlight, SentLoad};
 
@@ -55,7 +55,7 @@
         let own_timeout = self.response_timeout(message, to.scope, to.half_open_trial);
         let response_within = own_timeout.max(shared_timeout).min(left);
         let start_within = self.start_by(message, to.scope).saturating_sub(now).min(response_within);
-        let is_retry = message.attempts > 0;
+        let is_retry = message.attempts() > 0;
         let attempt = Attempt::new(key, message, to, request);
         let Some(attempt_key) = self.record_attempt(attempt) else { return };
         if is_retry {
@@ -76,10 +76,7 @@
     fn record_attempt(&mut self, attempt: Attempt) -> Option<AttemptKey> {
         self.dequeue(attempt.message);
         let message = self.messages.get_mut(attempt.message)?;
-        let number = AttemptNumber(message.attempts);
-        message.attempts += 1;
-        message.in_flight.insert(number);
-        let key = AttemptKey { message: message.id.clone(), number };
+        let key = AttemptKey { number: message.start_attempt(), message: message.id.clone() };
         self.endpoints.traffic_mut(message.destination).record_request(attempt.request.0);
         self.in_flight.add_attempt(key.clone(), attempt);
         Some(key)
@@ -94,9 +91,6 @@
 
     /// Commands to cancel every attempt that a request carries.
     pub(super) fn cancel_request(&mut self, request: RequestId, host: &mut dyn PolicyHost) {
-        for (key, attempt) in self.in_flight.attempts_of_mut(request) {
-            attempt.cancelled = true;
-            host.cancel(&key.message, key.number);
-        }
+        self.in_flight.cancel_request(request, |key| host.cancel(&key.message, key.number));
     }
 }
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -18,16 +18,17 @@
     ) {
         let Some(key) = self.messages.key_of(id) else { return };
         let Some(message) = self.messages.get_mut(key) else { return };
-        message.attempts = previous.len() as u32;
+        message.set_previous_attempts(previous.len() as u32);
         let destination = message.destination;
         // Accepted once, it is no late newcomer: the nearer half of what it has left counts as its objective.
         let objective_at = now + message.deadline.saturating_sub(now) / 2;
-        message.objective_at = message.objective_at.max(objective_at);
+        message.extend_objective(objective_at);
         let unsure = previous.iter().filter(|attempt| !attempt.proves_not_executed);
-        message.possibly_executed = unsure
+        let earliest = unsure
             .map(|attempt| PossibleExecution { started_at: attempt.started_at, endpoint: attempt.endpoint })
             .min_by_key(|attempt| attempt.started_at);
-        if message.possibly_executed.is_some() {
+        message.set_possibly_executed(earliest);
+        if earliest.is_some() {
             // It may be running still.
             let until = now + self.parameters.ordering_hold_off;
             self.ordering.hold_off(message.ordering_key, message.arrival, until);
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -37,7 +37,7 @@
     /// may also go by the pacing alone; where forwarders are few, after a usual gap.
     pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
-        if message.attempts == 0
+        if message.attempts() == 0
             || usage.retry_tokens().unwrap_or(self.parameters.initial_retry_tokens) >= 1.0
         {
             return true;
@@ -45,7 +45,7 @@
         let usual = self.baseline_rate(endpoint, now).max(MIN_RATE);
         let latency_objective = self.parameters.classes[message.class].latency_objective;
         let idle = now.saturating_sub(usage.last_sent());
-        if message.possibly_executed.is_some() {
+        if message.possibly_executed().is_some() {
             return idle >= self.parameters.recovery_delay;
         }
         usual * latency_objective.as_secs_f64() >= 1.0
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -22,7 +22,7 @@
     /// Until when a retry is safe: while the idempotency key of the first attempt that may have executed the
     /// message is valid. Without end for what needs no key.
     pub(super) fn key_valid_until(&self, message: &Message) -> Duration {
-        match (message.possibly_executed, self.idempotency(message)) {
+        match (message.possibly_executed(), self.idempotency(message)) {
             (Some(first), Idempotency::WithKey { window, .. }) => first.started_at + window,
             _ => Duration::MAX,
         }
--- a/src/state/in_flight.rs
+++ b/src/state/in_flight.rs
@@ -43,12 +43,15 @@
         self.attempts.iter()
     }
 
-    /// The attempts that a request carries.
-    pub(crate) fn attempts_of_mut(
-        &mut self,
-        request: RequestId,
-    ) -> impl Iterator<Item = (&AttemptKey, &mut Attempt)> {
-        self.attempts.iter_mut().filter(move |(_, attempt)| attempt.request == request)
+    /// Marks the attempts that a request carries as cancelled, and calls `cancelled` with the key of each, in
+    /// ascending order.
+    pub(crate) fn cancel_request(&mut self, request: RequestId, mut cancelled: impl FnMut(&AttemptKey)) {
+        for (key, attempt) in &mut self.attempts {
+            if attempt.request == request {
+                attempt.cancelled = true;
+                cancelled(key);
+            }
+        }
     }
 
     /// Whether an attempt of the message is in flight.
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -29,7 +29,8 @@
     pub(crate) position: QueuePosition,
 }
 
-/// Lives from submission to the final answer.
+/// Lives from submission to the final answer. What is fixed with its acceptance can be read directly; what its
+/// attempts change goes through methods.
 pub(crate) struct Message {
     pub(crate) id: MessageId,
     /// The index of its class.
@@ -38,17 +39,18 @@
     pub(crate) destination: DestinationId,
     /// Its number among all arrivals and requests.
     pub(crate) arrival: u64,
-    pub(crate) objective_at: Duration,
     pub(crate) deadline: Duration,
+    /// Its tenant had used its quota up when it came.
     pub(crate) over_quota: bool,
+    objective_at: Duration,
     /// Attempts that were started.
-    pub(crate) attempts: u32,
+    attempts: u32,
     /// Answers with an error that it got.
-    pub(crate) errors: u32,
-    pub(crate) in_flight: BTreeSet<AttemptNumber>,
-    pub(crate) possibly_executed: Option<PossibleExecution>,
+    errors: u32,
+    in_flight: BTreeSet<AttemptNumber>,
+    possibly_executed: Option<PossibleExecution>,
     /// None while an attempt is in flight.
-    pub(crate) queued: Option<QueueEntry>,
+    queued: Option<QueueEntry>,
 }
 
 impl Message {
@@ -67,9 +69,9 @@
             ordering_key,
             destination,
             arrival: 0,
-            objective_at: times.objective_at,
             deadline: times.deadline,
             over_quota,
+            objective_at: times.objective_at,
             attempts: 0,
             errors: 0,
             in_flight: BTreeSet::new(),
@@ -77,4 +79,81 @@
             queued: None,
         }
     }
+
+    /// The message is accepted under this arrival number.
+    pub(crate) fn set_arrival(&mut self, arrival: u64) {
+        self.arrival = arrival;
+    }
+
+    /// Until when it meets its latency objective.
+    pub(crate) fn objective_at(&self) -> Duration {
+        self.objective_at
+    }
+
+    /// Puts the end of its latency objective off until this time, unless that is later already.
+    pub(crate) fn extend_objective(&mut self, until: Duration) {
+        self.objective_at = self.objective_at.max(until);
+    }
+
+    /// Attempts that were started.
+    pub(crate) fn attempts(&self) -> u32 {
+        self.attempts
+    }
+
+    /// Sets how many attempts were started before this start of the program.
+    pub(crate) fn set_previous_attempts(&mut self, attempts: u32) {
+        self.attempts = attempts;
+    }
+
+    /// Starts the next attempt; returns its number.
+    pub(crate) fn start_attempt(&mut self) -> AttemptNumber {
+        let number = AttemptNumber(self.attempts);
+        self.attempts += 1;
+        self.in_flight.insert(number);
+        number
+    }
+
+    /// An attempt has ended, with whatever outcome.
+    pub(crate) fn end_attempt(&mut self, number: AttemptNumber) {
+        self.in_flight.remove(&number);
+    }
+
+    /// The numbers of its attempts in flight, in ascending order.
+    pub(crate) fn in_flight(&self) -> &BTreeSet<AttemptNumber> {
+        &self.in_flight
+    }
+
+    /// Answers with an error that it got.
+    pub(crate) fn errors(&self) -> u32 {
+        self.errors
+    }
+
+    /// An attempt was answered with an error.
+    pub(crate) fn record_error(&mut self) {
+        self.errors += 1;
+    }
+
+    /// The earliest attempt that may have executed it; none if it is known not to have been executed.
+    pub(crate) fn possibly_executed(&self) -> Option<PossibleExecution> {
+        self.possibly_executed
+    }
+
+    pub(crate) fn set_possibly_executed(&mut self, attempt: Option<PossibleExecution>) {
+        self.possibly_executed = attempt;
+    }
+
+    /// Its place in the queue; none while an attempt is in flight.
+    pub(crate) fn queued(&self) -> Option<&QueueEntry> {
+        self.queued.as_ref()
+    }
+
+    /// It has been inserted into the queue.
+    pub(crate) fn set_queued(&mut self, entry: QueueEntry) {
+        self.queued = Some(entry);
+    }
+
+    /// Takes its place in the queue, from which it is to be removed.
+    pub(crate) fn take_queued(&mut self) -> Option<QueueEntry> {
+        self.queued.take()
+    }
 }
