--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -8,6 +8,8 @@
 
 /// A circuit that was not used for so many times the longest deadline is forgotten.
 const IDLE_RETENTION_FACTOR: u32 = 10;
+/// Removed endpoints that one run forgets at most, so that a list which drops many does not hold the run up.
+const MAX_FORGOTTEN_PER_RUN: usize = 1_000;
 
 impl DeliveryPolicy {
     /// Endpoints that were forgotten since the last call; a host need not know them any longer.
@@ -26,7 +28,7 @@
     /// Forgets endpoints that were removed that long ago, with their circuits, and destinations that have none
     /// left and no message: where endpoints are replaced all day, these would fill the memory.
     fn remove_endpoints(&mut self, now: Duration, keep: Duration) {
-        for id in self.endpoints.expired(now, keep) {
+        for id in self.endpoints.expired(now, keep, MAX_FORGOTTEN_PER_RUN) {
             let Some(destination) = self.endpoints.forget_endpoint(id) else { continue };
             self.circuits.remove(CircuitScope::Endpoint(id));
             self.queue.touch(destination);
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -6,6 +6,9 @@
 
 use crate::interface::EndpointId;
 
+/// The least span, in seconds, over which arrivals fade, so that nothing is divided by zero.
+const MIN_FADING_SECONDS: f64 = 0.001;
+
 /// What is listed for one destination, and what was submitted for it.
 #[derive(Default)]
 pub(crate) struct Destination {
@@ -92,7 +95,8 @@
 
     /// Arrivals within about this span before now.
     pub(crate) fn recent_arrivals(&self, now: Duration, span: Duration) -> f64 {
-        let spans = now.saturating_sub(self.recent_at).as_secs_f64() / span.as_secs_f64().max(0.001);
+        let spans =
+            now.saturating_sub(self.recent_at).as_secs_f64() / span.as_secs_f64().max(MIN_FADING_SECONDS);
         self.recent_arrivals * (-spans).exp()
     }
 }
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -10,9 +10,6 @@
 use super::{Endpoint, EndpointUsage, KindParameters};
 use crate::interface::{CircuitScope, DestinationId, EndpointId, EndpointState, EndpointUpdate};
 
-/// Removed endpoints that one run forgets at most, so that a list which drops many does not hold the run up.
-const FORGOTTEN_PER_RUN: usize = 1_000;
-
 /// All endpoints and destinations, with those that have left the list lately.
 pub(crate) struct EndpointDirectory {
     endpoints: BTreeMap<EndpointId, Endpoint>,
@@ -250,12 +247,12 @@
         }
     }
 
-    /// Endpoints that have been removed for longer than this span and have no request in flight; a limited
-    /// number of them. Those that were removed since the last call count as removed now.
-    pub(crate) fn expired(&mut self, now: Duration, keep: Duration) -> Vec<EndpointId> {
+    /// Endpoints that have been removed for longer than this span and have no request in flight; at most so many
+    /// of them. Those that were removed since the last call count as removed now.
+    pub(crate) fn expired(&mut self, now: Duration, keep: Duration, most: usize) -> Vec<EndpointId> {
         self.removed.stamp(now);
         let idle = |id: &EndpointId| self.get(*id).is_none_or(|e| e.usage().requests_in_flight() == 0);
-        self.removed.older_than(now, keep).filter(idle).take(FORGOTTEN_PER_RUN).collect()
+        self.removed.older_than(now, keep).filter(idle).take(most).collect()
     }
 
     /// Forgets an endpoint. Returns its destination, if the endpoint was known.
