--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -10,7 +10,7 @@
 pub struct StateSize {
     /// Messages without a final answer.
     pub messages: usize,
-    /// Endpoints, with those that were removed lately.
+    /// Endpoints, with those that were removed recently.
     pub endpoints: usize,
     /// Destinations with endpoints or messages.
     pub destinations: usize,
--- a/src/interface/commands.rs
+++ b/src/interface/commands.rs
@@ -10,10 +10,11 @@
 pub struct AttemptTimeouts {
     /// Attempts of the same request may travel as a batch; those of different requests never travel together.
     pub request: RequestId,
-    /// The first byte is written within this span or never; without it the attempt ends as not sent. What the
-    /// decision rests on may not hold for longer: an idempotency key expires, or the program stops.
+    /// The first byte is written within this span or never; an attempt that is too late ends as
+    /// [`AttemptOutcome::NotSent`](crate::AttemptOutcome::NotSent). Later the attempt might not be safe any more:
+    /// an idempotency key expires, or the program stops.
     pub start_within: Duration,
-    /// How long the response is waited for.
+    /// The response timeout.
     pub response_within: Duration,
 }
 
@@ -21,11 +22,11 @@
 pub trait PolicyHost {
     /// Starts the next attempt of a message.
     fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts);
-    /// Stops waiting for an attempt.
+    /// Cancels an attempt: its response is no longer awaited.
     fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber);
     /// Gives the final answer that the message was not delivered and that submitting it again is harmless.
     fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>);
-    /// Gives the final answer that the message was not delivered, with no promise about its effect.
+    /// Gives the final answer that the message was not delivered; it may have been executed.
     fn fail(&mut self, message: &MessageId);
     /// Calls [`DeliveryPolicy::timer_fired`](crate::DeliveryPolicy::timer_fired) once this span has passed.
     fn set_timer(&mut self, after: Duration);
@@ -33,9 +34,9 @@
     fn start_health_check(&mut self, endpoint: EndpointId);
     /// Sends gossip to another forwarder, or to all if none is named.
     fn send_gossip(&mut self, peer: Option<PeerId>, gossip: &[u8]);
-    /// Starts or stops to follow the endpoint list.
+    /// Starts or stops watching the endpoint list.
     fn subscribe(&mut self, on: bool);
-    /// Asks for the whole endpoint list once.
+    /// Fetches the whole endpoint list once.
     fn fetch_endpoint_list(&mut self);
     /// Reports an event for the log.
     fn report(&mut self, event: &PolicyEvent);
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -2,8 +2,8 @@
 
 use super::ids::{DestinationId, EndpointId};
 
-/// What a response or a health check reports of the rate limit that its endpoint stands under. Reports are up
-/// to a second old and a little noisy.
+/// What a response or a health check reports of the rate limit of its endpoint. Reports are up to a second old
+/// and a little noisy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
     /// Share of the limit that was left, 0 to 1.
@@ -28,18 +28,18 @@
     /// They have no agreed meaning.
     #[default]
     Unspecified,
-    /// Requests a second that an endpoint takes, up to half too high or too low.
+    /// Requests a second that an endpoint accepts, up to half too high or too low.
     ApproximateRates,
-    /// Requests a second that an endpoint takes on a usual day.
+    /// Requests a second that an endpoint accepts on an ordinary day.
     Rates,
 }
 
 /// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new requests.
+    /// It accepts new requests.
     Active,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its requests in flight and accepts no new ones.
     Draining,
     /// It has left the list.
     Removed,
@@ -51,11 +51,11 @@
     pub endpoint: EndpointId,
     /// The destination that it serves.
     pub destination: DestinationId,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
-    /// What it means is told by [`ListedWeights`].
+    /// Its meaning is that of the settings' [`ListedWeights`]; none if the list gives no weight.
     pub weight: Option<f64>,
-    /// The zone that it stands in; empty if unknown.
+    /// The zone that it is in; empty if unknown.
     pub zone: &'a str,
     /// The name of its [`EndpointKind`](crate::EndpointKind); empty if unknown.
     pub kind: &'a str,
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -1,4 +1,4 @@
-//! Messages as the policy is told of them.
+//! Messages and attempts as the host describes them to the policy.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     pub class: &'a str,
     /// Whose quota it counts against, if it names a tenant.
     pub tenant: Option<&'a str>,
-    /// Heeded in ordered classes only.
+    /// Ignored unless the class is ordered.
     pub ordering_key: Option<OrderingKey>,
     /// When its final answer is due.
     pub deadline: Duration,
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,5 +1,5 @@
 //! The interface between the delivery policy and the program that hosts it: identifiers, settings, what the
-//! policy is told, the commands that it gives and the events that it reports.
+//! host reports to the policy, the commands that it gives and the events that it reports.
 //!
 //! The policy does no input or output. A program that hosts it implements [`PolicyHost`], which carries out
 //! the policy's commands, and calls a [`DeliveryPolicy`](crate::DeliveryPolicy) with what happens. All times
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -9,7 +9,7 @@
     Completed,
     /// Answered with an error; the message may have been executed.
     Error,
-    /// Turned away before execution, as over a limit or with a full queue.
+    /// Rejected before execution, as over a rate limit or with a full queue.
     Rejected {
         /// The Retry-After that the destination asks for, if it gave one.
         retry_after: Option<Duration>,
@@ -20,7 +20,7 @@
     NoConnection,
     /// The connection was lost after the request's last byte was written.
     ConnectionReset,
-    /// Given up on command of the policy.
+    /// Cancelled by the policy.
     Cancelled,
     /// The request never left the forwarder.
     NotSent,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -51,7 +51,7 @@
     pub latency_objective: Option<Duration>,
     /// Time from submission to the deadline.
     pub deadline: Option<Duration>,
-    /// What a delivery within the objective is worth; 1 if not given.
+    /// Weight of a delivery within the objective, against other classes; 1 if not given.
     pub priority_weight: Option<f64>,
     /// Share of the weight that is left at the deadline, 0 to 1; 0 if not given.
     pub late_weight: Option<f64>,
@@ -75,7 +75,7 @@
 pub struct TenantQuota {
     /// The name that clients submit messages under.
     pub tenant: String,
-    /// Messages a second within its quota; without limit if not given.
+    /// Messages a second; without limit if not given.
     pub messages_per_second: Option<f64>,
 }
 
@@ -95,7 +95,7 @@
     pub seed: u64,
     /// Forwarders in the fleet.
     pub forwarders: Option<u64>,
-    /// The zone that this forwarder stands in.
+    /// The zone that this forwarder is in.
     pub zone: String,
     /// The classes that messages may have.
     pub classes: Vec<MessageClass>,
@@ -115,15 +115,15 @@
     pub max_attempts: Option<u64>,
     /// A message may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// Longest Retry-After that clients heed; absent if rejections may not carry one.
+    /// Longest Retry-After that clients honour; absent if rejections may not carry one.
     pub max_retry_after: Option<Duration>,
-    /// Share of its capacity that a destination has when it comes back from an outage.
+    /// Share of its capacity, 0 to 1, that a destination has right after an outage.
     pub slow_start_floor: Option<f64>,
-    /// How long a destination that came back takes to regain its whole capacity.
+    /// How long a destination takes after an outage to regain its full capacity.
     pub slow_start_duration: Option<Duration>,
-    /// A cold destination falls when it is sent more than this multiple of its capacity.
+    /// A destination that is warming up fails if its load exceeds this multiple of the capacity that it has then.
     pub overload_multiple: Option<f64>,
-    /// How long that load has to last for the destination to fall.
+    /// How long that overload has to last for the destination to fail.
     pub overload_window: Option<Duration>,
     /// How long an ordering key holds its next message off after an attempt with an unknown end.
     pub ordering_hold_off: Option<Duration>,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -14,9 +14,9 @@
     Admit,
     /// It may, as the trial of a half-open circuit.
     HalfOpenTrial,
-    /// Not before this time, and not before an event of the circuit; none: the latter alone.
+    /// Not before this time, or before an event of the circuit; without a time, not before an event.
     Wait(Option<Duration>),
-    /// Not before this time as things stand, which may change by time alone.
+    /// Not before this time by the present rates, which change as time passes.
     Paced(Option<Duration>),
 }
 
@@ -24,14 +24,14 @@
 pub(super) struct AdmittedEndpoints {
     /// In ascending order of their ids.
     pub(super) endpoints: Vec<AdmittedEndpoint>,
-    /// When the first of the others may be called.
+    /// When the first of the others may be sent a request.
     pub(super) next_admission: NextWake,
-    /// One of the others is paced: what it waits for may change by time alone.
+    /// One of the others is [`Admission::Paced`].
     pub(super) some_are_paced: bool,
 }
 
 impl DeliveryPolicy {
-    /// Asks for each active endpoint of a destination whether a request may go to it.
+    /// Checks for each active endpoint of a destination whether a request may go to it.
     pub(super) fn admitted_endpoints(&self, destination: DestinationId, now: Duration) -> AdmittedEndpoints {
         let mut admitted = AdmittedEndpoints {
             endpoints: Vec::new(),
@@ -58,7 +58,7 @@
         admitted
     }
 
-    /// Whether a request may go to the endpoint now. What only an event can change is asked for first.
+    /// Whether a request may go to the endpoint now. Conditions that only an event can end are checked first.
     pub(super) fn admit(&self, scope: CircuitScope, endpoint: &Endpoint, now: Duration) -> Admission {
         let circuit = self.circuits.get(scope);
         let admission = circuit.map_or(Admission::Admit, |circuit| self.admit_by_circuit(circuit, now));
@@ -93,8 +93,8 @@
         if !matches!(admission, Admission::Wait(_)) && now < paced_until {
             return Admission::Wait(Some(paced_until));
         }
-        // Requests that nothing has answered since. Of those from before an answer, which hang or are long, none
-        // holds back the recovery.
+        // Only requests sent since the last completion count: older ones, which hang or take long, must not hold
+        // the recovery back.
         let unanswered = || circuit.requests_since(circuit.last_completion());
         if admission == Admission::Admit && circuit.recovery_ramp().is_some_and(|most| unanswered() >= most) {
             return Admission::Wait(None);
@@ -104,7 +104,7 @@
 
     /// Symptom: requests are in flight and none has been answered for long. Against a silent or hanging
     /// destination that takes all slots before its first timeout; also covers stalls and slowdowns, which it paces
-    /// by their own answers. It can harm by waiting behind one very long piece of work, hence two requests.
+    /// by their own answers. It can harm by waiting behind one very long request, hence at least two.
     fn is_silent(&self, circuit: &CircuitBreaker, now: Duration) -> bool {
         if circuit.in_flight().len() < 2 || circuit.requests_since(circuit.last_completion()) == 0 {
             return false;
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -1,4 +1,4 @@
-//! What a destination or an endpoint takes, and this forwarder's share of it.
+//! The rate that a destination or an endpoint accepts, and this forwarder's share of it.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use crate::interface::{EndpointId, LoadReport};
 use crate::state::Endpoint;
 
-/// Messages a second that the smallest destination is taken to be built for, where nothing else is known.
+/// Assumed capacity of the smallest destination, in messages a second, where nothing else is known.
 pub(super) const MIN_DESTINATION_CAPACITY: f64 = 2.0;
-/// The least rate in messages or requests a second, so that gaps made from it stay finite.
+/// The least rate in messages or requests a second, so that intervals derived from it stay finite.
 pub(super) const MIN_RATE: f64 = 0.01;
-/// The least share in requests a second, so that intervals made from it stay finite.
+/// The least share in requests a second, so that intervals derived from it stay finite.
 const MIN_FAIR_SHARE: f64 = 0.001;
 /// The least span in seconds that a rate is counted over.
 const MIN_RATE_SPAN: f64 = 0.001;
@@ -26,53 +26,53 @@
         self.circuit_mut(scope).set_limit_left(limit.map(|_| report.left));
     }
 
-    /// Messages a second that this forwarder usually has for an endpoint. All forwarders together have no more
-    /// than the destination accepts on a usual day, so that shares of it add up to shares of its capacity,
-    /// however unevenly the traffic is spread over them.
+    /// The long-term rate, in messages a second, that this forwarder has for an endpoint. All forwarders together
+    /// have no more than the destination accepts on an ordinary day, so that their rates add up to no more than
+    /// its capacity, however unevenly the traffic is spread over them.
     pub(super) fn baseline_rate(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let Some(destination) = self.endpoints.destination(endpoint.destination) else { return 0.0 };
         let traffic = destination.traffic();
         let elapsed =
             now.saturating_sub(traffic.first_seen()).max(self.parameters.slow_start_duration).as_secs_f64();
         let endpoints = self.endpoints.active(endpoint.destination).count().max(1) as f64;
-        let seen = traffic.arrivals() as f64 / elapsed / endpoints;
-        // A listed rate may be half too high; capacity lies over it, and a small sample errs by more.
-        let sharing = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { endpoints };
+        let observed = traffic.arrivals() as f64 / elapsed / endpoints;
+        // A listed rate may be half too high, but the capacity is higher still, and a small sample errs by more.
+        let endpoints_in_scope = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { endpoints };
         self.listed_rate(endpoint)
-            .map_or(seen, |listed| seen.max(listed / self.parameters.forwarders / sharing))
+            .map_or(observed, |listed| observed.max(listed / self.parameters.forwarders / endpoints_in_scope))
     }
 
-    /// Requests a second that an endpoint takes from all forwarders: as listed, or less if it reports less.
+    /// Requests a second that an endpoint accepts from all forwarders: as listed, or less if it reports less.
     pub(super) fn listed_rate(&self, endpoint: &Endpoint) -> Option<f64> {
         let listed = endpoint.weight().filter(|_| self.parameters.listed_rate_margin.is_some())?;
         Some(endpoint.usage().limit().map_or(listed, |limit| listed.min(limit)))
     }
 
-    /// Whether the list says how many requests with many messages each an endpoint takes.
+    /// Whether the listed rate of an endpoint counts requests that carry a batch, and not single messages.
     pub(super) fn listed_rate_counts_batches(&self, endpoint: &Endpoint) -> bool {
         self.endpoints.has_own_circuit(endpoint)
             && self.endpoints.max_batch(endpoint) > 1
             && self.listed_rate(endpoint).is_some()
     }
 
-    /// Requests a second to an endpoint's circuit that are this forwarder's share of what it takes.
+    /// This forwarder's share, in requests a second, of what an endpoint's circuit accepts.
     pub(super) fn fair_share(&self, endpoint: &Endpoint, now: Duration) -> f64 {
-        let sharing = self.endpoints.active(endpoint.destination).count().max(1) as f64;
-        let endpoints_in_scope = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { sharing };
-        let usual = self.baseline_rate(endpoint, now) * endpoints_in_scope;
-        // Where most others are down, one's share grows with what they leave to it. The message at hand says
-        // nothing of that.
+        let endpoints = self.endpoints.active(endpoint.destination).count().max(1) as f64;
+        let endpoints_in_scope = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { endpoints };
+        let baseline = self.baseline_rate(endpoint, now) * endpoints_in_scope;
+        // Where most other forwarders are down, the share grows with the traffic that comes here in their place.
+        // The message that is being sent is left out.
         let span = self.recent_span();
         let destination = self.endpoints.destination(endpoint.destination);
         let recent = destination.map_or(0.0, |d| (d.traffic().recent_arrivals(now, span) - 1.0).max(0.0));
-        let recent_rate = recent / span.as_secs_f64().max(MIN_RATE_SPAN) * endpoints_in_scope / sharing;
+        let recent_rate = recent / span.as_secs_f64().max(MIN_RATE_SPAN) * endpoints_in_scope / endpoints;
         let listed = self.listed_rate(endpoint).filter(|_| self.listed_rate_counts_batches(endpoint));
         let fair_share = match listed {
             Some(requests) => {
                 let recent_requests = recent_rate / self.endpoints.max_batch(endpoint) as f64;
                 (requests / self.parameters.forwarders).max(recent_requests)
             }
-            None => usual.max(recent_rate),
+            None => baseline.max(recent_rate),
         };
         fair_share.max(MIN_FAIR_SHARE)
     }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -6,7 +6,7 @@
 use crate::interface::{DestinationId, EndpointId, EndpointUpdate};
 
 impl DeliveryPolicy {
-    /// The endpoint list follows, whole or only what changed.
+    /// Entries of the endpoint list follow: all of them, or only those that changed.
     pub fn begin_endpoint_list(&mut self, whole: bool) {
         self.polls.reset_backoff();
         self.endpoints.begin_list(whole);
@@ -39,9 +39,9 @@
         self.endpoints.knows_destination(destination)
     }
 
-    /// A poll of the endpoint list failed; the old one stands. Symptom: all forwarders poll again at once, and
-    /// discovery, which rejects polls while too many wait, answers none. Each waits longer after each failure,
-    /// by chance.
+    /// A poll of the endpoint list failed; the old list stays. Symptom: all forwarders poll again at once, and
+    /// discovery, which rejects polls while too many wait, answers none. Each polls with exponential backoff and
+    /// jitter.
     pub fn discovery_failed(&mut self, now: Duration) {
         let Some(longest) = self.parameters.poll_interval_limit else { return };
         let shortest = self.parameters.recovery_delay.min(longest);
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -9,10 +9,10 @@
 use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, Message};
 
-/// Failures in a row beyond which an endpoint is not avoided more.
+/// Failures in a row beyond which endpoints are equal in choosing one.
 const MAX_COUNTED_FAILURES: u32 = 3;
-/// Failures in a row beyond which an endpoint is not rested longer.
-const MAX_REST_DELAYS: u32 = 4;
+/// Failures in a row beyond which the backoff of an endpoint grows no more.
+const MAX_BACKOFF_DELAYS: u32 = 4;
 /// Prices are compared in millionths of a price point.
 const PRICE_STEPS: f64 = 1e6;
 /// The least mean response time, in seconds, that others are compared with.
@@ -55,7 +55,7 @@
         by_zone && message.possibly_executed().is_some_and(|attempt| !in_same_zone(attempt.endpoint))
     }
 
-    /// How many times as long as any request one to this circuit takes; no less than once.
+    /// The mean response time of a circuit against that of all requests; at least 1.
     pub(super) fn slowness(&self, circuit: Option<&CircuitBreaker>) -> f64 {
         let mean_latency = self.response_times.mean_latency().unwrap_or(1.0).max(MIN_MEAN_LATENCY);
         (circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(mean_latency) / mean_latency).max(1.0)
@@ -80,49 +80,50 @@
             && usage.answered().is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
     }
 
-    /// Leaves out endpoints that failed this class and were called lately, if any other is left.
+    /// Excludes endpoints that failed this class and are in backoff, unless all are.
     ///
     /// Symptom: one endpoint of a destination fails, or fails one class, while what else answers keeps the
-    /// circuit closed. It can harm by resting an endpoint for a request that was lost alone.
-    pub(super) fn leave_out_failing(&self, able: &mut Vec<AdmittedEndpoint>, class: usize, now: Duration) {
-        let rested = |able: &AdmittedEndpoint| {
-            let endpoint = &self.endpoints[able.endpoint];
-            let delays = endpoint.consecutive_failures(class).min(MAX_REST_DELAYS);
+    /// circuit closed. It can harm by excluding an endpoint for one lost request.
+    pub(super) fn exclude_failing(&self, eligible: &mut Vec<AdmittedEndpoint>, class: usize, now: Duration) {
+        let backoff_is_over = |eligible: &AdmittedEndpoint| {
+            let endpoint = &self.endpoints[eligible.endpoint];
+            let delays = endpoint.consecutive_failures(class).min(MAX_BACKOFF_DELAYS);
             now >= endpoint.usage().last_sent() + self.parameters.recovery_delay * delays
         };
-        if able.iter().any(rested) {
-            able.retain(rested);
+        if eligible.iter().any(backoff_is_over) {
+            eligible.retain(backoff_is_over);
         }
     }
 
-    /// Of two drawn at random, and those with an idle connection, the one that the forwarder's own counts
-    /// favour: without failures, not twice as slow, then by price.
+    /// The endpoint with the least [`EndpointBurden`] among two drawn at random and all those with an idle
+    /// connection: without failures, not twice as slow, then by price.
     pub(super) fn choose_endpoint(
         &mut self,
-        able: &[AdmittedEndpoint],
+        eligible: &[AdmittedEndpoint],
         class: usize,
         now: Duration,
     ) -> AdmittedEndpoint {
-        // Departure from the design: where endpoints with circuits of their own have listed rates, they are drawn
-        // by these, as nothing else shows a forwarder that sees little of each that one takes a third of what its
-        // neighbour takes.
-        let rate = |able: &AdmittedEndpoint| {
-            let endpoint = &self.endpoints[able.endpoint];
+        // Departure from the design: where endpoints with circuits of their own have listed rates, these are the
+        // weights of the draw. A forwarder that sends little to each has no other sign that one accepts a third
+        // of what another does.
+        let rate = |eligible: &AdmittedEndpoint| {
+            let endpoint = &self.endpoints[eligible.endpoint];
             self.listed_rate(endpoint).filter(|_| self.endpoints.has_own_circuit(endpoint)).unwrap_or(1.0)
         };
-        let rated: Vec<_> = able.iter().map(|able| (*able, rate(able))).collect();
+        let rated: Vec<_> = eligible.iter().map(|eligible| (*eligible, rate(eligible))).collect();
         let random = self.random.general();
-        let mut draw = || rated.choose_weighted(random, |(_, rate)| *rate).map_or(able[0], |(able, _)| *able);
+        let mut draw =
+            || rated.choose_weighted(random, |(_, rate)| *rate).map_or(eligible[0], |(drawn, _)| *drawn);
         let drawn = [draw(), draw()];
         let is_connected =
-            |able: &AdmittedEndpoint| self.has_idle_connection(&self.endpoints[able.endpoint], now);
-        let candidates = drawn.into_iter().chain(able.iter().copied().filter(is_connected));
-        candidates.min_by_key(|able| self.burden(able, class, now)).unwrap_or(able[0])
+            |eligible: &AdmittedEndpoint| self.has_idle_connection(&self.endpoints[eligible.endpoint], now);
+        let candidates = drawn.into_iter().chain(eligible.iter().copied().filter(is_connected));
+        candidates.min_by_key(|candidate| self.burden(candidate, class, now)).unwrap_or(eligible[0])
     }
 
-    fn burden(&self, able: &AdmittedEndpoint, class: usize, now: Duration) -> EndpointBurden {
-        let endpoint = &self.endpoints[able.endpoint];
-        let circuit = self.circuits.get(able.scope);
+    fn burden(&self, candidate: &AdmittedEndpoint, class: usize, now: Duration) -> EndpointBurden {
+        let endpoint = &self.endpoints[candidate.endpoint];
+        let circuit = self.circuits.get(candidate.scope);
         EndpointBurden {
             consecutive_failures: endpoint.consecutive_failures(class).min(MAX_COUNTED_FAILURES),
             slowness: self.slowness(circuit).log2() as u64,
--- a/src/policy/eviction.rs
+++ b/src/policy/eviction.rs
@@ -1,4 +1,4 @@
-//! Which message goes when the forwarder is full.
+//! Which message is evicted when the forwarder is at its capacity.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// Orders messages for eviction: the least goes first. Compared in the order of the fields.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
-    /// What it would earn, in millionths.
+    /// Its priority weight now, in millionths.
     priority: u64,
     /// It may still meet its latency objective.
     on_time: bool,
@@ -21,19 +21,19 @@
     message: MessageKey,
 }
 
-/// The place among messages that would earn the same.
+/// The order among messages of the same priority.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionPlace {
     /// Of late messages the one whose objective ended first.
     Late { objective_at: Duration, arrival: u64 },
-    /// Of others the one whose objective ends last, of the destination with most queued. Each figure is that
-    /// far from the greatest possible one.
+    /// Of others the one whose objective ends last, of the destination with most queued. The greatest comes first,
+    /// so each value is subtracted from the greatest possible one.
     OnTime { below_most_queued: usize, before_last_objective: Duration, before_last_arrival: u64 },
 }
 
 impl DeliveryPolicy {
-    /// Symptom: as many messages are kept as may be, and whatever comes next is rejected unseen. What would earn
-    /// least goes instead.
+    /// Symptom: the forwarder is at its capacity, and whatever is submitted next is rejected whatever its priority.
+    /// The message with the lowest priority is evicted instead.
     pub(super) fn evict_lowest_priority(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         while self.messages.len() >= self.parameters.capacity {
             self.refresh_indices();
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -7,11 +7,11 @@
 use crate::message_key::MessageKey;
 use crate::state::NextWake;
 
-/// Least time in which an answer is still looked for.
+/// The least time that an answer is expected to take.
 const MIN_ANSWER_TIME: Duration = Duration::from_millis(10);
 
 impl DeliveryPolicy {
-    /// Whether a message may not be sent again, whatever its destination does.
+    /// Whether a message may not be sent again, whatever the state of its destination.
     pub(super) fn is_exhausted(&self, key: MessageKey, now: Duration) -> bool {
         let Some(message) = self.messages.get(key) else { return true };
         message.attempts() >= self.parameters.max_attempts
@@ -40,8 +40,8 @@
     }
 
     /// Messages that can no longer be completed are answered at once: no time for an answer is left, the
-    /// Retry-After of every endpoint ends too late, or an idempotency key has expired. While some time is left it
-    /// can still be said that submitting again is harmless.
+    /// Retry-After of every endpoint ends too late, or an idempotency key has expired. Before the deadline they can
+    /// still be rejected, which says that submitting again is harmless.
     pub(super) fn expire_messages(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
         let mean_latency = self.response_times.mean_latency().unwrap_or_default();
         let answer_time = seconds(mean_latency).max(MIN_ANSWER_TIME);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The delivery policy: every decision, and every figure that decides.
+//! The delivery policy: every decision, and every tuned value.
 //!
 //! A host makes one [`DeliveryPolicy`] for each instance with [`DeliveryPolicy::new`], reports what happens
 //! ([`DeliveryPolicy::submit`], [`DeliveryPolicy::attempt_finished`], [`DeliveryPolicy::update_endpoint`], ...)
@@ -14,8 +14,8 @@
 //! - `endpoint_selection`, `retry_budget`, `timeouts`: where it goes and how long it may take;
 //! - `outcomes`, `rejection`, `retry_after`, `stragglers`: what follows from how it ends;
 //! - `expiry`, `eviction`, `priority`: final answers without delivery;
-//! - `record_expiry`: what is forgotten;
-//! - `parameters`, `random`: what all of them are given.
+//! - `record_expiry`: when records are forgotten;
+//! - `parameters`, `random`: what all of them use.
 
 mod admission;
 mod capacity_share;
@@ -123,8 +123,8 @@
         self.timer.fired(now);
     }
 
-    /// The program is asked to stop, and will by this time. Messages that have no final answer then are kept by
-    /// the host.
+    /// The program shuts down and stops by this time. Messages that have no final answer then are kept by the
+    /// host.
     pub fn begin_shutdown(&mut self, by: Duration) {
         self.shutdown_deadline = Some(by);
     }
@@ -172,14 +172,14 @@
         self.parameters.classes[message.class].idempotency
     }
 
-    /// Something of a circuit changed that may have held messages back: its destination is looked at again.
+    /// A condition of a circuit changed that may have held messages back: its destination is checked again.
     fn wake_scope(&mut self, scope: CircuitScope) {
         if let Some(destination) = self.endpoints.destination_of(scope) {
             self.queue.touch(destination);
         }
     }
 
-    /// The circuit breaker of a scope, made if there is none, to be changed: its destination is looked at again.
+    /// The circuit breaker of a scope, made if there is none, to be changed: its destination is checked again.
     fn circuit_mut(&mut self, scope: CircuitScope) -> &mut CircuitBreaker {
         self.wake_scope(scope);
         self.circuits.get_or_insert(scope)
@@ -192,7 +192,7 @@
     }
 }
 
-/// A span of so many seconds; a negative one is none, and one that is no number or too long is a day.
+/// A span of so many seconds: zero if negative, a day if not a number or too long for a [`Duration`].
 fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::from_secs(86_400))
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -8,8 +8,8 @@
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
-/// After an attempt that was not sent, a circuit pauses for this part of the recovery delay.
-const NOT_SENT_PAUSE_PART: u32 = 4;
+/// After an attempt that was not sent, a circuit pauses for the recovery delay divided by this.
+const NOT_SENT_PAUSE_DIVISOR: u32 = 4;
 /// At most one event about circuits is reported in this span.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -26,7 +26,7 @@
             self.apply_retry_after(now, attempt.scope, wait);
         }
         let message_to_blame = self.count_error(&attempt, outcome);
-        // What travels together ends together, and counts once.
+        // The attempts of one request end together, and count once.
         if request_ended && !message_to_blame {
             self.record_and_report_outcome(&attempt, now, outcome, host);
         }
@@ -126,10 +126,11 @@
         }
     }
 
-    /// Symptom: a message uses up its attempts in an instant, as each comes back without being sent: a slot or a
-    /// connection that was given up still counts, or the write-ahead log fails. It can harm by a short pause.
+    /// Pauses the circuit. Symptom: a message uses up its attempts in an instant, as each comes back without being
+    /// sent: a request in flight or a connection that was cancelled still counts, or the write-ahead log fails. It
+    /// can harm by a short pause.
     fn record_not_sent(&mut self, attempt: &Attempt, now: Duration) {
-        let pause = self.parameters.recovery_delay / NOT_SENT_PAUSE_PART;
+        let pause = self.parameters.recovery_delay / NOT_SENT_PAUSE_DIVISOR;
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         circuit.extend_retry_after(now + pause);
     }
@@ -156,7 +157,7 @@
             usage.reset_failures(attempt.class);
             usage.earn_retry_tokens(parameters.initial_retry_tokens);
         }
-        // Whatever the circuit's endpoints showed before, they have only now recovered.
+        // The whole circuit has only now recovered, so slow start begins now for all of its endpoints.
         if recovered && had_faults {
             self.endpoints.update_usage(&in_scope, |usage| usage.record_fault(now));
         }
@@ -175,7 +176,7 @@
             AttemptOutcome::TimedOut => circuit.record_timeout(),
             _ => {}
         }
-        // One broken connection between answers shows something of itself, and is no outage.
+        // A single connection that is lost between completions is no sign of an outage.
         if outcome == AttemptOutcome::TimedOut || circuit.failure_count() > 1 {
             usage.record_fault(now);
         }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -10,26 +10,27 @@
 /// The pacing interval grows by this factor with each rejection and shrinks with each answer.
 pub(super) const PACING_GROWTH: f64 = 1.6;
 const PACING_SHRINK: f64 = 0.93;
-/// The same shrinking where answers come once in seconds, and each shows as much as many do.
+/// The same where a forwarder gets an answer once in seconds, so that each has to count for more.
 const SPARSE_PACING_SHRINK: f64 = 0.75;
 /// How many times as high as the true rate an approximate listed rate may be. It is also the first interval after
-/// a rejection, in gaps between the requests that are one's share of a listed rate.
+/// a rejection, as a multiple of the interval at this forwarder's share of a listed rate.
 pub(super) const APPROXIMATE_RATE_MARGIN: f64 = 1.5;
-/// The interval of time slots at an endpoint with a listed rate, where forwarders are many, in gaps between the
-/// requests that are one's share of it. Under 1, as some slots stay unused.
-const TIME_SLOT_GAPS: f64 = 0.8;
-/// The part of a time slot in which its request may begin, and its least in seconds: a host that runs due work on
-/// a coarse grid would find short ones closed each time.
+/// The length of time slots at an endpoint with a listed rate, where forwarders are many, as a multiple of the
+/// interval at this forwarder's share of that rate. Under 1, as some slots stay unused.
+const TIME_SLOT_INTERVALS: f64 = 0.8;
+/// The part of a time slot in which its request may begin, and the least length of that part in seconds: a host that
+/// runs due work on a coarse grid would miss short ones each time.
 const TIME_SLOT_OPEN_SHARE: f64 = 0.3;
 const TIME_SLOT_OPEN_MIN_SECONDS: f64 = 0.1;
 
 impl DeliveryPolicy {
-    /// Symptom: many forwarders that were rejected nothing yet send what comes at once, and a burst that comes to
+    /// When this forwarder's next time slot at the endpoint begins; none if a request may go now.
+    ///
+    /// Symptom: many forwarders that had no rejection yet send messages as they come, and a burst that comes to
     /// all of them is over a limit which rejected requests use up too, so that nothing passes for seconds.
     /// Where no response reports limits, each has time slots at an endpoint with a listed rate, one request in
-    /// each; the slots of all lie apart by chance and are soon over, so that the unused ones are not saved for
-    /// the burst. It costs part of a latency objective where the limit is far. None: a request may go; otherwise
-    /// when the next slot begins.
+    /// each; their phases are random and they are soon over, so that unused ones are not saved for the burst. It
+    /// costs part of a latency objective where the traffic is far from the limit.
     pub(super) fn next_time_slot(
         &self,
         scope: CircuitScope,
@@ -50,12 +51,15 @@
 
     /// The length of this forwarder's time slots at an endpoint with a listed rate.
     fn time_slot_seconds(&self, endpoint: &Endpoint, listed: f64, now: Duration) -> f64 {
-        // One that carries several times what others do has that many slots.
-        let times = (self.fair_share(endpoint, now) * self.parameters.forwarders / listed).round().max(1.0);
-        let gaps =
-            if self.listed_rate_counts_batches(endpoint) { APPROXIMATE_RATE_MARGIN } else { TIME_SLOT_GAPS };
-        let slot = gaps * self.parameters.forwarders / listed / times;
-        // Against rates that no one can mean, too high or too low.
+        // A forwarder that has several times the traffic of others has that many times as many slots.
+        let slots = (self.fair_share(endpoint, now) * self.parameters.forwarders / listed).round().max(1.0);
+        let intervals = if self.listed_rate_counts_batches(endpoint) {
+            APPROXIMATE_RATE_MARGIN
+        } else {
+            TIME_SLOT_INTERVALS
+        };
+        let slot = intervals * self.parameters.forwarders / listed / slots;
+        // Against absurd listed rates, too high or too low.
         slot.min(self.parameters.longest_deadline.as_secs_f64()).max(MIN_TIMER.as_secs_f64())
     }
 }
@@ -65,7 +69,8 @@
     /// that is left, where it is known.
     pub(super) fn shrink(&mut self, limit_left: Option<f64>, sparse_traffic: bool) {
         let shrink = if sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
-        // What rejected requests use up as well needs fewer of them; what has capacity left needs no pacing.
+        // Rejected requests use up a limit too, so the interval shrinks slowly while little is left of it; with
+        // capacity left no pacing is needed.
         let factor = limit_left.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
         self.set_interval(self.interval() * factor);
     }
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -11,19 +11,19 @@
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 /// The shortest latency objective where there is no class.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(2);
-/// How a cold destination is taken to behave where the settings do not say, and the least values that budgets are
-/// made with.
+/// How a destination is assumed to warm up where the settings do not say, and the least values that budgets are
+/// derived from.
 const DEFAULT_SLOW_START_FLOOR: f64 = 0.2;
 const MIN_SLOW_START_FLOOR: f64 = 0.01;
 const DEFAULT_SLOW_START_DURATION: Duration = Duration::from_secs(10);
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 2.0;
 const MIN_OVERLOAD_MULTIPLE: f64 = 0.1;
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
-/// The recovery delay is no shorter, whatever a class promises.
+/// The recovery delay is no shorter, however short the latency objective of a class is.
 const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(50);
 /// The failure window in recovery delays.
 const FAILURE_WINDOW_DELAYS: u32 = 10;
-/// Greatest values that are told apart; what is greater counts as these.
+/// Upper bounds: greater values in the settings count as these.
 const MAX_REQUESTS_IN_FLIGHT: u64 = 1 << 20;
 const MAX_CAPACITY: u64 = 1 << 30;
 const MAX_ATTEMPTS: u64 = 1 << 20;
@@ -81,7 +81,7 @@
         let deadline = class.deadline.unwrap_or(DEFAULT_DEADLINE);
         ClassParameters {
             name: class.name,
-            // Where the settings do not say, the class counts as the one that allows least.
+            // Where the settings do not say, the most restrictive is assumed.
             idempotency: class.idempotency.unwrap_or(Idempotency::NonIdempotent),
             latency_objective: class.latency_objective.unwrap_or(deadline).min(deadline),
             deadline,
--- a/src/policy/priority.rs
+++ b/src/policy/priority.rs
@@ -1,4 +1,4 @@
-//! The weight that the delivery of a message would earn now.
+//! The priority weight of a message at one moment.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const MIN_SPAN: f64 = 0.001;
 
 impl DeliveryPolicy {
-    /// The priority weight of a message now: that of its class, less what lateness and its tenant's quota take.
+    /// The priority weight of a message now: that of its class, reduced if it is late or over its tenant's quota.
     pub(super) fn priority(&self, message: &Message, now: Duration) -> f64 {
         let class = &self.parameters.classes[message.class];
         let late = now.saturating_sub(message.objective_at()).as_secs_f64();
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -1,4 +1,4 @@
-//! What becomes of a message from its acceptance to its final answer: it is queued, indexed while it is queued, and
+//! The life of a message from its acceptance to its final answer: it is queued, indexed while it is queued, and
 //! forgotten.
 
 #[cfg(debug_assertions)]
@@ -93,8 +93,8 @@
     #[cfg(debug_assertions)]
     fn check_indices(&self) {
         const ALWAYS_UP_TO: usize = 64;
-        const ELSE_ONE_IN: u64 = 64;
-        if self.messages.len() > ALWAYS_UP_TO && !self.queue_entries.last().is_multiple_of(ELSE_ONE_IN) {
+        const OTHERWISE_ONE_IN: u64 = 64;
+        if self.messages.len() > ALWAYS_UP_TO && !self.queue_entries.last().is_multiple_of(OTHERWISE_ONE_IN) {
             return;
         }
         let queued = self
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -25,7 +25,7 @@
         self.general.random::<f64>()
     }
 
-    /// From 0.5 to 1.5, to spread what many forwarders would else do at the same time.
+    /// From 0.5 to 1.5, to spread what many forwarders would otherwise do at the same time.
     pub(super) fn draw_jitter(&mut self) -> f64 {
         0.5 + self.draw()
     }
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -1,4 +1,4 @@
-//! When records are forgotten. What no decision can rest on any more would only fill the memory.
+//! When records are forgotten: once no decision can depend on them any more, they only fill the memory.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     }
 
     /// Forgets circuits, and what is known of their endpoints, that were not used for long: a forwarder of a
-    /// large fleet meets most destinations seldom, and would otherwise keep a record of each.
+    /// large fleet sends to most destinations seldom, and would otherwise keep a record of each.
     fn remove_idle_circuits(&mut self, now: Duration, keep: Duration) {
         self.circuits.schedule_first_reviews(now + keep);
         while let Some(scope) = self.circuits.take_due_review(now) {
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -8,23 +8,23 @@
 use crate::interface::EndpointId;
 use crate::state::{Attempt, CircuitBreaker, Pacing, PolicyParameters};
 
-/// Growth of the pacing interval for rejections that no limit explains: a full queue, or what is down and will
-/// come back cold.
+/// Growth of the pacing interval for rejections that no limit explains: a full queue, or a destination that is down
+/// and will have to warm up.
 const UNEXPLAINED_REJECTION_GROWTH: f64 = 4.0;
 /// A rejection comes from a limit where less than this share of it was left. Reports are up to a second old.
 const LIMIT_USED_UP: f64 = 0.5;
-/// The first pacing interval, in usual gaps between a forwarder's requests to the circuit.
-const FIRST_GAP: f64 = 0.5;
-/// The longest pacing interval in a large fleet, in gaps between the requests that are one's share.
-const MAX_PACING_GAPS: f64 = 8.0;
+/// The first pacing interval, as a multiple of the mean interval between a forwarder's requests to the circuit.
+const FIRST_INTERVAL: f64 = 0.5;
+/// The longest pacing interval in a large fleet, as a multiple of the interval at this forwarder's share.
+const MAX_PACING_INTERVALS: f64 = 8.0;
 
 /// What had been sent to a circuit when it rejected a request.
 struct LoadAtRejection {
     /// The endpoints that share the circuit.
     in_scope: Vec<EndpointId>,
     recovery_delay: Duration,
-    /// Requests a second that are usual.
-    usual_rate: f64,
+    /// Long-term rate of requests, in requests a second.
+    baseline_rate: f64,
     /// Requests a second that are this forwarder's share.
     fair_share: f64,
     /// Requests within the last overload window.
@@ -62,7 +62,7 @@
         circuit.record_failure(now, if is_limited { paced_for } else { load.recovery_delay }, parameters);
         let all_faulty = circuit.shows_outage(now, retry_after, parameters);
         if retry_after.is_none() {
-            // Where some waits are received, the others are guessed from them: at a destination whose rejected
+            // A missing Retry-After is estimated by the last one received: at a destination whose rejected
             // requests use up its limit, each early request makes the wait longer for all.
             circuit.extend_retry_after(now + circuit.last_retry_after());
             if !parameters.sparse_traffic && follows_last_change {
@@ -78,14 +78,14 @@
     fn load_at_rejection(&self, attempt: &Attempt, now: Duration) -> Option<LoadAtRejection> {
         let endpoint = self.endpoints.get(attempt.endpoint)?;
         let in_scope = self.endpoints.in_scope(attempt.scope);
-        let usual = self.baseline_rate(endpoint, now);
-        let usual_rate = usual * in_scope.len() as f64 / self.endpoints.max_batch(endpoint) as f64;
+        let messages = self.baseline_rate(endpoint, now);
+        let baseline_rate = messages * in_scope.len() as f64 / self.endpoints.max_batch(endpoint) as f64;
         let endpoints = in_scope.iter().filter_map(|id| self.endpoints.get(*id));
         let recent_load = endpoints.flat_map(|endpoint| endpoint.usage().recent_load());
         let is_recent = |at: Duration| now.saturating_sub(at) < self.parameters.overload_window;
         Some(LoadAtRejection {
             recovery_delay: self.recovery_delay(endpoint, now),
-            usual_rate,
+            baseline_rate,
             fair_share: self.fair_share(endpoint, now),
             recent_requests: recent_load.filter(|sent| is_recent(sent.at)).count(),
             in_scope,
@@ -94,14 +94,14 @@
 }
 
 impl CircuitBreaker {
-    /// Whether a rejection is explained by a rate limit. What rejects again and again may be down, whatever is
-    /// left.
+    /// Whether a rejection is explained by a rate limit. A destination that rejects again and again may be down,
+    /// however much of its limit is left.
     fn limit_is_used_up(&self) -> bool {
         self.failure_count() == 0 && self.limit_left().is_some_and(|left| left < LIMIT_USED_UP)
     }
 
-    /// Whether a rejection shows an outage. A limit lets some requests through, or asks for a short wait; what
-    /// rejects all for long, or asks for a long wait, is down.
+    /// Whether a rejection shows an outage. With a rate limit some requests pass, or the Retry-After is short; a
+    /// destination that rejects all for long, or with a long Retry-After, is down.
     fn shows_outage(
         &self,
         now: Duration,
@@ -124,7 +124,7 @@
         now: Duration,
     ) {
         let first = parameters.listed_rate_margin.unwrap_or(APPROXIMATE_RATE_MARGIN) / fair_share;
-        // Where responses report that there is capacity again, no rejection need be the last word on it.
+        // Where responses report that there is capacity again, the interval need not be long at first.
         let (longest_first, growth) = if !parameters.responses_carry_load_reports {
             (parameters.longest_deadline, PACING_GROWTH)
         } else if limit_used_up {
@@ -133,9 +133,9 @@
             (parameters.recovery_delay, UNEXPLAINED_REJECTION_GROWTH)
         };
         let wider = (self.interval() * growth).max(first.min(longest_first.as_secs_f64()));
-        // Longer than a message lasts it would be no pacing but an end.
+        // An interval longer than the deadline of a message would stop delivery, not pace it.
         let interval =
-            wider.min(MAX_PACING_GAPS / fair_share).min(parameters.longest_deadline.as_secs_f64() / 2.0);
+            wider.min(MAX_PACING_INTERVALS / fair_share).min(parameters.longest_deadline.as_secs_f64() / 2.0);
         self.set_interval_after_rejection(interval, now);
     }
 
@@ -146,11 +146,11 @@
         } else {
             0.0
         };
-        let usual_rate = load.usual_rate.max(MIN_RATE);
-        let first = (PACING_GROWTH * recent_gap).max(FIRST_GAP / usual_rate);
-        // A destination takes at least half of what it is usually sent, in so many requests or in fewer, fuller
-        // ones.
-        let longest = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / usual_rate);
+        let baseline_rate = load.baseline_rate.max(MIN_RATE);
+        let first = (PACING_GROWTH * recent_gap).max(FIRST_INTERVAL / baseline_rate);
+        // A destination is assumed to accept at least half of its long-term rate, in as many requests or in fewer
+        // with larger batches.
+        let longest = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / baseline_rate);
         let interval = (self.interval() * PACING_GROWTH).max(first).min(longest);
         self.set_interval_after_rejection(interval, now);
     }
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -10,37 +10,36 @@
 use crate::queue::QueueSegment;
 use crate::state::{AdmittedEndpoint, NextWake};
 
-/// A destination that admits requests but has no message that may go is asked again after this part of the
-/// recovery delay.
-const ASK_AGAIN_PART: u32 = 4;
+/// A destination that admits requests but has no message that may go is checked again after the recovery delay
+/// divided by this.
+const RECHECK_DIVISOR: u32 = 4;
 /// Classes with a priority weight below this are ordered as if they had it.
 const MIN_PRIORITY_WEIGHT: f64 = 0.001;
-/// Drawn places in the order of classes are compared in millionths.
+/// Drawn positions in the order of classes are compared in millionths.
 const CLASS_ORDER_STEPS: f64 = 1e6;
 
-/// Orders the messages of a destination: the least goes first, which is inside its tenant's quota before beyond
-/// it, able to meet its latency objective before late, by class, then by objective. Compared in the order of the
-/// fields.
+/// Orders the messages of a destination: the least goes first. Within its tenant's quota comes before over it, in
+/// time for its latency objective before late, then by class and by objective. Compared in the order of the fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MessageRank {
     over_quota: bool,
     /// More than one answer with an error.
     failed_repeatedly: bool,
     late: bool,
-    /// The place of its class in the drawn order.
+    /// The position of its class in the drawn order.
     class_order: u64,
     objective_at: Duration,
     arrival: u64,
 }
 
-/// A queued message behind what decides whether it goes before another.
+/// A queued message with its rank, by which it is compared.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RankedMessage {
     rank: MessageRank,
     key: MessageKey,
 }
 
-/// The endpoints that admit a request, apart by whether it would be a half-open trial.
+/// The endpoints that admit a request, by whether it would be a half-open trial.
 struct Candidates {
     for_trial: Vec<AdmittedEndpoint>,
     for_others: Vec<AdmittedEndpoint>,
@@ -54,8 +53,8 @@
 }
 
 impl DeliveryPolicy {
-    /// Starts one request to the destination, if any message may go; says whether one went. `next_admission`
-    /// takes in when to ask again.
+    /// Starts one request to the destination, if any message may go; returns whether it did. `next_admission`
+    /// collects when to check again.
     pub(super) fn schedule_request(
         &mut self,
         destination: DestinationId,
@@ -75,7 +74,7 @@
         let class_order = self.draw_class_order();
         let candidates = Candidates::from(admitted.endpoints);
         let Some(lead) = self.lead_message(destination, &candidates, &class_order, now) else {
-            next_admission.no_later_than(Some(now + self.parameters.recovery_delay / ASK_AGAIN_PART));
+            next_admission.no_later_than(Some(now + self.parameters.recovery_delay / RECHECK_DIVISOR));
             return false;
         };
         let chosen = self.endpoint_for(lead, &candidates, now);
@@ -84,8 +83,8 @@
         true
     }
 
-    /// The order of classes, by class index. It is drawn by chance, with the square of their priority weight:
-    /// strictly by it, a class of low weight starves where a destination is at its capacity.
+    /// The order of classes, by class index. It is drawn at random, weighted by the square of their priority
+    /// weight: in strict order, a class of low weight starves where a destination is at its capacity.
     fn draw_class_order(&mut self) -> Vec<u64> {
         let random = &mut self.random;
         let mut draw = |weight: f64| {
@@ -108,9 +107,10 @@
         now: Duration,
     ) -> Option<MessageKey> {
         let segments: Vec<QueueSegment> = self.queue.segments(destination, now).collect();
-        let first =
-            |segment: &QueueSegment, to: &[AdmittedEndpoint]| self.first_able(segment, class_order, to, now);
-        // A trial may be lost, so that one goes with a message that may run again, if there is any.
+        let first = |segment: &QueueSegment, to: &[AdmittedEndpoint]| {
+            self.first_eligible(segment, class_order, to, now)
+        };
+        // A trial may be lost, so it carries a message that may be repeated, if there is any.
         let repeatable = segments.iter().filter(|s| self.is_repeatable(s.queue_class.priority.class));
         let for_trial =
             repeatable.filter_map(|s| Some((s.queue_class.errors, first(s, &candidates.for_trial)?)));
@@ -120,17 +120,17 @@
         lead.map(|ranked| ranked.key)
     }
 
-    /// The endpoint that the lead message goes to. At least one of the candidates takes it.
+    /// The endpoint that the lead message goes to. At least one of the candidates is eligible.
     fn endpoint_for(&mut self, lead: MessageKey, candidates: &Candidates, now: Duration) -> AdmittedEndpoint {
         let class = self.messages[lead].class;
-        let able = |to: &[AdmittedEndpoint]| -> Vec<AdmittedEndpoint> {
+        let eligible = |to: &[AdmittedEndpoint]| -> Vec<AdmittedEndpoint> {
             to.iter().filter(|to| self.may_attempt(lead, to, now)).copied().collect()
         };
-        let (for_trial, for_others) = (able(&candidates.for_trial), able(&candidates.for_others));
+        let (for_trial, for_others) = (eligible(&candidates.for_trial), eligible(&candidates.for_others));
         let trial = self.is_repeatable(class) && !for_trial.is_empty() || for_others.is_empty();
-        let mut able = if trial { for_trial } else { for_others };
-        self.leave_out_failing(&mut able, class, now);
-        self.choose_endpoint(&able, class, now)
+        let mut eligible = if trial { for_trial } else { for_others };
+        self.exclude_failing(&mut eligible, class, now);
+        self.choose_endpoint(&eligible, class, now)
     }
 
     /// The messages of a request: the lead, and those that go with it as a batch.
@@ -143,7 +143,7 @@
         now: Duration,
     ) -> Vec<MessageKey> {
         let endpoint = &self.endpoints[chosen.endpoint];
-        // Many messages in one request load a cold endpoint more than one does.
+        // A batch puts more load on an endpoint that is warming up than one message does.
         let batch = if chosen.half_open_trial {
             1
         } else {
@@ -160,7 +160,7 @@
         messages
     }
 
-    /// The messages of a segment that no ordering key holds back, each with its rank.
+    /// The messages of a segment that are not held back by their ordering key, each with its rank.
     fn sendable<'s>(
         &'s self,
         segment: &QueueSegment<'s>,
@@ -169,7 +169,7 @@
     ) -> impl Iterator<Item = RankedMessage> + 's {
         let queue_class = segment.queue_class;
         let class = queue_class.priority.class;
-        // What may have been executed has an idempotency key that expires, and goes before that.
+        // A message that may have been executed has to go before its idempotency key expires.
         let late = segment.late && !queue_class.possibly_executed;
         let class_order = class_order[class];
         let ordered = self.parameters.classes[class].ordered;
@@ -191,17 +191,17 @@
         })
     }
 
-    /// The first message of a segment that one of these endpoints may get. All of a segment fare alike, but for
-    /// those with idempotency keys that expire.
-    fn first_able(
+    /// The first message of a segment that one of these endpoints may get. The answer is the same for all messages
+    /// of a segment, but for those with idempotency keys that expire.
+    fn first_eligible(
         &self,
         segment: &QueueSegment,
         class_order: &[u64],
         to: &[AdmittedEndpoint],
         now: Duration,
     ) -> Option<RankedMessage> {
-        let most = if segment.queue_class.possibly_executed { usize::MAX } else { 1 };
-        let mut ranked = self.sendable(segment, class_order, now).take(most);
+        let max_tried = if segment.queue_class.possibly_executed { usize::MAX } else { 1 };
+        let mut ranked = self.sendable(segment, class_order, now).take(max_tried);
         ranked.find(|ranked| to.iter().any(|to| self.may_attempt(ranked.key, to, now)))
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -29,8 +29,8 @@
         pacing.put_off(pacing.put_off_until().max(now + seconds(pacing.interval())));
     }
 
-    /// The response timeout that all attempts of a request have at least. One that timed out alone and was sent
-    /// again would be a second copy of what its request still carries.
+    /// The least response timeout of all attempts of a request. An attempt that timed out before the others and was
+    /// retried would duplicate what its request still carries.
     fn shared_timeout(&self, messages: &[MessageKey], to: AdmittedEndpoint) -> Duration {
         if self.parameters.hedging_allowed {
             return Duration::ZERO;
@@ -51,9 +51,9 @@
     ) {
         let now = request.started_at;
         let Some(message) = self.messages.get(key) else { return };
-        let left = message.deadline.saturating_sub(now);
+        let time_left = message.deadline.saturating_sub(now);
         let own_timeout = self.response_timeout(message, to.scope, to.half_open_trial);
-        let response_within = own_timeout.max(shared_timeout).min(left);
+        let response_within = own_timeout.max(shared_timeout).min(time_left);
         let start_within = self.start_by(message, to.scope).saturating_sub(now).min(response_within);
         let is_retry = message.attempts() > 0;
         let attempt = Attempt::new(key, message, to, request);
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -8,7 +8,7 @@
 use crate::state::PossibleExecution;
 
 impl DeliveryPolicy {
-    /// The host itself has submitted again what it accepted before this start, with its attempts until then.
+    /// A message that the host accepted before this start and has submitted again had these attempts until then.
     pub fn restore(
         &mut self,
         now: Duration,
@@ -20,16 +20,16 @@
         let Some(message) = self.messages.get_mut(key) else { return };
         message.set_previous_attempts(previous.len() as u32);
         let destination = message.destination;
-        // Accepted once, it is no late newcomer: the nearer half of what it has left counts as its objective.
+        // It was accepted before, so it does not count as late: its objective lasts for half of the time left.
         let objective_at = now + message.deadline.saturating_sub(now) / 2;
         message.extend_objective(objective_at);
-        let unsure = previous.iter().filter(|attempt| !attempt.proves_not_executed);
-        let earliest = unsure
+        let possibly_executed = previous.iter().filter(|attempt| !attempt.proves_not_executed);
+        let earliest = possibly_executed
             .map(|attempt| PossibleExecution { started_at: attempt.started_at, endpoint: attempt.endpoint })
             .min_by_key(|attempt| attempt.started_at);
         message.set_possibly_executed(earliest);
         if earliest.is_some() {
-            // It may be running still.
+            // It may still be running.
             let until = now + self.parameters.ordering_hold_off;
             self.ordering.hold_off(message.ordering_key, message.arrival, until);
         }
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Symptom: many forwarders that start again at once send what each of them has pending in one wave, and what
-    /// they knew of limits is gone with the process. The circuits of these messages are treated as if they had
+    /// Symptom: many forwarders that restart at once send what each of them has pending in one wave, and what they
+    /// knew of limits is gone with the process. The circuits of these messages are treated as if they had
     /// rejected a request; none is put off beyond the message's objective.
     fn pace_restored(&mut self, destination: DestinationId, objective_at: Duration, now: Duration) {
         let shares: Vec<_> = (self.endpoints.active(destination))
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -6,7 +6,7 @@
 use super::{seconds, DeliveryPolicy};
 use crate::state::{Endpoint, EndpointUsage, Message};
 
-/// Retry tokens that an endpoint has before its first completion, from all forwarders together.
+/// Retry tokens that an endpoint has with all forwarders together before its first completion.
 const RETRY_BUDGET_INITIAL: f64 = 6.0;
 /// Most retry tokens that an endpoint has with one forwarder.
 const RETRY_BUDGET_MAX: f64 = 5.0;
@@ -19,7 +19,7 @@
 }
 
 impl EndpointUsage {
-    /// A completion earns a part of a retry.
+    /// A completion earns a fraction of a retry.
     pub(super) fn earn_retry_tokens(&mut self, initial: f64) {
         let tokens = self.retry_tokens().unwrap_or(initial);
         self.set_retry_tokens((tokens + RETRY_BUDGET_PER_ANSWER).min(RETRY_BUDGET_MAX));
@@ -33,8 +33,9 @@
 }
 
 impl DeliveryPolicy {
-    /// A retry goes where completions have earned it, or where nothing was sent for a while. What was rejected
-    /// may also go by the pacing alone; where forwarders are few, after a usual gap.
+    /// Whether a message may go to an endpoint by its retry budget: a retry needs a token, or that nothing was sent
+    /// there for a while. A message that was not executed may also go by the pacing alone in a large fleet or with
+    /// much traffic, and otherwise after the mean interval between messages.
     pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         if message.attempts() == 0
@@ -42,14 +43,14 @@
         {
             return true;
         }
-        let usual = self.baseline_rate(endpoint, now).max(MIN_RATE);
+        let baseline = self.baseline_rate(endpoint, now).max(MIN_RATE);
         let latency_objective = self.parameters.classes[message.class].latency_objective;
         let idle = now.saturating_sub(usage.last_sent());
         if message.possibly_executed().is_some() {
             return idle >= self.parameters.recovery_delay;
         }
-        usual * latency_objective.as_secs_f64() >= 1.0
+        baseline * latency_objective.as_secs_f64() >= 1.0
             || self.parameters.sparse_traffic
-            || idle >= seconds(1.0 / usual)
+            || idle >= seconds(1.0 / baseline)
     }
 }
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -1,4 +1,5 @@
-//! Which destination the next request goes to. Requests in flight are few, so that destinations compete for them.
+//! Which destination the next request goes to. The number of requests in flight is limited, so that destinations
+//! compete for them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,9 +10,9 @@
 use crate::queue::QueueClass;
 use crate::state::NextWake;
 
-/// Part of its latency objective from which a destination's wait weighs against its requests in flight. Symptom:
-/// slots are short, and a long queue gets no more than any other. A slow destination does not get all, and others
-/// fill their batches meanwhile.
+/// Part of its latency objective from which a destination's wait is weighed against its requests in flight. Symptom:
+/// the limit of requests in flight is reached, and a long queue gets no more of them than any other. A slow
+/// destination does not get all of them, and others fill their batches meanwhile.
 const MIN_RELATIVE_WAIT: f64 = 0.1;
 /// The least latency objective, in seconds, that waits are compared with.
 const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
@@ -19,9 +20,9 @@
 /// Orders destinations for the next request: the least goes first. Compared in the order of the fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SchedulingKey {
-    /// Requests in flight after this one, weighed by how slow they are, for each part of an objective waited.
+    /// Requests in flight with this one, times the slowness of the destination, divided by its relative wait.
     load_per_wait: u64,
-    /// The number of the destination's last request: the one that was served least lately goes first.
+    /// The number of the destination's last request: the one that was served least recently goes first.
     last_request: u64,
     destination: DestinationId,
 }
@@ -42,7 +43,7 @@
         self.remove_expired(now);
         self.schedule_requests(now, host, &mut wake);
         self.expire_messages(now, host, &mut wake);
-        if self.all_slots_taken() {
+        if self.in_flight_limit_reached() {
             self.cancel_straggler(now, host, &mut wake);
         }
         if let Some(after) = wake.time().and_then(|at| self.timer.request(at, now)) {
@@ -51,13 +52,13 @@
     }
 
     /// Whether as many requests are in flight as may be.
-    fn all_slots_taken(&self) -> bool {
+    fn in_flight_limit_reached(&self) -> bool {
         self.in_flight.request_count() >= self.parameters.max_in_flight
     }
 
-    /// Starts requests as long as there are slots, each for the destination with the least key.
+    /// Starts requests up to the limit of those in flight, each for the destination with the least key.
     fn schedule_requests(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
-        if self.all_slots_taken() {
+        if self.in_flight_limit_reached() {
             return;
         }
         let awake = self.queue.awake().iter();
@@ -66,9 +67,9 @@
             relative_waits.iter().map(|(d, wait)| Reverse(self.scheduling_key(*d, *wait))).collect();
         let mut next_admission = NextWake::default();
         next_admission.no_later_than(self.queue.next_wake());
-        while !self.all_slots_taken() {
+        while !self.in_flight_limit_reached() {
             let Some(Reverse(SchedulingKey { destination, .. })) = candidates.pop() else {
-                // Nothing more can go until one of the waits ends.
+                // Nothing more can go before the next admission.
                 wake.no_later_than(next_admission.time());
                 return;
             };
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Slots are few, and a slow request holds one for as long as several others would.
+    /// The key of a destination. A slow request takes up the limit of requests in flight for as long as several
+    /// others would, and counts as that many.
     fn scheduling_key(&self, destination: DestinationId, relative_wait: f64) -> SchedulingKey {
         let slowness = self.circuits_of(destination).map(|circuit| self.slowness(Some(circuit)));
         let slowness = slowness.reduce(f64::min).unwrap_or(1.0);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a destination that comes back from an outage may be sent while it warms up.
+//! Slow start: what a destination may be sent while it warms up after an outage.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use crate::interface::CircuitScope;
 use crate::state::Endpoint;
 
-/// What may be sent, against the budget read from usual traffic. Over 1, as a destination is built for more
-/// than its usual traffic. Measured at 0.75, 1.1 and 1.5: faster recoveries each time, no rule broken by it.
+/// What may be sent, as a multiple of the budget derived from the long-term rate. Over 1, as a destination is built
+/// for more than its ordinary traffic. Measured at 0.75, 1.1 and 1.5: faster recoveries each time, no rule broken by it.
 const SLOW_START_BASELINE_MULTIPLE: f64 = 1.5;
 /// Load of one more message within a request, against that of a request with one.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
 
-/// The least slow start duration in seconds that shares of it are made with.
+/// The least slow start duration, in seconds, that shares of it are derived from.
 const MIN_DURATION_SECONDS: f64 = 0.001;
 
 /// What an endpoint may be sent now.
@@ -33,9 +33,9 @@
 impl DeliveryPolicy {
     /// What may go to the endpoint now.
     ///
-    /// Guard for rule 4. Symptom: an endpoint that failed requests, or rejected all, may be on its way back, and
-    /// cold. Also covers one that fails on part of its requests. It can harm one that was never cold, by pacing
-    /// it for some seconds after a timeout.
+    /// Guard for rule 4. Symptom: an endpoint that failed requests, or rejected all, may be recovering and have to
+    /// warm up. Also covers one that fails part of its requests. It can harm one that was never down, by pacing it
+    /// for some seconds after a timeout.
     pub(super) fn slow_start_budget(
         &self,
         scope: CircuitScope,
@@ -44,25 +44,27 @@
     ) -> SlowStartBudget {
         let Some(last_fault) = endpoint.usage().last_fault() else { return SlowStartBudget::UNLIMITED };
         let parameters = &self.parameters;
-        // What has not answered many forwarders may still be down, and sooner requests of each would overload it.
+        // An endpoint that has not answered since may still be down, and with many forwarders their requests together
+        // would overload it as it returns.
         let answered =
             self.circuits.get(scope).is_some_and(|circuit| circuit.last_completion() >= last_fault);
-        let down = if answered || !parameters.sparse_traffic {
+        let assumed_downtime = if answered || !parameters.sparse_traffic {
             Duration::ZERO
         } else {
             parameters.slow_start_duration
         };
         // Measured to the middle of the span that the budget is counted over.
-        let warmed = now.saturating_sub(last_fault + down + parameters.overload_window / 2).as_secs_f64();
+        let warmed =
+            now.saturating_sub(last_fault + assumed_downtime + parameters.overload_window / 2).as_secs_f64();
         let share = parameters.slow_start_floor
             + (1.0 - parameters.slow_start_floor) * warmed
                 / parameters.slow_start_duration.as_secs_f64().max(MIN_DURATION_SECONDS);
         if share >= 1.0 {
             return SlowStartBudget::UNLIMITED;
         }
-        let usual = self.baseline_rate(endpoint, now);
-        let per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * usual;
-        // One forwarder's share is few requests in each span, so that they are paced and not counted.
+        let baseline = self.baseline_rate(endpoint, now);
+        let per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * baseline;
+        // The share of one forwarder is a few requests in each window, so they are spaced and not counted.
         let last = endpoint.usage().recent_load().back();
         let next = last.map(|sent| sent.at + seconds(sent.load / per_second.max(MIN_RATE)));
         let budget = (per_second * parameters.overload_window.as_secs_f64()).max(1.0);
@@ -81,8 +83,9 @@
         (1.0 + (budget - 1.0) / LOAD_PER_EXTRA_MESSAGE) as usize
     }
 
-    /// The design's delay for a circuit. Every forwarder sends a trial of its own, and the first ones after a
-    /// recovery all meet a cold destination: with many forwarders or a small destination they come less often.
+    /// How long a circuit stays open before a trial. Every forwarder sends trials of its own, and the first ones
+    /// after a recovery all reach a destination that is warming up: with many forwarders or a small destination
+    /// they are sent less often.
     pub(super) fn recovery_delay(&self, endpoint: &Endpoint, now: Duration) -> Duration {
         let parameters = &self.parameters;
         let share = self.baseline_rate(endpoint, now).max(MIN_DESTINATION_CAPACITY / parameters.forwarders);
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -1,19 +1,19 @@
-//! Stragglers: requests that are overdue while others could use their slots.
+//! Stragglers: requests that are overdue while the limit of requests in flight keeps others waiting.
 
 use std::time::Duration;
 
 use super::admission::Admission;
-use super::timeouts::patience;
+use super::timeouts::timeout_factor;
 use super::{seconds, DeliveryPolicy};
 use crate::interface::{PolicyHost, RequestId};
 use crate::state::{Attempt, CircuitBreaker, NextWake};
 
-/// A circuit is silent when no answer came for so many mean response times, and for so many more divided by the
+/// A circuit is silent when no answer came for so many mean response times, plus so many more divided by the
 /// requests in flight.
 const STRAGGLER_MEANS: f64 = 1.5;
 const STRAGGLER_SHARED_MEANS: f64 = 4.0;
-/// No request is a straggler before this part of the recovery delay.
-const MIN_STRAGGLER_PART: u32 = 4;
+/// No request is a straggler before the recovery delay divided by this has passed.
+const MIN_STRAGGLER_DIVISOR: u32 = 4;
 
 /// The attempt that is overdue most.
 struct Straggler {
@@ -32,19 +32,19 @@
             .unwrap_or(self.parameters.recovery_delay.as_secs_f64() / 2.0);
         let sharing = circuit.in_flight().len().max(1) as f64;
         seconds(mean * (STRAGGLER_MEANS + STRAGGLER_SHARED_MEANS / sharing))
-            .max(self.parameters.recovery_delay / MIN_STRAGGLER_PART)
+            .max(self.parameters.recovery_delay / MIN_STRAGGLER_DIVISOR)
     }
 
     /// Cancels the request that is overdue most, if any is; otherwise wakes when the first will be.
     ///
-    /// Symptom: every slot is taken, some by requests to silent endpoints, while others could send. The request
-    /// that is overdue most is cancelled, the sooner as it may be executed again elsewhere. Covers hanging,
-    /// silent and very slow destinations; it can harm by repeating work that would still have been answered.
+    /// Symptom: the limit of requests in flight is reached, partly by requests to silent endpoints, while others
+    /// could send. The request that is overdue most is cancelled; a non-idempotent one later. Covers hanging, silent
+    /// and very slow destinations; it can harm by repeating work that would still have been answered.
     pub(super) fn cancel_straggler(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
-        let answered_at = self.newest_awaited_answer(now);
+        let completed_at = self.last_relevant_completion(now);
         let mut worst: Option<Straggler> = None;
         let attempts = self.in_flight.attempts().map(|(_, attempt)| attempt);
-        for attempt in attempts.filter(|a| !a.cancelled && a.started_at < answered_at) {
+        for attempt in attempts.filter(|a| !a.cancelled && a.started_at < completed_at) {
             let Some(allowed) = self.allowed_time(attempt) else { continue };
             let taken = now.saturating_sub(attempt.started_at);
             let overdue_ratio = taken.as_secs_f64() / allowed.as_secs_f64();
@@ -59,9 +59,10 @@
         }
     }
 
-    /// The newest answer of a circuit that a message waits for, or of any where that circuit has not answered
-    /// lately; where all are slow alike, no request is a straggler.
-    fn newest_awaited_answer(&self, now: Duration) -> Duration {
+    /// The last completion of a circuit that could send a queued message, or the last of all where that circuit has
+    /// completed none recently. Only requests sent before it can be stragglers: where all destinations are equally
+    /// slow, none is.
+    fn last_relevant_completion(&self, now: Duration) -> Duration {
         let mut newest = Duration::ZERO;
         for destination in self.queue.awake() {
             for (id, endpoint) in self.endpoints.active(*destination) {
@@ -79,8 +80,8 @@
         newest
     }
 
-    /// How long an attempt may take before it is a straggler; none if its circuit has answered since, or its
-    /// message is finished.
+    /// How long an attempt may take before it is a straggler; none if its circuit has completed a request since, or
+    /// its message is finished.
     fn allowed_time(&self, attempt: &Attempt) -> Option<Duration> {
         let circuit = self.circuits.get(attempt.scope)?;
         if circuit.last_completion() > attempt.started_at {
@@ -88,6 +89,6 @@
         }
         let message = self.messages.get(attempt.message)?;
         // To cancel a non-idempotent one loses it, so that it may take longer.
-        Some(self.straggler_after(circuit).mul_f64(patience(self.idempotency(message))))
+        Some(self.straggler_after(circuit).mul_f64(timeout_factor(self.idempotency(message))))
     }
 }
--- a/src/policy/submission.rs
+++ b/src/policy/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: how a message is classed when it comes in.
+//! Submissions: the class, the latency objective and the quota of a new message.
 
 use std::time::Duration;
 
@@ -25,19 +25,19 @@
         self.accept(Message::new(id, class, ordering_key, destination, times, over_quota), now);
     }
 
-    /// Until when a message has its full weight. Counted from the first submission, which a client's repeat
-    /// shares. One that comes with less time than its class promises is no late repeat: it is wanted until its
-    /// deadline, and not after.
+    /// Until when a message has its full weight. It is counted back from the deadline, and so from the first
+    /// submission where a client submits again. A message that has no more time left than its class's latency
+    /// objective has its full weight until its deadline.
     fn objective_at(&self, class: usize, deadline: Duration, now: Duration) -> Duration {
         let class = &self.parameters.classes[class];
-        let whole =
+        let lifetime =
             if now + class.latency_objective < deadline { class.deadline } else { class.latency_objective };
-        deadline.saturating_sub(whole.saturating_sub(class.latency_objective))
+        deadline.saturating_sub(lifetime.saturating_sub(class.latency_objective))
     }
 
-    /// Counts a message against its tenant's quota; says whether it is over the quota. A forwarder sees its own
-    /// part of the traffic only and cannot tell how that is spread, so that it judges by the whole quota: what
-    /// is over that here is over it everywhere.
+    /// Counts a message against its tenant's quota; returns whether it is over the quota. A forwarder sees only its
+    /// own part of the traffic and does not know how that is spread, so it compares with the whole quota: what is
+    /// over that here is over it everywhere.
     fn spend_quota(&mut self, tenant: usize, now: Duration) -> bool {
         let quota = self.parameters.tenants[tenant].messages_per_second;
         !self.tenants.spend(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -1,4 +1,4 @@
-//! Until when an attempt may begin and how long its response is waited for.
+//! Until when an attempt may begin, and its response timeout.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 /// The response timeout in mean response times of the circuit; measured at 8, 12 and 16.
 const TIMEOUT_MEANS: f64 = 12.0;
-/// The same for half-open trials, and the time that a non-idempotent message is given before a shutdown.
+/// The same for half-open trials, and the time that a non-idempotent message needs before a shutdown.
 const TRIAL_MEANS: f64 = 4.0;
-/// So many times as long is a non-idempotent message waited for.
-pub(super) const NON_IDEMPOTENT_PATIENCE: f64 = 2.0;
+/// How many times as long the response to a non-idempotent message is awaited.
+const NON_IDEMPOTENT_TIMEOUT_FACTOR: f64 = 2.0;
 /// The timeout grows by this factor with each of the last timeouts in a row, so that a slow destination is not
 /// cut off.
 const TIMEOUT_GROWTH: f64 = 1.5;
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Until when an attempt may begin. What is in flight when the program stops may have been executed, and a
-    /// non-idempotent message is lost by it.
+    /// Until when an attempt may begin. A message in flight when the program stops may have been executed, and a
+    /// non-idempotent one could then not be retried.
     pub(super) fn start_by(&self, message: &Message, scope: CircuitScope) -> Duration {
         let own = self.circuits.get(scope).and_then(|circuit| circuit.mean_latency());
         let mean = own.or(self.response_times.mean_latency()).unwrap_or_default();
@@ -39,24 +39,25 @@
         self.key_valid_until(message).min(shutdown)
     }
 
-    /// How long the response to an attempt is waited for.
+    /// The response timeout of an attempt.
     pub(super) fn response_timeout(&self, message: &Message, scope: CircuitScope, trial: bool) -> Duration {
         let class = &self.parameters.classes[message.class];
         let circuit = self.circuits.get(scope);
         let mean = circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(0.0);
         let timeouts = circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_TIMEOUT_GROWTHS));
         let growth = TIMEOUT_GROWTH.powi(timeouts as i32);
-        // No second trial goes while one is in flight, so that a long one would hide the recovery.
+        // No second trial is sent while one is in flight, so a long one would delay the recovery.
         let ordinary = (TIMEOUT_MEANS, class.latency_objective);
         let (means, floor) = if trial { (TRIAL_MEANS, self.parameters.recovery_delay) } else { ordinary };
-        seconds((means * mean).max(floor.as_secs_f64()) * patience(class.idempotency) * growth)
+        seconds((means * mean).max(floor.as_secs_f64()) * timeout_factor(class.idempotency) * growth)
     }
 }
 
-/// How many times as long an attempt is waited for: to cut off a non-idempotent one loses its message.
-pub(super) fn patience(idempotency: Idempotency) -> f64 {
+/// How many times as long a response is awaited by idempotency: a non-idempotent message whose attempt is cut off
+/// is lost.
+pub(super) fn timeout_factor(idempotency: Idempotency) -> f64 {
     if idempotency == Idempotency::NonIdempotent {
-        NON_IDEMPOTENT_PATIENCE
+        NON_IDEMPOTENT_TIMEOUT_FACTOR
     } else {
         1.0
     }
--- a/src/queue/indices.rs
+++ b/src/queue/indices.rs
@@ -53,7 +53,7 @@
     pub destination: DestinationId,
 }
 
-/// Destination queues in the orders in which the policy asks for them.
+/// Destination queues in the orders that the policy needs.
 #[derive(Default)]
 pub(super) struct Indices {
     /// By the earliest deadline.
--- a/src/queue/message_queue.rs
+++ b/src/queue/message_queue.rs
@@ -66,7 +66,7 @@
         self.destinations.get(&destination).into_iter().flat_map(move |queue| queue.segments(now))
     }
 
-    /// Notes an event that may change what holds a destination's messages back: wakes it, and has its entries
+    /// Records an event that may change what holds a destination's messages back: wakes it, and has its entries
     /// in the indices renewed.
     pub fn touch(&mut self, destination: DestinationId) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
@@ -74,12 +74,12 @@
         self.schedule.wake(destination, &mut queue.wakefulness);
     }
 
-    /// Destinations with queued messages that are to be looked at.
+    /// Destinations with queued messages that are to be checked.
     pub fn awake(&self) -> &BTreeSet<DestinationId> {
         &self.schedule.awake
     }
 
-    /// The destination need not be looked at before this time, or, without one, before [`MessageQueue::touch`].
+    /// The destination need not be checked before this time, or, without one, before [`MessageQueue::touch`].
     pub fn sleep(&mut self, destination: DestinationId, until: Option<Duration>) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         queue.wakefulness = self.schedule.sleep(destination, until);
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -1,5 +1,5 @@
 //! Messages that wait to be sent, indexed by the questions that the scheduler asks: which message of a destination
-//! may go next, which messages expire next, which has the lowest priority, and which destinations are worth asking.
+//! may go next, which messages expire next, which has the lowest priority, and which destinations are to be checked.
 //!
 //! The indices decide nothing: orders and thresholds stand in the policy. A [`DestinationQueue`] exists for each
 //! destination with queued messages. The indices over all destinations hold a few entries for each destination and
@@ -12,7 +12,7 @@
 //! | `segment` | the messages of one class that have, or have not, missed their latency objective |
 //! | `destination_queue` | the queue of one destination |
 //! | `indices` | the indices over all destination queues |
-//! | `wake_schedule` | which destinations are looked at now, and when the others are |
+//! | `wake_schedule` | which destinations are checked now, and when the others are |
 //! | `message_queue` | all of it together, as the policy uses it |
 //! | `consistency` | debug builds: every index against a full walk |
 
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -9,7 +9,7 @@
 /// What decides, besides the latency objective, which message of a destination goes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueClass {
-    /// What the message is worth; compared first.
+    /// Its priority; compared first.
     pub priority: PriorityClass,
     /// Attempts so far that were answered with an error.
     pub errors: u32,
--- a/src/queue/wake_schedule.rs
+++ b/src/queue/wake_schedule.rs
@@ -1,5 +1,5 @@
-//! Which destinations are looked at now, and when the others are. Events alone can change what holds a sleeping
-//! destination back, so that looking at it in between would be work for nothing.
+//! Which destinations are checked now, and when the others are. Only events can change what holds a sleeping
+//! destination back, so that checking it in between would be work for nothing.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use super::position::Due;
 use crate::interface::DestinationId;
 
-/// Whether a destination is looked at whenever due work is run.
+/// Whether a destination is checked whenever due work is run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Wakefulness {
     /// It is.
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -137,9 +137,9 @@
     }
 }
 
-// What the destination asks for.
+// Retry-After, rate limit and pacing.
 impl CircuitBreaker {
-    /// No request is sent before this time, as the destination asked.
+    /// No request is sent before this time, as a Retry-After or a pause demands.
     pub(crate) fn retry_after_until(&self) -> Duration {
         self.retry_after_until
     }
--- a/src/state/circuit_table.rs
+++ b/src/state/circuit_table.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub(crate) struct CircuitTable {
     circuits: BTreeMap<CircuitScope, CircuitBreaker>,
-    /// When each is next looked at for its removal.
+    /// When each is next reviewed for its removal.
     review_at: BTreeSet<(Duration, CircuitScope)>,
     /// Made since reviews were last scheduled.
     without_review: Vec<CircuitScope>,
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -6,8 +6,8 @@
 
 use crate::interface::EndpointId;
 
-/// The least span, in seconds, over which arrivals fade, so that nothing is divided by zero.
-const MIN_FADING_SECONDS: f64 = 0.001;
+/// The least span, in seconds, over which arrivals decay, so that nothing is divided by zero.
+const MIN_DECAY_SECONDS: f64 = 0.001;
 
 /// What is listed for one destination, and what was submitted for it.
 #[derive(Default)]
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub(crate) struct Traffic {
     arrivals: u64,
-    /// Arrivals, each counted less as it recedes, as of `recent_at`.
+    /// Arrivals with exponential decay, as of `recent_at`.
     recent_arrivals: f64,
     recent_at: Duration,
     first_seen: Duration,
@@ -83,7 +83,7 @@
         self.last_request = number;
     }
 
-    /// Counts a message that was submitted now; older ones fade over the span.
+    /// Counts a message that was submitted now; older ones decay over the span.
     pub(crate) fn record_arrival(&mut self, now: Duration, span: Duration) {
         if self.arrivals == 0 {
             self.first_seen = now;
@@ -96,7 +96,7 @@
     /// Arrivals within about this span before now.
     pub(crate) fn recent_arrivals(&self, now: Duration, span: Duration) -> f64 {
         let spans =
-            now.saturating_sub(self.recent_at).as_secs_f64() / span.as_secs_f64().max(MIN_FADING_SECONDS);
+            now.saturating_sub(self.recent_at).as_secs_f64() / span.as_secs_f64().max(MIN_DECAY_SECONDS);
         self.recent_arrivals * (-spans).exp()
     }
 }
--- a/src/state/next_wake.rs
+++ b/src/state/next_wake.rs
@@ -1,4 +1,4 @@
-//! The earliest time at which the policy has something to do again.
+//! The earliest time at which the policy has due work again.
 
 use std::time::Duration;
 
--- a/src/state/parameters.rs
+++ b/src/state/parameters.rs
@@ -39,7 +39,7 @@
 pub(crate) struct PolicyParameters {
     pub(crate) classes: Vec<ClassParameters>,
     pub(crate) tenants: Vec<TenantParameters>,
-    /// The zone that this forwarder stands in.
+    /// The zone that this forwarder is in.
     pub(crate) zone: String,
     /// Forwarders in the fleet, 1 at least.
     pub(crate) forwarders: f64,
@@ -57,19 +57,19 @@
     pub(crate) hedging_allowed: bool,
     /// The longest deadline of all classes.
     pub(crate) longest_deadline: Duration,
-    /// Longest Retry-After that clients heed; absent if rejections may not carry one.
+    /// Longest Retry-After that clients honour; absent if rejections may not carry one.
     pub(crate) max_retry_after: Option<Duration>,
     /// Only failures within this span count together.
     pub(crate) failure_window: Duration,
     /// How long a circuit stays open before a trial.
     pub(crate) recovery_delay: Duration,
-    /// Share of its capacity that a destination has when it comes back.
+    /// Share of its capacity that a destination has right after an outage.
     pub(crate) slow_start_floor: f64,
-    /// How long a destination takes to regain its whole capacity.
+    /// How long a destination takes after an outage to regain its full capacity.
     pub(crate) slow_start_duration: Duration,
-    /// A cold destination falls when it is sent more than this multiple of its capacity.
+    /// A destination that is warming up fails if its load exceeds this multiple of the capacity that it has then.
     pub(crate) overload_multiple: f64,
-    /// How long that load has to last for the destination to fall.
+    /// How long that overload has to last for the destination to fail.
     pub(crate) overload_window: Duration,
     /// How long an ordering key is held off after an attempt with an unknown end.
     pub(crate) ordering_hold_off: Duration,
--- a/src/state/removed_endpoints.rs
+++ b/src/state/removed_endpoints.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::EndpointId;
 
-/// Endpoints that are listed no more, until they are forgotten.
+/// Endpoints that are no longer listed, until they are forgotten.
 #[derive(Default)]
 pub(super) struct RemovedEndpoints {
     /// Removed since times were last stamped.
