--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -33,9 +33,9 @@
     requests_in_flight: u32,
     /// Failures of each class since its last completion, by class index.
     consecutive_failures: BTreeMap<usize, u32>,
-    /// Last evidence that it may be down or cold.
+    /// Last evidence that it may be down or warming up.
     last_fault: Option<Duration>,
-    /// What was sent lately, oldest first.
+    /// What was sent recently, oldest first.
     recent_load: VecDeque<SentLoad>,
     last_sent: Duration,
     /// When its last request ended, if that ended with an answer, which leaves a connection idle.
@@ -94,7 +94,7 @@
         self.last_sent
     }
 
-    /// What was sent lately, oldest first.
+    /// What was sent recently, oldest first.
     pub(crate) fn recent_load(&self) -> &VecDeque<SentLoad> {
         &self.recent_load
     }
@@ -118,12 +118,12 @@
         self.consecutive_failures.remove(&class);
     }
 
-    /// Last evidence that the endpoint may be down or cold.
+    /// Last evidence that the endpoint may be down or warming up.
     pub(crate) fn last_fault(&self) -> Option<Duration> {
         self.last_fault
     }
 
-    /// The endpoint may be down or cold as of this time.
+    /// The endpoint may be down or warming up as of this time.
     pub(crate) fn record_fault(&mut self, at: Duration) {
         self.last_fault = Some(at);
     }
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -10,7 +10,7 @@
 use super::{Endpoint, EndpointUsage, KindParameters};
 use crate::interface::{CircuitScope, DestinationId, EndpointId, EndpointState, EndpointUpdate};
 
-/// All endpoints and destinations, with those that have left the list lately.
+/// All endpoints and destinations, with those that have left the list recently.
 pub(crate) struct EndpointDirectory {
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: BTreeMap<DestinationId, Destination>,
@@ -72,7 +72,7 @@
         self.destinations.get(&id)
     }
 
-    /// The traffic of a destination, which is entered if it is not known yet.
+    /// The traffic of a destination, which is inserted if it is not known yet.
     pub(crate) fn traffic_mut(&mut self, id: DestinationId) -> &mut Traffic {
         self.destinations.entry(id).or_default().traffic_mut()
     }
@@ -187,7 +187,7 @@
         dropped
     }
 
-    /// The list broke off before its end: what it named so far holds, and what it did not name stays.
+    /// The list ended early: the entries received so far are in force, and endpoints that it did not name stay.
     pub(crate) fn abort_list(&mut self) {
         self.receiving_whole_list = false;
     }
