--- a/crates/forwarder/src/request_sender/request.rs
+++ b/crates/forwarder/src/request_sender/request.rs
@@ -5,7 +5,7 @@
 
 use reeddock::{AttemptNumber, EndpointId, LoadReport, MessageId};
 use reeddock_protocol::{AttemptResult, OutgoingMessage};
-use tokio::sync::oneshot;
+use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
 use super::BatchDeparture;
@@ -20,6 +20,8 @@
     pub messages: Vec<BatchMessage>,
     /// Which of the messages are still sent, shared with the supervisor.
     pub(super) departure: BatchDeparture,
+    /// Set to the `Retry-After` of a response whose body is late: the pause counts from the head.
+    pub(super) early_retry_after: watch::Sender<Option<Duration>>,
 }
 
 /// One message of a request.
@@ -34,7 +36,8 @@
 impl EndpointRequest {
     /// A request with these messages, none of which was sent or cancelled yet.
     pub fn new(endpoint: EndpointId, address: SocketAddr, messages: Vec<BatchMessage>) -> EndpointRequest {
-        EndpointRequest { endpoint, address, messages, departure: BatchDeparture::default() }
+        let (departure, early_retry_after) = (BatchDeparture::default(), watch::Sender::default());
+        EndpointRequest { endpoint, address, messages, departure, early_retry_after }
     }
 }
 
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -1,16 +1,17 @@
 //! Sends one request on a connection and reads from its response how each message ended.
 
 use std::convert::Infallible;
+use std::error::Error;
 use std::future::Future;
 use std::net::SocketAddr;
-use std::pin::Pin;
+use std::pin::{pin, Pin};
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
 use std::time::Duration;
 
 use bytes::Bytes;
 use http::{response, Request, Response};
-use http_body_util::{BodyExt, Full, Limited};
+use http_body_util::{BodyExt, Collected, Full, Limited};
 use hyper::body::Incoming;
 use reeddock::EndpointId;
 use reeddock_protocol::{self as protocol, AttemptResult, OutgoingMessage};
@@ -221,6 +222,21 @@
         }
     }
 
+    /// Reads the body of a response. Where it is late, the `Retry-After` in the head is reported meanwhile: the pause
+    /// has begun, and other requests to the endpoint must not go on until the body has come.
+    async fn read_body(
+        &self,
+        head: &response::Parts,
+        body: Incoming,
+    ) -> Result<Collected<Bytes>, Box<dyn Error + Send + Sync>> {
+        let mut whole_body = pin!(Limited::new(body, MAX_RESPONSE_BYTES).collect());
+        if let Ok(body) = timeout(RESPONSE_REMAINDER_BEFORE_RESULT, &mut whole_body).await {
+            return body;
+        }
+        self.request.early_retry_after.send_replace(protocol::retry_after_of(head));
+        whole_body.await
+    }
+
     /// Results that stand in the body, or that only a whole response proves: that nothing was executed.
     async fn read_whole_response(
         &self,
@@ -229,7 +245,7 @@
         body: Incoming,
         batch: &SentBatch,
     ) -> RequestResult {
-        let Ok(body) = Limited::new(body, MAX_RESPONSE_BYTES).collect().await else {
+        let Ok(body) = self.read_body(head, body).await else {
             // The pause stands in the head, and is valid whatever became of the body.
             let retry_after = protocol::retry_after_of(head);
             return RequestResult { retry_after, ..batch.same_for_all(AttemptResult::MalformedResponse) };
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -2,12 +2,13 @@
 
 use std::convert::Infallible;
 use std::future::Future;
+use std::time::Duration;
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use futures_util::FutureExt;
 use reeddock::{AttemptNumber, EndpointId, MessageId};
 use reeddock_protocol::AttemptResult;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 use tower::{Service, ServiceExt};
 
@@ -27,6 +28,7 @@
     departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_by).collect());
     let mut supervisor = Supervisor::new(&request, &attempts, event_loop);
     let mut interruptions = watch_interruptions(&request, attempts);
+    let mut early_retry_after = request.early_retry_after.subscribe();
     let mut exchange = Some(Box::pin(request_sender.oneshot(request)));
     while let Some(running) = exchange.as_mut().filter(|_| supervisor.any_unfinished()) {
         let finished = tokio::select! {
@@ -35,6 +37,10 @@
                 exchange = None;
                 supervisor.request_finished(result).await
             }
+            Ok(pause) = next_pause(&mut early_retry_after) => {
+                supervisor.report_retry_after(pause).await;
+                continue;
+            }
             Some(first) = interruptions.next() => {
                 // What is interrupted in the same instant is reported together, so that no message of it is sent
                 // anew while the request is still in flight for the others.
@@ -54,6 +60,19 @@
     }
 }
 
+/// Waits for the `Retry-After` of a response whose body is late. Fails once the request has ended.
+async fn next_pause(
+    early_retry_after: &mut watch::Receiver<Option<Duration>>,
+) -> Result<Duration, watch::error::RecvError> {
+    loop {
+        early_retry_after.changed().await?;
+        let pause = *early_retry_after.borrow_and_update();
+        if let Some(pause) = pause {
+            return Ok(pause);
+        }
+    }
+}
+
 /// Why a message is not waited for any longer while its request is still in flight.
 #[derive(Clone, Copy)]
 enum InterruptionCause {
@@ -185,10 +204,14 @@
             let _ = self.event_loop.send(Event::LoadReported { endpoint, report }).await;
         }
         if let Some(retry_after) = request.retry_after {
-            let _ = self.event_loop.send(Event::RetryAfter { endpoint, retry_after }).await;
+            self.report_retry_after(retry_after).await;
         }
     }
 
+    async fn report_retry_after(&self, retry_after: Duration) {
+        let _ = self.event_loop.send(Event::RetryAfter { endpoint: self.endpoint, retry_after }).await;
+    }
+
     /// The endpoint knows until when a result is waited for: a completion after that is no delivery, though it may
     /// arrive in the instant of the timeout. A result that proves that nothing was executed stays valid.
     fn in_time(&self, finished: MessageResult, now: Instant) -> MessageResult {
--- a/crates/forwarder/tests/loopback/retry_after.rs
+++ b/crates/forwarder/tests/loopback/retry_after.rs
@@ -3,8 +3,10 @@
 use reeddock_forwarder::connections::Connections;
 use reeddock_forwarder::request_sender::{run_request, MessageResult};
 use reeddock_protocol::AttemptResult;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use tokio::time::Instant;
+use tokio::time::{sleep_until, Instant};
 use tower::Service;
 
 use crate::support::*;
@@ -77,3 +79,26 @@
         AttemptResult::RetryAfterActive,
     ));
 }
+
+#[test]
+fn a_retry_after_counts_from_the_head_of_a_response_whose_body_is_late() {
+    run_test(async {
+        let endpoint = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let test_bed = TestBed::with_working_endpoint().await;
+        let entry = list_entry("late", endpoint.local_addr().unwrap(), 3, "Ready");
+        let forwarder = test_bed.start_forwarder_with_list(endpoint_list(1, true, &[entry])).await;
+        assert_eq!(forwarder.submit("first", "order").await, 202);
+        let (mut first, _) = endpoint.accept().await.unwrap();
+        read_message(&mut first).await.unwrap();
+        let began = Instant::now();
+        let head = "HTTP/1.1 429 x\r\nretry-after: 1.5\r\ncontent-length: 4\r\n\r\n";
+        first.write_all(head.as_bytes()).await.unwrap();
+        // The grace in which requests are on their way when a wait begins.
+        sleep_until(began + ms(100)).await;
+        assert_eq!(forwarder.submit("second", "order").await, 202);
+        let (mut second, _) = endpoint.accept().await.unwrap();
+        let waited = began.elapsed();
+        assert!(waited >= ms(1500), "sent after {waited:?}");
+        drop(read_message(&mut second).await);
+    });
+}
