--- a/crates/daemon/src/check.rs
+++ b/crates/daemon/src/check.rs
@@ -4,7 +4,7 @@
 
 use reeddock::MessageClass;
 use reeddock_forwarder::limits::Limits;
-use reeddock_wal::Sync;
+use reeddock_wal::SyncPolicy;
 
 use crate::error::ConfigError;
 use crate::startup::StartConfig;
@@ -13,7 +13,7 @@
 pub fn run(config: &Path) -> Result<(), ConfigError> {
     // The state folder is not touched, so that none is needed.
     let StartConfig { options, shape, reloadable, .. } =
-        StartConfig::read(config, PathBuf::new(), Sync::Never)?;
+        StartConfig::read(config, PathBuf::new(), SyncPolicy::Never)?;
     println!("listens on {}, discovery and notices at {}", options.listen, reloadable.discovery());
     let cached_list = &options.cached_list;
     println!("{} targets known, generation {}", cached_list.endpoints, cached_list.generation);
--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -6,7 +6,7 @@
 
 use lexopt::prelude::*;
 use lexopt::Parser;
-use reeddock_wal::Sync;
+use reeddock_wal::SyncPolicy;
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 
@@ -67,7 +67,7 @@
     /// The least severe level that is logged.
     pub log_level: LevelFilter,
     /// When the write-ahead log is synced.
-    pub sync: Sync,
+    pub sync: SyncPolicy,
 }
 
 /// What is wrong with the command line, and what was expected there.
@@ -113,7 +113,7 @@
     config: Option<OsString>,
     state: Option<OsString>,
     log_level: LevelFilter,
-    sync: Sync,
+    sync: SyncPolicy,
     view: View,
 }
 
@@ -124,7 +124,7 @@
             config: None,
             state: None,
             log_level: LevelFilter::INFO,
-            sync: Sync::Never,
+            sync: SyncPolicy::Never,
             view: View::All,
         }
     }
@@ -181,14 +181,14 @@
 }
 
 /// The value of `--sync`: `never`, `each`, or an interval in seconds, with decimals if need be.
-fn parse_sync(value: String) -> Result<Sync, CommandLineError> {
+fn parse_sync(value: String) -> Result<SyncPolicy, CommandLineError> {
     match value.as_str() {
-        "never" => return Ok(Sync::Never),
-        "each" => return Ok(Sync::Each),
+        "never" => return Ok(SyncPolicy::Never),
+        "each" => return Ok(SyncPolicy::EachAppend),
         _ => {}
     }
     let seconds = value.parse().ok();
     let interval = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let interval = interval.filter(|interval| !interval.is_zero() && *interval <= MAX_SYNC_INTERVAL);
-    interval.map(Sync::Every).ok_or(CommandLineError::Sync { value })
+    interval.map(SyncPolicy::Interval).ok_or(CommandLineError::Sync { value })
 }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -9,7 +9,7 @@
 use reeddock_forwarder::ForwarderOptions;
 use reeddock_protocol::{ListEntry, ListPart};
 use reeddock_settings::{parse_settings, DeploymentShape, NetworkSettings};
-use reeddock_wal::Sync;
+use reeddock_wal::SyncPolicy;
 use serde_json::{Map, Value};
 use tokio::sync::watch;
 
@@ -86,7 +86,7 @@
 
 impl StartConfig {
     /// Reads a configuration file for a forwarder whose state is kept in `state`.
-    pub fn read(file: &Path, state: PathBuf, sync: Sync) -> Result<StartConfig, ConfigError> {
+    pub fn read(file: &Path, state: PathBuf, sync: SyncPolicy) -> Result<StartConfig, ConfigError> {
         let mut entries = EntryBuffer::default();
         let contents = config_file::read(file, &mut |entry| entries.push(entry))?;
         let reader = SectionReader { file, sections: &contents.sections };
@@ -125,7 +125,7 @@
 }
 
 fn read_reloadable(file: &Path) -> Result<ReloadableConfig, ConfigError> {
-    StartConfig::read(file, PathBuf::new(), Sync::Never).map(|config| config.reloadable)
+    StartConfig::read(file, PathBuf::new(), SyncPolicy::Never).map(|config| config.reloadable)
 }
 
 /// The entries of the cached endpoint list as they are read, up to [`MAX_ENTRIES_IN_MEMORY`].
--- a/crates/daemon/src/wal_command/json.rs
+++ b/crates/daemon/src/wal_command/json.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use reeddock_protocol::{DeliveryNotice, FinalAnswer};
-use reeddock_wal::{AttemptStarted, Corruption, PendingMessage};
+use reeddock_wal::{Corruption, PendingMessage, RecordedAttempt};
 use serde::Serialize;
 
 use super::{possibly_executed, seconds_left, Snapshot};
@@ -96,11 +96,11 @@
 impl MessageLine<'_> {
     fn new(message: &PendingMessage, now: u64) -> MessageLine<'_> {
         MessageLine {
-            bytes: message.size,
+            bytes: message.reserved_bytes,
             class: &message.class,
             destination: message.destination,
             attempts: message.attempts.iter().map(AttemptLine::from).collect(),
-            ordering_key: message.key,
+            ordering_key: message.ordering_key,
             seconds_left: seconds_left(message, now),
             possibly_executed: possibly_executed(message) > 0,
             deadline: message.deadline,
@@ -111,10 +111,10 @@
     }
 }
 
-impl<'a> From<&'a AttemptStarted> for AttemptLine<'a> {
-    fn from(attempt: &'a AttemptStarted) -> AttemptLine<'a> {
+impl<'a> From<&'a RecordedAttempt> for AttemptLine<'a> {
+    fn from(attempt: &'a RecordedAttempt) -> AttemptLine<'a> {
         AttemptLine {
-            started_at: attempt.at,
+            started_at: attempt.started_at,
             finished: attempt.state.is_finished(),
             proven_not_executed: attempt.state.proves_not_executed(),
             endpoint: &attempt.endpoint,
--- a/crates/daemon/src/wal_command/text.rs
+++ b/crates/daemon/src/wal_command/text.rs
@@ -88,7 +88,7 @@
     for message in snapshot.index.pending() {
         let totals = groups.entry(Group::of(message, group_by, snapshot.now)).or_default();
         totals.messages += 1;
-        totals.bytes += message.size;
+        totals.bytes += message.reserved_bytes;
         totals.possibly_executed += usize::from(possibly_executed(message) > 0);
     }
     for (group, totals) in groups {
--- a/crates/daemon/tests/wal_command.rs
+++ b/crates/daemon/tests/wal_command.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use reeddock_protocol::FinalAnswer;
-use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
+use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
 use temp_folder::TempFolder;
 
 /// What the command wrote, to both of its outputs, and its exit code.
@@ -31,7 +31,7 @@
         id: id.into(),
         class: class.into(),
         tenant: None,
-        key: None,
+        ordering_key: None,
         destination,
         deadline: 1,
         body: "a body".into(),
@@ -40,12 +40,12 @@
 
 /// A write-ahead log with two pending messages, of which one was possibly executed, and an unacknowledged notice.
 fn write_log(folder: &Path) -> WriteAheadLog {
-    let mut log = WriteAheadLog::open(folder, 100_000, Sync::Never).unwrap();
+    let mut log = WriteAheadLog::open(folder, 100_000, SyncPolicy::Never).unwrap();
     let records = [
         accepted("order-1", "order", 7),
         accepted("note-1", "note", 8),
         accepted("note-2", "note", 8),
-        Record::AttemptStarted { id: "order-1".into(), no: 0, endpoint: "t".into(), at: 5 },
+        Record::AttemptStarted { id: "order-1".into(), number: 0, endpoint: "t".into(), started_at: 5 },
         Record::Finished { id: "note-2".into(), notice: Some(FinalAnswer::Failed) },
     ];
     log.append(&records, Duration::ZERO).unwrap();
--- a/crates/daemon/tests/wal_command_names.rs
+++ b/crates/daemon/tests/wal_command_names.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
+use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
 use temp_folder::TempFolder;
 
 fn reeddock(command: &str, folder: &Path, arguments: &[&str]) -> Output {
@@ -22,12 +22,12 @@
         id: "order-1".into(),
         class: "order".into(),
         tenant: None,
-        key: None,
+        ordering_key: None,
         destination: 7,
         deadline: 1,
         body: "a body".into(),
     };
-    let mut log = WriteAheadLog::open(folder, 100_000, Sync::Never).unwrap();
+    let mut log = WriteAheadLog::open(folder, 100_000, SyncPolicy::Never).unwrap();
     log.append(&[Record::Accepted(message)], Duration::ZERO).unwrap();
 }
 
--- a/crates/forwarder/src/event_loop/attempt_results.rs
+++ b/crates/forwarder/src/event_loop/attempt_results.rs
@@ -60,7 +60,7 @@
             return true;
         }
         let proves_not_executed = result.outcome().proves_not_executed();
-        self.state.record(Record::AttemptFinished { id, no: attempt.number.0, proves_not_executed });
+        self.state.record(Record::AttemptFinished { id, number: attempt.number.0, proves_not_executed });
         false
     }
 
--- a/crates/forwarder/src/event_loop/log_writer.rs
+++ b/crates/forwarder/src/event_loop/log_writer.rs
@@ -67,9 +67,9 @@
     fn attempt_record(&self, attempt: &OutgoingAttempt, started_at: u64) -> Record {
         Record::AttemptStarted {
             id: attempt.message.id.0.to_string(),
-            no: attempt.number.0,
+            number: attempt.number.0,
             endpoint: self.state.endpoints().name(attempt.endpoint).unwrap_or_default().to_owned(),
-            at: started_at,
+            started_at,
         }
     }
 }
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -56,7 +56,7 @@
             class: &pending.class,
             // Its tenant's quota was charged for it by the process that accepted it.
             tenant: None,
-            ordering_key: pending.key.map(OrderingKey),
+            ordering_key: pending.ordering_key.map(OrderingKey),
             deadline: self.clock.from_unix_micros(pending.deadline),
             destination: DestinationId(pending.destination),
         };
@@ -65,7 +65,7 @@
         let entry = PendingEntry {
             body: accepted.body,
             idempotency_key: accepted.idempotency_key.map(Arc::from),
-            size: pending.size,
+            size: pending.reserved_bytes,
             attempts: previous_attempts.len() as u32,
         };
         self.state.pending_mut().insert(id, entry);
@@ -77,7 +77,7 @@
         for started in &pending.attempts {
             attempts.push(PreviousAttempt {
                 endpoint: self.state.endpoints_mut().number(&started.endpoint),
-                started_at: self.clock.from_unix_micros(started.at),
+                started_at: self.clock.from_unix_micros(started.started_at),
                 proves_not_executed: started.state.proves_not_executed(),
             });
         }
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -6,7 +6,7 @@
 
 use reeddock::MessageId;
 use reeddock_protocol::{ClientResponse, DeliveryNotice, FinalAnswer};
-use reeddock_wal::{Record, WriteAheadLog};
+use reeddock_wal::Record;
 use tokio::sync::oneshot;
 
 use super::commands::{AttemptCommand, AttemptKey, CommandBuffer, OutgoingAttempt};
@@ -100,7 +100,7 @@
 
     /// Bytes that the submissions will occupy once they are accepted.
     pub(super) fn submitted_bytes(&self) -> u64 {
-        self.submissions.iter().map(|submission| WriteAheadLog::size_of(&submission.accepted)).sum()
+        self.submissions.iter().map(|submission| submission.accepted.reserved_bytes()).sum()
     }
 
     fn take_submission(&mut self, id: &MessageId) -> Option<NewSubmission> {
@@ -117,7 +117,7 @@
             let entry = PendingEntry {
                 body: accepted.body.clone(),
                 idempotency_key: accepted.idempotency_key.as_deref().map(Arc::from),
-                size: WriteAheadLog::size_of(accepted),
+                size: accepted.reserved_bytes(),
                 attempts: 0,
             };
             self.pending.insert(id.clone(), entry);
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -5,7 +5,7 @@
 
 use reeddock::{MessageId, NewMessage};
 use reeddock_protocol::{ClientResponse, Submission};
-use reeddock_wal::{Accepted, WriteAheadLog};
+use reeddock_wal::Accepted;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -74,7 +74,7 @@
             id: submission.id.0.to_string(),
             class: submission.class,
             tenant: submission.tenant,
-            key: submission.ordering_key.map(|key| key.0),
+            ordering_key: submission.ordering_key.map(|key| key.0),
             destination: submission.destination.0,
             deadline: self.clock.to_unix_micros(deadline),
             body: submission.body,
@@ -84,9 +84,9 @@
 
     /// Whether memory and disk can hold one more message, beside what was submitted since the last due work.
     fn has_capacity_for(&mut self, accepted: &Accepted) -> bool {
-        let new_bytes = self.state.submitted_bytes() + WriteAheadLog::size_of(accepted);
+        let new_bytes = self.state.submitted_bytes() + accepted.reserved_bytes();
         let memory_bytes = self.state.pending().bytes() + new_bytes;
-        let has_capacity = new_bytes <= self.log.room() && memory_bytes <= self.max_message_bytes;
+        let has_capacity = new_bytes <= self.log.free_bytes() && memory_bytes <= self.max_message_bytes;
         if !has_capacity {
             if let Some(suppressed) = self.throttles.capacity.admit() {
                 tracing::warn!(
--- a/crates/forwarder/src/options.rs
+++ b/crates/forwarder/src/options.rs
@@ -27,7 +27,7 @@
     /// The policy runs its due work at most once in this interval; zero runs it after each event.
     pub tick: Duration,
     /// When the write-ahead log is synced, so that it outlasts the machine and not the process alone.
-    pub sync: reeddock_wal::Sync,
+    pub sync: reeddock_wal::SyncPolicy,
     /// An attempt to connect to an endpoint ends after this time.
     pub connect_within: Duration,
     /// An endpoint closes a connection that has been idle for this long.
--- a/crates/forwarder/tests/loopback/restarts.rs
+++ b/crates/forwarder/tests/loopback/restarts.rs
@@ -170,18 +170,18 @@
         id: id.into(),
         class: class.into(),
         tenant: None,
-        key: None,
+        ordering_key: None,
         destination: 3,
         deadline: micros(unix_time + ms(15_000)),
         body: "x".into(),
         idempotency_key: None,
     })];
     if first_attempt != FirstAttempt::None {
-        let at = micros(unix_time - ms(500));
-        records.push(Record::AttemptStarted { id: id.into(), no: 0, endpoint: "t".into(), at });
+        let started_at = micros(unix_time - ms(500));
+        records.push(Record::AttemptStarted { id: id.into(), number: 0, endpoint: "t".into(), started_at });
     }
     if first_attempt == FirstAttempt::ProvenNotExecuted {
-        records.push(Record::AttemptFinished { id: id.into(), no: 0, proves_not_executed: true });
+        records.push(Record::AttemptFinished { id: id.into(), number: 0, proves_not_executed: true });
     }
     records
 }
--- a/crates/wal/examples/appends.rs
+++ b/crates/wal/examples/appends.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
+use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
 
 /// Messages in one append while the log is filled.
 const FILL_GROUP: u64 = 16;
@@ -52,7 +52,7 @@
         id: id(number),
         class: "order".into(),
         tenant: None,
-        key: None,
+        ordering_key: None,
         destination: number % 100,
         deadline: u64::MAX / 2,
         body: body.clone(),
@@ -61,7 +61,7 @@
 }
 
 fn open(folder: &Path, folder_bytes: u64) -> WriteAheadLog {
-    WriteAheadLog::open(folder, folder_bytes, Sync::Never).expect("the write-ahead log opens")
+    WriteAheadLog::open(folder, folder_bytes, SyncPolicy::Never).expect("the write-ahead log opens")
 }
 
 /// A log with the numbers of its pending messages, the oldest first.
@@ -78,9 +78,10 @@
     /// Accepts messages until so much is pending.
     fn fill(log: WriteAheadLog, arguments: &Arguments) -> FilledLog {
         let body = Bytes::from(vec![7; arguments.body_bytes as usize]);
-        let message_size = WriteAheadLog::size_of(&message(0, &body));
+        let message_size = message(0, &body).reserved_bytes();
         let mut filled = FilledLog { log, pending: VecDeque::new(), next: 0, body, message_size };
-        while filled.pending_bytes() < arguments.pending_bytes && filled.log.room() > 20 * message_size {
+        while filled.pending_bytes() < arguments.pending_bytes && filled.log.free_bytes() > 20 * message_size
+        {
             let group: Vec<Record> = (0..FILL_GROUP).map(|_| filled.accept_next()).collect();
             filled.log.append(&group, Duration::ZERO).expect("there is room");
         }
@@ -104,7 +105,12 @@
         for _ in 0..MEASURED_GROUP {
             let number = self.next;
             group.push(self.accept_next());
-            group.push(Record::AttemptStarted { id: id(number), no: 0, endpoint: "target".into(), at: 1 });
+            group.push(Record::AttemptStarted {
+                id: id(number),
+                number: 0,
+                endpoint: "target".into(),
+                started_at: 1,
+            });
             if let Some(oldest) = self.pending.pop_front() {
                 group.push(Record::Finished { id: id(oldest), notice: None });
             }
--- a/crates/wal/examples/owed.rs
+++ b/crates/wal/examples/owed.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use reeddock_wal::{Accepted, Record, Sync, WriteAheadLog};
+use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
 
 /// Messages in one append.
 const GROUP: u64 = 16;
@@ -28,7 +28,7 @@
         id: id(number),
         class: "order".into(),
         tenant: None,
-        key: None,
+        ordering_key: None,
         destination: number % destinations,
         deadline: u64::MAX / 2,
         body: body.clone(),
@@ -68,7 +68,12 @@
         let mut group = Vec::new();
         let last = newest.min(oldest + GROUP);
         for number in oldest..last {
-            group.push(Record::AttemptStarted { id: id(number), no: 0, endpoint: "target".into(), at: 1 });
+            group.push(Record::AttemptStarted {
+                id: id(number),
+                number: 0,
+                endpoint: "target".into(),
+                started_at: 1,
+            });
             group.push(Record::Finished { id: id(number), notice: None });
             new_due += new_for_each;
         }
@@ -153,12 +158,13 @@
     let Arguments { name, command, folder, count, body_bytes } = arguments;
     let body = Bytes::from(vec![7; *body_bytes as usize]);
     // Pending messages may take two fifths of the folder, so that 2.7 times as much leaves some room.
-    let message_size = WriteAheadLog::size_of(&message(0, &body, DESTINATIONS));
+    let message_size = message(0, &body, DESTINATIONS).reserved_bytes();
     let folder_bytes = count * message_size * 27 / 10 + 64_000_000;
     std::fs::create_dir_all(folder).expect("the folder can be made");
     let memory_before = process_memory("VmRSS");
     let open_started = Instant::now();
-    let mut log = WriteAheadLog::open(folder, folder_bytes, Sync::Never).expect("the write-ahead log opens");
+    let mut log =
+        WriteAheadLog::open(folder, folder_bytes, SyncPolicy::Never).expect("the write-ahead log opens");
     let open_seconds = open_started.elapsed().as_secs_f64();
     let work_started = Instant::now();
     let finished = command.run(&mut log, *count, &body);
--- a/crates/wal/src/appending.rs
+++ b/crates/wal/src/appending.rs
@@ -9,7 +9,7 @@
 use crate::live_records::RecordLocation;
 use crate::record::Record;
 use crate::segment::{self, SEGMENT_HEADER_BYTES};
-use crate::write_ahead_log::{Sync, WriteAheadLog};
+use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
 /// What came of an append that returned no error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     ///
     /// Where the disk fails; the segments that were not synced are synced by the next call.
     pub fn sync_all(&mut self) -> Result<(), WalError> {
-        if self.sync == Sync::Never {
+        if self.sync == SyncPolicy::Never {
             self.unsynced_segments.clear();
             return Ok(());
         }
@@ -117,9 +117,9 @@
 
     fn sync_is_due(&self, now: Duration) -> bool {
         match self.sync {
-            Sync::Never => false,
-            Sync::Each => true,
-            Sync::Every(interval) => now >= self.last_sync + interval,
+            SyncPolicy::Never => false,
+            SyncPolicy::EachAppend => true,
+            SyncPolicy::Interval(interval) => now >= self.last_sync + interval,
         }
     }
 
@@ -189,7 +189,7 @@
         };
         self.plan.set_segment_size(undo.segment, undo.size_before.unwrap_or_default() + bytes.len() as u64);
         let mut written = self.storage.append(&segment::file_name(undo.segment), bytes);
-        if undo.size_before.is_none() && self.sync != Sync::Never {
+        if undo.size_before.is_none() && self.sync != SyncPolicy::Never {
             written = written.and_then(|()| self.storage.sync_directory());
         }
         if let Err(error) = written {
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -13,7 +13,7 @@
 use crate::quarantine::Quarantine;
 use crate::record::Record;
 use crate::segment::{self, SEGMENT_HEADER_BYTES};
-use crate::write_ahead_log::{Sync, WriteAheadLog};
+use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
 /// Faults of compaction are logged at most once in this interval.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
@@ -193,11 +193,11 @@
             _ => {}
         }
         self.storage.append(NEXT_MANIFEST_FILE, &bytes)?;
-        if self.sync != Sync::Never {
+        if self.sync != SyncPolicy::Never {
             self.storage.sync(NEXT_MANIFEST_FILE)?;
         }
         self.storage.rename(NEXT_MANIFEST_FILE, MANIFEST_FILE)?;
-        if self.sync != Sync::Never {
+        if self.sync != SyncPolicy::Never {
             self.storage.sync_directory()?;
         }
         Ok(())
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -1,17 +1,17 @@
 //! The frame around each record: marker, length, checksum of the record, and checksum of these ten bytes.
 //!
-//! The checksum over the header tells a corrupt length from a record that a torn write left short. The marker
+//! The checksum over the header distinguishes a corrupt length from a record that a torn write left short. The marker
 //! lets the scanner find the next frame behind corruption. All numbers are little-endian.
 
 use serde::Serialize;
 
 /// Bytes of a frame before its record.
 pub(crate) const FRAME_HEADER_BYTES: usize = 14;
-/// The longest record that is believed: a body, and more attempts than any message gets.
+/// A header with a greater length is taken as corrupt: no body with the attempts of any message is as long.
 const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
 const MARKER: [u8; 2] = [0xd7, 0x5e];
 
-/// What a valid frame header announces.
+/// A valid frame header.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FrameHeader {
     /// Bytes of the record, without the header.
@@ -20,13 +20,15 @@
 }
 
 impl FrameHeader {
-    /// Reads the header that starts here; `None` where the bytes are not a whole, valid one.
+    /// Parses the header at the start of `bytes`; `None` if it is incomplete or invalid.
     pub fn parse(bytes: &[u8]) -> Option<FrameHeader> {
         let header = bytes.get(..FRAME_HEADER_BYTES)?;
-        let word = |at: usize| Some(u32::from_le_bytes(header.get(at..at + 4)?.try_into().ok()?));
-        let record_bytes = word(2)? as usize;
-        let checksum = word(6)?;
-        let header_checksum = word(10)?;
+        let read_u32 = |offset: usize| {
+            Some(u32::from_le_bytes(header.get(offset..offset + size_of::<u32>())?.try_into().ok()?))
+        };
+        let record_bytes = read_u32(2)? as usize;
+        let checksum = read_u32(6)?;
+        let header_checksum = read_u32(10)?;
         let valid = header[..2] == MARKER && crc32fast::hash(&header[..10]) == header_checksum;
         (valid && 0 < record_bytes && record_bytes <= MAX_RECORD_BYTES)
             .then_some(FrameHeader { record_bytes, checksum })
@@ -38,7 +40,7 @@
     }
 }
 
-/// The record's bytes in the frame that starts here, if the frame is whole and its checksums match.
+/// The record's bytes in the frame at the start of `bytes`, if the frame is complete and its checksums match.
 pub(crate) fn payload(bytes: &[u8]) -> Option<&[u8]> {
     let header = FrameHeader::parse(bytes)?;
     let record = bytes.get(FRAME_HEADER_BYTES..header.frame_bytes())?;
@@ -50,7 +52,7 @@
     let start = buffer.len();
     buffer.extend([0; FRAME_HEADER_BYTES]);
     if let Err(error) = postcard::to_io(value, &mut *buffer) {
-        // A vector takes whatever is written to it, so that this is not expected to happen.
+        // Writing to a vector does not fail, so that this is not expected to happen.
         tracing::error!(%error, "record could not be encoded");
         return buffer.truncate(start);
     }
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! # What holds
 //!
-//! - Once [`WriteAheadLog::append`] has returned, its records survive the process, and the machine as far as [`Sync`]
+//! - Once [`WriteAheadLog::append`] has returned, its records survive the process, and the machine as far as [`SyncPolicy`]
 //!   promises.
 //! - Records stand in numbered segments and are appended to the last one. The first one is compacted in bounded steps
 //!   behind appends, and dropped. The manifest names the first segment that counts: it moves on after the copies
@@ -58,7 +58,7 @@
 pub use file_storage::FileStorage;
 pub use inspection::{inspect, Inspection};
 pub use pending_index::{PendingCounts, PendingIndex, PendingMessage};
-pub use record::{Accepted, AttemptStarted, AttemptState, Checkpoint, Record};
+pub use record::{Accepted, AttemptState, Checkpoint, Record, RecordedAttempt};
 pub use storage::Storage;
 pub use verification::{Corruption, VerificationReport};
-pub use write_ahead_log::{Sync, WriteAheadLog};
+pub use write_ahead_log::{SyncPolicy, WriteAheadLog};
--- a/crates/wal/src/live_records.rs
+++ b/crates/wal/src/live_records.rs
@@ -4,7 +4,7 @@
 
 use reeddock::MessageId;
 
-/// Where a record stands.
+/// The location of a record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordLocation {
     /// The number of its segment; 0 for the single file of the oldest format.
@@ -15,7 +15,7 @@
     pub length: usize,
 }
 
-/// The live records of all segments, each with the message that it is about.
+/// The live records of all segments, each with the id of its message.
 #[derive(Default)]
 pub(crate) struct LiveRecords {
     /// By segment, then by offset.
@@ -23,10 +23,12 @@
 }
 
 impl LiveRecords {
+    /// Adds a record that has become live.
     pub fn insert(&mut self, location: RecordLocation, id: MessageId) {
         self.segments.entry(location.segment).or_default().insert(location.offset, id);
     }
 
+    /// Removes a record that is no longer live.
     pub fn remove(&mut self, location: RecordLocation) {
         let Some(records) = self.segments.get_mut(&location.segment) else { return };
         records.remove(&location.offset);
@@ -41,7 +43,7 @@
         Some(LiveRecord { offset: *offset, id: id.clone() })
     }
 
-    /// The messages that the live records of a segment are about.
+    /// The ids of the messages that have live records in a segment.
     pub fn ids_in(&self, segment: u64) -> impl Iterator<Item = &MessageId> {
         self.segments.get(&segment).into_iter().flat_map(|records| records.values())
     }
@@ -51,6 +53,6 @@
 pub(crate) struct LiveRecord {
     /// Where its frame starts, in bytes.
     pub offset: u64,
-    /// The message that it is about.
+    /// The message that it belongs to.
     pub id: MessageId,
 }
--- a/crates/wal/src/opening.rs
+++ b/crates/wal/src/opening.rs
@@ -18,7 +18,7 @@
 use crate::segment;
 use crate::single_file;
 use crate::storage::Storage;
-use crate::write_ahead_log::{Sync, WriteAheadLog};
+use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
 /// Corrupt places that are logged one by one; `reeddock wal --verify` lists more.
 const MAX_LOGGED_CORRUPTIONS: usize = 10;
@@ -34,7 +34,7 @@
     ///
     /// [`WalError::AlreadyOpen`] where another process writes it, [`WalError::UnsupportedVersion`] where a later
     /// program did, and faults of the disk. Corruption is no error: see [`WriteAheadLog::verification`].
-    pub fn open(folder: &Path, max_bytes: u64, sync: Sync) -> Result<WriteAheadLog, WalError> {
+    pub fn open(folder: &Path, max_bytes: u64, sync: SyncPolicy) -> Result<WriteAheadLog, WalError> {
         let storage = FileStorage::open_for_writing(folder)?;
         WriteAheadLog::open_in(Box::new(storage), max_bytes, sync)
     }
@@ -44,7 +44,11 @@
     /// # Errors
     ///
     /// As [`WriteAheadLog::open`] has them, but for the lock.
-    pub fn open_in(storage: Box<dyn Storage>, max_bytes: u64, sync: Sync) -> Result<WriteAheadLog, WalError> {
+    pub fn open_in(
+        storage: Box<dyn Storage>,
+        max_bytes: u64,
+        sync: SyncPolicy,
+    ) -> Result<WriteAheadLog, WalError> {
         let recovered = recovery::read(&*storage)?;
         let files = storage.files()?;
         let mut log = WriteAheadLog {
--- a/crates/wal/src/pending_index.rs
+++ b/crates/wal/src/pending_index.rs
@@ -1,5 +1,5 @@
-//! The index over the write-ahead log: which messages are pending and which notices are unacknowledged, as its
-//! records leave them. Bodies stay in the files; the index keeps where they stand.
+//! The index over the write-ahead log: the pending messages and unacknowledged notices that result from its records.
+//! Bodies stay in the files; the index keeps their locations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 use reeddock_protocol::{DeliveryNotice, FinalAnswer};
 
 use crate::live_records::{LiveRecord, LiveRecords, RecordLocation};
-use crate::record::{Accepted, AttemptStarted, AttemptState, Checkpoint, Record};
+use crate::record::{Accepted, AttemptState, Checkpoint, Record, RecordedAttempt};
 use crate::record_view::{AcceptedView, CheckpointView, RecordView};
 
 /// Disk space that is set aside for a notice until the platform has acknowledged it, in bytes.
 const NOTICE_RESERVED_BYTES: u64 = 160;
-/// Ids of messages known by id only that are listed; the others are counted.
+/// The most orphans (messages known by their id only) that are listed; further ones are counted.
 const MAX_LISTED_ORPHANS: usize = 1000;
 
 /// A message that was accepted and is not finished.
@@ -26,30 +26,30 @@
     /// The tenant whose quota the message counts against, if it has one.
     pub tenant: Option<Arc<str>>,
     /// The ordering key, if the message is delivered in order.
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// The destination's id.
     pub destination: u64,
-    /// Microseconds of Unix time.
+    /// When the message must have its final answer, in microseconds of Unix time.
     pub deadline: u64,
     /// Its attempts, in the order of their numbers.
-    pub attempts: Vec<AttemptStarted>,
-    /// Records of further attempts may have been lost to corruption: the message may have been executed, and
-    /// nothing tells when or where.
+    pub attempts: Vec<RecordedAttempt>,
+    /// Whether records of further attempts may have been lost to corruption: the message may have been executed, and
+    /// it is not known when or by which endpoint.
     pub records_lost: bool,
-    /// Disk space that is set aside for it, in bytes.
-    pub size: u64,
+    /// Disk space that is set aside for the message until it is finished, in bytes.
+    pub reserved_bytes: u64,
     /// Its position among all accepted messages.
     position: u64,
     location: RecordLocation,
 }
 
 impl PendingMessage {
-    /// Where the record that carries the message stands.
+    /// The location of the record that carries the message.
     pub(crate) fn location(&self) -> RecordLocation {
         self.location
     }
 
-    /// All that is known of the message, given what was read of it from its record.
+    /// The checkpoint of the message; `accepted` is the message as read from its record.
     pub(crate) fn checkpoint(&self, accepted: Accepted) -> Checkpoint {
         Checkpoint {
             accepted,
@@ -59,13 +59,13 @@
         }
     }
 
-    fn start_attempt(&mut self, number: usize, endpoint: Arc<str>, at: u64) {
+    fn start_attempt(&mut self, number: usize, endpoint: Arc<str>, started_at: u64) {
         let known = self.attempts.len();
-        // Numbers follow each other: a gap stands for attempts whose records were lost.
-        self.attempts.resize_with(known.max(number), AttemptStarted::unknown);
+        // Attempts are numbered without gaps: a gap means that records of attempts were lost.
+        self.attempts.resize_with(known.max(number), RecordedAttempt::unknown);
         if number >= known {
-            self.attempts.push(AttemptStarted::in_flight(endpoint, at));
-            // The number shows that no attempt before it is missing but those just filled in.
+            self.attempts.push(RecordedAttempt::in_flight(endpoint, started_at));
+            // The number shows that no earlier attempt is missing except those just filled in.
             self.records_lost = false;
         }
     }
@@ -80,7 +80,7 @@
 
 /// A notice that the platform has not acknowledged.
 struct UnacknowledgedNotice {
-    end: FinalAnswer,
+    answer: FinalAnswer,
     location: RecordLocation,
 }
 
@@ -97,7 +97,7 @@
     pending_bytes: u64,
     /// Names of classes, tenants and endpoints. There are few of them, and each is kept once.
     names: BTreeSet<Arc<str>>,
-    /// Messages of which only later records were found.
+    /// Messages whose `Accepted` record was lost, known from later records.
     orphans: BTreeSet<MessageId>,
     unlisted_orphans: u64,
 }
@@ -133,7 +133,7 @@
 
     /// The notices that the platform has not acknowledged, by id.
     pub fn unacknowledged_notices(&self) -> impl Iterator<Item = DeliveryNotice> + '_ {
-        self.notices.iter().map(|(id, notice)| DeliveryNotice { id: id.clone(), answer: notice.end })
+        self.notices.iter().map(|(id, notice)| DeliveryNotice { id: id.clone(), answer: notice.answer })
     }
 
     /// How many messages are pending, and how many notices are unacknowledged.
@@ -141,8 +141,7 @@
         PendingCounts { messages: self.pending.len(), notices: self.notices.len() }
     }
 
-    /// Messages of which only later records were found, so that nothing but the id is known. They were accepted
-    /// once, and may be pending.
+    /// Messages whose `Accepted` record was lost, so that only the id is known. They may still be pending.
     pub fn orphans(&self) -> impl Iterator<Item = &MessageId> {
         self.orphans.iter()
     }
@@ -172,32 +171,32 @@
     /// The record that stands for an unacknowledged notice.
     pub(crate) fn notice_record(&self, id: &MessageId) -> Option<Record> {
         let notice = self.notices.get(id)?;
-        Some(Record::Finished { id: id.0.to_string(), notice: Some(notice.end) })
+        Some(Record::Finished { id: id.0.to_string(), notice: Some(notice.answer) })
     }
 
-    /// Records were lost here: any message that is pending at this place of the log may have been sent.
+    /// Records were lost at this point of the log: any message that is pending here may have been sent.
     pub(crate) fn mark_records_lost(&mut self) {
         self.pending.values_mut().for_each(|message| message.records_lost = true);
     }
 
-    /// Takes over what a record says.
+    /// Applies a record that is in the log at this location.
     pub(crate) fn apply(&mut self, record: RecordView, location: RecordLocation) {
         let message_id = |id: &str| MessageId(Arc::from(id));
         match record {
-            // `RecordView::decode` gives these as the ones of today.
+            // `RecordView::decode` converts these to their current form.
             RecordView::AcceptedV1(_) | RecordView::CheckpointV1(_) => {}
             RecordView::Accepted(accepted) => self.accept(&accepted, location),
             RecordView::Checkpoint(checkpoint) => self.restore_checkpoint(checkpoint, location),
-            RecordView::AttemptStarted { id, no, endpoint, at } => {
+            RecordView::AttemptStarted { id, number, endpoint, started_at } => {
                 let endpoint = self.intern(endpoint);
                 match self.pending.get_mut(&message_id(id)) {
-                    Some(message) => message.start_attempt(no as usize, endpoint, at),
+                    Some(message) => message.start_attempt(number as usize, endpoint, started_at),
                     None => self.add_orphan(message_id(id)),
                 }
             }
-            RecordView::AttemptFinished { id, no, proves_not_executed } => {
+            RecordView::AttemptFinished { id, number, proves_not_executed } => {
                 match self.pending.get_mut(&message_id(id)) {
-                    Some(message) => message.finish_attempt(no as usize, proves_not_executed),
+                    Some(message) => message.finish_attempt(number as usize, proves_not_executed),
                     None => self.add_orphan(message_id(id)),
                 }
             }
@@ -232,12 +231,12 @@
             id: MessageId(Arc::from(fields.id)),
             class: self.intern(fields.class),
             tenant: fields.tenant.map(|tenant| self.intern(tenant)),
-            key: fields.key,
+            ordering_key: fields.ordering_key,
             destination: fields.destination,
             deadline: fields.deadline,
             attempts: Vec::new(),
             records_lost: false,
-            size: accepted.reserved_bytes(),
+            reserved_bytes: accepted.reserved_bytes(),
             position,
             location,
         }
@@ -245,11 +244,11 @@
 
     fn insert(&mut self, message: PendingMessage) {
         let id = message.id.clone();
-        self.pending_bytes += message.size;
+        self.pending_bytes += message.reserved_bytes;
         self.live_records.insert(message.location, id.clone());
         self.orphans.remove(&id);
         if let Some(replaced) = self.pending.insert(id, Box::new(message)) {
-            self.pending_bytes = self.pending_bytes.saturating_sub(replaced.size);
+            self.pending_bytes = self.pending_bytes.saturating_sub(replaced.reserved_bytes);
             self.live_records.remove(replaced.location);
         }
     }
@@ -257,12 +256,12 @@
     fn finish(&mut self, id: MessageId, notice: Option<FinalAnswer>, location: RecordLocation) {
         self.orphans.remove(&id);
         if let Some(message) = self.pending.remove(&id) {
-            self.pending_bytes = self.pending_bytes.saturating_sub(message.size);
+            self.pending_bytes = self.pending_bytes.saturating_sub(message.reserved_bytes);
             self.live_records.remove(message.location);
         }
-        let Some(end) = notice else { return };
+        let Some(answer) = notice else { return };
         self.live_records.insert(location, id.clone());
-        match self.notices.insert(id, UnacknowledgedNotice { end, location }) {
+        match self.notices.insert(id, UnacknowledgedNotice { answer, location }) {
             Some(replaced) => self.live_records.remove(replaced.location),
             None => self.pending_bytes += NOTICE_RESERVED_BYTES,
         }
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of the write-ahead log, as the forwarder hands them over.
+//! The records of the write-ahead log, as the forwarder passes them in.
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
     /// The tenant whose quota the message counts against, if it has one.
     pub tenant: Option<String>,
     /// The ordering key, if the message is delivered in order.
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// The destination's id.
     pub destination: u64,
-    /// Microseconds of Unix time.
+    /// When the message must have its final answer, in microseconds of Unix time.
     pub deadline: u64,
     /// The message's body.
     pub body: Bytes,
@@ -37,26 +37,26 @@
         /// The message's id.
         id: String,
         /// The attempt's number among those of the message, from 0.
-        no: u32,
+        number: u32,
         /// The endpoint's name in the endpoint list.
         endpoint: String,
-        /// Microseconds of Unix time.
-        at: u64,
+        /// When it started, in microseconds of Unix time.
+        started_at: u64,
     },
     /// An attempt has finished, and its message has not.
     AttemptFinished {
         /// The message's id.
         id: String,
         /// The attempt's number.
-        no: u32,
-        /// Whether the way in which it finished proves that the destination never executed it.
+        number: u32,
+        /// Whether its result proves that the destination never executed it.
         proves_not_executed: bool,
     },
     /// A message is finished.
     Finished {
         /// The message's id.
         id: String,
-        /// How it ended, where it was not delivered and the platform is to be notified.
+        /// The final answer that the platform is to be notified of; `None` if the message was delivered.
         notice: Option<FinalAnswer>,
     },
     /// The platform has acknowledged the notice about a message.
@@ -77,42 +77,42 @@
     /// Its position among all accepted messages; pending messages are listed in this order.
     pub position: u64,
     /// Its attempts so far, in the order of their numbers.
-    pub attempts: Vec<AttemptStarted>,
+    pub attempts: Vec<RecordedAttempt>,
     /// Whether records of its attempts may have been lost to corruption.
     pub records_lost: bool,
 }
 
-/// An attempt that was started, as the index and checkpoints keep it.
+/// An attempt of a pending message, as the index and checkpoints keep it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AttemptStarted {
-    /// The endpoint's name in the endpoint list, which stays valid across restarts; empty where it was lost.
+pub struct RecordedAttempt {
+    /// The endpoint's name in the endpoint list, which stays valid across restarts; empty if its record was lost.
     #[serde(with = "shared_str")]
     pub endpoint: Arc<str>,
-    /// Microseconds of Unix time; 0 where it was lost.
-    pub at: u64,
-    /// What is known of its end.
+    /// When it started, in microseconds of Unix time; 0 if its record was lost.
+    pub started_at: u64,
+    /// Whether it has finished, and what its result proves.
     pub state: AttemptState,
 }
 
-impl AttemptStarted {
-    /// An attempt of which no end is known.
-    pub(crate) fn in_flight(endpoint: Arc<str>, at: u64) -> AttemptStarted {
-        AttemptStarted { endpoint, at, state: AttemptState::InFlight }
+impl RecordedAttempt {
+    /// An attempt that has no result yet.
+    pub(crate) fn in_flight(endpoint: Arc<str>, started_at: u64) -> RecordedAttempt {
+        RecordedAttempt { endpoint, started_at, state: AttemptState::InFlight }
     }
 
-    /// An attempt whose own record was lost; a later number shows that it existed.
-    pub(crate) fn unknown() -> AttemptStarted {
-        AttemptStarted::in_flight(Arc::from(""), 0)
+    /// An attempt whose own record was lost; a later attempt's number shows that it existed.
+    pub(crate) fn unknown() -> RecordedAttempt {
+        RecordedAttempt::in_flight(Arc::from(""), 0)
     }
 }
 
-/// What is known of an attempt's end.
+/// Whether an attempt has finished, and what its result proves.
 ///
-/// On disk this is an `Option<bool>`: none while in flight, otherwise whether non-execution is proven.
+/// On disk this is an `Option<bool>`: `None` while in flight, otherwise whether non-execution is proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Option<bool>", into = "Option<bool>")]
 pub enum AttemptState {
-    /// No end was recorded. After a restart such an attempt counts as possibly executed.
+    /// No result was recorded. After a restart such an attempt counts as possibly executed.
     InFlight,
     /// It finished, and the destination may have executed it.
     PossiblyExecuted,
@@ -121,12 +121,12 @@
 }
 
 impl AttemptState {
-    /// Whether an end was recorded.
+    /// Whether a result was recorded.
     pub fn is_finished(self) -> bool {
         self != AttemptState::InFlight
     }
 
-    /// Whether it is proven that the destination never executed the attempt.
+    /// Whether its result proves that the destination never executed it.
     pub fn proves_not_executed(self) -> bool {
         self == AttemptState::NotExecuted
     }
--- a/crates/wal/src/record_view.rs
+++ b/crates/wal/src/record_view.rs
@@ -4,9 +4,9 @@
 use reeddock_protocol::FinalAnswer;
 use serde::{Deserialize, Serialize, Serializer};
 
-use crate::record::{Accepted, AttemptStarted, Record};
+use crate::record::{Accepted, Record, RecordedAttempt};
 
-/// Disk space that is set aside for the attempts of one pending message and their ends, in bytes.
+/// Disk space that is set aside for the records of one pending message's attempts, in bytes.
 const ATTEMPTS_RESERVED_BYTES: u64 = 512;
 
 /// One record as postcard encodes it.
@@ -19,13 +19,13 @@
     AcceptedV1(AcceptedFieldsView<'a>),
     AttemptStarted {
         id: &'a str,
-        no: u32,
+        number: u32,
         endpoint: &'a str,
-        at: u64,
+        started_at: u64,
     },
     AttemptFinished {
         id: &'a str,
-        no: u32,
+        number: u32,
         proves_not_executed: bool,
     },
     Finished {
@@ -47,7 +47,7 @@
     pub id: &'a str,
     pub class: &'a str,
     pub tenant: Option<&'a str>,
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     pub destination: u64,
     pub deadline: u64,
     #[serde(serialize_with = "serialize_bytes")]
@@ -67,7 +67,7 @@
 pub(crate) struct CheckpointView<T> {
     pub accepted: T,
     pub position: u64,
-    pub attempts: Vec<AttemptStarted>,
+    pub attempts: Vec<RecordedAttempt>,
     pub records_lost: bool,
 }
 
@@ -77,8 +77,7 @@
 }
 
 impl<'a> RecordView<'a> {
-    /// Decodes a record of any version, records of version 1 as the ones of today; `None` where the bytes are
-    /// no record.
+    /// Decodes a record of any version; one of version 1 becomes its current form. `None` if the bytes are no record.
     pub fn decode(bytes: &'a [u8]) -> Option<RecordView<'a>> {
         Some(match postcard::from_bytes(bytes).ok()? {
             RecordView::AcceptedV1(fields) => RecordView::Accepted(fields.without_idempotency_key()),
@@ -109,7 +108,7 @@
 }
 
 impl AcceptedView<'_> {
-    /// Disk space that a message needs until it is finished: itself, and some attempts with their ends, in bytes.
+    /// Disk space that the message needs until it is finished, in bytes: its own record, and those of some attempts.
     pub fn reserved_bytes(&self) -> u64 {
         let fields = &self.fields;
         let optional = |text: Option<&str>| text.map_or(0, str::len);
@@ -124,7 +123,7 @@
             id: fields.id.to_owned(),
             class: fields.class.to_owned(),
             tenant: fields.tenant.map(str::to_owned),
-            key: fields.key,
+            ordering_key: fields.ordering_key,
             destination: fields.destination,
             deadline: fields.deadline,
             body: Bytes::copy_from_slice(fields.body),
@@ -134,6 +133,11 @@
 }
 
 impl Accepted {
+    /// Disk space that the message needs until it is finished, in bytes.
+    pub fn reserved_bytes(&self) -> u64 {
+        self.view().reserved_bytes()
+    }
+
     /// The message as it is encoded.
     pub(crate) fn view(&self) -> AcceptedView<'_> {
         AcceptedView {
@@ -141,7 +145,7 @@
                 id: &self.id,
                 class: &self.class,
                 tenant: self.tenant.as_deref(),
-                key: self.key,
+                ordering_key: self.ordering_key,
                 destination: self.destination,
                 deadline: self.deadline,
                 body: &self.body,
@@ -156,11 +160,11 @@
     pub(crate) fn view(&self) -> RecordView<'_> {
         match self {
             Record::Accepted(accepted) => RecordView::Accepted(accepted.view()),
-            Record::AttemptStarted { id, no, endpoint, at } => {
-                RecordView::AttemptStarted { id, no: *no, endpoint, at: *at }
+            Record::AttemptStarted { id, number, endpoint, started_at } => {
+                RecordView::AttemptStarted { id, number: *number, endpoint, started_at: *started_at }
             }
-            Record::AttemptFinished { id, no, proves_not_executed } => {
-                RecordView::AttemptFinished { id, no: *no, proves_not_executed: *proves_not_executed }
+            Record::AttemptFinished { id, number, proves_not_executed } => {
+                RecordView::AttemptFinished { id, number: *number, proves_not_executed: *proves_not_executed }
             }
             Record::Finished { id, notice } => RecordView::Finished { id, notice: *notice },
             Record::NoticeAcknowledged { id } => RecordView::NoticeAcknowledged { id },
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads all that a folder holds, without changing anything.
+//! Reads the write-ahead log of a folder, without changing anything.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Read;
@@ -16,11 +16,11 @@
 /// Missing segments that are reported one by one in one gap of the numbers.
 const MAX_REPORTED_GAP: u64 = 1000;
 
-/// All that a folder holds.
+/// The state of a folder, as read from its files.
 pub(crate) struct RecoveredState {
-    /// The index as the records leave it.
+    /// The index that results from the records.
     pub index: PendingIndex,
-    /// What was read, and what could not be.
+    /// Totals of what was read, and the parts that could not be read.
     pub verification: VerificationReport,
     /// Segments that count, with their lengths in bytes.
     pub segments: BTreeMap<u64, u64>,
@@ -28,11 +28,11 @@
     pub corrupt_segments: BTreeSet<u64>,
     /// Where the torn write at the end of the last segment starts.
     pub torn_at: Option<u64>,
-    /// Segments that were compacted and not removed yet, or that a migration left unfinished.
+    /// Segments that were compacted and not removed yet, or were left by an interrupted migration.
     pub superseded_segments: Vec<u64>,
     /// The number of the first segment that counts.
     pub first_segment: u64,
-    /// The bytes of the oldest format's single file, where that is what counts.
+    /// The bytes of the oldest format's single file, if the folder was not migrated yet.
     pub single_file: Option<Vec<u8>>,
     /// Whether there is a manifest, readable or not.
     pub has_manifest: bool,
@@ -61,12 +61,12 @@
     Ok(state)
 }
 
-/// Refuses a folder of which any segment is of a later version.
+/// Fails if any segment has a later version than this program reads.
 fn check_versions(storage: &dyn Storage, segments: &BTreeMap<u64, u64>) -> Result<(), WalError> {
     for number in segments.keys() {
         let file = segment::file_name(*number);
-        let (_, header) = SegmentScan::start(storage.reader(&file)?, *number)?;
-        if let SegmentHeader::Unsupported { version } = header {
+        let scan = SegmentScan::start(storage.reader(&file)?, *number)?;
+        if let SegmentHeader::Unsupported { version } = scan.header() {
             return Err(WalError::UnsupportedVersion { file, found: version, newest: VERSION });
         }
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads the oldest format. Segments beside it are of a migration that did not come to its end.
+    /// Reads the oldest format. Segments beside it are left by a migration that was interrupted.
     fn read_single_file(&mut self, storage: &dyn Storage) -> Result<(), WalError> {
         self.superseded_segments = std::mem::take(&mut self.segments).into_keys().collect();
         let mut bytes = Vec::new();
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Finds the first segment that counts, and sets those before it apart.
+    /// Finds the first segment that counts, and separates those before it.
     fn select_segments(&mut self, manifest: StoredManifest, manifest_bytes: u64) {
         let lowest = self.segments.keys().next().copied();
         self.first_segment = match manifest {
@@ -122,6 +122,7 @@
         }
     }
 
+    /// Reads the segments that count in the order of their numbers, and reports those that are missing.
     fn read_segments(&mut self, storage: &dyn Storage) -> Result<(), WalError> {
         let last = self.segments.keys().next_back().copied();
         let mut expected = self.first_segment;
@@ -138,10 +139,11 @@
         Ok(())
     }
 
+    /// Reads the header and the records of one segment.
     fn read_segment(&mut self, storage: &dyn Storage, number: u64, is_last: bool) -> Result<(), WalError> {
         let file = segment::file_name(number);
-        let (mut scan, header) = SegmentScan::start(storage.reader(&file)?, number)?;
-        match header {
+        let scan = SegmentScan::start(storage.reader(&file)?, number)?;
+        match scan.header() {
             SegmentHeader::Incomplete if is_last => {
                 // It was created, and torn before any record was written to it.
                 self.verification.torn_bytes += self.segments.get(&number).copied().unwrap_or_default();
@@ -156,6 +158,17 @@
             SegmentHeader::Supported { version } if is_last => self.last_segment_is_older = version < VERSION,
             SegmentHeader::Supported { .. } | SegmentHeader::Unsupported { .. } => {}
         }
+        self.read_records(scan, number, is_last)
+    }
+
+    /// Applies the records of a segment to the index, and reports the parts that can't be read.
+    fn read_records(
+        &mut self,
+        mut scan: SegmentScan<impl Read>,
+        number: u64,
+        is_last: bool,
+    ) -> Result<(), WalError> {
+        let file = segment::file_name(number);
         loop {
             match scan.next_item()? {
                 ScanItem::Record { offset, length } => {
@@ -181,7 +194,7 @@
         }
     }
 
-    /// Records of any message that is pending at this place may be among what is lost.
+    /// Reports a corrupt part. It may have held records of any message that is pending at this point of the log.
     fn add_corruption(&mut self, segment: u64, corruption: Corruption) {
         self.verification.add(corruption);
         self.index.mark_records_lost();
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -30,7 +30,7 @@
     header
 }
 
-/// What a segment's header says.
+/// The header of a segment, as read from its file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentHeader {
     /// Of this version, or of an earlier one.
--- a/crates/wal/src/segment_scan.rs
+++ b/crates/wal/src/segment_scan.rs
@@ -9,11 +9,11 @@
 
 /// Bytes that are read at once: large enough for few system calls, small beside the memory of a forwarder.
 const READ_BYTES: usize = 256 * 1024;
-/// Bytes behind the start of a corrupt part in which a hint is searched, where no frame header gives its length.
+/// A hint is searched in this many bytes from the start of a corrupt part, if no frame header gives its length.
 const HINT_SEARCH_BYTES: usize = 256;
-/// Shorter runs of text are common in binary data and are not taken for a hint.
+/// Shorter runs of printable bytes are common in binary data and are not taken for a hint.
 const MIN_HINT_BYTES: usize = 4;
-/// Longer hints are cut: an id is shorter, and a body is not to be printed.
+/// Longer hints are cut: ids are shorter, and bodies must not be printed.
 const MAX_HINT_BYTES: usize = 64;
 
 /// One item of a segment. Offsets and lengths are in bytes of the file.
@@ -39,7 +39,7 @@
     Torn {
         /// Where that frame starts.
         offset: u64,
-        /// What is there of it.
+        /// The bytes of it that are there.
         bytes: u64,
     },
     /// The end of the file.
@@ -54,14 +54,15 @@
     buffer_offset: u64,
     /// Position of the next item in the buffer.
     position: usize,
-    /// Where the last record stands in the buffer.
+    /// The position of the last record in the buffer.
     last_record: Range<usize>,
     source_exhausted: bool,
+    header: SegmentHeader,
 }
 
 impl<R: Read> SegmentScan<R> {
-    /// Starts to read the segment that is expected to have this number, and gives what its header says.
-    pub fn start(source: R, number: u64) -> io::Result<(SegmentScan<R>, SegmentHeader)> {
+    /// Starts to read the segment that is expected to have this number, and reads its header.
+    pub fn start(source: R, number: u64) -> io::Result<SegmentScan<R>> {
         let mut scan = SegmentScan {
             source,
             buffer: Vec::new(),
@@ -69,14 +70,20 @@
             position: 0,
             last_record: 0..0,
             source_exhausted: false,
+            header: SegmentHeader::Incomplete,
         };
         scan.fill(SEGMENT_HEADER_BYTES)?;
-        let header = SegmentHeader::parse(&scan.buffer, number);
+        scan.header = SegmentHeader::parse(&scan.buffer, number);
         scan.position = SEGMENT_HEADER_BYTES.min(scan.buffer.len());
-        Ok((scan, header))
+        Ok(scan)
     }
 
-    /// Reads until so many bytes from the next item on are in the buffer, or all that the file has.
+    /// The segment's header.
+    pub fn header(&self) -> SegmentHeader {
+        self.header
+    }
+
+    /// Reads until the buffer has `wanted` bytes from the next item on, or the file has ended.
     fn fill(&mut self, wanted: usize) -> io::Result<()> {
         while !self.source_exhausted && self.buffer.len() - self.position < wanted {
             if self.position > READ_BYTES {
@@ -96,7 +103,7 @@
         &self.buffer[self.position..]
     }
 
-    /// The last record; `None` where its checksum matches and it can't be decoded all the same.
+    /// The record of the last item; `None` if it can't be decoded although its checksum matches.
     pub fn record(&self) -> Option<RecordView<'_>> {
         RecordView::decode(self.buffer.get(self.last_record.clone())?)
     }
@@ -117,7 +124,7 @@
         }
     }
 
-    /// The frame whose header is valid and starts here.
+    /// Reads the frame at `offset`, whose header is valid.
     fn read_frame(&mut self, offset: u64, header: FrameHeader) -> io::Result<ScanItem> {
         let length = header.frame_bytes();
         self.fill(length)?;
@@ -135,14 +142,14 @@
         Ok(ScanItem::Corrupt { offset, bytes: length as u64, hint })
     }
 
-    /// All that is left, as the start of a frame that was not written to its end.
+    /// The rest of the file, as a frame that was not written completely.
     fn torn(&mut self, offset: u64) -> ScanItem {
         let bytes = self.remaining().len() as u64;
         self.position = self.buffer.len();
         ScanItem::Torn { offset, bytes }
     }
 
-    /// Skips from a place where no frame starts to the next one where one does.
+    /// Skips from an offset where no valid frame header is to the next one where there is one.
     fn skip_corrupt(&mut self, offset: u64) -> io::Result<ScanItem> {
         let hint = text_hint(&self.remaining()[..self.remaining().len().min(HINT_SEARCH_BYTES)]);
         let mut bytes = 0;
--- a/crates/wal/tests/processes.rs
+++ b/crates/wal/tests/processes.rs
@@ -10,7 +10,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use reeddock_wal::{inspect, Inspection, Sync, WriteAheadLog};
+use reeddock_wal::{inspect, Inspection, SyncPolicy, WriteAheadLog};
 
 mod support;
 
@@ -27,7 +27,7 @@
 #[test]
 fn the_process_that_is_killed() {
     let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else { return };
-    let mut log = WriteAheadLog::open(folder.as_ref(), FOLDER_BYTES, Sync::Never).unwrap();
+    let mut log = WriteAheadLog::open(folder.as_ref(), FOLDER_BYTES, SyncPolicy::Never).unwrap();
     let mut out = std::io::stdout().lock();
     let process = std::process::id();
     let mut pending = std::collections::VecDeque::new();
--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -9,7 +9,7 @@
         id: id.into(),
         class: "order".into(),
         tenant: Some("t".into()),
-        key: Some(9),
+        ordering_key: Some(9),
         destination: 3,
         deadline: 77,
         body: Bytes::from(id.as_bytes().iter().copied().cycle().take(body_bytes).collect::<Vec<u8>>()),
@@ -18,8 +18,8 @@
 }
 
 /// The start of an attempt, at an endpoint named by its number.
-pub fn started(id: &str, no: u32) -> Record {
-    Record::AttemptStarted { id: id.into(), no, endpoint: format!("t{no}"), at: 5 }
+pub fn started(id: &str, number: u32) -> Record {
+    Record::AttemptStarted { id: id.into(), number, endpoint: format!("t{number}"), started_at: 5 }
 }
 
 /// The end of a message that was delivered.
--- a/crates/wal/tests/wal/compaction.rs
+++ b/crates/wal/tests/wal/compaction.rs
@@ -1,7 +1,7 @@
 //! What compaction keeps, and how much it frees.
 
 use reeddock_wal::memory_storage::MemoryStorage;
-use reeddock_wal::{PendingCounts, Sync, WriteAheadLog};
+use reeddock_wal::{PendingCounts, SyncPolicy, WriteAheadLog};
 
 use crate::harness::{open, pending_ids, reopen, NOW};
 use crate::support::{accepted, finished, started};
@@ -10,15 +10,16 @@
 fn a_log_of_finished_messages_is_compacted_to_little() {
     const LARGE_FOLDER_BYTES: u64 = 1 << 20;
     let memory = MemoryStorage::default();
-    let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), LARGE_FOLDER_BYTES, Sync::Never).unwrap();
+    let mut log =
+        WriteAheadLog::open_in(Box::new(memory.clone()), LARGE_FOLDER_BYTES, SyncPolicy::Never).unwrap();
     for n in 0..3000 {
         let id = format!("e{n}");
         log.append(&[accepted(&id, 300), started(&id, 0)], NOW).unwrap();
         log.append(&[finished(&id)], NOW).unwrap();
-        assert!(log.used() <= LARGE_FOLDER_BYTES);
+        assert!(log.used_bytes() <= LARGE_FOLDER_BYTES);
     }
     // The folder is not filled with what is finished.
-    assert!(log.used() < 300_000, "{}", log.used());
+    assert!(log.used_bytes() < 300_000, "{}", log.used_bytes());
     assert_eq!(reopen(&memory).index().counts(), PendingCounts { messages: 0, notices: 0 });
 }
 
--- a/crates/wal/tests/wal/crashes.rs
+++ b/crates/wal/tests/wal/crashes.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read};
 
 use reeddock_wal::memory_storage::{Faults, MemoryStorage};
-use reeddock_wal::{Storage, Sync, WriteAheadLog};
+use reeddock_wal::{Storage, SyncPolicy, WriteAheadLog};
 
 use crate::harness::FOLDER_BYTES;
 use crate::load::Load;
@@ -23,7 +23,7 @@
 
 /// Plays the load until the folder stops after so many operations, and holds what the next start finds against the
 /// reference.
-fn crash(stops_after: u64, torn_write_bytes: usize, sync: Sync, wrap: Wrap) -> Result<(), String> {
+fn crash(stops_after: u64, torn_write_bytes: usize, sync: SyncPolicy, wrap: Wrap) -> Result<(), String> {
     let memory = MemoryStorage::default();
     memory.set_faults(Faults { stops_after: Some(stops_after), torn_write_bytes, ..Faults::default() });
     let mut load = Load::new(7, BODY_BYTES);
@@ -36,7 +36,7 @@
         Ok(()) => (load.model.clone(), load.model.clone()),
         Err(failed) => (failed.before, failed.after),
     };
-    let left = if sync == Sync::Each { memory.after_machine_loss() } else { memory.after_kill() };
+    let left = if sync == SyncPolicy::EachAppend { memory.after_machine_loss() } else { memory.after_kill() };
     let mut log =
         WriteAheadLog::open_in(Box::new(left.clone()), FOLDER_BYTES, sync).map_err(|e| e.to_string())?;
     if !log.verification().is_sound() {
@@ -55,7 +55,7 @@
 }
 
 /// Operations of the whole load, and how many of them compaction did.
-fn operations(sync: Sync) -> (u64, usize) {
+fn operations(sync: SyncPolicy) -> (u64, usize) {
     let memory = MemoryStorage::default();
     let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, sync).unwrap();
     let opened = memory.operations();
@@ -68,11 +68,11 @@
 
 #[test]
 fn a_kill_after_any_operation_or_within_an_append_loses_and_revives_nothing() {
-    let (all, of_compaction) = operations(Sync::Never);
+    let (all, of_compaction) = operations(SyncPolicy::Never);
     assert!(all > 220 && of_compaction > 15, "{all} operations, {of_compaction} of compaction");
     for at in 0..all {
         for torn_write_bytes in [0, 13, 150] {
-            crash(at, torn_write_bytes, Sync::Never, unwrapped)
+            crash(at, torn_write_bytes, SyncPolicy::Never, unwrapped)
                 .unwrap_or_else(|e| panic!("after {at}, torn at {torn_write_bytes}: {e}"));
         }
     }
@@ -80,9 +80,9 @@
 
 #[test]
 fn a_machine_loss_after_any_operation_keeps_what_was_synced() {
-    let (all, _) = operations(Sync::Each);
+    let (all, _) = operations(SyncPolicy::EachAppend);
     for at in 0..all {
-        crash(at, 30, Sync::Each, unwrapped).unwrap_or_else(|e| panic!("after {at}: {e}"));
+        crash(at, 30, SyncPolicy::EachAppend, unwrapped).unwrap_or_else(|e| panic!("after {at}: {e}"));
     }
 }
 
@@ -175,9 +175,9 @@
         let delays = |operation, name: &str| operation == Operation::Append && name.starts_with("ledger-");
         Box::new(ReorderingStorage { inner, delays, delayed: Vec::new() })
     };
-    let (all, _) = operations(Sync::Never);
+    let (all, _) = operations(SyncPolicy::Never);
     for reordered in [manifest_after_removal, copies_after_removal] {
-        let detected = (0..all).filter(|at| crash(*at, 0, Sync::Never, reordered).is_err()).count();
+        let detected = (0..all).filter(|at| crash(*at, 0, SyncPolicy::Never, reordered).is_err()).count();
         assert!(detected > 0, "a crash between the two goes unseen");
     }
 }
--- a/crates/wal/tests/wal/full_disk.rs
+++ b/crates/wal/tests/wal/full_disk.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 use reeddock_wal::memory_storage::{Faults, MemoryStorage};
-use reeddock_wal::{PendingCounts, Sync, WriteAheadLog};
+use reeddock_wal::{PendingCounts, SyncPolicy, WriteAheadLog};
 
 use crate::harness::{apply_written, open, pending_ids, reopen, FOLDER_BYTES, NOW};
 use crate::load::Load;
@@ -33,7 +33,7 @@
         let mut log = open(&memory);
         let mut pending = accept_until_full(&mut log, capacity);
         assert!(pending.len() > 3, "{capacity}: {} pending", pending.len());
-        assert_eq!(log.room(), 0, "submissions are rejected before they are pending");
+        assert_eq!(log.free_bytes(), 0, "submissions are rejected before they are pending");
         for id in &pending {
             log.append(&[started(id, 0)], NOW)
                 .unwrap_or_else(|error| panic!("{capacity}: start {id}: {error}"));
@@ -50,7 +50,7 @@
         // With space again, the reserve is filled again and messages are accepted.
         memory.set_faults(Faults::default());
         log.append(&[finished("none")], NOW).unwrap();
-        assert!(log.room() > 0);
+        assert!(log.free_bytes() > 0);
     }
 }
 
@@ -59,7 +59,7 @@
     for capacity in (3_000..40_000).step_by(211) {
         let memory = MemoryStorage::default();
         memory.set_faults(Faults { capacity: Some(capacity), ..Faults::default() });
-        let opened = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, Sync::Never);
+        let opened = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
         let Ok(mut log) = opened else { continue };
         let mut load = Load::new(5, 200);
         for _ in 0..120 {
--- a/crates/wal/tests/wal/harness.rs
+++ b/crates/wal/tests/wal/harness.rs
@@ -4,7 +4,7 @@
 
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::memory_storage::MemoryStorage;
-use reeddock_wal::{AppendOutcome, Record, Sync, WriteAheadLog};
+use reeddock_wal::{AppendOutcome, Record, SyncPolicy, WriteAheadLog};
 
 use crate::model::Model;
 use crate::support::{accepted, finished, started};
@@ -18,7 +18,7 @@
 
 /// Opens the log on the folder itself.
 pub fn open(memory: &MemoryStorage) -> WriteAheadLog {
-    WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, Sync::Never).unwrap()
+    WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never).unwrap()
 }
 
 /// Opens the log on a copy of the folder, as the next process after a kill does.
@@ -53,7 +53,7 @@
         ],
         vec![
             started("bbbb-unrun", 0),
-            Record::AttemptFinished { id: "bbbb-unrun".into(), no: 0, proves_not_executed: true },
+            Record::AttemptFinished { id: "bbbb-unrun".into(), number: 0, proves_not_executed: true },
         ],
         vec![accepted("eeee-new", 40), Record::NoticeAcknowledged { id: "dddd-failed".into() }],
     ];
--- a/crates/wal/tests/wal/load.rs
+++ b/crates/wal/tests/wal/load.rs
@@ -57,8 +57,8 @@
             (0..4, _) | (_, None) => return self.new_message(log),
             (4..6, Some(id)) => started(&id, self.model.pending[&id].len() as u32),
             (6, Some(id)) if self.model.pending[&id].last() == Some(&AttemptState::InFlight) => {
-                let no = self.model.pending[&id].len() as u32 - 1;
-                Record::AttemptFinished { id, no, proves_not_executed: self.random.random() }
+                let number = self.model.pending[&id].len() as u32 - 1;
+                Record::AttemptFinished { id, number, proves_not_executed: self.random.random() }
             }
             (7, Some(id)) => match notified {
                 Some(id) => Record::NoticeAcknowledged { id },
@@ -73,7 +73,7 @@
         self.accepted_count += 1;
         let record = accepted(&format!("e{:05}", self.accepted_count), self.body_bytes);
         let Record::Accepted(message) = &record else { unreachable!() };
-        (WriteAheadLog::size_of(message) * 4 <= log.room()).then_some(record)
+        (message.reserved_bytes() * 4 <= log.free_bytes()).then_some(record)
     }
 
     /// Appends so many groups, and applies each to the reference.
--- a/crates/wal/tests/wal/model.rs
+++ b/crates/wal/tests/wal/model.rs
@@ -23,8 +23,9 @@
                     attempts.push(AttemptState::InFlight);
                 }
             }
-            Record::AttemptFinished { id, no, proves_not_executed } => {
-                let attempt = self.pending.get_mut(id).and_then(|attempts| attempts.get_mut(*no as usize));
+            Record::AttemptFinished { id, number, proves_not_executed } => {
+                let attempt =
+                    self.pending.get_mut(id).and_then(|attempts| attempts.get_mut(*number as usize));
                 if let Some(attempt) = attempt {
                     *attempt = Some(*proves_not_executed).into();
                 }
--- a/crates/wal/tests/wal/old_formats.rs
+++ b/crates/wal/tests/wal/old_formats.rs
@@ -3,7 +3,8 @@
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::memory_storage::{Faults, MemoryStorage};
 use reeddock_wal::{
-    Accepted, AttemptStarted, AttemptState, Checkpoint, PendingMessage, Record, Storage, Sync, WriteAheadLog,
+    Accepted, AttemptState, Checkpoint, PendingMessage, Record, RecordedAttempt, Storage, SyncPolicy,
+    WriteAheadLog,
 };
 use serde::Serialize;
 
@@ -18,8 +19,8 @@
 #[derive(Serialize)]
 enum RecordV1 {
     Accepted(AcceptedV1),
-    AttemptStarted { id: String, no: u32, endpoint: String, at: u64 },
-    AttemptFinished { id: String, no: u32, proves_not_executed: bool },
+    AttemptStarted { id: String, number: u32, endpoint: String, started_at: u64 },
+    AttemptFinished { id: String, number: u32, proves_not_executed: bool },
     Finished { id: String, notice: Option<FinalAnswer> },
     NoticeAcknowledged { id: String },
     Checkpoint { accepted: AcceptedV1, position: u64, attempts: Vec<AttemptV1>, records_lost: bool },
@@ -30,7 +31,7 @@
     id: String,
     class: String,
     tenant: Option<String>,
-    key: Option<u64>,
+    ordering_key: Option<u64>,
     destination: u64,
     deadline: u64,
     body: Vec<u8>,
@@ -39,7 +40,7 @@
 #[derive(Serialize)]
 struct AttemptV1 {
     endpoint: String,
-    at: u64,
+    started_at: u64,
     proves_not_executed: Option<bool>,
 }
 
@@ -49,7 +50,7 @@
             id: message.id,
             class: message.class,
             tenant: message.tenant,
-            key: message.key,
+            ordering_key: message.ordering_key,
             destination: message.destination,
             deadline: message.deadline,
             body: message.body.to_vec(),
@@ -57,14 +58,18 @@
     }
 }
 
-impl From<AttemptStarted> for AttemptV1 {
-    fn from(attempt: AttemptStarted) -> AttemptV1 {
+impl From<RecordedAttempt> for AttemptV1 {
+    fn from(attempt: RecordedAttempt) -> AttemptV1 {
         let proves_not_executed = match attempt.state {
             AttemptState::InFlight => None,
             AttemptState::PossiblyExecuted => Some(false),
             AttemptState::NotExecuted => Some(true),
         };
-        AttemptV1 { endpoint: attempt.endpoint.to_string(), at: attempt.at, proves_not_executed }
+        AttemptV1 {
+            endpoint: attempt.endpoint.to_string(),
+            started_at: attempt.started_at,
+            proves_not_executed,
+        }
     }
 }
 
@@ -72,11 +77,11 @@
     fn from(record: Record) -> RecordV1 {
         match record {
             Record::Accepted(message) => RecordV1::Accepted(message.into()),
-            Record::AttemptStarted { id, no, endpoint, at } => {
-                RecordV1::AttemptStarted { id, no, endpoint, at }
+            Record::AttemptStarted { id, number, endpoint, started_at } => {
+                RecordV1::AttemptStarted { id, number, endpoint, started_at }
             }
-            Record::AttemptFinished { id, no, proves_not_executed } => {
-                RecordV1::AttemptFinished { id, no, proves_not_executed }
+            Record::AttemptFinished { id, number, proves_not_executed } => {
+                RecordV1::AttemptFinished { id, number, proves_not_executed }
             }
             Record::Finished { id, notice } => RecordV1::Finished { id, notice },
             Record::NoticeAcknowledged { id } => RecordV1::NoticeAcknowledged { id },
@@ -131,7 +136,8 @@
 
 #[test]
 fn segments_of_version_1_are_read_and_nothing_is_written_behind_them() {
-    let attempts = vec![AttemptStarted { endpoint: "t0".into(), at: 5, state: AttemptState::NotExecuted }];
+    let attempts =
+        vec![RecordedAttempt { endpoint: "t0".into(), started_at: 5, state: AttemptState::NotExecuted }];
     let Record::Accepted(copied) = accepted("copied", 30) else { unreachable!() };
     let records = vec![
         accepted("fresh", 30),
@@ -180,7 +186,7 @@
         let memory = MemoryStorage::default();
         memory.put(SINGLE_FILE, &bytes);
         memory.set_faults(Faults { stops_after, torn_write_bytes: 9, ..Faults::default() });
-        let _ = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, Sync::Never);
+        let _ = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
         memory
     };
     let operations = start_until(None).operations();
@@ -218,7 +224,7 @@
     bytes[18..22].copy_from_slice(&checksum.to_le_bytes());
     memory.put(FIRST_SEGMENT, &bytes);
     let operations = memory.operations();
-    let refused = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, Sync::Never);
+    let refused = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
     let line = refused.err().unwrap().to_string();
     assert_eq!(line, format!("{FIRST_SEGMENT} is of version 9, and this program knows 2 at most"));
     assert_eq!(memory.operations(), operations);
--- a/crates/wal/tests/wal/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use reeddock_wal::memory_storage::MemoryStorage;
-use reeddock_wal::{Record, Sync, WriteAheadLog};
+use reeddock_wal::{Record, SyncPolicy, WriteAheadLog};
 
 use crate::load::Load;
 use crate::model::Model;
@@ -39,7 +39,7 @@
         steps in steps(),
     ) {
         let mut memory = MemoryStorage::default();
-        let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), folder_bytes, Sync::Each).unwrap();
+        let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), folder_bytes, SyncPolicy::EachAppend).unwrap();
         let mut load = Load::new(seed, body_bytes);
         for step in steps {
             match step {
@@ -52,12 +52,12 @@
                 Step::Kill | Step::LoseMachine => {
                     drop(log);
                     memory = if matches!(step, Step::Kill) { memory.after_kill() } else { memory.after_machine_loss() };
-                    log = WriteAheadLog::open_in(Box::new(memory.clone()), folder_bytes, Sync::Each).unwrap();
+                    log = WriteAheadLog::open_in(Box::new(memory.clone()), folder_bytes, SyncPolicy::EachAppend).unwrap();
                     prop_assert!(log.verification().is_sound());
                 }
             }
             prop_assert_eq!(&Model::of(log.index()), &load.model);
-            prop_assert!(log.used() <= folder_bytes, "{} of {}", log.used(), folder_bytes);
+            prop_assert!(log.used_bytes() <= folder_bytes, "{} of {}", log.used_bytes(), folder_bytes);
             prop_assert!(memory.total_bytes() <= folder_bytes);
             for pending in log.index().pending() {
                 let accepted = log.read_accepted(pending).unwrap();
--- a/crates/wal/tests/wal/reopening.rs
+++ b/crates/wal/tests/wal/reopening.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
-use reeddock_wal::{Accepted, AttemptState, Record, Sync, WriteAheadLog};
+use reeddock_wal::{Accepted, AttemptState, Record, SyncPolicy, WriteAheadLog};
 use tempfile::TempDir;
 
 use crate::harness::{pending_ids, FIRST_SEGMENT, FOLDER_BYTES, NOW};
@@ -13,7 +13,7 @@
 
 /// Opens the log of a folder.
 fn open(folder: &TempDir) -> WriteAheadLog {
-    WriteAheadLog::open(folder.path(), FOLDER_BYTES, Sync::Never).unwrap()
+    WriteAheadLog::open(folder.path(), FOLDER_BYTES, SyncPolicy::Never).unwrap()
 }
 
 /// Bytes of all files, in whole blocks of 512.
@@ -35,7 +35,7 @@
         id: id.into(),
         class: "order".into(),
         tenant: None,
-        key: Some(9),
+        ordering_key: Some(9),
         destination: 3,
         deadline: 77,
         body: Bytes::from_static(b"\x00 any bytes \xff"),
@@ -47,19 +47,19 @@
 fn pending_messages_are_found_again_in_order_with_their_attempts() {
     let folder = tempfile::tempdir().unwrap();
     let mut log = open(&folder);
-    let returned = Record::AttemptFinished { id: "b".into(), no: 0, proves_not_executed: true };
+    let returned = Record::AttemptFinished { id: "b".into(), number: 0, proves_not_executed: true };
     let records = [accepted("b"), accepted("a"), accepted("c"), started("b", 0), returned, started("b", 1)];
     log.append(&records, NOW).unwrap();
     log.append(&[finished("a")], NOW).unwrap();
     log.append(&[Record::Finished { id: "c".into(), notice: Some(FinalAnswer::Failed) }], NOW).unwrap();
-    let second = WriteAheadLog::open(folder.path(), FOLDER_BYTES, Sync::Never);
+    let second = WriteAheadLog::open(folder.path(), FOLDER_BYTES, SyncPolicy::Never);
     assert_eq!(second.err().unwrap().to_string(), "another process writes this ledger");
     drop(log);
 
     let mut log = open(&folder);
     assert_eq!(pending_ids(&log), ["b"]);
     let b = log.index().pending()[0].clone();
-    assert_eq!((&*b.class, b.key, b.destination, b.deadline), ("order", Some(9), 3, 77));
+    assert_eq!((&*b.class, b.ordering_key, b.destination, b.deadline), ("order", Some(9), 3, 77));
     assert_eq!(log.read_accepted(&b).unwrap().body, Bytes::from_static(b"\x00 any bytes \xff"));
     let attempts: Vec<_> = b.attempts.iter().map(|attempt| (&*attempt.endpoint, attempt.state)).collect();
     assert_eq!(attempts, [("t0", AttemptState::NotExecuted), ("t1", AttemptState::InFlight)]);
--- a/crates/wal/tests/wal/state_before_rename.rs
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::{
-    inspect, Accepted, AttemptStarted, AttemptState, Inspection, PendingCounts, PendingIndex, PendingMessage,
-    Record, Sync, WriteAheadLog,
+    inspect, Accepted, AttemptState, Inspection, PendingCounts, PendingIndex, PendingMessage, Record,
+    RecordedAttempt, SyncPolicy, WriteAheadLog,
 };
 use tempfile::TempDir;
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct AttemptFields {
     endpoint: String,
-    at: u64,
+    started_at: u64,
     state: AttemptState,
 }
 
@@ -69,7 +69,7 @@
             id: format!("fixture-{n:03}"),
             class: if n.is_multiple_of(2) { "order" } else { "notice" }.into(),
             tenant: n.is_multiple_of(4).then(|| format!("tenant-{}", n % 3)),
-            key: n.is_multiple_of(3).then_some(n * 1000),
+            ordering_key: n.is_multiple_of(3).then_some(n * 1000),
             destination: n % 7,
             deadline: 1_700_000_000_000_000 + n,
             body: Bytes::from(body),
@@ -105,9 +105,9 @@
 
 /// The attempts of a message that is pending.
 fn attempts(n: u64) -> Vec<AttemptFields> {
-    let attempt = |no: u32, state| AttemptFields {
-        endpoint: format!("target-{no}"),
-        at: 1_600_000_000_000_000 + n,
+    let attempt = |number: u32, state| AttemptFields {
+        endpoint: format!("target-{number}"),
+        started_at: 1_600_000_000_000_000 + n,
         state,
     };
     match n % 10 {
@@ -121,14 +121,14 @@
 /// The records that followed the acceptance of a message.
 fn history(n: u64) -> Vec<Record> {
     let id = || format!("fixture-{n:03}");
-    let started = |no: u32| Record::AttemptStarted {
+    let started = |number: u32| Record::AttemptStarted {
         id: id(),
-        no,
-        endpoint: format!("target-{no}"),
-        at: 1_600_000_000_000_000 + n,
+        number,
+        endpoint: format!("target-{number}"),
+        started_at: 1_600_000_000_000_000 + n,
     };
     let attempt_finished =
-        |no, proves_not_executed| Record::AttemptFinished { id: id(), no, proves_not_executed };
+        |number, proves_not_executed| Record::AttemptFinished { id: id(), number, proves_not_executed };
     let finished = |notice| Record::Finished { id: id(), notice };
     let rejected = |retry_after| finished(Some(FinalAnswer::Rejected { retry_after }));
     match n % 10 {
@@ -154,7 +154,7 @@
 }
 
 fn open(folder: &Path) -> WriteAheadLog {
-    WriteAheadLog::open(folder, FOLDER_BYTES, Sync::Never).unwrap()
+    WriteAheadLog::open(folder, FOLDER_BYTES, SyncPolicy::Never).unwrap()
 }
 
 fn notices(index: &PendingIndex) -> Vec<(String, FinalAnswer)> {
@@ -162,9 +162,9 @@
 }
 
 fn fields_of_attempts(pending: &PendingMessage) -> Vec<AttemptFields> {
-    let fields = |attempt: &AttemptStarted| AttemptFields {
+    let fields = |attempt: &RecordedAttempt| AttemptFields {
         endpoint: attempt.endpoint.to_string(),
-        at: attempt.at,
+        started_at: attempt.started_at,
         state: attempt.state,
     };
     pending.attempts.iter().map(fields).collect()
@@ -185,9 +185,9 @@
         assert_eq!(&log.read_accepted(found).unwrap(), message);
         assert_eq!(&*found.class, message.class);
         assert_eq!(found.tenant.as_deref(), message.tenant.as_deref());
-        assert_eq!((found.key, found.destination), (message.key, message.destination));
+        assert_eq!((found.ordering_key, found.destination), (message.ordering_key, message.destination));
         assert_eq!(found.deadline, message.deadline);
-        assert_eq!(found.size, WriteAheadLog::size_of(message));
+        assert_eq!(found.reserved_bytes, message.reserved_bytes());
         assert!(!found.records_lost, "{}", message.id);
         assert_eq!(&fields_of_attempts(found), attempts, "{}", message.id);
     }
@@ -210,14 +210,15 @@
         Accepted { id: "later".into(), idempotency_key: Some("once-later".into()), ..fixture.message(12) };
     let finished = pending.remove(0).0.id;
     let acknowledged = notified.remove(1).0;
-    let attempt = AttemptFields { endpoint: "target-9".to_owned(), at: 17, state: AttemptState::InFlight };
+    let attempt =
+        AttemptFields { endpoint: "target-9".to_owned(), started_at: 17, state: AttemptState::InFlight };
     pending[0].1.push(attempt.clone());
     pending.push((new.clone(), Vec::new()));
     let started = Record::AttemptStarted {
         id: "fixture-001".into(),
-        no: 1,
+        number: 1,
         endpoint: attempt.endpoint,
-        at: attempt.at,
+        started_at: attempt.started_at,
     };
     let records = [
         Record::Accepted(new),
