--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -5,17 +5,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use reeddock::EndpointId;
+use reeddock::{EndpointId, EndpointState};
 use reeddock_protocol::AttemptResult;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-use super::reuse_history::ReuseHistory;
+use super::reuse_history::{ReuseHistory, ReuseOutcome};
 use super::send_restrictions::SendRestrictions;
 use super::{locked, Connection};
 use crate::idle_permits::IdlePermits;
 
-/// A connection that waits for its next request.
+/// An open connection without a request, kept for the next one.
 struct IdleConnection {
     connection: Connection,
     since: Instant,
@@ -42,7 +42,7 @@
 }
 
 impl Connections {
-    /// A pool of so many connections at most; endpoints close those that have stood idle for `closed_after`.
+    /// An empty pool with a limit of open connections. Endpoints close connections that were idle for `closed_after`.
     pub fn new(max_connections: usize, connect_within: Duration, closed_after: Duration) -> Connections {
         Connections {
             idle: Arc::default(),
@@ -102,7 +102,8 @@
         oldest.and_then(VecDeque::pop_front).is_some()
     }
 
-    /// Returns a connection to the pool whose response was read whole; keeps it idle if its endpoint has capacity for that.
+    /// Returns a connection whose last response was read completely. It is kept idle if its endpoint has capacity for
+    /// that, else closed.
     pub(crate) fn release(&self, endpoint: EndpointId, connection: Connection) {
         let permitted = locked(&self.idle_permits).allows_idle(endpoint, Instant::now());
         if permitted && connection.is_ready() {
@@ -111,10 +112,15 @@
         }
     }
 
-    /// The last request on this connection was answered, or has broken it.
-    pub(crate) fn record_use(&self, connection: &Connection, answered: bool) {
-        let failed = !answered && !connection.response_begun();
-        locked(&self.reuse_history).record(connection.idle_before_use(), failed);
+    /// Records that the last request on this connection was answered.
+    pub(crate) fn record_answer(&self, connection: &Connection) {
+        locked(&self.reuse_history).record(connection.idle_before_use(), ReuseOutcome::Answered);
+    }
+
+    /// Records that the connection broke under its last request, perhaps in the middle of the response.
+    pub(crate) fn record_break(&self, connection: &Connection) {
+        let outcome = if connection.response_begun() { ReuseOutcome::Answered } else { ReuseOutcome::Failed };
+        locked(&self.reuse_history).record(connection.idle_before_use(), outcome);
     }
 
     /// The endpoint rejected this connection as it has too many: idle ones to its kind are closed for others.
@@ -125,24 +131,24 @@
         locked(&self.idle).retain(|endpoint, _| idle_permits.allows_idle(*endpoint, now));
     }
 
-    /// The endpoint asked for no request until then (`Retry-After`).
+    /// The endpoint asked for no request before `until` (`Retry-After`).
     ///
-    /// A request that was decided before may still wait for its connection, for up to a second where the endpoint
-    /// accepts few or can't be reached, and must not be sent once that is up.
+    /// A request that was decided on before may still wait for its connection, for up to a second if the endpoint
+    /// accepts few or can't be reached, and must not be sent when the connection is open.
     pub fn set_retry_after(&self, endpoint: EndpointId, until: Instant) {
         locked(&self.send_restrictions).retry_after(endpoint, until);
     }
 
-    /// The endpoint list names this endpoint. Requests must not be sent to one that drains, however long they
-    /// waited for their connection.
-    pub fn endpoint_listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
+    /// The endpoint list has an entry for this endpoint. To one that is not active no request is sent any more, not
+    /// even one that already waits for its connection.
+    pub fn endpoint_listed(&self, endpoint: EndpointId, kind: &str, state: EndpointState) {
         locked(&self.idle_permits).endpoint_listed(endpoint, kind);
-        locked(&self.send_restrictions).set_active(endpoint, active);
+        locked(&self.send_restrictions).set_state(endpoint, state);
     }
 
     /// The endpoint is removed, or a complete list does not name it any more.
     pub(crate) fn endpoint_removed(&self, endpoint: EndpointId) {
-        locked(&self.send_restrictions).set_active(endpoint, false);
+        locked(&self.send_restrictions).set_state(endpoint, EndpointState::Removed);
         self.close_idle(endpoint);
     }
 
--- a/crates/forwarder/src/connections/reuse_history.rs
+++ b/crates/forwarder/src/connections/reuse_history.rs
@@ -22,6 +22,15 @@
 /// How many of the last failures are remembered with their idle time.
 const FAILURES_REMEMBERED: usize = 16;
 
+/// How the first request on a reused connection ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReuseOutcome {
+    /// The endpoint responded, at least with the first byte of a response.
+    Answered,
+    /// The connection broke before any byte of a response.
+    Failed,
+}
+
 /// One reuse that failed.
 struct ReuseFailure {
     at: Instant,
@@ -40,27 +49,27 @@
 
 /// How reuses of idle connections ended.
 ///
-/// Some are dead without a sign, for instance where a firewall on the way has dropped their state: they break under
+/// Some are dead without any sign, for instance because a firewall on the path has dropped their state: they break on
 /// the next request, before any byte of a response. That request may have been executed, so that each such
 /// connection costs a message that is not idempotent.
 #[derive(Default)]
 pub(super) struct ReuseHistory {
-    /// For each of the last reuses, the oldest first, whether it failed.
-    failed: VecDeque<bool>,
+    /// The last reuses, the oldest first.
+    outcomes: VecDeque<ReuseOutcome>,
     distrusted: bool,
     failures: VecDeque<ReuseFailure>,
 }
 
 impl ReuseHistory {
     /// Records a reuse of a connection that had stood idle for this long.
-    pub(super) fn record(&mut self, idle: Duration, failed: bool) {
+    pub(super) fn record(&mut self, idle: Duration, outcome: ReuseOutcome) {
         if idle < ALWAYS_TRUSTED {
             return;
         }
-        push_bounded(&mut self.failed, failed, REUSES_REMEMBERED);
-        let failures = self.failed.iter().filter(|failed| **failed).count();
+        push_bounded(&mut self.outcomes, outcome, REUSES_REMEMBERED);
+        let failures = self.outcomes.iter().filter(|outcome| **outcome == ReuseOutcome::Failed).count();
         self.distrusted = failures >= FAILURES_TO_DISTRUST || self.distrusted && failures > FAILURES_TO_TRUST;
-        if failed {
+        if outcome == ReuseOutcome::Failed {
             push_bounded(&mut self.failures, ReuseFailure { at: Instant::now(), idle }, FAILURES_REMEMBERED);
         }
     }
--- a/crates/forwarder/src/connections/send_restrictions.rs
+++ b/crates/forwarder/src/connections/send_restrictions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reeddock::EndpointId;
+use reeddock::{EndpointId, EndpointState};
 use reeddock_protocol::AttemptResult;
 use tokio::time::Instant;
 
@@ -22,13 +22,12 @@
         *current = until.max(*current);
     }
 
-    /// The list says whether the endpoint is active.
-    pub(super) fn set_active(&mut self, endpoint: EndpointId, active: bool) {
-        if active {
-            self.draining.remove(&endpoint);
-        } else {
-            self.draining.insert(endpoint);
-        }
+    /// The endpoint list says that the endpoint is in this state.
+    pub(super) fn set_state(&mut self, endpoint: EndpointId, state: EndpointState) {
+        match state {
+            EndpointState::Active => self.draining.remove(&endpoint),
+            EndpointState::Draining | EndpointState::Removed => self.draining.insert(endpoint),
+        };
     }
 
     /// Forgets what the list said of an endpoint.
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -10,7 +10,7 @@
 use crate::events::Event;
 use crate::list_reader::{ListReader, WatchProgress};
 use crate::log_throttle::LogThrottle;
-use crate::watch_schedule::{BreakCause, Loss, Periods, WatchSchedule};
+use crate::watch_schedule::{BreakCause, Loss, Periods, Received, WatchSchedule};
 
 /// Completes once the address of discovery changes; never, once nobody can change it any more.
 pub(crate) async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
@@ -30,9 +30,9 @@
 ) {
     let start = Instant::now();
     let mut log_throttle = LogThrottle::default();
-    let mut progress = WatchProgress { generation, line_received: false };
+    let mut progress = WatchProgress { generation, received: Received::Nothing };
     loop {
-        progress.line_received = false;
+        progress.received = Received::Nothing;
         let request = WatchRequest {
             discovery: *address.borrow_and_update(),
             answer_by: start + schedule.request_begun(start.elapsed()),
@@ -45,7 +45,7 @@
                 continue;
             }
         };
-        let next_request = start + schedule.watch_lost(start.elapsed(), &loss, progress.line_received);
+        let next_request = start + schedule.watch_lost(start.elapsed(), &loss, progress.received);
         log_loss(&mut log_throttle, &loss, next_request);
         if event_loop.send(Event::WatchLost).await.is_err() {
             return;
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -11,10 +11,16 @@
 use super::log_writer::LogWrite;
 use super::EventLoop;
 
-/// Due work runs again at the latest this long after something could not be begun: soon, but not at once, so that a
-/// full disk does not make a busy loop.
+/// Due work runs again at the latest this long after an attempt or a submission failed for a local reason: soon, but
+/// not at once, so that a full disk does not cause a busy loop.
 const RETRY_AFTER_FAULT: Duration = Duration::from_millis(20);
 
+/// The attempts of one run of due work, by whether they may start.
+struct SplitAttempts {
+    startable: Vec<OutgoingAttempt>,
+    unstartable: Vec<OutgoingAttempt>,
+}
+
 impl EventLoop {
     /// Lets the policy run its due work, and carries out what it commands.
     pub(super) fn run_due_work(&mut self, now: Duration) {
@@ -30,7 +36,7 @@
         let written = self.write_to_log(&submissions, &attempts, now);
         self.send_notices(notices);
         let withdrawn = self.answer_submissions(submissions, written);
-        let (startable, unstartable) = self.split_startable(attempts, written, &withdrawn);
+        let SplitAttempts { startable, unstartable } = self.split_startable(attempts, written, &withdrawn);
         self.start_requests(startable, now);
         self.state.cancel_attempts(cancellations);
         if !unstartable.is_empty() || !withdrawn.is_empty() {
@@ -40,30 +46,31 @@
         self.withdraw(withdrawn);
     }
 
-    /// Separates the attempts that may start from those that may not: because the write-ahead log does not have them,
+    /// Separates the attempts that may start from those that may not because the write-ahead log does not have them,
     /// their message was withdrawn, or their endpoint has no address.
     fn split_startable(
         &self,
         attempts: Vec<OutgoingAttempt>,
         written: LogWrite,
         withdrawn: &BTreeSet<MessageId>,
-    ) -> (Vec<OutgoingAttempt>, Vec<OutgoingAttempt>) {
-        attempts.into_iter().partition(|attempt| {
+    ) -> SplitAttempts {
+        let is_startable = |attempt: &OutgoingAttempt| {
             written.has_attempts()
                 && !withdrawn.contains(&attempt.message.id)
                 && self.state.endpoints().location(attempt.endpoint).is_some()
-        })
+        };
+        let (startable, unstartable) = attempts.into_iter().partition(is_startable);
+        SplitAttempts { startable, unstartable }
     }
 
-    /// Finishes attempts that could not start as not sent. What the policy does about them follows with the next due
-    /// work.
+    /// Finishes attempts that could not start with the result `NotSent`. The policy reacts in the next due work.
     fn return_unstarted(&mut self, attempts: Vec<OutgoingAttempt>, now: Duration) {
         for attempt in attempts {
             self.finish_attempt(attempt.message.id, attempt.number, AttemptResult::NotSent, now);
         }
     }
 
-    /// Withdraws messages whose clients know of no acceptance and will submit them again.
+    /// Withdraws messages whose clients were not answered 202 and will submit them again.
     fn withdraw(&mut self, ids: BTreeSet<MessageId>) {
         for id in ids {
             self.policy.withdraw(&id, self.state.commands());
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -12,6 +12,7 @@
 const MAX_NEW_ENDPOINTS_LOGGED: usize = 100;
 
 /// How much of a part of the list was applied.
+#[derive(Default)]
 pub(super) struct ListProgress {
     generation: u64,
     /// Whether the part is the whole list, and not only what has changed.
@@ -25,7 +26,9 @@
     pub(super) fn apply_list_events(&mut self, events: Vec<ListEvent>) {
         for event in events {
             match event {
-                ListEvent::PartStarted { generation, whole } => self.begin_endpoint_list(generation, whole),
+                ListEvent::PartStarted { generation, whole } => {
+                    self.begin_endpoint_list(ListProgress { generation, whole, ..ListProgress::default() });
+                }
                 ListEvent::EndpointUpdated(entry) => self.update_endpoint(entry),
                 ListEvent::PartEnded => self.finish_endpoint_list(),
                 ListEvent::Heartbeat => {}
@@ -39,21 +42,22 @@
             tracing::info!("no cached endpoint list, messages wait for discovery");
             return Ok(());
         }
-        self.begin_endpoint_list(cached_list.generation, true);
+        let generation = cached_list.generation;
+        self.begin_endpoint_list(ListProgress { generation, whole: true, ..ListProgress::default() });
         cached_list.for_each(|entry| self.update_endpoint(entry))?;
         self.finish_endpoint_list();
         Ok(())
     }
 
-    fn begin_endpoint_list(&mut self, generation: u64, whole: bool) {
-        // The watch that sent the one before was abandoned in the middle of it.
+    /// Begins a part of the list, of which nothing was applied yet.
+    fn begin_endpoint_list(&mut self, progress: ListProgress) {
+        // If an earlier part is unfinished, its watch was abandoned in the middle of it.
         self.abort_endpoint_list();
-        self.policy.begin_endpoint_list(whole);
-        let progress = ListProgress { generation, whole, entries: 0, new_endpoints: 0 };
+        self.policy.begin_endpoint_list(progress.whole);
         *self.state.list_progress_mut() = Some(progress);
     }
 
-    /// A list that is being received stays incomplete: the endpoints that it did not name stay as they are.
+    /// Abandons a part of the list that was not received to its end: endpoints that it did not name stay as they are.
     fn abort_endpoint_list(&mut self) {
         let Some(progress) = self.state.list_progress_mut().take() else { return };
         self.policy.abort_endpoint_list();
@@ -66,7 +70,7 @@
         );
     }
 
-    /// A malformed list was received: the one before stays.
+    /// Rejects a malformed list: the previous one stays in force.
     pub(super) fn reject_malformed_list(&mut self, list: &MalformedList) {
         self.abort_endpoint_list();
         self.list_status.malformed(&list.fault);
@@ -76,7 +80,7 @@
         }
     }
 
-    /// The watch has ended, or could not be opened.
+    /// Handles the end of a watch, or a watch that could not be opened.
     pub(super) fn discovery_failed(&mut self) {
         self.abort_endpoint_list();
         self.policy.discovery_failed(self.clock.now());
@@ -100,7 +104,7 @@
             zone: &entry.zone,
             kind: &entry.kind,
         });
-        self.connections.endpoint_listed(endpoint, &entry.kind, entry.state == EndpointState::Active);
+        self.connections.endpoint_listed(endpoint, &entry.kind, entry.state);
         if entry.state == EndpointState::Removed {
             self.connections.endpoint_removed(endpoint);
         }
@@ -137,6 +141,7 @@
         }
     }
 
+    /// Finishes a part of the list: endpoints that a whole list did not name are removed.
     fn finish_endpoint_list(&mut self) {
         let dropped = self.policy.finish_endpoint_list();
         for endpoint in &dropped {
@@ -149,6 +154,7 @@
         self.list_status.applied();
     }
 
+    /// Logs a part of the list that was applied completely.
     fn log_applied_list(&self, progress: &ListProgress, dropped: usize) {
         let ListProgress { generation, whole, entries, new_endpoints } = *progress;
         let endpoints = self.state.endpoints().located();
--- a/crates/forwarder/src/event_loop/pending_messages.rs
+++ b/crates/forwarder/src/event_loop/pending_messages.rs
@@ -8,6 +8,8 @@
 use reeddock::{AttemptNumber, MessageId};
 use reeddock_protocol::OutgoingMessage;
 
+use super::commands::{AttemptCommand, OutgoingAttempt};
+
 /// An id is not accepted again for this long after its message is finished: a copy of a request in progress, sent by
 /// its client or by anybody else, may arrive a moment after the message is finished, and would be executed a second time.
 const FINISHED_ID_KEPT_FOR: Duration = Duration::from_secs(15);
@@ -18,10 +20,16 @@
     pub idempotency_key: Option<Arc<str>>,
     /// Bytes that it occupies in memory and in the write-ahead log.
     pub size: u64,
-    /// How many attempts were numbered so far.
+    /// How many of its attempts were numbered so far.
     pub attempts: u32,
 }
 
+/// The id of a finished message, which is not accepted again until it expires.
+struct FinishedId {
+    id: MessageId,
+    expires_at: Duration,
+}
+
 /// All pending messages.
 #[derive(Default)]
 pub(super) struct PendingMessages {
@@ -29,8 +37,8 @@
     /// The sum of the entries' sizes.
     bytes: u64,
     finished_ids: BTreeSet<MessageId>,
-    /// The same ids, with the times at which they expire, which only grow.
-    finished_expiry: VecDeque<(Duration, MessageId)>,
+    /// The same ids in the order in which they expire.
+    finished_expiry: VecDeque<FinishedId>,
     /// When due work ran last, from which the expiry of finished ids counts.
     due_work_at: Duration,
 }
@@ -68,7 +76,8 @@
         let Some(entry) = self.entries.remove(id) else { return false };
         self.bytes -= entry.size;
         if self.finished_ids.insert(id.clone()) {
-            self.finished_expiry.push_back((self.due_work_at + FINISHED_ID_KEPT_FOR, id.clone()));
+            let expires_at = self.due_work_at + FINISHED_ID_KEPT_FOR;
+            self.finished_expiry.push_back(FinishedId { id: id.clone(), expires_at });
         }
         true
     }
@@ -76,18 +85,21 @@
     /// Due work runs at this time: forgets the finished ids that expire by then.
     pub(super) fn expire_finished_ids(&mut self, now: Duration) {
         self.due_work_at = now;
-        while let Some((_, id)) = self.finished_expiry.pop_front_if(|(expiry, _)| *expiry <= now) {
+        while let Some(FinishedId { id, .. }) =
+            self.finished_expiry.pop_front_if(|finished| finished.expires_at <= now)
+        {
             self.finished_ids.remove(&id);
         }
     }
 
-    /// Numbers the next attempt of a message, and returns it with what the attempt sends. None if the message is not
-    /// pending.
-    pub(super) fn next_attempt(&mut self, id: MessageId) -> Option<(AttemptNumber, OutgoingMessage)> {
+    /// Numbers the attempt that the policy commanded. None if its message is not pending.
+    pub(super) fn number_attempt(&mut self, command: AttemptCommand) -> Option<OutgoingAttempt> {
+        let AttemptCommand { message: id, endpoint, timeouts } = command;
         let entry = self.entries.get_mut(&id)?;
         let number = AttemptNumber(entry.attempts);
         entry.attempts += 1;
         let (body, idempotency_key) = (entry.body.clone(), entry.idempotency_key.clone());
-        Some((number, OutgoingMessage { id, idempotency_key, body }))
+        let message = OutgoingMessage { id, idempotency_key, body };
+        Some(OutgoingAttempt { message, number, endpoint, timeouts })
     }
 }
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -12,17 +12,25 @@
 use super::EventLoop;
 use crate::request_sender::{run_request, BatchMessage, EndpointRequest, PendingAttempt};
 
+/// Names one request that the policy decided on. Requests start in the order of their ids.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    request: RequestId,
+    endpoint: EndpointId,
+}
+
 impl EventLoop {
     /// Starts requests for these attempts, which the policy decided on at `decided_at`.
     ///
     /// Attempts that the policy puts into one request travel together, as far as the kind of the endpoint allows, and
     /// with nothing else: otherwise one would still be in flight when another has its result.
     pub(super) fn start_requests(&mut self, attempts: Vec<OutgoingAttempt>, decided_at: Duration) {
-        let mut requests: BTreeMap<(RequestId, EndpointId), Vec<OutgoingAttempt>> = BTreeMap::new();
+        let mut requests: BTreeMap<RequestKey, Vec<OutgoingAttempt>> = BTreeMap::new();
         for attempt in attempts {
-            requests.entry((attempt.timeouts.request, attempt.endpoint)).or_default().push(attempt);
+            let key = RequestKey { request: attempt.timeouts.request, endpoint: attempt.endpoint };
+            requests.entry(key).or_default().push(attempt);
         }
-        for ((_, endpoint), attempts) in requests {
+        for (RequestKey { endpoint, .. }, attempts) in requests {
             let Some(location) = self.state.endpoints().location(endpoint) else { continue };
             for batch in split_attempts(attempts, location.max_batch) {
                 self.start_request(endpoint, location.address, batch, decided_at);
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -131,17 +131,18 @@
     /// Numbers attempts, those of one message in the order in which the policy commanded them. A message that is not
     /// pending any more gets none.
     pub(super) fn number_attempts(&mut self, commands: Vec<AttemptCommand>) -> Vec<OutgoingAttempt> {
-        let mut attempts = Vec::new();
-        for AttemptCommand { message, endpoint, timeouts } in commands {
-            let Some((number, message)) = self.pending.next_attempt(message) else { continue };
+        let attempts: Vec<OutgoingAttempt> =
+            commands.into_iter().filter_map(|command| self.pending.number_attempt(command)).collect();
+        for OutgoingAttempt { message, number, endpoint, timeouts } in &attempts {
             tracing::debug!(
                 message_id = &*message.id.0,
                 attempt = number.0,
                 ?endpoint,
-                ?timeouts,
+                request = timeouts.request.0,
+                start_within = ?timeouts.start_within,
+                response_within = ?timeouts.response_within,
                 "attempt numbered"
             );
-            attempts.push(OutgoingAttempt { message, number, endpoint, timeouts });
         }
         attempts
     }
@@ -193,7 +194,7 @@
 /// The response to a client whose message has its final answer at once.
 fn response_to(answer: FinalAnswer) -> ClientResponse {
     match answer {
-        FinalAnswer::Rejected { retry_after } => ClientResponse::Rejected(retry_after),
+        FinalAnswer::Rejected { retry_after } => ClientResponse::Rejected { retry_after },
         FinalAnswer::Failed => ClientResponse::Failed,
     }
 }
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -12,7 +12,7 @@
 use http::{Method, Request, Response};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use reeddock_protocol::{ClientResponse, Submission, SubmissionError, MAX_BODY_BYTES};
+use reeddock_protocol::{ClientResponse, ConnectionOption, Submission, SubmissionError, MAX_BODY_BYTES};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{timeout, Instant};
 use tower::Service;
@@ -59,8 +59,8 @@
         Box::pin(async move {
             let response = service.respond(request).await;
             service.connection.response_ready();
-            let last = service.closes_after(&response);
-            Ok(response.encode(last))
+            let connection = service.connection_after(&response);
+            Ok(response.encode(connection))
         })
     }
 }
@@ -78,17 +78,22 @@
         if self.clients.shutting_down() {
             ClientResponse::ShuttingDown
         } else {
-            ClientResponse::Healthy(self.clients.list_fault())
+            ClientResponse::Healthy { list_fault: self.clients.list_fault() }
         }
     }
 
-    /// Whether the client is asked to use another connection after this response.
-    fn closes_after(&self, response: &ClientResponse) -> bool {
+    /// Whether the client may use the connection again after this response.
+    fn connection_after(&self, response: &ClientResponse) -> ConnectionOption {
         let above_keep_alive_limit = self.clients.count() > self.keep_alive_limit;
-        self.capacity == ConnectionCapacity::Exceeded
+        let closes = self.capacity == ConnectionCapacity::Exceeded
             || leaves_bytes_unread(response)
             || above_keep_alive_limit
-            || self.clients.shutting_down()
+            || self.clients.shutting_down();
+        if closes {
+            ConnectionOption::Close
+        } else {
+            ConnectionOption::KeepAlive
+        }
     }
 
     /// Passes a submission to the event loop and returns the answer of that; an error is the answer to a submission
@@ -104,7 +109,8 @@
             return Err(ClientResponse::LengthMismatch);
         }
         let received_at = Instant::now();
-        let submission = Submission::decode(&parts, body).map_err(ClientResponse::Malformed)?;
+        let submission =
+            Submission::decode(&parts, body).map_err(|error| ClientResponse::Malformed { error })?;
         if self.capacity == ConnectionCapacity::Exceeded {
             return Err(ClientResponse::NoCapacity);
         }
@@ -123,9 +129,10 @@
     let limited = Limited::new(body, MAX_BODY_BYTES);
     match timeout(BODY_WITHIN, limited.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ClientResponse::TooLarge),
-        Ok(Err(e)) => {
-            Err(ClientResponse::Malformed(SubmissionError::UnreadableBody { reason: e.to_string() }))
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ClientResponse::TooLarge),
+        Ok(Err(error)) => {
+            let error = SubmissionError::UnreadableBody { reason: error.to_string() };
+            Err(ClientResponse::Malformed { error })
         }
         Err(_) => Err(ClientResponse::RequestTimeout),
     }
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -14,7 +14,7 @@
 use crate::connections::Connection;
 use crate::events::Event;
 use crate::malformed_list::MalformedList;
-use crate::watch_schedule::{BreakCause, Loss};
+use crate::watch_schedule::{BreakCause, Loss, Received};
 
 /// The most list events that the event loop applies in one step; each takes a few microseconds.
 pub const MAX_LIST_EVENTS_PER_PIECE: usize = 256;
@@ -25,8 +25,8 @@
 pub(crate) struct WatchProgress {
     /// The generation of the last part of the list that the event loop has completely.
     pub generation: u64,
-    /// Whether any line of the present watch was received completely.
-    pub line_received: bool,
+    /// What the present watch has received.
+    pub received: Received,
 }
 
 /// Why a watch is not read any further.
@@ -99,7 +99,9 @@
                     return Err(ReadError::Malformed(MalformedList { fault, bytes }));
                 }
             };
-            self.progress.line_received |= matches!(event, ListEvent::PartEnded | ListEvent::Heartbeat);
+            if matches!(event, ListEvent::PartEnded | ListEvent::Heartbeat) {
+                self.progress.received = Received::Lines;
+            }
             if event != ListEvent::Heartbeat {
                 self.piece.push(event);
             }
--- a/crates/forwarder/src/request_sender/departure.rs
+++ b/crates/forwarder/src/request_sender/departure.rs
@@ -63,7 +63,8 @@
     pub(super) fn start_sending(&self, messages: usize) -> Vec<usize> {
         let mut state = locked(&self.0);
         let now = Instant::now();
-        let late: Vec<usize> = (0..messages).filter(|p| state.start_deadline_passed(*p, now)).collect();
+        let late: Vec<usize> =
+            (0..messages).filter(|position| state.start_deadline_passed(*position, now)).collect();
         state.withheld.extend(late);
         state.phase = Phase::Sending;
         (0..messages).filter(|position| state.was_sent(*position)).collect()
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -13,7 +13,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use reeddock::EndpointId;
-use reeddock_protocol::{self as protocol, AttemptResult, OutgoingMessage};
+use reeddock_protocol::{self as protocol, AttemptResult, BatchResponseBody, BodyEnd, OutgoingMessage};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 use tower::Service;
@@ -158,7 +158,10 @@
                 self.request.departure.revert_to_awaiting_connection();
                 continue;
             }
-            self.connections.record_use(&connection, response.is_ok());
+            match &response {
+                Ok(_) => self.connections.record_answer(&connection),
+                Err(_) => self.connections.record_break(&connection),
+            }
             return Ok(self.read_results(connection, response, &batch).await);
         }
     }
@@ -168,7 +171,8 @@
     fn start_sending(&self) -> Result<SentBatch, AttemptResult> {
         self.connections.check_may_send(self.request.endpoint)?;
         let positions = self.request.departure.start_sending(self.request.messages.len());
-        let batch: Vec<&BatchMessage> = positions.iter().map(|p| &self.request.messages[*p]).collect();
+        let batch: Vec<&BatchMessage> =
+            positions.iter().map(|position| &self.request.messages[*position]).collect();
         let answer_by = batch.iter().map(|member| member.answer_by).max().ok_or(AttemptResult::NotSent)?;
         let messages = batch.into_iter().map(|member| member.message.clone()).collect();
         Ok(SentBatch { positions, messages, answer_by })
@@ -234,15 +238,17 @@
             let retry_after = protocol::retry_after_of(head);
             return RequestResult { retry_after, ..batch.same_for_all(AttemptResult::MalformedResponse) };
         };
-        // Whether nothing was received behind the response.
-        let clean = connection.ready().await;
-        if clean {
+        let end = if connection.ready().await {
             self.connections.release(self.request.endpoint, connection);
-        }
+            BodyEnd::Confirmed
+        } else {
+            BodyEnd::Unconfirmed
+        };
         if batch.single().is_some() {
             return batch.same_for_all(protocol::attempt_result_of(head));
         }
-        let results = protocol::attempt_results_of_batch(head, &body.to_bytes(), clean, &batch.messages);
+        let body = BatchResponseBody { bytes: &body.to_bytes(), end };
+        let results = protocol::attempt_results_of_batch(head, body, &batch.messages);
         let members = batch.positions.iter().zip(results);
         let results =
             members.map(|(position, result)| MessageResult { position: *position, result }).collect();
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -122,6 +122,15 @@
     },
 }
 
+/// What a watch had received when it was lost.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Received {
+    /// No complete line, or the watch was never opened.
+    Nothing,
+    /// At least one complete line, so that the list was known to be up to date at that time.
+    Lines,
+}
+
 /// The time within which a request begins, at the moment that the forwarder's phase selects.
 #[derive(Clone, Copy, Debug)]
 struct Window {
@@ -172,17 +181,17 @@
         self.moment(Window { from: from.min(by), by })
     }
 
-    /// The watch was lost, after any complete line was received or before; returns when the next request begins.
-    pub fn watch_lost(&mut self, now: Duration, loss: &Loss, line_received: bool) -> Duration {
-        if line_received {
+    /// The watch was lost after it had received this; returns when the next request begins.
+    pub fn watch_lost(&mut self, now: Duration, loss: &Loss, received: Received) -> Duration {
+        if received == Received::Lines {
             self.record_true_list(now, loss);
         }
         let window = self.next_window(now);
         match loss {
-            Loss::Silent if line_received => return self.after_silence(now, window),
+            Loss::Silent if received == Received::Lines => return self.after_silence(now, window),
             Loss::Broken(_) if self.quick_retries_left > 0 => return self.quick_retry(now, window),
             // The window above is that of the second request; from then on there is one in a period.
-            _ if !line_received => self.second_request = None,
+            _ if received == Received::Nothing => self.second_request = None,
             _ => {}
         }
         self.regular_request(now, loss, window)
--- a/crates/forwarder/tests/loopback/endpoint_connections.rs
+++ b/crates/forwarder/tests/loopback/endpoint_connections.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-use reeddock::EndpointId;
+use reeddock::{EndpointId, EndpointState};
 use reeddock_forwarder::request_sender::RequestSender;
 use reeddock_protocol::AttemptResult;
 use tokio::time::sleep;
@@ -71,7 +71,7 @@
         let full = StubServer::start(|_| ScriptedResponse::SendAndClose(UNAVAILABLE_AND_CLOSE.into())).await;
         let mut request_sender = patient_request_sender();
         for (endpoint, kind) in [(1, "small"), (2, "small"), (3, "large")] {
-            request_sender.connections().endpoint_listed(EndpointId(endpoint), kind, true);
+            request_sender.connections().endpoint_listed(EndpointId(endpoint), kind, EndpointState::Active);
         }
         for _ in 0..2 {
             assert_eq!(
@@ -102,7 +102,11 @@
         let open = StubServer::start(|_| ScriptedResponse::ok()).await;
         let mut request_sender = patient_request_sender();
         for endpoint in [1, 2] {
-            request_sender.connections().endpoint_listed(EndpointId(endpoint), "small", true);
+            request_sender.connections().endpoint_listed(
+                EndpointId(endpoint),
+                "small",
+                EndpointState::Active,
+            );
         }
         for (endpoint, server) in [(1, &leaving), (2, &open)] {
             assert_eq!(send_to(&mut request_sender, endpoint, server).await, AttemptResult::Completed);
--- a/crates/forwarder/tests/loopback/retry_after.rs
+++ b/crates/forwarder/tests/loopback/retry_after.rs
@@ -1,5 +1,6 @@
 //! An endpoint that asks to wait, or starts to drain, holds back the requests that are still on their way to it.
 
+use reeddock::EndpointState;
 use reeddock_forwarder::connections::Connections;
 use reeddock_forwarder::request_sender::{run_request, MessageResult};
 use reeddock_protocol::AttemptResult;
@@ -65,7 +66,7 @@
 #[test]
 fn an_endpoint_that_starts_to_drain_while_a_connection_comes_up_gets_nothing_on_it() {
     run_test(nothing_is_sent_after(
-        |connections| connections.endpoint_listed(ENDPOINT, "many", false),
+        |connections| connections.endpoint_listed(ENDPOINT, "many", EndpointState::Draining),
         AttemptResult::EndpointDraining,
     ));
 }
--- a/crates/forwarder/tests/watch_schedule.rs
+++ b/crates/forwarder/tests/watch_schedule.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use reeddock_forwarder::watch_schedule::{BreakCause, Loss, Periods, WatchSchedule};
+use reeddock_forwarder::watch_schedule::{BreakCause, Loss, Periods, Received, WatchSchedule};
 
 /// How one request ends for the watch, in this simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -102,7 +102,8 @@
             }
         };
         self.up_to_date_until = up_to_date_until.or(self.up_to_date_until);
-        let next = self.schedule.watch_lost(ended, &loss, up_to_date_until.is_some());
+        let received = if up_to_date_until.is_some() { Received::Lines } else { Received::Nothing };
+        let next = self.schedule.watch_lost(ended, &loss, received);
         assert!(next >= ended);
         // What discovery had just after this moment is missing, and received in time only with the next request.
         let missing_since = up_to_date_until.unwrap_or(began);
@@ -276,7 +277,8 @@
         .map(|seed| {
             let mut schedule = WatchSchedule::new(Periods::default(), seed);
             schedule.request_begun(Duration::ZERO);
-            (schedule.watch_lost(lost, &Loss::Broken(BreakCause::Body("reset".into())), true), schedule)
+            let reset = Loss::Broken(BreakCause::Body("reset".into()));
+            (schedule.watch_lost(lost, &reset, Received::Lines), schedule)
         })
         .collect();
     let mut recent_requests: Vec<Duration> = Vec::new();
@@ -295,7 +297,7 @@
             *next = schedule.watch_lost(
                 now + ROUND_TRIP,
                 &Loss::Refused { status: StatusCode::SERVICE_UNAVAILABLE, retry_after: None },
-                false,
+                Received::Nothing,
             );
         } else {
             recovered.push(now - lost);
--- a/crates/protocol/src/client_response.rs
+++ b/crates/protocol/src/client_response.rs
@@ -1,4 +1,4 @@
-//! What a client is answered.
+//! The responses to clients.
 
 use std::time::Duration;
 
@@ -9,19 +9,25 @@
 
 use crate::SubmissionError;
 
-/// What a forwarder answers a client.
+/// A forwarder's response to a client: to a submission, or to a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientResponse {
     /// 202: from here on the forwarder owes the message its final answer.
     Accepted,
-    /// 429: load was shed, and nothing was executed. Submitting it again is harmless, best after this time.
-    Rejected(Option<Duration>),
+    /// 429: the message was rejected to shed load, and was not executed. Submitting it again is harmless.
+    Rejected {
+        /// How long the client had best wait before it does.
+        retry_after: Option<Duration>,
+    },
     /// 422: the message failed at once.
     Failed,
     /// 503: this process has no capacity left; nothing was accepted.
     NoCapacity,
-    /// 400: the request is no submission, with the reason in the body.
-    Malformed(SubmissionError),
+    /// 400: the request is no valid submission.
+    Malformed {
+        /// The reason, which the body of the response states.
+        error: SubmissionError,
+    },
     /// 413: the body is longer than [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES).
     TooLarge,
     /// 408: the body did not come in time.
@@ -36,22 +42,34 @@
     UnknownDestination,
     /// 404: no such path or method.
     NotFound,
-    /// 200 to a health check: messages are accepted. With what an operator should know all the same.
-    Healthy(Option<String>),
+    /// 200 to a health check: messages are accepted.
+    Healthy {
+        /// What is wrong with the endpoint list, in one line, which the body of the response states.
+        list_fault: Option<String>,
+    },
     /// 503 to a health check: the process is shutting down.
     ShuttingDown,
 }
 
+/// Whether a client may send further requests on the connection of a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionOption {
+    /// The connection stays open.
+    KeepAlive,
+    /// The connection is closed after the response, which tells the client so with `Connection: close`.
+    Close,
+}
+
 impl ClientResponse {
-    /// Encodes the response. `close_connection` asks the client to use another connection from now on.
+    /// Encodes the response.
     #[must_use]
-    pub fn encode(self, close_connection: bool) -> Response<Full<Bytes>> {
+    pub fn encode(self, connection: ConnectionOption) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::default());
         *response.status_mut() = self.status();
         if let Some(value) = self.retry_after_value() {
             response.headers_mut().insert(RETRY_AFTER, value);
         }
-        if close_connection {
+        if connection == ConnectionOption::Close {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         *response.body_mut() = Full::new(self.into_body());
@@ -61,32 +79,33 @@
     fn status(&self) -> StatusCode {
         match self {
             ClientResponse::Accepted => StatusCode::ACCEPTED,
-            ClientResponse::Rejected(_) => StatusCode::TOO_MANY_REQUESTS,
+            ClientResponse::Rejected { .. } => StatusCode::TOO_MANY_REQUESTS,
             ClientResponse::Failed => StatusCode::UNPROCESSABLE_ENTITY,
             ClientResponse::NoCapacity
             | ClientResponse::UnknownDestination
             | ClientResponse::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
-            ClientResponse::Malformed(_) | ClientResponse::LengthMismatch => StatusCode::BAD_REQUEST,
+            ClientResponse::Malformed { .. } | ClientResponse::LengthMismatch => StatusCode::BAD_REQUEST,
             ClientResponse::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             ClientResponse::RequestTimeout => StatusCode::REQUEST_TIMEOUT,
             ClientResponse::LengthRequired => StatusCode::LENGTH_REQUIRED,
             ClientResponse::DuplicateId => StatusCode::CONFLICT,
             ClientResponse::NotFound => StatusCode::NOT_FOUND,
-            ClientResponse::Healthy(_) => StatusCode::OK,
+            ClientResponse::Healthy { .. } => StatusCode::OK,
         }
     }
 
     /// `Retry-After` in seconds with three decimals.
     fn retry_after_value(&self) -> Option<HeaderValue> {
-        let ClientResponse::Rejected(Some(wait)) = self else { return None };
-        HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())).ok()
+        let ClientResponse::Rejected { retry_after } = self else { return None };
+        let seconds = (*retry_after)?.as_secs_f64();
+        HeaderValue::try_from(format!("{seconds:.3}")).ok()
     }
 
     fn into_body(self) -> Bytes {
         match self {
-            ClientResponse::Malformed(error) => Bytes::from(format!("{error}\n")),
-            ClientResponse::Healthy(None) => Bytes::from_static(b"ok\n"),
-            ClientResponse::Healthy(Some(warning)) => Bytes::from(format!("ok; {warning}\n")),
+            ClientResponse::Malformed { error } => Bytes::from(format!("{error}\n")),
+            ClientResponse::Healthy { list_fault: None } => Bytes::from_static(b"ok\n"),
+            ClientResponse::Healthy { list_fault: Some(fault) } => Bytes::from(format!("ok; {fault}\n")),
             _ => Bytes::new(),
         }
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -19,13 +19,14 @@
 mod submission;
 
 pub use attempt_result::AttemptResult;
-pub use client_response::ClientResponse;
+pub use client_response::{ClientResponse, ConnectionOption};
 pub use error::{EntryError, ListError, ListFault, ListLocation, ListPartError, SubmissionError};
 pub use list::{watch_request, ListDecoder, ListEntry, ListEvent, ListLimits, ListPart};
 pub use notice::{notices_request, DeliveryNotice, FinalAnswer};
 pub use request::{batch_request, single_request, split_into_batches, OutgoingMessage};
 pub use response::{
     attempt_result_of, attempt_results_of_batch, load_report_of, rejects_connection, retry_after_of,
+    BatchResponseBody, BodyEnd,
 };
 pub use submission::Submission;
 
--- a/crates/protocol/src/response.rs
+++ b/crates/protocol/src/response.rs
@@ -65,15 +65,39 @@
     }
 }
 
-/// What a whole response to a batch says of each of its messages, in their order.
+/// The body of a response to a batch, as it was received.
+#[derive(Clone, Copy, Debug)]
+pub struct BatchResponseBody<'b> {
+    /// One line for each message: its id and a word for its result.
+    pub bytes: &'b [u8],
+    /// Whether the last line is known to be complete.
+    pub end: BodyEnd,
+}
+
+/// Whether the end of a response's body is known to be the end that the endpoint sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BodyEnd {
+    /// The connection is ready for another request: nothing of the body was lost, and nothing followed it.
+    Confirmed,
+    /// The connection was closed or further bytes followed, so that the end of the body may have been lost.
+    Unconfirmed,
+}
+
+impl BatchResponseBody<'_> {
+    /// Whether the last line may have lost its end.
+    fn may_be_truncated(&self) -> bool {
+        self.end == BodyEnd::Unconfirmed && !self.bytes.ends_with(b"\n")
+    }
+}
+
+/// What a response to a batch says of each of its messages, in their order.
 ///
-/// `ended_cleanly` says that no bytes followed the response on its connection. A body that leaves a message out, or that
-/// may have lost its end, proves nothing of any message: all of them get [`AttemptResult::MalformedResponse`].
+/// A body that leaves a message out, or may have lost its end, proves nothing of any message: all of them get
+/// [`AttemptResult::MalformedResponse`].
 #[must_use]
 pub fn attempt_results_of_batch(
     response: &response::Parts,
-    body: &[u8],
-    ended_cleanly: bool,
+    body: BatchResponseBody,
     messages: &[OutgoingMessage],
 ) -> Vec<AttemptResult> {
     match attempt_result_of(response) {
@@ -82,15 +106,16 @@
         of_all => return vec![of_all; messages.len()],
     }
     let malformed = || vec![AttemptResult::MalformedResponse; messages.len()];
-    if !ended_cleanly && !body.ends_with(b"\n") {
+    if body.may_be_truncated() {
         return malformed();
     }
-    let lines = String::from_utf8_lossy(body);
+    let lines = String::from_utf8_lossy(body.bytes);
     let result = |message: &OutgoingMessage| batch_line_result(response, &lines, &message.id.0);
     messages.iter().map(result).collect::<Option<Vec<_>>>().unwrap_or_else(malformed)
 }
 
-/// What the first line of a message's id with a second word says of it. None if there is none, or the word is unknown.
+/// The result in the first line that has a message's id and a second word. None if there is no such line, or the word
+/// is unknown.
 fn batch_line_result(response: &response::Parts, lines: &str, message_id: &str) -> Option<AttemptResult> {
     let status = lines.lines().find_map(|line| {
         let mut words = line.split_ascii_whitespace();
--- a/crates/protocol/tests/responses.rs
+++ b/crates/protocol/tests/responses.rs
@@ -6,7 +6,7 @@
 use reeddock::{AttemptOutcome, LoadReport, MessageId};
 use reeddock_protocol::{
     attempt_result_of, attempt_results_of_batch, load_report_of, rejects_connection, AttemptResult,
-    OutgoingMessage,
+    BatchResponseBody, BodyEnd, OutgoingMessage,
 };
 
 type Header<'a> = Option<(&'a str, &'a str)>;
@@ -106,40 +106,43 @@
     AttemptResult::AttemptsExhausted,
 ];
 
-fn batch_results(status: u16, body: &[u8], ended_cleanly: bool) -> Vec<AttemptResult> {
+fn batch_results(status: u16, bytes: &[u8], end: BodyEnd) -> Vec<AttemptResult> {
     let messages = ["a", "ab", "c"].map(|id| OutgoingMessage {
         id: MessageId(id.into()),
         idempotency_key: None,
         body: Default::default(),
     });
-    attempt_results_of_batch(&head(status, None), body, ended_cleanly, &messages)
+    attempt_results_of_batch(&head(status, None), BatchResponseBody { bytes, end }, &messages)
 }
 
 #[test]
 fn batch_response_says_how_each_message_fared() {
-    assert_eq!(batch_results(200, BATCH_BODY, false), BATCH_RESULTS);
+    assert_eq!(batch_results(200, BATCH_BODY, BodyEnd::Unconfirmed), BATCH_RESULTS);
 }
 
 #[test]
 fn last_line_of_a_batch_response_needs_no_line_feed_if_the_response_ended_cleanly() {
     let unfinished = &BATCH_BODY[..BATCH_BODY.len() - 2];
-    assert_eq!(batch_results(200, unfinished, true), BATCH_RESULTS);
-    assert_eq!(batch_results(200, unfinished, false), [AttemptResult::MalformedResponse; 3]);
+    assert_eq!(batch_results(200, unfinished, BodyEnd::Confirmed), BATCH_RESULTS);
+    assert_eq!(batch_results(200, unfinished, BodyEnd::Unconfirmed), [AttemptResult::MalformedResponse; 3]);
 }
 
 #[test]
 fn batch_response_without_a_line_for_each_message_is_malformed() {
-    assert_eq!(batch_results(200, &BATCH_BODY[12..], true), [AttemptResult::MalformedResponse; 3]);
+    assert_eq!(
+        batch_results(200, &BATCH_BODY[12..], BodyEnd::Confirmed),
+        [AttemptResult::MalformedResponse; 3]
+    );
 }
 
 #[test]
 fn status_of_a_batch_response_other_than_200_holds_for_each_message() {
-    assert_eq!(batch_results(500, b"ab accepted\r\n", true), [AttemptResult::Failed; 3]);
+    assert_eq!(batch_results(500, b"ab accepted\r\n", BodyEnd::Confirmed), [AttemptResult::Failed; 3]);
 }
 
 #[test]
 fn malformed_batch_does_not_say_which_message_is_malformed() {
-    assert_eq!(batch_results(400, b"", true)[0].outcome(), AttemptOutcome::NotSent);
+    assert_eq!(batch_results(400, b"", BodyEnd::Confirmed)[0].outcome(), AttemptOutcome::NotSent);
 }
 
 #[test]
