--- a/crates/daemon/src/check.rs
+++ b/crates/daemon/src/check.rs
@@ -1,8 +1,9 @@
 //! The command `check`: validates a configuration and prints what follows from it.
 
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
-use reeddock::MessageClass;
+use reeddock::{Idempotency, KeyScope, MessageClass};
 use reeddock_forwarder::limits::Limits;
 use reeddock_wal::SyncPolicy;
 
@@ -20,18 +21,44 @@
     options.settings.classes.iter().for_each(print_class);
     println!("shape {shape}");
     let settings = &options.settings;
-    println!("slots {:?}, room for {:?} envelopes", settings.max_in_flight, settings.capacity);
-    println!("{:?}", Limits::derive(options.resources));
+    println!(
+        "requests in flight at most: {}; messages without a final answer at most: {}",
+        value_or_not_given(settings.max_in_flight),
+        value_or_not_given(settings.capacity)
+    );
+    println!("{}", Limits::derive(options.resources));
     Ok(())
 }
 
 fn print_class(class: &MessageClass) {
-    let idempotency = match class.idempotency {
-        Some(idempotency) => format!("{idempotency:?}"),
-        None => "effect not understood, so effectful".into(),
-    };
     println!(
-        "category {}: {idempotency}, promised {:?}, outer limit {:?}",
-        class.name, class.latency_objective, class.deadline
+        "category {}: {}, latency objective {}, deadline {}",
+        class.name,
+        idempotency_in_words(class.idempotency),
+        value_or_not_given(class.latency_objective.map(seconds)),
+        value_or_not_given(class.deadline.map(seconds))
     );
 }
+
+fn idempotency_in_words(idempotency: Option<Idempotency>) -> String {
+    match idempotency {
+        Some(Idempotency::Idempotent) => "idempotent".into(),
+        Some(Idempotency::WithKey { window, scope }) => {
+            let scope = match scope {
+                KeyScope::Region => "region",
+                KeyScope::Zone => "zone",
+            };
+            format!("with an idempotency key for {} within a {scope}", seconds(window))
+        }
+        Some(Idempotency::NonIdempotent) => "non-idempotent".into(),
+        None => "idempotency unknown, treated as non-idempotent".into(),
+    }
+}
+
+fn seconds(span: Duration) -> String {
+    format!("{} s", span.as_secs_f64())
+}
+
+fn value_or_not_given(value: Option<impl ToString>) -> String {
+    value.map_or_else(|| "not given".to_owned(), |value| value.to_string())
+}
--- a/crates/daemon/src/wal_command/text.rs
+++ b/crates/daemon/src/wal_command/text.rs
@@ -23,7 +23,7 @@
         )?;
     }
     for notice in snapshot.index.unacknowledged_notices() {
-        writeln!(out, "{} ended, and the platform has not been told: {:?}", notice.id.0, notice.answer)?;
+        writeln!(out, "{} ended, and the platform has not been told: {}", notice.id.0, notice.answer)?;
     }
     write_counts(snapshot, GroupBy::Destination, out)?;
     write_damage(snapshot, out)
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -241,7 +241,7 @@
 fn works_among_the_crowd(forwarder: &ForwarderProcess, state: &StubState, endpoint: SocketAddr) -> usize {
     let resources =
         ResourceLimits { memory_bytes: 48_000_000, descriptors: DESCRIPTORS, disk_bytes: 3_000_000 };
-    let filled = Limits::derive(resources).clients;
+    let filled = Limits::derive(resources).served_clients;
     let is_filled = || (forwarder.open_descriptors() >= filled).then_some(());
     wait_for("that the places for clients are filled", is_filled);
     let mut most_open = forwarder.open_descriptors();
--- a/crates/forwarder/src/event_loop/attempt_results.rs
+++ b/crates/forwarder/src/event_loop/attempt_results.rs
@@ -34,7 +34,7 @@
     ) {
         let key = AttemptKey { message: id, number };
         self.state.attempt_finished(&key);
-        tracing::debug!(message_id = &*key.message.0, attempt = number.0, ?result, "attempt finished");
+        tracing::debug!(message_id = &*key.message.0, attempt = number.0, %result, "attempt finished");
         self.log_malformed(&key.message, result);
         let message_finished = self.record_result(&key, result);
         let (id, outcome) = (&key.message, result.outcome());
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -1,5 +1,7 @@
 //! The endpoint list, applied entry by entry.
 
+use std::net::SocketAddr;
+
 use reeddock::{EndpointId, EndpointState, EndpointUpdate};
 use reeddock_protocol::{ListEntry, ListEvent};
 
@@ -120,7 +122,7 @@
         let Some(address) = entry.address else { return };
         let location = EndpointLocation { address, max_batch: self.batch_limits.of_kind(&entry.kind) };
         match self.state.endpoints_mut().set_location(endpoint, location) {
-            LocationChange::New => self.log_new_endpoint(endpoint, entry),
+            LocationChange::New => self.log_new_endpoint(endpoint, address, entry),
             // Another machine may have the old address by now.
             LocationChange::Moved => self.connections.close_idle(endpoint),
             LocationChange::Same => {}
@@ -128,16 +130,16 @@
     }
 
     /// Logs the name and address of a new endpoint with its number, by which the policy's lines refer to it.
-    fn log_new_endpoint(&mut self, endpoint: EndpointId, entry: &ListEntry) {
+    fn log_new_endpoint(&mut self, endpoint: EndpointId, address: SocketAddr, entry: &ListEntry) {
         let new_endpoints = self.state.list_progress_mut().as_mut().map_or(1, |progress| {
             progress.new_endpoints += 1;
             progress.new_endpoints
         });
-        let (name, address, destination) = (&entry.name, entry.address, entry.destination.0);
+        let (name, destination) = (&entry.name, entry.destination.0);
         if new_endpoints <= MAX_NEW_ENDPOINTS_LOGGED {
-            tracing::info!(?endpoint, name, ?address, destination, "endpoint listed");
+            tracing::info!(?endpoint, name, %address, destination, "endpoint listed");
         } else {
-            tracing::debug!(?endpoint, name, ?address, destination, "endpoint listed");
+            tracing::debug!(?endpoint, name, %address, destination, "endpoint listed");
         }
     }
 
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -182,7 +182,7 @@
                 let _ = submission.reply.send(response_to(notice.answer));
             } else if self.finish_message(&notice.id) {
                 let id = &*notice.id.0;
-                tracing::debug!(message_id = id, answer = ?notice.answer, "message not delivered");
+                tracing::debug!(message_id = id, answer = %notice.answer, "message not delivered");
                 self.record(Record::Finished { id: id.to_owned(), notice: Some(notice.answer) });
                 notices.push(notice);
             }
--- a/crates/forwarder/src/ingress/accept.rs
+++ b/crates/forwarder/src/ingress/accept.rs
@@ -34,8 +34,8 @@
     clients: Arc<ClientConnections>,
     event_loop: mpsc::Sender<Event>,
 ) -> JoinSet<()> {
-    let slots = Arc::new(Semaphore::new(limits.accepted));
-    let lingering = Arc::new(Semaphore::new(limits.lingering));
+    let slots = Arc::new(Semaphore::new(limits.accepted_clients));
+    let lingering = Arc::new(Semaphore::new(limits.lingering_clients));
     let closing = clients.closing();
     let log_throttle = LogThrottle::default();
     let tasks = JoinSet::new();
@@ -151,7 +151,7 @@
             connection,
             event_loop: self.event_loop.clone(),
             capacity,
-            keep_alive_limit: self.limits.kept,
+            keep_alive_limit: self.limits.keep_alive_clients,
         };
         let served = ServedConnection { stream, client, service, slot, lingering: self.lingering.clone() };
         let clients = self.clients.clone();
@@ -163,7 +163,7 @@
 
     /// Evicts another connection where the limit of served ones is reached.
     fn ensure_capacity(&self) -> ConnectionCapacity {
-        if self.clients.count() < self.limits.clients || self.clients.evict_one() {
+        if self.clients.count() < self.limits.served_clients || self.clients.evict_one() {
             ConnectionCapacity::Available
         } else {
             ConnectionCapacity::Exceeded
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -1,6 +1,8 @@
 //! The limits of the network side, derived from the resources that a forwarder is given. They say what the machine can
 //! carry, and never what should be sent: that is the delivery policy's decision.
 
+use std::fmt;
+
 /// What a forwarder is given of its machine.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
@@ -15,21 +17,39 @@
 /// The limits that follow from a machine's resources.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Client connections that are served; those beyond are answered that there is no capacity.
-    pub clients: usize,
+    /// Client connections that are served; submissions on further ones are answered with 503.
+    pub served_clients: usize,
     /// Client connections that are accepted at all.
-    pub accepted: usize,
-    /// With more client connections than this, each is closed once it was answered: clients hold only so many
-    /// connections too, and some ask once and stay, which would keep the others out.
-    pub kept: usize,
+    pub accepted_clients: usize,
+    /// While more client connections than this are open, each is closed after its response: otherwise clients that
+    /// submit once and stay connected would keep others out.
+    pub keep_alive_clients: usize,
     /// Closed client connections that are still read from.
-    pub lingering: usize,
+    pub lingering_clients: usize,
     /// Connections to endpoints, idle ones included.
-    pub requests: usize,
+    pub endpoint_connections: usize,
     /// Events that are queued for the event loop, submissions among them.
-    pub queue: usize,
-    /// Bytes of messages that are kept in memory.
-    pub bodies: u64,
+    pub queued_events: usize,
+    /// Bytes of pending messages in memory.
+    pub message_bytes: u64,
+}
+
+/// One line for operators.
+impl fmt::Display for Limits {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            f,
+            "client connections: {} accepted, {} served, {} kept alive, {} lingering; connections to endpoints: {}; \
+             queued events: {}; bytes of pending messages: {}",
+            self.accepted_clients,
+            self.served_clients,
+            self.keep_alive_clients,
+            self.lingering_clients,
+            self.endpoint_connections,
+            self.queued_events,
+            self.message_bytes
+        )
+    }
 }
 
 /// Descriptors that are kept back from client connections and from requests, so that neither can keep the endpoint
@@ -94,14 +114,14 @@
         let lingering = for_clients / 8;
         let accepted = for_clients - lingering;
         Limits {
-            clients: accepted - accepted / 8,
-            accepted,
-            lingering,
-            kept: for_clients / 8,
-            requests: free - for_clients,
-            queue: EVENT_QUEUE,
+            served_clients: accepted - accepted / 8,
+            accepted_clients: accepted,
+            lingering_clients: lingering,
+            keep_alive_clients: for_clients / 8,
+            endpoint_connections: free - for_clients,
+            queued_events: EVENT_QUEUE,
             // The rest is for connections, each with the body that it is reading, and for the program.
-            bodies: resources.memory_bytes / 4,
+            message_bytes: resources.memory_bytes / 4,
         }
     }
 }
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -60,7 +60,7 @@
 /// A malformed notice would never be read, and those after it must not wait for it.
 fn log_dropped(notices: &[DeliveryNotice]) {
     for DeliveryNotice { id, answer } in notices {
-        tracing::error!(message_id = &*id.0, ?answer, "notice dropped: the platform can't read it");
+        tracing::error!(message_id = &*id.0, %answer, "notice dropped: the platform can't read it");
     }
 }
 
@@ -81,7 +81,7 @@
     #[error("no answer")]
     NoAnswer,
     /// The connection could not be opened, or broke.
-    #[error("{0:?}")]
+    #[error("{0}")]
     Connection(AttemptResult),
     /// The request could not be built.
     #[error(transparent)]
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -46,15 +46,19 @@
     let limits = Limits::derive(options.resources);
     let clock = Clock::start();
     let log = open_log(&options)?;
-    let (events, event_queue) = mpsc::channel(limits.queue);
+    let (events, event_queue) = mpsc::channel(limits.queued_events);
     let (list_events, list_queue) = mpsc::channel(QUEUED_LIST_PIECES);
     let (notices, notice_queue) = mpsc::unbounded_channel();
-    let connections = Connections::new(limits.requests, options.connect_within, options.closed_after);
+    let connections =
+        Connections::new(limits.endpoint_connections, options.connect_within, options.closed_after);
     let list_status = ListStatus::default();
     let schedule = WatchSchedule::new(Periods::default(), options.settings.seed);
     let cached_generation = options.cached_list.generation;
-    let config =
-        EventLoopConfig { settings: options.settings, tick: options.tick, max_message_bytes: limits.bodies };
+    let config = EventLoopConfig {
+        settings: options.settings,
+        tick: options.tick,
+        max_message_bytes: limits.message_bytes,
+    };
     let parts = EventLoopParts {
         clock,
         log,
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -84,7 +84,7 @@
     #[error("{0}")]
     Request(String),
     /// No connection to discovery came up, or it broke before the head of the response.
-    #[error("discovery: {0:?}")]
+    #[error("discovery: {0}")]
     Connection(AttemptResult),
     /// The connection broke in the body of the response: the error in one line.
     #[error("{0}")]
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -57,9 +57,12 @@
     for descriptors in 64..=1024 {
         let limits =
             Limits::derive(ResourceLimits { memory_bytes: 32_000_000, descriptors, disk_bytes: 3_000_000 });
-        let planned = RESERVE.total() + limits.accepted + limits.lingering + limits.requests;
+        let planned = RESERVE.total()
+            + limits.accepted_clients
+            + limits.lingering_clients
+            + limits.endpoint_connections;
         assert_eq!(planned, descriptors);
-        assert!(limits.clients < limits.accepted, "some are accepted only to be refused");
+        assert!(limits.served_clients < limits.accepted_clients, "some are accepted only to be refused");
     }
 }
 
--- a/crates/protocol/src/attempt_result.rs
+++ b/crates/protocol/src/attempt_result.rs
@@ -1,5 +1,6 @@
 //! Every way in which a delivery attempt can end on a connection, and what each means to the delivery policy.
 
+use std::fmt;
 use std::time::Duration;
 
 use reeddock::AttemptOutcome;
@@ -7,7 +8,7 @@
 /// How one delivery attempt ended on its connection.
 ///
 /// A batch request carries one attempt for each of its messages, and each gets a result of its own. Whether the message
-/// may have been executed decides whether it can be sent again:
+/// may have been executed decides whether it can be sent again. Logs have each in the words of its `Display`:
 ///
 /// | Result | What happened on the connection | Executed? |
 /// | --- | --- | --- |
@@ -74,6 +75,36 @@
     NotSent,
 }
 
+/// In words for logs.
+impl fmt::Display for AttemptResult {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            AttemptResult::Rejected { retry_after: Some(wait) } => {
+                return write!(f, "rejected, retry after {wait:?}");
+            }
+            AttemptResult::Rejected { retry_after: None } => "rejected",
+            AttemptResult::Completed => "completed",
+            AttemptResult::Failed => "failed",
+            AttemptResult::EgressFull => "not forwarded, egress full",
+            AttemptResult::AttemptsExhausted => "not forwarded, attempts exhausted",
+            AttemptResult::AlreadyFinished => "not forwarded, already finished",
+            AttemptResult::Malformed => "request malformed",
+            AttemptResult::BatchMalformed => "batch malformed",
+            AttemptResult::UnexpectedStatus => "unexpected status",
+            AttemptResult::ConnectionRefused => "connection refused",
+            AttemptResult::ConnectTimedOut => "connecting timed out",
+            AttemptResult::ResetWhileSending => "connection reset while sending",
+            AttemptResult::ConnectionReset => "connection reset after sending",
+            AttemptResult::MalformedResponse => "response malformed",
+            AttemptResult::TimedOut => "response timed out",
+            AttemptResult::Cancelled => "cancelled",
+            AttemptResult::RetryAfterActive => "not sent, Retry-After active",
+            AttemptResult::EndpointDraining => "not sent, endpoint draining",
+            AttemptResult::NotSent => "not sent",
+        })
+    }
+}
+
 impl AttemptResult {
     /// The outcome as the delivery policy sees it. This is the only place where a result becomes an outcome.
     #[must_use]
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -1,5 +1,6 @@
 //! Notices: how the platform learns the final answer of a message that was accepted and not delivered.
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -22,6 +23,17 @@
     Failed,
 }
 
+/// In words for logs and listings.
+impl fmt::Display for FinalAnswer {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            FinalAnswer::Rejected { retry_after: None } => f.write_str("rejected"),
+            FinalAnswer::Rejected { retry_after: Some(wait) } => write!(f, "rejected, retry after {wait:?}"),
+            FinalAnswer::Failed => f.write_str("failed"),
+        }
+    }
+}
+
 /// The notice of one message's final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeliveryNotice {
--- a/crates/protocol/tests/responses.rs
+++ b/crates/protocol/tests/responses.rs
@@ -6,7 +6,7 @@
 use reeddock::{AttemptOutcome, LoadReport, MessageId};
 use reeddock_protocol::{
     attempt_result_of, attempt_results_of_batch, load_report_of, rejects_connection, AttemptResult,
-    BatchResponseBody, BodyEnd, OutgoingMessage,
+    BatchResponseBody, BodyEnd, FinalAnswer, OutgoingMessage,
 };
 
 type Header<'a> = Option<(&'a str, &'a str)>;
@@ -163,3 +163,20 @@
         assert_eq!(rejects_connection(&head(status, header)), expected, "{status} {header:?}");
     }
 }
+
+#[test]
+fn results_and_final_answers_are_logged_in_words() {
+    let retry_after = Some(Duration::from_millis(1500));
+    for (result, expected) in [
+        (AttemptResult::Completed, "completed"),
+        (AttemptResult::Rejected { retry_after: None }, "rejected"),
+        (AttemptResult::Rejected { retry_after }, "rejected, retry after 1.5s"),
+        (AttemptResult::ConnectionReset, "connection reset after sending"),
+        (AttemptResult::RetryAfterActive, "not sent, Retry-After active"),
+    ] {
+        assert_eq!(result.to_string(), expected);
+    }
+    assert_eq!(FinalAnswer::Failed.to_string(), "failed");
+    assert_eq!(FinalAnswer::Rejected { retry_after: None }.to_string(), "rejected");
+    assert_eq!(FinalAnswer::Rejected { retry_after }.to_string(), "rejected, retry after 1.5s");
+}
