--- a/crates/daemon/src/wal_command/mod.rs
+++ b/crates/daemon/src/wal_command/mod.rs
@@ -25,7 +25,7 @@
     Json,
 }
 
-/// By what pending messages are counted.
+/// The property by which pending messages are counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GroupBy {
     /// The message class.
@@ -36,7 +36,7 @@
     Age,
 }
 
-/// Messages can't be counted by this.
+/// The value of `--by` is none of those that messages can be counted by.
 #[derive(Debug, Error)]
 #[error("{0:?}: expected category, destination or age")]
 pub struct UnknownGroup(String);
@@ -58,8 +58,8 @@
 /// Why a write-ahead log could not be printed.
 #[derive(Debug, Error)]
 pub enum WalCommandError {
-    /// The log can't be read. Damage inside it is no error: it is printed.
-    #[error("cannot read the ledger in {}: {source}", folder.display())]
+    /// The log can't be read. Corruption inside it is no error: it is printed.
+    #[error("cannot read the write-ahead log in {}: {source}", folder.display())]
     Read { folder: PathBuf, source: WalError },
     /// Standard output can't be written to.
     #[error("cannot write: {0}")]
--- a/crates/daemon/src/wal_command/text.rs
+++ b/crates/daemon/src/wal_command/text.rs
@@ -23,7 +23,11 @@
         )?;
     }
     for notice in snapshot.index.unacknowledged_notices() {
-        writeln!(out, "{} ended, and the platform has not been told: {}", notice.id.0, notice.answer)?;
+        writeln!(
+            out,
+            "{} finished, its notice not acknowledged by the platform: {}",
+            notice.id.0, notice.answer
+        )?;
     }
     write_counts(snapshot, GroupBy::Destination, out)?;
     write_damage(snapshot, out)
@@ -107,7 +111,7 @@
     if report.torn_bytes > 0 {
         writeln!(
             out,
-            "{} bytes at the end are of a write that was cut short; the next start cuts them off",
+            "{} bytes at the end are of a torn write; the next start cuts them off",
             report.torn_bytes
         )?;
     }
@@ -118,7 +122,7 @@
         writeln!(out, "damaged: {} places more", report.unlisted_corruptions)?;
     }
     for id in snapshot.index.orphans() {
-        writeln!(out, "unknown: {} was taken on, and nothing else is known of it", id.0)?;
+        writeln!(out, "unknown: {} was accepted, and nothing else is known of it", id.0)?;
     }
     let unnamed = snapshot.index.unlisted_orphans();
     if unnamed > 0 {
--- a/crates/daemon/tests/wal_command.rs
+++ b/crates/daemon/tests/wal_command.rs
@@ -70,7 +70,7 @@
     assert_eq!((&lines[2]["untold"], &lines[2]["end"]), (&"note-2".into(), &"broken_off".into()));
     let CommandResult { text, code } = ledger(folder.path(), &[]);
     assert!(code == Some(0) && text.contains("order-1 order for destination 7"), "{text}");
-    let notice = "note-2 ended, and the platform has not been told: failed\n";
+    let notice = "note-2 finished, its notice not acknowledged by the platform: failed\n";
     assert!(text.contains(notice), "{text}");
 }
 
--- a/crates/wal/src/appending.rs
+++ b/crates/wal/src/appending.rs
@@ -1,4 +1,5 @@
-//! Appending records: all of a group or none, with room for the ends of what is pending on a full disk.
+//! Appending records: all records of an append are written or none. On a full disk there is still space for the
+//! records that finish pending messages.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -11,32 +12,32 @@
 use crate::segment::{self, SEGMENT_HEADER_BYTES};
 use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
-/// What came of an append that returned no error.
+/// The outcome of an append that returned no error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendOutcome {
-    /// Whether the new messages among the records were accepted. Where there was no space for them, all other records
-    /// were written, without these messages and their attempts.
+    /// Whether the new messages among the records were accepted. If there was no space for them, all records except
+    /// these messages and their attempts were written.
     pub messages_accepted: bool,
 }
 
-/// How a segment stood before an append, to take the append back.
+/// The state of a segment before an append, for undoing the append.
 #[derive(Clone, Copy)]
 pub(crate) struct AppendUndo {
     segment: u64,
-    /// Its length in bytes; none where the append created it.
+    /// Its length in bytes; `None` if the append created it.
     size_before: Option<u64>,
 }
 
 impl WriteAheadLog {
-    /// Writes these records, and then compacts by one step. They survive this process once this returns; on an error
-    /// none of them was written. With no space left the disk reserve is released for records of messages that are
-    /// pending already, and no message is accepted.
+    /// Writes these records, and then runs one compaction step. Once this returns, the records survive the end of this
+    /// process; on an error none of them was written. If no space is left, no message is accepted, and the disk reserve
+    /// is released for the records of messages that are pending already.
     ///
-    /// `now` is any clock that does not go back; it times syncs and repeated warnings.
+    /// `now` is the time on any monotonic clock; it decides when syncs are due and warnings are repeated.
     ///
     /// # Errors
     ///
-    /// Where the disk fails, or is too full even for what is pending.
+    /// If the disk fails, or is too full even for the records of pending messages.
     pub fn append(&mut self, records: &[Record], now: Duration) -> Result<AppendOutcome, WalError> {
         if records.is_empty() {
             return Ok(AppendOutcome { messages_accepted: true });
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Writes what must be written of the records, if need be at the cost of the disk reserve.
+    /// Writes the records that concern no new message, if necessary into the space of the disk reserve.
     fn append_on_full_disk(&mut self, records: &[Record], now: Duration) -> Result<AppendOutcome, WalError> {
         self.pending_bytes_when_full = Some(self.index.pending_bytes());
         let required = without_new_messages(records);
@@ -75,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Where the disk fails; the segments that were not synced are synced by the next call.
+    /// If the disk fails; the next call syncs the segments that were not synced.
     pub fn sync_all(&mut self) -> Result<(), WalError> {
         if self.sync == SyncPolicy::Never {
             self.unsynced_segments.clear();
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    /// Writes records, syncs them where that is due, and applies them to the index. Gives the bytes written.
+    /// Writes records, syncs them if a sync is due, and applies them to the index. Returns the bytes written.
     fn write_and_sync(&mut self, records: &[Record], now: Duration) -> Result<u64, WalError> {
         self.write_retractions()?;
         let mut encoded = self.encode(records);
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Ends the messages of failed writes that could not be taken back.
+    /// Writes the retractions: records that finish the messages of failed writes that could not be undone.
     fn write_retractions(&mut self) -> Result<(), WalError> {
         let retractions = std::mem::take(&mut self.retractions);
         let written = self.write_without_sync(&retractions);
@@ -151,7 +152,7 @@
         EncodedRecords::encode(records, std::mem::take(&mut self.encode_buffer))
     }
 
-    /// Appends records. Where that fails and can't be taken back, notes that their messages must be ended.
+    /// Appends records. If that fails and can't be undone, queues retractions for their messages.
     fn append_or_retract(
         &mut self,
         records: &[Record],
@@ -176,7 +177,7 @@
         self.append_to_segment(encoded)
     }
 
-    /// Appends frames to the last segment, or to a new one. Takes it back where it fails.
+    /// Appends frames to the last segment, or to a new one. A failed append is undone.
     pub(crate) fn append_to_segment(&mut self, encoded: &mut EncodedRecords) -> Result<AppendUndo, WalError> {
         let begins_segment = self.last_segment_sealed || self.plan.needs_new_segment(encoded.frames_bytes());
         let undo = match self.plan.last_segment().filter(|_| !begins_segment) {
@@ -201,7 +202,7 @@
         Ok(undo)
     }
 
-    /// Takes back what an append left. Where that fails, a new segment is begun: nothing is written behind a torn
+    /// Undoes a failed append. If that fails too, a new segment is begun, as nothing may be written behind a torn
     /// write.
     fn undo_append(&mut self, undo: AppendUndo) {
         let AppendUndo { segment, size_before } = undo;
@@ -220,14 +221,14 @@
                 self.unsynced_segments.remove(&segment);
             }
             (Err(error), _) => {
-                tracing::warn!(%error, file, "failed write could not be taken back; a new segment is begun");
+                tracing::warn!(%error, file, "failed write could not be undone, new segment begun");
                 self.last_segment_sealed = true;
                 self.corrupt_segments.insert(segment);
             }
         }
     }
 
-    /// Applies records to the index that were just appended, so that their frames end the last segment.
+    /// Applies records to the index that were just appended, so that their frames are the last of the last segment.
     pub(crate) fn apply(&mut self, records: &[Record], encoded: &EncodedRecords) {
         let Some(last) = self.plan.last_segment() else { return };
         let mut offset = self.plan.segment_size(last) - encoded.frames_bytes();
@@ -238,7 +239,7 @@
     }
 }
 
-/// The records that are written even where no message can be accepted: all but new messages and their attempts.
+/// The records that are written even if no message can be accepted: all except new messages and their attempts.
 fn without_new_messages(records: &[Record]) -> Vec<Record> {
     let accepted: BTreeSet<&str> = records
         .iter()
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -1,5 +1,5 @@
-//! Compaction: copies the live records of the first segment to the end of the log, in bounded steps behind
-//! appends, and then drops the segment. [`CompactionPlan`](crate::compaction_plan::CompactionPlan) decides when.
+//! Compaction: copies the live records of the first segment to the end of the log, in one bounded step after each
+//! append, and then drops the segment. [`CompactionPlan`](crate::compaction_plan::CompactionPlan) decides when.
 
 use std::io;
 use std::time::Duration;
@@ -15,25 +15,26 @@
 use crate::segment::{self, SEGMENT_HEADER_BYTES};
 use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
-/// Faults of compaction are logged at most once in this interval.
+/// Failures of compaction are logged at most once in this interval.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
-/// On a full disk a segment is compacted only where it is at least so many times as large as its live records.
+/// On a full disk a segment is compacted only if it is at least this many times as large as its live records.
 const FULL_DISK_MIN_GAIN: u64 = 4;
-/// Bounds the steps that make room for one append: so many for each pending message, and some more.
+/// The most steps that make room for one append: this many for each pending message, and the following constant.
 const STEPS_PER_PENDING_MESSAGE: usize = 4;
+/// See [`STEPS_PER_PENDING_MESSAGE`].
 const EXTRA_STEPS: usize = 1000;
 
-/// Live records that were gathered for one step, and what they amount to.
+/// The live records that one step copies.
 struct CopyBatch {
     records: Vec<Record>,
-    /// Bytes of the records, as the plan accounts for them.
+    /// Their size in bytes, as the plan counts it.
     bytes: u64,
-    /// Whether no live record of the segment is left behind them.
+    /// Whether the segment has no further live record after them.
     reaches_end: bool,
 }
 
 impl WriteAheadLog {
-    /// Makes room for an append of so many bytes, by compacting first segments where there is no other way.
+    /// Makes room for an append of `bytes` bytes, by compacting the first segments if they do not fit otherwise.
     pub(crate) fn make_room(&mut self, bytes: u64) -> Result<(), WalError> {
         let mut steps_left = STEPS_PER_PENDING_MESSAGE * self.index.counts().messages + EXTRA_STEPS;
         while !self.plan.fits(bytes) {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Compacts by one bounded step behind an append, and replenishes the disk reserve. A fault in it does not harm
-    /// the append.
+    /// Runs one bounded compaction step after an append, and replenishes the disk reserve. A failure of either does not
+    /// affect the append.
     pub(crate) fn compact_after_append(&mut self, appended: u64, now: Duration) {
         if let CompactionStep::Copy { segment, bytes } = self.step_after_append(appended) {
             match self.compact(segment, bytes) {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The step that is due. A disk that was full has less room than the plan was given, so that copies would use up
-    /// what is left: there a segment is compacted only where far more comes free than its copies need.
+    /// The step that is due. A disk that was full has less space than the folder's limit, so that copies could use up
+    /// the rest of it: then a segment is compacted only if that frees far more space than its copies need.
     fn step_after_append(&mut self, appended: u64) -> CompactionStep {
         let planned = self.plan.after_append(appended, self.index.pending_bytes());
         let was_full =
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Copies live records of the first segment to the end of the log, so many bytes of them, and drops the segment
-    /// once it has none. Gives the bytes copied.
+    /// Copies about `bytes` bytes of live records of the first segment to the end of the log, and drops the segment
+    /// once it has none. Returns the bytes copied.
     fn compact(&mut self, segment: u64, bytes: u64) -> Result<u64, WalError> {
         let batch = self.gather_live_records(segment, bytes)?;
         if !batch.records.is_empty() {
@@ -111,7 +112,7 @@
         Ok(batch.bytes)
     }
 
-    /// Reads live records of a segment from the compaction offset on, until they have so many bytes.
+    /// Reads live records of a segment from the compaction offset on, until they have `bytes` bytes.
     fn gather_live_records(&mut self, segment: u64, bytes: u64) -> Result<CopyBatch, WalError> {
         let mut batch = CopyBatch { records: Vec::new(), bytes: 0, reaches_end: true };
         let mut next = self.index.first_live_record(segment, self.compaction_offset);
@@ -129,7 +130,7 @@
         Ok(batch)
     }
 
-    /// Adds the copy of a live record; false where the index does not know its message.
+    /// Adds the copy of a live record; returns false if the index does not know its message.
     fn add_copy(&self, batch: &mut CopyBatch, live: &LiveRecord) -> Result<bool, WalError> {
         if let Some(pending) = self.index.get(&live.id) {
             let accepted = self.read_accepted(pending)?;
@@ -144,7 +145,7 @@
         Ok(true)
     }
 
-    /// Appends copies. Unlike an append it does not make room, which would come back here.
+    /// Appends copies. Unlike [`WriteAheadLog::append`] it does not make room, which would call compaction again.
     fn append_copies(&mut self, records: &[Record]) -> Result<(), WalError> {
         let mut encoded = EncodedRecords::encode(records, Vec::new());
         if !self.plan.fits(encoded.frames_bytes() + SEGMENT_HEADER_BYTES as u64) {
@@ -155,9 +156,9 @@
         Ok(())
     }
 
-    /// Drops the first segment, which has no live record. Its copies are synced before, and the manifest moves on
-    /// before the file goes: a lost machine might otherwise bring back this segment without a later one, and with it
-    /// messages whose ends stood there.
+    /// Drops the first segment, which has no live record. The copies are synced and the manifest is replaced before the
+    /// file is removed: otherwise a loss of the machine could restore this segment without a later one, and with it
+    /// messages whose final records were in the later one.
     fn drop_first_segment(&mut self, segment: u64) -> Result<(), WalError> {
         self.sync_all()?;
         self.write_manifest(segment + 1)?;
@@ -172,7 +173,7 @@
         Ok(())
     }
 
-    /// Keeps a segment with corrupt parts for staff, and removes the oldest ones kept where they are too many.
+    /// Moves a segment with corrupt parts into quarantine, and removes the oldest quarantined files beyond its limit.
     fn quarantine_segment(&mut self, segment: u64) -> Result<(), WalError> {
         let file = segment::file_name(segment);
         let quarantined = Quarantine::name_for(&file);
--- a/crates/wal/src/compaction_plan.rs
+++ b/crates/wal/src/compaction_plan.rs
@@ -1,38 +1,39 @@
-//! What compaction does next, and what room there is: decided from sizes alone, without I/O.
+//! Decides what compaction does next and what fits into the folder, from sizes alone. No I/O.
 //!
 //! The write-ahead log is a sequence of segments. Records are appended to the last one. The first one is emptied by
-//! copying its live records to the end, and then dropped. Only ever the first: the record that finishes a
-//! message stands behind the one that accepted it, so that dropping from the front never leaves the acceptance
-//! without the end, and no end has to be kept for the sake of an older segment.
+//! copying its live records to the end, and then dropped. Segments are dropped in their order only: the record that
+//! finishes a message is always behind the one that accepted it, so that no `Accepted` record ever remains without its
+//! `Finished` record, and no `Finished` record has to be kept because of an older segment.
 //!
-//! # What holds
+//! # Invariants
 //!
 //! - All files together never have more than [`CompactionPlan::max_bytes`], counted in whole blocks.
 //! - Pending messages may fill two fifths of that. Compaction starts at [`CompactionPlan::start_threshold`] and
 //!   copies at least [`COPIED_PER_APPENDED_BYTE`] bytes for each byte appended, so that it is through all segments
 //!   before the rest is full: while two fifths are copied, the log grows by what is appended, two fifteenths, and one
 //!   segment.
-//! - Ends and attempts of pending messages always find room: each message's share of it is set aside when the message
-//!   is accepted (`AcceptedView::reserved_bytes`), and the disk reserve stands for it.
+//! - There is always space for the attempts and final records of pending messages: it is set aside when the message is
+//!   accepted (`Accepted::reserved_bytes`), and the disk reserve guarantees it.
 
 use std::collections::BTreeMap;
 
-/// A file counts in whole blocks of so many bytes, as file systems allocate them.
+/// Files are counted in whole blocks of this size, as file systems allocate them.
 pub(crate) const BLOCK_BYTES: u64 = 512;
 /// Bytes copied for each byte appended while a segment is being compacted; see the module's documentation.
 const COPIED_PER_APPENDED_BYTE: u64 = 3;
-/// The least that a step copies, in bytes: with less, short appends would make endless compactions.
+/// The least that a step copies, in bytes: with less, compaction behind short appends would never end.
 const MIN_STEP_BYTES: u64 = 4 * 1024;
-/// The most that a step copies, in bytes: with more, the append that a step is behind would wait long.
+/// The most that a step copies, in bytes: with more, the append before it would take long.
 const MAX_STEP_BYTES: u64 = 256 * 1024;
-/// The folder's limit is split into so many segments, within the two bounds that follow.
+/// The folder's limit is divided into this many segments, within the two bounds that follow.
 const SEGMENTS_PER_FOLDER: u64 = 24;
 /// A shorter segment would be mostly block rounding and header.
 const MIN_SEGMENT_BYTES: u64 = 4 * 1024;
 /// Dropping a file takes time in proportion to its size.
 const MAX_SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
-/// The disk reserve takes this part of the folder's limit, one of so many, and no more than the next constant.
+/// The disk reserve is one part in this many of the folder's limit, up to [`MAX_RESERVE_BYTES`].
 const RESERVE_SHARE: u64 = 16;
+/// The most bytes of the disk reserve.
 const MAX_RESERVE_BYTES: u64 = 8 * MAX_SEGMENT_BYTES;
 
 /// A length rounded up to whole blocks, in bytes.
@@ -46,13 +47,13 @@
     max_bytes: u64,
     max_segment_bytes: u64,
     reserve_bytes: u64,
-    /// The number that the first segment gets where there is none.
+    /// The number of the next new segment while there is none.
     first_number: u64,
     /// Bytes of each segment, by number.
     segment_sizes: BTreeMap<u64, u64>,
     /// Bytes of files beside the segments: manifests, reserve, quarantine.
     auxiliary_bytes: u64,
-    /// Bytes that may still be copied on account of what was appended.
+    /// Bytes that may still be copied, earned by appends.
     copy_credit: u64,
 }
 
@@ -65,7 +66,7 @@
     Copy {
         /// The number of the segment, which is the first.
         segment: u64,
-        /// So many bytes of live records at most.
+        /// The most bytes of live records that are copied.
         bytes: u64,
     },
 }
@@ -99,23 +100,23 @@
         self.max_bytes * 2 / 5
     }
 
-    /// Compaction starts where all files together have so many bytes: eleven twentieths of the folder, or in a
-    /// large folder as soon as far more is there than is pending, since all of it would be read at a start.
+    /// Compaction starts when all files together have this many bytes: eleven twentieths of the folder, or in a large
+    /// folder as soon as they have far more than is pending, since a start reads all of them.
     pub fn start_threshold(&self, pending_bytes: u64) -> u64 {
         (self.max_bytes * 11 / 20).min(2 * pending_bytes + 4 * self.max_segment_bytes)
     }
 
-    /// Names the first segment that counts; lower numbers were dropped.
+    /// Sets the number of the first segment that counts; lower numbers were dropped.
     pub fn set_first_number(&mut self, segment: u64) {
         self.first_number = segment;
     }
 
-    /// Records that a segment has so many bytes now.
+    /// Records the size of a segment.
     pub fn set_segment_size(&mut self, segment: u64, bytes: u64) {
         self.segment_sizes.insert(segment, bytes);
     }
 
-    /// Bytes of a segment; 0 where there is none of this number.
+    /// Bytes of a segment; 0 if there is none with this number.
     pub fn segment_size(&self, segment: u64) -> u64 {
         self.segment_sizes.get(&segment).copied().unwrap_or_default()
     }
@@ -135,12 +136,12 @@
         self.segment_sizes.values().map(|size| whole_blocks(*size)).sum::<u64>() + self.auxiliary_bytes
     }
 
-    /// Whether so many bytes more fit, also where they begin a new segment.
+    /// Whether an append of `bytes` bytes fits, even if it begins a new segment.
     pub fn fits(&self, bytes: u64) -> bool {
         self.used_bytes() + whole_blocks(bytes) + BLOCK_BYTES <= self.max_bytes
     }
 
-    /// Whether an append of so many bytes begins a new segment.
+    /// Whether an append of `bytes` bytes begins a new segment.
     pub fn needs_new_segment(&self, bytes: u64) -> bool {
         let last = self.segment_sizes.last_key_value();
         last.is_none_or(|(_, size)| *size > 0 && size + bytes > self.max_segment_bytes)
@@ -161,7 +162,7 @@
         self.segment_sizes.last_key_value().map(|(number, _)| *number)
     }
 
-    /// What to copy after an append of so many bytes, with so many bytes pending.
+    /// The step after an append of `bytes` bytes, while `pending_bytes` are pending.
     pub fn after_append(&mut self, bytes: u64, pending_bytes: u64) -> CompactionStep {
         if self.used_bytes() < self.start_threshold(pending_bytes) {
             self.copy_credit = 0;
@@ -176,12 +177,12 @@
         step
     }
 
-    /// Records that a step copied so many bytes.
+    /// Records that a step copied `bytes` bytes.
     pub fn consume_credit(&mut self, bytes: u64) {
         self.copy_credit = self.copy_credit.saturating_sub(bytes);
     }
 
-    /// The step to take where there is no room for what must be written, whatever waits for it.
+    /// The step to take when there is no room for what must be written, regardless of how long it takes.
     pub fn forced_step(&self) -> CompactionStep {
         self.copy_first_segment(MAX_STEP_BYTES)
     }
--- a/crates/wal/src/disk_reserve.rs
+++ b/crates/wal/src/disk_reserve.rs
@@ -1,14 +1,14 @@
-//! The disk reserve: a file of zeros that is released when the disk is full, so that the ends of pending messages
-//! can still be written, and is filled again once there is room.
+//! The disk reserve: a file of zeros that is removed when the disk is full, so that the records that finish pending
+//! messages can still be written, and is filled again once there is space.
 
 use crate::compaction_plan::{whole_blocks, BLOCK_BYTES};
 use crate::write_ahead_log::WriteAheadLog;
 
 /// The file of zeros.
 pub(crate) const RESERVE_FILE: &str = "ledger.reserve";
-/// Bytes by which the reserve grows behind one append at most, so that no append waits long for it.
+/// The most bytes by which the reserve grows after one append, so that no append takes long.
 const REPLENISH_STEP_BYTES: u64 = 64 * 1024;
-/// Files beside segments, reserve and quarantine that have a block: the manifest, and the one that replaces it.
+/// Blocks of the manifest and of the one that replaces it.
 const MANIFEST_BLOCKS: u64 = 2;
 
 impl WriteAheadLog {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Adds a step to the reserve; false where there was no space for it.
+    /// Adds a step to the reserve; returns false if there was no space for it.
     pub(crate) fn replenish_reserve(&mut self) -> bool {
         let step = (self.plan.reserve_bytes() - self.reserve_bytes).min(REPLENISH_STEP_BYTES);
         if !self.plan.fits(step) {
@@ -44,7 +44,7 @@
         self.update_auxiliary_bytes();
     }
 
-    /// Gives the plan the bytes of all files beside the segments.
+    /// Passes to the plan the bytes of all files other than segments.
     pub(crate) fn update_auxiliary_bytes(&mut self) {
         let reserve = whole_blocks(self.reserve_bytes);
         let manifests = MANIFEST_BLOCKS * BLOCK_BYTES;
--- a/crates/wal/src/encoded_records.rs
+++ b/crates/wal/src/encoded_records.rs
@@ -4,7 +4,7 @@
 use crate::record::Record;
 use crate::segment::{self, SEGMENT_HEADER_BYTES};
 
-/// Encoded records, with room in front for the header of a new segment.
+/// Encoded records, with space before them for the header of a new segment.
 pub(crate) struct EncodedRecords {
     bytes: Vec<u8>,
 }
--- a/crates/wal/src/file_storage.rs
+++ b/crates/wal/src/file_storage.rs
@@ -11,13 +11,13 @@
 
 /// The file whose lock the writing process holds.
 const LOCK_FILE: &str = "lock";
-/// Files that are kept open at most: the segment that is written, those that are copied from, the reserve.
+/// The most files that are kept open: the segment that is written, those that are copied from, the reserve.
 const MAX_OPEN_FILES: usize = 4;
 
 /// A folder on disk.
 pub struct FileStorage {
     path: PathBuf,
-    /// Files that were appended to, kept open.
+    /// Files that were appended to and are kept open.
     open_files: BTreeMap<String, File>,
     /// Held as long as this process writes here.
     _lock: Option<File>,
@@ -28,19 +28,19 @@
     ///
     /// # Errors
     ///
-    /// [`WalError::AlreadyOpen`] where another one holds the lock.
+    /// [`WalError::AlreadyOpen`] if another process holds the lock.
     pub fn open_for_writing(path: &Path) -> Result<FileStorage, WalError> {
         let lock = File::create(path.join(LOCK_FILE))?;
         lock.try_lock().map_err(|_| WalError::AlreadyOpen)?;
         Ok(FileStorage { path: path.to_owned(), open_files: BTreeMap::new(), _lock: Some(lock) })
     }
 
-    /// Opens a folder for reading, also beside the process that writes it.
+    /// Opens a folder for reading, also while another process writes it.
     pub fn open_for_reading(path: &Path) -> FileStorage {
         FileStorage { path: path.to_owned(), open_files: BTreeMap::new(), _lock: None }
     }
 
-    /// The open file of this name, opened or created if need be.
+    /// The open file with this name; it is opened or created if necessary.
     fn open_file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open_files.contains_key(name) && self.open_files.len() >= MAX_OPEN_FILES {
             // The lowest name first, which is the oldest segment.
@@ -65,7 +65,7 @@
                 Ok(metadata) if metadata.is_file() => {
                     files.insert(entry.file_name().to_string_lossy().into_owned(), metadata.len());
                 }
-                // Not found: removed by the writer since its name was read.
+                // Not found: the writer has removed it since its name was read.
                 Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
                 _ => {}
             }
--- a/crates/wal/src/inspection.rs
+++ b/crates/wal/src/inspection.rs
@@ -1,4 +1,4 @@
-//! Reading a write-ahead log beside the forwarder that writes it, for tools.
+//! Reads a write-ahead log for tools, also while a forwarder writes it.
 
 use std::io;
 use std::path::Path;
@@ -9,14 +9,14 @@
 use crate::recovery::{self, RecoveredState};
 use crate::verification::VerificationReport;
 
-/// Readings that are started over, because compaction removed a segment meanwhile, before the fault is given.
+/// How often reading is started again because compaction removed a segment meanwhile, before the error is returned.
 const MAX_RETRIES: u32 = 10;
 
-/// What a folder holds.
+/// The contents of a folder's write-ahead log.
 pub struct Inspection {
     /// Its pending messages and unacknowledged notices.
     pub index: PendingIndex,
-    /// What was read, and what could not be.
+    /// Totals of what was read, and the parts that could not be read.
     pub verification: VerificationReport,
 }
 
@@ -26,18 +26,18 @@
     }
 }
 
-/// Reads what a folder's write-ahead log holds, also while a forwarder writes it, and changes nothing.
+/// Reads a folder's write-ahead log, also while a forwarder writes it, and changes nothing.
 ///
 /// # Errors
 ///
-/// Where a file can't be read, or is of a later version.
+/// If a file can't be read, or has a later version.
 pub fn inspect(folder: &Path) -> Result<Inspection, WalError> {
     let storage = FileStorage::open_for_reading(folder);
     let mut retries = 0;
     loop {
         match recovery::read(&storage) {
             Ok(state) => return Ok(state.into()),
-            // A segment was dropped while it was being read: its live records stand further on.
+            // A segment was dropped while it was being read: its live records are in a later one by now.
             Err(error)
                 if error.kind() == io::ErrorKind::NotFound && retries < MAX_RETRIES && folder.exists() =>
             {
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,32 +1,32 @@
-//! The write-ahead log of a forwarder: which messages it has accepted and not finished, in a folder that outlives
+//! The write-ahead log of a forwarder: the messages that it has accepted and not finished, in a folder that outlives
 //! its process.
 //!
-//! # What holds
+//! # Invariants
 //!
-//! - Once [`WriteAheadLog::append`] has returned, its records survive the process, and the machine as far as [`SyncPolicy`]
+//! - Once [`WriteAheadLog::append`] has returned, its records survive the process, and the machine as far as
+//!   [`SyncPolicy`]
 //!   promises.
-//! - Records stand in numbered segments and are appended to the last one. The first one is compacted in bounded steps
-//!   behind appends, and dropped. The manifest names the first segment that counts: it moves on after the copies
-//!   are written and before the file goes.
-//! - Pending messages can always be finished: each message's share of the room is set aside when it is accepted, and a
-//!   disk reserve is released for it when there is no space left.
-//! - At a start only what a torn write can have left is cut off. Any other corruption is skipped, reported with its
-//!   place, and kept. Messages that were pending at that place of the log count as possibly executed, as records
-//!   of their attempts may be among what is lost.
+//! - Records are appended to the last of a sequence of numbered segments. The first one is compacted in bounded steps
+//!   after appends, and dropped. The manifest names the first segment that counts: it is replaced after the copies are
+//!   written and before the file is removed.
+//! - Pending messages can always be finished: the space for that is set aside when a message is accepted, and a disk
+//!   reserve is released when no space is left.
+//! - At a start only the remains of a torn write are cut off. Any other corruption is skipped, reported with its place,
+//!   and kept. Messages that were pending at that place of the log count as possibly executed, as records of their
+//!   attempts may be lost.
 //!
 //! # Modules
 //!
 //! | modules | what they do |
 //! | --- | --- |
 //! | `write_ahead_log`, `opening`, `appending`, `compaction`, `disk_reserve` | the open log |
-//! | `recovery`, `inspection`, `verification`, `quarantine` | reading a folder, and what can't be read |
-//! | `pending_index`, `live_records` | what the records come down to |
+//! | `recovery`, `inspection`, `verification`, `quarantine` | reading a folder, and handling what can't be read |
+//! | `pending_index`, `live_records` | the state that results from the records |
 //! | `compaction_plan` | when to compact, and what fits: sizes only, no I/O |
 //! | `record`, `record_view`, `frame`, `encoded_records`, `segment`, `segment_scan`, `manifest`, `single_file` | the format |
 //! | `storage`, `file_storage`, `memory_storage` | file access |
 //!
-//! The format is described in `docs/write-ahead-log.md`. File names on disk start with `ledger`, the log's name in
-//! earlier versions.
+//! The format is described in `docs/write-ahead-log.md`. File names on disk start with `ledger`, the log's former name.
 
 mod appending;
 mod compaction;
--- a/crates/wal/src/manifest.rs
+++ b/crates/wal/src/manifest.rs
@@ -1,8 +1,7 @@
 //! The manifest: a small file that names the format's version and the first segment that counts.
 //!
-//! It is replaced after a segment's copies are written and before that segment is removed. Without it a lost machine
-//! could bring back the name of one removed segment and not that of the next, and with it messages that
-//! were finished.
+//! It is replaced after a segment's copies are written and before that segment is removed. Without it, a loss of the
+//! machine could restore one removed segment and not the next one, and with it messages that were finished.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -18,7 +17,7 @@
 pub(crate) const MANIFEST_FILE: &str = "ledger.manifest";
 /// The next manifest, before it replaces the current one.
 pub(crate) const NEXT_MANIFEST_FILE: &str = "ledger.manifest.new";
-/// Bytes of the file that are read at most; a manifest has far fewer.
+/// The most bytes of the file that are read; a manifest has far fewer.
 const MAX_MANIFEST_BYTES: u64 = 4096;
 
 /// The manifest's content. The order of the fields is their order on disk, the version first in every version.
@@ -29,14 +28,14 @@
     pub first_segment: u64,
 }
 
-/// What a folder has of a manifest.
+/// The manifest as it is found in a folder.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum StoredManifest {
     /// There is no file.
     Missing,
-    /// There is a file, and it can't be decoded.
+    /// There is a file, but it can't be decoded.
     Corrupt,
-    /// It was read.
+    /// It was decoded.
     Valid(Manifest),
 }
 
@@ -54,18 +53,18 @@
     }
 }
 
-/// Reads the manifest of a folder that has these files.
+/// Reads the manifest of a folder with these files.
 ///
 /// # Errors
 ///
-/// [`WalError::UnsupportedVersion`] where a later program wrote it.
+/// [`WalError::UnsupportedVersion`] if a later program wrote it.
 pub(crate) fn read(storage: &dyn Storage, files: &BTreeMap<String, u64>) -> Result<StoredManifest, WalError> {
     if !files.contains_key(MANIFEST_FILE) {
         return Ok(StoredManifest::Missing);
     }
     let bytes = read_file(storage)?;
     let Some(payload) = frame::payload(&bytes) else { return Ok(StoredManifest::Corrupt) };
-    // A later version may have anything behind its number.
+    // In a later version, anything may follow the number.
     if let Ok((version, _)) = postcard::take_from_bytes::<u16>(payload) {
         if version > VERSION {
             let file = MANIFEST_FILE.to_owned();
--- a/crates/wal/src/memory_storage.rs
+++ b/crates/wal/src/memory_storage.rs
@@ -1,6 +1,6 @@
-//! A folder in memory that fails on command, for tests of whatever stands on the write-ahead log: it stops after any
-//! operation, tears a write at any byte, runs out of space, refuses renames, truncations and removals, and
-//! loses what was not synced.
+//! A folder in memory that injects faults, for tests of the write-ahead log and of its users: it can stop after any
+//! operation, tear a write at any byte, run out of space, refuse renames, truncations and removals, and lose bytes that
+//! were not synced.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -16,14 +16,14 @@
     synced: usize,
 }
 
-/// The faults that a folder is to show.
+/// The faults that a folder injects.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// After so many changing operations nothing works any more, as if the process was killed.
+    /// After this many changing operations all operations fail, as if the process was killed.
     pub stops_after: Option<u64>,
-    /// Where the operation at the stop is an append, so many of its bytes are written all the same.
+    /// If the operation at the stop is an append, this many of its bytes are still written.
     pub torn_write_bytes: usize,
-    /// Bytes that all files together may have; unlimited where there is none.
+    /// The most bytes that all files together may have; unlimited if `None`.
     pub capacity: Option<u64>,
     /// Renames fail.
     pub refuses_renames: bool,
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct Folder {
     files: BTreeMap<String, Content>,
-    /// The files as a loss of the machine leaves them, but for bytes that were not synced.
+    /// The files as they are after a loss of the machine, except that unsynced bytes are still in them.
     synced_directory: BTreeMap<String, Content>,
     faults: Faults,
     operations: u64,
@@ -47,7 +47,7 @@
 #[derive(Clone, Default)]
 pub struct MemoryStorage(Arc<Mutex<Folder>>);
 
-/// The fault of a folder that was stopped.
+/// The error of a folder that was stopped.
 #[derive(Debug, thiserror::Error)]
 #[error("stopped here by the test")]
 struct SimulatedStop;
--- a/crates/wal/src/opening.rs
+++ b/crates/wal/src/opening.rs
@@ -1,7 +1,7 @@
-//! Opening a write-ahead log: recovers its state, clears away what a killed process left, and migrates the oldest
+//! Opening a write-ahead log: recovers its state, removes leftovers of a killed process, and migrates the oldest
 //! format.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 use crate::storage::Storage;
 use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
-/// Corrupt places that are logged one by one; `reeddock wal --verify` lists more.
+/// The most corrupt places that are logged; `reeddock wal --verify` lists more.
 const MAX_LOGGED_CORRUPTIONS: usize = 10;
-/// Orphans that are named in the log.
+/// The most orphans (messages known by their id only) that are named in the log.
 const MAX_LOGGED_ORPHANS: usize = 20;
-/// Messages and notices that a migration writes in one append.
+/// The most messages and notices that a migration writes in one append.
 const MIGRATION_GROUP: usize = 64;
 
 impl WriteAheadLog {
@@ -32,8 +32,8 @@
     ///
     /// # Errors
     ///
-    /// [`WalError::AlreadyOpen`] where another process writes it, [`WalError::UnsupportedVersion`] where a later
-    /// program did, and faults of the disk. Corruption is no error: see [`WriteAheadLog::verification`].
+    /// [`WalError::AlreadyOpen`] if another process has it open for writing, [`WalError::UnsupportedVersion`] if a
+    /// later program wrote it, and I/O errors. Corruption is no error: see [`WriteAheadLog::verification`].
     pub fn open(folder: &Path, max_bytes: u64, sync: SyncPolicy) -> Result<WriteAheadLog, WalError> {
         let storage = FileStorage::open_for_writing(folder)?;
         WriteAheadLog::open_in(Box::new(storage), max_bytes, sync)
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// As [`WriteAheadLog::open`] has them, but for the lock.
+    /// As for [`WriteAheadLog::open`], except for the lock.
     pub fn open_in(
         storage: Box<dyn Storage>,
         max_bytes: u64,
@@ -69,12 +69,7 @@
             encode_buffer: Vec::new(),
             compaction_warnings_muted_until: Duration::ZERO,
         };
-        if files.contains_key(NEXT_MANIFEST_FILE) {
-            log.storage.remove(NEXT_MANIFEST_FILE)?;
-        }
-        for number in recovered.superseded_segments {
-            log.storage.remove(&segment::file_name(number))?;
-        }
+        log.remove_leftovers(&files, &recovered.superseded_segments)?;
         log.report_corruption();
         log.plan.set_first_number(recovered.first_segment);
         for (number, size) in &recovered.segments {
@@ -87,10 +82,7 @@
             if !recovered.has_manifest || !log.verification.is_sound() {
                 log.write_manifest(recovered.first_segment)?;
             }
-            // A start that migrated the single file was killed before it removed it.
-            if files.contains_key(single_file::FILE_NAME) {
-                log.storage.remove(single_file::FILE_NAME)?;
-            }
+            log.remove_migrated_single_file(&files)?;
             log.cut_torn_write(recovered.torn_at);
         }
         log.last_segment_sealed |= recovered.last_segment_is_older || log.last_segment_is_corrupt();
@@ -98,7 +90,30 @@
         Ok(log)
     }
 
-    /// Nothing is ever written behind what can't be read.
+    /// Removes files that a killed process left: a manifest that is not in force yet, and superseded segments.
+    fn remove_leftovers(
+        &mut self,
+        files: &BTreeMap<String, u64>,
+        superseded: &[u64],
+    ) -> Result<(), WalError> {
+        if files.contains_key(NEXT_MANIFEST_FILE) {
+            self.storage.remove(NEXT_MANIFEST_FILE)?;
+        }
+        for number in superseded {
+            self.storage.remove(&segment::file_name(*number))?;
+        }
+        Ok(())
+    }
+
+    /// Removes the single file if a start that migrated it was killed before it removed it.
+    fn remove_migrated_single_file(&mut self, files: &BTreeMap<String, u64>) -> Result<(), WalError> {
+        if files.contains_key(single_file::FILE_NAME) {
+            self.storage.remove(single_file::FILE_NAME)?;
+        }
+        Ok(())
+    }
+
+    /// Whether the last segment has a corrupt part: nothing is appended behind one.
     fn last_segment_is_corrupt(&self) -> bool {
         self.plan.last_segment().is_some_and(|last| self.corrupt_segments.contains(&last))
     }
@@ -121,13 +136,13 @@
             }
             Ok(()) => self.plan.set_segment_size(last, offset),
             Err(error) => {
-                tracing::warn!(%error, file, "torn write could not be cut off, and a new segment is begun");
+                tracing::warn!(%error, file, "torn write could not be cut off, new segment begun");
                 self.last_segment_sealed = true;
             }
         }
     }
 
-    /// Logs what could not be read.
+    /// Logs the corrupt places, and the messages that they concern.
     fn report_corruption(&self) {
         if self.verification.is_sound() {
             return;
@@ -147,8 +162,8 @@
         );
     }
 
-    /// Writes what the oldest format's single file holds as segments, and removes the file, or quarantines it where
-    /// part of it can't be read.
+    /// Writes the contents of the oldest format's single file as segments, and removes the file; if part of it can't be
+    /// read, it is quarantined.
     fn migrate_single_file(&mut self, bytes: &[u8]) -> Result<(), WalError> {
         let recovered = std::mem::take(&mut self.index);
         let records = records_to_migrate(&recovered, bytes)?;
@@ -173,7 +188,8 @@
 
 /// A checkpoint for each pending message, then a record for each unacknowledged notice.
 ///
-/// Where a message with a notice was accepted anew under its id, the new one stands for both, as in compaction.
+/// If a message with an unacknowledged notice was accepted again under the same id, only the checkpoint is written, as
+/// in compaction.
 fn records_to_migrate(index: &PendingIndex, bytes: &[u8]) -> Result<Vec<Record>, WalError> {
     let pending = index.pending().into_iter().map(|message| message.id.clone());
     let notified = index.unacknowledged_notices().map(|notice| notice.id);
@@ -190,7 +206,7 @@
     Ok(records)
 }
 
-/// The error of a record of the single file that can't be decoded.
+/// The error for a record of the single file that can't be decoded.
 fn corrupt_at(location: RecordLocation) -> WalError {
     WalError::CorruptRecord { file: single_file::FILE_NAME.to_owned(), offset: location.offset }
 }
--- a/crates/wal/src/pending_index.rs
+++ b/crates/wal/src/pending_index.rs
@@ -70,9 +70,9 @@
         }
     }
 
-    fn finish_attempt(&mut self, number: usize, proves_not_executed: bool) {
+    fn finish_attempt(&mut self, number: usize, state: AttemptState) {
         match self.attempts.get_mut(number) {
-            Some(attempt) => attempt.state = AttemptState::finished(proves_not_executed),
+            Some(attempt) => attempt.state = state,
             None => self.records_lost = true,
         }
     }
@@ -195,8 +195,9 @@
                 }
             }
             RecordView::AttemptFinished { id, number, proves_not_executed } => {
+                let state = AttemptState::finished(proves_not_executed);
                 match self.pending.get_mut(&message_id(id)) {
-                    Some(message) => message.finish_attempt(number as usize, proves_not_executed),
+                    Some(message) => message.finish_attempt(number as usize, state),
                     None => self.add_orphan(message_id(id)),
                 }
             }
--- a/crates/wal/src/quarantine.rs
+++ b/crates/wal/src/quarantine.rs
@@ -1,12 +1,12 @@
-//! Quarantine: files with corrupt parts that are not needed any more and are kept for staff, within bounds.
+//! Quarantine: files with corrupt parts that are no longer needed and are kept for inspection, within a limit.
 
 use std::collections::BTreeMap;
 
 use crate::compaction_plan::whole_blocks;
 
-/// Names of quarantined files start so, followed by the name they had.
+/// The prefix of quarantined files' names; the original name follows.
 const NAME_PREFIX: &str = "damaged-";
-/// The quarantine may take this part of the folder's limit: one of so many.
+/// The quarantine may have one part in this many of the folder's limit.
 const SHARE_OF_FOLDER: u64 = 16;
 
 /// The quarantined files of a folder, with their lengths in bytes.
@@ -15,7 +15,7 @@
 }
 
 impl Quarantine {
-    /// The quarantined ones among a folder's files.
+    /// The quarantined files among the files of a folder.
     pub fn among(files: &BTreeMap<String, u64>) -> Quarantine {
         let quarantined = files.iter().filter(|(name, _)| name.starts_with(NAME_PREFIX));
         Quarantine { files: quarantined.map(|(name, size)| (name.clone(), *size)).collect() }
@@ -36,8 +36,8 @@
         self.files.values().map(|size| whole_blocks(*size)).sum()
     }
 
-    /// Takes the oldest file out where the quarantine is larger than a folder with this limit allows. The caller
-    /// removes it.
+    /// If the quarantine is larger than a folder with this limit allows, drops the oldest file and returns its name;
+    /// the caller removes the file.
     pub fn pop_excess(&mut self, folder_bytes: u64) -> Option<String> {
         if self.used_bytes() <= folder_bytes / SHARE_OF_FOLDER {
             return None;
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -16,6 +16,15 @@
 /// Missing segments that are reported one by one in one gap of the numbers.
 const MAX_REPORTED_GAP: u64 = 1000;
 
+/// Whether a segment is the one to which records were appended last.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum SegmentPosition {
+    /// It is the last one, so that it may end in a torn write.
+    Last,
+    /// Another one follows it, so that it must be complete.
+    Earlier,
+}
+
 /// The state of a folder, as read from its files.
 pub(crate) struct RecoveredState {
     /// The index that results from the records.
@@ -134,13 +143,21 @@
             expected = number + 1;
             self.verification.segments += 1;
             self.verification.bytes += size;
-            self.read_segment(storage, number, Some(number) == last)?;
+            let position =
+                if Some(number) == last { SegmentPosition::Last } else { SegmentPosition::Earlier };
+            self.read_segment(storage, number, position)?;
         }
         Ok(())
     }
 
     /// Reads the header and the records of one segment.
-    fn read_segment(&mut self, storage: &dyn Storage, number: u64, is_last: bool) -> Result<(), WalError> {
+    fn read_segment(
+        &mut self,
+        storage: &dyn Storage,
+        number: u64,
+        position: SegmentPosition,
+    ) -> Result<(), WalError> {
+        let is_last = position == SegmentPosition::Last;
         let file = segment::file_name(number);
         let scan = SegmentScan::start(storage.reader(&file)?, number)?;
         match scan.header() {
@@ -158,7 +175,7 @@
             SegmentHeader::Supported { version } if is_last => self.last_segment_is_older = version < VERSION,
             SegmentHeader::Supported { .. } | SegmentHeader::Unsupported { .. } => {}
         }
-        self.read_records(scan, number, is_last)
+        self.read_records(scan, number, position)
     }
 
     /// Applies the records of a segment to the index, and reports the parts that can't be read.
@@ -166,7 +183,7 @@
         &mut self,
         mut scan: SegmentScan<impl Read>,
         number: u64,
-        is_last: bool,
+        position: SegmentPosition,
     ) -> Result<(), WalError> {
         let file = segment::file_name(number);
         loop {
@@ -182,7 +199,7 @@
                 ScanItem::Corrupt { offset, bytes, hint } => {
                     self.add_corruption(number, Corruption::new(&file, offset, bytes).with_hint(hint));
                 }
-                ScanItem::Torn { offset, bytes } if is_last => {
+                ScanItem::Torn { offset, bytes } if position == SegmentPosition::Last => {
                     self.verification.torn_bytes += bytes;
                     self.torn_at = Some(offset);
                 }
--- a/crates/wal/src/single_file.rs
+++ b/crates/wal/src/single_file.rs
@@ -11,17 +11,17 @@
 pub(crate) const FILE_NAME: &str = "ledger";
 /// Bytes of a frame before its record: length and checksum.
 const FRAME_HEADER_BYTES: usize = 8;
-/// The longest record that is believed: a body of 64 KiB and its names are far shorter.
+/// A frame with a greater length is taken as corrupt: a body of 64 KiB with its names is far shorter.
 const MAX_RECORD_BYTES: usize = 1 << 20;
 
-/// The record that starts here, and the length of its frame in bytes.
-struct WholeFrame<'a> {
+/// A valid frame: its record, and its length in bytes.
+struct ValidFrame<'a> {
     record: RecordView<'a>,
     length: usize,
 }
 
-/// The frame that starts here, if it is whole and its record can be decoded.
-fn parse_frame(bytes: &[u8]) -> Option<WholeFrame<'_>> {
+/// The frame at the start of `bytes`, if it is complete and its record can be decoded.
+fn parse_frame(bytes: &[u8]) -> Option<ValidFrame<'_>> {
     let header = bytes.get(..FRAME_HEADER_BYTES)?;
     let record_bytes = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
     let checksum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
@@ -33,15 +33,15 @@
     if crc32fast::hash(record) != checksum {
         return None;
     }
-    Some(WholeFrame { record: RecordView::decode(record)?, length })
+    Some(ValidFrame { record: RecordView::decode(record)?, length })
 }
 
-/// Applies all records of the file to the index, and gives the parts that can't be read.
+/// Applies all records of the file to the index, and returns the parts that can't be read.
 pub(crate) fn read(bytes: &[u8], index: &mut PendingIndex) -> Vec<Corruption> {
     let mut corruptions = Vec::new();
     let mut position = 0;
     while position < bytes.len() {
-        if let Some(WholeFrame { record, length }) = parse_frame(&bytes[position..]) {
+        if let Some(ValidFrame { record, length }) = parse_frame(&bytes[position..]) {
             index.apply(record, RecordLocation { segment: 0, offset: position as u64, length });
             position += length;
             continue;
@@ -50,14 +50,14 @@
         while position < bytes.len() && parse_frame(&bytes[position..]).is_none() {
             position += 1;
         }
-        // The length has no checksum in this format, so that a torn end can't be told from a corrupt one.
+        // The length has no checksum in this format, so that a torn write can't be distinguished from corruption.
         index.mark_records_lost();
         corruptions.push(Corruption::new(FILE_NAME, start as u64, (position - start) as u64));
     }
     corruptions
 }
 
-/// The message whose record stands at this location.
+/// The message whose record is at this location.
 pub(crate) fn read_accepted(bytes: &[u8], location: RecordLocation) -> Option<Accepted> {
     parse_frame(bytes.get(location.offset as usize..)?)?.record.accepted()
 }
--- a/crates/wal/src/storage.rs
+++ b/crates/wal/src/storage.rs
@@ -3,28 +3,28 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 
-/// One flat folder of files.
+/// One folder of files, without subfolders.
 ///
-/// [`FileStorage`](crate::FileStorage) is one on disk. [`MemoryStorage`](crate::memory_storage::MemoryStorage) is
-/// one in memory that fails on command, for tests.
+/// [`FileStorage`](crate::FileStorage) is on disk. [`MemoryStorage`](crate::memory_storage::MemoryStorage) is in memory
+/// and injects faults, for tests.
 pub trait Storage: Send {
     /// Names of all files with their lengths in bytes.
     fn files(&self) -> io::Result<BTreeMap<String, u64>>;
 
-    /// Appends to a file, which is created where it does not exist. After an error any part of the bytes may be in
-    /// the file.
+    /// Appends to a file, which is created if it does not exist. After an error any number of the bytes may have been
+    /// written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Shortens a file to a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Renames a file in one step, replacing the one that has the new name.
+    /// Renames a file atomically; a file that has the new name is replaced.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes what was written to a file survive a loss of the machine.
+    /// Makes the bytes written to a file survive a loss of the machine.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes created, renamed and removed names survive a loss of the machine.
@@ -33,6 +33,6 @@
     /// Reads a file from its start.
     fn reader(&self, name: &str) -> io::Result<Box<dyn Read + '_>>;
 
-    /// Reads so many bytes from an offset in a file.
+    /// Reads `length` bytes at an offset in a file.
     fn read_at(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>>;
 }
--- a/crates/wal/src/verification.rs
+++ b/crates/wal/src/verification.rs
@@ -1,8 +1,8 @@
-//! What reading the whole write-ahead log found beside its records: corruption, torn writes, and totals.
+//! The report of reading the whole write-ahead log: corruption, torn writes, and totals.
 
 use std::fmt;
 
-/// Corrupt places that are listed one by one; the others are counted.
+/// The most corrupt places that are listed; further ones are counted.
 const MAX_LISTED: usize = 100;
 
 /// A part of the write-ahead log that can't be read.
@@ -12,9 +12,9 @@
     pub file: String,
     /// Where the part starts, in bytes.
     pub offset: u64,
-    /// Its length; 0 where the whole file is missing.
+    /// Its length in bytes; 0 if the whole file is missing.
     pub bytes: u64,
-    /// What in it looks like text, most likely an id; empty where nothing does.
+    /// The longest run of text in it, most likely an id; empty if there is none.
     pub hint: String,
 }
 
@@ -29,7 +29,7 @@
         Corruption::new(file, 0, 0)
     }
 
-    /// The same with a hint.
+    /// Adds a hint.
     pub(crate) fn with_hint(self, hint: String) -> Corruption {
         Corruption { hint, ..self }
     }
@@ -51,7 +51,7 @@
 /// The result of reading the whole write-ahead log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// Bytes at the end that a torn write left. This is usual after a kill, and no corruption.
+    /// Bytes of a torn write at the end. This is usual after a kill, and is not corruption.
     pub torn_bytes: u64,
     /// Corrupt places, in the order in which they were found, up to a bounded number.
     pub corruptions: Vec<Corruption>,
@@ -66,7 +66,7 @@
 }
 
 impl VerificationReport {
-    /// Lists a corrupt place, or counts it where the list is full.
+    /// Adds a corrupt place to the list, or only counts it if the list is full.
     pub(crate) fn add(&mut self, corruption: Corruption) {
         if self.corruptions.len() < MAX_LISTED {
             self.corruptions.push(corruption);
--- a/crates/wal/tests/wal/reopening.rs
+++ b/crates/wal/tests/wal/reopening.rs
@@ -53,7 +53,7 @@
     log.append(&[finished("a")], NOW).unwrap();
     log.append(&[Record::Finished { id: "c".into(), notice: Some(FinalAnswer::Failed) }], NOW).unwrap();
     let second = WriteAheadLog::open(folder.path(), FOLDER_BYTES, SyncPolicy::Never);
-    assert_eq!(second.err().unwrap().to_string(), "another process writes this ledger");
+    assert_eq!(second.err().unwrap().to_string(), "another process has this write-ahead log open");
     drop(log);
 
     let mut log = open(&folder);
