--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -24,11 +24,11 @@
 pub struct Contents {
     /// All other sections.
     pub sections: Sections,
-    /// What remains of the endpoint list, if the file has one.
+    /// A summary of the endpoint list, if the file has one.
     pub endpoint_list: Option<EndpointListSummary>,
 }
 
-/// The sections of a configuration as they stand in the file; null where one is absent.
+/// The sections of a configuration as they are in the file; null if one is absent.
 #[derive(Default)]
 pub struct Sections {
     /// The address that clients connect to.
@@ -37,14 +37,14 @@
     pub discovery: Value,
     /// The seed of the policy's random numbers.
     pub seed: Value,
-    /// What the machine gives this forwarder.
+    /// The resources of the machine that the forwarder may use.
     pub limits: Value,
     /// The settings of the delivery policy and of the network.
     pub settings: Value,
 }
 
 impl Sections {
-    /// Where the value of a key belongs; none for a key without a meaning, whose value is passed over.
+    /// The section with this key; None for an unknown key, whose value is ignored.
     fn of_key(&mut self, key: &str) -> Option<&mut Value> {
         match key {
             "listen" => Some(&mut self.listen),
@@ -57,7 +57,7 @@
     }
 }
 
-/// What remains of an endpoint list whose entries were passed on.
+/// A summary of an endpoint list whose entries were passed on.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointListSummary {
     /// The generation of the list, from which a watch continues.
@@ -90,7 +90,7 @@
     }
 }
 
-/// Deserializes the whole file.
+/// Deserializes the file.
 struct ConfigurationSeed<'e> {
     on_entry: &'e mut dyn FnMut(ListEntry),
 }
@@ -171,6 +171,7 @@
     }
 }
 
+/// Sets a field; fails if it was set before.
 fn set_once<T, E: Error>(field: &mut Option<T>, value: T, name: &'static str) -> Result<(), E> {
     match field.replace(value) {
         Some(_) => Err(E::duplicate_field(name)),
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -42,8 +42,8 @@
     /// The system refuses to deliver SIGTERM or SIGHUP.
     #[error("cannot wait for signals: {0}")]
     Signals(io::Error),
-    /// SIGHUP would not be noticed any more.
-    #[error("signals are not told any more")]
+    /// SIGHUP would no longer be noticed.
+    #[error("signals are no longer delivered")]
     SignalsEnded,
     /// The forwarder itself failed; its error says what and where.
     #[error(transparent)]
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -23,7 +23,7 @@
 }
 
 async fn serve(arguments: ServeArguments) -> Result<(), StartError> {
-    // Before anything that takes time: a signal without a handler ends the process.
+    // First of all, as a signal without a handler ends the process.
     let terminate = handle(SignalKind::terminate())?;
     let hangup = handle(SignalKind::hangup())?;
     let ServeArguments { config, state, sync, .. } = arguments;
@@ -38,11 +38,12 @@
     }
 }
 
+/// Installs a handler for a signal.
 fn handle(kind: SignalKind) -> Result<Signal, StartError> {
     signal(kind).map_err(StartError::Signals)
 }
 
-/// Returns with the first SIGTERM or SIGINT.
+/// Waits for the first SIGTERM or SIGINT.
 async fn stop_requested(mut terminate: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
@@ -51,7 +52,7 @@
 }
 
 /// Reads the configuration again at each SIGHUP and applies the address of discovery, which alone can change
-/// without a restart. A configuration that can't be used changes nothing. Returns if the signal can't come any more.
+/// without a restart. An invalid configuration changes nothing. Returns only if signals are no longer delivered.
 async fn reload_on_hangup(
     mut hangup: Signal,
     config: &Path,
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -1,4 +1,4 @@
-//! From a configuration file to the options of a forwarder, at its start and when the file is read again.
+//! Turns a configuration file into the options of a forwarder, at its start and when the file is reloaded.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
 /// A cached endpoint list with more entries than this is not kept in memory until it is applied, but read from the
 /// file once more.
 const MAX_ENTRIES_IN_MEMORY: usize = 10_000;
-/// A file of more bytes than this is reloaded in a thread of its own: the event loop would stand still meanwhile.
+/// A file of more bytes than this is reloaded in a thread of its own, as it would block the event loop.
 const MAX_BYTES_ON_EVENT_LOOP: u64 = 1024 * 1024;
 
 /// Limits are capped where no machine has more, so that sums of them stay in range.
@@ -38,17 +38,17 @@
 
 /// A forwarder as its configuration file describes it.
 pub struct StartConfig {
-    /// What the forwarder is started with.
+    /// The options of the forwarder.
     pub options: ForwarderOptions,
     /// Changes the address of discovery that `options` began with.
     pub discovery_updates: watch::Sender<SocketAddr>,
     /// How the deployment is laid out.
     pub shape: DeploymentShape,
-    /// What the file is compared with when it is read again.
+    /// The values with which a reloaded file is compared.
     pub reloadable: ReloadableConfig,
 }
 
-/// What matters of a configuration file that is read again while the forwarder runs.
+/// The parts of a configuration file that matter when it is reloaded while the forwarder runs.
 pub struct ReloadableConfig {
     discovery: SocketAddr,
     restart_only: [RestartOnlySection; 3],
@@ -114,7 +114,7 @@
     }
 }
 
-/// Reads the file again for a forwarder that runs, and validates all of it: a long one in a thread of its own.
+/// Reloads and validates the configuration file of a running forwarder; a long file is read in a thread of its own.
 pub async fn reload(file: &Path) -> Result<ReloadableConfig, ConfigError> {
     let is_long = std::fs::metadata(file).is_ok_and(|data| data.len() > MAX_BYTES_ON_EVENT_LOOP);
     if !is_long {
@@ -173,7 +173,7 @@
     }
 }
 
-/// Takes typed values out of the sections of one file.
+/// Parses typed values from the sections of one file.
 struct SectionReader<'c> {
     file: &'c Path,
     sections: &'c Sections,
@@ -215,7 +215,7 @@
         })
     }
 
-    /// A limit of 0 or more; parts of a megabyte stand as decimals.
+    /// A limit of 0 or more, possibly with decimals.
     fn limit(&self, name: &str, key: &'static str) -> Result<f64, ConfigError> {
         let limit = self.sections.limits.get(name).and_then(Value::as_f64);
         let limit = limit.filter(|limit| limit.is_finite() && *limit >= 0.0);
--- a/crates/forwarder/src/cached_endpoint_list.rs
+++ b/crates/forwarder/src/cached_endpoint_list.rs
@@ -5,13 +5,13 @@
 use reeddock_protocol::{ListEntry, ListPart};
 use thiserror::Error;
 
-/// Why the entries of a list can't be read any more; its text is one line.
+/// The error of reading the entries of a list; its text is one line.
 pub type ReadEntriesError = Box<dyn Error + Send + Sync>;
 
 /// Passes each entry of a list to a function.
 pub type ReadEntries = Box<dyn FnOnce(&mut dyn FnMut(ListEntry)) -> Result<(), ReadEntriesError> + Send>;
 
-/// The cached list can't be read again, though it could when it was found.
+/// The cached list can't be read again, although it could be read when the configuration was parsed.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct CachedListError(ReadEntriesError);
@@ -26,17 +26,17 @@
 }
 
 impl CachedEndpointList {
-    /// A list with so many entries, which `read_entries` reads.
+    /// A list with `endpoints` entries, which `read_entries` reads.
     pub fn new(generation: u64, endpoints: usize, read_entries: ReadEntries) -> CachedEndpointList {
         CachedEndpointList { generation, endpoints, read_entries }
     }
 
-    /// No list is known.
+    /// An empty list, for a start without any known list.
     pub fn none() -> CachedEndpointList {
         CachedEndpointList::new(0, 0, Box::new(|_| Ok(())))
     }
 
-    /// Passes each entry to a function. On an error it may have had some of them.
+    /// Passes each entry to a function. On an error some of them may have been passed.
     pub(crate) fn for_each(self, mut apply: impl FnMut(ListEntry)) -> Result<(), CachedListError> {
         (self.read_entries)(&mut apply).map_err(CachedListError)
     }
--- a/crates/forwarder/src/clock.rs
+++ b/crates/forwarder/src/clock.rs
@@ -49,13 +49,13 @@
         self.start + elapsed + remaining
     }
 
-    /// A time of the policy as it is stored: microseconds of Unix time.
+    /// Converts a time of the policy to stored form: microseconds of Unix time.
     pub fn to_unix_micros(&self, at: Duration) -> u64 {
         let wall = (self.wall_at_start + at).saturating_sub(TIME_AT_START);
         u64::try_from(wall.as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// The policy's time of a stored time in microseconds of Unix time.
+    /// Converts a stored time, in microseconds of Unix time, to the policy's time.
     pub fn from_unix_micros(&self, stored: u64) -> Duration {
         (Duration::from_micros(stored) + TIME_AT_START).saturating_sub(self.wall_at_start)
     }
--- a/crates/forwarder/src/connections/connection.rs
+++ b/crates/forwarder/src/connections/connection.rs
@@ -35,9 +35,9 @@
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     progress: Arc<ExchangeProgress>,
-    /// How many requests were sent on it so far.
+    /// The number of requests that were sent on it.
     requests: u32,
-    /// How long it had stood idle before the last of them.
+    /// How long it was idle before the last of them.
     idle_before_use: Duration,
     _driver: Driver,
 }
@@ -45,8 +45,8 @@
 impl Connection {
     /// Connects to an address.
     ///
-    /// The permit is released once the connection is closed. On an error nothing was sent: no connection came up in
-    /// time, it was refused, or this machine has no descriptor for it.
+    /// The permit is released once the connection is closed. On an error nothing was sent: connecting timed out, was
+    /// refused, or this machine has no descriptor for the connection.
     pub(crate) async fn open(
         to: SocketAddr,
         within: Duration,
@@ -58,7 +58,7 @@
         let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(observed).await;
         let (sender, connection) = handshake.map_err(|_| AttemptResult::ResetWhileSending)?;
         let driver = tokio::spawn(async move {
-            // How the connection ended reaches whoever has a request on it.
+            // A request on the connection gets its error from `send`.
             let _ = connection.await;
             drop(permit);
         });
@@ -85,6 +85,7 @@
         response.map_err(|error| self.send_error(&error))
     }
 
+    /// Logs why a request got no response, and returns the result that this proves.
     fn send_error(&self, error: &hyper::Error) -> AttemptResult {
         let fully_sent = self.progress.request_complete();
         tracing::debug!(
@@ -101,12 +102,12 @@
         }
     }
 
-    /// The connection leaves the pool of idle ones, where it has stood for this long.
+    /// Marks the connection as taken out of the pool, after it was idle for this long.
     pub(super) fn reused_after(self, idle: Duration) -> Connection {
         Connection { idle_before_use: idle, ..self }
     }
 
-    /// How long it had stood idle before its last request.
+    /// How long it was idle before its last request.
     pub(super) fn idle_before_use(&self) -> Duration {
         self.idle_before_use
     }
@@ -138,7 +139,7 @@
         async move { progress.wait_for_ok_status().await }
     }
 
-    /// Waits until the last response was read whole; returns whether another request may follow.
+    /// Waits until the last response was read completely; returns whether another request may be sent.
     pub(crate) async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/forwarder/src/connections/observed_stream.rs
+++ b/crates/forwarder/src/connections/observed_stream.rs
@@ -18,13 +18,13 @@
 /// Bytes read from the socket at a time, on the stack.
 const READ_BYTES: usize = 4096;
 
-/// How far the current request on a connection and its response have got. Written by the stream, read by whoever
-/// sent the request.
+/// The progress of the current request on a connection and of its response. Written by the stream, read by the sender
+/// of the request.
 #[derive(Default)]
 pub(super) struct ExchangeProgress {
     request: Mutex<RequestProgress>,
     status_line: Mutex<StatusLine>,
-    /// Notified when the status line has been received whole.
+    /// Notified when the status line has been received completely.
     status_line_complete: Notify,
 }
 
--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -83,8 +83,7 @@
         None
     }
 
-    /// The permit for a new connection; where none is left, the connection that has stood idle for longest is
-    /// closed for it.
+    /// Acquires the permit for a new connection; if none is left, the connection that was idle for longest is closed.
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
         let mut permit = self.permits.clone().try_acquire_owned();
         if permit.is_err() && self.close_oldest_idle() {
@@ -95,7 +94,7 @@
         permit.map_err(|_| AttemptResult::NotSent)
     }
 
-    /// Closes the connection that has stood idle for longest; returns whether there was one.
+    /// Closes the connection that was idle for longest; returns whether there was one.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = locked(&self.idle);
         let oldest = idle.values_mut().filter(|idle| !idle.is_empty()).min_by_key(|idle| idle[0].since);
@@ -152,7 +151,7 @@
         self.close_idle(endpoint);
     }
 
-    /// Forgets what the list said of endpoints that are not known any more.
+    /// Forgets endpoints that are not known any more.
     pub(crate) fn forget(&self, endpoints: &[EndpointId]) {
         let mut send_restrictions = locked(&self.send_restrictions);
         endpoints.iter().for_each(|endpoint| send_restrictions.forget(*endpoint));
@@ -171,7 +170,7 @@
         locked(&self.idle).remove(&endpoint);
     }
 
-    /// Closes connections that have stood idle for too long or that the other side has closed. Run regularly.
+    /// Closes connections that were idle for too long or that the other side has closed. Must be called regularly.
     pub(crate) fn sweep(&self) {
         locked(&self.idle).retain(|_, connections| {
             connections.retain(|idle| idle.since.elapsed() < self.max_idle && !idle.connection.is_closed());
--- a/crates/forwarder/src/connections/reuse_history.rs
+++ b/crates/forwarder/src/connections/reuse_history.rs
@@ -1,21 +1,21 @@
-//! For how long idle connections can be trusted, by how their reuse went. Pure state; decides nothing else.
+//! For how long idle connections can be trusted, learned from their reuse. Pure state without I/O.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A connection that has stood idle for less than this is always reused.
+/// A connection that was idle for less than this is always reused.
 const ALWAYS_TRUSTED: Duration = Duration::from_millis(50);
-/// How many of the last reuses, of connections that had stood idle for longer than that, are remembered.
+/// How many of the last reuses of connections that were idle for longer are remembered.
 const REUSES_REMEMBERED: usize = 64;
-/// From this many failed ones among them on, idle connections are distrusted. Resets of one connection or of one
-/// endpoint stay below it.
+/// With this many failures among them, idle connections are distrusted. Resets of one connection or of one endpoint
+/// cause fewer.
 const FAILURES_TO_DISTRUST: usize = 6;
-/// At this many failed ones or fewer, they are trusted again.
+/// With this many failures or fewer, they are trusted again.
 const FAILURES_TO_TRUST: usize = 1;
-/// After a failure, connections are trusted up to half of the time for which that one had stood idle; the time
-/// doubles whenever this has passed since.
+/// After a failure, connections are trusted for up to half of the time for which the failed one was idle; the trusted
+/// time doubles each time this has passed since the failure.
 const TRUST_DOUBLES_EVERY: Duration = Duration::from_secs(4);
 /// Doublings at most: 65,536 times the time is as good as no limit, and a larger factor could overflow a duration.
 const MAX_DOUBLINGS: f64 = 16.0;
@@ -34,12 +34,12 @@
 /// One reuse that failed.
 struct ReuseFailure {
     at: Instant,
-    /// How long the connection had stood idle.
+    /// How long the connection was idle.
     idle: Duration,
 }
 
 impl ReuseFailure {
-    /// For how long a connection may have stood idle by this failure alone.
+    /// How long a connection may have been idle, considering this failure alone.
     fn trusted_idle(&self) -> Duration {
         let elapsed = self.at.elapsed().as_secs_f64();
         let doublings = (elapsed / TRUST_DOUBLES_EVERY.as_secs_f64()).min(MAX_DOUBLINGS);
@@ -61,7 +61,7 @@
 }
 
 impl ReuseHistory {
-    /// Records a reuse of a connection that had stood idle for this long.
+    /// Records a reuse of a connection that was idle for this long.
     pub(super) fn record(&mut self, idle: Duration, outcome: ReuseOutcome) {
         if idle < ALWAYS_TRUSTED {
             return;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// For how long a connection may have stood idle and still be reused.
+    /// How long a connection may have been idle and still be reused.
     pub(super) fn trusted_idle(&self) -> Duration {
         if !self.distrusted {
             return Duration::MAX;
--- a/crates/forwarder/src/connections/send_restrictions.rs
+++ b/crates/forwarder/src/connections/send_restrictions.rs
@@ -6,7 +6,7 @@
 use reeddock_protocol::AttemptResult;
 use tokio::time::Instant;
 
-/// What the endpoint list and the endpoints themselves have said against sending to them.
+/// The restrictions that the endpoint list and the endpoints' own Retry-After impose.
 #[derive(Default)]
 pub(super) struct SendRestrictions {
     /// Until when each endpoint has asked for no request (`Retry-After`).
@@ -16,7 +16,7 @@
 }
 
 impl SendRestrictions {
-    /// The endpoint asked for no request until then. A longer pause that it asked for before stays valid.
+    /// The endpoint asked for no request before `until`. A longer pause that it asked for earlier stays in force.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, until: Instant) {
         let current = self.retry_after.entry(endpoint).or_insert(until);
         *current = until.max(*current);
@@ -30,7 +30,7 @@
         };
     }
 
-    /// Forgets what the list said of an endpoint.
+    /// Forgets the listed state of an endpoint.
     pub(super) fn forget(&mut self, endpoint: EndpointId) {
         self.draining.remove(&endpoint);
     }
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -12,7 +12,7 @@
 use crate::log_throttle::LogThrottle;
 use crate::watch_schedule::{BreakCause, Loss, Periods, Received, WatchSchedule};
 
-/// Completes once the address of discovery changes; never, once nobody can change it any more.
+/// Completes when the address of discovery changes; never if it can't change any more.
 pub(crate) async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending().await
@@ -21,7 +21,8 @@
 
 /// Watches the endpoint list until the event loop ends.
 ///
-/// `generation` is that of the list which the event loop has already; the first watch asks for what changed after it.
+/// `generation` is the generation of the list that the event loop already has; the first watch requests the changes
+/// after it.
 pub async fn follow(
     mut address: watch::Receiver<SocketAddr>,
     generation: u64,
@@ -57,6 +58,7 @@
     }
 }
 
+/// Logs why a watch was lost and when the next one is opened.
 fn log_loss(log_throttle: &mut LogThrottle, loss: &Loss, next_request: Instant) {
     if let Some(suppressed) = log_throttle.admit() {
         let retry_in = next_request.saturating_duration_since(Instant::now());
@@ -67,7 +69,7 @@
 /// One request that opens a watch.
 struct WatchRequest {
     discovery: SocketAddr,
-    /// Without an answer by then it is abandoned.
+    /// The request is abandoned if it is not answered by then.
     answer_by: Instant,
     periods: Periods,
 }
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -8,9 +8,9 @@
 use reeddock::EndpointId;
 use smol_str::SmolStr;
 
-/// An address in 16 bytes: there is one for each endpoint of the list, and nearly all are of the short form.
+/// An address in 16 bytes: there is one for each endpoint of the list, and nearly all are IPv4.
 enum CompactAddress {
-    /// The list has given none so far.
+    /// The list has had no address for it so far.
     Unknown,
     V4(SocketAddrV4),
     V6(Box<SocketAddrV6>),
@@ -35,14 +35,14 @@
     }
 }
 
-/// What is known of one endpoint.
+/// The stored data of one endpoint.
 struct EndpointRow {
     name: SmolStr,
     address: CompactAddress,
     max_batch: u32,
 }
 
-/// Where an endpoint is, and what it takes at once.
+/// The address of an endpoint, and the most messages that it accepts in one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointLocation {
     /// Its address.
@@ -51,7 +51,7 @@
     pub max_batch: usize,
 }
 
-/// How a call of [`EndpointTable::set_location`] changed the address of an endpoint.
+/// The change of an endpoint's address by [`EndpointTable::set_location`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocationChange {
     /// It had none before.
@@ -62,21 +62,21 @@
     Same,
 }
 
-/// An entry in the index of names. It keeps the hash of its name, so that the index grows without a look at each
-/// name: with some hundred thousand of them that would take longer than an event may.
+/// An entry in the index of names. It stores the hash of its name, so that the index can grow without hashing each name
+/// again: with some hundred thousand names that would block the event loop for too long.
 struct NameEntry {
     hash: u32,
     id: EndpointId,
 }
 
 impl NameEntry {
-    /// The kept half of a name's hash, spread over all bits that the index uses.
+    /// Extends the stored half of a name's hash to all bits that the index uses.
     fn spread(hash: u32) -> u64 {
         u64::from(hash) << 32 | u64::from(hash)
     }
 }
 
-/// All endpoints that were named and are not forgotten. No operation takes longer where there are more of them.
+/// All endpoints that were named and not forgotten. The time of each operation does not depend on how many there are.
 #[derive(Default)]
 pub struct EndpointTable {
     /// By number.
@@ -89,8 +89,8 @@
 }
 
 impl EndpointTable {
-    /// The number of an endpoint, which is assigned when its name is used first. The endpoint keeps it until it
-    /// is forgotten; no other endpoint ever gets the same.
+    /// The number of an endpoint, which is assigned when its name is used for the first time. The endpoint keeps it
+    /// until it is forgotten; the number is never assigned again.
     pub fn number(&mut self, name: &str) -> EndpointId {
         let EndpointTable { rows, names, hashes, next_number, .. } = self;
         let name_of = |id: &EndpointId| rows.get(&id.0).map_or("", |row| row.name.as_str());
--- a/crates/forwarder/src/error.rs
+++ b/crates/forwarder/src/error.rs
@@ -21,7 +21,7 @@
         source: io::Error,
     },
     /// The write-ahead log can't be opened.
-    #[error("ledger in {}: {source}", folder.display())]
+    #[error("write-ahead log in {}: {source}", folder.display())]
     OpenLog {
         /// The state folder.
         folder: PathBuf,
--- a/crates/forwarder/src/event_loop/attempt_results.rs
+++ b/crates/forwarder/src/event_loop/attempt_results.rs
@@ -1,4 +1,4 @@
-//! How attempts ended, for the policy and for the write-ahead log.
+//! Results of attempts: recorded for the write-ahead log and passed to the policy.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use super::EventLoop;
 
 impl EventLoop {
-    /// An endpoint asked for a pause from now on although it accepted messages.
+    /// Handles a `Retry-After` of an endpoint that accepted messages all the same.
     pub(super) fn pause_endpoint(&mut self, endpoint: EndpointId, pause: Duration, now: Duration) {
         self.hold_back_requests(endpoint, now + pause);
         self.policy.retry_after_received(now, endpoint, pause);
     }
 
-    /// Keeps requests that wait for their connection from going to an endpoint during a pause. The policy, which sends
-    /// again from `until` on, can't reach these any more.
+    /// Holds back requests to an endpoint that still wait for their connection until its pause is over. The policy
+    /// can't recall these any more.
     fn hold_back_requests(&self, endpoint: EndpointId, until: Duration) {
         for endpoint in self.policy.endpoints_sharing_circuit(endpoint) {
             self.connections.set_retry_after(endpoint, self.clock.instant(until));
         }
     }
 
-    /// An attempt has finished: records that, and passes the outcome to the policy.
+    /// Records the result of an attempt, and passes its outcome to the policy.
     pub(super) fn finish_attempt(
         &mut self,
         id: MessageId,
@@ -64,7 +64,7 @@
         false
     }
 
-    /// Logs a message that its endpoint can't read.
+    /// Logs a message whose request the endpoint answered as malformed.
     fn log_malformed(&mut self, id: &MessageId, result: AttemptResult) {
         if !matches!(result, AttemptResult::Malformed | AttemptResult::BatchMalformed) {
             return;
--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the delivery policy, gathered while it runs and sorted for the event loop.
+//! The commands of the delivery policy, collected while it runs and sorted by kind for the event loop.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     StartAttempt(AttemptCommand),
     Cancel(AttemptKey),
     GiveFinalAnswer(DeliveryNotice),
-    /// The span after which the timer fires.
+    /// Set a timer that fires after this span.
     SetTimer(Duration),
 }
 
@@ -21,7 +21,7 @@
     pub timeouts: AttemptTimeouts,
 }
 
-/// Names one attempt.
+/// Identifies one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub message: MessageId,
@@ -36,13 +36,13 @@
     pub timeouts: AttemptTimeouts,
 }
 
-/// The policy's host: gathers the commands, in their order, until the event loop takes them.
+/// The policy's host: collects its commands until the event loop takes them.
 #[derive(Default)]
 pub(super) struct CommandBuffer {
     commands: Vec<Command>,
 }
 
-/// Commands by what they ask for, each kind in the order in which the policy gave them.
+/// Commands by kind, each kind in the order in which the policy gave them.
 #[derive(Default)]
 pub(super) struct CommandBatch {
     /// Spans after which timers fire.
@@ -94,8 +94,8 @@
         self.commands.push(Command::SetTimer(after));
     }
 
-    // Nothing on sockets stands behind these: endpoints may not be probed, forwarders share nothing, and the watch on
-    // the endpoint list is always open.
+    // Not implemented on sockets: endpoints have no health checks, forwarders do not talk to each other, and the watch
+    // on the endpoint list is always open.
     fn start_health_check(&mut self, _: EndpointId) {}
     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn subscribe(&mut self, _: bool) {}
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -1,4 +1,4 @@
-//! One run of the policy's due work, and of everything that it commands: first into the write-ahead log, then out.
+//! One run of the policy's due work. Its commands are written to the write-ahead log first and then carried out.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 impl EventLoop {
-    /// Lets the policy run its due work, and carries out what it commands.
+    /// Lets the policy run its due work, and carries out its commands.
     pub(super) fn run_due_work(&mut self, now: Duration) {
         self.reap_requests();
         self.state.begin_due_work(now);
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -24,7 +24,7 @@
 }
 
 impl EventLoop {
-    /// Applies some of what a watch sends.
+    /// Applies events of a watch.
     pub(super) fn apply_list_events(&mut self, events: Vec<ListEvent>) {
         for event in events {
             match event {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Applies the list as it was known before the start, before any event is handled. A list without entries is none.
+    /// Applies the list that was known before the start. Must be called before any event is handled.
     pub fn apply_cached_list(&mut self, cached_list: CachedEndpointList) -> Result<(), CachedListError> {
         if cached_list.endpoints == 0 {
             tracing::info!("no cached endpoint list, messages wait for discovery");
@@ -116,8 +116,8 @@
         self.update_location(endpoint, &entry);
     }
 
-    /// Stores where an endpoint is. An entry for a removed one has no address; the last one stays, as the policy may
-    /// still refer to the endpoint.
+    /// Stores the address of an endpoint. An entry for a removed endpoint has none; then the last address is kept, as
+    /// the policy may still refer to the endpoint.
     fn update_location(&mut self, endpoint: EndpointId, entry: &ListEntry) {
         let Some(address) = entry.address else { return };
         let location = EndpointLocation { address, max_batch: self.batch_limits.of_kind(&entry.kind) };
@@ -171,8 +171,8 @@
         );
     }
 
-    /// Forgets the endpoints that the policy has forgotten: where endpoints are replaced all day under new names, they
-    /// would fill the memory.
+    /// Forgets the endpoints that the policy has forgotten: endpoints that are replaced under new names would otherwise
+    /// fill the memory.
     pub(super) fn forget_removed_endpoints(&mut self) {
         let removed = self.policy.take_removed_endpoints();
         for endpoint in &removed {
--- a/crates/forwarder/src/event_loop/log_writer.rs
+++ b/crates/forwarder/src/event_loop/log_writer.rs
@@ -1,4 +1,4 @@
-//! What goes into the write-ahead log with each run of due work.
+//! Writes the records of each run of due work to the write-ahead log.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use super::submissions::NewSubmission;
 use super::EventLoop;
 
-/// What the write-ahead log has of one run of due work.
+/// Which records of one run of due work were written to the write-ahead log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LogWrite {
-    /// All of it.
+    /// All of them.
     Complete,
-    /// All but the new submissions and their attempts, for which there was no space.
+    /// All except the new submissions and their attempts, for which there was no space.
     WithoutSubmissions,
     /// Nothing: the write failed.
     Failed,
@@ -32,8 +32,8 @@
 }
 
 impl EventLoop {
-    /// Writes everything that this run of due work brought. What can't be written is neither started nor accepted; the
-    /// records of what has finished are then written with the next run.
+    /// Writes all records of this run of due work. If that fails, no attempt is started and no submission accepted, and
+    /// the records of finished attempts and messages are written with the next run.
     pub(super) fn write_to_log(
         &mut self,
         submissions: &[NewSubmission],
--- a/crates/forwarder/src/event_loop/mod.rs
+++ b/crates/forwarder/src/event_loop/mod.rs
@@ -1,7 +1,7 @@
 //! The one task that owns the delivery policy and the write-ahead log. All other tasks reach it through bounded queues
-//! only; what the policy commands is carried out from here, and only after the write-ahead log has it.
+//! only; the policy's commands are carried out from here, and only after the write-ahead log has them.
 //!
-//! The way of a message, one step in each module:
+//! The steps of a message, each in a module of its own:
 //!
 //! | step | module |
 //! | --- | --- |
@@ -47,7 +47,7 @@
 use run::ShutdownProgress;
 use state::EventLoopState;
 
-/// The figures that an event loop is given.
+/// The configuration of an event loop.
 pub struct EventLoopConfig {
     /// The settings of the delivery policy.
     pub settings: Settings,
@@ -65,9 +65,9 @@
     pub log: WriteAheadLog,
     /// The pool of connections to endpoints.
     pub connections: Connections,
-    /// Is kept up to date for the health check.
+    /// The status of the endpoint list for the health check, which the event loop updates.
     pub list_status: ListStatus,
-    /// Takes notices for the platform.
+    /// The queue of notices for the platform.
     pub notices: mpsc::UnboundedSender<DeliveryNotice>,
     /// The sending end of the event loop's own queue, for the results of requests.
     pub events: mpsc::Sender<Event>,
--- a/crates/forwarder/src/event_loop/notices.rs
+++ b/crates/forwarder/src/event_loop/notices.rs
@@ -1,4 +1,4 @@
-//! Notices on their way to the platform.
+//! Passes notices to the task that delivers them to the platform.
 
 use reeddock_protocol::DeliveryNotice;
 
--- a/crates/forwarder/src/event_loop/pending_messages.rs
+++ b/crates/forwarder/src/event_loop/pending_messages.rs
@@ -1,4 +1,4 @@
-//! The messages that were accepted and have no final answer yet, and the ids of those that had one a moment ago.
+//! The messages that were accepted and have no final answer yet, and the ids of recently finished ones.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 
 use super::commands::{AttemptCommand, OutgoingAttempt};
 
-/// An id is not accepted again for this long after its message is finished: a copy of a request in progress, sent by
-/// its client or by anybody else, may arrive a moment after the message is finished, and would be executed a second time.
+/// An id is not accepted again for this long after its message is finished: a duplicate of the submission may arrive
+/// shortly after that, and would be executed a second time.
 const FINISHED_ID_KEPT_FOR: Duration = Duration::from_secs(15);
 
 /// A message that was accepted and has no final answer yet.
@@ -34,12 +34,12 @@
 #[derive(Default)]
 pub(super) struct PendingMessages {
     entries: BTreeMap<MessageId, PendingEntry>,
-    /// The sum of the entries' sizes.
+    /// The sum of the entries' `size`.
     bytes: u64,
     finished_ids: BTreeSet<MessageId>,
     /// The same ids in the order in which they expire.
     finished_expiry: VecDeque<FinishedId>,
-    /// When due work ran last, from which the expiry of finished ids counts.
+    /// The time of the last run of due work, from which the expiry of finished ids is counted.
     due_work_at: Duration,
 }
 
@@ -56,7 +56,7 @@
         self.entries.contains_key(id)
     }
 
-    /// Whether a message with this id was finished a moment ago.
+    /// Whether a message with this id was finished recently.
     pub(super) fn is_finished(&self, id: &MessageId) -> bool {
         self.finished_ids.contains(id)
     }
@@ -71,7 +71,7 @@
         self.entries.insert(id, entry);
     }
 
-    /// The message has its final answer; returns whether it was pending until now.
+    /// Removes a message that has its final answer; returns whether it was pending.
     pub(super) fn finish(&mut self, id: &MessageId) -> bool {
         let Some(entry) = self.entries.remove(id) else { return false };
         self.bytes -= entry.size;
@@ -82,7 +82,7 @@
         true
     }
 
-    /// Due work runs at this time: forgets the finished ids that expire by then.
+    /// Forgets the finished ids that have expired at the time of this run of due work.
     pub(super) fn expire_finished_ids(&mut self, now: Duration) {
         self.due_work_at = now;
         while let Some(FinishedId { id, .. }) =
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -12,7 +12,7 @@
 use super::EventLoop;
 use crate::request_sender::{run_request, BatchMessage, EndpointRequest, PendingAttempt};
 
-/// Names one request that the policy decided on. Requests start in the order of their ids.
+/// Identifies one request that the policy decided on. Requests start in the order of their ids.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     request: RequestId,
@@ -22,8 +22,8 @@
 impl EventLoop {
     /// Starts requests for these attempts, which the policy decided on at `decided_at`.
     ///
-    /// Attempts that the policy puts into one request travel together, as far as the kind of the endpoint allows, and
-    /// with nothing else: otherwise one would still be in flight when another has its result.
+    /// Attempts that the policy put into one request are sent together, as far as the batch limit of the endpoint
+    /// allows, and never with others: otherwise one could still be in flight when another has its result.
     pub(super) fn start_requests(&mut self, attempts: Vec<OutgoingAttempt>, decided_at: Duration) {
         let mut requests: BTreeMap<RequestKey, Vec<OutgoingAttempt>> = BTreeMap::new();
         for attempt in attempts {
@@ -70,8 +70,8 @@
     }
 }
 
-/// The latest time for the first byte of an attempt. A limit of its own counts from the policy's decision, since when
-/// the write-ahead log was written; without one it may start for as long as its response is waited for.
+/// The latest time for the first byte of an attempt. A start limit counts from the policy's decision, before the
+/// write-ahead log was written; without one, the attempt may start for as long as its response is waited for.
 fn start_deadline(attempt: &OutgoingAttempt, decided_at: Instant, now: Instant) -> Instant {
     let timeouts = attempt.timeouts;
     if timeouts.start_within < timeouts.response_within {
@@ -81,10 +81,10 @@
     }
 }
 
-/// Splits the attempts of one request to an endpoint that takes at most `max_batch` messages at once.
+/// Splits the attempts of one request to an endpoint that accepts at most `max_batch` messages in a request.
 ///
-/// The one whose response is waited for longest leads. A request carries only one time limit, which the
-/// endpoint may take for that of the first message, and a response after that limit would be lost for the others too.
+/// The attempt whose response is waited for longest comes first: a request carries only one time limit, which the
+/// endpoint may apply to the first message, and a response after that limit would be lost for the others too.
 fn split_attempts(mut attempts: Vec<OutgoingAttempt>, max_batch: usize) -> Vec<Vec<OutgoingAttempt>> {
     attempts.sort_by_key(|attempt| std::cmp::Reverse(attempt.timeouts.response_within));
     let messages: Vec<OutgoingMessage> = attempts.iter().map(|attempt| attempt.message.clone()).collect();
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -1,4 +1,4 @@
-//! Continues, after a start, with what the write-ahead log holds from before it.
+//! Restores pending messages and unacknowledged notices from the write-ahead log at a start.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use super::EventLoop;
 
 impl EventLoop {
-    /// Passes to the policy the messages that the write-ahead log holds from before this start, in the order in which
-    /// they were accepted, and sends the notices again that the platform has not acknowledged.
+    /// Passes the messages that are pending in the write-ahead log to the policy, in the order in which they were
+    /// accepted, and sends unacknowledged notices again.
     pub fn restore_pending(&mut self) {
         let now = self.clock.now();
         let index = self.log.index();
@@ -30,7 +30,7 @@
         self.resend_notices();
     }
 
-    /// Sends the notices again that the platform has not acknowledged.
+    /// Sends unacknowledged notices again.
     fn resend_notices(&mut self) {
         let notices: Vec<DeliveryNotice> = self.log.index().unacknowledged_notices().collect();
         let (pending, unacknowledged) = (self.state.pending().len(), notices.len());
@@ -40,7 +40,7 @@
         self.send_notices(notices);
     }
 
-    /// Gives the final answer for a message whose record can't be read any more.
+    /// Finishes a message whose record can't be read any more as failed.
     fn fail_unreadable(&mut self, id: MessageId) {
         let answer = FinalAnswer::Failed;
         self.state.record(Record::Finished { id: id.0.to_string(), notice: Some(answer) });
@@ -82,7 +82,7 @@
             });
         }
         if pending.records_lost {
-            // Stands for attempts whose records were lost, sent long ago for all that is known.
+            // One attempt for all whose records were lost; when they were sent is unknown.
             attempts.push(PreviousAttempt {
                 endpoint: self.state.endpoints_mut().number(""),
                 started_at: Duration::ZERO,
--- a/crates/forwarder/src/event_loop/run.rs
+++ b/crates/forwarder/src/event_loop/run.rs
@@ -1,4 +1,4 @@
-//! Waits for events and timers, and handles them in steps that no flood can make long.
+//! Waits for events and timers, and handles them in steps of bounded length.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::EventLoop;
 use crate::events::Event;
 
-/// The most events that are handled before due work runs, so that a flood of them cannot keep the policy from deciding.
+/// The most events that are handled before due work runs, so that a flood of events can't delay the policy's decisions.
 const MAX_EVENTS_PER_STEP: usize = 256;
 
-/// How far a graceful shutdown has got.
+/// The progress of a graceful shutdown.
 #[derive(Default)]
 pub(super) struct ShutdownProgress {
-    /// The process stops then at the latest. None until it is asked to stop.
+    /// The latest time at which the process stops. None until a shutdown is requested.
     deadline: Option<Instant>,
     clients_disconnected: bool,
 }
 
 impl EventLoop {
-    /// Decides and carries out until the process is to stop.
+    /// Runs the event loop until the shutdown is complete.
     ///
-    /// `events` has the events of all tasks but the watch. The watch has a short queue of its own, `list_events`, so
+    /// `events` has the events of all tasks except the watch. The watch has a short queue of its own, `list_events`, so
     /// that a long list and all other events delay each other for a moment only.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>, mut list_events: mpsc::Receiver<Event>) {
         self.run_due_work(self.clock.now());
@@ -44,8 +44,7 @@
         }
     }
 
-    /// Sleeps until there is an event, a timer is due or the shutdown deadline is reached. Returns the event, if that
-    /// is what there is.
+    /// Sleeps until there is an event, a timer is due or the shutdown deadline is reached. Returns the event, if any.
     async fn wait_for_work(
         &mut self,
         events: &mut mpsc::Receiver<Event>,
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Sleeps until then, and meanwhile applies what the watch sends. Between two pieces all other tasks go on.
+    /// Sleeps until then, and meanwhile applies list events. Between two pieces other tasks can run.
     async fn apply_list_events_until(&mut self, until: Instant, list_events: &mut mpsc::Receiver<Event>) {
         let mut sleep = pin!(sleep_until(until));
         loop {
@@ -85,6 +84,7 @@
         }
     }
 
+    /// Passes an event to its handler.
     fn handle_event(&mut self, event: Event, now: Duration) {
         match event {
             Event::Submission { submission, received_at, reply } => {
@@ -111,12 +111,13 @@
         }
     }
 
+    /// Tells the policy the deadline of the shutdown, and stores it.
     fn begin_shutdown(&mut self, deadline: Instant) {
         self.policy.begin_shutdown(self.clock.at(deadline));
         self.shutdown.deadline = Some(deadline);
     }
 
-    /// Whether a shutdown was requested and nothing is left to wait for, or its deadline has passed.
+    /// Whether a shutdown was requested, and is complete or past its deadline.
     fn is_shut_down(&self) -> bool {
         let Some(deadline) = self.shutdown.deadline else { return false };
         let complete = self.shutdown.clients_disconnected && self.state.is_idle();
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -1,4 +1,4 @@
-//! What the event loop keeps between its steps.
+//! The state of the event loop between its steps, beside the policy and the write-ahead log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::submissions::NewSubmission;
 use crate::endpoints::EndpointTable;
 
-/// What the event loop keeps between its steps.
+/// The state of the event loop between its steps.
 #[derive(Default)]
 pub(super) struct EventLoopState {
     /// Commands of the policy that are not carried out yet.
@@ -26,7 +26,7 @@
     /// Submitted since the last due work, and not yet answered.
     submissions: Vec<NewSubmission>,
     pending: PendingMessages,
-    /// Attempts that have started and not finished, each with what cancels it.
+    /// Attempts that have started and not finished, each with the sender that cancels it.
     in_flight: BTreeMap<AttemptKey, oneshot::Sender<()>>,
     timers: BTreeSet<Duration>,
     /// Records that go into the write-ahead log with the next due work.
@@ -65,7 +65,7 @@
         self.pending.is_empty() && self.unacknowledged_notices == 0
     }
 
-    /// Due work begins at this time.
+    /// Prepares a run of due work at this time.
     pub(super) fn begin_due_work(&mut self, now: Duration) {
         self.pending.expire_finished_ids(now);
     }
@@ -108,7 +108,7 @@
         Some(self.submissions.remove(position))
     }
 
-    /// What was submitted since the last due work is pending from here on.
+    /// Makes the messages pending that were submitted since the last due work, and returns their submissions.
     pub(super) fn accept_submissions(&mut self) -> Vec<NewSubmission> {
         let submissions = std::mem::take(&mut self.submissions);
         for NewSubmission { id, accepted, .. } in &submissions {
@@ -147,14 +147,14 @@
         attempts
     }
 
-    /// An attempt is in flight from here on; returns the channel by which its request learns of a cancellation.
+    /// Records that an attempt is in flight; returns the channel that cancels its request.
     pub(super) fn attempt_in_flight(&mut self, attempt: AttemptKey) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
         self.in_flight.insert(attempt, cancel);
         cancelled
     }
 
-    /// An attempt is not in flight any more.
+    /// Records that an attempt is no longer in flight.
     pub(super) fn attempt_finished(&mut self, attempt: &AttemptKey) {
         self.in_flight.remove(attempt);
     }
@@ -168,13 +168,13 @@
         }
     }
 
-    /// The message has its final answer; returns whether it was pending until now.
+    /// Records that a message has its final answer; returns whether it was pending.
     pub(super) fn finish_message(&mut self, id: &MessageId) -> bool {
         self.pending.finish(id)
     }
 
-    /// Finishes messages that were not delivered, and returns the notices for the platform. What was submitted since
-    /// the last due work needs no notice: its client gets the answer as the response, and nothing of it is recorded.
+    /// Finishes messages that were not delivered, and returns the notices for the platform. A message that was
+    /// submitted since the last due work needs neither notice nor record: its client gets the answer as the response.
     pub(super) fn give_final_answers(&mut self, answers: Vec<DeliveryNotice>) -> Vec<DeliveryNotice> {
         let mut notices = Vec::new();
         for notice in answers {
@@ -191,7 +191,7 @@
     }
 }
 
-/// The response to a client whose message has its final answer at once.
+/// The response to a client whose message has its final answer before it was accepted.
 fn response_to(answer: FinalAnswer) -> ClientResponse {
     match answer {
         FinalAnswer::Rejected { retry_after } => ClientResponse::Rejected { retry_after },
@@ -210,17 +210,17 @@
         &self.unwritten
     }
 
-    /// The write-ahead log has all queued records.
+    /// Clears the queued records, which the write-ahead log has now.
     pub(super) fn records_written(&mut self) {
         self.unwritten.clear();
     }
 
-    /// One more notice waits for the platform's acknowledgement.
+    /// Counts a notice that the platform has not acknowledged.
     pub(super) fn notice_sent(&mut self) {
         self.unacknowledged_notices += 1;
     }
 
-    /// The notices about these messages are done with.
+    /// Records that the notices about these messages are acknowledged, or were dropped as malformed.
     pub(super) fn acknowledge_notices(&mut self, ids: &[MessageId]) {
         self.unacknowledged_notices = self.unacknowledged_notices.saturating_sub(ids.len());
         for id in ids {
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -1,4 +1,4 @@
-//! Messages that clients submit, until the write-ahead log has them and the client is answered.
+//! Submissions of clients, until they are written to the write-ahead log and answered.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use super::log_writer::LogWrite;
 use super::EventLoop;
 
-/// Submitted since the last due work, and not yet answered.
+/// A message that was submitted since the last due work and is not answered yet.
 pub(super) struct NewSubmission {
     pub id: MessageId,
-    /// What the write-ahead log will have of it.
+    /// Its record for the write-ahead log.
     pub accepted: Accepted,
     pub reply: oneshot::Sender<ClientResponse>,
 }
 
 impl EventLoop {
-    /// Passes a submission to the policy, or answers it at once where it can't be accepted. `received_at` is when
-    /// the client's request had been read.
+    /// Passes a submission to the policy, or answers it immediately if it can't be accepted. `received_at` is the time
+    /// at which the client's request was read completely.
     pub(super) fn submit(
         &mut self,
         submission: Submission,
@@ -30,7 +30,7 @@
         reply: oneshot::Sender<ClientResponse>,
         now: Duration,
     ) {
-        // A client that has closed its connection submits the message anew.
+        // A client that has closed its connection submits the message again.
         if reply.is_closed() {
             return;
         }
@@ -53,11 +53,11 @@
         self.state.add_submission(NewSubmission { id, accepted, reply });
     }
 
-    /// The response to a submission that the policy does not get to see.
+    /// The response to a submission that is not passed to the policy; None if it is.
     fn immediate_response(&self, submission: &Submission) -> Option<ClientResponse> {
         let (id, pending) = (&submission.id, self.state.pending());
         if pending.contains(id) {
-            // Whoever sent it: the write-ahead log has this message.
+            // A repeated submission: the write-ahead log has this message.
             Some(ClientResponse::Accepted)
         } else if pending.is_finished(id) || self.state.has_submission(id) {
             Some(ClientResponse::DuplicateId)
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What the write-ahead log gets of a submission once it is accepted.
+    /// The record of a submission that is accepted.
     fn accepted_record(&self, submission: Submission, deadline: Duration) -> Accepted {
         Accepted {
             id: submission.id.0.to_string(),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether memory and disk can hold one more message, beside what was submitted since the last due work.
+    /// Whether memory and disk have space for one more message, in addition to those submitted since the last due work.
     fn has_capacity_for(&mut self, accepted: &Accepted) -> bool {
         let new_bytes = self.state.submitted_bytes() + accepted.reserved_bytes();
         let memory_bytes = self.state.pending().bytes() + new_bytes;
@@ -99,8 +99,8 @@
         has_capacity
     }
 
-    /// Answers clients whose messages were accepted, or could not be. Returns the messages whose clients do not know
-    /// of an acceptance: a client that has disconnected submits the message anew.
+    /// Answers the clients of all submissions. Returns the messages whose clients were not answered 202: they submit
+    /// the message again, as does a client that has disconnected.
     pub(super) fn answer_submissions(
         &self,
         submissions: Vec<NewSubmission>,
--- a/crates/forwarder/src/events.rs
+++ b/crates/forwarder/src/events.rs
@@ -15,7 +15,7 @@
     Submission {
         /// What the client submitted.
         submission: Submission,
-        /// When its last byte was read; the time that it has left counts from here.
+        /// When its last byte was read; the message's time left counts from here.
         received_at: Instant,
         /// Takes the response to the client. It is closed once the client has disconnected.
         reply: oneshot::Sender<ClientResponse>,
@@ -29,7 +29,7 @@
         /// How it ended.
         result: AttemptResult,
     },
-    /// An endpoint asked for a pause (`Retry-After`) although it accepted messages.
+    /// An endpoint sent a `Retry-After` although it accepted messages.
     RetryAfter {
         /// The endpoint that asked.
         endpoint: EndpointId,
@@ -43,15 +43,15 @@
         /// The limit of its circuit, and what is left of it.
         report: LoadReport,
     },
-    /// Some of what a watch sent, in its order: at most `MAX_LIST_EVENTS_PER_PIECE` events (`list_reader`).
+    /// Events of a watch, in their order: at most `MAX_LIST_EVENTS_PER_PIECE` events (`list_reader`).
     ListEvents(Vec<ListEvent>),
     /// A watch sent a malformed list; what it sent before that stays applied.
     ListMalformed(MalformedList),
-    /// A watch has ended, or could not be opened; it may have ended in the middle of a list.
+    /// A watch has ended, possibly in the middle of a list, or could not be opened.
     WatchLost,
     /// The platform has acknowledged the notices about these messages, or they were dropped as malformed.
     NoticesAcknowledged(Vec<MessageId>),
-    /// The process is to stop, at this time at the latest.
+    /// A shutdown was requested; the process stops at this time at the latest.
     ShutdownRequested(Instant),
     /// All client connections are closed, and no more are accepted.
     ClientsDisconnected,
--- a/crates/forwarder/src/http_progress.rs
+++ b/crates/forwarder/src/http_progress.rs
@@ -1,8 +1,8 @@
-//! How far an HTTP/1 exchange has got, read from the bytes on the connection themselves.
+//! The progress of an HTTP/1 exchange, derived from the bytes on the connection.
 //!
-//! Pure state machines without I/O: whoever reads from and writes to the socket passes the bytes in. They exist
-//! because the HTTP library hides two facts that decide whether a request may have been executed: how many of its
-//! bytes the system has taken, and the status line of a response whose head it cannot parse.
+//! Pure state machines without I/O: the stream passes them the bytes that are read and written. They exist because the
+//! HTTP library hides two facts that decide whether a request may have been executed: how many of its bytes the
+//! operating system has accepted, and the status line of a response whose head the library can't parse.
 
 /// Finds the blank line that ends a message head, in whatever pieces the bytes arrive.
 #[derive(Default)]
@@ -16,7 +16,7 @@
     /// The end of the last header line and the blank line after it.
     const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-    /// Consumes bytes up to the end of the head and returns those that belong to the body.
+    /// Consumes bytes up to the end of the head and returns those after it.
     pub(crate) fn skip<'b>(&mut self, mut bytes: &'b [u8]) -> &'b [u8] {
         while let (false, Some((byte, rest))) = (self.finished, bytes.split_first()) {
             self.advance(*byte);
@@ -54,7 +54,7 @@
         *self = RequestProgress { body_left: body, ..RequestProgress::default() };
     }
 
-    /// Counts bytes that the operating system has taken.
+    /// Counts bytes that the operating system has accepted.
     pub fn sent(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
         self.body_left = self.body_left.saturating_sub(self.head.skip(bytes).len());
@@ -95,14 +95,14 @@
 }
 
 impl StatusLine {
-    /// Bytes of a status line at most; what is longer is not HTTP, and nothing after it is read.
+    /// The most bytes of a status line; a longer one is not HTTP, and nothing after it is read.
     const MAX_BYTES: usize = 256;
-    /// Bytes in front of the status code: `HTTP/1.1`.
+    /// Bytes before the status code: `HTTP/1.1`.
     const VERSION_BYTES: usize = 8;
     /// Bytes of the shortest status line: the version, a space and three digits.
     const MIN_BYTES: usize = 12;
 
-    /// Takes bytes that were received; returns whether they complete the status line.
+    /// Adds bytes that were received; returns whether they complete the status line.
     pub fn received(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
             if matches!(self.state, StatusLineState::Complete) || self.line.len() > Self::MAX_BYTES {
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -6,18 +6,18 @@
 use reeddock::EndpointId;
 use tokio::time::Instant;
 
-/// How long after its last rejected connection a kind is taken to have no capacity for idle ones.
+/// For this long after a rejected connection, a kind is assumed to have no capacity for idle connections.
 ///
-/// Several times as long as most endpoints let a connection stand idle, so that a fleet of forwarders does not fill
-/// them anew each time this has passed.
+/// This is several times as long as the idle timeout of most endpoints, so that a fleet of forwarders does not fill
+/// them again each time it has passed.
 const REJECTION_REMEMBERED: Duration = Duration::from_secs(30);
 
 /// Says for each endpoint whether a connection to it may be kept idle.
 ///
 /// Endpoints accept a limited number of connections, idle ones counted. Where forwarders outnumber that limit, those
 /// that connected first would keep all connections though they rarely use them, and the others would be rejected for
-/// good. A forwarder that has a connection is not rejected by that endpoint but by others of its kind, so what one
-/// endpoint says is taken for all endpoints of its kind.
+/// good. A forwarder that has a connection is not rejected by that endpoint but by others of its kind, so a
+/// rejection by one endpoint counts for all endpoints of its kind.
 #[derive(Default)]
 pub struct IdlePermits {
     /// For each endpoint, by its number, the index of its kind in `kinds`: 32 bits each, as there may be several
--- a/crates/forwarder/src/ingress/accept.rs
+++ b/crates/forwarder/src/ingress/accept.rs
@@ -20,13 +20,13 @@
 use crate::limits::Limits;
 use crate::log_throttle::LogThrottle;
 
-/// The pause before the next attempt to accept, where this machine has no capacity for a connection.
+/// The pause before accepting is tried again, if this machine has no capacity for a connection.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Accepts and serves clients until [`ClientConnections::close_all`] and until nobody waits to be accepted.
+/// Accepts and serves clients until [`ClientConnections::close_all`] was called and no connection waits to be accepted.
 ///
-/// Returns the tasks of the connections that are open then. They serve on for as long as the caller keeps them;
-/// [`ClientConnections::is_empty`] is true once all have ended but those of evicted connections.
+/// Returns the tasks of connections that are still open. They continue for as long as the caller keeps them;
+/// [`ClientConnections::is_empty`] is true once all have ended, except those of evicted connections.
 #[must_use = "dropping the tasks closes the connections"]
 pub(crate) async fn accept(
     listener: TcpListener,
@@ -44,7 +44,7 @@
         .await
 }
 
-/// The accept loop and what each new connection gets from it.
+/// The accept loop, and the shared parts that it passes to each connection.
 struct Acceptor {
     listener: TcpListener,
     limits: Limits,
@@ -52,7 +52,7 @@
     event_loop: mpsc::Sender<Event>,
     /// One permit for each connection that is accepted and has not ended.
     slots: Arc<Semaphore>,
-    /// One permit for each closed connection that is still read.
+    /// One permit for each closed connection that is still read from.
     lingering: Arc<Semaphore>,
     closing: watch::Receiver<bool>,
     log_throttle: LogThrottle,
@@ -66,7 +66,7 @@
     client: SocketAddr,
 }
 
-/// What the listener gave.
+/// The result of waiting for a connection.
 enum Accepted {
     Stream(AcceptedStream),
     Failed(io::Error),
@@ -98,8 +98,8 @@
         }
     }
 
-    /// A slot for one more connection, once there is one; never `None`, as the semaphore is not closed. It is
-    /// taken until the descriptor is closed, which may be a while after the connection was evicted.
+    /// Waits for a slot for one more connection; never `None`, as the semaphore is not closed. A slot is in use until
+    /// the descriptor is closed, which may be a while after the connection was evicted.
     async fn free_slot(&self) -> Option<OwnedSemaphorePermit> {
         loop {
             if let Ok(slot) = self.slots.clone().try_acquire_owned() {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Waits for what the listener gives next, and meanwhile drops the tasks of connections that have ended.
+    /// Waits for the next connection, and meanwhile drops the tasks of connections that have ended.
     async fn next_connection(&mut self) -> Accepted {
         loop {
             tokio::select! {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Pauses where this machine has no descriptor; any other failure concerns one client only and is ignored.
+    /// Pauses if this machine has no descriptor; any other failure concerns one client only and is ignored.
     async fn accept_failed(&mut self, error: &io::Error) {
         if !out_of_descriptors(error) {
             return;
@@ -161,7 +161,7 @@
         });
     }
 
-    /// Evicts another connection where the limit of served ones is reached.
+    /// Evicts another connection if the limit of served ones is reached.
     fn ensure_capacity(&self) -> ConnectionCapacity {
         if self.clients.count() < self.limits.served_clients || self.clients.evict_one() {
             ConnectionCapacity::Available
--- a/crates/forwarder/src/ingress/client_connection.rs
+++ b/crates/forwarder/src/ingress/client_connection.rs
@@ -23,7 +23,7 @@
 /// How long a new connection is protected from eviction: a usual client sends its request right away.
 const EVICTION_PROTECTED: Duration = Duration::from_millis(100);
 
-/// Where a client connection stands.
+/// The phase of a client connection.
 ///
 /// `AwaitingFirstRequest` → `InRequest` ⇄ `Idle`.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 }
 
 impl ConnectionPhase {
-    /// When the connection is closed if nothing more is received; none while a request is being answered.
+    /// When the connection is closed if nothing more is received; None while a request is being answered.
     pub(super) fn idle_deadline(self) -> Option<Instant> {
         match self {
             ConnectionPhase::AwaitingFirstRequest { since } => Some(since + FIRST_HEAD_WITHIN),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Its rank in the order of eviction; none where it must not be evicted.
+    /// Its rank in the order of eviction; None if it must not be evicted.
     pub(super) fn eviction_priority(self) -> Option<EvictionPriority> {
         match self {
             ConnectionPhase::AwaitingFirstRequest { since } => {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Where the connection stands.
+    /// The phase of the connection.
     pub(super) fn phase(&self) -> ConnectionPhase {
         *locked(&self.phase)
     }
@@ -106,7 +106,7 @@
         *locked(&self.phase) = ConnectionPhase::Idle { since: Instant::now() };
     }
 
-    /// Whether it ever had a request.
+    /// Whether any request was received on it.
     pub(super) fn had_request(&self) -> bool {
         !matches!(self.phase(), ConnectionPhase::AwaitingFirstRequest { .. })
     }
@@ -132,8 +132,9 @@
     }
 }
 
-/// How much of the current request was received, counted from the bytes themselves. More bytes than its length says are
-/// a wrong length or another request hidden in the body, as clients of the protocol send one request at a time.
+/// How much of the current request was received, counted from the bytes on the connection. More bytes than its length
+/// says are a wrong length or another request hidden in the body, as clients of the protocol send one request at a
+/// time.
 #[derive(Default)]
 struct RequestBytes {
     begun: bool,
@@ -159,7 +160,7 @@
         CountedStream { stream: TokioIo::new(stream), connection }
     }
 
-    /// The stream itself, of which nothing is counted any more.
+    /// Returns the inner stream.
     pub(super) fn into_inner(self) -> TcpStream {
         self.stream.into_inner()
     }
--- a/crates/forwarder/src/ingress/clients.rs
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -10,23 +10,23 @@
 use crate::connections::locked;
 use crate::list_status::ListStatus;
 
-/// All open client connections, by a number of their own, and whether the forwarder shuts down. Shared by the tasks
-/// that accept and serve them and by whoever stops the forwarder.
+/// All open client connections, each by its number, and whether the forwarder shuts down. Shared by the tasks that
+/// accept and serve connections and by the shutdown.
 #[derive(Default)]
 pub struct ClientConnections {
     shutting_down: AtomicBool,
     open: Mutex<BTreeMap<u64, Arc<ClientConnection>>>,
     closing: watch::Sender<bool>,
-    list: ListStatus,
+    list_status: ListStatus,
 }
 
 impl ClientConnections {
-    /// No connections yet; health checks of clients report this status of the endpoint list.
-    pub fn new(list: ListStatus) -> ClientConnections {
-        ClientConnections { list, ..ClientConnections::default() }
+    /// A set without connections; health checks report this status of the endpoint list.
+    pub fn new(list_status: ListStatus) -> ClientConnections {
+        ClientConnections { list_status, ..ClientConnections::default() }
     }
 
-    /// From here on each response asks its client to use another forwarder.
+    /// Begins a shutdown: each response asks its client to use another forwarder.
     pub fn begin_shutdown(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
@@ -58,8 +58,8 @@
 
     /// Closes the connection whose loss matters least; returns whether there was one.
     ///
-    /// Of those that never had a request it is the oldest, so that silent clients do not displace others; if there
-    /// is none, the one that has stood idle for longest, whose client uses another connection for its next request.
+    /// This is the oldest of those that never had a request, so that silent clients do not displace others; if there is
+    /// none, the one that was idle for longest, whose client can use another connection for its next request.
     pub(super) fn evict_one(&self) -> bool {
         let mut open = self.open();
         let candidates = open.iter().filter_map(|(number, connection)| {
@@ -75,14 +75,14 @@
         self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Turns true once connections are closed.
+    /// A channel that becomes true when connections are to be closed.
     pub(super) fn closing(&self) -> watch::Receiver<bool> {
         self.closing.subscribe()
     }
 
-    /// What is wrong with the endpoint list, in one line.
+    /// What is wrong with the endpoint list, in one line; None if nothing is.
     pub(super) fn list_fault(&self) -> Option<String> {
-        self.list.fault()
+        self.list_status.fault()
     }
 
     fn open(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -21,10 +21,10 @@
 use super::clients::ClientConnections;
 use crate::events::Event;
 
-/// How long a body may take after its head.
+/// The time limit for receiving a body, from the end of its head.
 const BODY_WITHIN: Duration = Duration::from_millis(600);
 
-/// Whether a new connection fits into the limit of those that are served.
+/// Whether a new connection is within the limit of served connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionCapacity {
     /// Its submissions are accepted.
@@ -66,6 +66,7 @@
 }
 
 impl IngressService {
+    /// Routes a request by its method and path.
     async fn respond(&self, request: Request<Incoming>) -> ClientResponse {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => self.health(),
@@ -74,6 +75,7 @@
         }
     }
 
+    /// Answers a health check.
     fn health(&self) -> ClientResponse {
         if self.clients.shutting_down() {
             ClientResponse::ShuttingDown
@@ -96,11 +98,11 @@
         }
     }
 
-    /// Passes a submission to the event loop and returns the answer of that; an error is the answer to a submission
-    /// that never got there.
+    /// Passes a submission to the event loop and returns its response; an error is the response to a submission that
+    /// did not reach the event loop.
     async fn submit(&self, request: Request<Incoming>) -> Result<ClientResponse, ClientResponse> {
         let (parts, body) = request.into_parts();
-        // A body whose end two sides may see in different places can hide a request in it.
+        // Two sides may disagree on where a chunked body ends, so that a request could be hidden in it.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             return Err(ClientResponse::LengthRequired);
         }
@@ -121,7 +123,7 @@
     }
 }
 
-/// Reads a body whole, within the limits of size and time.
+/// Reads a body completely, within the limits of size and time.
 async fn read_body(body: Incoming) -> Result<Bytes, ClientResponse> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(ClientResponse::TooLarge);
--- a/crates/forwarder/src/ingress/serving.rs
+++ b/crates/forwarder/src/ingress/serving.rs
@@ -15,14 +15,14 @@
 use super::client_connection::{ClientConnection, ConnectionPhase, CountedStream};
 use super::service::IngressService;
 
-/// How long a request that has begun may still take for its head where the connection is to be closed.
+/// The time limit for the rest of a request's head if the connection is about to be closed.
 const LAST_REQUEST_WITHIN: Duration = Duration::from_millis(100);
-/// How often a connection with a request in progress is looked at again, for its idle deadline after that.
+/// How often a connection with a request in progress is checked for whether it has become idle.
 const IN_REQUEST_RECHECK: Duration = Duration::from_millis(100);
-/// How long a closed connection is still read, and its bytes thrown away: the system resets a connection that is
-/// dropped with unread bytes, and a response that is still in flight is lost with it.
+/// How long bytes of a closed connection are still read and discarded: the system resets a connection that is dropped
+/// with unread bytes, and a response that is still in flight would be lost with it.
 const LINGER: Duration = Duration::from_millis(300);
-/// Bytes that the HTTP library buffers for a connection at most, and so the longest head.
+/// The most bytes that the HTTP library buffers for a connection, and so the longest head.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
 type HttpConnection = http1::Connection<CountedStream, TowerToHyperService<IngressService>>;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Waits until no request has been in progress on the connection for as long as it may stand idle.
+/// Waits until the connection was idle for as long as it may be.
 async fn idle_too_long(connection: &ClientConnection) {
     loop {
         match connection.phase().idle_deadline() {
@@ -102,7 +102,7 @@
     connection: &ClientConnection,
     reason: CloseReason,
 ) -> hyper::Result<()> {
-    // Half a head may be here; and a client that connected just before the shutdown has its request in flight.
+    // Part of a head may have been received, and a client that connected just before the shutdown may have sent one.
     let first_request_expected = reason == CloseReason::ShuttingDown && !connection.had_request();
     if first_request_expected || connection.next_request_begun() {
         if let Ok(ended) = timeout(LAST_REQUEST_WITHIN, &mut *http).await {
@@ -122,8 +122,8 @@
     Pin::new(&mut *http).graceful_shutdown();
     loop {
         let silent = !all_close && !connection.had_request();
-        let patience = if silent { Duration::ZERO } else { LAST_REQUEST_WITHIN };
-        match timeout(patience, &mut *http).await {
+        let wait = if silent { Duration::ZERO } else { LAST_REQUEST_WITHIN };
+        match timeout(wait, &mut *http).await {
             Ok(ended) => return ended,
             Err(_) if !all_close && connection.phase() != ConnectionPhase::InRequest => return Ok(()),
             Err(_) => {}
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -1,9 +1,9 @@
-//! The limits of the network side, derived from the resources that a forwarder is given. They say what the machine can
-//! carry, and never what should be sent: that is the delivery policy's decision.
+//! Resource limits, derived from what the configuration allows a forwarder. They protect the machine; how much is sent
+//! to a destination is the delivery policy's decision.
 
 use std::fmt;
 
-/// What a forwarder is given of its machine.
+/// The resources of the machine that a forwarder may use.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
     /// Bytes of memory.
@@ -52,13 +52,13 @@
     }
 }
 
-/// Descriptors that are kept back from client connections and from requests, so that neither can keep the endpoint
-/// list, the notices or the write-ahead log from going on.
+/// Descriptors that neither client connections nor requests may use, so that the endpoint list, notices and the
+/// write-ahead log always have descriptors.
 #[derive(Clone, Copy, Debug)]
 pub struct Reserve {
     /// Standard input, output and error.
     pub standard_streams: usize,
-    /// What the runtime waits on, its wake-ups and its signals.
+    /// The runtime's event queue, wake-ups and signals.
     pub runtime: usize,
     /// The socket that clients connect to.
     pub listener: usize,
@@ -70,11 +70,11 @@
     pub watch: usize,
     /// The connection for notices, and one that is being closed.
     pub notices: usize,
-    /// What the libraries may open beside these.
+    /// Descriptors that libraries may open in addition.
     pub margin: usize,
 }
 
-/// The reserve that [`Limits::derive`] keeps back.
+/// The reserve that [`Limits::derive`] subtracts.
 pub const RESERVE: Reserve = Reserve {
     standard_streams: 3,
     runtime: 8,
@@ -86,7 +86,7 @@
     margin: 7,
 };
 
-/// A forwarder counts on this many descriptors beyond the reserve, however few it is given.
+/// A forwarder assumes at least this many descriptors beyond the reserve, even if fewer are configured.
 const MIN_FREE_DESCRIPTORS: usize = 8;
 /// Events that are queued for the event loop: a few of its steps, each of 256 events at most.
 const EVENT_QUEUE: usize = 1024;
@@ -109,7 +109,7 @@
     /// Divides a machine's resources among the parts of a forwarder.
     pub fn derive(resources: ResourceLimits) -> Limits {
         let free = resources.descriptors.saturating_sub(RESERVE.total()).max(MIN_FREE_DESCRIPTORS);
-        // Clients that ask once and stay, or never ask, hold more connections than requests do.
+        // Clients that submit once and stay connected, or never submit, need more connections than requests do.
         let for_clients = free * 3 / 5;
         let lingering = for_clients / 8;
         let accepted = for_clients - lingering;
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -21,7 +21,7 @@
 /// The most pieces that are queued for the event loop. Beyond that the reader waits, and so does discovery.
 pub const QUEUED_LIST_PIECES: usize = 2;
 
-/// How much of the list the watches have received.
+/// How much of the list was received, over all watches.
 pub(crate) struct WatchProgress {
     /// The generation of the last part of the list that the event loop has completely.
     pub generation: u64,
@@ -33,7 +33,7 @@
 enum ReadError {
     /// The event loop has ended.
     EventLoopEnded,
-    /// What was received is no list.
+    /// The received bytes are no valid list.
     Malformed(MalformedList),
 }
 
@@ -42,7 +42,7 @@
     decoder: ListDecoder,
     /// The generation of the part that is being read.
     part_generation: Option<u64>,
-    /// Decoded, and not yet passed to the event loop.
+    /// Events that are decoded and not yet passed to the event loop.
     piece: Vec<ListEvent>,
     progress: &'w mut WatchProgress,
     event_loop: &'w mpsc::Sender<Event>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Reads until the watch ends, and returns why it did. A watch without any byte for `silent_after` has ended.
+    /// Reads until the watch ends, and returns why it ended. A watch without any byte for `silent_after` has ended.
     ///
     /// After a malformed list the connection is closed, and this returns only after a backoff.
     pub(crate) async fn read(
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Decodes these bytes, and passes on the events in them.
+    /// Decodes these bytes, and passes their events to the event loop.
     async fn decode(&mut self, mut bytes: &[u8]) -> Result<(), ReadError> {
         loop {
             let event = match self.decoder.next(&mut bytes) {
@@ -121,13 +121,14 @@
         if self.event_loop.send(Event::ListEvents(piece)).await.is_err() {
             return Err(ReadError::EventLoopEnded);
         }
-        // Not before the event loop has it: a watch that is abandoned for another address until then asks for this
-        // part again.
+        // Only after the event loop has the piece: if the watch is abandoned before, the next one requests this part
+        // again.
         self.progress.generation = completed.unwrap_or(self.progress.generation);
         Ok(())
     }
 
-    /// Follows the generations through the present piece; returns that of the last part that is complete with it.
+    /// Updates the generation of the part that is being read; returns the generation of the last part that the present
+    /// piece completes.
     fn follow_generations(&mut self) -> Option<u64> {
         let mut completed = None;
         for event in &self.piece {
@@ -141,10 +142,10 @@
     }
 }
 
-/// Reports a malformed list to the event loop, and waits for as long as its bytes require.
+/// Reports a malformed list to the event loop, and waits for the backoff that its size requires.
 async fn back_off_after_malformed(list: MalformedList, event_loop: &mpsc::Sender<Event>) -> Loss {
     let loss = Loss::from(BreakCause::MalformedList(list.fault.clone()));
-    // This randomness only keeps forwarders apart; it is not the policy's.
+    // This randomness only spreads forwarders; it does not come from the policy's seed.
     let jitter = RandomState::new().hash_one(list.bytes) as f64 / u64::MAX as f64;
     let backoff = list.backoff(jitter);
     let _ = event_loop.send(Event::ListMalformed(list)).await;
--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -1,4 +1,4 @@
-//! What the health check says of the endpoint list.
+//! The status of the endpoint list, as the health check reports it.
 
 use std::sync::{Arc, Mutex};
 
@@ -31,7 +31,8 @@
         locked(&self.0).has_list
     }
 
-    /// What is wrong with the list, in one line: the health check's body has it as it is here.
+    /// What is wrong with the list, in one line, as the health check's body has it. None if the newest list was
+    /// applied.
     pub fn fault(&self) -> Option<String> {
         let status = locked(&self.0);
         match (status.has_list, &status.fault) {
--- a/crates/forwarder/src/log_throttle.rs
+++ b/crates/forwarder/src/log_throttle.rs
@@ -1,4 +1,4 @@
-//! Keeps a log line that repeats while something is down from flooding the log.
+//! Limits the rate of log lines that repeat during a fault.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 /// The shortest time between two lines of one throttle.
 const MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lets one line pass in an interval, and counts those that it suppresses.
+/// Admits one line in an interval, and counts those that it suppresses.
 #[derive(Default)]
 pub struct LogThrottle {
     last: Option<Instant>,
@@ -15,7 +15,8 @@
 }
 
 impl LogThrottle {
-    /// Asks for a line now: `Some` lets it pass, with the number of lines that were suppressed since the last one.
+    /// Returns whether a line may be logged now: `Some` with the number of lines suppressed since the last one, or
+    /// `None`.
     pub fn admit(&mut self) -> Option<u32> {
         if self.last.is_some_and(|last| last.elapsed() < MIN_INTERVAL) {
             self.suppressed += 1;
--- a/crates/forwarder/src/malformed_list.rs
+++ b/crates/forwarder/src/malformed_list.rs
@@ -1,10 +1,10 @@
-//! How long a malformed endpoint list is left alone before it is asked for again. Pure logic, without I/O.
+//! The backoff before a malformed endpoint list is requested again. Pure logic without I/O.
 
 use std::time::Duration;
 
-/// Malformed lists may cost this many bytes a second on average.
+/// Malformed lists may cause this much traffic on average, in bytes per second.
 pub const BYTES_A_SECOND: u64 = 16 * 1024;
-/// The longest mean rest: a list that was corrected is read at the latest half as long again after that.
+/// The longest mean backoff. With jitter it is up to one and a half times as long.
 pub const LONGEST_MEAN_BACKOFF: Duration = Duration::from_secs(1800);
 
 /// A list that was received and can't be read.
@@ -17,9 +17,9 @@
 }
 
 impl MalformedList {
-    /// How long to rest before a list is asked for again, by the bytes that this one cost: the next one is about as
-    /// long, and most likely malformed as well. `jitter`, from 0 to 1, keeps forwarders apart that read the same list
-    /// at the same time.
+    /// The time to wait before the list is requested again. It grows with the bytes of this one, as the next list is
+    /// about as long and most likely malformed as well. `jitter`, from 0 to 1, spreads forwarders that read the same
+    /// list at the same time.
     pub fn backoff(&self, jitter: f64) -> Duration {
         let mean = Duration::from_millis(self.bytes.saturating_mul(1000) / BYTES_A_SECOND);
         mean.min(LONGEST_MEAN_BACKOFF).mul_f64(0.5 + jitter.clamp(0.0, 1.0))
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -18,8 +18,8 @@
 
 /// The most notices in one request, well inside what a body may hold.
 const MAX_NOTICES_PER_REQUEST: usize = 128;
-/// The platform answers at once, and a notice is overdue 300 ms after its time: a connection that has fallen silent must
-/// leave time for another.
+/// The platform answers at once, and a notice is overdue 300 ms after its time: a connection that has fallen silent
+/// must leave time for another.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 /// The first pause before a request is repeated; it doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_millis(20);
@@ -27,7 +27,7 @@
 /// only make those that fall due meanwhile overdue.
 const LONGEST_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Delivers the notices in their order to the platform, wherever it is at the time.
+/// Delivers notices to the platform in their order, at its address of the time.
 pub async fn deliver(
     address: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<DeliveryNotice>,
@@ -40,7 +40,7 @@
         while let Some(mut part) = parts.pop_front() {
             let delivery = sender.deliver(&part).await;
             if delivery == Delivery::Malformed && part.len() > 1 {
-                // One of them is malformed, and the others must not be lost with it.
+                // One of them is malformed: each half is sent by itself, so that the others are not lost with it.
                 let second_half = part.split_off(part.len() / 2);
                 parts.push_front(second_half);
                 parts.push_front(part);
@@ -57,19 +57,19 @@
     }
 }
 
-/// A malformed notice would never be read, and those after it must not wait for it.
+/// Logs notices that are dropped: the platform would never read a malformed one, and later ones must not wait for it.
 fn log_dropped(notices: &[DeliveryNotice]) {
     for DeliveryNotice { id, answer } in notices {
-        tracing::error!(message_id = &*id.0, %answer, "notice dropped: the platform can't read it");
+        tracing::error!(message_id = &*id.0, %answer, "notice dropped, platform answers that it is malformed");
     }
 }
 
-/// What became of a request with notices.
+/// The outcome of a request with notices.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Delivery {
-    /// The platform has all of them.
+    /// The platform has acknowledged all of them.
     Acknowledged,
-    /// The platform can't read the request, and never will.
+    /// The platform answered that the request is malformed; sending it again would not help.
     Malformed,
 }
 
@@ -107,7 +107,7 @@
             let sent = tokio::select! {
                 sent = send_within_timeout(platform, &mut self.connection, notices) => sent,
                 () = address_changed(&mut self.address) => {
-                    // Seen at the start of the next round.
+                    // The next iteration reads the new address.
                     self.address.mark_changed();
                     continue;
                 }
@@ -128,12 +128,13 @@
     }
 }
 
+/// Sends one request and interprets its status; fails if the platform does not respond in time.
 async fn send_within_timeout(
     platform: SocketAddr,
-    kept: &mut Option<Connection>,
+    open_connection: &mut Option<Connection>,
     notices: &[DeliveryNotice],
 ) -> Result<Delivery, NoticeError> {
-    match timeout(ANSWER_TIMEOUT, send(platform, kept, notices)).await {
+    match timeout(ANSWER_TIMEOUT, send(platform, open_connection, notices)).await {
         Ok(Ok(StatusCode::BAD_REQUEST)) => Ok(Delivery::Malformed),
         Ok(Ok(status)) if status.is_success() => Ok(Delivery::Acknowledged),
         Ok(Ok(status)) => Err(NoticeError::UnexpectedStatus(status)),
@@ -142,13 +143,13 @@
     }
 }
 
-/// Sends one request, on the kept connection if there is one, and keeps the connection if it can carry another.
+/// Sends one request on the open connection, or on a new one, and keeps the connection open if it can carry another.
 async fn send(
     platform: SocketAddr,
-    kept: &mut Option<Connection>,
+    open_connection: &mut Option<Connection>,
     notices: &[DeliveryNotice],
 ) -> Result<StatusCode, NoticeError> {
-    let mut connection = match kept.take() {
+    let mut connection = match open_connection.take() {
         Some(connection) => connection,
         None => Connection::open(platform, ANSWER_TIMEOUT, None).await.map_err(NoticeError::Connection)?,
     };
@@ -158,7 +159,7 @@
     let mut body = response.into_body();
     while let Some(Ok(_)) = body.frame().await {}
     if connection.ready().await {
-        *kept = Some(connection);
+        *open_connection = Some(connection);
     }
     Ok(status)
 }
--- a/crates/forwarder/src/options.rs
+++ b/crates/forwarder/src/options.rs
@@ -1,4 +1,4 @@
-//! What a forwarder is given at its start.
+//! The options of a forwarder.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,15 +10,15 @@
 use crate::cached_endpoint_list::CachedEndpointList;
 use crate::limits::ResourceLimits;
 
-/// What one forwarder is given at its start.
+/// The options of a forwarder, fixed at its start except for the address of discovery.
 pub struct ForwarderOptions {
     /// Where clients connect; [`serve_on`](crate::serve_on) uses the socket that it is given instead.
     pub listen: SocketAddr,
-    /// The address of discovery and of the platform, which is the same, now and whenever it changes.
+    /// The address of discovery and of the platform, which are the same; it may change at any time.
     pub discovery: watch::Receiver<SocketAddr>,
     /// The state folder, which outlasts the process: the write-ahead log is there.
     pub state: PathBuf,
-    /// What the machine gives this forwarder.
+    /// The resources of the machine that it may use.
     pub resources: ResourceLimits,
     /// The endpoint list as it was last known.
     pub cached_list: CachedEndpointList,
@@ -26,14 +26,14 @@
     pub settings: Settings,
     /// The policy runs its due work at most once in this interval; zero runs it after each event.
     pub tick: Duration,
-    /// When the write-ahead log is synced, so that it outlasts the machine and not the process alone.
+    /// When the write-ahead log is synced, so that it survives a loss of the machine.
     pub sync: reeddock_wal::SyncPolicy,
-    /// An attempt to connect to an endpoint ends after this time.
+    /// The timeout for connecting to an endpoint.
     pub connect_within: Duration,
     /// An endpoint closes a connection that has been idle for this long.
     pub closed_after: Duration,
-    /// The process stops at the latest this long after it was asked to.
+    /// The process stops at the latest this long after a shutdown was requested.
     pub shutdown_grace: Duration,
-    /// New client connections are still accepted for this long after the process was asked to stop.
+    /// New client connections are still accepted for this long after a shutdown was requested.
     pub accept_grace: Duration,
 }
--- a/crates/forwarder/src/request_sender/departure.rs
+++ b/crates/forwarder/src/request_sender/departure.rs
@@ -1,4 +1,4 @@
-//! Which messages of a batch are still sent once its connection is up.
+//! Which messages of a batch are still sent once its connection is open.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -9,7 +9,7 @@
 
 /// Shared by the sender of a request and its supervisor, who must agree on what may have been executed.
 ///
-/// Seconds may pass until a connection is up. A message that has its result by then (cancelled or timed out) is
+/// Seconds may pass until a connection is open. A message that has its result by then (cancelled or timed out) is
 /// withheld and never sent; one that was sent may have been executed, and its result says so.
 #[derive(Clone, Default)]
 pub struct BatchDeparture(Arc<Mutex<State>>);
@@ -19,17 +19,17 @@
     phase: Phase,
     /// Positions of messages that are never sent with this request.
     withheld: BTreeSet<usize>,
-    /// By position, when the first byte is sent at the latest; without limit where no entry stands.
+    /// By position, the latest time for the first byte; a message without an entry has no limit.
     start_deadlines: Vec<Instant>,
 }
 
-/// Where the request as a whole stands.
+/// The phase of the whole request.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Phase {
     /// It has no connection yet, and no byte of it was written.
     #[default]
     AwaitingConnection,
-    /// Its first byte is about to be written, or more: each message that is not withheld may have been executed.
+    /// Its first byte is about to be written or was written: each message that is not withheld may have been executed.
     Sending,
 }
 
@@ -53,13 +53,13 @@
 }
 
 impl BatchDeparture {
-    /// Sets when the first byte of each message is sent at the latest, by position.
+    /// Sets the latest time for the first byte of each message, by position.
     pub(super) fn set_start_deadlines(&self, start_deadlines: Vec<Instant>) {
         locked(&self.0).start_deadlines = start_deadlines;
     }
 
-    /// The first byte is about to be written: returns the positions to send, of so many messages. From here on each
-    /// of them may have been executed. A message past its start deadline is withheld.
+    /// Must be called before the first byte is written. Of `messages` messages, returns the positions of those to send;
+    /// from here on each of them may have been executed. A message past its start deadline is withheld.
     pub(super) fn start_sending(&self, messages: usize) -> Vec<usize> {
         let mut state = locked(&self.0);
         let now = Instant::now();
@@ -70,13 +70,12 @@
         (0..messages).filter(|position| state.was_sent(*position)).collect()
     }
 
-    /// No byte was written after all: the request waits for a connection again, or is not sent.
+    /// Must be called if no byte was written after all: the request waits for a connection again, or is not sent.
     pub(super) fn revert_to_awaiting_connection(&self) {
         locked(&self.0).phase = Phase::AwaitingConnection;
     }
 
-    /// The message is not waited for any longer: if it was not sent, it never will be. Returns which of the two is
-    /// the case.
+    /// Withdraws a message that is no longer waited for: if it was not sent, it never will be. Returns whether it was.
     pub(super) fn withdraw(&self, position: usize) -> MessageDeparture {
         let mut state = locked(&self.0);
         if state.phase == Phase::AwaitingConnection {
--- a/crates/forwarder/src/request_sender/mod.rs
+++ b/crates/forwarder/src/request_sender/mod.rs
@@ -3,7 +3,7 @@
 //! | module | its job |
 //! | --- | --- |
 //! | `request` | the parts of a request and its results |
-//! | `departure` | which messages of a batch are still sent once its connection is up |
+//! | `departure` | which messages of a batch are still sent once its connection is open |
 //! | `sender` | sends one request on a connection and reads its response |
 //! | `supervisor` | waits for one request with the time limits and cancellations of its messages, and reports results |
 
--- a/crates/forwarder/src/request_sender/request.rs
+++ b/crates/forwarder/src/request_sender/request.rs
@@ -10,13 +10,13 @@
 
 use super::BatchDeparture;
 
-/// One HTTP request to one endpoint, with one message or several. A message is known by its position in `messages`.
+/// One HTTP request to one endpoint, with one message or several. Messages are identified by their position.
 pub struct EndpointRequest {
     /// The endpoint, by its number.
     pub endpoint: EndpointId,
     /// The endpoint's address at the time when the request was decided.
     pub address: SocketAddr,
-    /// What is to be delivered.
+    /// The messages that the request delivers.
     pub messages: Vec<BatchMessage>,
     /// Which of the messages are still sent, shared with the supervisor.
     pub(super) departure: BatchDeparture,
@@ -25,9 +25,9 @@
 /// One message of a request.
 #[derive(Clone, Debug)]
 pub struct BatchMessage {
-    /// What is to be delivered.
+    /// The message.
     pub message: OutgoingMessage,
-    /// Until when its result is waited for.
+    /// The time until which its result is waited for.
     pub answer_by: Instant,
 }
 
@@ -51,14 +51,14 @@
 pub struct RequestResult {
     /// How each message that was sent ended.
     pub results: Vec<MessageResult>,
-    /// A pause that the endpoint asks for beside the results of a batch (`Retry-After`).
+    /// The `Retry-After` of a response to a batch, which holds beside the results of its messages.
     pub retry_after: Option<Duration>,
-    /// What the response reports of the endpoint's load.
+    /// The load report of the response.
     pub load_report: Option<LoadReport>,
 }
 
 impl RequestResult {
-    /// These results, of a response that says nothing else of the endpoint.
+    /// Results without `Retry-After` and load report.
     pub fn new(results: Vec<MessageResult>) -> RequestResult {
         RequestResult { results, retry_after: None, load_report: None }
     }
@@ -79,7 +79,7 @@
     pub message: MessageId,
     /// Which of the message's attempts it is.
     pub number: AttemptNumber,
-    /// Its first byte is sent by then or never.
+    /// The latest time for its first byte; after that it is not sent.
     pub start_by: Instant,
     /// Resolves when the attempt is cancelled. Dropping the sender cancels nothing.
     pub cancelled: oneshot::Receiver<()>,
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -21,12 +21,12 @@
 use super::request::{BatchMessage, EndpointRequest, MessageResult, RequestResult};
 use crate::connections::{locked, Connection, Connections};
 
-/// How long the rest of a response is read before a result that is already certain is returned: a request that
-/// follows at once finds the connection free if the rest arrives by then.
+/// How long the rest of a response is read before a result that is already certain is returned. If the rest arrives by
+/// then, a request that follows immediately can reuse the connection.
 const RESPONSE_REMAINDER_BEFORE_RESULT: Duration = Duration::from_millis(20);
-/// How long the rest is read after that, in the background; then the connection is closed.
+/// How long the rest is read in the background after that; then the connection is closed.
 const RESPONSE_REMAINDER_AFTER_RESULT: Duration = Duration::from_secs(2);
-/// Bytes of a response body that are read at most. No response of the protocol is longer, and some never end.
+/// The most bytes of a response body that are read. No response of the protocol is longer, and some never end.
 const MAX_RESPONSE_BYTES: usize = 2 * protocol::MAX_BODY_BYTES;
 
 /// Sends requests to endpoints. Dropping the future of one closes its connection and so cancels the request.
@@ -34,18 +34,18 @@
 /// Clones share one pool of connections and one set of background tasks; these are aborted with the last clone.
 #[derive(Clone)]
 pub struct RequestSender {
-    /// The pool that connections are taken from and given back to.
+    /// The pool of connections to endpoints.
     connections: Connections,
     remainders: ResponseRemainders,
 }
 
 impl RequestSender {
-    /// A sender whose requests use the connections of this pool.
+    /// A sender that uses the connections of this pool.
     pub fn new(connections: Connections) -> RequestSender {
         RequestSender { connections, remainders: ResponseRemainders::default() }
     }
 
-    /// The pool that connections are taken from and given back to.
+    /// The pool of connections to endpoints.
     pub fn connections(&self) -> &Connections {
         &self.connections
     }
@@ -90,12 +90,12 @@
 struct SentBatch {
     positions: Vec<usize>,
     messages: Vec<OutgoingMessage>,
-    /// The latest of their limits, up to which a response is waited for; sent to the endpoint.
+    /// The latest time until which a response is waited for; sent to the endpoint as a time limit.
     answer_by: Instant,
 }
 
 impl SentBatch {
-    /// The only message, where the request carries no others: then a response speaks of it alone.
+    /// The message of a request with one message; None for a batch.
     fn single(&self) -> Option<&OutgoingMessage> {
         match &self.messages[..] {
             [message] => Some(message),
@@ -118,7 +118,7 @@
     }
 }
 
-/// How a request on one connection went, up to the head of its response.
+/// The outcome of sending a request on one connection, up to the head of its response.
 enum Exchange {
     /// The head was received, or the request failed.
     Finished(Result<Response<Incoming>, AttemptResult>),
@@ -154,7 +154,7 @@
                 Exchange::CompletedByStatusLine => return Ok(batch.same_for_all(AttemptResult::Completed)),
             };
             if response.is_err() && connection.ended_while_idle() {
-                // Nothing of it was sent, so that it may go on another connection.
+                // No byte of it was sent, so that it may be sent on another connection.
                 self.request.departure.revert_to_awaiting_connection();
                 continue;
             }
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Decides which messages are sent, now that the connection is up. What was true when the request was decided
-    /// may have changed meanwhile; an error is the result of every message then.
+    /// Decides which messages are sent, now that the connection is open: conditions may have changed since the request
+    /// was decided on. An error is the result of every message.
     fn start_sending(&self) -> Result<SentBatch, AttemptResult> {
         self.connections.check_may_send(self.request.endpoint)?;
         let positions = self.request.departure.start_sending(self.request.messages.len());
@@ -178,7 +178,7 @@
         Ok(SentBatch { positions, messages, answer_by })
     }
 
-    /// Nothing is sent on the connection: it serves another request.
+    /// Returns a connection to the pool on which nothing was sent.
     async fn return_unused(&self, mut connection: Connection) {
         self.request.departure.revert_to_awaiting_connection();
         if connection.ready().await {
@@ -215,8 +215,8 @@
         RequestResult { load_report, ..result }
     }
 
-    /// The head holds the whole result: reads the rest of the response so that the connection can be reused, and
-    /// waits for that only shortly.
+    /// Reads the rest of a response whose result is known, so that the connection can be reused. Waits only shortly for
+    /// it; then the rest is read in the background.
     async fn finish_in_background(&self, connection: Connection, body: Incoming) {
         let remainder = read_remainder(self.connections.clone(), self.request.endpoint, connection, body);
         let mut remainder = Box::pin(remainder);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Results that stand in the body, or that only a whole response proves: that nothing was executed.
+    /// Reads a response whose results are in the body, or are proven only by a complete response.
     async fn read_whole_response(
         &self,
         mut connection: Connection,
@@ -234,7 +234,7 @@
         batch: &SentBatch,
     ) -> RequestResult {
         let Ok(body) = Limited::new(body, MAX_RESPONSE_BYTES).collect().await else {
-            // The pause stands in the head, and is valid whatever became of the body.
+            // The `Retry-After` is in the head, and is valid even if the body is not.
             let retry_after = protocol::retry_after_of(head);
             return RequestResult { retry_after, ..batch.same_for_all(AttemptResult::MalformedResponse) };
         };
@@ -275,15 +275,15 @@
     }
 }
 
-/// Reads the rest of a response and gives its connection back.
+/// Reads the rest of a response and returns its connection to the pool.
 async fn read_remainder(
     connections: Connections,
     endpoint: EndpointId,
     mut connection: Connection,
     body: Incoming,
 ) {
-    let whole = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.is_ok();
-    if whole && connection.ready().await {
+    let complete = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.is_ok();
+    if complete && connection.ready().await {
         connections.release(endpoint, connection);
     }
 }
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -70,10 +70,10 @@
 }
 
 impl Interruption {
-    /// Keeps the message from being sent if it was not yet; the result says which of the two is the case.
+    /// Withdraws the message, and returns its result, which says whether it was sent before.
     fn withdraw(self, departure: &BatchDeparture) -> MessageResult {
         let result = match (departure.withdraw(self.position), self.cause) {
-            // No connection had come up by then.
+            // No connection was open by then.
             (MessageDeparture::Withheld, InterruptionCause::TimedOut) => AttemptResult::ConnectTimedOut,
             (MessageDeparture::Withheld, InterruptionCause::Cancelled) => AttemptResult::NotSent,
             (MessageDeparture::Sent, InterruptionCause::TimedOut) => AttemptResult::TimedOut,
@@ -124,13 +124,13 @@
     number: AttemptNumber,
 }
 
-/// An attempt that has ended and was not reported yet.
+/// The result of an attempt, to be reported to the event loop.
 struct AttemptReport {
     attempt: AttemptId,
     result: AttemptResult,
 }
 
-/// One message of a request, as its supervisor knows it.
+/// One message of a request, until its result is known.
 struct SupervisedMessage {
     /// None once its result is known.
     unfinished: Option<AttemptId>,
@@ -160,11 +160,13 @@
         Supervisor { endpoint: request.endpoint, messages, event_loop }
     }
 
+    /// Whether any message has no result yet.
     fn any_unfinished(&self) -> bool {
         self.messages.iter().any(|message| message.unfinished.is_some())
     }
 
-    /// The request has ended: reports what its response says of the endpoint, and returns the result of each message.
+    /// Handles the end of the request: reports what its response says about the endpoint, and returns each message's
+    /// result.
     async fn request_finished(&self, request: RequestResult) -> Vec<MessageResult> {
         self.report_endpoint(&request).await;
         let now = Instant::now();
@@ -178,7 +180,7 @@
         results
     }
 
-    /// Reports the load report and the `Retry-After` of a response, ahead of its results.
+    /// Sends the load report and the `Retry-After` of a response to the event loop, before its results.
     async fn report_endpoint(&self, request: &RequestResult) {
         let endpoint = self.endpoint;
         if let Some(report) = request.load_report {
@@ -189,8 +191,8 @@
         }
     }
 
-    /// The endpoint knows until when a result is waited for: a completion after that is no delivery, though it may
-    /// arrive in the instant of the timeout. A result that proves that nothing was executed stays valid.
+    /// Turns a completion after the time limit into a timeout: the endpoint knows the limit, so that a later completion
+    /// is no delivery. A result that proves that the message was not executed stays valid.
     fn in_time(&self, finished: MessageResult, now: Instant) -> MessageResult {
         let late = self.messages.get(finished.position).is_some_and(|message| message.answer_by <= now);
         match finished.result {
@@ -208,6 +210,7 @@
         finished.into_iter().filter_map(take).collect()
     }
 
+    /// Sends results to the event loop.
     async fn report(&self, reports: Vec<AttemptReport>) {
         for AttemptReport { attempt: AttemptId { message, number }, result } in reports {
             // The event loop ends with the program only.
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -22,9 +22,9 @@
 use crate::watch_schedule::{Periods, WatchSchedule};
 use crate::{discovery, notices, ForwarderError, ForwarderOptions};
 
-/// Idle connections to endpoints are checked this often: well under the time after which endpoints close them.
+/// Idle connections to endpoints are checked at this interval, which is far below the endpoints' idle timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// During a shutdown the client connections that are still open are counted this often.
+/// During a shutdown open client connections are counted at this interval.
 const CLIENTS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Listens and serves until `stop` completes, and then until the shutdown is complete or its grace period has passed.
@@ -100,7 +100,7 @@
     opened.map_err(|source| ForwarderError::OpenLog { folder: options.state.clone(), source })
 }
 
-/// Closes idle connections to endpoints for ever, as their time is up.
+/// Closes idle connections to endpoints at regular intervals; never returns.
 async fn sweep_connections(connections: Connections) {
     let mut interval = interval(SWEEP_INTERVAL);
     loop {
@@ -109,10 +109,10 @@
     }
 }
 
-/// A graceful shutdown, as the clients see it. The event loop ends the process once it has no more to do.
+/// The part of a graceful shutdown that concerns clients. The event loop ends once nothing is left to do.
 struct Shutdown {
     clients: Arc<ClientConnections>,
-    /// The one task that accepts client connections, which returns the tasks of those that are still served then.
+    /// The one task that accepts client connections; it returns the tasks of connections that are still served.
     accepting: JoinSet<JoinSet<()>>,
     events: mpsc::Sender<Event>,
     /// From the request to stop to the latest end of the process.
@@ -122,7 +122,7 @@
 }
 
 impl Shutdown {
-    /// Waits for `stop`, sends the clients elsewhere, and reports to the event loop once the last has disconnected.
+    /// Waits for `stop`, asks clients to use other forwarders, and reports when the last one has disconnected.
     async fn run_after(mut self, stop: impl Future<Output = ()>) -> Infallible {
         stop.await;
         tracing::info!("shutdown requested");
@@ -131,7 +131,8 @@
         let _ = self.events.send(Event::ShutdownRequested(deadline)).await;
         sleep(self.accept_grace).await;
         self.clients.close_all();
-        // Ends with the last client that had connected before the close; the connections are served while this is kept.
+        // Completes once all clients are accepted that connected before the close. Dropping the tasks closes
+        // connections.
         let _connection_tasks = self.accepting.join_next().await;
         while !self.clients.is_empty() {
             sleep(CLIENTS_CHECK_INTERVAL).await;
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -10,8 +10,8 @@
 //!
 //! and from the one on a moved discovery: "After SIGHUP it counts 4 s later."
 //!
-//! So a request that is answered within [`Periods::answer_time`] must begin at the latest 6 s less that time after the last
-//! line that was received, and at the latest that long after the request before it, however that one ended. No
+//! So a request that is answered within [`Periods::answer_time`] must begin at the latest 6 s less that time after the
+//! last line that was received, and at the latest that long after the previous request, however that one ended. No
 //! `Retry-After` moves this: the call that may wait is one that is in flight, and a watch does not wait. Such a wait is
 //! therefore kept for half of a period at most, and the requests are spread over the rest of the period. What was
 //! received last leaves time for a request at once and one more; where both are refused, nothing can be learned in time
@@ -29,19 +29,19 @@
 use reeddock_protocol::AttemptResult;
 use thiserror::Error;
 
-/// How many requests follow a broken connection at once, until a watch has stood for a whole period again.
+/// How many requests follow a broken connection immediately, until a watch has been open for a whole period again.
 const QUICK_RETRIES: u32 = 2;
 
-/// The spans that the schedule is made of.
+/// The time spans of the schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct Periods {
     /// A change counts as known this long after discovery had it, so that it has to be received by then.
     pub known_within: Duration,
     /// The same after the address of discovery has changed.
     pub known_within_after_move: Duration,
-    /// How much of these two the answer to a request may take. The agent that answers runs on the forwarder's own machine.
-    /// Discovery that can answer each forwarder once in [`Periods::known_within`] is overbooked by requests that arrive
-    /// much sooner.
+    /// How much of these two the answer to a request may take. The agent that answers runs on the forwarder's own
+    /// machine. Discovery that can answer each forwarder once in [`Periods::known_within`] is overbooked by requests
+    /// that arrive much sooner.
     pub answer_time: Duration,
     /// A request without an answer is not abandoned before this has passed.
     pub min_timeout: Duration,
@@ -135,6 +135,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Window {
     from: Duration,
+    /// The end of the window.
     by: Duration,
 }
 
@@ -142,13 +143,13 @@
 #[derive(Clone, Debug)]
 pub struct WatchSchedule {
     periods: Periods,
-    /// Where in the period this forwarder asks, from 0 to 1.
+    /// The point in the period at which this forwarder sends its request, from 0 to 1.
     phase: f64,
     /// The window of the second request that fits in before the deadline, counted from what was received last or from
     /// a change of discovery's address. None once that request is planned: from then on there is one in a period.
     second_request: Option<Window>,
     /// When the last request began.
-    began: Duration,
+    request_began_at: Duration,
     quick_retries_left: u32,
 }
 
@@ -159,7 +160,7 @@
             periods,
             phase: Pcg32::seed_from_u64(seed).random::<f64>(),
             second_request: None,
-            began: Duration::ZERO,
+            request_began_at: Duration::ZERO,
             quick_retries_left: QUICK_RETRIES,
         }
     }
@@ -169,9 +170,9 @@
         self.periods
     }
 
-    /// A request begins; returns when it is abandoned if it has not been answered.
+    /// Records that a request begins; returns when it is abandoned if it has not been answered.
     pub fn request_begun(&mut self, now: Duration) -> Duration {
-        self.began = now;
+        self.request_began_at = now;
         let earliest = now + self.periods.min_timeout;
         let by = match self.second_request {
             Some(window) if window.by > now => window.by.max(earliest),
@@ -181,10 +182,10 @@
         self.moment(Window { from: from.min(by), by })
     }
 
-    /// The watch was lost after it had received this; returns when the next request begins.
+    /// Records that the watch was lost after it had received this; returns when the next request begins.
     pub fn watch_lost(&mut self, now: Duration, loss: &Loss, received: Received) -> Duration {
         if received == Received::Lines {
-            self.record_true_list(now, loss);
+            self.record_up_to_date(now, loss);
         }
         let window = self.next_window(now);
         match loss {
@@ -223,30 +224,31 @@
         }
     }
 
-    /// The address of discovery has changed; the caller asks at the new one at once.
+    /// Records that the address of discovery has changed; the caller sends a request to the new one immediately.
     pub fn discovery_moved(&mut self, now: Duration) {
         self.quick_retries_left = QUICK_RETRIES;
         let by = now + self.periods.known_within_after_move.saturating_sub(self.periods.answer_time);
         self.second_request = Some(Window { from: now, by });
     }
 
-    /// The watch that was lost had received something: the list is known to have been true until then.
-    fn record_true_list(&mut self, now: Duration, loss: &Loss) {
-        let (true_until, from) = match loss {
+    /// Records that the list was up to date until the watch was lost, or until it fell silent.
+    fn record_up_to_date(&mut self, now: Duration, loss: &Loss) {
+        let (up_to_date_until, from) = match loss {
             Loss::Silent => {
                 (now.saturating_sub(self.periods.silent_after), now + self.periods.silence_spread)
             }
             _ => (now, now),
         };
-        self.second_request = Some(Window { from, by: true_until + self.periods.between_requests() });
-        if now.saturating_sub(self.began) >= self.periods.between_requests() {
+        self.second_request = Some(Window { from, by: up_to_date_until + self.periods.between_requests() });
+        if now.saturating_sub(self.request_began_at) >= self.periods.between_requests() {
             self.quick_retries_left = QUICK_RETRIES;
         }
     }
 
     /// The window of the next request, if that does not begin at once.
     fn next_window(&self, now: Duration) -> Window {
-        let within_period = Window { from: now, by: now.max(self.began + self.periods.between_requests()) };
+        let within_period =
+            Window { from: now, by: now.max(self.request_began_at + self.periods.between_requests()) };
         let window = self.second_request.filter(|window| window.by > now).unwrap_or(within_period);
         Window { from: window.from.max(now), ..window }
     }
