--- a/crates/forwarder/src/connections/connection.rs
+++ b/crates/forwarder/src/connections/connection.rs
@@ -159,7 +159,7 @@
 async fn connect(to: SocketAddr, within: Duration) -> Result<TcpStream, AttemptResult> {
     let stream = match timeout(within, TcpStream::connect(to)).await {
         Err(_) => return Err(AttemptResult::ConnectTimedOut),
-        Ok(Err(e)) if out_of_descriptors(&e) => return Err(AttemptResult::NotSent),
+        Ok(Err(error)) if out_of_descriptors(&error) => return Err(AttemptResult::NotSent),
         Ok(Err(_)) => return Err(AttemptResult::ConnectionRefused),
         Ok(Ok(stream)) => stream,
     };
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -73,7 +73,7 @@
             let frame = match timeout(silent_after, body.frame()).await {
                 Err(_) => return Loss::Silent,
                 Ok(None) => return BreakCause::Closed.into(),
-                Ok(Some(Err(e))) => return BreakCause::Body(e.to_string()).into(),
+                Ok(Some(Err(error))) => return BreakCause::Body(error.to_string()).into(),
                 Ok(Some(Ok(frame))) => frame,
             };
             let Ok(bytes) = frame.into_data() else { continue };
--- a/crates/protocol/src/client_response.rs
+++ b/crates/protocol/src/client_response.rs
@@ -19,7 +19,7 @@
         /// How long the client had best wait before it does.
         retry_after: Option<Duration>,
     },
-    /// 422: the message failed at once.
+    /// 422: the message failed before it was accepted.
     Failed,
     /// 503: this process has no capacity left; nothing was accepted.
     NoCapacity,
@@ -56,7 +56,7 @@
 pub enum ConnectionOption {
     /// The connection stays open.
     KeepAlive,
-    /// The connection is closed after the response, which tells the client so with `Connection: close`.
+    /// The connection is closed after the response, which has `Connection: close`.
     Close,
 }
 
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -60,10 +60,10 @@
 /// What is wrong at one place of an endpoint list.
 #[derive(Debug, Error)]
 pub enum ListFault {
-    /// Something else stands there than the form of a list allows.
+    /// The bytes there do not conform to the grammar of a list.
     #[error("expected {expected}, found {found}")]
     Unexpected {
-        /// What may stand there.
+        /// What was expected there.
         expected: &'static str,
         /// The character that was found, in quotes, or `an empty line`.
         found: String,
@@ -77,7 +77,7 @@
     /// The same key twice in one part.
     #[error("expected {key} once, found it twice")]
     DuplicateKey {
-        /// The key as it stands on the wire.
+        /// The key on the wire.
         key: String,
     },
     /// A value is no JSON, or of a type that its key does not have.
@@ -116,7 +116,7 @@
     InvalidAddress(String),
 }
 
-/// Why a text is not a whole part of the endpoint list.
+/// Why a text is not a complete part of the endpoint list.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct ListPartError(#[from] serde_json::Error);
--- a/crates/protocol/src/headers.rs
+++ b/crates/protocol/src/headers.rs
@@ -32,7 +32,7 @@
     value.to_str().ok().map(str::trim)
 }
 
-/// Reads seconds with decimals, as times stand in headers. None if the text is no number, or a negative one.
+/// Parses a time in a header: seconds with decimals. None if the text is no number, or a negative one.
 pub(crate) fn parse_seconds(text: &str) -> Option<Duration> {
     let seconds = text.trim().parse::<f64>().ok()?;
     if !seconds.is_finite() {
--- a/crates/protocol/src/list/decoder.rs
+++ b/crates/protocol/src/list/decoder.rs
@@ -11,8 +11,8 @@
 use super::{ListEvent, ListLimits};
 use crate::{ListError, ListFault, ListLocation};
 
-/// Decodes a watch response. A part may take several lines, but none of them is empty. After an error the decoder is of
-/// no more use.
+/// Decodes a watch response. A part may span several lines, none of which is empty. After an error the decoder must not
+/// be used any more.
 pub struct ListDecoder {
     limits: ListLimits,
     position: Position,
@@ -21,11 +21,11 @@
     /// The key, value or entry that is being read.
     value: ValueScan,
     part: PartProgress,
-    /// Decoded, and not yet fetched.
+    /// Events that are decoded and not yet returned.
     ready: VecDeque<ListEvent>,
     /// Nothing but white space has come since the last line feed.
     line_is_blank: bool,
-    /// Bytes so far.
+    /// Bytes that were consumed so far.
     offset: u64,
 }
 
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Bytes that were taken so far.
+    /// The number of bytes that were consumed.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.offset
     }
 
-    /// The next event; takes from the front of `input` what it needs for it. None once all of `input` is taken.
+    /// The next event; consumes from the front of `input` the bytes of it. None once all of `input` is consumed.
     pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<ListEvent>, ListError> {
         loop {
             if let Some(event) = self.ready.pop_front() {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes the bytes of `input` that belong to a key, a value or an entry.
+    /// Consumes the bytes of `input` that belong to a key, a value or an entry.
     fn scan_value(&mut self, input: &mut &[u8]) -> Result<(), ListError> {
         let scanned = self.value.take(input, self.limits.value_bytes);
         let (taken, rest) = input.split_at(scanned.used);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes one byte between values. The first byte of a value is left to the scan of the value.
+    /// Consumes one byte between values. The first byte of a value is left to the scan of the value.
     fn step(&mut self, input: &mut &[u8]) -> Result<(), ListError> {
         let Some((byte, rest)) = input.split_first() else { return Ok(()) };
         let byte = *byte;
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Where a byte between values leads to; begins and ends parts.
+    /// The position after a byte between values; begins and ends parts.
     fn position_after(&mut self, byte: u8) -> Result<Position, ListError> {
         Ok(match (self.position, byte) {
             (Position::AfterPart, b'\n') => {
--- a/crates/protocol/src/list/entry.rs
+++ b/crates/protocol/src/list/entry.rs
@@ -22,13 +22,13 @@
     pub state: EndpointState,
     /// Its weight; the settings say what it means.
     pub weight: Option<f64>,
-    /// The zone that it stands in; empty if not given.
+    /// Its zone; empty if not given.
     pub zone: String,
     /// The name of its kind in the settings; empty if not given.
     pub kind: String,
 }
 
-/// An entry as it stands on the wire. Its name there is part of error messages.
+/// An entry in the form of the wire. The name given here is part of error messages.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Instance")]
 struct WireEntry<'a> {
--- a/crates/protocol/src/list/event.rs
+++ b/crates/protocol/src/list/event.rs
@@ -2,7 +2,7 @@
 
 use super::ListEntry;
 
-/// What a watch response holds, in its order.
+/// One event of a watch response, in the order of the response.
 #[derive(Debug, PartialEq)]
 pub enum ListEvent {
     /// A part begins.
@@ -27,7 +27,7 @@
     pub entries: usize,
     /// Most bytes of one entry, of a key, or of any other value that has a meaning.
     pub value_bytes: usize,
-    /// Most bytes of entries that come before both `generation` and `reset`, which stand first as a rule.
+    /// Most bytes of entries that come before both `generation` and `reset`, which usually come first.
     pub early_bytes: usize,
 }
 
--- a/crates/protocol/src/list/grammar.rs
+++ b/crates/protocol/src/list/grammar.rs
@@ -1,6 +1,6 @@
-//! The form of an endpoint list: where a decoder stands in it, and what may come next.
+//! The grammar of an endpoint list: the positions of a decoder, and what may come next at each.
 
-/// Where a decoder stands between two bytes.
+/// The position of a decoder between two bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Position {
     /// Between two parts.
@@ -32,7 +32,7 @@
 }
 
 impl Position {
-    /// What may come next, in the words of an error message.
+    /// What may come next, worded for an error message.
     pub fn expectation(self) -> &'static str {
         match self {
             Position::BetweenParts => "a part of the list, as a JSON object",
@@ -64,7 +64,7 @@
     }
 }
 
-/// A byte that no JSON value starts with, as it stands between values.
+/// Whether a byte separates JSON values, so that no value starts with it.
 fn is_delimiter(byte: u8) -> bool {
     matches!(byte, b',' | b':' | b'}' | b']' | b' ' | b'\t' | b'\r' | b'\n')
 }
--- a/crates/protocol/src/list/mod.rs
+++ b/crates/protocol/src/list/mod.rs
@@ -1,7 +1,7 @@
 //! The endpoint list as discovery sends it: the request for a watch, and decoders of what comes back.
 //!
 //! A watch response is a sequence of parts, a JSON object each. [`ListDecoder`] decodes it from bytes that come in any
-//! pieces and never holds more than one entry; [`ListPart`] is one part that is in memory whole.
+//! pieces and never holds more than one entry; [`ListPart`] is one part that is in memory completely.
 
 mod decoder;
 mod entry;
@@ -33,7 +33,7 @@
     pub entries: Vec<ListEntry>,
 }
 
-/// A part as it stands on the wire. Its name there is part of error messages.
+/// A part in the form of the wire. The name given here is part of error messages.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Line")]
 struct WirePart {
@@ -45,7 +45,7 @@
 }
 
 impl ListPart {
-    /// Decodes a part that is in memory whole. What may be large is read with [`ListDecoder`].
+    /// Decodes a part that is in memory completely. A list that may be large is read with [`ListDecoder`].
     pub fn decode(json: &[u8]) -> Result<ListPart, ListPartError> {
         let WirePart { generation, whole, entries } = serde_json::from_slice(json)?;
         Ok(ListPart { generation, whole, entries })
--- a/crates/protocol/src/list/value_scan.rs
+++ b/crates/protocol/src/list/value_scan.rs
@@ -1,7 +1,7 @@
 //! Finds the end of one JSON value in bytes that come in any pieces.
 
-/// Scans one value. Brackets are counted outside of strings, and nothing else is checked here: whoever decodes the value
-/// checks what was kept of it.
+/// Scans one value. Brackets are counted outside of strings, and nothing else is checked here: whoever decodes the
+/// value checks what was kept of it.
 #[derive(Default)]
 pub(super) struct ValueScan {
     /// The value so far, as far as it is kept.
@@ -53,8 +53,8 @@
         self.length > limit
     }
 
-    /// Takes from a piece what belongs to the value, and keeps the first `limit` bytes of the value. The value's first
-    /// byte is no white space.
+    /// Consumes the bytes of a piece that belong to the value, and keeps the first `limit` bytes of the value. The
+    /// value's first byte is no white space.
     pub fn take(&mut self, piece: &[u8], limit: usize) -> Scanned {
         let scanned = self.find_end(piece);
         let capacity = limit.saturating_sub(self.kept.len());
@@ -75,7 +75,7 @@
         Scanned { used: piece.len(), ended: false }
     }
 
-    /// Takes a byte within a string.
+    /// Consumes a byte within a string.
     fn see_in_string(&mut self, byte: u8) -> ValueEnd {
         match byte {
             _ if self.escaped => self.escaped = false,
@@ -91,7 +91,7 @@
         ValueEnd::No
     }
 
-    /// Takes a byte outside of strings.
+    /// Consumes a byte outside of strings.
     fn see_outside(&mut self, byte: u8) -> ValueEnd {
         match byte {
             b'"' => self.in_string = true,
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -13,10 +13,10 @@
 use crate::headers::{IDEMPOTENCY_KEY, MESSAGE_ID, TIME_LEFT};
 use crate::MAX_BODY_BYTES;
 
-/// What stands behind each message of a batch.
+/// The end of each message in a batch.
 const FRAME_END: &[u8] = b"\r\n";
 
-/// Stands for the idempotency key of a message that has none.
+/// Replaces the idempotency key of a message that has none.
 const NO_IDEMPOTENCY_KEY: &str = "-";
 
 /// One message within a request.
@@ -37,7 +37,7 @@
         format!("{} {key} {}\r\n", self.id.0, self.body.len())
     }
 
-    /// Bytes that the message takes in the body of a batch.
+    /// Bytes of the message in the body of a batch.
     fn framed_len(&self) -> usize {
         self.frame_head().len() + self.body.len() + FRAME_END.len()
     }
--- a/crates/protocol/src/response.rs
+++ b/crates/protocol/src/response.rs
@@ -29,7 +29,7 @@
     LoadReport::new(report_field(report, REPORT_LEFT), report_field(report, REPORT_LIMIT))
 }
 
-/// The first number that stands under a name in a report of the form `x0=0.4,x1=25`.
+/// The first number with a name in a report of the form `x0=0.4,x1=25`.
 fn report_field(report: &str, name: &str) -> Option<f64> {
     let fields = report.split(',').filter_map(|field| field.trim().split_once('='));
     fields.filter(|(field, _)| *field == name).find_map(|(_, value)| value.parse().ok())
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -38,7 +38,7 @@
 }
 
 impl Submission {
-    /// Decodes the head of a client's request, whose whole body is `body`.
+    /// Decodes the head of a client's request; `body` is its complete body.
     pub fn decode(parts: &request::Parts, body: Bytes) -> Result<Submission, SubmissionError> {
         let headers = &parts.headers;
         let id = required(headers, MESSAGE_ID)?;
@@ -77,8 +77,8 @@
     value.ok_or(SubmissionError::MissingHeader { header })
 }
 
-/// Checks that a message id or an idempotency key is a short word of visible ASCII characters. Both stand in lines of a
-/// batch, and the id also in notices: a blank or a line feed in one would break these.
+/// Checks that a message id or an idempotency key is a short word of visible ASCII characters. Both are part of lines
+/// of a batch, and the id also in notices: a blank or a line feed in one would break these.
 fn check_id(header: &'static str, text: &str) -> Result<(), SubmissionError> {
     let too_long = text.len() > MAX_ID_BYTES;
     if too_long || text.bytes().any(|byte| !byte.is_ascii_graphic()) {
--- a/crates/scale-test/src/control_plane/watch_stream.rs
+++ b/crates/scale-test/src/control_plane/watch_stream.rs
@@ -23,7 +23,7 @@
 /// Changes in one line at most.
 const MAX_CHANGES_PER_LINE: usize = 256;
 
-/// The body of a watch that begins after a generation; 0 asks for a full list first.
+/// The body of a watch that begins after a generation; 0 requests a full list first.
 pub(super) fn watch_body(context: ConnectionContext, generation: u64) -> Body {
     let generations = context.control_plane.list.subscribe();
     let watch = Watch {
@@ -97,7 +97,7 @@
 
     /// The changes that are due; none where the client needs a full list.
     fn unsent_changes(&self) -> Option<Vec<Change>> {
-        // A generation of 0 stands for no list.
+        // Generation 0 means no list.
         if self.sent_generation == 0 {
             return None;
         }
--- a/crates/scale-test/src/endpoint_list.rs
+++ b/crates/scale-test/src/endpoint_list.rs
@@ -37,7 +37,7 @@
     format!("s-{index:08x}")
 }
 
-/// The index that an instance name stands for; none for names that no list here has.
+/// The index in an instance name; None for names that no list of this program has.
 pub fn index_of(name: &str) -> Option<u32> {
     let digits = name.strip_prefix("s-").filter(|digits| digits.len() == 8)?;
     u32::from_str_radix(digits, 16).ok()
@@ -48,7 +48,7 @@
 pub struct Change {
     /// The generation.
     pub generation: u64,
-    /// The entry as it stands in a line.
+    /// The entry as JSON, as it is sent in a line.
     pub entry: Bytes,
     /// The line with this change alone.
     pub line: Bytes,
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -5,7 +5,7 @@
 /// Why there is no result.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleTestError {
-    /// The scenario or the command line can't be used as it stands.
+    /// The scenario or the command line is invalid.
     #[error("{place}: expected {expected}, found {found}")]
     InvalidInput {
         /// The file, line, key or option concerned.
--- a/crates/scale-test/src/hollow_state.rs
+++ b/crates/scale-test/src/hollow_state.rs
@@ -201,7 +201,7 @@
         self.has_list
     }
 
-    /// The generation after which a watch is to send changes; 0 asks for a full list.
+    /// The generation after which a watch is to send changes; 0 requests a full list.
     pub fn watch_index(&self) -> u64 {
         if self.has_list {
             self.generation
--- a/crates/scale-test/src/list_decoder.rs
+++ b/crates/scale-test/src/list_decoder.rs
@@ -44,7 +44,7 @@
     /// An entry or a head beyond the size limit.
     #[error("an entry or a head of over {MAX_PART_BYTES} bytes")]
     TooLong,
-    /// What stands before the entries is no valid head; with the reason.
+    /// The text before the entries is no valid head; with the reason.
     #[error("a head that is not understood: {0}")]
     Head(String),
     /// An entry is not valid; with the reason.
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Decodes what stands before the entries, closed as if they were a number.
+    /// Decodes the text before the entries; a number in their place makes it a complete JSON object.
     fn finish_head(&mut self) -> Result<ListEvent, DecodeError> {
         let mut head = std::mem::take(&mut self.part);
         head.extend_from_slice(b"0}");
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -47,7 +47,7 @@
 const MAIN_THREADS: usize = 2;
 /// How long tasks that are left may take to end.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
-/// The exit code where there is no result.
+/// The exit code of a run without a result.
 const EXIT_NO_RESULT: u8 = 2;
 
 /// Whether every check of all runs passed.
@@ -99,7 +99,7 @@
     outcome
 }
 
-/// What is wrong with the command line, in one line, without the help that stands below it.
+/// What is wrong with the command line, in one line, without the help text below it.
 fn usage_error_line(error: &str) -> String {
     let message = error.split("Usage:").next().unwrap_or(error).trim_start_matches("error: ");
     let words: Vec<&str> = message.split_whitespace().collect();
@@ -114,7 +114,7 @@
     tokio::select! {
         outcome = run_command(command_line) => outcome,
         _ = interrupt.recv() => Err(ScaleTestError::aborted("the run", "interrupted")),
-        _ = terminate.recv() => Err(ScaleTestError::aborted("the run", "told to stop")),
+        _ = terminate.recv() => Err(ScaleTestError::aborted("the run", "stopped by a signal")),
     }
 }
 
--- a/crates/scale-test/src/ports.rs
+++ b/crates/scale-test/src/ports.rs
@@ -49,7 +49,7 @@
 /// Whether an address can be bound.
 ///
 /// The socket never listens: a process that another thread starts meanwhile holds a copy of it until its `exec`, and a
-/// copy that listens would keep the address from the caller who was just told that it is free.
+/// copy that listens would keep the address in use for the caller to whom it was just reported as free.
 fn can_bind(address: SocketAddr) -> bool {
     let Ok(socket) = TcpSocket::new_v4() else { return false };
     socket.set_reuseaddr(true).is_ok() && socket.bind(address).is_ok()
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -47,7 +47,7 @@
     pub fit: Option<FitSizes>,
 }
 
-/// The forwarders, numbered through: real ones first. Number `n` stands in zone `n mod zones`.
+/// The forwarders, numbered consecutively, real ones first. Number `n` is in zone `n mod zones`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -160,7 +160,7 @@
         at_s: f64,
         /// How long they are down, in seconds.
         down_s: f64,
-        /// The zone that the rack stands in.
+        /// The zone of the rack.
         zone: u32,
         /// How many forwarders the rack has.
         machines: u32,
@@ -251,18 +251,18 @@
         self.fleet.real.saturating_add(self.fleet.hollow)
     }
 
-    /// The zone that a forwarder stands in.
+    /// The zone of a forwarder.
     pub fn zone_of(&self, forwarder: u32) -> u32 {
         forwarder % self.fleet.zones
     }
 
-    /// The region that a forwarder stands in.
+    /// The region of a forwarder.
     pub fn region_of(&self, forwarder: u32) -> u32 {
         self.zone_of(forwarder) % self.fleet.regions
     }
 }
 
-/// The line, counted from 1, that a byte of a text stands in.
+/// The line number, counted from 1, of a byte in a text.
 fn line_number(text: &str, byte: usize) -> usize {
     text[..byte.min(text.len())].matches('\n').count() + 1
 }
--- a/crates/scale-test/src/scenario/validation.rs
+++ b/crates/scale-test/src/scenario/validation.rs
@@ -17,7 +17,7 @@
 
 /// A key whose value can't be used.
 pub(super) struct InvalidKey {
-    /// The key as it stands in the file.
+    /// The key in the file.
     pub(super) key: String,
     /// The values that are accepted.
     pub(super) expected: String,
--- a/crates/scale-test/src/tables.rs
+++ b/crates/scale-test/src/tables.rs
@@ -70,7 +70,7 @@
             }
             ResultLine::Submissions { phase, latency, accepted, rejected, unanswered } => {
                 self.add_latency(["hand-in answered", "real", phase.name(), "request"], latency);
-                let counts = format!("{accepted} taken on, {rejected} refused, {unanswered} unanswered");
+                let counts = format!("{accepted} accepted, {rejected} rejected, {unanswered} unanswered");
                 self.add_figure(format!("hand-ins {}", phase.name()), counts);
             }
             ResultLine::Deliveries { requests, notices } => {
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -22,7 +22,7 @@
     parsed
 }
 
-/// Where this forwarder stands, among how many.
+/// The position of this forwarder in the fleet, and the size of the fleet.
 fn read_fleet(settings: &Map<String, Value>, parsed: &mut Settings) {
     let settings = Section::from(settings);
     parsed.forwarders = settings.integer("balancers");
@@ -55,7 +55,8 @@
     }
 }
 
-/// Whether messages of a class may be repeated. A window that is not given is no promise: it counts as not given at all.
+/// Whether messages of a class may be repeated. A window that is not given is no promise: it counts as not given at
+/// all.
 fn idempotency(class: Section) -> Option<Idempotency> {
     match class.word("effect")? {
         "idempotent" => Some(Idempotency::Idempotent),
@@ -102,7 +103,7 @@
     parsed.connection_idle_timeout = limits.micros("connIdleUs");
 }
 
-/// What the operators guarantee of destinations that come back from an outage, and of ordering keys.
+/// The operators' guarantees about destinations that recover from an outage, and about ordering keys.
 fn read_guarantees(settings: &Map<String, Value>, parsed: &mut Settings) {
     let guarantees = Section::from(settings).section("guarantees");
     parsed.slow_start_floor = guarantees.number("coldFrom");
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -35,7 +35,7 @@
         Ok(json!({"serial": serial, "forwarders": replies}).to_string())
     }
 
-    /// Gives one instance its part of a batch. None if it gives no command.
+    /// Passes one instance its part of a batch, and returns its commands; None if there are none.
     ///
     /// A panic of the delivery policy goes into the reply, so that the simulator knows which instance it happened to.
     fn process_part(&mut self, part: &Value, now: Duration) -> Result<Option<Value>, AdapterError> {
--- a/crates/sim-adapter/src/commands.rs
+++ b/crates/sim-adapter/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that one delivery policy gives while it is given a batch, as they go into the reply.
+//! The commands of one delivery policy during one batch, encoded for the reply.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Whole microseconds, as times stand on the wire.
+/// A time in whole microseconds, as on the wire.
 fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/sim-adapter/src/event.rs
+++ b/crates/sim-adapter/src/event.rs
@@ -29,7 +29,7 @@
     AttemptFinished(FinishedAttempt<'a>),
     /// `Left`: the client does not wait for the message any more.
     Withdrawn(MessageId),
-    /// `Alarm`: the time that the policy asked for has come.
+    /// `Alarm`: a timer of the policy has fired.
     TimerFired,
     /// `HealthResult`: a health check has ended.
     HealthChecked {
--- a/crates/sim-adapter/src/event_fields.rs
+++ b/crates/sim-adapter/src/event_fields.rs
@@ -1,4 +1,4 @@
-//! The values of one event or list entry, which stand in a JSON array and are read by index.
+//! The values of one event or list entry, a JSON array that is read by index.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One forwarder of the simulator: a delivery policy, and how it is given events.
+//! One forwarder of the simulator: a delivery policy, to which events are passed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// One forwarder.
 pub(crate) struct Instance {
     policy: DeliveryPolicy,
-    /// Where load reports have their values; None if responses carry none.
+    /// The positions of the values in load reports; None if responses carry none.
     load_report_fields: Option<LoadReportFields>,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Gives the delivery policy one event.
+    /// Passes one event to the delivery policy.
     pub fn apply(
         &mut self,
         event: InstanceEvent,
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Lets the delivery policy act on all events since it last did.
+    /// Runs the delivery policy's due work, which reacts to all events since the last run.
     pub fn run_due_work(&mut self, now: Duration, commands: &mut Commands) {
         self.policy.run_due_work(now, commands);
     }
@@ -85,7 +85,7 @@
         self.policy.attempt_finished(now, &ended, commands);
     }
 
-    /// Gives the delivery policy the load report that stands beside an outcome, before the outcome itself.
+    /// Passes the load report that came with an outcome to the delivery policy, before the outcome itself.
     fn apply_load_report(&mut self, endpoint: EndpointId, values: Option<&[Value]>) {
         let Some((fields, values)) = self.load_report_fields.zip(values) else { return };
         if let Some(report) = fields.read(values) {
