--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -104,8 +104,8 @@
             cached_list: cached_list(file, contents.endpoint_list, entries),
             tick: network.tick.unwrap_or_default(),
             sync,
-            connect_within: network.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            closed_after: network.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            connect_timeout: network.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            endpoint_idle_timeout: network.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
             shutdown_grace: SHUTDOWN_GRACE,
             accept_grace: ACCEPT_GRACE,
         };
--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -37,22 +37,27 @@
     idle_permits: Arc<Mutex<IdlePermits>>,
     /// One permit for each connection that is open, idle ones counted.
     permits: Arc<Semaphore>,
-    connect_within: Duration,
+    connect_timeout: Duration,
     max_idle: Duration,
 }
 
 impl Connections {
-    /// An empty pool with a limit of open connections. Endpoints close connections that were idle for `closed_after`.
-    pub fn new(max_connections: usize, connect_within: Duration, closed_after: Duration) -> Connections {
+    /// An empty pool with a limit of open connections. Endpoints close connections that were idle for
+    /// `endpoint_idle_timeout`.
+    pub fn new(
+        max_connections: usize,
+        connect_timeout: Duration,
+        endpoint_idle_timeout: Duration,
+    ) -> Connections {
         Connections {
             idle: Arc::default(),
             reuse_history: Arc::default(),
             send_restrictions: Arc::default(),
             idle_permits: Arc::default(),
             permits: Arc::new(Semaphore::new(max_connections)),
-            connect_within,
+            connect_timeout,
             // A request must arrive before the endpoint closes, which counts from when it wrote its response.
-            max_idle: closed_after - closed_after / 8,
+            max_idle: endpoint_idle_timeout - endpoint_idle_timeout / 8,
         }
     }
 
@@ -66,7 +71,7 @@
             return Ok(connection);
         }
         let permit = self.acquire_permit().await?;
-        Connection::open(to, self.connect_within, Some(permit)).await
+        Connection::open(to, self.connect_timeout, Some(permit)).await
     }
 
     /// The idle connection that was used last, if it can be trusted; closes those that can't.
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -36,7 +36,7 @@
         progress.received = Received::Nothing;
         let request = WatchRequest {
             discovery: *address.borrow_and_update(),
-            answer_by: start + schedule.request_begun(start.elapsed()),
+            response_deadline: start + schedule.request_begun(start.elapsed()),
             periods: schedule.periods(),
         };
         let loss = tokio::select! {
@@ -70,7 +70,7 @@
 struct WatchRequest {
     discovery: SocketAddr,
     /// The request is abandoned if it is not answered by then.
-    answer_by: Instant,
+    response_deadline: Instant,
     periods: Periods,
 }
 
@@ -86,7 +86,7 @@
             Ok(connection) => connection,
             Err(result) => return BreakCause::Connection(result).into(),
         };
-        let response = match timeout_at(self.answer_by, connection.send(request)).await {
+        let response = match timeout_at(self.response_deadline, connection.send(request)).await {
             Err(_) => return Loss::NoAnswer,
             Ok(Err(result)) => return BreakCause::Connection(result).into(),
             Ok(Ok(response)) => response,
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -50,14 +50,14 @@
         let decided_at = self.clock.instant(decided_at);
         let messages = attempts.iter().map(|attempt| BatchMessage {
             message: attempt.message.clone(),
-            answer_by: now + attempt.timeouts.response_within,
+            response_deadline: now + attempt.timeouts.response_within,
         });
         let request = EndpointRequest::new(endpoint, address, messages.collect());
         let attempts = attempts.into_iter().map(|attempt| {
-            let start_by = start_deadline(&attempt, decided_at, now);
+            let start_deadline = latest_start(&attempt, decided_at, now);
             let key = AttemptKey { message: attempt.message.id, number: attempt.number };
             let cancelled = self.state.attempt_in_flight(key.clone());
-            PendingAttempt { message: key.message, number: key.number, start_by, cancelled }
+            PendingAttempt { message: key.message, number: key.number, start_deadline, cancelled }
         });
         let attempts: Vec<PendingAttempt> = attempts.collect();
         let (sender, events) = (self.request_sender.clone(), self.events.clone());
@@ -72,7 +72,7 @@
 
 /// The latest time for the first byte of an attempt. A start limit counts from the policy's decision, before the
 /// write-ahead log was written; without one, the attempt may start for as long as its response is waited for.
-fn start_deadline(attempt: &OutgoingAttempt, decided_at: Instant, now: Instant) -> Instant {
+fn latest_start(attempt: &OutgoingAttempt, decided_at: Instant, now: Instant) -> Instant {
     let timeouts = attempt.timeouts;
     if timeouts.start_within < timeouts.response_within {
         decided_at + timeouts.start_within
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -180,15 +180,23 @@
         for notice in answers {
             if let Some(submission) = self.take_submission(&notice.id) {
                 let _ = submission.reply.send(response_to(notice.answer));
-            } else if self.finish_message(&notice.id) {
-                let id = &*notice.id.0;
-                tracing::debug!(message_id = id, answer = %notice.answer, "message not delivered");
-                self.record(Record::Finished { id: id.to_owned(), notice: Some(notice.answer) });
+            } else if self.finish_undelivered(&notice) {
                 notices.push(notice);
             }
         }
         notices
     }
+
+    /// Records the final answer of a pending message that was not delivered; returns whether it was pending.
+    fn finish_undelivered(&mut self, notice: &DeliveryNotice) -> bool {
+        if !self.finish_message(&notice.id) {
+            return false;
+        }
+        let id = &*notice.id.0;
+        tracing::debug!(message_id = id, answer = %notice.answer, "message not delivered");
+        self.record(Record::Finished { id: id.to_owned(), notice: Some(notice.answer) });
+        true
+    }
 }
 
 /// The response to a client whose message has its final answer before it was accepted.
--- a/crates/forwarder/src/options.rs
+++ b/crates/forwarder/src/options.rs
@@ -29,9 +29,9 @@
     /// When the write-ahead log is synced, so that it survives a loss of the machine.
     pub sync: reeddock_wal::SyncPolicy,
     /// The timeout for connecting to an endpoint.
-    pub connect_within: Duration,
-    /// An endpoint closes a connection that has been idle for this long.
-    pub closed_after: Duration,
+    pub connect_timeout: Duration,
+    /// Endpoints close connections that were idle for this long.
+    pub endpoint_idle_timeout: Duration,
     /// The process stops at the latest this long after a shutdown was requested.
     pub shutdown_grace: Duration,
     /// New client connections are still accepted for this long after a shutdown was requested.
--- a/crates/forwarder/src/request_sender/request.rs
+++ b/crates/forwarder/src/request_sender/request.rs
@@ -28,7 +28,7 @@
     /// The message.
     pub message: OutgoingMessage,
     /// The time until which its result is waited for.
-    pub answer_by: Instant,
+    pub response_deadline: Instant,
 }
 
 impl EndpointRequest {
@@ -80,7 +80,7 @@
     /// Which of the message's attempts it is.
     pub number: AttemptNumber,
     /// The latest time for its first byte; after that it is not sent.
-    pub start_by: Instant,
+    pub start_deadline: Instant,
     /// Resolves when the attempt is cancelled. Dropping the sender cancels nothing.
     pub cancelled: oneshot::Receiver<()>,
 }
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -91,7 +91,7 @@
     positions: Vec<usize>,
     messages: Vec<OutgoingMessage>,
     /// The latest time until which a response is waited for; sent to the endpoint as a time limit.
-    answer_by: Instant,
+    response_deadline: Instant,
 }
 
 impl SentBatch {
@@ -105,7 +105,7 @@
 
     /// The HTTP request that carries them, with the longest of their time limits.
     fn http_request(&self, address: SocketAddr) -> Result<Request<Full<Bytes>>, AttemptResult> {
-        let response_timeout = self.answer_by.saturating_duration_since(Instant::now());
+        let response_timeout = self.response_deadline.saturating_duration_since(Instant::now());
         let request = match self.single() {
             Some(message) => protocol::single_request(address, message, response_timeout),
             None => protocol::batch_request(address, &self.messages, response_timeout),
@@ -173,9 +173,10 @@
         let positions = self.request.departure.start_sending(self.request.messages.len());
         let batch: Vec<&BatchMessage> =
             positions.iter().map(|position| &self.request.messages[*position]).collect();
-        let answer_by = batch.iter().map(|member| member.answer_by).max().ok_or(AttemptResult::NotSent)?;
+        let response_deadline =
+            batch.iter().map(|member| member.response_deadline).max().ok_or(AttemptResult::NotSent)?;
         let messages = batch.into_iter().map(|member| member.message.clone()).collect();
-        Ok(SentBatch { positions, messages, answer_by })
+        Ok(SentBatch { positions, messages, response_deadline })
     }
 
     /// Returns a connection to the pool on which nothing was sent.
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -24,7 +24,7 @@
     event_loop: mpsc::Sender<Event>,
 ) {
     let departure = request.departure.clone();
-    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_by).collect());
+    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_deadline).collect());
     let mut supervisor = Supervisor::new(&request, &attempts, event_loop);
     let mut interruptions = watch_interruptions(&request, attempts);
     let mut exchange = Some(Box::pin(request_sender.oneshot(request)));
@@ -90,8 +90,14 @@
 ) -> FuturesUnordered<impl Future<Output = Interruption>> {
     let members = attempts.into_iter().zip(&request.messages).enumerate();
     let interruptions = members.map(|(position, (attempt, message))| {
-        let PendingAttempt { start_by, cancelled, .. } = attempt;
-        interruption(position, start_by, message.answer_by, cancelled, request.departure.clone())
+        let PendingAttempt { start_deadline, cancelled, .. } = attempt;
+        interruption(
+            position,
+            start_deadline,
+            message.response_deadline,
+            cancelled,
+            request.departure.clone(),
+        )
     });
     interruptions.collect()
 }
@@ -99,19 +105,19 @@
 /// Waits until the message at a position is not waited for any longer.
 async fn interruption(
     position: usize,
-    start_by: Instant,
-    answer_by: Instant,
+    start_deadline: Instant,
+    response_deadline: Instant,
     cancelled: oneshot::Receiver<()>,
     departure: BatchDeparture,
 ) -> Interruption {
     let not_sent_in_time = async {
-        sleep_until(start_by).await;
+        sleep_until(start_deadline).await;
         if departure.was_sent(position) {
             std::future::pending().await
         }
     };
     let cause = tokio::select! {
-        () = sleep_until(answer_by) => InterruptionCause::TimedOut,
+        () = sleep_until(response_deadline) => InterruptionCause::TimedOut,
         () = not_sent_in_time => InterruptionCause::TimedOut,
         Ok(()) = cancelled => InterruptionCause::Cancelled,
     };
@@ -135,7 +141,7 @@
     /// None once its result is known.
     unfinished: Option<AttemptId>,
     /// Until when its result is waited for.
-    answer_by: Instant,
+    response_deadline: Instant,
 }
 
 /// Which messages of a request have no result yet.
@@ -154,7 +160,7 @@
     ) -> Supervisor {
         let supervised = |(attempt, message): (&PendingAttempt, &BatchMessage)| {
             let id = AttemptId { message: attempt.message.clone(), number: attempt.number };
-            SupervisedMessage { unfinished: Some(id), answer_by: message.answer_by }
+            SupervisedMessage { unfinished: Some(id), response_deadline: message.response_deadline }
         };
         let messages = attempts.iter().zip(&request.messages).map(supervised).collect();
         Supervisor { endpoint: request.endpoint, messages, event_loop }
@@ -194,7 +200,8 @@
     /// Turns a completion after the time limit into a timeout: the endpoint knows the limit, so that a later completion
     /// is no delivery. A result that proves that the message was not executed stays valid.
     fn in_time(&self, finished: MessageResult, now: Instant) -> MessageResult {
-        let late = self.messages.get(finished.position).is_some_and(|message| message.answer_by <= now);
+        let late =
+            self.messages.get(finished.position).is_some_and(|message| message.response_deadline <= now);
         match finished.result {
             AttemptResult::Completed if late => MessageResult { result: AttemptResult::TimedOut, ..finished },
             _ => finished,
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -50,7 +50,7 @@
     let (list_events, list_queue) = mpsc::channel(QUEUED_LIST_PIECES);
     let (notices, notice_queue) = mpsc::unbounded_channel();
     let connections =
-        Connections::new(limits.endpoint_connections, options.connect_within, options.closed_after);
+        Connections::new(limits.endpoint_connections, options.connect_timeout, options.endpoint_idle_timeout);
     let list_status = ListStatus::default();
     let schedule = WatchSchedule::new(Periods::default(), options.settings.seed);
     let cached_generation = options.cached_list.generation;
--- a/crates/forwarder/tests/loopback/deadlines.rs
+++ b/crates/forwarder/tests/loopback/deadlines.rs
@@ -75,7 +75,7 @@
         let request = request(endpoint.address, &[("a", NEVER_REACHED), ("b", NEVER_REACHED)]);
         let (mut attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
         // Its idempotency key runs out, say, long before the response would time out.
-        attempts[0].start_by = Instant::now() + ms(100);
+        attempts[0].start_deadline = Instant::now() + ms(100);
         tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
         let (id, result) = next_result(&mut events).await;
         assert_eq!(
@@ -100,7 +100,7 @@
         let both = request(endpoint.address, &[("late", NEVER_REACHED), ("in-time", NEVER_REACHED)]);
         let (mut attempts, _cancels) = pending_attempts(&both, NEVER_REACHED);
         // Its idempotency key has run out, say, while the write-ahead log was written.
-        attempts[0].start_by = Instant::now();
+        attempts[0].start_deadline = Instant::now();
         run_request(request_sender, both, attempts, sender).await;
         let mut results = BTreeMap::from([next_result(&mut events).await, next_result(&mut events).await]);
         assert!(results.remove("late").unwrap().outcome().proves_not_executed());
@@ -121,7 +121,7 @@
             let (attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
             // Blocks this thread until the first has timed out, and has the response ready then.
             let responds_late = tower::service_fn(move |request: EndpointRequest| async move {
-                while Instant::now() < request.messages[0].answer_by {
+                while Instant::now() < request.messages[0].response_deadline {
                     std::hint::spin_loop();
                 }
                 let results = [0, 1].map(|position| MessageResult { position, result });
--- a/crates/forwarder/tests/loopback/support/requests.rs
+++ b/crates/forwarder/tests/loopback/support/requests.rs
@@ -19,8 +19,8 @@
 pub const NEVER_REACHED: Duration = ms(20_000);
 
 /// A request sender with four connections to an endpoint at most, which waits for a new one so long.
-pub fn request_sender(connect_within: Duration) -> RequestSender {
-    RequestSender::new(Connections::new(4, connect_within, ms(5000)))
+pub fn request_sender(connect_timeout: Duration) -> RequestSender {
+    RequestSender::new(Connections::new(4, connect_timeout, ms(5000)))
 }
 
 /// A request sender that waits for connections for longer than the test lasts.
@@ -42,7 +42,8 @@
     };
     let now = Instant::now();
     let members = messages.iter();
-    let members = members.map(|(id, limit)| BatchMessage { message: message(id), answer_by: now + *limit });
+    let members =
+        members.map(|(id, limit)| BatchMessage { message: message(id), response_deadline: now + *limit });
     EndpointRequest::new(ENDPOINT, address, members.collect())
 }
 
@@ -51,11 +52,11 @@
     request: &EndpointRequest,
     start_within: Duration,
 ) -> (Vec<PendingAttempt>, Vec<oneshot::Sender<()>>) {
-    let start_by = Instant::now() + start_within;
+    let start_deadline = Instant::now() + start_within;
     let attempt = |BatchMessage { message, .. }: &BatchMessage| {
         let (cancel, cancelled) = oneshot::channel();
         let (message, number) = (message.id.clone(), AttemptNumber(0));
-        (PendingAttempt { message, number, start_by, cancelled }, cancel)
+        (PendingAttempt { message, number, start_deadline, cancelled }, cancel)
     };
     request.messages.iter().map(attempt).unzip()
 }
--- a/crates/forwarder/tests/loopback/support/test_bed.rs
+++ b/crates/forwarder/tests/loopback/support/test_bed.rs
@@ -210,8 +210,8 @@
             settings: self.settings(),
             tick: self.tick,
             sync: Default::default(),
-            connect_within: ms(1000),
-            closed_after: self.idle_limit,
+            connect_timeout: ms(1000),
+            endpoint_idle_timeout: self.idle_limit,
             shutdown_grace: ms(3000),
             accept_grace: self.accept_grace,
         }
