--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -5,17 +5,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use reeddock::EndpointId;
+use reeddock::{EndpointId, EndpointState};
 use reeddock_protocol::AttemptResult;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-use super::reuse_history::ReuseHistory;
+use super::reuse_history::{ReuseHistory, ReuseOutcome};
 use super::send_restrictions::SendRestrictions;
 use super::{locked, Connection};
 use crate::idle_permits::IdlePermits;
 
-/// A connection that waits for its next request.
+/// An open connection without a request, kept for the next one.
 struct IdleConnection {
     connection: Connection,
     since: Instant,
@@ -37,22 +37,27 @@
     idle_permits: Arc<Mutex<IdlePermits>>,
     /// One permit for each connection that is open, idle ones counted.
     permits: Arc<Semaphore>,
-    connect_within: Duration,
+    connect_timeout: Duration,
     max_idle: Duration,
 }
 
 impl Connections {
-    /// A pool of so many connections at most; endpoints close those that have stood idle for `closed_after`.
-    pub fn new(max_connections: usize, connect_within: Duration, closed_after: Duration) -> Connections {
+    /// An empty pool with a limit of open connections. Endpoints close connections that were idle for
+    /// `endpoint_idle_timeout`.
+    pub fn new(
+        max_connections: usize,
+        connect_timeout: Duration,
+        endpoint_idle_timeout: Duration,
+    ) -> Connections {
         Connections {
             idle: Arc::default(),
             reuse_history: Arc::default(),
             send_restrictions: Arc::default(),
             idle_permits: Arc::default(),
             permits: Arc::new(Semaphore::new(max_connections)),
-            connect_within,
+            connect_timeout,
             // A request must arrive before the endpoint closes, which counts from when it wrote its response.
-            max_idle: closed_after - closed_after / 8,
+            max_idle: endpoint_idle_timeout - endpoint_idle_timeout / 8,
         }
     }
 
@@ -66,7 +71,7 @@
             return Ok(connection);
         }
         let permit = self.acquire_permit().await?;
-        Connection::open(to, self.connect_within, Some(permit)).await
+        Connection::open(to, self.connect_timeout, Some(permit)).await
     }
 
     /// The idle connection that was used last, if it can be trusted; closes those that can't.
@@ -83,8 +88,7 @@
         None
     }
 
-    /// The permit for a new connection; where none is left, the connection that has stood idle for longest is
-    /// closed for it.
+    /// Acquires the permit for a new connection; if none is left, the connection that was idle for longest is closed.
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
         let mut permit = self.permits.clone().try_acquire_owned();
         if permit.is_err() && self.close_oldest_idle() {
@@ -95,14 +99,15 @@
         permit.map_err(|_| AttemptResult::NotSent)
     }
 
-    /// Closes the connection that has stood idle for longest; returns whether there was one.
+    /// Closes the connection that was idle for longest; returns whether there was one.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = locked(&self.idle);
         let oldest = idle.values_mut().filter(|idle| !idle.is_empty()).min_by_key(|idle| idle[0].since);
         oldest.and_then(VecDeque::pop_front).is_some()
     }
 
-    /// Returns a connection to the pool whose response was read whole; keeps it idle if its endpoint has capacity for that.
+    /// Returns a connection whose last response was read completely. It is kept idle if its endpoint has capacity for
+    /// that, else closed.
     pub(crate) fn release(&self, endpoint: EndpointId, connection: Connection) {
         let permitted = locked(&self.idle_permits).allows_idle(endpoint, Instant::now());
         if permitted && connection.is_ready() {
@@ -111,10 +116,15 @@
         }
     }
 
-    /// The last request on this connection was answered, or has broken it.
-    pub(crate) fn record_use(&self, connection: &Connection, answered: bool) {
-        let failed = !answered && !connection.response_begun();
-        locked(&self.reuse_history).record(connection.idle_before_use(), failed);
+    /// Records that the last request on this connection was answered.
+    pub(crate) fn record_answer(&self, connection: &Connection) {
+        locked(&self.reuse_history).record(connection.idle_before_use(), ReuseOutcome::Answered);
+    }
+
+    /// Records that the connection broke under its last request, perhaps in the middle of the response.
+    pub(crate) fn record_break(&self, connection: &Connection) {
+        let outcome = if connection.response_begun() { ReuseOutcome::Answered } else { ReuseOutcome::Failed };
+        locked(&self.reuse_history).record(connection.idle_before_use(), outcome);
     }
 
     /// The endpoint rejected this connection as it has too many: idle ones to its kind are closed for others.
@@ -125,28 +135,28 @@
         locked(&self.idle).retain(|endpoint, _| idle_permits.allows_idle(*endpoint, now));
     }
 
-    /// The endpoint asked for no request until then (`Retry-After`).
+    /// The endpoint asked for no request before `until` (`Retry-After`).
     ///
-    /// A request that was decided before may still wait for its connection, for up to a second where the endpoint
-    /// accepts few or can't be reached, and must not be sent once that is up.
+    /// A request that was decided on before may still wait for its connection, for up to a second if the endpoint
+    /// accepts few or can't be reached, and must not be sent when the connection is open.
     pub fn set_retry_after(&self, endpoint: EndpointId, until: Instant) {
         locked(&self.send_restrictions).retry_after(endpoint, until);
     }
 
-    /// The endpoint list names this endpoint. Requests must not be sent to one that drains, however long they
-    /// waited for their connection.
-    pub fn endpoint_listed(&self, endpoint: EndpointId, kind: &str, active: bool) {
+    /// The endpoint list has an entry for this endpoint. To one that is not active no request is sent any more, not
+    /// even one that already waits for its connection.
+    pub fn endpoint_listed(&self, endpoint: EndpointId, kind: &str, state: EndpointState) {
         locked(&self.idle_permits).endpoint_listed(endpoint, kind);
-        locked(&self.send_restrictions).set_active(endpoint, active);
+        locked(&self.send_restrictions).set_state(endpoint, state);
     }
 
     /// The endpoint is removed, or a complete list does not name it any more.
     pub(crate) fn endpoint_removed(&self, endpoint: EndpointId) {
-        locked(&self.send_restrictions).set_active(endpoint, false);
+        locked(&self.send_restrictions).set_state(endpoint, EndpointState::Removed);
         self.close_idle(endpoint);
     }
 
-    /// Forgets what the list said of endpoints that are not known any more.
+    /// Forgets endpoints that are not known any more.
     pub(crate) fn forget(&self, endpoints: &[EndpointId]) {
         let mut send_restrictions = locked(&self.send_restrictions);
         endpoints.iter().for_each(|endpoint| send_restrictions.forget(*endpoint));
@@ -165,7 +175,7 @@
         locked(&self.idle).remove(&endpoint);
     }
 
-    /// Closes connections that have stood idle for too long or that the other side has closed. Run regularly.
+    /// Closes connections that were idle for too long or that the other side has closed. Must be called regularly.
     pub(crate) fn sweep(&self) {
         locked(&self.idle).retain(|_, connections| {
             connections.retain(|idle| idle.since.elapsed() < self.max_idle && !idle.connection.is_closed());
--- a/crates/forwarder/src/connections/send_restrictions.rs
+++ b/crates/forwarder/src/connections/send_restrictions.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reeddock::EndpointId;
+use reeddock::{EndpointId, EndpointState};
 use reeddock_protocol::AttemptResult;
 use tokio::time::Instant;
 
-/// What the endpoint list and the endpoints themselves have said against sending to them.
+/// The restrictions that the endpoint list and the endpoints' own Retry-After impose.
 #[derive(Default)]
 pub(super) struct SendRestrictions {
     /// Until when each endpoint has asked for no request (`Retry-After`).
@@ -16,22 +16,21 @@
 }
 
 impl SendRestrictions {
-    /// The endpoint asked for no request until then. A longer pause that it asked for before stays valid.
+    /// The endpoint asked for no request before `until`. A longer pause that it asked for earlier stays in force.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, until: Instant) {
         let current = self.retry_after.entry(endpoint).or_insert(until);
         *current = until.max(*current);
     }
 
-    /// The list says whether the endpoint is active.
-    pub(super) fn set_active(&mut self, endpoint: EndpointId, active: bool) {
-        if active {
-            self.draining.remove(&endpoint);
-        } else {
-            self.draining.insert(endpoint);
-        }
+    /// The endpoint list says that the endpoint is in this state.
+    pub(super) fn set_state(&mut self, endpoint: EndpointId, state: EndpointState) {
+        match state {
+            EndpointState::Active => self.draining.remove(&endpoint),
+            EndpointState::Draining | EndpointState::Removed => self.draining.insert(endpoint),
+        };
     }
 
-    /// Forgets what the list said of an endpoint.
+    /// Forgets the listed state of an endpoint.
     pub(super) fn forget(&mut self, endpoint: EndpointId) {
         self.draining.remove(&endpoint);
     }
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -10,9 +10,9 @@
 use crate::events::Event;
 use crate::list_reader::{ListReader, WatchProgress};
 use crate::log_throttle::LogThrottle;
-use crate::watch_schedule::{BreakCause, Loss, Periods, WatchSchedule};
+use crate::watch_schedule::{BreakCause, Loss, Periods, Received, WatchSchedule};
 
-/// Completes once the address of discovery changes; never, once nobody can change it any more.
+/// Completes when the address of discovery changes; never if it can't change any more.
 pub(crate) async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending().await
@@ -21,7 +21,8 @@
 
 /// Watches the endpoint list until the event loop ends.
 ///
-/// `generation` is that of the list which the event loop has already; the first watch asks for what changed after it.
+/// `generation` is the generation of the list that the event loop already has; the first watch requests the changes
+/// after it.
 pub async fn follow(
     mut address: watch::Receiver<SocketAddr>,
     generation: u64,
@@ -30,12 +31,12 @@
 ) {
     let start = Instant::now();
     let mut log_throttle = LogThrottle::default();
-    let mut progress = WatchProgress { generation, line_received: false };
+    let mut progress = WatchProgress { generation, received: Received::Nothing };
     loop {
-        progress.line_received = false;
+        progress.received = Received::Nothing;
         let request = WatchRequest {
             discovery: *address.borrow_and_update(),
-            answer_by: start + schedule.request_begun(start.elapsed()),
+            response_deadline: start + schedule.request_begun(start.elapsed()),
             periods: schedule.periods(),
         };
         let loss = tokio::select! {
@@ -45,7 +46,7 @@
                 continue;
             }
         };
-        let next_request = start + schedule.watch_lost(start.elapsed(), &loss, progress.line_received);
+        let next_request = start + schedule.watch_lost(start.elapsed(), &loss, progress.received);
         log_loss(&mut log_throttle, &loss, next_request);
         if event_loop.send(Event::WatchLost).await.is_err() {
             return;
@@ -57,6 +58,7 @@
     }
 }
 
+/// Logs why a watch was lost and when the next one is opened.
 fn log_loss(log_throttle: &mut LogThrottle, loss: &Loss, next_request: Instant) {
     if let Some(suppressed) = log_throttle.admit() {
         let retry_in = next_request.saturating_duration_since(Instant::now());
@@ -67,8 +69,8 @@
 /// One request that opens a watch.
 struct WatchRequest {
     discovery: SocketAddr,
-    /// Without an answer by then it is abandoned.
-    answer_by: Instant,
+    /// The request is abandoned if it is not answered by then.
+    response_deadline: Instant,
     periods: Periods,
 }
 
@@ -84,7 +86,7 @@
             Ok(connection) => connection,
             Err(result) => return BreakCause::Connection(result).into(),
         };
-        let response = match timeout_at(self.answer_by, connection.send(request)).await {
+        let response = match timeout_at(self.response_deadline, connection.send(request)).await {
             Err(_) => return Loss::NoAnswer,
             Ok(Err(result)) => return BreakCause::Connection(result).into(),
             Ok(Ok(response)) => response,
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -1,5 +1,7 @@
 //! The endpoint list, applied entry by entry.
 
+use std::net::SocketAddr;
+
 use reeddock::{EndpointId, EndpointState, EndpointUpdate};
 use reeddock_protocol::{ListEntry, ListEvent};
 
@@ -12,6 +14,7 @@
 const MAX_NEW_ENDPOINTS_LOGGED: usize = 100;
 
 /// How much of a part of the list was applied.
+#[derive(Default)]
 pub(super) struct ListProgress {
     generation: u64,
     /// Whether the part is the whole list, and not only what has changed.
@@ -21,11 +24,13 @@
 }
 
 impl EventLoop {
-    /// Applies some of what a watch sends.
+    /// Applies events of a watch.
     pub(super) fn apply_list_events(&mut self, events: Vec<ListEvent>) {
         for event in events {
             match event {
-                ListEvent::PartStarted { generation, whole } => self.begin_endpoint_list(generation, whole),
+                ListEvent::PartStarted { generation, whole } => {
+                    self.begin_endpoint_list(ListProgress { generation, whole, ..ListProgress::default() });
+                }
                 ListEvent::EndpointUpdated(entry) => self.update_endpoint(entry),
                 ListEvent::PartEnded => self.finish_endpoint_list(),
                 ListEvent::Heartbeat => {}
@@ -33,27 +38,28 @@
         }
     }
 
-    /// Applies the list as it was known before the start, before any event is handled. A list without entries is none.
+    /// Applies the list that was known before the start. Must be called before any event is handled.
     pub fn apply_cached_list(&mut self, cached_list: CachedEndpointList) -> Result<(), CachedListError> {
         if cached_list.endpoints == 0 {
             tracing::info!("no cached endpoint list, messages wait for discovery");
             return Ok(());
         }
-        self.begin_endpoint_list(cached_list.generation, true);
+        let generation = cached_list.generation;
+        self.begin_endpoint_list(ListProgress { generation, whole: true, ..ListProgress::default() });
         cached_list.for_each(|entry| self.update_endpoint(entry))?;
         self.finish_endpoint_list();
         Ok(())
     }
 
-    fn begin_endpoint_list(&mut self, generation: u64, whole: bool) {
-        // The watch that sent the one before was abandoned in the middle of it.
+    /// Begins a part of the list, of which nothing was applied yet.
+    fn begin_endpoint_list(&mut self, progress: ListProgress) {
+        // If an earlier part is unfinished, its watch was abandoned in the middle of it.
         self.abort_endpoint_list();
-        self.policy.begin_endpoint_list(whole);
-        let progress = ListProgress { generation, whole, entries: 0, new_endpoints: 0 };
+        self.policy.begin_endpoint_list(progress.whole);
         *self.state.list_progress_mut() = Some(progress);
     }
 
-    /// A list that is being received stays incomplete: the endpoints that it did not name stay as they are.
+    /// Abandons a part of the list that was not received to its end: endpoints that it did not name stay as they are.
     fn abort_endpoint_list(&mut self) {
         let Some(progress) = self.state.list_progress_mut().take() else { return };
         self.policy.abort_endpoint_list();
@@ -66,7 +72,7 @@
         );
     }
 
-    /// A malformed list was received: the one before stays.
+    /// Rejects a malformed list: the previous one stays in force.
     pub(super) fn reject_malformed_list(&mut self, list: &MalformedList) {
         self.abort_endpoint_list();
         self.list_status.malformed(&list.fault);
@@ -76,7 +82,7 @@
         }
     }
 
-    /// The watch has ended, or could not be opened.
+    /// Handles the end of a watch, or a watch that could not be opened.
     pub(super) fn discovery_failed(&mut self) {
         self.abort_endpoint_list();
         self.policy.discovery_failed(self.clock.now());
@@ -100,7 +106,7 @@
             zone: &entry.zone,
             kind: &entry.kind,
         });
-        self.connections.endpoint_listed(endpoint, &entry.kind, entry.state == EndpointState::Active);
+        self.connections.endpoint_listed(endpoint, &entry.kind, entry.state);
         if entry.state == EndpointState::Removed {
             self.connections.endpoint_removed(endpoint);
         }
@@ -110,13 +116,13 @@
         self.update_location(endpoint, &entry);
     }
 
-    /// Stores where an endpoint is. An entry for a removed one has no address; the last one stays, as the policy may
-    /// still refer to the endpoint.
+    /// Stores the address of an endpoint. An entry for a removed endpoint has none; then the last address is kept, as
+    /// the policy may still refer to the endpoint.
     fn update_location(&mut self, endpoint: EndpointId, entry: &ListEntry) {
         let Some(address) = entry.address else { return };
         let location = EndpointLocation { address, max_batch: self.batch_limits.of_kind(&entry.kind) };
         match self.state.endpoints_mut().set_location(endpoint, location) {
-            LocationChange::New => self.log_new_endpoint(endpoint, entry),
+            LocationChange::New => self.log_new_endpoint(endpoint, address, entry),
             // Another machine may have the old address by now.
             LocationChange::Moved => self.connections.close_idle(endpoint),
             LocationChange::Same => {}
@@ -124,19 +130,20 @@
     }
 
     /// Logs the name and address of a new endpoint with its number, by which the policy's lines refer to it.
-    fn log_new_endpoint(&mut self, endpoint: EndpointId, entry: &ListEntry) {
+    fn log_new_endpoint(&mut self, endpoint: EndpointId, address: SocketAddr, entry: &ListEntry) {
         let new_endpoints = self.state.list_progress_mut().as_mut().map_or(1, |progress| {
             progress.new_endpoints += 1;
             progress.new_endpoints
         });
-        let (name, address, destination) = (&entry.name, entry.address, entry.destination.0);
+        let (name, destination) = (&entry.name, entry.destination.0);
         if new_endpoints <= MAX_NEW_ENDPOINTS_LOGGED {
-            tracing::info!(?endpoint, name, ?address, destination, "endpoint listed");
+            tracing::info!(?endpoint, name, %address, destination, "endpoint listed");
         } else {
-            tracing::debug!(?endpoint, name, ?address, destination, "endpoint listed");
+            tracing::debug!(?endpoint, name, %address, destination, "endpoint listed");
         }
     }
 
+    /// Finishes a part of the list: endpoints that a whole list did not name are removed.
     fn finish_endpoint_list(&mut self) {
         let dropped = self.policy.finish_endpoint_list();
         for endpoint in &dropped {
@@ -149,6 +156,7 @@
         self.list_status.applied();
     }
 
+    /// Logs a part of the list that was applied completely.
     fn log_applied_list(&self, progress: &ListProgress, dropped: usize) {
         let ListProgress { generation, whole, entries, new_endpoints } = *progress;
         let endpoints = self.state.endpoints().located();
@@ -163,8 +171,8 @@
         );
     }
 
-    /// Forgets the endpoints that the policy has forgotten: where endpoints are replaced all day under new names, they
-    /// would fill the memory.
+    /// Forgets the endpoints that the policy has forgotten: endpoints that are replaced under new names would otherwise
+    /// fill the memory.
     pub(super) fn forget_removed_endpoints(&mut self) {
         let removed = self.policy.take_removed_endpoints();
         for endpoint in &removed {
--- a/crates/forwarder/src/event_loop/pending_messages.rs
+++ b/crates/forwarder/src/event_loop/pending_messages.rs
@@ -1,4 +1,4 @@
-//! The messages that were accepted and have no final answer yet, and the ids of those that had one a moment ago.
+//! The messages that were accepted and have no final answer yet, and the ids of recently finished ones.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -8,8 +8,10 @@
 use reeddock::{AttemptNumber, MessageId};
 use reeddock_protocol::OutgoingMessage;
 
-/// An id is not accepted again for this long after its message is finished: a copy of a request in progress, sent by
-/// its client or by anybody else, may arrive a moment after the message is finished, and would be executed a second time.
+use super::commands::{AttemptCommand, OutgoingAttempt};
+
+/// An id is not accepted again for this long after its message is finished: a duplicate of the submission may arrive
+/// shortly after that, and would be executed a second time.
 const FINISHED_ID_KEPT_FOR: Duration = Duration::from_secs(15);
 
 /// A message that was accepted and has no final answer yet.
@@ -18,20 +20,26 @@
     pub idempotency_key: Option<Arc<str>>,
     /// Bytes that it occupies in memory and in the write-ahead log.
     pub size: u64,
-    /// How many attempts were numbered so far.
+    /// How many of its attempts were numbered so far.
     pub attempts: u32,
 }
 
+/// The id of a finished message, which is not accepted again until it expires.
+struct FinishedId {
+    id: MessageId,
+    expires_at: Duration,
+}
+
 /// All pending messages.
 #[derive(Default)]
 pub(super) struct PendingMessages {
     entries: BTreeMap<MessageId, PendingEntry>,
-    /// The sum of the entries' sizes.
+    /// The sum of the entries' `size`.
     bytes: u64,
     finished_ids: BTreeSet<MessageId>,
-    /// The same ids, with the times at which they expire, which only grow.
-    finished_expiry: VecDeque<(Duration, MessageId)>,
-    /// When due work ran last, from which the expiry of finished ids counts.
+    /// The same ids in the order in which they expire.
+    finished_expiry: VecDeque<FinishedId>,
+    /// The time of the last run of due work, from which the expiry of finished ids is counted.
     due_work_at: Duration,
 }
 
@@ -48,7 +56,7 @@
         self.entries.contains_key(id)
     }
 
-    /// Whether a message with this id was finished a moment ago.
+    /// Whether a message with this id was finished recently.
     pub(super) fn is_finished(&self, id: &MessageId) -> bool {
         self.finished_ids.contains(id)
     }
@@ -63,31 +71,35 @@
         self.entries.insert(id, entry);
     }
 
-    /// The message has its final answer; returns whether it was pending until now.
+    /// Removes a message that has its final answer; returns whether it was pending.
     pub(super) fn finish(&mut self, id: &MessageId) -> bool {
         let Some(entry) = self.entries.remove(id) else { return false };
         self.bytes -= entry.size;
         if self.finished_ids.insert(id.clone()) {
-            self.finished_expiry.push_back((self.due_work_at + FINISHED_ID_KEPT_FOR, id.clone()));
+            let expires_at = self.due_work_at + FINISHED_ID_KEPT_FOR;
+            self.finished_expiry.push_back(FinishedId { id: id.clone(), expires_at });
         }
         true
     }
 
-    /// Due work runs at this time: forgets the finished ids that expire by then.
+    /// Forgets the finished ids that have expired at the time of this run of due work.
     pub(super) fn expire_finished_ids(&mut self, now: Duration) {
         self.due_work_at = now;
-        while let Some((_, id)) = self.finished_expiry.pop_front_if(|(expiry, _)| *expiry <= now) {
+        while let Some(FinishedId { id, .. }) =
+            self.finished_expiry.pop_front_if(|finished| finished.expires_at <= now)
+        {
             self.finished_ids.remove(&id);
         }
     }
 
-    /// Numbers the next attempt of a message, and returns it with what the attempt sends. None if the message is not
-    /// pending.
-    pub(super) fn next_attempt(&mut self, id: MessageId) -> Option<(AttemptNumber, OutgoingMessage)> {
+    /// Numbers the attempt that the policy commanded. None if its message is not pending.
+    pub(super) fn number_attempt(&mut self, command: AttemptCommand) -> Option<OutgoingAttempt> {
+        let AttemptCommand { message: id, endpoint, timeouts } = command;
         let entry = self.entries.get_mut(&id)?;
         let number = AttemptNumber(entry.attempts);
         entry.attempts += 1;
         let (body, idempotency_key) = (entry.body.clone(), entry.idempotency_key.clone());
-        Some((number, OutgoingMessage { id, idempotency_key, body }))
+        let message = OutgoingMessage { id, idempotency_key, body };
+        Some(OutgoingAttempt { message, number, endpoint, timeouts })
     }
 }
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -12,17 +12,25 @@
 use super::EventLoop;
 use crate::request_sender::{run_request, BatchMessage, EndpointRequest, PendingAttempt};
 
+/// Identifies one request that the policy decided on. Requests start in the order of their ids.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    request: RequestId,
+    endpoint: EndpointId,
+}
+
 impl EventLoop {
     /// Starts requests for these attempts, which the policy decided on at `decided_at`.
     ///
-    /// Attempts that the policy puts into one request travel together, as far as the kind of the endpoint allows, and
-    /// with nothing else: otherwise one would still be in flight when another has its result.
+    /// Attempts that the policy put into one request are sent together, as far as the batch limit of the endpoint
+    /// allows, and never with others: otherwise one could still be in flight when another has its result.
     pub(super) fn start_requests(&mut self, attempts: Vec<OutgoingAttempt>, decided_at: Duration) {
-        let mut requests: BTreeMap<(RequestId, EndpointId), Vec<OutgoingAttempt>> = BTreeMap::new();
+        let mut requests: BTreeMap<RequestKey, Vec<OutgoingAttempt>> = BTreeMap::new();
         for attempt in attempts {
-            requests.entry((attempt.timeouts.request, attempt.endpoint)).or_default().push(attempt);
+            let key = RequestKey { request: attempt.timeouts.request, endpoint: attempt.endpoint };
+            requests.entry(key).or_default().push(attempt);
         }
-        for ((_, endpoint), attempts) in requests {
+        for (RequestKey { endpoint, .. }, attempts) in requests {
             let Some(location) = self.state.endpoints().location(endpoint) else { continue };
             for batch in split_attempts(attempts, location.max_batch) {
                 self.start_request(endpoint, location.address, batch, decided_at);
@@ -42,14 +50,14 @@
         let decided_at = self.clock.instant(decided_at);
         let messages = attempts.iter().map(|attempt| BatchMessage {
             message: attempt.message.clone(),
-            answer_by: now + attempt.timeouts.response_within,
+            response_deadline: now + attempt.timeouts.response_within,
         });
         let request = EndpointRequest::new(endpoint, address, messages.collect());
         let attempts = attempts.into_iter().map(|attempt| {
-            let start_by = start_deadline(&attempt, decided_at, now);
+            let start_deadline = latest_start(&attempt, decided_at, now);
             let key = AttemptKey { message: attempt.message.id, number: attempt.number };
             let cancelled = self.state.attempt_in_flight(key.clone());
-            PendingAttempt { message: key.message, number: key.number, start_by, cancelled }
+            PendingAttempt { message: key.message, number: key.number, start_deadline, cancelled }
         });
         let attempts: Vec<PendingAttempt> = attempts.collect();
         let (sender, events) = (self.request_sender.clone(), self.events.clone());
@@ -62,9 +70,9 @@
     }
 }
 
-/// The latest time for the first byte of an attempt. A limit of its own counts from the policy's decision, since when
-/// the write-ahead log was written; without one it may start for as long as its response is waited for.
-fn start_deadline(attempt: &OutgoingAttempt, decided_at: Instant, now: Instant) -> Instant {
+/// The latest time for the first byte of an attempt. A start limit counts from the policy's decision, before the
+/// write-ahead log was written; without one, the attempt may start for as long as its response is waited for.
+fn latest_start(attempt: &OutgoingAttempt, decided_at: Instant, now: Instant) -> Instant {
     let timeouts = attempt.timeouts;
     if timeouts.start_within < timeouts.response_within {
         decided_at + timeouts.start_within
@@ -73,10 +81,10 @@
     }
 }
 
-/// Splits the attempts of one request to an endpoint that takes at most `max_batch` messages at once.
+/// Splits the attempts of one request to an endpoint that accepts at most `max_batch` messages in a request.
 ///
-/// The one whose response is waited for longest leads. A request carries only one time limit, which the
-/// endpoint may take for that of the first message, and a response after that limit would be lost for the others too.
+/// The attempt whose response is waited for longest comes first: a request carries only one time limit, which the
+/// endpoint may apply to the first message, and a response after that limit would be lost for the others too.
 fn split_attempts(mut attempts: Vec<OutgoingAttempt>, max_batch: usize) -> Vec<Vec<OutgoingAttempt>> {
     attempts.sort_by_key(|attempt| std::cmp::Reverse(attempt.timeouts.response_within));
     let messages: Vec<OutgoingMessage> = attempts.iter().map(|attempt| attempt.message.clone()).collect();
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -1,4 +1,4 @@
-//! What the event loop keeps between its steps.
+//! The state of the event loop between its steps, beside the policy and the write-ahead log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use reeddock::MessageId;
 use reeddock_protocol::{ClientResponse, DeliveryNotice, FinalAnswer};
-use reeddock_wal::{Record, WriteAheadLog};
+use reeddock_wal::Record;
 use tokio::sync::oneshot;
 
 use super::commands::{AttemptCommand, AttemptKey, CommandBuffer, OutgoingAttempt};
@@ -15,7 +15,7 @@
 use super::submissions::NewSubmission;
 use crate::endpoints::EndpointTable;
 
-/// What the event loop keeps between its steps.
+/// The state of the event loop between its steps.
 #[derive(Default)]
 pub(super) struct EventLoopState {
     /// Commands of the policy that are not carried out yet.
@@ -26,7 +26,7 @@
     /// Submitted since the last due work, and not yet answered.
     submissions: Vec<NewSubmission>,
     pending: PendingMessages,
-    /// Attempts that have started and not finished, each with what cancels it.
+    /// Attempts that have started and not finished, each with the sender that cancels it.
     in_flight: BTreeMap<AttemptKey, oneshot::Sender<()>>,
     timers: BTreeSet<Duration>,
     /// Records that go into the write-ahead log with the next due work.
@@ -65,7 +65,7 @@
         self.pending.is_empty() && self.unacknowledged_notices == 0
     }
 
-    /// Due work begins at this time.
+    /// Prepares a run of due work at this time.
     pub(super) fn begin_due_work(&mut self, now: Duration) {
         self.pending.expire_finished_ids(now);
     }
@@ -100,7 +100,7 @@
 
     /// Bytes that the submissions will occupy once they are accepted.
     pub(super) fn submitted_bytes(&self) -> u64 {
-        self.submissions.iter().map(|submission| WriteAheadLog::size_of(&submission.accepted)).sum()
+        self.submissions.iter().map(|submission| submission.accepted.reserved_bytes()).sum()
     }
 
     fn take_submission(&mut self, id: &MessageId) -> Option<NewSubmission> {
@@ -108,7 +108,7 @@
         Some(self.submissions.remove(position))
     }
 
-    /// What was submitted since the last due work is pending from here on.
+    /// Makes the messages pending that were submitted since the last due work, and returns their submissions.
     pub(super) fn accept_submissions(&mut self) -> Vec<NewSubmission> {
         let submissions = std::mem::take(&mut self.submissions);
         for NewSubmission { id, accepted, .. } in &submissions {
@@ -117,7 +117,7 @@
             let entry = PendingEntry {
                 body: accepted.body.clone(),
                 idempotency_key: accepted.idempotency_key.as_deref().map(Arc::from),
-                size: WriteAheadLog::size_of(accepted),
+                size: accepted.reserved_bytes(),
                 attempts: 0,
             };
             self.pending.insert(id.clone(), entry);
@@ -131,29 +131,30 @@
     /// Numbers attempts, those of one message in the order in which the policy commanded them. A message that is not
     /// pending any more gets none.
     pub(super) fn number_attempts(&mut self, commands: Vec<AttemptCommand>) -> Vec<OutgoingAttempt> {
-        let mut attempts = Vec::new();
-        for AttemptCommand { message, endpoint, timeouts } in commands {
-            let Some((number, message)) = self.pending.next_attempt(message) else { continue };
+        let attempts: Vec<OutgoingAttempt> =
+            commands.into_iter().filter_map(|command| self.pending.number_attempt(command)).collect();
+        for OutgoingAttempt { message, number, endpoint, timeouts } in &attempts {
             tracing::debug!(
                 message_id = &*message.id.0,
                 attempt = number.0,
                 ?endpoint,
-                ?timeouts,
+                request = timeouts.request.0,
+                start_within = ?timeouts.start_within,
+                response_within = ?timeouts.response_within,
                 "attempt numbered"
             );
-            attempts.push(OutgoingAttempt { message, number, endpoint, timeouts });
         }
         attempts
     }
 
-    /// An attempt is in flight from here on; returns the channel by which its request learns of a cancellation.
+    /// Records that an attempt is in flight; returns the channel that cancels its request.
     pub(super) fn attempt_in_flight(&mut self, attempt: AttemptKey) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
         self.in_flight.insert(attempt, cancel);
         cancelled
     }
 
-    /// An attempt is not in flight any more.
+    /// Records that an attempt is no longer in flight.
     pub(super) fn attempt_finished(&mut self, attempt: &AttemptKey) {
         self.in_flight.remove(attempt);
     }
@@ -167,33 +168,41 @@
         }
     }
 
-    /// The message has its final answer; returns whether it was pending until now.
+    /// Records that a message has its final answer; returns whether it was pending.
     pub(super) fn finish_message(&mut self, id: &MessageId) -> bool {
         self.pending.finish(id)
     }
 
-    /// Finishes messages that were not delivered, and returns the notices for the platform. What was submitted since
-    /// the last due work needs no notice: its client gets the answer as the response, and nothing of it is recorded.
+    /// Finishes messages that were not delivered, and returns the notices for the platform. A message that was
+    /// submitted since the last due work needs neither notice nor record: its client gets the answer as the response.
     pub(super) fn give_final_answers(&mut self, answers: Vec<DeliveryNotice>) -> Vec<DeliveryNotice> {
         let mut notices = Vec::new();
         for notice in answers {
             if let Some(submission) = self.take_submission(&notice.id) {
                 let _ = submission.reply.send(response_to(notice.answer));
-            } else if self.finish_message(&notice.id) {
-                let id = &*notice.id.0;
-                tracing::debug!(message_id = id, answer = ?notice.answer, "message not delivered");
-                self.record(Record::Finished { id: id.to_owned(), notice: Some(notice.answer) });
+            } else if self.finish_undelivered(&notice) {
                 notices.push(notice);
             }
         }
         notices
     }
+
+    /// Records the final answer of a pending message that was not delivered; returns whether it was pending.
+    fn finish_undelivered(&mut self, notice: &DeliveryNotice) -> bool {
+        if !self.finish_message(&notice.id) {
+            return false;
+        }
+        let id = &*notice.id.0;
+        tracing::debug!(message_id = id, answer = %notice.answer, "message not delivered");
+        self.record(Record::Finished { id: id.to_owned(), notice: Some(notice.answer) });
+        true
+    }
 }
 
-/// The response to a client whose message has its final answer at once.
+/// The response to a client whose message has its final answer before it was accepted.
 fn response_to(answer: FinalAnswer) -> ClientResponse {
     match answer {
-        FinalAnswer::Rejected { retry_after } => ClientResponse::Rejected(retry_after),
+        FinalAnswer::Rejected { retry_after } => ClientResponse::Rejected { retry_after },
         FinalAnswer::Failed => ClientResponse::Failed,
     }
 }
@@ -209,17 +218,17 @@
         &self.unwritten
     }
 
-    /// The write-ahead log has all queued records.
+    /// Clears the queued records, which the write-ahead log has now.
     pub(super) fn records_written(&mut self) {
         self.unwritten.clear();
     }
 
-    /// One more notice waits for the platform's acknowledgement.
+    /// Counts a notice that the platform has not acknowledged.
     pub(super) fn notice_sent(&mut self) {
         self.unacknowledged_notices += 1;
     }
 
-    /// The notices about these messages are done with.
+    /// Records that the notices about these messages are acknowledged, or were dropped as malformed.
     pub(super) fn acknowledge_notices(&mut self, ids: &[MessageId]) {
         self.unacknowledged_notices = self.unacknowledged_notices.saturating_sub(ids.len());
         for id in ids {
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -1,28 +1,28 @@
-//! Messages that clients submit, until the write-ahead log has them and the client is answered.
+//! Submissions of clients, until they are written to the write-ahead log and answered.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use reeddock::{MessageId, NewMessage};
 use reeddock_protocol::{ClientResponse, Submission};
-use reeddock_wal::{Accepted, WriteAheadLog};
+use reeddock_wal::Accepted;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 use super::log_writer::LogWrite;
 use super::EventLoop;
 
-/// Submitted since the last due work, and not yet answered.
+/// A message that was submitted since the last due work and is not answered yet.
 pub(super) struct NewSubmission {
     pub id: MessageId,
-    /// What the write-ahead log will have of it.
+    /// Its record for the write-ahead log.
     pub accepted: Accepted,
     pub reply: oneshot::Sender<ClientResponse>,
 }
 
 impl EventLoop {
-    /// Passes a submission to the policy, or answers it at once where it can't be accepted. `received_at` is when
-    /// the client's request had been read.
+    /// Passes a submission to the policy, or answers it immediately if it can't be accepted. `received_at` is the time
+    /// at which the client's request was read completely.
     pub(super) fn submit(
         &mut self,
         submission: Submission,
@@ -30,7 +30,7 @@
         reply: oneshot::Sender<ClientResponse>,
         now: Duration,
     ) {
-        // A client that has closed its connection submits the message anew.
+        // A client that has closed its connection submits the message again.
         if reply.is_closed() {
             return;
         }
@@ -53,11 +53,11 @@
         self.state.add_submission(NewSubmission { id, accepted, reply });
     }
 
-    /// The response to a submission that the policy does not get to see.
+    /// The response to a submission that is not passed to the policy; None if it is.
     fn immediate_response(&self, submission: &Submission) -> Option<ClientResponse> {
         let (id, pending) = (&submission.id, self.state.pending());
         if pending.contains(id) {
-            // Whoever sent it: the write-ahead log has this message.
+            // A repeated submission: the write-ahead log has this message.
             Some(ClientResponse::Accepted)
         } else if pending.is_finished(id) || self.state.has_submission(id) {
             Some(ClientResponse::DuplicateId)
@@ -68,13 +68,13 @@
         }
     }
 
-    /// What the write-ahead log gets of a submission once it is accepted.
+    /// The record of a submission that is accepted.
     fn accepted_record(&self, submission: Submission, deadline: Duration) -> Accepted {
         Accepted {
             id: submission.id.0.to_string(),
             class: submission.class,
             tenant: submission.tenant,
-            key: submission.ordering_key.map(|key| key.0),
+            ordering_key: submission.ordering_key.map(|key| key.0),
             destination: submission.destination.0,
             deadline: self.clock.to_unix_micros(deadline),
             body: submission.body,
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Whether memory and disk can hold one more message, beside what was submitted since the last due work.
+    /// Whether memory and disk have space for one more message, in addition to those submitted since the last due work.
     fn has_capacity_for(&mut self, accepted: &Accepted) -> bool {
-        let new_bytes = self.state.submitted_bytes() + WriteAheadLog::size_of(accepted);
+        let new_bytes = self.state.submitted_bytes() + accepted.reserved_bytes();
         let memory_bytes = self.state.pending().bytes() + new_bytes;
-        let has_capacity = new_bytes <= self.log.room() && memory_bytes <= self.max_message_bytes;
+        let has_capacity = new_bytes <= self.log.free_bytes() && memory_bytes <= self.max_message_bytes;
         if !has_capacity {
             if let Some(suppressed) = self.throttles.capacity.admit() {
                 tracing::warn!(
@@ -99,8 +99,8 @@
         has_capacity
     }
 
-    /// Answers clients whose messages were accepted, or could not be. Returns the messages whose clients do not know
-    /// of an acceptance: a client that has disconnected submits the message anew.
+    /// Answers the clients of all submissions. Returns the messages whose clients were not answered 202: they submit
+    /// the message again, as does a client that has disconnected.
     pub(super) fn answer_submissions(
         &self,
         submissions: Vec<NewSubmission>,
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -12,7 +12,7 @@
 use http::{Method, Request, Response};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use reeddock_protocol::{ClientResponse, Submission, SubmissionError, MAX_BODY_BYTES};
+use reeddock_protocol::{ClientResponse, ConnectionOption, Submission, SubmissionError, MAX_BODY_BYTES};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{timeout, Instant};
 use tower::Service;
@@ -21,10 +21,10 @@
 use super::clients::ClientConnections;
 use crate::events::Event;
 
-/// How long a body may take after its head.
+/// The time limit for receiving a body, from the end of its head.
 const BODY_WITHIN: Duration = Duration::from_millis(600);
 
-/// Whether a new connection fits into the limit of those that are served.
+/// Whether a new connection is within the limit of served connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionCapacity {
     /// Its submissions are accepted.
@@ -59,13 +59,14 @@
         Box::pin(async move {
             let response = service.respond(request).await;
             service.connection.response_ready();
-            let last = service.closes_after(&response);
-            Ok(response.encode(last))
+            let connection = service.connection_after(&response);
+            Ok(response.encode(connection))
         })
     }
 }
 
 impl IngressService {
+    /// Routes a request by its method and path.
     async fn respond(&self, request: Request<Incoming>) -> ClientResponse {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => self.health(),
@@ -74,28 +75,34 @@
         }
     }
 
+    /// Answers a health check.
     fn health(&self) -> ClientResponse {
         if self.clients.shutting_down() {
             ClientResponse::ShuttingDown
         } else {
-            ClientResponse::Healthy(self.clients.list_fault())
+            ClientResponse::Healthy { list_fault: self.clients.list_fault() }
         }
     }
 
-    /// Whether the client is asked to use another connection after this response.
-    fn closes_after(&self, response: &ClientResponse) -> bool {
+    /// Whether the client may use the connection again after this response.
+    fn connection_after(&self, response: &ClientResponse) -> ConnectionOption {
         let above_keep_alive_limit = self.clients.count() > self.keep_alive_limit;
-        self.capacity == ConnectionCapacity::Exceeded
+        let closes = self.capacity == ConnectionCapacity::Exceeded
             || leaves_bytes_unread(response)
             || above_keep_alive_limit
-            || self.clients.shutting_down()
+            || self.clients.shutting_down();
+        if closes {
+            ConnectionOption::Close
+        } else {
+            ConnectionOption::KeepAlive
+        }
     }
 
-    /// Passes a submission to the event loop and returns the answer of that; an error is the answer to a submission
-    /// that never got there.
+    /// Passes a submission to the event loop and returns its response; an error is the response to a submission that
+    /// did not reach the event loop.
     async fn submit(&self, request: Request<Incoming>) -> Result<ClientResponse, ClientResponse> {
         let (parts, body) = request.into_parts();
-        // A body whose end two sides may see in different places can hide a request in it.
+        // Two sides may disagree on where a chunked body ends, so that a request could be hidden in it.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             return Err(ClientResponse::LengthRequired);
         }
@@ -104,7 +111,8 @@
             return Err(ClientResponse::LengthMismatch);
         }
         let received_at = Instant::now();
-        let submission = Submission::decode(&parts, body).map_err(ClientResponse::Malformed)?;
+        let submission =
+            Submission::decode(&parts, body).map_err(|error| ClientResponse::Malformed { error })?;
         if self.capacity == ConnectionCapacity::Exceeded {
             return Err(ClientResponse::NoCapacity);
         }
@@ -115,7 +123,7 @@
     }
 }
 
-/// Reads a body whole, within the limits of size and time.
+/// Reads a body completely, within the limits of size and time.
 async fn read_body(body: Incoming) -> Result<Bytes, ClientResponse> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(ClientResponse::TooLarge);
@@ -123,9 +131,10 @@
     let limited = Limited::new(body, MAX_BODY_BYTES);
     match timeout(BODY_WITHIN, limited.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ClientResponse::TooLarge),
-        Ok(Err(e)) => {
-            Err(ClientResponse::Malformed(SubmissionError::UnreadableBody { reason: e.to_string() }))
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ClientResponse::TooLarge),
+        Ok(Err(error)) => {
+            let error = SubmissionError::UnreadableBody { reason: error.to_string() };
+            Err(ClientResponse::Malformed { error })
         }
         Err(_) => Err(ClientResponse::RequestTimeout),
     }
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -1,7 +1,9 @@
-//! The limits of the network side, derived from the resources that a forwarder is given. They say what the machine can
-//! carry, and never what should be sent: that is the delivery policy's decision.
+//! Resource limits, derived from what the configuration allows a forwarder. They protect the machine; how much is sent
+//! to a destination is the delivery policy's decision.
 
-/// What a forwarder is given of its machine.
+use std::fmt;
+
+/// The resources of the machine that a forwarder may use.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
     /// Bytes of memory.
@@ -15,30 +17,48 @@
 /// The limits that follow from a machine's resources.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Client connections that are served; those beyond are answered that there is no capacity.
-    pub clients: usize,
+    /// Client connections that are served; submissions on further ones are answered with 503.
+    pub served_clients: usize,
     /// Client connections that are accepted at all.
-    pub accepted: usize,
-    /// With more client connections than this, each is closed once it was answered: clients hold only so many
-    /// connections too, and some ask once and stay, which would keep the others out.
-    pub kept: usize,
+    pub accepted_clients: usize,
+    /// While more client connections than this are open, each is closed after its response: otherwise clients that
+    /// submit once and stay connected would keep others out.
+    pub keep_alive_clients: usize,
     /// Closed client connections that are still read from.
-    pub lingering: usize,
+    pub lingering_clients: usize,
     /// Connections to endpoints, idle ones included.
-    pub requests: usize,
+    pub endpoint_connections: usize,
     /// Events that are queued for the event loop, submissions among them.
-    pub queue: usize,
-    /// Bytes of messages that are kept in memory.
-    pub bodies: u64,
+    pub queued_events: usize,
+    /// Bytes of pending messages in memory.
+    pub message_bytes: u64,
+}
+
+/// One line for operators.
+impl fmt::Display for Limits {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            f,
+            "client connections: {} accepted, {} served, {} kept alive, {} lingering; connections to endpoints: {}; \
+             queued events: {}; bytes of pending messages: {}",
+            self.accepted_clients,
+            self.served_clients,
+            self.keep_alive_clients,
+            self.lingering_clients,
+            self.endpoint_connections,
+            self.queued_events,
+            self.message_bytes
+        )
+    }
 }
 
-/// Descriptors that are kept back from client connections and from requests, so that neither can keep the endpoint
-/// list, the notices or the write-ahead log from going on.
+/// Descriptors that neither client connections nor requests may use, so that the endpoint list, notices and the
+/// write-ahead log always have descriptors.
 #[derive(Clone, Copy, Debug)]
 pub struct Reserve {
     /// Standard input, output and error.
     pub standard_streams: usize,
-    /// What the runtime waits on, its wake-ups and its signals.
+    /// The runtime's event queue, wake-ups and signals.
     pub runtime: usize,
     /// The socket that clients connect to.
     pub listener: usize,
@@ -50,11 +70,11 @@
     pub watch: usize,
     /// The connection for notices, and one that is being closed.
     pub notices: usize,
-    /// What the libraries may open beside these.
+    /// Descriptors that libraries may open in addition.
     pub margin: usize,
 }
 
-/// The reserve that [`Limits::derive`] keeps back.
+/// The reserve that [`Limits::derive`] subtracts.
 pub const RESERVE: Reserve = Reserve {
     standard_streams: 3,
     runtime: 8,
@@ -66,7 +86,7 @@
     margin: 7,
 };
 
-/// A forwarder counts on this many descriptors beyond the reserve, however few it is given.
+/// A forwarder assumes at least this many descriptors beyond the reserve, even if fewer are configured.
 const MIN_FREE_DESCRIPTORS: usize = 8;
 /// Events that are queued for the event loop: a few of its steps, each of 256 events at most.
 const EVENT_QUEUE: usize = 1024;
@@ -89,19 +109,19 @@
     /// Divides a machine's resources among the parts of a forwarder.
     pub fn derive(resources: ResourceLimits) -> Limits {
         let free = resources.descriptors.saturating_sub(RESERVE.total()).max(MIN_FREE_DESCRIPTORS);
-        // Clients that ask once and stay, or never ask, hold more connections than requests do.
+        // Clients that submit once and stay connected, or never submit, need more connections than requests do.
         let for_clients = free * 3 / 5;
         let lingering = for_clients / 8;
         let accepted = for_clients - lingering;
         Limits {
-            clients: accepted - accepted / 8,
-            accepted,
-            lingering,
-            kept: for_clients / 8,
-            requests: free - for_clients,
-            queue: EVENT_QUEUE,
+            served_clients: accepted - accepted / 8,
+            accepted_clients: accepted,
+            lingering_clients: lingering,
+            keep_alive_clients: for_clients / 8,
+            endpoint_connections: free - for_clients,
+            queued_events: EVENT_QUEUE,
             // The rest is for connections, each with the body that it is reading, and for the program.
-            bodies: resources.memory_bytes / 4,
+            message_bytes: resources.memory_bytes / 4,
         }
     }
 }
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -25,7 +25,7 @@
     event_loop: mpsc::Sender<Event>,
 ) {
     let departure = request.departure.clone();
-    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_by).collect());
+    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_deadline).collect());
     let mut supervisor = Supervisor::new(&request, &attempts, event_loop);
     let mut interruptions = watch_interruptions(&request, attempts);
     let mut early_retry_after = request.early_retry_after.subscribe();
@@ -89,10 +89,10 @@
 }
 
 impl Interruption {
-    /// Keeps the message from being sent if it was not yet; the result says which of the two is the case.
+    /// Withdraws the message, and returns its result, which says whether it was sent before.
     fn withdraw(self, departure: &BatchDeparture) -> MessageResult {
         let result = match (departure.withdraw(self.position), self.cause) {
-            // No connection had come up by then.
+            // No connection was open by then.
             (MessageDeparture::Withheld, InterruptionCause::TimedOut) => AttemptResult::ConnectTimedOut,
             (MessageDeparture::Withheld, InterruptionCause::Cancelled) => AttemptResult::NotSent,
             (MessageDeparture::Sent, InterruptionCause::TimedOut) => AttemptResult::TimedOut,
@@ -109,8 +109,14 @@
 ) -> FuturesUnordered<impl Future<Output = Interruption>> {
     let members = attempts.into_iter().zip(&request.messages).enumerate();
     let interruptions = members.map(|(position, (attempt, message))| {
-        let PendingAttempt { start_by, cancelled, .. } = attempt;
-        interruption(position, start_by, message.answer_by, cancelled, request.departure.clone())
+        let PendingAttempt { start_deadline, cancelled, .. } = attempt;
+        interruption(
+            position,
+            start_deadline,
+            message.response_deadline,
+            cancelled,
+            request.departure.clone(),
+        )
     });
     interruptions.collect()
 }
@@ -118,19 +124,19 @@
 /// Waits until the message at a position is not waited for any longer.
 async fn interruption(
     position: usize,
-    start_by: Instant,
-    answer_by: Instant,
+    start_deadline: Instant,
+    response_deadline: Instant,
     cancelled: oneshot::Receiver<()>,
     departure: BatchDeparture,
 ) -> Interruption {
     let not_sent_in_time = async {
-        sleep_until(start_by).await;
+        sleep_until(start_deadline).await;
         if departure.was_sent(position) {
             std::future::pending().await
         }
     };
     let cause = tokio::select! {
-        () = sleep_until(answer_by) => InterruptionCause::TimedOut,
+        () = sleep_until(response_deadline) => InterruptionCause::TimedOut,
         () = not_sent_in_time => InterruptionCause::TimedOut,
         Ok(()) = cancelled => InterruptionCause::Cancelled,
     };
@@ -143,18 +149,18 @@
     number: AttemptNumber,
 }
 
-/// An attempt that has ended and was not reported yet.
+/// The result of an attempt, to be reported to the event loop.
 struct AttemptReport {
     attempt: AttemptId,
     result: AttemptResult,
 }
 
-/// One message of a request, as its supervisor knows it.
+/// One message of a request, until its result is known.
 struct SupervisedMessage {
     /// None once its result is known.
     unfinished: Option<AttemptId>,
     /// Until when its result is waited for.
-    answer_by: Instant,
+    response_deadline: Instant,
 }
 
 /// Which messages of a request have no result yet.
@@ -173,17 +179,19 @@
     ) -> Supervisor {
         let supervised = |(attempt, message): (&PendingAttempt, &BatchMessage)| {
             let id = AttemptId { message: attempt.message.clone(), number: attempt.number };
-            SupervisedMessage { unfinished: Some(id), answer_by: message.answer_by }
+            SupervisedMessage { unfinished: Some(id), response_deadline: message.response_deadline }
         };
         let messages = attempts.iter().zip(&request.messages).map(supervised).collect();
         Supervisor { endpoint: request.endpoint, messages, event_loop }
     }
 
+    /// Whether any message has no result yet.
     fn any_unfinished(&self) -> bool {
         self.messages.iter().any(|message| message.unfinished.is_some())
     }
 
-    /// The request has ended: reports what its response says of the endpoint, and returns the result of each message.
+    /// Handles the end of the request: reports what its response says about the endpoint, and returns each message's
+    /// result.
     async fn request_finished(&self, request: RequestResult) -> Vec<MessageResult> {
         self.report_endpoint(&request).await;
         let now = Instant::now();
@@ -197,7 +205,7 @@
         results
     }
 
-    /// Reports the load report and the `Retry-After` of a response, ahead of its results.
+    /// Sends the load report and the `Retry-After` of a response to the event loop, before its results.
     async fn report_endpoint(&self, request: &RequestResult) {
         let endpoint = self.endpoint;
         if let Some(report) = request.load_report {
@@ -212,10 +220,11 @@
         let _ = self.event_loop.send(Event::RetryAfter { endpoint: self.endpoint, retry_after }).await;
     }
 
-    /// The endpoint knows until when a result is waited for: a completion after that is no delivery, though it may
-    /// arrive in the instant of the timeout. A result that proves that nothing was executed stays valid.
+    /// Turns a completion after the time limit into a timeout: the endpoint knows the limit, so that a later completion
+    /// is no delivery. A result that proves that the message was not executed stays valid.
     fn in_time(&self, finished: MessageResult, now: Instant) -> MessageResult {
-        let late = self.messages.get(finished.position).is_some_and(|message| message.answer_by <= now);
+        let late =
+            self.messages.get(finished.position).is_some_and(|message| message.response_deadline <= now);
         match finished.result {
             AttemptResult::Completed if late => MessageResult { result: AttemptResult::TimedOut, ..finished },
             _ => finished,
@@ -231,6 +240,7 @@
         finished.into_iter().filter_map(take).collect()
     }
 
+    /// Sends results to the event loop.
     async fn report(&self, reports: Vec<AttemptReport>) {
         for AttemptReport { attempt: AttemptId { message, number }, result } in reports {
             // The event loop ends with the program only.
