--- a/crates/simulation/src/policies/baseline_policy.rs
+++ b/crates/simulation/src/policies/baseline_policy.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use rand::RngExt;
 use reeddock::{
     AttemptNumber, AttemptOutcome, DestinationId, EndpointId, MessageId, OrderingKey, PreviousAttempt,
 };
@@ -10,6 +11,9 @@
 use crate::distribution::RandomSource;
 use crate::policy::WorldView;
 
+/// Interval at which a baseline looks for work: circuits close and capacity becomes free without a call that says so.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
 /// An attempt that a baseline has started.
 #[derive(Clone, Copy)]
 pub(super) struct StartedAttempt {
@@ -62,20 +66,23 @@
     pub(super) world: &'v dyn WorldView,
 }
 
-/// How a baseline differs from the others.
+/// What the baselines decide by themselves. A baseline that implements [`retry_after`](BaselinePolicy::retry_after)
+/// alone sends each message to any endpoint, in the order of submission, and learns nothing from outcomes.
 pub trait BaselinePolicy: Send {
-    /// Which of the candidates gets the message now; none: it stays queued.
+    /// Selects the endpoint that gets the message now; the message stays queued where none is selected.
     fn select(
         &mut self,
-        message: &PendingMessage,
+        _message: &PendingMessage,
         view: &SelectionView,
         random: &mut RandomSource,
-    ) -> Option<EndpointId>;
+    ) -> Option<EndpointId> {
+        any_endpoint(view.candidates, random)
+    }
 
-    /// An attempt has ended.
-    fn attempt_finished(&mut self, endpoint: EndpointId, outcome: AttemptOutcome, now: Duration);
+    /// Learns from the outcome of an attempt.
+    fn attempt_finished(&mut self, _endpoint: EndpointId, _outcome: AttemptOutcome, _now: Duration) {}
 
-    /// After how long a message whose attempt ended so is retried; none: never.
+    /// The delay until the retry of a message whose attempt has this outcome; none where it is not retried.
     fn retry_after(
         &mut self,
         message: &PendingMessage,
@@ -83,7 +90,7 @@
         random: &mut RandomSource,
     ) -> Option<Duration>;
 
-    /// The order in which messages are sent: first those with the least.
+    /// The order in which messages are sent: the least value first, equal ones in the order of submission.
     fn urgency(&self, _message: &PendingMessage) -> Duration {
         Duration::ZERO
     }
@@ -93,6 +100,13 @@
         latency_objective
     }
 
-    /// How often it looks for work while anything is queued.
-    fn poll_interval(&self) -> Duration;
+    /// The interval at which it looks for work while anything is queued.
+    fn poll_interval(&self) -> Duration {
+        POLL_INTERVAL
+    }
+}
+
+/// Any of these endpoints, drawn at random; none where there are none.
+pub(super) fn any_endpoint(candidates: &[EndpointId], random: &mut RandomSource) -> Option<EndpointId> {
+    (!candidates.is_empty()).then(|| candidates[random.random_range(0..candidates.len())])
 }
--- a/crates/simulation/src/policies/baselines.rs
+++ b/crates/simulation/src/policies/baselines.rs
@@ -1,4 +1,4 @@
-//! The baselines.
+//! The baselines: one attempt, retries with backoff, circuit breakers, and an upper bound that sees the true state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,8 +9,6 @@
 use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView};
 use crate::distribution::RandomSource;
 
-/// How often a baseline looks for work: breakers close and capacity becomes free without a call that says so.
-const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Attempts for a message by the baselines that retry with backoff.
 const MAX_ATTEMPTS: u32 = 5;
 /// Until the retry of an attempt that never left the forwarder.
@@ -25,32 +23,22 @@
 /// Doublings of the backoff at most.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// The backoff after so many attempts: doubling, drawn from the upper half.
+/// The backoff after this number of attempts: doubled with each, and drawn from the upper half of that.
 pub(super) fn backoff(attempts: u32, random: &mut RandomSource) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
     let longest = (FIRST_BACKOFF * 2.0_f64.powi(doublings as i32)).min(MAX_BACKOFF);
     Duration::from_secs_f64(longest * (0.5 + 0.5 * random.random::<f64>()))
 }
 
-fn any_of(candidates: &[EndpointId], random: &mut RandomSource) -> Option<EndpointId> {
-    (!candidates.is_empty()).then(|| candidates[random.random_range(0..candidates.len())])
+/// Retries with backoff, up to [`MAX_ATTEMPTS`].
+fn retry_with_backoff(message: &PendingMessage, random: &mut RandomSource) -> Option<Duration> {
+    (message.attempts < MAX_ATTEMPTS).then(|| backoff(message.attempts, random))
 }
 
 /// One attempt for each message.
 pub(super) struct OneAttempt;
 
 impl BaselinePolicy for OneAttempt {
-    fn select(
-        &mut self,
-        _: &PendingMessage,
-        view: &SelectionView,
-        random: &mut RandomSource,
-    ) -> Option<EndpointId> {
-        any_of(view.candidates, random)
-    }
-
-    fn attempt_finished(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
-
     fn retry_after(
         &mut self,
         _: &PendingMessage,
@@ -64,38 +52,19 @@
     fn attempt_timeout(&self, _: Duration) -> Duration {
         Duration::MAX
     }
-
-    fn poll_interval(&self) -> Duration {
-        POLL_INTERVAL
-    }
 }
 
 /// Retries with exponential, jittered backoff, to any endpoint.
 pub(super) struct ExponentialBackoff;
 
 impl BaselinePolicy for ExponentialBackoff {
-    fn select(
-        &mut self,
-        _: &PendingMessage,
-        view: &SelectionView,
-        random: &mut RandomSource,
-    ) -> Option<EndpointId> {
-        any_of(view.candidates, random)
-    }
-
-    fn attempt_finished(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
-
     fn retry_after(
         &mut self,
         message: &PendingMessage,
         _: AttemptOutcome,
         random: &mut RandomSource,
     ) -> Option<Duration> {
-        (message.attempts < MAX_ATTEMPTS).then(|| backoff(message.attempts, random))
-    }
-
-    fn poll_interval(&self) -> Duration {
-        POLL_INTERVAL
+        retry_with_backoff(message, random)
     }
 }
 
@@ -113,6 +82,7 @@
     next: BTreeMap<DestinationId, usize>,
 }
 
+/// The circuit of one endpoint; half-open once its time as an open one has passed.
 #[derive(Default)]
 struct Circuit {
     consecutive_failures: u32,
@@ -168,11 +138,7 @@
         _: AttemptOutcome,
         random: &mut RandomSource,
     ) -> Option<Duration> {
-        (message.attempts < MAX_ATTEMPTS).then(|| backoff(message.attempts, random))
-    }
-
-    fn poll_interval(&self) -> Duration {
-        POLL_INTERVAL
+        retry_with_backoff(message, random)
     }
 }
 
@@ -210,8 +176,6 @@
         selected
     }
 
-    fn attempt_finished(&mut self, _: EndpointId, _: AttemptOutcome, _: Duration) {}
-
     fn retry_after(
         &mut self,
         _: &PendingMessage,
@@ -228,8 +192,4 @@
     fn attempt_timeout(&self, _: Duration) -> Duration {
         Duration::MAX
     }
-
-    fn poll_interval(&self) -> Duration {
-        POLL_INTERVAL
-    }
 }
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -5,11 +5,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use rand::RngExt;
 use reeddock::{AttemptOutcome, EndpointId, Settings};
 
 use super::baseline_host::BaselineHost;
-use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView};
+use super::baseline_policy::{any_endpoint, BaselinePolicy, PendingMessage, SelectionView};
 use super::baselines::backoff;
 use crate::distribution::RandomSource;
 use crate::policy::Policy;
@@ -202,8 +201,8 @@
             .filter(|endpoint| admission(endpoint) == CircuitAdmission::Admit)
             .copied()
             .collect();
-        if !closed.is_empty() {
-            return Some(closed[random.random_range(0..closed.len())]);
+        if let Some(endpoint) = any_endpoint(&closed, random) {
+            return Some(endpoint);
         }
         let is_half_open = |endpoint: &&EndpointId| admission(endpoint) == CircuitAdmission::HalfOpenTrial;
         let trial = view.candidates.iter().find(is_half_open).copied()?;
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -130,8 +130,8 @@
         let class_name = |class: usize| &self.scenario.classes[class].name;
         let classes: Vec<usize> = batch.iter().map(|entry| self.class_of(entry.attempt.message)).collect();
         let mut fails = false;
-        for index in self.endpoints[endpoint.0].active_faults.clone() {
-            match self.fault(index) {
+        for index in &self.endpoints[endpoint.0].active_faults {
+            match self.fault(*index) {
                 Fault::FastErrors { share, .. } => fails |= share.occurs(&mut self.random.service),
                 Fault::ClassFails { class, .. } => {
                     fails |= classes.iter().any(|in_batch| class_name(*in_batch) == class);
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -36,8 +36,8 @@
         let longest = works.iter().copied().fold(0.0, f64::max);
         let mut work = longest + WORK_PER_EXTRA_MESSAGE * (works.iter().sum::<f64>() - longest);
         work *= self.slowdown(endpoint);
-        for index in self.endpoints[endpoint.0].active_faults.clone() {
-            if let Fault::HeavyTail { share, factor, .. } = self.fault(index) {
+        for index in &self.endpoints[endpoint.0].active_faults {
+            if let Fault::HeavyTail { share, factor, .. } = self.fault(*index) {
                 let is_long = share.occurs(&mut self.random.service);
                 // Drawn in any case, so that the outcome does not shift what is drawn later.
                 let drawn = factor.draw(&mut self.random.service);
@@ -102,7 +102,7 @@
         if record.is_awaited() {
             self.account.work_useful += record.work;
         }
-        for entry in record.batch.clone() {
+        for entry in &record.batch {
             let message = entry.attempt.message;
             let submission = &mut self.submissions[self.messages[message.0].submission.0];
             submission.applied += 1;
@@ -118,8 +118,8 @@
     fn send_response(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
         let mut is_lost = false;
-        for index in self.endpoints[endpoint.0].active_faults.clone() {
-            if let Fault::ResponsesLost { share, .. } = self.fault(index) {
+        for index in &self.endpoints[endpoint.0].active_faults {
+            if let Fault::ResponsesLost { share, .. } = self.fault(*index) {
                 is_lost |= share.occurs(&mut self.random.service);
             }
         }
