--- a/crates/experiments/src/arguments.rs
+++ b/crates/experiments/src/arguments.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ArgumentError {
     /// A policy that does not exist.
-    #[error("no policy {0:?}: expected {known}", known = known_policies())]
+    #[error("no policy \"{0}\": expected {known}", known = known_policies())]
     UnknownPolicy(String),
     /// An override that is not of the form `KEY=VALUE,VALUE`, or has an empty part.
     #[error("expected KEY=VALUE,VALUE")]
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -162,7 +162,7 @@
         let report = run(&scenario, found.seed, BuiltInPolicy::DeliveryPolicy);
         let (reproduced, description) = match found.rule {
             Some(rule) => {
-                let description = format!("rule {} ({rule:?}) broken", rule.number());
+                let description = format!("rule {} ({rule}) broken", rule.number());
                 (report.violations.iter().any(|broken| broken.rule == rule), description)
             }
             None => {
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -39,7 +39,7 @@
     Span(f64),
     /// Parameters of a [`Distribution`] that are out of range.
     #[error(
-        "figure out of range: expected numbers from 0 up, uniform = [low, high], a mean or median over 0, \
+        "distribution out of range: expected numbers from 0 up, uniform = [low, high], a mean or median over 0, \
          sigma 3 at most"
     )]
     Distribution,
@@ -182,7 +182,11 @@
 
 /// A distribution to draw from.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
+#[serde(
+    rename_all = "snake_case",
+    deny_unknown_fields,
+    expecting = "a table of the distribution's parameters"
+)]
 pub enum RandomDistribution {
     /// Evenly between two values.
     Uniform([f64; 2]),
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -9,7 +9,7 @@
 
 /// The endpoints that a fault strikes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "struct Whom")]
+#[serde(deny_unknown_fields, default, expecting = "a table with destinations, or a share of them")]
 pub struct EndpointSelector {
     /// Destinations by rank of traffic, from 0; where none are named, a share is drawn.
     #[serde(skip_serializing_if = "Vec::is_empty")]
@@ -24,7 +24,7 @@
 
 /// Forwarders, by number or as a share of the fleet from the first one on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "struct Which")]
+#[serde(deny_unknown_fields, default, expecting = "a table with forwarders, or a share of them")]
 pub struct ForwarderSelector {
     /// Forwarders by number, from 0.
     #[serde(skip_serializing_if = "Vec::is_empty")]
@@ -36,7 +36,7 @@
 
 /// Something that goes wrong for a while.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
+#[serde(rename_all = "snake_case", deny_unknown_fields, expecting = "a table of the fault's values")]
 pub enum Fault {
     /// Connections are refused at once, and those that stand are reset.
     #[serde(rename = "refused")]
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Whether an endpoint is down by it, in the sense of [`Rule::NotPushedOver`](crate::rule::Rule::NotPushedOver).
+    /// Whether an endpoint that it strikes counts as down, in the sense of [`Rule::NoOverload`](crate::rule::Rule::NoOverload).
     pub fn is_outage(&self) -> bool {
         match self {
             Fault::ConnectionsRefused { .. }
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -6,6 +6,7 @@
 
 use super::checker::InvariantChecker;
 use super::history::{AttemptHistory, MessageHistory, ReportedOutcome};
+use super::text::StateText;
 use super::violation::RetryAfterScope;
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
 use crate::rule::Rule;
@@ -78,7 +79,7 @@
             return None;
         }
         let since = listed.since.as_secs_f64();
-        let what = format!("target {} is {:?}, told at {since:.6}", endpoint.0, listed.state);
+        let what = format!("target {} is {}, told at {since:.6}", endpoint.0, StateText(listed.state));
         Some(BrokenRule::new(Rule::Drains, what))
     }
 
@@ -91,7 +92,7 @@
     ) -> Option<BrokenRule> {
         let until = self.retry_after.get(&(forwarder, scope)).filter(|until| now < **until)?;
         let what = format!("{scope} asked it to wait until {:.6}", until.as_secs_f64());
-        Some(BrokenRule::new(Rule::Waits, what))
+        Some(BrokenRule::new(Rule::RetryAfterHonored, what))
     }
 
     /// An attempt has ended, and its forwarder learns of it now.
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -69,7 +69,7 @@
             return;
         }
         let violation = Violation {
-            rule: Rule::NotPushedOver,
+            rule: Rule::NoOverload,
             at_s: now.as_secs_f64(),
             forwarder: None,
             message: None,
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -5,6 +5,7 @@
 
 use reeddock::AttemptOutcome;
 
+use super::text::OutcomeText;
 use crate::ids::{EndpointIndex, ForwarderIndex, SubmissionIndex};
 
 /// The final answer that a message got.
@@ -23,10 +24,10 @@
 impl fmt::Display for FinalAnswer {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            FinalAnswer::Completed => "Completed",
-            FinalAnswer::Rejected => "Shed",
-            FinalAnswer::Failed => "BrokenOff",
-            FinalAnswer::Withdrawn => "Withdrawn",
+            FinalAnswer::Completed => "completed",
+            FinalAnswer::Rejected => "shed",
+            FinalAnswer::Failed => "broken off",
+            FinalAnswer::Withdrawn => "withdrawn",
         })
     }
 }
@@ -153,7 +154,7 @@
             let started = format!("dispatch {number} to target {}", attempt.endpoint.0);
             events.push((attempt.started_at, started));
             if let Some(ended) = attempt.ended {
-                events.push((ended.at, format!("dispatch {number} ended: {:?}", ended.outcome)));
+                events.push((ended.at, format!("dispatch {number} ended: {}", OutcomeText(ended.outcome))));
             }
         }
         if let Some(given) = self.answer {
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -8,6 +8,7 @@
 mod endpoints;
 mod history;
 mod ordering;
+mod text;
 mod violation;
 
 pub use checker::{ClassRules, InvariantChecker, Violations};
--- a/crates/simulation/src/invariants/violation.rs
+++ b/crates/simulation/src/invariants/violation.rs
@@ -27,7 +27,7 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        write!(formatter, "rule {} ({:?}) at {:.6} s", self.rule.number(), self.rule, self.at_s)?;
+        write!(formatter, "rule {} ({}) at {:.6} s", self.rule.number(), self.rule, self.at_s)?;
         if let Some(forwarder) = self.forwarder {
             write!(formatter, ", forwarder {forwarder}")?;
         }
@@ -51,8 +51,8 @@
 impl fmt::Display for RetryAfterScope {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RetryAfterScope::Destination(rank) => write!(formatter, "Destination({rank})"),
-            RetryAfterScope::Endpoint(endpoint) => write!(formatter, "Target(TargetNo({}))", endpoint.0),
+            RetryAfterScope::Destination(rank) => write!(formatter, "destination {rank}"),
+            RetryAfterScope::Endpoint(endpoint) => write!(formatter, "target {}", endpoint.0),
         }
     }
 }
--- a/crates/simulation/src/scenario/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -7,7 +7,7 @@
 
 /// A kind of destinations, which are drawn alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Kind")]
+#[serde(deny_unknown_fields, expecting = "a table of a kind of destinations")]
 pub struct DestinationKind {
     /// Name in settings, endpoint lists and reports.
     pub name: String,
--- a/crates/simulation/src/scenario/messages.rs
+++ b/crates/simulation/src/scenario/messages.rs
@@ -13,7 +13,7 @@
 
 /// A message class: what its messages are worth, how long they may take, and what work they are.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Category")]
+#[serde(deny_unknown_fields, expecting = "a table of a category")]
 pub struct ClassSpec {
     /// Name in settings, reports and faults.
     pub name: String,
@@ -109,7 +109,7 @@
 
 /// A client program, which is a tenant of the forwarders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "a table of a program")]
 pub struct Program {
     /// Name of the tenant.
     pub name: String,
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -16,7 +16,7 @@
 
 /// A simulated world and what happens to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "a scenario")]
 pub struct Scenario {
     /// [`VERSION`].
     pub version: u32,
@@ -63,7 +63,7 @@
 
 /// What a search for weaknesses saw with a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Found")]
+#[serde(deny_unknown_fields, expecting = "a table of what a search found")]
 pub struct SearchFinding {
     /// Seed of the run.
     pub seed: u64,
@@ -82,7 +82,7 @@
 
 /// A fault and when it is active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Scheduled")]
+#[serde(deny_unknown_fields, expecting = "a table of a trouble and its times")]
 pub struct ScheduledFault {
     /// Start of the fault, from the start of the run.
     #[serde(rename = "at_s")]
--- a/crates/simulation/src/scenario/overrides.rs
+++ b/crates/simulation/src/scenario/overrides.rs
@@ -12,7 +12,7 @@
     #[error("no value")]
     NoValue,
     /// A step of the path names nothing in the file.
-    #[error("{path}: nothing at {step:?}, expected keys and numbers, as kind.0.batch")]
+    #[error("{path}: nothing at \"{step}\", expected keys and numbers, as kind.0.batch")]
     NothingAt {
         /// The whole path.
         path: String,
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -89,7 +89,7 @@
     RepeatedName,
     /// A latency objective of zero, or after the deadline.
     #[error(
-        "promised_s of {class:?} is {objective}: expected over 0, and its outer_limit_s {deadline} at most"
+        "promised_s of \"{class}\" is {objective}: expected over 0, and its outer_limit_s {deadline} at most"
     )]
     LatencyObjective {
         /// Name of the class.
@@ -122,10 +122,10 @@
     #[error("which: expected either forwarders or a share")]
     ForwarderSelector,
     /// A fault names a message class that is not there.
-    #[error("category {0:?} is not in this scenario")]
+    #[error("category \"{0}\" is not in this scenario")]
     UnknownClass(String),
     /// A fault names a program that is not there.
-    #[error("program {0:?} is not in this scenario")]
+    #[error("program \"{0}\" is not in this scenario")]
     UnknownProgram(String),
     /// Pauses that are as long as their interval, or longer.
     #[error("pauses: expected each_s under every_s")]
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -10,7 +10,7 @@
 
 /// The forwarders, and the limits in their settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "a table of the fleet")]
 pub struct Fleet {
     /// How many forwarders there are.
     pub forwarders: u32,
@@ -51,7 +51,7 @@
 
 /// How many messages arrive, and how they spread over destinations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "a table of the traffic")]
 pub struct Traffic {
     /// New messages a second of all programs together on a usual day; destinations are built for it.
     #[serde(rename = "usual_per_s")]
@@ -72,7 +72,7 @@
 
 /// Delays and timeouts of connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
+#[serde(deny_unknown_fields, default, expecting = "a table of the network")]
 pub struct Network {
     /// One way between a forwarder and an endpoint of its zone, in milliseconds.
     pub one_way_ms: Distribution,
@@ -117,7 +117,7 @@
 
 /// How forwarders learn of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "struct ListTerms")]
+#[serde(deny_unknown_fields, default, expecting = "a table of the endpoint list")]
 pub struct EndpointListSettings {
     /// From a change of the endpoint list until a forwarder learns of it, in seconds.
     pub delay_s: Distribution,
@@ -149,7 +149,7 @@
 
 /// Gossip between forwarders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "struct Notes")]
+#[serde(deny_unknown_fields, default, expecting = "a table of the notes between forwarders")]
 pub struct GossipSettings {
     /// Whether forwarders may send gossip at all.
     pub allowed: bool,
@@ -168,7 +168,7 @@
 
 /// How an endpoint recovers from an outage, and what overloads it while it is cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "struct Returning")]
+#[serde(deny_unknown_fields, default, expecting = "a table of returning destinations")]
 pub struct RecoverySettings {
     /// Share of its capacity that an endpoint has right after an outage.
     #[serde(rename = "cold_from")]
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -1,7 +1,7 @@
 //! Each of the six rules has a check that finds a delivery policy with a defect, and no check finds one without.
 
 use crate::defective_policy::{Defect, DefectivePolicy};
-use reeddock_simulation::invariants::Rule;
+use reeddock_simulation::invariants::{Rule, Violation};
 use reeddock_simulation::{run_with, Report, Scenario};
 
 /// Three forwarders, destinations that send Retry-After, and capacity for each fault.
@@ -56,6 +56,18 @@
     })
 }
 
+/// The text of a violation shows nothing as the code writes it: no names of types or variants, no braces.
+fn in_plain_words(violation: &Violation) {
+    let text = violation.to_string();
+    let is_type_name = |word: &str| {
+        let letters: Vec<char> = word.chars().collect();
+        letters.windows(2).any(|pair| pair[0].is_lowercase() && pair[1].is_uppercase())
+    };
+    let from_code = text.split_whitespace().find(|word| is_type_name(word) || word.contains(['{', '}']));
+    assert_eq!(from_code, None, "{text}");
+    assert!(!text.contains("Some("), "{text}");
+}
+
 /// The defective policy breaks the rule in some of these runs, the delivery policy as it is breaks none in any.
 fn finds(faults: &str, defect: Defect, rule: Rule) -> Report {
     let mut found = None;
@@ -67,6 +79,9 @@
             found.get_or_insert(defective);
         }
     }
+    if let Some(report) = &found {
+        report.violations.iter().for_each(in_plain_words);
+    }
     found.unwrap_or_else(|| panic!("no check of {rule:?} has found {defect:?}"))
 }
 
@@ -127,8 +142,8 @@
 
 #[test]
 fn a_recovering_destination_is_not_overloaded() {
-    let report = finds(DOWN, Defect::OverloadsRecovering, Rule::NotPushedOver);
-    let broken = report.violations.iter().find(|b| b.rule == Rule::NotPushedOver).unwrap();
+    let report = finds(DOWN, Defect::OverloadsRecovering, Rule::NoOverload);
+    let broken = report.violations.iter().find(|b| b.rule == Rule::NoOverload).unwrap();
     assert!(broken.led_by.iter().any(|l| l.contains("had seen a failure")), "{:?}", broken.led_by);
 }
 
@@ -139,5 +154,5 @@
 
 #[test]
 fn retry_after_is_honored() {
-    finds("", Defect::IgnoresRetryAfter, Rule::Waits);
+    finds("", Defect::IgnoresRetryAfter, Rule::RetryAfterHonored);
 }
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -211,6 +211,7 @@
         ("queue_s = 2", "told_waits = 1.5", 37, "expected a number from 0 to 1"),
         ("queue_s = 2", "pace = { uniform = [3, 1] }", 37, "expected numbers"),
         ("queue_s = 2", "limit = { spans = 2 }", 37, "spans"),
+        ("handshake_ms = 4", "handshake_ms = { log_normal = 3 }", 15, "expected a table of the distribution"),
         ("promised_s = 2", "promised_s = 9", 17, "outer_limit_s 8 at most"),
         ("name = \"order\"", "name = \"note\"", 23, "name that stands once"),
     ] {
@@ -221,4 +222,13 @@
     let trouble = "[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = { surge = { program = \"none\", times = 2 } }\n";
     let fault = Scenario::parse("exact.toml", &format!("{EXACT}{trouble}"), &[]).unwrap_err().to_string();
     assert!(fault.starts_with("exact.toml:38: ") && fault.contains("\"none\""), "{fault}");
+    for (what, told) in [
+        ("{ refused = { whom = 3 } }", "expected a table with destinations"),
+        ("{ killed = { which = 3 } }", "expected a table with forwarders"),
+        ("{ slow = 3 }", "expected a table of the fault's values"),
+    ] {
+        let trouble = format!("[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = {what}\n");
+        let fault = Scenario::parse("exact.toml", &format!("{EXACT}{trouble}"), &[]).unwrap_err().to_string();
+        assert!(fault.starts_with("exact.toml:41: ") && fault.contains(told), "{fault}");
+    }
 }
