--- a/crates/experiments/src/line_plot.rs
+++ b/crates/experiments/src/line_plot.rs
@@ -12,10 +12,18 @@
 /// Length of a line in the legend, in pixels.
 const LEGEND_LINE_LENGTH: i32 = 16;
 
+/// A point of a line, in the units of the axes.
+#[derive(Clone, Copy)]
+pub(crate) struct Point {
+    pub(crate) x: f64,
+    pub(crate) y: f64,
+}
+
 /// A line of a plot.
 pub(crate) struct Line {
+    /// Its name in the legend.
     pub(crate) name: String,
-    pub(crate) points: Vec<(f64, f64)>,
+    pub(crate) points: Vec<Point>,
 }
 
 /// A plot of several lines over a common axis; the other axis begins at 0.
@@ -44,7 +52,7 @@
 
     /// The ends of the horizontal axis.
     fn x_range(&self) -> std::ops::Range<f64> {
-        let x_values = || self.lines.iter().flat_map(|line| &line.points).map(|point| point.0);
+        let x_values = || self.lines.iter().flat_map(|line| &line.points).map(|point| point.x);
         let left = x_values().fold(f64::INFINITY, f64::min);
         let right = x_values().fold(f64::NEG_INFINITY, f64::max);
         if left < right {
@@ -56,7 +64,7 @@
 
     /// The ends of the vertical axis.
     fn y_range(&self) -> std::ops::Range<f64> {
-        let y_values = self.lines.iter().flat_map(|line| &line.points).map(|point| point.1);
+        let y_values = self.lines.iter().flat_map(|line| &line.points).map(|point| point.y);
         let top = y_values.fold(0.0, f64::max);
         0.0..if top > 0.0 { top * AXIS_HEADROOM } else { 1.0 }
     }
@@ -73,7 +81,7 @@
         for (number, line) in self.lines.iter().enumerate() {
             let style = colour(number).stroke_width(2);
             chart
-                .draw_series(LineSeries::new(line.points.iter().copied(), style))?
+                .draw_series(LineSeries::new(line.points.iter().map(|point| (point.x, point.y)), style))?
                 .label(&line.name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], style));
         }
--- a/crates/experiments/src/recorded_policy.rs
+++ b/crates/experiments/src/recorded_policy.rs
@@ -2,12 +2,10 @@
 
 use std::time::Duration;
 
-use reeddock::{
-    EndpointId, EndpointUpdate, FinishedAttempt, MessageId, PeerId, PolicyHost, PreviousAttempt, Settings,
-};
+use reeddock::{EndpointId, FinishedAttempt, MessageId, PeerId, PolicyHost, PreviousAttempt, Settings};
 use reeddock_recorder::line::PolicyCall;
 use reeddock_recorder::{RecordingHost, RecordingWriter};
-use reeddock_simulation::policy::{ListedEndpoint, Policy, Submission, WorldView};
+use reeddock_simulation::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 use reeddock_simulation::BuiltInPolicy;
 
 /// The delivery policy, with a line in a recording for each call into it and each command that it gives.
@@ -46,23 +44,15 @@
     fn update_endpoint_list(
         &mut self,
         now: Duration,
-        whole: bool,
-        entries: &[ListedEndpoint],
+        update: &EndpointListUpdate,
         host: &mut dyn PolicyHost,
     ) {
-        self.writer.record(PolicyCall::BeginEndpointList { whole });
-        for entry in entries {
-            self.writer.record(PolicyCall::UpdateEndpoint(&EndpointUpdate {
-                endpoint: entry.endpoint,
-                destination: entry.destination,
-                state: entry.state,
-                weight: entry.weight,
-                zone: &entry.zone,
-                kind: &entry.kind,
-            }));
+        self.writer.record(PolicyCall::BeginEndpointList { whole: update.complete });
+        for listed in &update.endpoints {
+            self.writer.record(PolicyCall::UpdateEndpoint(&listed.as_update()));
         }
         self.call(PolicyCall::FinishEndpointList, host, |policy, host| {
-            policy.update_endpoint_list(now, whole, entries, host)
+            policy.update_endpoint_list(now, update, host)
         });
     }
 
@@ -105,9 +95,9 @@
         self.policy.timer_fired(now);
     }
 
-    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool) {
-        self.writer.record(PolicyCall::HealthChecked { now, endpoint: target, well });
-        self.policy.health_checked(now, target, well);
+    fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool) {
+        self.writer.record(PolicyCall::HealthChecked { now, endpoint, healthy });
+        self.policy.health_checked(now, endpoint, healthy);
     }
 
     fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]) {
--- a/crates/experiments/src/report_plots.rs
+++ b/crates/experiments/src/report_plots.rs
@@ -1,11 +1,11 @@
 //! The plots of each kind of result.
 
 use reeddock_simulation::account::{Load, Second};
-use reeddock_simulation::report::Watched;
+use reeddock_simulation::report::{LatencyStep, Watched};
 use reeddock_simulation::Report;
 
 use crate::error::ExperimentError;
-use crate::line_plot::{Line, LinePlot};
+use crate::line_plot::{Line, LinePlot, Point};
 use crate::results::SweepRow;
 
 /// Seconds that a point of credit over time is the mean of.
@@ -32,7 +32,7 @@
 }
 
 /// The share of credit that was earned in each window; 1 where none was asked for.
-fn credit_points(seconds: &[Second]) -> Vec<(f64, f64)> {
+fn credit_points(seconds: &[Second]) -> Vec<Point> {
     let end = seconds.iter().rposition(|second| second.credit.asked > 0.0).map_or(0, |last| last + 1);
     let windows = seconds[..end].windows(CREDIT_WINDOW.min(end.max(1)));
     let share = |window: &[Second]| {
@@ -45,7 +45,7 @@
         }
     };
     let middle = |first: usize| first as f64 + CREDIT_WINDOW as f64 / 2.0;
-    windows.enumerate().map(|(first, window)| (middle(first), share(window))).collect()
+    windows.enumerate().map(|(first, window)| Point { x: middle(first), y: share(window) }).collect()
 }
 
 fn latency_distribution(reports: &[Report]) -> Result<String, ExperimentError> {
@@ -62,15 +62,14 @@
     .to_svg()
 }
 
-/// The share of messages completed by the end of each step; steps are a latency in milliseconds and a count,
-/// the horizontal axis is in powers of ten.
-fn cumulative_share(steps: &[(u64, u64)]) -> Vec<(f64, f64)> {
-    let all: u64 = steps.iter().map(|(_, count)| count).sum();
+/// The share of messages completed by the end of each step; the horizontal axis is in powers of ten.
+fn cumulative_share(steps: &[LatencyStep]) -> Vec<Point> {
+    let all: u64 = steps.iter().map(|step| step.count).sum();
     let mut completed = 0;
-    let point = |(milliseconds, count): &(u64, u64)| {
-        completed += count;
+    let point = |step: &LatencyStep| {
+        completed += step.count;
         let share = completed as f64 / all.max(1) as f64;
-        (((*milliseconds).max(1) as f64).log10(), share)
+        Point { x: (step.up_to_ms.max(1) as f64).log10(), y: share }
     };
     steps.iter().map(point).collect()
 }
@@ -80,7 +79,9 @@
     let seconds = &destination.seconds[..end];
     let line = |name: &str, value: &dyn Fn(&Load) -> f64| Line {
         name: name.to_owned(),
-        points: seconds.iter().enumerate().map(|(second, load)| (second as f64, value(load))).collect(),
+        points: (seconds.iter().enumerate())
+            .map(|(second, load)| Point { x: second as f64, y: value(load) })
+            .collect(),
     };
     let mut lines = vec![
         line("calls", &|load| f64::from(load.requests)),
@@ -107,7 +108,8 @@
         let points = &mut lines[position].points;
         // Values that are no numbers stand side by side in their order.
         let number = row.values.first().and_then(|value| value.parse::<f64>().ok());
-        points.push((number.unwrap_or(points.len() as f64), row.summary.metrics.credit.mean));
+        let x = number.unwrap_or(points.len() as f64);
+        points.push(Point { x, y: row.summary.metrics.credit.mean });
     }
     let x_label = keys.first().map(String::as_str).unwrap_or_default();
     LinePlot { title: "credit, mean over the days", x_label, y_label: "credit", lines }.to_svg()
--- a/crates/experiments/src/runner.rs
+++ b/crates/experiments/src/runner.rs
@@ -7,6 +7,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use rayon::{ThreadPool, ThreadPoolBuilder};
+use reeddock_simulation::scenario::ValueOverride;
 use reeddock_simulation::{run, BuiltInPolicy, Report, Scenario};
 
 use crate::arguments::{PolicyList, ScenarioOverride};
@@ -76,8 +77,9 @@
         let unchanged = Scenario::parse(&file_name, &text, &[])?;
         let mut variants = Vec::new();
         for values in combinations(overrides) {
-            let keys = overrides.iter().map(|one| one.key.clone());
-            let replacements: Vec<_> = keys.zip(values.iter().cloned()).collect();
+            let keys = overrides.iter().map(|one| &one.key);
+            let replacements: Vec<ValueOverride> =
+                keys.zip(&values).map(|(key, value)| ValueOverride::new(key, value)).collect();
             let scenario = Scenario::parse(&file_name, &text, &replacements)?;
             variants.push(ScenarioVariant { values, scenario });
         }
--- a/crates/experiments/src/sharing_study.rs
+++ b/crates/experiments/src/sharing_study.rs
@@ -3,6 +3,7 @@
 //! breakers that are fed by the whole fleet.
 
 use std::fs;
+use std::ops::RangeInclusive;
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
@@ -14,7 +15,7 @@
 use reeddock_simulation::fault::{EndpointSelector, Fault};
 use reeddock_simulation::observed::SentToDown;
 use reeddock_simulation::policies::sharing::{open_sharing_policy, CircuitExchange};
-use reeddock_simulation::scenario::ScheduledFault;
+use reeddock_simulation::scenario::{ScheduledFault, ValueOverride};
 use reeddock_simulation::{observe, BuiltInPolicy, Scenario};
 use serde::Serialize;
 
@@ -182,25 +183,25 @@
 }
 
 /// Checks that the value of an option lies in its range.
-fn check_range(option: &'static str, value: f64, low: f64, high: f64) -> Result<(), ExperimentError> {
-    if (low..=high).contains(&value) {
-        Ok(())
-    } else {
-        Err(ExperimentError::OptionRange { option, value, low, high })
+fn check_range(option: &'static str, value: f64, range: RangeInclusive<f64>) -> Result<(), ExperimentError> {
+    if range.contains(&value) {
+        return Ok(());
     }
+    let (low, high) = range.into_inner();
+    Err(ExperimentError::OptionRange { option, value, low, high })
 }
 
 impl SharingStudyPlan {
     fn check(&self) -> Result<(), ExperimentError> {
         for forwarders in &self.forwarders {
-            check_range("--forwarders", f64::from(*forwarders), 1.0, 10_000.0)?;
+            check_range("--forwarders", f64::from(*forwarders), 1.0..=10_000.0)?;
         }
-        check_range("--meet-every", self.meet_every, 1.0, 1e6)?;
-        check_range("--down", self.down, 0.001, 0.5)?;
-        check_range("--outage", self.outage, 1.0, 3600.0)?;
-        check_range("--cells", self.cells as f64, 1e3, 1e7)?;
-        check_range("--full", self.full as f64, 100.0, 1e7)?;
-        check_range("--seeds", self.seeds as f64, 1.0, 1e4)
+        check_range("--meet-every", self.meet_every, 1.0..=1e6)?;
+        check_range("--down", self.down, 0.001..=0.5)?;
+        check_range("--outage", self.outage, 1.0..=3600.0)?;
+        check_range("--cells", self.cells as f64, 1e3..=1e7)?;
+        check_range("--full", self.full as f64, 100.0..=1e7)?;
+        check_range("--seeds", self.seeds as f64, 1.0..=1e4)
     }
 
     /// Destinations that are played with a fleet of this size.
@@ -213,11 +214,10 @@
         let destinations = self.destinations(forwarders);
         let per_s = f64::from(forwarders) * destinations as f64 / self.meet_every;
         let replacements = [
-            ("fleet.forwarders", forwarders.to_string()),
-            ("kind.0.destinations", destinations.to_string()),
-            ("traffic.usual_per_s", format!("{per_s:.6}")),
-        ]
-        .map(|(key, value)| (key.to_owned(), value));
+            ValueOverride::new("fleet.forwarders", forwarders.to_string()),
+            ValueOverride::new("kind.0.destinations", destinations.to_string()),
+            ValueOverride::new("traffic.usual_per_s", format!("{per_s:.6}")),
+        ];
         let scenario = Scenario::parse(file_name, text, &replacements)?;
         let duration = scenario.duration.seconds();
         let day = |seed| Scenario { faults: self.outages(destinations, duration, seed), ..scenario.clone() };
--- a/crates/recorder/src/line/mod.rs
+++ b/crates/recorder/src/line/mod.rs
@@ -112,7 +112,7 @@
         /// Which endpoint was checked.
         endpoint: EndpointId,
         /// It is healthy.
-        well: bool,
+        healthy: bool,
     },
     /// Another forwarder sent gossip.
     GossipReceived {
--- a/crates/recorder/src/line/text.rs
+++ b/crates/recorder/src/line/text.rs
@@ -224,8 +224,8 @@
             PolicyCall::Withdraw { id } => write!(to, "end id={:?}", id.0),
             PolicyCall::BeginShutdown { by } => write!(to, "leaving by={}", Seconds(*by)),
             PolicyCall::TimerFired { now } => write!(to, "alarm now={}", Seconds(*now)),
-            PolicyCall::HealthChecked { now, endpoint, well } => {
-                write!(to, "probed now={} target={} well={well}", Seconds(*now), endpoint.0)
+            PolicyCall::HealthChecked { now, endpoint, healthy } => {
+                write!(to, "probed now={} target={} well={healthy}", Seconds(*now), endpoint.0)
             }
             PolicyCall::GossipReceived { now, from, gossip } => {
                 write!(to, "told now={} from={} note={}", Seconds(*now), from.0, Hex(gossip))
--- a/crates/recorder/src/recorded_policy.rs
+++ b/crates/recorder/src/recorded_policy.rs
@@ -207,9 +207,9 @@
     }
 
     /// Records and makes the call [`DeliveryPolicy::health_checked`].
-    pub fn health_checked(&mut self, now: Duration, endpoint: EndpointId, well: bool) {
-        self.writer.record(PolicyCall::HealthChecked { now, endpoint, well });
-        self.policy.health_checked(now, endpoint, well);
+    pub fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool) {
+        self.writer.record(PolicyCall::HealthChecked { now, endpoint, healthy });
+        self.policy.health_checked(now, endpoint, healthy);
     }
 
     /// Records and makes the call [`DeliveryPolicy::gossip_received`].
--- a/crates/simulation/src/account/keeper.rs
+++ b/crates/simulation/src/account/keeper.rs
@@ -7,6 +7,7 @@
 use super::counts::{AttemptCounts, Credit, Ends, Load, Second};
 use super::quota::QuotaBucket;
 use crate::ids::{DestinationIndex, SubmissionIndex};
+use crate::report::LatencyStep;
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
 
 /// Destinations whose seconds are kept: the ones with most traffic.
@@ -47,6 +48,17 @@
     quotas: Vec<QuotaBucket>,
 }
 
+/// A message that a client wants delivered, as the account needs to know it.
+pub(crate) struct NewSubmission {
+    /// Time of its first submission.
+    pub(crate) submitted_at: Duration,
+    /// Index of its class in the scenario.
+    pub(crate) class: usize,
+    /// Index of its program in the scenario.
+    pub(crate) program: usize,
+    pub(crate) destination: DestinationIndex,
+}
+
 /// The credit of one submission.
 struct AccountedSubmission {
     class: usize,
@@ -102,29 +114,23 @@
     }
 
     /// A client wants a message delivered; submissions are numbered in this order.
-    pub(crate) fn submitted(
-        &mut self,
-        scenario: &Scenario,
-        now: Duration,
-        class: usize,
-        program: usize,
-        destination: DestinationIndex,
-    ) {
+    pub(crate) fn submitted(&mut self, scenario: &Scenario, submission: NewSubmission) {
+        let NewSubmission { submitted_at, class, program, destination } = submission;
         let mut weight = scenario.classes[class].priority_weight.get();
         if let Some(quota) = scenario.programs[program].quota_per_s {
-            if !self.quotas[program].take(now, quota.get()) {
+            if !self.quotas[program].take(submitted_at, quota.get()) {
                 weight *= OVER_QUOTA_WEIGHT;
             }
         }
         self.classes[class].ask(weight);
         self.programs[program].ask(weight);
         self.destinations[destination.0].ask(weight);
-        self.second(now).credit.ask(weight);
+        self.second(submitted_at).credit.ask(weight);
         self.submissions.push(AccountedSubmission {
             class,
             program,
             destination,
-            submitted_at: now,
+            submitted_at,
             weight,
             completed: false,
             met_outage: false,
@@ -214,10 +220,12 @@
         &self.latency
     }
 
-    /// Upper end of each step of latencies in milliseconds, with its count.
-    pub(crate) fn latency_steps(&self) -> Vec<(u64, u64)> {
+    /// The latencies as a histogram, without its empty steps.
+    pub(crate) fn latency_steps(&self) -> Vec<LatencyStep> {
         let recorded = self.latency.iter_recorded();
-        recorded.map(|value| (value.value_iterated_to(), value.count_at_value())).collect()
+        recorded
+            .map(|value| LatencyStep { up_to_ms: value.value_iterated_to(), count: value.count_at_value() })
+            .collect()
     }
 }
 
--- a/crates/simulation/src/account/mod.rs
+++ b/crates/simulation/src/account/mod.rs
@@ -5,4 +5,4 @@
 mod quota;
 
 pub use counts::{AttemptCounts, Credit, Ends, Load, Second};
-pub(crate) use keeper::{Account, WATCHED_DESTINATIONS};
+pub(crate) use keeper::{Account, NewSubmission, WATCHED_DESTINATIONS};
--- a/crates/simulation/src/invariants/answers.rs
+++ b/crates/simulation/src/invariants/answers.rs
@@ -46,7 +46,7 @@
     /// Why a message must not be rejected: its client may submit it again, and it may have been executed.
     fn harm_of_rejection(&self, now: Duration, history: &MessageHistory) -> Option<&'static str> {
         let first = history.first_possible_execution()?;
-        match self.classes[history.message.class].idempotency {
+        match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => Some("effectful, shed though it may have run"),
             Idempotency::WithKey { window, .. } => {
@@ -70,7 +70,7 @@
     /// A message had its effect at a destination.
     pub(crate) fn effect_applied(&mut self, now: Duration, message: MessageIndex) {
         let accepted = self.histories[message.0].message;
-        if self.classes[accepted.class].idempotency != Idempotency::NonIdempotent {
+        if self.fleet.classes[accepted.class].idempotency != Idempotency::NonIdempotent {
             return;
         }
         let times = self.effects.entry(accepted.submission).or_default();
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -4,7 +4,7 @@
 
 use reeddock::{AttemptOutcome, EndpointState, Idempotency};
 
-use super::checker::InvariantChecker;
+use super::checker::{InvariantChecker, RetryAfterId};
 use super::history::{AttemptHistory, MessageHistory, ReportedOutcome};
 use super::text::StateText;
 use super::violation::RetryAfterScope;
@@ -50,7 +50,7 @@
     /// An attempt that may have its effect a second time.
     fn repeats_effect(&self, now: Duration, history: &MessageHistory) -> Option<BrokenRule> {
         let first = history.first_possible_execution()?;
-        match self.classes[history.message.class].idempotency {
+        match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => {
                 let what = "effectful, sent again though it may have run";
@@ -75,7 +75,7 @@
             let what = format!("target {} was in none of its lists", endpoint.0);
             return Some(BrokenRule::new(Rule::Drains, what));
         };
-        if listed.state == EndpointState::Active || now <= listed.since + self.drain_grace {
+        if listed.state == EndpointState::Active || now <= listed.since + self.fleet.drain_grace {
             return None;
         }
         let since = listed.since.as_secs_f64();
@@ -90,7 +90,7 @@
         forwarder: ForwarderIndex,
         scope: RetryAfterScope,
     ) -> Option<BrokenRule> {
-        let until = self.retry_after.get(&(forwarder, scope)).filter(|until| now < **until)?;
+        let until = self.retry_after.get(&RetryAfterId { forwarder, scope }).filter(|until| now < **until)?;
         let what = format!("{scope} asked it to wait until {:.6}", until.as_secs_f64());
         Some(BrokenRule::new(Rule::RetryAfterHonored, what))
     }
@@ -109,7 +109,8 @@
             attempt.ended = Some(ReportedOutcome { outcome, at: now });
         }
         if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
-            let until = self.retry_after.entry((history.message.forwarder, scope)).or_default();
+            let received = RetryAfterId { forwarder: history.message.forwarder, scope };
+            let until = self.retry_after.entry(received).or_default();
             *until = (*until).max(now + wait);
         }
     }
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -13,6 +13,21 @@
 /// So many violations are kept in full; the others are counted.
 const MAX_KEPT_VIOLATIONS: usize = 20;
 
+/// What the rules need to know of a fleet.
+#[derive(Default)]
+pub struct FleetRules {
+    /// The message classes, in the order of the scenario.
+    pub classes: Vec<ClassRules>,
+    /// Number of forwarders.
+    pub forwarders: usize,
+    /// Time in which attempts to a draining endpoint may still start.
+    pub drain_grace: Duration,
+    /// Time for which an ordering key is held after an attempt that may still be running.
+    pub ordering_hold_off: Duration,
+    /// Time past a deadline in which a final answer still counts.
+    pub answer_slack: Duration,
+}
+
 /// What the rules need to know of a message class.
 pub struct ClassRules {
     /// What a further attempt may do.
@@ -21,6 +36,20 @@
     pub ordered: bool,
 }
 
+/// The queue of an ordering key at one forwarder.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct OrderingQueueId {
+    pub(super) forwarder: ForwarderIndex,
+    pub(super) key: u64,
+}
+
+/// A Retry-After that one forwarder has received, by what it holds for.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct RetryAfterId {
+    pub(super) forwarder: ForwarderIndex,
+    pub(super) scope: RetryAfterScope,
+}
+
 /// A state on an endpoint list, and when the forwarder learned of it.
 #[derive(Clone, Copy)]
 pub(super) struct ListedState {
@@ -39,17 +68,14 @@
 
 /// Watches a run and keeps what breaks a rule. Times are since the start of the run.
 pub struct InvariantChecker {
-    pub(super) classes: Vec<ClassRules>,
-    pub(super) drain_grace: Duration,
-    pub(super) ordering_hold_off: Duration,
-    answer_slack: Duration,
+    pub(super) fleet: FleetRules,
     pub(super) histories: Vec<MessageHistory>,
     /// By forwarder: the endpoint list as it was read.
     pub(super) endpoint_lists: Vec<BTreeMap<EndpointIndex, ListedState>>,
     /// End of each Retry-After.
-    pub(super) retry_after: BTreeMap<(ForwarderIndex, RetryAfterScope), Duration>,
+    pub(super) retry_after: BTreeMap<RetryAfterId, Duration>,
     /// Messages of each ordering key that still matter, in the order in which they were accepted.
-    pub(super) ordering_queues: BTreeMap<(ForwarderIndex, u64), Vec<MessageIndex>>,
+    pub(super) ordering_queues: BTreeMap<OrderingQueueId, Vec<MessageIndex>>,
     /// Forwarders that saw a failure during the present outage of an endpoint, or its last one.
     pub(super) aware_of_outage: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
     /// How often what is not idempotent had its effect.
@@ -59,21 +85,12 @@
 }
 
 impl InvariantChecker {
-    /// A checker of a fleet; the slack is the time past a deadline in which a final answer still counts.
-    pub fn new(
-        classes: Vec<ClassRules>,
-        forwarders: usize,
-        drain_grace: Duration,
-        ordering_hold_off: Duration,
-        answer_slack: Duration,
-    ) -> InvariantChecker {
+    /// A checker of a fleet before its first event.
+    pub fn new(fleet: FleetRules) -> InvariantChecker {
         InvariantChecker {
-            classes,
-            drain_grace,
-            ordering_hold_off,
-            answer_slack,
             histories: Vec::new(),
-            endpoint_lists: vec![BTreeMap::new(); forwarders],
+            endpoint_lists: vec![BTreeMap::new(); fleet.forwarders],
+            fleet,
             retry_after: BTreeMap::new(),
             ordering_queues: BTreeMap::new(),
             aware_of_outage: BTreeMap::new(),
@@ -118,13 +135,14 @@
 
     /// A forwarder accepted a message; messages are numbered in this order.
     pub(crate) fn message_accepted(&mut self, now: Duration, accepted: AcceptedMessage) {
-        let ordered = self.classes[accepted.class].ordered;
+        let ordered = self.fleet.classes[accepted.class].ordered;
         let ordering_key = accepted.ordering_key.filter(|_| ordered);
         if let Some(key) = ordering_key {
             let message = MessageIndex(self.histories.len());
-            self.ordering_queues.entry((accepted.forwarder, key)).or_default().push(message);
+            let queue = OrderingQueueId { forwarder: accepted.forwarder, key };
+            self.ordering_queues.entry(queue).or_default().push(message);
         }
-        let answer_due = accepted.deadline + self.answer_slack;
+        let answer_due = accepted.deadline + self.fleet.answer_slack;
         let accepted = AcceptedMessage { ordering_key, ..accepted };
         self.histories.push(MessageHistory::new(accepted, now, answer_due));
     }
@@ -132,20 +150,22 @@
     /// A forwarder was killed. What it held is void, or waits in its write-ahead log for the next start.
     pub(crate) fn forwarder_killed(&mut self, forwarder: ForwarderIndex, write_ahead_log: bool) {
         self.endpoint_lists[forwarder.0].clear();
-        self.retry_after.retain(|(waiting, _), _| *waiting != forwarder);
+        self.retry_after.retain(|received, _| received.forwarder != forwarder);
         let histories = &mut self.histories;
         for history in histories.iter_mut().filter(|history| history.message.forwarder == forwarder) {
             history.void |= !write_ahead_log || history.answer.is_some();
         }
         // The rules bind a start to what it accepted, and to what its write-ahead log still holds.
-        for (_, queue) in self.ordering_queues.iter_mut().filter(|((owner, _), _)| *owner == forwarder) {
-            queue.retain(|message| !histories[message.0].void);
+        for (id, queue) in &mut self.ordering_queues {
+            if id.forwarder == forwarder {
+                queue.retain(|message| !histories[message.0].void);
+            }
         }
     }
 
     /// A forwarder found a message in its write-ahead log when it started; its time ran on meanwhile.
     pub(crate) fn message_restored(&mut self, now: Duration, message: MessageIndex) {
-        let answer_slack = self.answer_slack;
+        let answer_slack = self.fleet.answer_slack;
         self.histories[message.0].restore(now, answer_slack);
     }
 }
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -96,6 +96,18 @@
     pub(super) at: Duration,
 }
 
+/// One event of a message's history, in words.
+struct HistoryEvent {
+    at: Duration,
+    what: String,
+}
+
+impl fmt::Display for HistoryEvent {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{:.6} s: {}", self.at.as_secs_f64(), self.what)
+    }
+}
+
 /// What happened to one message.
 pub(super) struct MessageHistory {
     pub(super) message: AcceptedMessage,
@@ -149,18 +161,19 @@
             self.message.forwarder.0,
             self.answer_due.as_secs_f64()
         );
-        let mut events = vec![(self.accepted_at, accepted)];
+        let mut events = vec![HistoryEvent { at: self.accepted_at, what: accepted }];
         for (number, attempt) in self.attempts.iter().enumerate() {
             let started = format!("dispatch {number} to target {}", attempt.endpoint.0);
-            events.push((attempt.started_at, started));
+            events.push(HistoryEvent { at: attempt.started_at, what: started });
             if let Some(ended) = attempt.ended {
-                events.push((ended.at, format!("dispatch {number} ended: {}", OutcomeText(ended.outcome))));
+                let what = format!("dispatch {number} ended: {}", OutcomeText(ended.outcome));
+                events.push(HistoryEvent { at: ended.at, what });
             }
         }
         if let Some(given) = self.answer {
-            events.push((given.at, format!("answered: {}", given.answer)));
+            events.push(HistoryEvent { at: given.at, what: format!("answered: {}", given.answer) });
         }
-        events.sort_by_key(|event| event.0);
-        events.into_iter().map(|(at, what)| format!("{:.6} s: {what}", at.as_secs_f64())).collect()
+        events.sort_by_key(|event| event.at);
+        events.iter().map(ToString::to_string).collect()
     }
 }
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -11,7 +11,7 @@
 mod text;
 mod violation;
 
-pub use checker::{ClassRules, InvariantChecker, Violations};
+pub use checker::{ClassRules, FleetRules, InvariantChecker, Violations};
 pub use history::{proves_not_executed, AcceptedMessage, FinalAnswer};
 pub use violation::{RetryAfterScope, Violation};
 
--- a/crates/simulation/src/invariants/ordering.rs
+++ b/crates/simulation/src/invariants/ordering.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::checker::InvariantChecker;
+use super::checker::{InvariantChecker, OrderingQueueId};
 use super::history::MessageHistory;
 use crate::ids::{ForwarderIndex, MessageIndex};
 
@@ -16,10 +16,10 @@
         key: u64,
         message: MessageIndex,
     ) -> Option<String> {
-        let (histories, hold_off) = (&self.histories, self.ordering_hold_off);
+        let (histories, hold_off) = (&self.histories, self.fleet.ordering_hold_off);
         let history = |message: &MessageIndex| -> &MessageHistory { &histories[message.0] };
         let held_until = |message: &MessageIndex| history(message).held_until(hold_off);
-        let queue = self.ordering_queues.get_mut(&(forwarder, key))?;
+        let queue = self.ordering_queues.get_mut(&OrderingQueueId { forwarder, key })?;
         queue.retain(|other| *other == message || !history(other).is_finished() || now < held_until(other));
         let mut earlier = queue.iter().take_while(|other| **other != message);
         if let Some(open) = earlier.find(|other| !history(other).is_finished()) {
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -7,6 +7,7 @@
 
 use crate::ids::{DestinationIndex, EndpointIndex};
 use crate::report::Report;
+use crate::simulated_endpoint::OutageCause;
 
 /// What an endpoint was sent while it warmed up after an outage, in the worst window of the length that the
 /// settings name: the one whose sum was largest against what may be sent.
@@ -96,13 +97,13 @@
 pub(crate) struct Recovery {
     /// End of the outage, since the start of the run.
     pub(crate) at: Duration,
-    after_overload: bool,
+    cause: OutageCause,
     worst: Option<Ramp>,
 }
 
 impl Recovery {
-    pub(crate) fn new(at: Duration, after_overload: bool) -> Recovery {
-        Recovery { at, after_overload, worst: None }
+    pub(crate) fn new(at: Duration, cause: OutageCause) -> Recovery {
+        Recovery { at, cause, worst: None }
     }
 
     /// Whether a window with this sum is worse than all before.
@@ -126,7 +127,7 @@
             endpoint: endpoint.0,
             destination: destination.0,
             baseline_per_s,
-            after_overload: self.after_overload,
+            after_overload: self.cause == OutageCause::Overload,
             after_s: 0.0,
             sum: 0.0,
             allowed: 0.0,
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -18,13 +18,23 @@
 use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView, StartedAttempt};
 use super::baseline_sending::DepartingBatches;
 use crate::distribution::RandomSource;
-use crate::policy::{ListedEndpoint, Policy, Submission, WorldView};
+use crate::policy::{EndpointListUpdate, Policy, Submission, WorldView};
+
+/// Messages are numbered in the order in which they were submitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct MessageNumber(u64);
+
+/// One attempt of one message.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    message: MessageId,
+    attempt: AttemptNumber,
+}
 
 /// An attempt in flight for a message that has its final answer.
 struct DetachedAttempt {
-    request: u64,
-    /// Number of the message.
-    number: u64,
+    request: Option<RequestId>,
+    message: MessageNumber,
     ordering_key: Option<OrderingKey>,
 }
 
@@ -41,32 +51,32 @@
 /// An ordering key that is held after an attempt that may still be running.
 struct OrderingHold {
     until: Duration,
-    /// Number of the message; its own retries pass.
-    holder: u64,
+    /// The message of that attempt; its own retries pass.
+    holder: MessageNumber,
 }
 
-/// A forwarder that decides by a baseline. Messages are numbered in the order in which they were submitted.
+/// A forwarder that decides by a baseline.
 pub(super) struct BaselineHost<B> {
     baseline: B,
     random: RandomSource,
     settings: Settings,
-    messages: BTreeMap<u64, PendingMessage>,
-    numbers: BTreeMap<MessageId, u64>,
-    detached: BTreeMap<(MessageId, AttemptNumber), DetachedAttempt>,
+    messages: BTreeMap<MessageNumber, PendingMessage>,
+    numbers: BTreeMap<MessageId, MessageNumber>,
+    detached: BTreeMap<AttemptId, DetachedAttempt>,
     /// Messages without an attempt in flight, in the order in which they came.
-    queue: VecDeque<u64>,
+    queue: VecDeque<MessageNumber>,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
     /// Endpoints that have sent a Retry-After of their own.
     endpoints_with_retry_after: BTreeSet<EndpointId>,
     /// End of the Retry-After of destinations whose endpoints share one.
     retry_after: BTreeMap<DestinationId, Duration>,
-    ordering_queues: BTreeMap<OrderingKey, VecDeque<u64>>,
+    ordering_queues: BTreeMap<OrderingKey, VecDeque<MessageNumber>>,
     ordering_holds: BTreeMap<OrderingKey, OrderingHold>,
     /// Requests in flight, with the attempts in each that have not ended.
-    requests: BTreeMap<u64, u32>,
-    last_request: u64,
-    last_number: u64,
+    requests: BTreeMap<RequestId, u32>,
+    last_request: RequestId,
+    last_message: MessageNumber,
     timer_at: Option<Duration>,
 }
 
@@ -88,8 +98,8 @@
             ordering_queues: BTreeMap::new(),
             ordering_holds: BTreeMap::new(),
             requests: BTreeMap::new(),
-            last_request: 0,
-            last_number: 0,
+            last_request: RequestId(0),
+            last_message: MessageNumber(0),
             timer_at: None,
         }
     }
@@ -115,23 +125,23 @@
     }
 
     /// Forgets a message, but for its attempts in flight.
-    fn remove(&mut self, number: u64) -> Option<PendingMessage> {
+    fn remove(&mut self, number: MessageNumber) -> Option<PendingMessage> {
         let message = self.messages.remove(&number)?;
         self.numbers.remove(&message.id);
         self.queue.retain(|queued| *queued != number);
         for attempt in &message.in_flight {
-            let request = message.started.get(attempt.0 as usize).map_or(0, |started| started.request);
-            let detached = DetachedAttempt { request, number, ordering_key: message.ordering_key };
-            self.detached.insert((message.id.clone(), *attempt), detached);
+            let request = message.started.get(attempt.0 as usize).and_then(|started| started.request);
+            let detached = DetachedAttempt { request, message: number, ordering_key: message.ordering_key };
+            self.detached.insert(AttemptId { message: message.id.clone(), attempt: *attempt }, detached);
         }
         self.leave_ordering_queue(message.ordering_key, number);
         Some(message)
     }
 
     /// Takes a message out of its key's queue once it is finished and nothing is in flight for it.
-    fn leave_ordering_queue(&mut self, key: Option<OrderingKey>, number: u64) {
+    fn leave_ordering_queue(&mut self, key: Option<OrderingKey>, number: MessageNumber) {
         let is_open = self.messages.contains_key(&number)
-            || self.detached.values().any(|detached| detached.number == number);
+            || self.detached.values().any(|detached| detached.message == number);
         let queue = key.and_then(|key| self.ordering_queues.get_mut(&key));
         if let Some(queue) = queue.filter(|_| !is_open) {
             queue.retain(|queued| *queued != number);
@@ -139,7 +149,13 @@
     }
 
     /// Holds a key after an attempt that may still be running.
-    fn hold_key(&mut self, key: Option<OrderingKey>, holder: u64, outcome: AttemptOutcome, now: Duration) {
+    fn hold_key(
+        &mut self,
+        key: Option<OrderingKey>,
+        holder: MessageNumber,
+        outcome: AttemptOutcome,
+        now: Duration,
+    ) {
         let may_still_run = matches!(
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
@@ -151,7 +167,7 @@
     }
 
     /// Rejects a message where its client may submit it again without harm, and fails it otherwise.
-    fn give_final_answer(&mut self, number: u64, now: Duration, host: &mut dyn PolicyHost) {
+    fn give_final_answer(&mut self, number: MessageNumber, now: Duration, host: &mut dyn PolicyHost) {
         let Some(message) = self.remove(number) else { return };
         let harmless = self.may_execute_again(&message, now) && message.in_flight.is_empty();
         if harmless && now < message.deadline {
@@ -168,11 +184,11 @@
 
     /// Ends what can no longer be sent, and frees capacity for new messages: the newest queued one goes first.
     fn drop_undeliverable(&mut self, now: Duration, host: &mut dyn PolicyHost) {
-        let is_expired = |number: &&u64| {
+        let is_expired = |number: &&MessageNumber| {
             let message = self.messages.get(*number);
             message.is_none_or(|m| now >= m.deadline || !self.may_execute_again(m, now))
         };
-        let expired: Vec<u64> = self.queue.iter().filter(is_expired).copied().collect();
+        let expired: Vec<MessageNumber> = self.queue.iter().filter(is_expired).copied().collect();
         for number in expired {
             self.give_final_answer(number, now, host);
         }
@@ -185,7 +201,7 @@
 
     // # What stands in the way of an attempt.
 
-    fn is_key_free(&self, number: u64, message: &PendingMessage, now: Duration) -> bool {
+    fn is_key_free(&self, number: MessageNumber, message: &PendingMessage, now: Duration) -> bool {
         let Some(key) = message.ordering_key else { return true };
         let front = self.ordering_queues.get(&key).and_then(|queue| queue.front());
         let hold = self.ordering_holds.get(&key);
@@ -219,7 +235,8 @@
     // # Requests and attempts.
 
     /// One attempt of a request has ended.
-    fn release_request(&mut self, request: u64) {
+    fn release_request(&mut self, request: Option<RequestId>) {
+        let Some(request) = request else { return };
         if let Some(unfinished) = self.requests.get_mut(&request) {
             *unfinished -= 1;
             if *unfinished == 0 {
@@ -229,24 +246,23 @@
     }
 
     /// Queued messages in the order in which they are to be sent, while another request may leave.
-    fn sending_order(&self) -> Vec<u64> {
+    fn sending_order(&self) -> Vec<MessageNumber> {
         if self.requests.len() >= self.max_in_flight() {
             return Vec::new();
         }
-        let urgency = |number: &u64| {
+        let urgency = |number: &MessageNumber| {
             self.messages.get(number).map_or(Duration::MAX, |message| self.baseline.urgency(message))
         };
-        let positions = self.queue.iter().enumerate();
-        let mut order: Vec<(Duration, usize, u64)> =
-            positions.map(|(position, number)| (urgency(number), position, *number)).collect();
-        order.sort();
-        order.into_iter().map(|(_, _, number)| number).collect()
+        let mut order: Vec<MessageNumber> = self.queue.iter().copied().collect();
+        // A stable sort: messages of one urgency stay in the order of the queue.
+        order.sort_by_cached_key(urgency);
+        order
     }
 
     /// Chooses an endpoint for a message, if it may go to one now.
     fn select_endpoint(
         &mut self,
-        number: u64,
+        number: MessageNumber,
         now: Duration,
         world: &dyn WorldView,
         batches: &DepartingBatches,
@@ -269,7 +285,7 @@
     /// Starts an attempt, in the request that is being filled for the endpoint or in a new one.
     fn start_attempt(
         &mut self,
-        number: u64,
+        number: MessageNumber,
         endpoint: EndpointId,
         now: Duration,
         batches: &mut DepartingBatches,
@@ -283,18 +299,17 @@
         *self.requests.entry(request).or_default() += 1;
         message.in_flight.insert(AttemptNumber(message.attempts));
         message.attempts += 1;
-        message.started.push(StartedAttempt { endpoint, at: now, request });
+        message.started.push(StartedAttempt { endpoint, at: now, request: Some(request) });
         let id = message.id.clone();
         self.queue.retain(|queued| *queued != number);
-        let timeouts =
-            AttemptTimeouts { request: RequestId(request), start_within: timeout, response_within: timeout };
+        let timeouts = AttemptTimeouts { request, start_within: timeout, response_within: timeout };
         host.start_attempt(&id, endpoint, timeouts);
     }
 
     /// Queues a message for its retry, or gives its final answer.
     fn retry_or_finish(
         &mut self,
-        number: u64,
+        number: MessageNumber,
         outcome: AttemptOutcome,
         now: Duration,
         host: &mut dyn PolicyHost,
@@ -330,14 +345,13 @@
     fn update_endpoint_list(
         &mut self,
         _now: Duration,
-        complete: bool,
-        endpoints: &[ListedEndpoint],
+        update: &EndpointListUpdate,
         _host: &mut dyn PolicyHost,
     ) {
-        if complete {
+        if update.complete {
             self.endpoints.values_mut().for_each(|known| known.state = EndpointState::Removed);
         }
-        for listed in endpoints {
+        for listed in &update.endpoints {
             let kind = self.settings.endpoint_kinds.iter().find(|kind| kind.name == listed.kind);
             let known = self.endpoints.entry(listed.endpoint).or_insert_with(|| KnownEndpoint {
                 destination: listed.destination,
@@ -360,8 +374,8 @@
         let ordering_key = submission.ordering_key.filter(|_| class.ordered);
         let time_to_deadline = class.deadline.unwrap_or_default();
         let submitted_at = submission.deadline.saturating_sub(time_to_deadline);
-        self.last_number += 1;
-        let number = self.last_number;
+        self.last_message.0 += 1;
+        let number = self.last_message;
         if let Some(key) = ordering_key {
             self.ordering_queues.entry(key).or_default().push_back(number);
         }
@@ -404,10 +418,11 @@
 
     fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
         let FinishedAttempt { message: id, number, outcome, message_finished: finished } = *ended;
-        if let Some(detached) = self.detached.remove(&(id.clone(), number)) {
+        let attempt = AttemptId { message: id.clone(), attempt: number };
+        if let Some(detached) = self.detached.remove(&attempt) {
             self.release_request(detached.request);
-            self.hold_key(detached.ordering_key, detached.number, outcome, now);
-            self.leave_ordering_queue(detached.ordering_key, detached.number);
+            self.hold_key(detached.ordering_key, detached.message, outcome, now);
+            self.leave_ordering_queue(detached.ordering_key, detached.message);
         }
         let Some(message_number) = self.numbers.get(id).copied() else { return };
         let Some(message) = self.messages.get_mut(&message_number) else { return };
--- a/crates/simulation/src/policies/baseline_policy.rs
+++ b/crates/simulation/src/policies/baseline_policy.rs
@@ -6,6 +6,7 @@
 use rand::RngExt;
 use reeddock::{
     AttemptNumber, AttemptOutcome, DestinationId, EndpointId, MessageId, OrderingKey, PreviousAttempt,
+    RequestId,
 };
 
 use crate::distribution::RandomSource;
@@ -19,8 +20,8 @@
 pub(super) struct StartedAttempt {
     pub(super) endpoint: EndpointId,
     pub(super) at: Duration,
-    /// The request that carries it; 0 where it was started before a restart.
-    pub(super) request: u64,
+    /// The request that carries it; none where it was started before a restart.
+    pub(super) request: Option<RequestId>,
 }
 
 /// A message without a final answer, queued or in flight.
@@ -32,12 +33,12 @@
     pub(super) destination: DestinationId,
     pub(super) deadline: Duration,
     pub(super) objective_at: Duration,
-    /// Attempts started.
+    /// Number of attempts started.
     pub(super) attempts: u32,
     /// No retry before this.
     pub(super) not_before: Duration,
     pub(super) in_flight: BTreeSet<AttemptNumber>,
-    /// By attempt number.
+    /// The attempts started, by attempt number.
     pub(super) started: Vec<StartedAttempt>,
     /// Start of the first attempt that may have been executed.
     pub(super) possibly_executed_at: Option<Duration>,
@@ -48,7 +49,7 @@
     pub(super) fn restore(&mut self, previous: &[PreviousAttempt]) {
         self.attempts = previous.len() as u32;
         let started =
-            |p: &PreviousAttempt| StartedAttempt { endpoint: p.endpoint, at: p.started_at, request: 0 };
+            |p: &PreviousAttempt| StartedAttempt { endpoint: p.endpoint, at: p.started_at, request: None };
         self.started = previous.iter().map(started).collect();
         let possibly_executed = previous.iter().filter(|p| !p.proves_not_executed);
         self.possibly_executed_at = possibly_executed.map(|p| p.started_at).min();
--- a/crates/simulation/src/policies/baseline_sending.rs
+++ b/crates/simulation/src/policies/baseline_sending.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use reeddock::EndpointId;
+use reeddock::{EndpointId, RequestId};
 
 /// The request that is being filled for each endpoint.
 #[derive(Default)]
 pub(super) struct DepartingBatches {
-    requests: BTreeMap<EndpointId, u64>,
+    requests: BTreeMap<EndpointId, RequestId>,
     /// Places left in each of these requests.
     free_places: BTreeMap<EndpointId, usize>,
 }
@@ -28,15 +28,15 @@
         &mut self,
         endpoint: EndpointId,
         max_batch: usize,
-        last_request: &mut u64,
-    ) -> u64 {
+        last_request: &mut RequestId,
+    ) -> RequestId {
         let places = self.free_places.entry(endpoint).or_default();
         if *places == 0 {
-            *last_request += 1;
+            last_request.0 += 1;
             self.requests.insert(endpoint, *last_request);
             *places = max_batch;
         }
         *places -= 1;
-        self.requests.get(&endpoint).copied().unwrap_or_default()
+        self.requests.get(&endpoint).copied().unwrap_or(*last_request)
     }
 }
--- a/crates/simulation/src/policies/delivery_policy.rs
+++ b/crates/simulation/src/policies/delivery_policy.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use reeddock::{
-    DeliveryPolicy, EndpointId, EndpointUpdate, FinishedAttempt, MessageId, NewMessage, PeerId, PolicyHost,
-    PreviousAttempt, Settings,
+    DeliveryPolicy, EndpointId, FinishedAttempt, MessageId, NewMessage, PeerId, PolicyHost, PreviousAttempt,
+    Settings,
 };
 
-use crate::policy::{ListedEndpoint, Policy, Submission, WorldView};
+use crate::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 
 /// The delivery policy as a [`Policy`] of the simulation.
 pub struct DeliveryPolicyAdapter(DeliveryPolicy);
@@ -23,20 +23,12 @@
     fn update_endpoint_list(
         &mut self,
         _now: Duration,
-        complete: bool,
-        endpoints: &[ListedEndpoint],
+        update: &EndpointListUpdate,
         _host: &mut dyn PolicyHost,
     ) {
-        self.0.begin_endpoint_list(complete);
-        for listed in endpoints {
-            self.0.update_endpoint(EndpointUpdate {
-                endpoint: listed.endpoint,
-                destination: listed.destination,
-                state: listed.state,
-                weight: listed.weight,
-                zone: &listed.zone,
-                kind: &listed.kind,
-            });
+        self.0.begin_endpoint_list(update.complete);
+        for listed in &update.endpoints {
+            self.0.update_endpoint(listed.as_update());
         }
         self.0.finish_endpoint_list();
     }
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -33,10 +33,14 @@
     TrialStarted,
 }
 
+/// A forwarder that takes part in an exchange.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberId(usize);
+
 /// An event, and which member reported it.
 struct ReportedEvent {
     at: Duration,
-    member: usize,
+    member: MemberId,
     event: CircuitEvent,
 }
 
@@ -99,7 +103,7 @@
     }
 }
 
-/// The events that all members have reported, and how long they take from one to another.
+/// What members report to each other of the circuits of endpoints, with a delay.
 pub struct CircuitExchange {
     delay: Duration,
     members: usize,
@@ -112,14 +116,15 @@
         CircuitExchange { delay, members: 0, events: BTreeMap::new() }
     }
 
-    /// Adds a member and gives its number.
-    pub fn join(&mut self) -> usize {
+    /// Adds a member.
+    pub fn join(&mut self) -> MemberId {
+        let member = MemberId(self.members);
         self.members += 1;
-        self.members - 1
+        member
     }
 
     /// What the circuit of an endpoint says at one member, by the events that have reached it.
-    pub fn admission(&self, endpoint: EndpointId, now: Duration, member: usize) -> CircuitAdmission {
+    pub fn admission(&self, endpoint: EndpointId, now: Duration, member: MemberId) -> CircuitAdmission {
         let Some(events) = self.events.get(&endpoint) else { return CircuitAdmission::Admit };
         let mut circuit = Circuit::default();
         for reported in events.iter().filter(|e| e.member == member || e.at + self.delay <= now) {
@@ -128,9 +133,9 @@
         circuit.admission(now)
     }
 
-    /// A member starts a half-open trial.
-    pub fn trial_started(&mut self, endpoint: EndpointId, now: Duration, member: usize) {
-        self.report(endpoint, now, member, CircuitEvent::TrialStarted);
+    /// A member has started a half-open trial.
+    pub fn trial_started(&mut self, endpoint: EndpointId, now: Duration, member: MemberId) {
+        self.report(endpoint, ReportedEvent { at: now, member, event: CircuitEvent::TrialStarted });
     }
 
     /// An attempt has ended at one member.
@@ -138,29 +143,30 @@
         &mut self,
         endpoint: EndpointId,
         now: Duration,
-        member: usize,
+        member: MemberId,
         outcome: AttemptOutcome,
     ) {
-        match outcome {
-            AttemptOutcome::Completed => self.report(endpoint, now, member, CircuitEvent::Succeeded),
+        let event = match outcome {
+            AttemptOutcome::Completed => CircuitEvent::Succeeded,
             AttemptOutcome::Error
             | AttemptOutcome::TimedOut
             | AttemptOutcome::ConnectionReset
-            | AttemptOutcome::NoConnection => self.report(endpoint, now, member, CircuitEvent::Failed),
+            | AttemptOutcome::NoConnection => CircuitEvent::Failed,
             AttemptOutcome::Rejected { .. }
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent
-            | AttemptOutcome::Malformed => {}
-        }
+            | AttemptOutcome::Malformed => return,
+        };
+        self.report(endpoint, ReportedEvent { at: now, member, event });
     }
 
-    fn report(&mut self, endpoint: EndpointId, at: Duration, member: usize, event: CircuitEvent) {
+    fn report(&mut self, endpoint: EndpointId, reported: ReportedEvent) {
         let events = self.events.entry(endpoint).or_default();
         // Nothing is known against the endpoint, so that a success changes nothing.
-        if event == CircuitEvent::Succeeded && events.is_empty() {
+        if reported.event == CircuitEvent::Succeeded && events.is_empty() {
             return;
         }
-        events.push_back(ReportedEvent { at, member, event });
+        events.push_back(reported);
         if events.len() > MAX_KEPT_EVENTS {
             events.pop_front();
         }
@@ -185,7 +191,7 @@
 /// Any endpoint whose circuit is closed, else a half-open trial; retries with backoff.
 struct SharingBreaker {
     exchange: SharedExchange,
-    member: usize,
+    member: MemberId,
 }
 
 impl BaselinePolicy for SharingBreaker {
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use reeddock::{
-    DestinationId, EndpointId, EndpointState, FinishedAttempt, MessageId, OrderingKey, PeerId, PolicyHost,
-    PreviousAttempt, Settings,
+    DestinationId, EndpointId, EndpointState, EndpointUpdate, FinishedAttempt, MessageId, OrderingKey,
+    PeerId, PolicyHost, PreviousAttempt, Settings,
 };
 
 /// One entry of the endpoint list, as a forwarder reads it.
@@ -25,6 +25,29 @@
     pub kind: String,
 }
 
+impl ListedEndpoint {
+    /// The entry as the delivery policy takes it.
+    pub fn as_update(&self) -> EndpointUpdate<'_> {
+        EndpointUpdate {
+            endpoint: self.endpoint,
+            destination: self.destination,
+            state: self.state,
+            weight: self.weight,
+            zone: &self.zone,
+            kind: &self.kind,
+        }
+    }
+}
+
+/// What a forwarder has read of the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointListUpdate {
+    /// It is the complete list, not its changes: endpoints that it does not name are removed.
+    pub complete: bool,
+    /// The entries, in the order of the list.
+    pub endpoints: Vec<ListedEndpoint>,
+}
+
 /// A message as it is submitted.
 #[derive(Clone, Debug)]
 pub struct Submission {
@@ -46,7 +69,8 @@
 /// a forwarder can know does not come by here.
 pub trait WorldView {
     /// Whether a request with a message of this class, sent now, would be accepted and answered and overload
-    /// nothing, with those in transit and so many more to its destination before it.
+    /// nothing. Requests in transit count, and `sent_before` more to the same destination that are not in the world
+    /// yet. The class is its index in the scenario.
     fn would_accept(&self, endpoint: EndpointId, class: usize, sent_before: u32) -> bool;
     /// Requests that the endpoint has not finished, for each of its workers.
     fn load(&self, endpoint: EndpointId) -> f64;
@@ -58,13 +82,7 @@
 /// run.
 pub trait Policy: Send {
     /// The endpoint list was read: all of it, or its changes.
-    fn update_endpoint_list(
-        &mut self,
-        now: Duration,
-        complete: bool,
-        endpoints: &[ListedEndpoint],
-        host: &mut dyn PolicyHost,
-    );
+    fn update_endpoint_list(&mut self, now: Duration, update: &EndpointListUpdate, host: &mut dyn PolicyHost);
     /// A message was submitted.
     fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost);
     /// After a restart, and after [`submit`](Policy::submit): the attempts that a pending message had before.
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -18,9 +18,9 @@
 pub use error::{ScenarioError, ScenarioProblem};
 pub use messages::{ClassDecay, ClassIdempotency, ClassSpec, Program};
 pub use model::{Scenario, ScheduledFault, SearchFinding, VERSION};
-pub use overrides::OverrideError;
+pub use overrides::{OverrideError, ValueOverride};
 pub use settings::{zone_name, OVER_QUOTA_WEIGHT};
 pub use validation::ValidationError;
 pub use world::{
-    EndpointListSettings, Fleet, GossipSettings, ListWeights, Network, RecoverySettings, Traffic,
+    EndpointListSettings, Fleet, GossipSettings, ListWeights, Network, RecoverySettings, Traffic, ZonePath,
 };
--- a/crates/simulation/src/scenario/overrides.rs
+++ b/crates/simulation/src/scenario/overrides.rs
@@ -2,6 +2,22 @@
 
 use thiserror::Error;
 
+/// A value that is put in the place of one of a scenario file.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ValueOverride {
+    /// The place: keys and positions joined by dots, such as `traffic.load` or `kind.0.told_waits`.
+    pub path: String,
+    /// The value as TOML has it; what is no TOML is meant as text.
+    pub value: String,
+}
+
+impl ValueOverride {
+    /// An override of the value at a path.
+    pub fn new(path: impl Into<String>, value: impl Into<String>) -> ValueOverride {
+        ValueOverride { path: path.into(), value: value.into() }
+    }
+}
+
 /// Why a value could not be put into a scenario.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OverrideError {
@@ -21,8 +37,9 @@
     },
 }
 
-/// Puts one value into a table that was read, by a path such as `traffic.load` or `kind.0.told_waits`.
-pub(super) fn apply_override(table: &mut toml::Table, path: &str, value: &str) -> Result<(), OverrideError> {
+/// Puts one value into a table that was read.
+pub(super) fn apply_override(table: &mut toml::Table, one: &ValueOverride) -> Result<(), OverrideError> {
+    let ValueOverride { path, value } = one;
     let value = parse_value(value)?;
     let mut steps = path.split('.');
     let first = steps.next().unwrap_or_default();
@@ -33,7 +50,7 @@
             toml::Value::Array(array) => step.parse::<usize>().ok().and_then(|index| array.get_mut(index)),
             _ => None,
         };
-        let missing = || OverrideError::NothingAt { path: path.to_owned(), step: step.to_owned() };
+        let missing = || OverrideError::NothingAt { path: path.clone(), step: step.to_owned() };
         at = next.ok_or_else(missing)?;
     }
     *at = value;
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -4,7 +4,7 @@
 
 use super::error::{ScenarioError, ScenarioProblem};
 use super::model::Scenario;
-use super::overrides::apply_override;
+use super::overrides::{apply_override, ValueOverride};
 use super::validation::validate;
 
 impl Scenario {
@@ -24,13 +24,12 @@
         }
     }
 
-    /// Reads a scenario's text, with single values put in the place of those that stand there: each a path
-    /// of keys and numbers joined by dots, and a value as TOML has it.
+    /// Reads a scenario's text, with single values put in the place of those that stand there.
     ///
     /// # Errors
     ///
     /// Text that is no TOML, unknown keys, and values that are out of range or contradict each other.
-    pub fn parse(file: &str, text: &str, overrides: &[(String, String)]) -> Result<Scenario, ScenarioError> {
+    pub fn parse(file: &str, text: &str, overrides: &[ValueOverride]) -> Result<Scenario, ScenarioError> {
         let error = |line, problem| ScenarioError { file: file.to_owned(), line, problem };
         let syntax_error = |fault: toml::de::Error| {
             let line = fault.span().map(|span| line_at(text, span.start));
@@ -54,14 +53,14 @@
 
 fn parse_with_overrides(
     mut table: toml::Table,
-    overrides: &[(String, String)],
+    overrides: &[ValueOverride],
 ) -> Result<Scenario, ScenarioProblem> {
-    for (path, value) in overrides {
-        apply_override(&mut table, path, value)?;
+    for one in overrides {
+        apply_override(&mut table, one)?;
     }
     let text = toml::to_string(&table).map_err(|error| ScenarioProblem::Syntax(error.to_string()))?;
     toml::from_str(&text).map_err(|error| {
-        let paths: Vec<&str> = overrides.iter().map(|(path, _)| path.as_str()).collect();
+        let paths: Vec<&str> = overrides.iter().map(|one| one.path.as_str()).collect();
         ScenarioProblem::Overridden { paths: paths.join(", "), message: one_line(error.message()) }
     })
 }
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -1,5 +1,7 @@
 //! Checks of a scenario that span several of its values: ranges, unique names, and that faults name what exists.
 
+use std::ops::RangeInclusive;
+
 use thiserror::Error;
 
 use super::destinations::{DestinationKind, RateLimit};
@@ -44,10 +46,16 @@
     }
 
     /// Refuses a value outside a range.
-    fn check_range(self, name: &'static str, value: f64, low: f64, high: f64) -> Result<(), InvalidSection> {
-        if (low..=high).contains(&value) {
+    fn check_range(
+        self,
+        name: &'static str,
+        value: f64,
+        range: RangeInclusive<f64>,
+    ) -> Result<(), InvalidSection> {
+        if range.contains(&value) {
             return Ok(());
         }
+        let (low, high) = range.into_inner();
         Err(self.invalid(ValidationError::OutOfRange { name, value, low, high }))
     }
 }
@@ -162,24 +170,24 @@
         let unknown = ValidationError::UnknownVersion(scenario.version);
         return Err(Section::first("version").invalid(unknown));
     }
-    Section::first("lasts_s").check_range("lasts_s", scenario.duration.seconds(), 1.0, 3600.0)
+    Section::first("lasts_s").check_range("lasts_s", scenario.duration.seconds(), 1.0..=3600.0)
 }
 
 fn check_fleet(scenario: &Scenario) -> Result<(), InvalidSection> {
     let (section, fleet) = (Section::FLEET, &scenario.fleet);
-    section.check_range("forwarders", fleet.forwarders.into(), 1.0, 10_000.0)?;
-    section.check_range("zones", fleet.zones.into(), 1.0, 100.0)?;
-    section.check_range("slots", fleet.max_in_flight.into(), 1.0, 100_000.0)?;
-    section.check_range("room", fleet.capacity.into(), 2.0, 1e7)?;
-    section.check_range("dispatch_cap", fleet.max_attempts.into(), 1.0, 1000.0)?;
-    section.check_range("tick_s", fleet.tick.seconds(), 0.0, 0.1)
+    section.check_range("forwarders", fleet.forwarders.into(), 1.0..=10_000.0)?;
+    section.check_range("zones", fleet.zones.into(), 1.0..=100.0)?;
+    section.check_range("slots", fleet.max_in_flight.into(), 1.0..=100_000.0)?;
+    section.check_range("room", fleet.capacity.into(), 2.0..=1e7)?;
+    section.check_range("dispatch_cap", fleet.max_attempts.into(), 1.0..=1000.0)?;
+    section.check_range("tick_s", fleet.tick.seconds(), 0.0..=0.1)
 }
 
 fn check_traffic(scenario: &Scenario) -> Result<(), InvalidSection> {
     let (section, traffic) = (Section::TRAFFIC, &scenario.traffic);
-    section.check_range("skew", traffic.skew, 0.0, 3.0)?;
+    section.check_range("skew", traffic.skew, 0.0..=3.0)?;
     let submissions = traffic.baseline_per_s.get() * traffic.load.get() * scenario.duration.seconds();
-    section.check_range("first tries of the whole day", submissions, 0.0, 2e7)
+    section.check_range("first tries of the whole day", submissions, 0.0..=2e7)
 }
 
 fn check_counts(scenario: &Scenario) -> Result<(), InvalidSection> {
@@ -215,27 +223,27 @@
             deadline: class.deadline.seconds(),
         }));
     }
-    section.check_range("work_ms in the mean", class.work_ms.mean(), 0.001, 1e6)?;
+    section.check_range("work_ms in the mean", class.work_ms.mean(), 0.001..=1e6)?;
     match class.ordered_keys {
-        Some(keys) => section.check_range("ordered_keys", keys.into(), 1.0, 1e6),
+        Some(keys) => section.check_range("ordered_keys", keys.into(), 1.0..=1e6),
         None => Ok(()),
     }
 }
 
 fn check_program(section: Section, program: &Program) -> Result<(), InvalidSection> {
-    section.check_range("returns", program.max_resubmissions.into(), 0.0, 100.0)?;
-    section.check_range("bunch in the mean", program.arrival_size.mean(), 1.0, 1e5)
+    section.check_range("returns", program.max_resubmissions.into(), 0.0..=100.0)?;
+    section.check_range("bunch in the mean", program.arrival_size.mean(), 1.0..=1e5)
 }
 
 fn check_kind(section: Section, kind: &DestinationKind) -> Result<(), InvalidSection> {
-    section.check_range("destinations", kind.destinations.into(), 1.0, 100_000.0)?;
-    section.check_range("targets in the mean", kind.endpoints.mean(), 1.0, 1000.0)?;
-    section.check_range("batch", kind.max_batch.into(), 1.0, 1000.0)?;
-    section.check_range("headroom in the mean", kind.headroom.mean(), 0.01, 1e4)?;
-    section.check_range("spare in the mean", kind.spare_capacity.mean(), 0.01, 1e4)?;
-    section.check_range("pace in the mean", kind.work_factor.mean(), 0.001, 1e3)?;
+    section.check_range("destinations", kind.destinations.into(), 1.0..=100_000.0)?;
+    section.check_range("targets in the mean", kind.endpoints.mean(), 1.0..=1000.0)?;
+    section.check_range("batch", kind.max_batch.into(), 1.0..=1000.0)?;
+    section.check_range("headroom in the mean", kind.headroom.mean(), 0.01..=1e4)?;
+    section.check_range("spare in the mean", kind.spare_capacity.mean(), 0.01..=1e4)?;
+    section.check_range("pace in the mean", kind.work_factor.mean(), 0.001..=1e3)?;
     match kind.rate_limit {
-        RateLimit::FixedWindow(window) => section.check_range("limit.span", window.seconds(), 0.01, 3600.0),
+        RateLimit::FixedWindow(window) => section.check_range("limit.span", window.seconds(), 0.01..=3600.0),
         RateLimit::None | RateLimit::TokenBucket => Ok(()),
     }
 }
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -102,12 +102,12 @@
 }
 
 impl Network {
-    /// Draws the time for one way between a forwarder and an endpoint.
-    pub fn one_way(&self, cross_zone: bool, random: &mut RandomSource) -> Duration {
+    /// Draws the one-way delay between a forwarder and an endpoint in these zones.
+    pub fn one_way(&self, path: ZonePath, random: &mut RandomSource) -> Duration {
         let same_zone = self.one_way_ms.millis(random);
         // Drawn in any case, so that the zone does not shift what is drawn later.
         let added = self.cross_zone_ms.millis(random);
-        if cross_zone {
+        if path.crosses_zones() {
             same_zone + added
         } else {
             same_zone
@@ -115,6 +115,21 @@
     }
 }
 
+/// The zones at the two ends of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ZonePath {
+    /// Zone of the forwarder.
+    pub from: u32,
+    /// Zone of the endpoint.
+    pub to: u32,
+}
+
+impl ZonePath {
+    fn crosses_zones(self) -> bool {
+        self.from != self.to
+    }
+}
+
 /// How forwarders learn of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table of the endpoint list")]
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -22,6 +22,15 @@
     allowed + 2.0 * allowed.max(0.0).sqrt() + 2.0
 }
 
+/// Why an endpoint was down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OutageCause {
+    /// A fault of the scenario.
+    Fault,
+    /// It was overloaded while it was cold after an earlier outage.
+    Overload,
+}
+
 /// The state of one endpoint.
 pub struct SimulatedEndpoint {
     pub(crate) plan: EndpointPlan,
@@ -44,11 +53,11 @@
     pub(crate) recoveries: Vec<Recovery>,
     pub(crate) down_since: Option<Duration>,
     pub(crate) overloaded_until: Option<Duration>,
-    /// Not there any more: replaced, or drained and removed.
+    /// Replaced by another endpoint, or drained and removed: it refuses all connections.
     pub(crate) removed: bool,
     /// What it was sent in the overload window, while it is cold.
     recent_work: VecDeque<ReceivedWork>,
-    /// Raised when all connections are reset: what belongs to an earlier one is void.
+    /// Raised when all connections are reset: requests and work of an earlier incarnation are void.
     pub(crate) incarnation: u32,
     /// Requests that were sent and have not arrived.
     pub(crate) in_transit: u32,
@@ -101,10 +110,10 @@
         }
     }
 
-    /// Its last outage ends: it starts to warm up.
-    pub fn recover(&mut self, now: Duration, after_overload: bool) {
+    /// Ends the outage: the endpoint is cold, and starts to warm up.
+    pub fn recover(&mut self, now: Duration, cause: OutageCause) {
         self.recovered_at = Some(now);
-        self.recoveries.push(Recovery::new(now, after_overload));
+        self.recoveries.push(Recovery::new(now, cause));
     }
 
     /// Share of its capacity that it has now.
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -102,7 +102,7 @@
         let end = AttemptEnd { attempt, outcome, finished: message.finished, scope };
         let input = ForwarderInput::AttemptFinished(end);
         let owner = message.owner;
-        self.schedule.schedule(now + self.scenario.fleet.tick.0, Event::Input(owner, input));
+        self.schedule.schedule(now + self.scenario.fleet.tick.0, Event::Input { to: owner, input });
     }
 
     fn open_request(
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -7,6 +7,7 @@
 use super::event::Event;
 use super::records::ClientSubmission;
 use super::state::World;
+use crate::account::NewSubmission;
 use crate::distribution::duration_from_seconds;
 use crate::fault::Fault;
 use crate::ids::{DestinationIndex, ForwarderIndex, SubmissionIndex};
@@ -38,7 +39,14 @@
     mean_messages: f64,
 }
 
-/// Which part of a running sum a draw from 0 to 1 falls in.
+/// Forwarders that get a share of all traffic by a fault.
+struct TrafficShift {
+    forwarders: Vec<ForwarderIndex>,
+    /// Share of the traffic, from 0 to 1.
+    share: f64,
+}
+
+/// The index of the part in whose range of the running sums a draw from 0 to 1 falls.
 fn part_at(sums: &[f64], drawn: f64) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
     sums.partition_point(|sum| *sum <= drawn * total).min(sums.len().saturating_sub(1))
@@ -118,7 +126,8 @@
         // Keys are of one destination: an order across destinations means nothing.
         let key_of = |keys: u32| ((destination.0 as u64) << DESTINATION_KEY_SHIFT) | (key % u64::from(keys));
         let submission = SubmissionIndex(self.submissions.len());
-        self.account.submitted(self.scenario, now, class_index, program, destination);
+        let accounted = NewSubmission { submitted_at: now, class: class_index, program, destination };
+        self.account.submitted(self.scenario, accounted);
         self.submissions.push(ClientSubmission {
             class: class_index,
             program,
@@ -158,9 +167,9 @@
         let spread_draw: f64 = self.random.clients.random();
         let first = match (ordering_key, self.traffic_shift()) {
             (Some(key), _) => (key.wrapping_mul(KEY_SPREAD) >> KEY_SHIFT) as usize % count,
-            (None, Some((forwarders, share))) if shift_draw < share && !forwarders.is_empty() => {
-                let position = (spread_draw * forwarders.len() as f64) as usize;
-                forwarders[position.min(forwarders.len() - 1)].0
+            (None, Some(shift)) if shift_draw < shift.share && !shift.forwarders.is_empty() => {
+                let position = (spread_draw * shift.forwarders.len() as f64) as usize;
+                shift.forwarders[position.min(shift.forwarders.len() - 1)].0
             }
             (None, _) => self.forwarder_at(spread_draw),
         };
@@ -168,11 +177,12 @@
         (0..count).map(|step| (first + step) % count).find(is_running).map(ForwarderIndex)
     }
 
-    /// Forwarders that get more traffic by a fault, and the share of it; the last fault in the scenario wins.
-    fn traffic_shift(&self) -> Option<(Vec<ForwarderIndex>, f64)> {
+    /// The traffic shift in force; the last such fault of the scenario wins.
+    fn traffic_shift(&self) -> Option<TrafficShift> {
         self.active_faults.keys().rev().find_map(|index| match self.fault(*index) {
             Fault::TrafficShift { forwarders, share } => {
-                Some((self.layout.select_forwarders(forwarders), share.get()))
+                let forwarders = self.layout.select_forwarders(forwarders);
+                Some(TrafficShift { forwarders, share: share.get() })
             }
             _ => None,
         })
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -134,7 +134,7 @@
         let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
         let at = self.now() + delay;
         let input = ForwarderInput::EndpointList { complete: true, changes };
-        self.schedule.schedule(at, Event::Input(self.incarnation_of(forwarder), input));
+        self.schedule.schedule(at, Event::Input { to: self.incarnation_of(forwarder), input });
     }
 
     fn start_health_check(&mut self, forwarder: ForwarderIndex, endpoint: EndpointId) {
@@ -165,7 +165,7 @@
             }
             let input = ForwarderInput::Gossip { from, content: content.to_vec() };
             let at = self.now() + delay;
-            self.schedule.schedule(at, Event::Input(self.incarnation_of(peer), input));
+            self.schedule.schedule(at, Event::Input { to: self.incarnation_of(peer), input });
         }
     }
 
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -175,7 +175,7 @@
         };
         let input = ForwarderInput::HealthChecked { endpoint, healthy: !is_silent && is_up };
         let at = self.now() + delay;
-        self.schedule.schedule(at, Event::Input(from, input));
+        self.schedule.schedule(at, Event::Input { to: from, input });
     }
 
     // # Responses.
@@ -186,13 +186,14 @@
             return;
         }
         let at = self.now() + self.one_way_of(request);
-        self.schedule.schedule(at, Event::ResponseArrives(request, outcome));
+        self.schedule.schedule(at, Event::ResponseArrives { request, outcome });
     }
 
     /// The sender of a request sees its connection reset.
     pub(super) fn return_reset(&mut self, request: RequestIndex) {
         let at = self.now() + self.one_way_of(request);
-        self.schedule.schedule(at, Event::ResponseArrives(request, AttemptOutcome::ConnectionReset));
+        let outcome = AttemptOutcome::ConnectionReset;
+        self.schedule.schedule(at, Event::ResponseArrives { request, outcome });
     }
 
     /// Rejects a request, some with the time until there is capacity again.
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -47,9 +47,9 @@
     /// A forwarder handles its inbox and runs its policy.
     PolicyRun(ForwarderIncarnation),
     /// Something is put into a forwarder's inbox.
-    Input(ForwarderIncarnation, ForwarderInput),
+    Input { to: ForwarderIncarnation, input: ForwarderInput },
     /// A forwarder, whichever its incarnation, learns of changes of the endpoint list.
-    ListChanged(ForwarderIndex, Vec<ListChange>),
+    ListChanged { forwarder: ForwarderIndex, changes: Vec<ListChange> },
     /// A request arrives at its endpoint.
     RequestArrives(RequestIndex),
     /// The sender learns that no connection was made.
@@ -57,7 +57,7 @@
     /// A worker of that incarnation of an endpoint has served a request.
     Served { endpoint: EndpointIndex, incarnation: u32, request: RequestIndex },
     /// A response, or the end of the connection, arrives at the sender.
-    ResponseArrives(RequestIndex, AttemptOutcome),
+    ResponseArrives { request: RequestIndex, outcome: AttemptOutcome },
     /// The timeout of one attempt of a request.
     TimedOut(BatchPosition),
     /// A health check arrives at its endpoint.
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -7,7 +7,7 @@
 use crate::fault::Fault;
 use crate::ids::EndpointIndex;
 use crate::random_streams::RandomStream;
-use crate::simulated_endpoint::SimulatedEndpoint;
+use crate::simulated_endpoint::{OutageCause, SimulatedEndpoint};
 
 impl World<'_> {
     /// A fault starts, by its place in the scenario.
@@ -47,7 +47,7 @@
         for endpoint in &struck {
             self.endpoints[endpoint.0].active_faults.retain(|active| *active != index);
             if fault.is_outage() {
-                self.end_outage(*endpoint, false);
+                self.end_outage(*endpoint, OutageCause::Fault);
             }
         }
         match fault {
@@ -57,8 +57,8 @@
                 self.list_endpoints_as(&struck, EndpointState::Removed);
             }
             Fault::ListFrozen {} => {
-                for (forwarder, changes) in std::mem::take(&mut self.frozen_list_changes) {
-                    self.deliver_list_changes(forwarder, changes);
+                for frozen in std::mem::take(&mut self.frozen_list_changes) {
+                    self.deliver_list_changes(frozen.forwarder, frozen.changes);
                 }
             }
             Fault::ForwardersKilled { forwarders } => {
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -11,12 +11,12 @@
 use super::event::{Event, ForwarderInput, ListChange};
 use super::external_ids::{destination_id, endpoint_id};
 use super::records::{AttemptEnd, AttemptRecord};
-use super::state::World;
+use super::state::{FrozenListChanges, World};
 use super::true_state::TrueState;
 use crate::fault::Fault;
 use crate::ids::{EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex};
 use crate::invariants::proves_not_executed;
-use crate::policy::{ListedEndpoint, Policy, Submission};
+use crate::policy::{EndpointListUpdate, ListedEndpoint, Policy, Submission};
 use crate::scenario::{zone_name, ListWeights};
 
 impl World<'_> {
@@ -51,7 +51,8 @@
             let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
             let at = (self.now() + delay).max(self.forwarders[index].list_told_until);
             self.forwarders[index].list_told_until = at;
-            self.schedule.schedule(at, Event::ListChanged(ForwarderIndex(index), changes.to_vec()));
+            let (forwarder, changes) = (ForwarderIndex(index), changes.to_vec());
+            self.schedule.schedule(at, Event::ListChanged { forwarder, changes });
         }
     }
 
@@ -59,7 +60,7 @@
     pub(super) fn deliver_list_changes(&mut self, forwarder: ForwarderIndex, changes: Vec<ListChange>) {
         let freezes = |index: &usize| matches!(self.fault(*index), Fault::ListFrozen {});
         if self.active_faults.keys().any(freezes) {
-            self.frozen_list_changes.push((forwarder, changes));
+            self.frozen_list_changes.push(FrozenListChanges { forwarder, changes });
             return;
         }
         let incarnation = self.incarnation_of(forwarder);
@@ -99,8 +100,8 @@
         let now = self.now();
         match input {
             ForwarderInput::EndpointList { complete, changes } => {
-                let endpoints = self.read_endpoint_list(forwarder, complete, &changes);
-                policy.update_endpoint_list(now, complete, &endpoints, host);
+                let update = self.read_endpoint_list(forwarder, complete, &changes);
+                policy.update_endpoint_list(now, &update, host);
             }
             ForwarderInput::Submitted(message) => policy.submit(now, &self.submission_of(message), host),
             ForwarderInput::Restored(message) => {
@@ -134,13 +135,13 @@
         }
     }
 
-    /// Reports to the checks what a forwarder reads, and gives the entries as the policy gets them.
+    /// Reports to the invariants what a forwarder reads of the endpoint list, and gives it as the policy gets it.
     fn read_endpoint_list(
         &mut self,
         forwarder: ForwarderIndex,
         complete: bool,
         changes: &[ListChange],
-    ) -> Vec<ListedEndpoint> {
+    ) -> EndpointListUpdate {
         let now = self.now();
         if complete {
             // What a complete list does not name is removed.
@@ -153,7 +154,8 @@
         for change in changes {
             self.invariants.endpoint_listed(now, forwarder, change.endpoint, change.state);
         }
-        changes.iter().map(|change| self.listed_endpoint(*change)).collect()
+        let endpoints = changes.iter().map(|change| self.listed_endpoint(*change)).collect();
+        EndpointListUpdate { complete, endpoints }
     }
 
     fn listed_endpoint(&self, change: ListChange) -> ListedEndpoint {
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -6,7 +6,7 @@
 use crate::observed::Ramp;
 use crate::received_work::ReceivedWork;
 use crate::report::rounded;
-use crate::simulated_endpoint::{overload_budget, Overload};
+use crate::simulated_endpoint::{overload_budget, OutageCause, Overload};
 
 impl World<'_> {
     /// Whether no endpoint of a destination is up now.
@@ -28,12 +28,12 @@
         }
     }
 
-    pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, was_overload: bool) {
+    pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, cause: OutageCause) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
         state.active_outages = state.active_outages.saturating_sub(1);
         if state.active_outages == 0 {
-            state.recover(now, was_overload);
+            state.recover(now, cause);
             let since = state.down_since.take().unwrap_or(now);
             self.sent_to_down.endpoint_seconds += now.saturating_sub(since).as_secs_f64();
         }
@@ -57,7 +57,7 @@
 
     pub(super) fn end_overload(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].overloaded_until = None;
-        self.end_outage(endpoint, true);
+        self.end_outage(endpoint, OutageCause::Overload);
     }
 
     /// All that is at an endpoint or tied to it by a connection is lost.
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -61,14 +61,14 @@
             Event::Withdrawal(message) => self.withdraw(message),
             Event::AnswerDue(message) => self.check_answer(message),
             Event::PolicyRun(forwarder) => self.run_policy(forwarder),
-            Event::Input(forwarder, input) => self.deliver(forwarder, input),
-            Event::ListChanged(forwarder, changes) => self.deliver_list_changes(forwarder, changes),
+            Event::Input { to, input } => self.deliver(to, input),
+            Event::ListChanged { forwarder, changes } => self.deliver_list_changes(forwarder, changes),
             Event::RequestArrives(request) => self.request_arrives(request),
             Event::NotConnected(request) => self.finish_request(request, AttemptOutcome::NoConnection),
             Event::Served { endpoint, incarnation, request } => {
                 self.request_served(endpoint, incarnation, request);
             }
-            Event::ResponseArrives(request, outcome) => self.finish_request(request, outcome),
+            Event::ResponseArrives { request, outcome } => self.finish_request(request, outcome),
             Event::TimedOut(position) => self.stop_waiting(position, AttemptOutcome::TimedOut),
             Event::HealthCheckArrives { from, endpoint } => self.health_check_arrives(from, endpoint),
             Event::FaultStarts(index) => self.start_fault(index),
@@ -92,10 +92,10 @@
         }
     }
 
-    /// The policy's timer of an incarnation fires so long from now.
+    /// Schedules the timer of a forwarder's policy, for its present incarnation only.
     pub(super) fn schedule_timer(&mut self, forwarder: ForwarderIndex, after: Duration) {
-        let incarnation = self.incarnation_of(forwarder);
+        let to = self.incarnation_of(forwarder);
         let at = self.now() + after;
-        self.schedule.schedule(at, Event::Input(incarnation, ForwarderInput::TimerFired));
+        self.schedule.schedule(at, Event::Input { to, input: ForwarderInput::TimerFired });
     }
 }
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -14,12 +14,12 @@
 use crate::ids::{
     DestinationIndex, EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex, RequestIndex,
 };
-use crate::invariants::{ClassRules, InvariantChecker, RetryAfterScope};
+use crate::invariants::{ClassRules, FleetRules, InvariantChecker, RetryAfterScope};
 use crate::layout::FleetLayout;
 use crate::observed::SentToDown;
 use crate::policy::PolicyFactory;
 use crate::random_streams::RandomStream;
-use crate::scenario::{ClassSpec, DestinationKind, Scenario};
+use crate::scenario::{ClassSpec, DestinationKind, Scenario, ZonePath};
 use crate::schedule::EventSchedule;
 use crate::simulated_endpoint::{SimulatedDestination, SimulatedEndpoint};
 
@@ -46,6 +46,12 @@
     }
 }
 
+/// Changes of the endpoint list that a forwarder was to learn of while the list was frozen.
+pub(super) struct FrozenListChanges {
+    pub(super) forwarder: ForwarderIndex,
+    pub(super) changes: Vec<ListChange>,
+}
+
 /// A world that is being played.
 pub(crate) struct World<'a> {
     pub(super) scenario: &'a Scenario,
@@ -66,7 +72,7 @@
     /// Endpoints that each active fault strikes, by the fault's place in the scenario.
     pub(super) active_faults: BTreeMap<usize, Vec<EndpointIndex>>,
     /// Changes of the endpoint list that wait for the end of a freeze.
-    pub(super) frozen_list_changes: Vec<(ForwarderIndex, Vec<ListChange>)>,
+    pub(super) frozen_list_changes: Vec<FrozenListChanges>,
     pub(super) invariants: InvariantChecker,
     pub(super) account: Account,
     pub(super) sent_to_down: SentToDown,
@@ -97,13 +103,13 @@
         idempotency: class.idempotency.into(),
         ordered: class.ordered_keys.is_some(),
     };
-    InvariantChecker::new(
-        scenario.classes.iter().map(rules).collect(),
-        fleet.forwarders as usize,
-        fleet.drain_grace.0,
-        fleet.ordering_hold_off.0,
-        fleet.answer_slack.0 + fleet.tick.0,
-    )
+    InvariantChecker::new(FleetRules {
+        classes: scenario.classes.iter().map(rules).collect(),
+        forwarders: fleet.forwarders as usize,
+        drain_grace: fleet.drain_grace.0,
+        ordering_hold_off: fleet.ordering_hold_off.0,
+        answer_slack: fleet.answer_slack.0 + fleet.tick.0,
+    })
 }
 
 impl<'a> World<'a> {
@@ -183,13 +189,14 @@
         ForwarderIncarnation { forwarder, number: self.forwarders[forwarder.0].incarnation }
     }
 
-    /// Draws the time for one way between a forwarder and an endpoint.
+    /// Draws the one-way delay between a forwarder and an endpoint.
     pub(super) fn one_way(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> Duration {
-        let cross_zone = self.forwarders[forwarder.0].zone != self.endpoints[endpoint.0].plan.zone;
-        self.scenario.network.one_way(cross_zone, &mut self.random.network)
+        let path =
+            ZonePath { from: self.forwarders[forwarder.0].zone, to: self.endpoints[endpoint.0].plan.zone };
+        self.scenario.network.one_way(path, &mut self.random.network)
     }
 
-    /// Draws the time for one way of a request or its response.
+    /// Draws the one-way delay of a request or its response.
     pub(super) fn one_way_of(&mut self, request: RequestIndex) -> Duration {
         let record = &self.requests[request.0];
         let (forwarder, endpoint) = (record.sender.forwarder, record.endpoint);
--- a/crates/simulation/tests/simulation/defective_policy.rs
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -8,7 +8,7 @@
     PeerId, PolicyHost, PreviousAttempt, Settings,
 };
 use reeddock_simulation::policies::DeliveryPolicyAdapter;
-use reeddock_simulation::policy::{ListedEndpoint, Policy, Submission, WorldView};
+use reeddock_simulation::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 
 /// Every so many messages one is ignored by [`Defect::IgnoresSome`].
 const IGNORED_INTERVAL: u32 = 50;
@@ -141,16 +141,15 @@
     fn update_endpoint_list(
         &mut self,
         now: Duration,
-        complete: bool,
-        endpoints: &[ListedEndpoint],
+        update: &EndpointListUpdate,
         host: &mut dyn PolicyHost,
     ) {
-        let mut endpoints = endpoints.to_vec();
+        let mut update = update.clone();
         if self.defect == Defect::IgnoresDraining {
-            endpoints.iter_mut().for_each(|listed| listed.state = EndpointState::Active);
+            update.endpoints.iter_mut().for_each(|listed| listed.state = EndpointState::Active);
         }
         let mut host = AlteredHost::new(host, self.defect);
-        self.policy.update_endpoint_list(now, complete, &endpoints, &mut host);
+        self.policy.update_endpoint_list(now, &update, &mut host);
     }
 
     fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost) {
--- a/crates/simulation/tests/simulation/recovery.rs
+++ b/crates/simulation/tests/simulation/recovery.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use reeddock_simulation::ids::{EndpointIndex, ForwarderIndex};
-use reeddock_simulation::invariants::InvariantChecker;
+use reeddock_simulation::invariants::{FleetRules, InvariantChecker};
 use reeddock_simulation::layout::FleetLayout;
 use reeddock_simulation::received_work::ReceivedWork;
-use reeddock_simulation::simulated_endpoint::{overload_budget, SimulatedEndpoint};
+use reeddock_simulation::simulated_endpoint::{overload_budget, OutageCause, SimulatedEndpoint};
 use reeddock_simulation::Scenario;
 
 const WORLD: &str = r#"
@@ -41,7 +41,7 @@
         * plan.capacity_per_s
         * settings.overload_window.seconds();
     let mut endpoint = SimulatedEndpoint::new(plan);
-    endpoint.recover(Duration::ZERO, false);
+    endpoint.recover(Duration::ZERO, OutageCause::Fault);
     (endpoint, allowed)
 }
 
@@ -83,8 +83,7 @@
 #[test]
 fn the_rule_is_broken_where_over_two_thirds_came_from_forwarders_that_knew() {
     let broken = |known: usize, all: usize| {
-        let mut invariants =
-            InvariantChecker::new(Vec::new(), all, Duration::ZERO, Duration::ZERO, Duration::ZERO);
+        let mut invariants = InvariantChecker::new(FleetRules { forwarders: all, ..FleetRules::default() });
         (0..known).for_each(|n| invariants.failure_reported(ForwarderIndex(n), EndpointIndex(0)));
         let work = |n| ReceivedWork { at: Duration::ZERO, amount: 1.0, sender: ForwarderIndex(n) };
         let received: Vec<ReceivedWork> = (0..all).map(work).collect();
--- a/crates/simulation/tests/simulation/sharing.rs
+++ b/crates/simulation/tests/simulation/sharing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reeddock::{AttemptOutcome, EndpointId};
-use reeddock_simulation::policies::sharing::{CircuitAdmission, CircuitExchange};
+use reeddock_simulation::policies::sharing::{CircuitAdmission, CircuitExchange, MemberId};
 
 const ENDPOINT: EndpointId = EndpointId(7);
 
@@ -14,7 +14,7 @@
 #[test]
 fn failures_at_several_forwarders_open_a_circuit_for_all_once_they_are_reported() {
     let mut exchange = CircuitExchange::new(at(1.0));
-    let members: Vec<usize> = (0..4).map(|_| exchange.join()).collect();
+    let members: Vec<MemberId> = (0..4).map(|_| exchange.join()).collect();
     for member in &members[..3] {
         exchange.attempt_finished(ENDPOINT, at(10.0), *member, AttemptOutcome::NoConnection);
     }
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use crate::defective_policy::{Defect, DefectivePolicy};
+use reeddock_simulation::scenario::ValueOverride;
 use reeddock_simulation::schedule::EventSchedule;
 use reeddock_simulation::{run, run_with, BuiltInPolicy, Report, Scenario};
 
@@ -48,7 +49,7 @@
 "#;
 
 fn exact(further: &str, instead: &[(&str, &str)]) -> Scenario {
-    let instead: Vec<_> = instead.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect();
+    let instead: Vec<_> = instead.iter().map(|(path, value)| ValueOverride::new(*path, *value)).collect();
     Scenario::parse("exact.toml", &format!("{EXACT}{further}"), &instead).unwrap()
 }
 
