--- a/crates/experiments/src/html_report.rs
+++ b/crates/experiments/src/html_report.rs
@@ -8,21 +8,10 @@
 
 use crate::error::{ExperimentError, FileAction};
 use crate::report_plots::{run_plots, sweep_plot};
-use crate::results::{ExperimentResult, FoundScenario, PolicySummary};
-
-const SUMMARY_HEADER: [&str; 11] = [
-    "policy",
-    "credit",
-    "+-",
-    "least",
-    "p50 ms",
-    "p99 ms",
-    "sent",
-    "refused",
-    "wasted",
-    "slots",
-    "rules broken",
-];
+use crate::results::{ExperimentResult, FoundScenario, PolicySummary, SweepRow};
+use crate::table_cells::{
+    cost_cells, credit_cell, credit_cells, finding_cells, COST_HEADER, CREDIT_HEADER, FINDING_HEADER,
+};
 
 const STYLE: &str = "body{font:15px sans-serif;max-width:60rem;margin:2rem auto;color:#222}\
     table{border-collapse:collapse;margin:1rem 0}td,th{padding:.2rem .6rem;text-align:right;\
@@ -52,12 +41,12 @@
                 Section { title: scenario.clone(), table: summary_table(rows), plots: run_plots(first_days)? }
             }
             ExperimentResult::Sweep { scenario, keys, rows } => {
-                let rows_with_values: Vec<_> =
-                    rows.iter().map(|row| (&row.values[..], &row.summary)).collect();
+                let plot = sweep_plot(keys, rows)?;
+                let rows: Vec<SummaryRow> = rows.iter().map(SummaryRow::of_sweep).collect();
                 Section {
                     title: format!("{scenario}: {}", keys.join(", ")),
-                    table: table_with_values(keys, &rows_with_values),
-                    plots: vec![sweep_plot(keys, rows)?],
+                    table: table_with_values(keys, &rows),
+                    plots: vec![plot],
                 }
             }
             ExperimentResult::Replay { description, report, .. } => Section {
@@ -85,56 +74,70 @@
     }
 }
 
+/// A row of a table of summaries.
+struct SummaryRow<'a> {
+    /// One value for each key of the table.
+    values: &'a [String],
+    summary: &'a PolicySummary,
+}
+
+impl SummaryRow<'_> {
+    fn of_sweep(row: &SweepRow) -> SummaryRow<'_> {
+        SummaryRow { values: &row.values, summary: &row.summary }
+    }
+
+    fn without_values(summary: &PolicySummary) -> SummaryRow<'_> {
+        SummaryRow { values: &[], summary }
+    }
+}
+
 fn summary_table(summaries: &[PolicySummary]) -> Markup {
-    let rows: Vec<(&[String], &PolicySummary)> = summaries.iter().map(|summary| (&[][..], summary)).collect();
+    let rows: Vec<SummaryRow> = summaries.iter().map(SummaryRow::without_values).collect();
     table_with_values(&[], &rows)
 }
 
 /// A table of summaries, each after its values of these keys.
-fn table_with_values(keys: &[String], rows: &[(&[String], &PolicySummary)]) -> Markup {
+fn table_with_values(keys: &[String], rows: &[SummaryRow]) -> Markup {
     html! {
         table {
             tr {
                 @for key in keys { th { (key) } }
-                @for head in SUMMARY_HEADER { th { (head) } }
+                @for head in summary_header() { th { (head) } }
             }
-            @for (values, summary) in rows {
+            @for row in rows {
                 tr {
-                    @for value in *values { td { (value) } }
-                    @for cell in summary_cells(summary) { td { (cell) } }
+                    @for value in row.values { td { (value) } }
+                    @for cell in summary_cells(row.summary) { td { (cell) } }
                 }
             }
         }
     }
 }
 
-fn summary_cells(summary: &PolicySummary) -> [String; SUMMARY_HEADER.len()] {
-    let metrics = &summary.metrics;
-    [
-        summary.policy.clone(),
-        format!("{:.3}", metrics.credit.mean),
-        format!("{:.3}", metrics.credit.deviation),
-        format!("{:.3}", metrics.credit.minimum),
-        format!("{:.0}", metrics.p50_ms),
-        format!("{:.0}", metrics.p99_ms),
-        format!("{:.2}", metrics.attempts_per_message),
-        format!("{:.2}", metrics.rejections_per_message),
-        format!("{:.2}", metrics.work_wasted),
-        format!("{:.2}", metrics.slots_used),
-        summary.violations.to_string(),
-    ]
+/// The columns of a policy over several days.
+fn summary_header() -> Vec<&'static str> {
+    [&CREDIT_HEADER[..], &["least"], &COST_HEADER, &["rules broken"]].concat()
+}
+
+/// The cells under [`summary_header`].
+fn summary_cells(summary: &PolicySummary) -> Vec<String> {
+    let mut cells = credit_cells(summary).to_vec();
+    cells.push(credit_cell(summary.metrics.credit.minimum));
+    cells.extend(cost_cells(&summary.metrics));
+    cells.push(summary.violations.to_string());
+    cells
 }
 
 fn findings_table(findings: &[FoundScenario]) -> Markup {
     html! {
         table {
-            tr { th { "file" } th { "credit" } th { "one try" } th { "ceiling" } th { "what" } }
+            tr {
+                @for head in FINDING_HEADER { th { (head) } }
+                th { "what" }
+            }
             @for finding in findings {
                 tr {
-                    td { (finding.file.display()) }
-                    td { (format!("{:.3}", finding.credit)) }
-                    td { (format!("{:.3}", finding.one_try_credit)) }
-                    td { (format!("{:.3}", finding.upper_bound_credit)) }
+                    @for cell in finding_cells(finding) { td { (cell) } }
                     td { (finding.description) }
                 }
             }
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,7 +1,7 @@
 //! Experiments on the simulation of a fleet of forwarders: single runs, comparisons of policies, parameter
 //! sweeps, a random search for faults, and studies of single questions.
 //!
-//! Runs are spread over all cores; results do not depend on how many those are. All figures are emulated.
+//! Runs are spread over all cores; results do not depend on how many those are. All results are of simulated time.
 //! `docs/experiments.md` shows a whole experiment.
 
 mod arguments;
@@ -9,6 +9,7 @@
 mod html_report;
 mod limits;
 mod line_plot;
+mod output;
 mod random_scenario;
 mod recorded_policy;
 mod recording;
@@ -19,12 +20,14 @@
 mod search;
 mod sharing_study;
 mod shrink;
+mod table_cells;
 mod text_report;
 
 pub use arguments::{ArgumentError, PolicyList, ScenarioOverride};
 pub use error::{ExperimentError, FileAction};
 pub use html_report::write_html_report;
 pub use limits::MAX_SEARCH_MINUTES;
+pub use output::OutputFormat;
 pub use random_scenario::random_scenario;
 pub use recording::{
     compare_recordings, RecordedFile, RecordedFiles, RecordingComparison, ScenarioRecordingPlan,
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -11,8 +11,9 @@
 
 use clap::{Args, Parser, Subcommand};
 use reeddock_experiments::{
-    compare_recordings, write_html_report, ComparisonPlan, ExperimentError, ExperimentRunner, PolicyList,
-    ScenarioOverride, ScenarioRecordingPlan, SearchPlan, StreamRecordingPlan, SweepPlan, MAX_SEARCH_MINUTES,
+    compare_recordings, write_html_report, ComparisonPlan, ExperimentError, ExperimentRunner, OutputFormat,
+    PolicyList, ScenarioOverride, ScenarioRecordingPlan, SearchPlan, StreamRecordingPlan, SweepPlan,
+    MAX_SEARCH_MINUTES,
 };
 use reeddock_recorder::Form;
 
@@ -137,7 +138,8 @@
 fn main() -> ExitCode {
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false).init();
     let CommandLine { json, threads, command } = CommandLine::parse();
-    let result = ExperimentRunner::with_threads(threads).and_then(|runner| command.execute(&runner, json));
+    let format = if json { OutputFormat::Json } else { OutputFormat::Text };
+    let result = ExperimentRunner::with_threads(threads).and_then(|runner| command.execute(&runner, format));
     result.unwrap_or_else(|error| {
         eprintln!("reeddock-experiment: {error}");
         ExitCode::from(2)
@@ -145,33 +147,33 @@
 }
 
 impl Command {
-    fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+    fn execute(self, runner: &ExperimentRunner, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
         match self {
             Command::Run { scenario, run } => {
                 let result = runner.run(&scenario, run.seed, &run.policy)?;
                 result.keep(run.out.as_deref())?;
-                result.print(json)
+                result.print(format)
             }
             Command::Compare { scenario, policies, repeated } => {
                 let plan = ComparisonPlan { policies, seeds: repeated.seeds };
                 let result = runner.compare(&scenario, &plan)?;
                 result.keep(repeated.out.as_deref())?;
-                result.print(json)
+                result.print(format)
             }
             Command::Sweep { scenario, settings, policies, repeated } => {
                 let plan = SweepPlan { overrides: settings, policies, seeds: repeated.seeds };
                 let result = runner.sweep(&scenario, &plan)?;
                 result.keep(repeated.out.as_deref())?;
-                result.print(json)
+                result.print(format)
             }
             Command::Search { minutes, seed, out, keep } => {
                 let duration = search_duration(minutes)?;
-                runner.search(&SearchPlan { duration, seed, out, keep })?.print(json)
+                runner.search(&SearchPlan { duration, seed, out, keep })?.print(format)
             }
-            Command::Replay { file } => runner.replay(&file)?.print(json),
-            Command::Ramp(arguments) => arguments.execute(runner, json),
-            Command::Sharing(arguments) => arguments.execute(runner, json),
-            Command::Record(arguments) => arguments.execute(runner, json),
+            Command::Replay { file } => runner.replay(&file)?.print(format),
+            Command::Ramp(arguments) => arguments.execute(runner, format),
+            Command::Sharing(arguments) => arguments.execute(runner, format),
+            Command::Record(arguments) => arguments.execute(runner, format),
             Command::Report { folder, to } => {
                 let page = to.unwrap_or_else(|| folder.join("report.html"));
                 let plots = write_html_report(&folder, &page)?;
@@ -191,9 +193,9 @@
 }
 
 impl RecordArguments {
-    fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+    fn execute(self, runner: &ExperimentRunner, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
         if let Some([left, right]) = self.compare.as_deref() {
-            return compare_recordings(left, right)?.print(json);
+            return compare_recordings(left, right)?.print(format);
         }
         let form = if self.digest { Form::Digest } else { Form::Full };
         let RecordArguments { scenarios, streams, seed, seeds, out, .. } = self;
@@ -201,6 +203,6 @@
             Some(count) => runner.record_streams(&StreamRecordingPlan { count, seed, out, form })?,
             None => runner.record_scenarios(&ScenarioRecordingPlan { scenarios, seed, seeds, out, form })?,
         };
-        recorded.print(json)
+        recorded.print(format)
     }
 }
--- a/crates/experiments/src/recording.rs
+++ b/crates/experiments/src/recording.rs
@@ -8,6 +8,7 @@
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+use comfy_table::Table;
 use reeddock_recorder::compare::{compare, Difference, Pair, Verdict};
 use reeddock_recorder::{streams, Form, Recording, Summary};
 use reeddock_simulation::{run_with, BuiltInPolicy, Scenario};
@@ -15,6 +16,7 @@
 
 use crate::error::{ExperimentError, FileAction};
 use crate::limits::MAX_RECORDINGS;
+use crate::output::OutputFormat;
 use crate::recorded_policy::RecordedPolicy;
 use crate::runner::ExperimentRunner;
 use crate::text_report::plain_table;
@@ -201,24 +203,24 @@
 }
 
 impl RecordedFiles {
-    /// Prints the files to standard output as text or JSON.
+    /// Prints the files to standard output; the exit code is 0.
     ///
     /// # Errors
     ///
     /// Only those of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
-        if json {
-            println!("{}", serde_json::to_string(self)?);
-            return Ok(ExitCode::SUCCESS);
-        }
+    pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
+        format.print(self, || format!("{}\n", self.table()))?;
+        Ok(ExitCode::SUCCESS)
+    }
+
+    fn table(&self) -> Table {
         let mut table = plain_table();
         table.set_header(["file", "lines", "digest"]);
         for file in &self.files {
             let digest = file.digest[..SHOWN_DIGEST_LENGTH].to_owned();
             table.add_row([file.file.clone(), file.lines.to_string(), digest]);
         }
-        println!("{table}");
-        Ok(ExitCode::SUCCESS)
+        table
     }
 }
 
@@ -231,25 +233,37 @@
     Ok(RecordingComparison(compare(left, right)?))
 }
 
+/// How many recordings were compared, and which ones differ; the form of a comparison as JSON.
+#[derive(Serialize)]
+struct ComparisonSummary<'a> {
+    different: Vec<&'a str>,
+    equal: usize,
+    pairs: usize,
+}
+
 impl RecordingComparison {
-    /// Prints the comparison to standard output as text or JSON. The exit code is 1 where any file differs.
+    /// Prints the comparison to standard output. The exit code is 1 where any file differs.
     ///
     /// # Errors
     ///
     /// Only those of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
-        let differing: Vec<&Pair> =
-            self.0.iter().filter(|pair| !matches!(pair.verdict, Verdict::Equal { .. })).collect();
-        let all = self.0.len();
-        let equal = all - differing.len();
-        if json {
-            let names: Vec<&str> = differing.iter().map(|pair| pair.name.as_str()).collect();
-            println!("{}", serde_json::json!({ "pairs": all, "equal": equal, "different": names }));
-        } else {
-            self.0.iter().for_each(|pair| println!("{}: {}", pair.name, verdict_text(&pair.verdict)));
-            println!("{equal} of {all} equal");
-        }
-        Ok(ExitCode::from(u8::from(equal < all)))
+    pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
+        let summary = self.summary();
+        format.print(&summary, || self.text(&summary))?;
+        Ok(ExitCode::from(u8::from(!summary.different.is_empty())))
+    }
+
+    fn summary(&self) -> ComparisonSummary<'_> {
+        let is_different = |pair: &&Pair| !matches!(pair.verdict, Verdict::Equal { .. });
+        let different: Vec<&str> =
+            self.0.iter().filter(is_different).map(|pair| pair.name.as_str()).collect();
+        ComparisonSummary { pairs: self.0.len(), equal: self.0.len() - different.len(), different }
+    }
+
+    fn text(&self, summary: &ComparisonSummary) -> String {
+        let line = |pair: &Pair| format!("{}: {}\n", pair.name, verdict_text(&pair.verdict));
+        let lines: String = self.0.iter().map(line).collect();
+        format!("{lines}{} of {} equal\n", summary.equal, summary.pairs)
     }
 }
 
@@ -265,11 +279,16 @@
 /// The first difference, with the lines before it and those of both sides from it on.
 fn difference_text(difference: &Difference) -> String {
     let mut text = format!("DIFFERS at line {}, forwarder {}\n", difference.line, difference.forwarder);
-    for (mark, lines) in [("  ", &difference.before), ("A ", &difference.left), ("B ", &difference.right)] {
-        lines.iter().for_each(|line| text += &format!("  {mark}{line}\n"));
-        if lines.is_empty() && mark != "  " {
-            text += &format!("  {mark}(has ended)\n");
+    push_lines(&mut text, "  ", &difference.before);
+    for (mark, lines) in [("A ", &difference.left), ("B ", &difference.right)] {
+        push_lines(&mut text, mark, lines);
+        if lines.is_empty() {
+            push_lines(&mut text, mark, &["(has ended)".to_owned()]);
         }
     }
     text
 }
+
+fn push_lines(text: &mut String, mark: &str, lines: &[String]) {
+    lines.iter().for_each(|line| *text += &format!("  {mark}{line}\n"));
+}
--- a/crates/experiments/src/recovery_study.rs
+++ b/crates/experiments/src/recovery_study.rs
@@ -4,15 +4,17 @@
 use std::path::Path;
 use std::process::ExitCode;
 
+use comfy_table::Table;
 use reeddock_simulation::observed::Ramp;
 use reeddock_simulation::report::rounded;
-use reeddock_simulation::{observe, BuiltInPolicy, Scenario};
+use reeddock_simulation::{observe, BuiltInPolicy};
 use serde::Serialize;
 
 use crate::arguments::ScenarioOverride;
 use crate::error::ExperimentError;
+use crate::output::OutputFormat;
 use crate::results::Statistics;
-use crate::runner::{ComparisonPlan, ExperimentRunner, ScenarioVariants};
+use crate::runner::{ComparisonPlan, ExperimentRunner, Run, ScenarioVariants};
 use crate::text_report::plain_table;
 
 /// Recoveries of destinations of one size, under one policy and combination of scenario values, over all days.
@@ -26,7 +28,8 @@
     /// The policy's name on the command line.
     pub policy: String,
     /// Requests a second that the destination gets on a usual day from all forwarders.
-    pub usual_per_s: f64,
+    #[serde(rename = "usual_per_s")]
+    pub baseline_per_s: f64,
     /// Number of days, each with a seed of its own.
     pub seeds: u64,
     /// Recoveries from an outage that was not itself an overload.
@@ -66,21 +69,12 @@
     pub rows: Vec<RecoveryRow>,
 }
 
-/// One run of the simulation.
-struct Run<'a> {
-    scenario: &'a Scenario,
-    seed: u64,
-    policy: BuiltInPolicy,
-}
-
-impl Run<'_> {
-    /// Plays the run, and gives the recoveries of which the outage was not itself an overload.
-    fn play(&self) -> Vec<Ramp> {
-        let run = observe(self.scenario, self.seed, self.policy.name(), &|now, settings, host| {
-            self.policy.open(now, settings, host)
-        });
-        run.observed.ramps.into_iter().filter(|ramp| !ramp.after_overload).collect()
-    }
+/// Plays a run, and gives the recoveries of which the outage was not itself an overload.
+fn play(run: &Run) -> Vec<Ramp> {
+    let observed = observe(run.scenario, run.seed, run.policy.name(), &|now, settings, host| {
+        run.policy.open(now, settings, host)
+    });
+    observed.observed.ramps.into_iter().filter(|ramp| !ramp.after_overload).collect()
 }
 
 /// What the rows of one policy and combination of scenario values are made from.
@@ -112,7 +106,7 @@
                 runs.extend((1..=plan.seeds).map(run));
             }
         }
-        let days = self.map_runs(&runs, "ramps", Run::play)?;
+        let days = self.map_runs(&runs, "ramps", play)?;
         let mut rows = Vec::new();
         let mut days_of_groups = days.chunks(plan.seeds as usize);
         for variant in &variants {
@@ -135,8 +129,8 @@
         sizes.into_iter().map(|size| self.row(size)).collect()
     }
 
-    fn row(&self, usual_per_s: f64) -> RecoveryRow {
-        let of_this_size = |ramp: &&Ramp| rounded(ramp.baseline_per_s) == usual_per_s;
+    fn row(&self, baseline_per_s: f64) -> RecoveryRow {
+        let of_this_size = |ramp: &&Ramp| rounded(ramp.baseline_per_s) == baseline_per_s;
         let ramps: Vec<&Ramp> = self.days.iter().flatten().filter(of_this_size).collect();
         let days_with = |condition: fn(&Ramp) -> bool| {
             let shows = |day: &&Vec<Ramp>| day.iter().filter(of_this_size).any(condition);
@@ -145,7 +139,7 @@
         RecoveryRow {
             values: self.values.to_vec(),
             policy: self.policy.name().to_owned(),
-            usual_per_s,
+            baseline_per_s,
             seeds: self.days.len() as u64,
             recoveries: ramps.len(),
             load_ratio: Statistics::over(&ramps, |ramp| ramp.ratio()),
@@ -192,7 +186,7 @@
     fn cells(&self) -> [String; HEADER.len()] {
         [
             self.policy.clone(),
-            format!("{:.2}", self.usual_per_s),
+            format!("{:.2}", self.baseline_per_s),
             self.recoveries.to_string(),
             format!("{:.1}", self.allowed.mean),
             format!("{:.1}", self.requests.mean),
@@ -208,23 +202,22 @@
 }
 
 impl RecoveryTable {
-    /// Prints the table to standard output as text or JSON. An overload is a finding and no fault of the study:
-    /// the exit code is 0.
+    /// Prints the table to standard output. An overload is a finding and no fault of the study: the exit code is 0.
     ///
     /// # Errors
     ///
     /// Only those of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
-        if json {
-            println!("{}", serde_json::to_string(self)?);
-            return Ok(ExitCode::SUCCESS);
-        }
+    pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
+        format.print(self, || format!("{}, emulated\n{}\n", self.scenario, self.table()))?;
+        Ok(ExitCode::SUCCESS)
+    }
+
+    fn table(&self) -> Table {
         let mut table = plain_table();
         table.set_header(self.keys.iter().map(String::as_str).chain(HEADER));
         for row in &self.rows {
             table.add_row(row.values.iter().cloned().chain(row.cells()));
         }
-        println!("{}, emulated\n{table}", self.scenario);
-        Ok(ExitCode::SUCCESS)
+        table
     }
 }
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -94,8 +94,9 @@
     pub rejections_per_message: f64,
     /// Share of the endpoints' work that completed no message.
     pub work_wasted: f64,
-    /// Mean share of the attempt slots in use while messages arrive.
-    pub slots_used: f64,
+    /// Mean share of all requests that may be in flight that were, while messages arrive.
+    #[serde(rename = "slots_used")]
+    pub in_flight_used: f64,
 }
 
 impl PolicySummary {
@@ -126,7 +127,7 @@
             attempts_per_message: mean(|day| day.attempts_per_submission),
             rejections_per_message: mean(|day| day.rejections_per_submission),
             work_wasted: mean(|day| day.work_wasted),
-            slots_used: mean(|day| day.in_flight_used),
+            in_flight_used: mean(|day| day.in_flight_used),
         }
     }
 }
@@ -153,7 +154,7 @@
     pub credit: f64,
     /// Credit of the baseline that attempts each message once.
     #[serde(rename = "one_try")]
-    pub one_try_credit: f64,
+    pub one_attempt_credit: f64,
     /// Credit of the upper bound.
     #[serde(rename = "ceiling")]
     pub upper_bound_credit: f64,
@@ -197,7 +198,8 @@
         #[serde(rename = "with_broken_rules")]
         with_violations: usize,
         /// Scenarios in which one attempt for each message earned clearly more than the delivery policy.
-        under_one_try: usize,
+        #[serde(rename = "under_one_try")]
+        under_one_attempt: usize,
         /// What was kept.
         found: Vec<FoundScenario>,
     },
--- a/crates/experiments/src/runner.rs
+++ b/crates/experiments/src/runner.rs
@@ -51,11 +51,11 @@
     pub(crate) variants: Vec<ScenarioVariant>,
 }
 
-/// One run of the simulation.
-struct Run<'a> {
-    scenario: &'a Scenario,
-    seed: u64,
-    policy: BuiltInPolicy,
+/// One run of the simulation under a built-in policy.
+pub(crate) struct Run<'a> {
+    pub(crate) scenario: &'a Scenario,
+    pub(crate) seed: u64,
+    pub(crate) policy: BuiltInPolicy,
 }
 
 /// What a comparison of policies on several scenarios gave.
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -23,7 +23,7 @@
 /// Scenarios that are shrunk for each invariant: more of them mostly show the same fault.
 const MAX_FINDINGS_OF_A_RULE: usize = 3;
 /// Credit by which the delivery policy must lie under one attempt for each message to be counted: less is noise.
-const ONE_TRY_MARGIN: f64 = 0.01;
+const ONE_ATTEMPT_MARGIN: f64 = 0.01;
 /// The seeds of one search lie in a block of this many bits, so that searches of different seeds share none.
 const SEED_BLOCK_BITS: u32 = 20;
 
@@ -42,7 +42,7 @@
 /// A scenario under the three policies of a search.
 struct PolicyReports {
     delivery_policy: Report,
-    one_try: Report,
+    one_attempt: Report,
     upper_bound: Report,
 }
 
@@ -58,7 +58,7 @@
     /// The first violation of each invariant.
     violations: Vec<Violation>,
     credit: f64,
-    one_try_credit: f64,
+    one_attempt_credit: f64,
     upper_bound_credit: f64,
 }
 
@@ -74,7 +74,7 @@
     fn of(scenario: &Scenario, seed: u64) -> PolicyReports {
         PolicyReports {
             delivery_policy: run(scenario, seed, BuiltInPolicy::DeliveryPolicy),
-            one_try: run(scenario, seed, BuiltInPolicy::OneAttempt),
+            one_attempt: run(scenario, seed, BuiltInPolicy::OneAttempt),
             upper_bound: run(scenario, seed, BuiltInPolicy::UpperBound),
         }
     }
@@ -94,7 +94,7 @@
             seed,
             violations,
             credit: reports.delivery_policy.credit,
-            one_try_credit: reports.one_try.credit,
+            one_attempt_credit: reports.one_attempt.credit,
             upper_bound_credit: reports.upper_bound.credit,
         }
     }
@@ -116,12 +116,12 @@
         let mut tasks = violation_tasks(&candidates);
         tasks.extend(credit_gap_tasks(&candidates, plan.keep));
         let found: Vec<_> = self.map(&tasks, "shrinking", |task| keep_finding(task, &plan.out));
-        let under_one_try =
-            |candidate: &&Candidate| candidate.credit < candidate.one_try_credit - ONE_TRY_MARGIN;
+        let under_one_attempt =
+            |candidate: &&Candidate| candidate.credit < candidate.one_attempt_credit - ONE_ATTEMPT_MARGIN;
         Ok(ExperimentResult::Search {
             scenarios: candidates.len(),
             with_violations: candidates.iter().filter(|one| !one.violations.is_empty()).count(),
-            under_one_try: candidates.iter().filter(under_one_try).count(),
+            under_one_attempt: candidates.iter().filter(under_one_attempt).count(),
             found: found.into_iter().collect::<Result<Vec<_>, _>>()?,
         })
     }
@@ -217,7 +217,7 @@
         seed,
         rule,
         credit: reports.delivery_policy.credit,
-        one_attempt: reports.one_try.credit,
+        one_attempt: reports.one_attempt.credit,
         upper_bound: reports.upper_bound.credit,
     });
     let file = folder.join(file_name);
@@ -227,7 +227,7 @@
         file,
         description: violation.map_or_else(|| task.description.clone(), ToString::to_string),
         credit: reports.delivery_policy.credit,
-        one_try_credit: reports.one_try.credit,
+        one_attempt_credit: reports.one_attempt.credit,
         upper_bound_credit: reports.upper_bound.credit,
         messages: reports.delivery_policy.submissions,
     })
--- a/crates/experiments/src/sharing_study.rs
+++ b/crates/experiments/src/sharing_study.rs
@@ -9,6 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use comfy_table::Table;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use reeddock_simulation::distribution::Span;
@@ -20,6 +21,7 @@
 use serde::Serialize;
 
 use crate::error::{ExperimentError, FileAction};
+use crate::output::OutputFormat;
 use crate::results::Statistics;
 use crate::runner::ExperimentRunner;
 use crate::text_report::plain_table;
@@ -30,15 +32,15 @@
     /// Sizes of the fleet.
     pub forwarders: Vec<u32>,
     /// Mean seconds between two messages of a forwarder for the same destination.
-    pub meet_every: f64,
+    pub message_interval_s: f64,
     /// Share of the destinations that is down at any time.
-    pub down: f64,
+    pub down_share: f64,
     /// Seconds that an outage lasts.
-    pub outage: f64,
+    pub outage_s: f64,
     /// Forwarders times destinations that are played at most.
-    pub cells: u64,
+    pub max_cells: u64,
     /// Destinations of the real fleet, to which rates are scaled up.
-    pub full: u64,
+    pub real_destinations: u64,
     /// Number of days; their seeds are 1 to this number.
     pub seeds: u64,
 }
@@ -196,23 +198,23 @@
         for forwarders in &self.forwarders {
             check_range("--forwarders", f64::from(*forwarders), 1.0..=10_000.0)?;
         }
-        check_range("--meet-every", self.meet_every, 1.0..=1e6)?;
-        check_range("--down", self.down, 0.001..=0.5)?;
-        check_range("--outage", self.outage, 1.0..=3600.0)?;
-        check_range("--cells", self.cells as f64, 1e3..=1e7)?;
-        check_range("--full", self.full as f64, 100.0..=1e7)?;
+        check_range("--meet-every", self.message_interval_s, 1.0..=1e6)?;
+        check_range("--down", self.down_share, 0.001..=0.5)?;
+        check_range("--outage", self.outage_s, 1.0..=3600.0)?;
+        check_range("--cells", self.max_cells as f64, 1e3..=1e7)?;
+        check_range("--full", self.real_destinations as f64, 100.0..=1e7)?;
         check_range("--seeds", self.seeds as f64, 1.0..=1e4)
     }
 
     /// Destinations that are played with a fleet of this size.
     fn destinations(&self, forwarders: u32) -> u64 {
-        (self.cells / u64::from(forwarders.max(1))).clamp(MIN_DESTINATIONS, MAX_DESTINATIONS)
+        (self.max_cells / u64::from(forwarders.max(1))).clamp(MIN_DESTINATIONS, MAX_DESTINATIONS)
     }
 
     /// The scenarios of one fleet size: sizes and traffic in proportion, outages drawn for each day.
     fn fleet(&self, text: &str, file_name: &str, forwarders: u32) -> Result<FleetScenarios, ExperimentError> {
         let destinations = self.destinations(forwarders);
-        let per_s = f64::from(forwarders) * destinations as f64 / self.meet_every;
+        let per_s = f64::from(forwarders) * destinations as f64 / self.message_interval_s;
         let replacements = [
             ValueOverride::new("fleet.forwarders", forwarders.to_string()),
             ValueOverride::new("kind.0.destinations", destinations.to_string()),
@@ -233,12 +235,12 @@
     }
 
     fn outages_of(&self, destination: u32, duration: f64, random: &mut Pcg32) -> Vec<ScheduledFault> {
-        let mean_up = self.outage * (1.0 - self.down) / self.down;
+        let mean_up_s = self.outage_s * (1.0 - self.down_share) / self.down_share;
         let mut outages = Vec::new();
         // The destination is down when the day begins, or comes to its first outage after a time of being up.
-        let mut begin = -self.outage * random.random::<f64>();
-        if random.random::<f64>() >= self.down {
-            begin = -mean_up * (1.0 - random.random::<f64>()).ln();
+        let mut begin = -self.outage_s * random.random::<f64>();
+        if random.random::<f64>() >= self.down_share {
+            begin = -mean_up_s * (1.0 - random.random::<f64>()).ln();
         }
         while begin < duration {
             let visible_begin = begin.max(0.0);
@@ -246,10 +248,10 @@
                 EndpointSelector { destinations: vec![destination], ..EndpointSelector::default() };
             outages.push(ScheduledFault {
                 start: Span::clamped(visible_begin),
-                duration: Span::clamped(begin + self.outage - visible_begin),
+                duration: Span::clamped(begin + self.outage_s - visible_begin),
                 fault: Fault::ConnectionsRefused { endpoints },
             });
-            begin += self.outage - mean_up * (1.0 - random.random::<f64>()).ln();
+            begin += self.outage_s - mean_up_s * (1.0 - random.random::<f64>()).ln();
         }
         outages
     }
@@ -297,7 +299,7 @@
     /// The row of these days, each of which lasts this many seconds.
     fn row(&self, forwarders: u32, knowledge: Knowledge, days: &[Day], duration: f64) -> SharingRow {
         let destinations = self.destinations(forwarders);
-        let scale = self.full as f64 / destinations as f64;
+        let scale = self.real_destinations as f64 / destinations as f64;
         let statistics = |measurement: &dyn Fn(&Day) -> f64| Statistics::over(days, measurement);
         let per_s = |count: u64| count as f64 / duration * scale;
         let share = |count: u64, of: u64| count as f64 / of.max(1) as f64;
@@ -364,22 +366,25 @@
 }
 
 impl SharingTable {
-    /// Prints the table to standard output as text or JSON; the exit code is 0.
+    /// Prints the table to standard output; the exit code is 0.
     ///
     /// # Errors
     ///
     /// Only those of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
-        if json {
-            println!("{}", serde_json::to_string(self)?);
-            return Ok(ExitCode::SUCCESS);
-        }
+    pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
+        format.print(self, || {
+            let unit = "rates scaled up to the full number of destinations";
+            format!("{}, emulated; {unit}\n{}\n", self.scenario, self.table())
+        })?;
+        Ok(ExitCode::SUCCESS)
+    }
+
+    fn table(&self) -> Table {
         let mut table = plain_table();
         table.set_header(HEADER);
         for row in &self.rows {
             table.add_row(row.cells());
         }
-        println!("{}, emulated; rates scaled up to the full number of destinations\n{table}", self.scenario);
-        Ok(ExitCode::SUCCESS)
+        table
     }
 }
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -45,7 +45,7 @@
 enum Reduction {
     RemoveFault(usize),
     RemoveKind(usize),
-    RemoveCategory(usize),
+    RemoveClass(usize),
     RemoveProgram(usize),
     /// Half the fleet and half of all else: each forwarder still sees what it saw.
     HalveFleetAndLoad,
@@ -62,7 +62,7 @@
         match self {
             Reduction::RemoveFault(position) => drop(scenario.faults.remove(position)),
             Reduction::RemoveKind(position) => drop(scenario.kinds.remove(position)),
-            Reduction::RemoveCategory(position) => remove_class(scenario, position),
+            Reduction::RemoveClass(position) => remove_class(scenario, position),
             Reduction::RemoveProgram(position) => remove_program(scenario, position),
             Reduction::HalveFleetAndLoad => {
                 halve_fleet(scenario);
@@ -134,7 +134,7 @@
     let mut reductions = Vec::new();
     reductions.extend((0..scenario.faults.len()).map(Reduction::RemoveFault));
     reductions.extend(removable(scenario.kinds.len()).take(MAX_KINDS_REMOVED).map(Reduction::RemoveKind));
-    reductions.extend(removable(scenario.classes.len()).map(Reduction::RemoveCategory));
+    reductions.extend(removable(scenario.classes.len()).map(Reduction::RemoveClass));
     reductions.extend(removable(scenario.programs.len()).map(Reduction::RemoveProgram));
     if scenario.fleet.forwarders > 1 {
         reductions.extend([Reduction::HalveFleetAndLoad, Reduction::HalveFleet]);
--- a/crates/experiments/src/study_arguments.rs
+++ b/crates/experiments/src/study_arguments.rs
@@ -5,7 +5,8 @@
 
 use clap::Args;
 use reeddock_experiments::{
-    ComparisonPlan, ExperimentError, ExperimentRunner, PolicyList, ScenarioOverride, SharingStudyPlan,
+    ComparisonPlan, ExperimentError, ExperimentRunner, OutputFormat, PolicyList, ScenarioOverride,
+    SharingStudyPlan,
 };
 
 /// Sums of calls to destinations that come back cold.
@@ -23,9 +24,13 @@
 }
 
 impl RecoveryStudyArguments {
-    pub fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+    pub fn execute(
+        self,
+        runner: &ExperimentRunner,
+        format: OutputFormat,
+    ) -> Result<ExitCode, ExperimentError> {
         let plan = ComparisonPlan { policies: self.policies, seeds: self.seeds };
-        runner.study_recovery(&self.scenario, &self.settings, &plan)?.print(json)
+        runner.study_recovery(&self.scenario, &self.settings, &plan)?.print(format)
     }
 }
 
@@ -57,16 +62,20 @@
 }
 
 impl SharingStudyArguments {
-    pub fn execute(self, runner: &ExperimentRunner, json: bool) -> Result<ExitCode, ExperimentError> {
+    pub fn execute(
+        self,
+        runner: &ExperimentRunner,
+        format: OutputFormat,
+    ) -> Result<ExitCode, ExperimentError> {
         let plan = SharingStudyPlan {
             forwarders: self.forwarders,
-            meet_every: self.meet_every,
-            down: self.down,
-            outage: self.outage,
-            cells: self.cells,
-            full: self.full,
+            message_interval_s: self.meet_every,
+            down_share: self.down,
+            outage_s: self.outage,
+            max_cells: self.cells,
+            real_destinations: self.full,
             seeds: self.seeds,
         };
-        runner.study_sharing(&self.scenario, &plan)?.print(json)
+        runner.study_sharing(&self.scenario, &plan)?.print(format)
     }
 }
--- a/crates/experiments/src/text_report.rs
+++ b/crates/experiments/src/text_report.rs
@@ -7,28 +7,17 @@
 use reeddock_simulation::Report;
 
 use crate::error::ExperimentError;
+use crate::output::OutputFormat;
 use crate::results::{ExperimentResult, FoundScenario, PolicySummary, SweepRow};
+use crate::table_cells::{
+    cost_cells, credit_cell, credit_cells, finding_cells, COST_HEADER, CREDIT_HEADER, FINDING_HEADER,
+};
 
 /// Message classes, programs and destinations that are listed of each run.
 const LISTED_PARTS: usize = 6;
 /// Broken invariants that are listed of each run.
 const LISTED_VIOLATIONS: usize = 5;
 
-const SUMMARY_HEADER: [&str; 12] = [
-    "policy",
-    "credit",
-    "+-",
-    "against",
-    "worst 10 s",
-    "p50 ms",
-    "p99 ms",
-    "sent",
-    "refused",
-    "wasted",
-    "slots",
-    "broken",
-];
-
 /// A table without borders.
 pub(crate) fn plain_table() -> Table {
     let mut table = Table::new();
@@ -50,17 +39,32 @@
         ExperimentResult::Sweep { scenario, keys, rows } => {
             format!("{scenario}, emulated\n{}\n", sweep_table(keys, rows))
         }
-        ExperimentResult::Search { scenarios, with_violations, under_one_try, found } => format!(
+        ExperimentResult::Search { scenarios, with_violations, under_one_attempt, found } => format!(
             "{scenarios} scenarios, emulated; {with_violations} with a broken rule, \
-             {under_one_try} under one try\n{}\n",
+             {under_one_attempt} under one try\n{}\n",
             findings_table(found)
         ),
     }
 }
 
+/// The columns of a policy over several days.
+fn summary_header() -> Vec<&'static str> {
+    [&CREDIT_HEADER[..], &["against", "worst 10 s"], &COST_HEADER, &["broken"]].concat()
+}
+
+/// The cells under [`summary_header`].
+fn summary_cells(summary: &PolicySummary) -> Vec<String> {
+    let mut cells = credit_cells(summary).to_vec();
+    cells.push(format!("{:+.3}", summary.credit_difference.mean));
+    cells.push(credit_cell(summary.metrics.worst_window_credit));
+    cells.extend(cost_cells(&summary.metrics));
+    cells.push(format!("{} on {} of {}", summary.violations, summary.days_with_violations, summary.days));
+    cells
+}
+
 fn comparison_table(rows: &[PolicySummary]) -> Table {
     let mut table = plain_table();
-    table.set_header(SUMMARY_HEADER);
+    table.set_header(summary_header());
     for row in rows {
         table.add_row(summary_cells(row));
     }
@@ -69,7 +73,7 @@
 
 fn sweep_table(keys: &[String], rows: &[SweepRow]) -> Table {
     let mut table = plain_table();
-    table.set_header(keys.iter().map(String::as_str).chain(SUMMARY_HEADER));
+    table.set_header(keys.iter().map(String::as_str).chain(summary_header()));
     for row in rows {
         table.add_row(row.values.iter().cloned().chain(summary_cells(&row.summary)));
     }
@@ -78,38 +82,14 @@
 
 fn findings_table(findings: &[FoundScenario]) -> Table {
     let mut table = plain_table();
-    table.set_header(["file", "credit", "one try", "ceiling", "tries", "what"]);
+    table.set_header(FINDING_HEADER.into_iter().chain(["tries", "what"]));
     for finding in findings {
-        table.add_row([
-            finding.file.display().to_string(),
-            format!("{:.3}", finding.credit),
-            format!("{:.3}", finding.one_try_credit),
-            format!("{:.3}", finding.upper_bound_credit),
-            finding.messages.to_string(),
-            finding.description.lines().next().unwrap_or_default().to_owned(),
-        ]);
+        let what = finding.description.lines().next().unwrap_or_default().to_owned();
+        table.add_row(finding_cells(finding).into_iter().chain([finding.messages.to_string(), what]));
     }
     table
 }
 
-fn summary_cells(summary: &PolicySummary) -> [String; SUMMARY_HEADER.len()] {
-    let metrics = &summary.metrics;
-    [
-        summary.policy.clone(),
-        format!("{:.3}", metrics.credit.mean),
-        format!("{:.3}", metrics.credit.deviation),
-        format!("{:+.3}", summary.credit_difference.mean),
-        format!("{:.3}", metrics.worst_window_credit),
-        format!("{:.0}", metrics.p50_ms),
-        format!("{:.0}", metrics.p99_ms),
-        format!("{:.2}", metrics.attempts_per_message),
-        format!("{:.2}", metrics.rejections_per_message),
-        format!("{:.2}", metrics.work_wasted),
-        format!("{:.2}", metrics.slots_used),
-        format!("{} on {} of {}", summary.violations, summary.days_with_violations, summary.days),
-    ]
-}
-
 /// One run: its measurements, the parts that lost most credit, and the invariants that it broke.
 fn run_text(run: &Report) -> String {
     let mut text = [credit_lines(run), message_lines(run), cost_lines(run)].concat();
@@ -177,18 +157,14 @@
 }
 
 impl ExperimentResult {
-    /// Prints the result to standard output as text or JSON. The exit code is 1 where an invariant was broken,
-    /// or a replayed scenario no longer shows what it was kept for.
+    /// Prints the result to standard output. The exit code is 1 where an invariant was broken, or a replayed
+    /// scenario no longer shows what it was kept for.
     ///
     /// # Errors
     ///
     /// Only those of the JSON writer.
-    pub fn print(&self, json: bool) -> Result<ExitCode, ExperimentError> {
-        if json {
-            println!("{}", self.to_json()?);
-        } else {
-            print!("{}", render(self));
-        }
+    pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
+        format.print(self, || render(self))?;
         Ok(ExitCode::from(u8::from(!self.is_success())))
     }
 }
--- a/crates/experiments/tests/studies.rs
+++ b/crates/experiments/tests/studies.rs
@@ -10,6 +10,19 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
 }
 
+/// One day of few destinations, each of which a forwarder meets often.
+fn small_fleets(forwarders: Vec<u32>) -> SharingStudyPlan {
+    SharingStudyPlan {
+        forwarders,
+        message_interval_s: 25.0,
+        down_share: 0.1,
+        outage_s: 60.0,
+        max_cells: 1_000,
+        real_destinations: 1_000,
+        seeds: 1,
+    }
+}
+
 #[test]
 fn ramps_are_summed_over_the_fleet_and_the_same_with_any_number_of_threads() {
     let rows = |threads| {
@@ -36,15 +49,7 @@
 
 #[test]
 fn forwarders_that_share_send_less_to_what_is_down() {
-    let plan = SharingStudyPlan {
-        forwarders: vec![30],
-        meet_every: 25.0,
-        down: 0.1,
-        outage: 60.0,
-        cells: 1_000,
-        full: 1_000,
-        seeds: 1,
-    };
+    let plan = small_fleets(vec![30]);
     let table = ExperimentRunner::with_threads(None)
         .unwrap()
         .study_sharing(&scenario("seldom-met.toml"), &plan)
@@ -62,15 +67,7 @@
 #[test]
 fn a_fleet_size_may_be_named_twice() {
     // Its rows once were looked for past the end of the sizes.
-    let plan = SharingStudyPlan {
-        forwarders: vec![2, 2],
-        meet_every: 25.0,
-        down: 0.1,
-        outage: 60.0,
-        cells: 1_000,
-        full: 1_000,
-        seeds: 1,
-    };
+    let plan = small_fleets(vec![2, 2]);
     let runner = ExperimentRunner::with_threads(None).unwrap();
     let rows = runner.study_sharing(&scenario("seldom-met.toml"), &plan).unwrap().rows;
     let (first, second) = rows.split_at(rows.len() / 2);
@@ -80,15 +77,7 @@
 
 #[test]
 fn sizes_of_nonsense_are_refused_in_one_line() {
-    let plan = SharingStudyPlan {
-        forwarders: vec![0],
-        meet_every: 30.0,
-        down: 0.1,
-        outage: 60.0,
-        cells: 4_000,
-        full: 1_000,
-        seeds: 1,
-    };
+    let plan = small_fleets(vec![0]);
     let fault = ExperimentRunner::with_threads(None)
         .unwrap()
         .study_sharing(&scenario("seldom-met.toml"), &plan)
--- a/crates/simulation/src/policies/baseline_policy.rs
+++ b/crates/simulation/src/policies/baseline_policy.rs
@@ -15,6 +15,15 @@
 /// Interval at which a baseline looks for work: circuits close and capacity becomes free without a call that says so.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// Attempts for a message at most, where a baseline retries with backoff.
+const MAX_ATTEMPTS: u32 = 5;
+/// Backoff before the first retry, in seconds.
+const FIRST_BACKOFF: f64 = 0.1;
+/// Longest backoff, in seconds.
+const MAX_BACKOFF: f64 = 5.0;
+/// Doublings of the backoff at most.
+const MAX_DOUBLINGS: u32 = 10;
+
 /// An attempt that a baseline has started.
 #[derive(Clone, Copy)]
 pub(super) struct StartedAttempt {
@@ -67,8 +76,8 @@
     pub(super) world: &'v dyn WorldView,
 }
 
-/// What the baselines decide by themselves. A baseline that implements [`retry_after`](BaselinePolicy::retry_after)
-/// alone sends each message to any endpoint, in the order of submission, and learns nothing from outcomes.
+/// What the baselines decide by themselves. One that implements nothing of it sends each message to any endpoint, in
+/// the order of submission, retries with backoff, and learns nothing from outcomes.
 pub trait BaselinePolicy: Send {
     /// Selects the endpoint that gets the message now; the message stays queued where none is selected.
     fn select(
@@ -87,9 +96,11 @@
     fn retry_after(
         &mut self,
         message: &PendingMessage,
-        outcome: AttemptOutcome,
+        _outcome: AttemptOutcome,
         random: &mut RandomSource,
-    ) -> Option<Duration>;
+    ) -> Option<Duration> {
+        (message.attempts < MAX_ATTEMPTS).then(|| backoff(message.attempts, random))
+    }
 
     /// The order in which messages are sent: the least value first, equal ones in the order of submission.
     fn urgency(&self, _message: &PendingMessage) -> Duration {
@@ -111,3 +122,10 @@
 pub(super) fn any_endpoint(candidates: &[EndpointId], random: &mut RandomSource) -> Option<EndpointId> {
     (!candidates.is_empty()).then(|| candidates[random.random_range(0..candidates.len())])
 }
+
+/// The backoff after this number of attempts: doubled with each, and drawn from the upper half of that.
+pub(super) fn backoff(attempts: u32, random: &mut RandomSource) -> Duration {
+    let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
+    let longest = (FIRST_BACKOFF * 2.0_f64.powi(doublings as i32)).min(MAX_BACKOFF);
+    Duration::from_secs_f64(longest * (0.5 + 0.5 * random.random::<f64>()))
+}
--- a/crates/simulation/src/policies/baselines.rs
+++ b/crates/simulation/src/policies/baselines.rs
@@ -3,38 +3,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use rand::RngExt;
 use reeddock::{AttemptOutcome, DestinationId, EndpointId};
 
 use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView};
 use crate::distribution::RandomSource;
 
-/// Attempts for a message by the baselines that retry with backoff.
-const MAX_ATTEMPTS: u32 = 5;
 /// Until the retry of an attempt that never left the forwarder.
 const NOT_SENT_RETRY: Duration = Duration::from_millis(50);
 /// Until a retry of the baseline that sees the true state.
 const UPPER_BOUND_RETRY: Duration = Duration::from_millis(20);
 
-/// Backoff before the first retry, in seconds.
-const FIRST_BACKOFF: f64 = 0.1;
-/// Longest backoff, in seconds.
-const MAX_BACKOFF: f64 = 5.0;
-/// Doublings of the backoff at most.
-const MAX_DOUBLINGS: u32 = 10;
-
-/// The backoff after this number of attempts: doubled with each, and drawn from the upper half of that.
-pub(super) fn backoff(attempts: u32, random: &mut RandomSource) -> Duration {
-    let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-    let longest = (FIRST_BACKOFF * 2.0_f64.powi(doublings as i32)).min(MAX_BACKOFF);
-    Duration::from_secs_f64(longest * (0.5 + 0.5 * random.random::<f64>()))
-}
-
-/// Retries with backoff, up to [`MAX_ATTEMPTS`].
-fn retry_with_backoff(message: &PendingMessage, random: &mut RandomSource) -> Option<Duration> {
-    (message.attempts < MAX_ATTEMPTS).then(|| backoff(message.attempts, random))
-}
-
 /// One attempt for each message.
 pub(super) struct OneAttempt;
 
@@ -57,16 +35,7 @@
 /// Retries with exponential, jittered backoff, to any endpoint.
 pub(super) struct ExponentialBackoff;
 
-impl BaselinePolicy for ExponentialBackoff {
-    fn retry_after(
-        &mut self,
-        message: &PendingMessage,
-        _: AttemptOutcome,
-        random: &mut RandomSource,
-    ) -> Option<Duration> {
-        retry_with_backoff(message, random)
-    }
-}
+impl BaselinePolicy for ExponentialBackoff {}
 
 /// Failures in a row that open a circuit.
 const FAILURES_TO_OPEN: u32 = 5;
@@ -131,15 +100,6 @@
             }
         }
     }
-
-    fn retry_after(
-        &mut self,
-        message: &PendingMessage,
-        _: AttemptOutcome,
-        random: &mut RandomSource,
-    ) -> Option<Duration> {
-        retry_with_backoff(message, random)
-    }
 }
 
 /// Sends only where the request will be accepted and answered, to the endpoint that is done soonest, the message
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -8,8 +8,7 @@
 use reeddock::{AttemptOutcome, EndpointId, Settings};
 
 use super::baseline_host::BaselineHost;
-use super::baseline_policy::{any_endpoint, BaselinePolicy, PendingMessage, SelectionView};
-use super::baselines::backoff;
+use super::baseline_policy::{any_endpoint, backoff, BaselinePolicy, PendingMessage, SelectionView};
 use crate::distribution::RandomSource;
 use crate::policy::Policy;
 
