--- a/crates/experiments/src/line_plot.rs
+++ b/crates/experiments/src/line_plot.rs
@@ -7,7 +7,7 @@
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (860, 320);
-/// Height of the axis against the highest point: some room is left above it.
+/// Height of the vertical axis, as a multiple of the highest point.
 const AXIS_HEADROOM: f64 = 1.05;
 /// Length of a line in the legend, in pixels.
 const LEGEND_LINE_LENGTH: i32 = 16;
@@ -34,7 +34,7 @@
     pub(crate) lines: Vec<Line>,
 }
 
-/// What the plotting library's calls give.
+/// The result of drawing with the plotting library.
 type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 impl LinePlot<'_> {
@@ -95,6 +95,7 @@
     }
 }
 
+/// The colour of a line, by its number in the plot.
 fn colour(number: usize) -> RGBColor {
     const COLOURS: [RGBColor; 6] = [
         RGBColor(31, 119, 180),
--- a/crates/experiments/src/random_scenario.rs
+++ b/crates/experiments/src/random_scenario.rs
@@ -45,11 +45,12 @@
         two_decimals(drawn)
     }
 
+    /// A whole number in this range, its ends included.
     fn count(&mut self, low: u32, high: u32) -> u32 {
         self.0.random_range(low..=high)
     }
 
-    /// True with this probability.
+    /// Draws whether something with this probability happens.
     fn chance(&mut self, probability: f64) -> bool {
         self.0.random::<f64>() < probability
     }
@@ -74,11 +75,12 @@
         Distribution::Random(RandomDistribution::Uniform(ends))
     }
 
+    /// One of these values; there is at least one.
     fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
         all[self.0.random_range(0..all.len())]
     }
 
-    /// The position of one of so many parts; there is at least one.
+    /// A position in a list of this length, which is at least 1.
     fn position(&mut self, length: usize) -> usize {
         self.count(0, length as u32 - 1) as usize
     }
@@ -96,6 +98,7 @@
         ForwarderSelector { forwarders: Vec::new(), share: Some(self.share(0.05, 0.6)) }
     }
 
+    /// One of the faults, each as likely as any other.
     fn fault(&mut self, parts: &NamedParts) -> Fault {
         match self.count(0, 16) {
             number @ 0..=11 => self.endpoint_fault(number, parts),
@@ -137,6 +140,7 @@
         }
     }
 
+    /// Up to four faults, with their times in a scenario of this many seconds.
     fn schedule(&mut self, duration: f64, parts: &NamedParts) -> Vec<ScheduledFault> {
         (0..self.count(0, 4))
             .map(|_| ScheduledFault {
@@ -277,7 +281,7 @@
         }
     }
 
-    /// How destinations bear load after an outage.
+    /// How destinations recover from an outage, and what overloads them meanwhile.
     fn recovery(&mut self) -> RecoverySettings {
         RecoverySettings {
             slow_start_floor: self.share(0.15, 0.3),
--- a/crates/experiments/src/recording.rs
+++ b/crates/experiments/src/recording.rs
@@ -125,7 +125,7 @@
     });
 }
 
-/// Checks the value of an option that asks for so many recordings.
+/// Checks the value of an option, with the number of recordings that it asks for.
 fn check_recording_count(option: &'static str, count: u64, recordings: u64) -> Result<(), ExperimentError> {
     if count == 0 || recordings > MAX_RECORDINGS {
         return Err(ExperimentError::RecordingCount { option, count });
@@ -133,6 +133,7 @@
     Ok(())
 }
 
+/// Reads scenarios, and refuses two of one name.
 fn read_scenarios(files: &[PathBuf]) -> Result<Vec<NamedScenario>, ExperimentError> {
     let mut stems = BTreeSet::new();
     let mut scenarios = Vec::new();
--- a/crates/experiments/src/recovery_study.rs
+++ b/crates/experiments/src/recovery_study.rs
@@ -1,5 +1,5 @@
-//! A study of returning destinations: what a whole fleet sends to destinations that come back cold from an
-//! outage, against the load that they bear.
+//! A study of recovering destinations: what a whole fleet sends to destinations that are cold after an outage, against
+//! the load that overloads them.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -19,8 +19,8 @@
 
 /// Recoveries of destinations of one size, under one policy and combination of scenario values, over all days.
 ///
-/// A destination fails again where the requests in a window exceed N + 2 * sqrt(N) + 2; N is what it bears in
-/// that window.
+/// A destination is overloaded where the requests in a window exceed N + 2 * sqrt(N) + 2; N is what the settings allow
+/// in that window.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecoveryRow {
     /// One value for each overridden key.
--- a/crates/experiments/src/sharing_study.rs
+++ b/crates/experiments/src/sharing_study.rs
@@ -1,6 +1,6 @@
 //! A study of what forwarders lose by sharing nothing about destinations that are down: fleets of several sizes
-//! in which each forwarder meets each destination as rarely as in production, the delivery policy beside circuit
-//! breakers that are fed by the whole fleet.
+//! in which each forwarder sends to each destination as rarely as in production, under the delivery policy and under
+//! circuit breakers that are fed by the whole fleet.
 
 use std::fs;
 use std::ops::RangeInclusive;
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -40,20 +40,20 @@
     }
 }
 
-/// One way to make a scenario smaller or plainer. Positions are those in the scenario that it was made for.
+/// One way to make a scenario smaller or simpler. Positions are those in the scenario that it was made for.
 #[derive(Clone, Copy, Debug)]
 enum Reduction {
     RemoveFault(usize),
     RemoveKind(usize),
     RemoveClass(usize),
     RemoveProgram(usize),
-    /// Half the fleet and half of all else: each forwarder still sees what it saw.
+    /// Halves the fleet, the traffic and the destinations: each forwarder keeps its load.
     HalveFleetAndLoad,
     HalveFleet,
     HalveDestinations(usize),
     ReduceTraffic,
     Shorten,
-    /// One of the settings that make a scenario plainer where they are off.
+    /// Turns one setting off.
     Simplify(fn(&mut Scenario)),
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Settings that make a scenario plainer where they are off.
+/// Settings that make a scenario simpler where they are off, each as the change that turns it off.
 const SIMPLIFICATIONS: [fn(&mut Scenario); 11] = [
     |scenario| scenario.traffic.clumped = Share::NONE,
     |scenario| scenario.traffic.skew = 0.0,
@@ -89,7 +89,7 @@
     |scenario| scenario.programs.iter_mut().for_each(|program| program.withdraws_after_s = None),
     |scenario| scenario.programs.iter_mut().for_each(|program| program.max_resubmissions = 0),
     |scenario| scenario.programs.iter_mut().for_each(|program| program.quota_per_s = None),
-    |scenario| scenario.classes.iter_mut().for_each(|category| category.ordered_keys = None),
+    |scenario| scenario.classes.iter_mut().for_each(|class| class.ordered_keys = None),
     |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.rejected_use_up_limit = false),
     |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.max_connections = None),
     |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.max_batch = 1),
--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -7,7 +7,7 @@
 pub struct Credit {
     /// Priority weight of all messages.
     pub asked: f64,
-    /// What of it was earned by completing them.
+    /// Priority weight that was earned by completing them.
     pub earned: f64,
 }
 
@@ -56,7 +56,7 @@
     pub failed: u32,
 }
 
-/// What one destination met in one second.
+/// The requests at one destination in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// Requests that arrived.
--- a/crates/simulation/src/account/keeper.rs
+++ b/crates/simulation/src/account/keeper.rs
@@ -1,4 +1,4 @@
-//! The account of a run.
+//! The account of a run: credit by class, program, destination and second, latencies, and the work of endpoints.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 2;
 
-/// What a run has earned and spent so far.
+/// What a run has earned so far, and what it took.
 pub(crate) struct Account {
     submissions: Vec<AccountedSubmission>,
     classes: Vec<Credit>,
@@ -103,7 +103,7 @@
         &mut self.seconds[index]
     }
 
-    /// What a destination meets in the second of a time; absent where it is not watched.
+    /// The load of a destination in the second of a time; absent where the destination is not watched.
     pub(crate) fn load(&mut self, destination: DestinationIndex, at: Duration) -> Option<&mut Load> {
         let loads = self.loads.get_mut(destination.0)?;
         let index = at.as_secs() as usize;
@@ -175,18 +175,22 @@
         }
     }
 
+    /// Number of submissions.
     pub(crate) fn submission_count(&self) -> usize {
         self.submissions.len()
     }
 
+    /// Credit of a class, by its index in the scenario.
     pub(crate) fn class(&self, index: usize) -> Credit {
         self.classes[index]
     }
 
+    /// Credit of a program, by its index in the scenario.
     pub(crate) fn program(&self, index: usize) -> Credit {
         self.programs[index]
     }
 
+    /// Credit of a destination, by its rank.
     pub(crate) fn destination(&self, index: usize) -> Credit {
         self.destinations[index]
     }
@@ -200,7 +204,7 @@
         total
     }
 
-    /// Least share of credit over so many seconds in a row.
+    /// Least share of credit in any window of this many seconds.
     pub(crate) fn worst_share_over(&self, seconds: usize) -> f64 {
         let last_asked = self.seconds.iter().rposition(|second| second.credit.asked > 0.0);
         let asked = last_asked.map_or(0, |index| index + 1);
@@ -229,6 +233,7 @@
     }
 }
 
+/// An empty histogram of latencies in milliseconds.
 fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_DIGITS).unwrap_or_else(|_| {
         Histogram::new(LATENCY_DIGITS).expect("two digits are within what the histogram keeps")
--- a/crates/simulation/src/account/mod.rs
+++ b/crates/simulation/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! Credit as the operators count it, and what it cost: kept as the run goes, read once at its end.
+//! Credit as the operators count it, and what it cost: counted during a run, and read at its end.
 
 mod counts;
 mod keeper;
--- a/crates/simulation/src/account/quota.rs
+++ b/crates/simulation/src/account/quota.rs
@@ -5,7 +5,7 @@
 /// Seconds of its quota that a tenant may use at once.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
 
-/// A tenant's quota that is left.
+/// A token bucket that holds what is left of a tenant's quota.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct QuotaBucket {
     tokens: f64,
@@ -13,7 +13,7 @@
 }
 
 impl QuotaBucket {
-    /// Counts a message against a quota in messages a second; whether it is within it.
+    /// Takes a token for a message from a quota in messages a second. Returns whether the message is within the quota.
     pub(super) fn take(&mut self, now: Duration, quota_per_s: f64) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         let filled = self.tokens + quota_per_s * elapsed;
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Source of random numbers of a simulated world. Each use has a stream of its own, so that one more draw in one
-/// place leaves the others as they were and two policies meet the same arrivals.
+/// place leaves the others as they were and two policies get the same arrivals.
 pub type RandomSource = rand_pcg::Pcg64;
 
 /// The longest span that a scenario may name, in seconds: a day.
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -1,6 +1,6 @@
 //! Indices by which the parts of a simulated world name each other.
 
-/// A forwarder, whichever of its incarnations.
+/// A forwarder, over all its incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ForwarderIndex(pub usize);
 
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -11,6 +11,16 @@
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
 use crate::rule::Rule;
 
+/// An attempt and how it ended.
+pub(crate) struct EndedAttempt {
+    pub(crate) message: MessageIndex,
+    /// Number of the attempt within its message.
+    pub(crate) number: usize,
+    pub(crate) outcome: AttemptOutcome,
+    /// What a Retry-After in the outcome holds for.
+    pub(crate) scope: RetryAfterScope,
+}
+
 /// A rule that an attempt breaks, and how.
 struct BrokenRule {
     rule: Rule,
@@ -96,14 +106,8 @@
     }
 
     /// An attempt has ended, and its forwarder learns of it now.
-    pub(crate) fn attempt_finished(
-        &mut self,
-        now: Duration,
-        message: MessageIndex,
-        number: usize,
-        outcome: AttemptOutcome,
-        scope: RetryAfterScope,
-    ) {
+    pub(crate) fn attempt_finished(&mut self, now: Duration, ended: EndedAttempt) {
+        let EndedAttempt { message, number, outcome, scope } = ended;
         let history = &mut self.histories[message.0];
         if let Some(attempt) = history.attempts.get_mut(number) {
             attempt.ended = Some(ReportedOutcome { outcome, at: now });
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -25,7 +25,8 @@
     ) {
         let read = ListedState { state, since: now };
         let listed = self.endpoint_lists[forwarder.0].entry(endpoint).or_insert(read);
-        // When it reads again what it knew, or that a draining endpoint is removed, its grace period runs from the first time.
+        // The grace period runs from the first time that the endpoint was not active in the list: reading the same again,
+        // or that a draining endpoint is removed, does not start it anew.
         let to_or_from_active = state == EndpointState::Active || listed.state == EndpointState::Active;
         if listed.state != state && to_or_from_active {
             *listed = read;
@@ -33,7 +34,7 @@
         listed.state = state;
     }
 
-    /// An endpoint goes down: who saw an earlier outage knows nothing of this one.
+    /// An endpoint goes down: forwarders that saw an earlier outage do not know of this one yet.
     pub(crate) fn outage_started(&mut self, endpoint: EndpointIndex) {
         self.aware_of_outage.remove(&endpoint);
     }
@@ -48,7 +49,7 @@
         self.aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
     }
 
-    /// Whether any forwarder did.
+    /// Whether any forwarder saw a failure in an endpoint's present outage, or its last one.
     pub(crate) fn is_outage_known(&self, endpoint: EndpointIndex) -> bool {
         self.aware_of_outage.get(&endpoint).is_some_and(|aware| !aware.is_empty())
     }
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -11,6 +11,7 @@
 mod text;
 mod violation;
 
+pub(crate) use attempts::EndedAttempt;
 pub use checker::{ClassRules, FleetRules, InvariantChecker, Violations};
 pub use history::{proves_not_executed, AcceptedMessage, FinalAnswer};
 pub use violation::{RetryAfterScope, Violation};
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,13 +1,13 @@
-//! A fleet of forwarders, their client programs and their destinations in simulated time: what the delivery policy
-//! balances, at sizes that sockets don't reach. All its results are of simulated time.
+//! A simulation of a fleet of forwarders, their client programs and their destinations, at sizes that tests over sockets
+//! don't reach. All its results are of simulated time.
 //!
 //! # Guarantees
 //!
 //! - A run is a function of scenario, seed and policy. It reads no clock, opens no file, starts no thread, and
 //!   draws from random streams of its own seed, so that the same three give the same report, byte for byte, on any
 //!   number of threads.
-//! - Arrivals, work and faults are drawn from streams that no decision touches: two policies meet the same
-//!   day.
+//! - Arrivals, work and faults are drawn from streams that no decision touches: two policies get the same
+//!   arrivals and faults.
 //! - Policies see what a forwarder sees and nothing else. Only [`policies::BuiltInPolicy::UpperBound`] looks at the
 //!   true state, through [`policy::WorldView`].
 //! - The rules are checked by [`invariants`], which share no code with the delivery policy.
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -15,15 +15,12 @@
     Settings,
 };
 
+use super::baseline_ordering::{MessageNumber, OrderingKeys};
 use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView, StartedAttempt};
 use super::baseline_sending::DepartingBatches;
 use crate::distribution::RandomSource;
 use crate::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 
-/// Messages are numbered in the order in which they were submitted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct MessageNumber(u64);
-
 /// One attempt of one message.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptId {
@@ -48,13 +45,6 @@
     retry_after: Duration,
 }
 
-/// An ordering key that is held after an attempt that may still be running.
-struct OrderingHold {
-    until: Duration,
-    /// The message of that attempt; its own retries pass.
-    holder: MessageNumber,
-}
-
 /// A forwarder that decides by a baseline.
 pub(super) struct BaselineHost<B> {
     baseline: B,
@@ -63,7 +53,7 @@
     messages: BTreeMap<MessageNumber, PendingMessage>,
     numbers: BTreeMap<MessageId, MessageNumber>,
     detached: BTreeMap<AttemptId, DetachedAttempt>,
-    /// Messages without an attempt in flight, in the order in which they came.
+    /// Messages without an attempt in flight, in the order in which they were submitted or came back for a retry.
     queue: VecDeque<MessageNumber>,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
@@ -71,8 +61,7 @@
     endpoints_with_retry_after: BTreeSet<EndpointId>,
     /// End of the Retry-After of destinations whose endpoints share one.
     retry_after: BTreeMap<DestinationId, Duration>,
-    ordering_queues: BTreeMap<OrderingKey, VecDeque<MessageNumber>>,
-    ordering_holds: BTreeMap<OrderingKey, OrderingHold>,
+    ordering_keys: OrderingKeys,
     /// Requests in flight, with the attempts in each that have not ended.
     requests: BTreeMap<RequestId, u32>,
     last_request: RequestId,
@@ -95,8 +84,7 @@
             by_destination: BTreeMap::new(),
             endpoints_with_retry_after: BTreeSet::new(),
             retry_after: BTreeMap::new(),
-            ordering_queues: BTreeMap::new(),
-            ordering_holds: BTreeMap::new(),
+            ordering_keys: OrderingKeys::default(),
             requests: BTreeMap::new(),
             last_request: RequestId(0),
             last_message: MessageNumber(0),
@@ -112,8 +100,9 @@
         self.settings.ordering_hold_off.unwrap_or_default()
     }
 
-    // # Messages that end.
+    // # Final answers.
 
+    /// Whether another attempt for a message has no effect that an earlier one may have had.
     fn may_execute_again(&self, message: &PendingMessage, now: Duration) -> bool {
         let class = &self.settings.classes[message.class];
         let idempotency = class.idempotency.unwrap_or(Idempotency::NonIdempotent);
@@ -142,9 +131,8 @@
     fn leave_ordering_queue(&mut self, key: Option<OrderingKey>, number: MessageNumber) {
         let is_open = self.messages.contains_key(&number)
             || self.detached.values().any(|detached| detached.message == number);
-        let queue = key.and_then(|key| self.ordering_queues.get_mut(&key));
-        if let Some(queue) = queue.filter(|_| !is_open) {
-            queue.retain(|queued| *queued != number);
+        if let Some(key) = key.filter(|_| !is_open) {
+            self.ordering_keys.remove(key, number);
         }
     }
 
@@ -161,8 +149,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         );
         if let Some(key) = key.filter(|_| may_still_run) {
-            let until = now + self.ordering_hold_off();
-            self.ordering_holds.insert(key, OrderingHold { until, holder });
+            self.ordering_keys.hold(key, now + self.ordering_hold_off(), holder);
         }
     }
 
@@ -182,7 +169,7 @@
         }
     }
 
-    /// Ends what can no longer be sent, and frees capacity for new messages: the newest queued one goes first.
+    /// Gives a final answer to messages that can no longer be sent, and to the newest queued ones over the capacity.
     fn drop_undeliverable(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         let is_expired = |number: &&MessageNumber| {
             let message = self.messages.get(*number);
@@ -199,14 +186,11 @@
         }
     }
 
-    // # What stands in the way of an attempt.
+    // # Whether and where an attempt may be sent.
 
+    /// Whether the ordering key of a message lets it be sent.
     fn is_key_free(&self, number: MessageNumber, message: &PendingMessage, now: Duration) -> bool {
-        let Some(key) = message.ordering_key else { return true };
-        let front = self.ordering_queues.get(&key).and_then(|queue| queue.front());
-        let hold = self.ordering_holds.get(&key);
-        front.is_none_or(|front| *front == number)
-            && hold.is_none_or(|hold| now >= hold.until || hold.holder == number)
+        message.ordering_key.is_none_or(|key| self.ordering_keys.lets_pass(key, number, now))
     }
 
     /// Endpoints that the list and Retry-After let a message go to.
@@ -220,8 +204,8 @@
         endpoints.filter(|id| self.endpoints.get(id).is_some_and(is_candidate)).copied().collect()
     }
 
-    /// A destination or an endpoint has asked to be left alone for so long.
-    fn note_retry_after(&mut self, id: EndpointId, wait: Duration, now: Duration) {
+    /// Keeps the Retry-After of an endpoint, or of its destination where its endpoints share one.
+    fn keep_retry_after(&mut self, id: EndpointId, wait: Duration, now: Duration) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let until = if endpoint.circuit_per_endpoint {
             self.endpoints_with_retry_after.insert(id);
@@ -328,13 +312,13 @@
         }
     }
 
-    /// When something may change without a call to the host.
+    /// When something becomes due that no call to the host announces.
     fn next_timer(&self, now: Duration) -> Option<Duration> {
         let own = self.endpoints_with_retry_after.iter().filter_map(|id| self.endpoints.get(id));
         let own = own.map(|endpoint| endpoint.retry_after);
         let queued = self.queue.iter().filter_map(|number| self.messages.get(number));
         let queued = queued.flat_map(|message| [message.deadline, message.not_before]);
-        let holds = self.ordering_holds.values().map(|hold| hold.until);
+        let holds = self.ordering_keys.hold_ends();
         let poll = (!self.queue.is_empty()).then(|| now + self.baseline.poll_interval());
         let times = self.retry_after.values().copied().chain(own).chain(queued).chain(holds).chain(poll);
         times.filter(|at| *at > now).min()
@@ -377,7 +361,7 @@
         self.last_message.0 += 1;
         let number = self.last_message;
         if let Some(key) = ordering_key {
-            self.ordering_queues.entry(key).or_default().push_back(number);
+            self.ordering_keys.enqueue(key, number);
         }
         let message = PendingMessage {
             id: submission.id.clone(),
@@ -409,7 +393,7 @@
         let Some(message) = self.messages.get_mut(&number) else { return };
         message.restore(previous);
         if let (Some(key), Some(_)) = (message.ordering_key, message.possibly_executed_at) {
-            self.ordering_holds.insert(key, OrderingHold { until, holder: number });
+            self.ordering_keys.hold(key, until, number);
         }
         if self.messages.get(&number).is_some_and(|message| !self.may_execute_again(message, now)) {
             self.give_final_answer(number, now, host);
@@ -436,7 +420,7 @@
         self.release_request(attempt.request);
         self.hold_key(ordering_key, message_number, outcome, now);
         if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
-            self.note_retry_after(attempt.endpoint, wait, now);
+            self.keep_retry_after(attempt.endpoint, wait, now);
         }
         self.baseline.attempt_finished(attempt.endpoint, outcome, now);
         if finished {
@@ -464,7 +448,7 @@
     fn gossip_received(&mut self, _now: Duration, _from: PeerId, _gossip: &[u8]) {}
 
     fn run_due_work(&mut self, now: Duration, world: &dyn WorldView, host: &mut dyn PolicyHost) {
-        self.ordering_holds.retain(|_, hold| hold.until > now);
+        self.ordering_keys.release_expired(now);
         self.drop_undeliverable(now, host);
         let mut batches = DepartingBatches::default();
         for number in self.sending_order() {
--- a/crates/simulation/src/policies/mod.rs
+++ b/crates/simulation/src/policies/mod.rs
@@ -1,6 +1,7 @@
 //! The delivery policy and the baselines that it is measured against.
 
 mod baseline_host;
+mod baseline_ordering;
 mod baseline_policy;
 mod baseline_sending;
 mod baselines;
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -1,5 +1,5 @@
-//! What forwarders could report to each other of destinations that are down: the same circuit breaker, fed by each
-//! forwarder alone or by all. A baseline that shows what sharing is worth; nothing of it reaches the daemon.
+//! A baseline whose circuit breakers are fed by what its own forwarder sees, or by what all forwarders report to each
+//! other. It measures what sharing would bring; the daemon does not use it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,9 +16,9 @@
 const FAILURES_TO_OPEN: usize = 3;
 /// From a failure or a half-open trial to the next trial.
 const RECOVERY_DELAY: Duration = Duration::from_secs(5);
-/// Failures count together for so long.
+/// Window in which failures count together.
 const FAILURE_WINDOW: Duration = Duration::from_secs(50);
-/// A circuit that can no longer matter is dropped after so much longer.
+/// Time for which a circuit is kept beyond the time in which it can matter.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(5);
 /// Events kept for each endpoint.
 const MAX_KEPT_EVENTS: usize = 64;
@@ -48,13 +48,13 @@
 pub enum CircuitAdmission {
     /// The circuit is closed.
     Admit,
-    /// The circuit is half-open: one attempt may try.
+    /// The circuit is half-open: one attempt may be sent as a trial.
     HalfOpenTrial,
     /// The circuit is open.
     Wait,
 }
 
-/// A circuit as it follows from the events that have reached a member.
+/// The circuit of an endpoint, computed from the events that have reached a member.
 #[derive(Default)]
 struct Circuit {
     /// Failures within the window.
@@ -161,7 +161,7 @@
 
     fn report(&mut self, endpoint: EndpointId, reported: ReportedEvent) {
         let events = self.events.entry(endpoint).or_default();
-        // Nothing is known against the endpoint, so that a success changes nothing.
+        // A success changes nothing where no failure is known.
         if reported.event == CircuitEvent::Succeeded && events.is_empty() {
             return;
         }
@@ -182,7 +182,7 @@
     Box::new(BaselineHost::new(settings, SharingBreaker { exchange: exchange.clone(), member }))
 }
 
-/// A panic elsewhere leaves events that are still whole.
+/// Locks the exchange. It stays sound when another thread panics, as each event is added whole.
 fn locked(exchange: &SharedExchange) -> MutexGuard<'_, CircuitExchange> {
     exchange.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/simulation/src/random_streams.rs
+++ b/crates/simulation/src/random_streams.rs
@@ -1,5 +1,5 @@
 //! Independent streams of random numbers, one for each use: one more draw in one place leaves all others as they
-//! were, so that two policies meet the same arrivals and faults.
+//! were, so that two policies get the same arrivals and faults.
 
 use rand::SeedableRng;
 
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -140,11 +140,11 @@
     pub kind: String,
     /// Requests a second that pass its limit at most; absent where there is none but its capacity.
     pub limit: Option<f64>,
-    /// What it met in each second.
+    /// Its load in each second.
     pub seconds: Vec<Load>,
 }
 
-/// Six digits: beyond that no result means anything, and the last bits differ between platforms.
+/// Rounds a result to six decimals: the digits after them mean nothing, and differ between platforms.
 pub fn rounded(value: f64) -> f64 {
     if value.is_finite() {
         (value * 1e6).round() / 1e6
--- a/crates/simulation/src/scenario/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -67,7 +67,7 @@
     /// Token bucket that holds half a second's requests.
     #[serde(rename = "rate")]
     TokenBucket,
-    /// A count in each window of so many seconds.
+    /// A count in each window of this length.
     #[serde(rename = "span")]
     FixedWindow(Span),
 }
--- a/crates/simulation/src/scenario/messages.rs
+++ b/crates/simulation/src/scenario/messages.rs
@@ -11,7 +11,7 @@
 /// Guards the division by the time between objective and deadline where the two are equal, in seconds.
 const MIN_LATE_PERIOD: f64 = 1e-9;
 
-/// A message class: what its messages are worth, how long they may take, and what work they are.
+/// A message class: the priority weight of its messages, how long they may take, and how much work they are.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of a category")]
 pub struct ClassSpec {
@@ -29,7 +29,7 @@
     /// Deadline, from the first submission.
     #[serde(rename = "outer_limit_s")]
     pub deadline: Span,
-    /// What a message is worth that completes within its latency objective.
+    /// Priority weight that a message earns which completes within its latency objective.
     #[serde(rename = "credit", default = "defaults::one_amount")]
     pub priority_weight: Amount,
     /// Part of the priority weight that is left at the deadline.
@@ -46,7 +46,7 @@
 }
 
 impl ClassSpec {
-    /// Part of the priority weight that a message earns which completes so long after its first submission.
+    /// Part of the priority weight that a message earns which completes with this latency after its first submission.
     pub fn earned_part(&self, latency: Duration) -> f64 {
         let (objective, deadline) = (self.latency_objective.seconds(), self.deadline.seconds());
         let latency = latency.as_secs_f64();
@@ -74,7 +74,7 @@
     /// A repeat does no harm.
     #[serde(rename = "pure")]
     Idempotent,
-    /// Every endpoint of the destination recognizes a repeat by its idempotency key for so long.
+    /// Every endpoint of the destination recognizes a repeat by its idempotency key, within this window.
     #[serde(rename = "receipted")]
     WithKey(Span),
     /// A repeat has its effect a second time.
@@ -128,7 +128,7 @@
     /// Share of its clients that honor Retry-After.
     #[serde(rename = "heeds", default = "defaults::all")]
     pub honors_retry_after: Share,
-    /// Its clients withdraw a message after so many seconds; absent where they never do.
+    /// Seconds after which its clients withdraw a message; absent where they never do.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub withdraws_after_s: Option<Distribution>,
     /// Messages at once at each arrival.
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -16,8 +16,8 @@
 /// Guards the division by the slow start's duration, in seconds.
 const MIN_SLOW_START: f64 = 1e-6;
 
-/// Work in a window that overloads a cold endpoint, where the settings allow it so much: what comes over that by
-/// chance is borne, and is counted over all forwarders, however many they are.
+/// Work within the overload window above which a cold endpoint is overloaded, from what the settings allow in it:
+/// N + 2 * sqrt(N) + 2. The excess over N is for chance, and is counted over all forwarders together.
 pub fn overload_budget(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.max(0.0).sqrt() + 2.0
 }
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -105,6 +105,7 @@
         self.schedule.schedule(now + self.scenario.fleet.tick.0, Event::Input { to: owner, input });
     }
 
+    /// Opens a request with an attempt as its first one.
     fn open_request(
         &mut self,
         attempt: AttemptRef,
@@ -120,6 +121,7 @@
         request
     }
 
+    /// Counts an attempt that is sent to an endpoint which is down.
     fn count_sent_to_down(&mut self, attempt: AttemptRef, endpoint: EndpointIndex) {
         if !self.endpoints[endpoint.0].is_down() {
             return;
@@ -131,6 +133,7 @@
         self.sent_to_down.first_lost_to_known += u64::from(is_first && is_known);
     }
 
+    /// Adds an attempt to a request that has not left, and schedules its timeout.
     fn join_request(
         &mut self,
         attempt: AttemptRef,
@@ -150,7 +153,7 @@
             outcome: None,
             reported: false,
         });
-        // A longer one would outlive the message.
+        // No attempt lasts beyond the deadline of its message.
         let timeout = timeout.min(message.deadline.saturating_sub(now));
         self.schedule.schedule(now + timeout, Event::TimedOut(position));
     }
@@ -180,7 +183,7 @@
         }
     }
 
-    /// One attempt has its outcome.
+    /// An attempt has its outcome: records it, and reports it to the forwarder.
     pub(super) fn finish_attempt(&mut self, position: BatchPosition, outcome: AttemptOutcome) {
         let request = &mut self.requests[position.request.0];
         let entry = &mut request.batch[position.index];
@@ -202,6 +205,7 @@
         self.deliver(sender, ForwarderInput::AttemptFinished(end));
     }
 
+    /// Counts the outcome of an attempt.
     fn count_outcome(&mut self, outcome: AttemptOutcome) {
         let counts = &mut self.account.attempts;
         match outcome {
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -12,9 +12,9 @@
 use crate::fault::Fault;
 use crate::ids::{DestinationIndex, ForwarderIndex, SubmissionIndex};
 
-/// Between two events that must not fall on one instant.
+/// Least delay between two events that must not happen at the same time.
 const MIN_DELAY: Duration = Duration::from_micros(1);
-/// From the kill of a forwarder to the next submission of its messages at least.
+/// Least delay from the kill of a forwarder to the next submission of its messages.
 const MIN_FAILOVER_DELAY: Duration = Duration::from_millis(1);
 /// Messages in one clump at most.
 const MAX_CLUMP: f64 = 1e4;
@@ -46,7 +46,7 @@
     share: f64,
 }
 
-/// The index of the part in whose range of the running sums a draw from 0 to 1 falls.
+/// The index of the part that a draw from 0 to 1 selects, by the running sums of all parts.
 fn part_at(sums: &[f64], drawn: f64) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
     sums.partition_point(|sum| *sum <= drawn * total).min(sums.len().saturating_sub(1))
@@ -66,6 +66,7 @@
         factors.product()
     }
 
+    /// How the messages of a program come together, by the scenario's settings.
     fn arrival_shape(&self, program: usize) -> ArrivalShape {
         let traffic = &self.scenario.traffic;
         let (clumped, clump_size) = (traffic.clumped.get(), traffic.clump_size.mean().max(1.0));
@@ -116,6 +117,7 @@
         self.schedule.schedule(next, Event::Arrival { program });
     }
 
+    /// Draws a message for a destination, and submits it.
     fn message_arrives(&mut self, program: usize, destination: DestinationIndex) {
         let now = self.now();
         let random = &mut self.random.arrivals;
@@ -188,7 +190,7 @@
         })
     }
 
-    /// The forwarder whose part of the traffic a draw from 0 to 1 falls in.
+    /// The forwarder that a draw from 0 to 1 selects, by the forwarders' parts of the traffic.
     fn forwarder_at(&self, drawn: f64) -> usize {
         let plans = &self.layout.forwarders;
         let mut left = drawn * plans.iter().map(|plan| plan.traffic_part).sum::<f64>();
@@ -222,6 +224,7 @@
         self.schedule.schedule(at, Event::Resubmission(submission));
     }
 
+    /// A client submits a message again, unless its deadline has passed.
     pub(super) fn resubmit(&mut self, submission: SubmissionIndex) {
         let record = &self.submissions[submission.0];
         let deadline = record.submitted_at + self.scenario.classes[record.class].deadline.0;
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -1,4 +1,4 @@
-//! What a policy asks for, and how the simulated host does it.
+//! The commands of a policy, and how the simulated host executes them.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
 use crate::invariants::{FinalAnswer, Rule};
 
-/// One thing that a policy asks for.
+/// One command of a policy.
 enum HostCommand {
     StartAttempt { message: MessageId, endpoint: EndpointId, timeout: Duration },
     Cancel { message: MessageId, attempt: AttemptNumber },
@@ -25,7 +25,7 @@
     FetchEndpointList,
 }
 
-/// What a policy asks for, in the order in which it does.
+/// The commands of one run of a policy, in the order in which it gave them.
 #[derive(Default)]
 pub(super) struct CommandBuffer(Vec<HostCommand>);
 
@@ -70,7 +70,7 @@
 }
 
 impl World<'_> {
-    /// Does what a policy asked for; requests leave last, with all attempts that they carry.
+    /// Executes commands; requests leave last, with all attempts that they carry.
     pub(super) fn execute(&mut self, forwarder: ForwarderIndex, commands: CommandBuffer) {
         let mut batches = OpenBatches::default();
         for command in commands.0 {
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Executes one command; attempts join the requests that are being filled.
     fn execute_command(
         &mut self,
         forwarder: ForwarderIndex,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// A message that this incarnation of the forwarder was given.
+    /// A message that this incarnation of the forwarder holds; naming another one is a violation.
     fn held_message(&mut self, forwarder: ForwarderIndex, id: &MessageId) -> Option<MessageIndex> {
         let incarnation = self.incarnation_of(forwarder);
         let is_held = |message: &MessageIndex| {
@@ -129,6 +130,7 @@
         held
     }
 
+    /// Schedules the arrival of the complete endpoint list at a forwarder.
     fn fetch_endpoint_list(&mut self, forwarder: ForwarderIndex) {
         let changes = self.complete_endpoint_list();
         let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
@@ -137,6 +139,7 @@
         self.schedule.schedule(at, Event::Input { to: self.incarnation_of(forwarder), input });
     }
 
+    /// Sends a health check to an endpoint.
     fn start_health_check(&mut self, forwarder: ForwarderIndex, endpoint: EndpointId) {
         let Some(endpoint) = self.known_endpoint(endpoint) else { return };
         let at = self.now() + self.one_way(forwarder, endpoint);
@@ -149,7 +152,7 @@
         endpoint_index(id).filter(|endpoint| endpoint.0 < self.endpoints.len())
     }
 
-    /// Gossip goes to one forwarder, or to all others.
+    /// Sends gossip to one forwarder, or to all others where none is named.
     fn send_gossip(&mut self, from: ForwarderIndex, to: Option<PeerId>, content: &[u8]) {
         let settings = &self.scenario.gossip;
         let partitions = self.gossip_partitions();
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -27,14 +27,17 @@
         active.iter().any(|index| is_kind(self.fault(*index)))
     }
 
+    /// Whether packets to and from the endpoint are lost.
     fn is_unreachable(&self, endpoint: EndpointIndex) -> bool {
         self.has_fault(endpoint, |fault| matches!(fault, Fault::Unreachable { .. }))
     }
 
+    /// Whether the endpoint accepts requests and does not respond.
     pub(super) fn hangs(&self, endpoint: EndpointIndex) -> bool {
         self.has_fault(endpoint, |fault| matches!(fault, Fault::Hang { .. }))
     }
 
+    /// Whether the endpoint refuses connections at once.
     pub(super) fn refuses_connections(&self, endpoint: EndpointIndex) -> bool {
         let state = &self.endpoints[endpoint.0];
         state.removed
@@ -68,6 +71,7 @@
 
     // # Arrivals.
 
+    /// A request arrives at its endpoint, which accepts, rejects or loses it.
     pub(super) fn request_arrives(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
@@ -90,7 +94,7 @@
         let work = 1.0 + WORK_PER_EXTRA_MESSAGE * extra_messages as f64;
         self.receive_work(endpoint, work, sender);
         if self.refuses_connections(endpoint) {
-            // This request was the one too many, and its connection is gone with the others.
+            // This request has overloaded the endpoint, and its connection was reset with all others.
             return self.return_reset(request);
         }
         if let Some(until) = self.rejects_until(endpoint) {
@@ -112,9 +116,9 @@
     fn admit(&mut self, endpoint: EndpointIndex) -> Result<(), Duration> {
         let now = self.now();
         let destination = self.destination_of(endpoint);
-        let use_up = self.kind_of(destination).rejected_use_up_limit;
-        self.endpoints[endpoint.0].limit.admit(now, use_up)?;
-        self.destinations[destination.0].limit.admit(now, use_up)
+        let rejected_use_up_limit = self.kind_of(destination).rejected_use_up_limit;
+        self.endpoints[endpoint.0].limit.admit(now, rejected_use_up_limit)?;
+        self.destinations[destination.0].limit.admit(now, rejected_use_up_limit)
     }
 
     /// End of the fault by which an endpoint rejects all requests.
@@ -125,6 +129,7 @@
         rejecting.map(|scheduled| scheduled.end()).max()
     }
 
+    /// Draws whether a fault has the endpoint answer a request with an error, without executing it.
     fn fails_at_once(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> bool {
         let batch = &self.requests[request.0].batch;
         let class_name = |class: usize| &self.scenario.classes[class].name;
@@ -142,7 +147,7 @@
         fails
     }
 
-    /// A hanging endpoint takes what would fit into its queue and its workers; the rest is lost.
+    /// A hanging endpoint accepts as many requests as its queue and its workers can hold; others are never answered.
     fn hold_while_hanging(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
         let state = &mut self.endpoints[endpoint.0];
         if state.hung_requests.len() < state.plan.max_queued + state.plan.workers {
@@ -163,6 +168,7 @@
         }
     }
 
+    /// A health check arrives at its endpoint; its result is sent back to the forwarder.
     pub(super) fn health_check_arrives(&mut self, from: ForwarderIncarnation, endpoint: EndpointIndex) {
         self.receive_work(endpoint, HEALTH_CHECK_WORK, from.forwarder);
         let is_silent = self.is_unreachable(endpoint) || self.hangs(endpoint);
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -48,7 +48,7 @@
     PolicyRun(ForwarderIncarnation),
     /// Something is put into a forwarder's inbox.
     Input { to: ForwarderIncarnation, input: ForwarderInput },
-    /// A forwarder, whichever its incarnation, learns of changes of the endpoint list.
+    /// A forwarder learns of changes of the endpoint list, also where it was restarted since they were made.
     ListChanged { forwarder: ForwarderIndex, changes: Vec<ListChange> },
     /// A request arrives at its endpoint.
     RequestArrives(RequestIndex),
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -13,7 +13,7 @@
     /// A fault starts, by its place in the scenario.
     pub(super) fn start_fault(&mut self, index: usize) {
         let fault = self.fault(index);
-        // A stream of its own: one fault more or less leaves the others where they were.
+        // A stream of its own: one fault more or less does not change what the others strike.
         let mut random = RandomStream::Fault(index).open(self.seed);
         let selector = fault.endpoint_selector();
         let struck =
@@ -72,12 +72,14 @@
         }
     }
 
+    /// Gives endpoints a state on the endpoint list.
     fn list_endpoints_as(&mut self, endpoints: &[EndpointIndex], state: EndpointState) {
         let changes: Vec<ListChange> =
             endpoints.iter().map(|endpoint| ListChange { endpoint: *endpoint, state }).collect();
         self.change_endpoint_list(&changes);
     }
 
+    /// An endpoint is gone for good.
     fn remove_endpoint(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].removed = true;
         self.reset_connections(endpoint);
--- a/crates/simulation/src/world/forwarder.rs
+++ b/crates/simulation/src/world/forwarder.rs
@@ -1,4 +1,4 @@
-//! One forwarder, whichever of its incarnations.
+//! One forwarder, over all its incarnations.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,7 +12,7 @@
     pub(super) zone: u32,
     /// Raised at each start and each kill.
     pub(super) incarnation: u32,
-    /// Absent while it is down, and while it is running.
+    /// Absent while the forwarder is down, and taken out while the policy runs.
     pub(super) policy: Option<Box<dyn Policy>>,
     pub(super) inbox: VecDeque<ForwarderInput>,
     /// A run of the policy is scheduled.
@@ -22,8 +22,8 @@
     pub(super) open_messages: usize,
     /// The same, in the order in which they were accepted: what a write-ahead log would hold.
     pub(super) pending: BTreeMap<usize, MessageIndex>,
-    /// When it learns of the last change of the endpoint list: changes come in order.
-    pub(super) list_told_until: Duration,
+    /// When it learns of the last change of the endpoint list so far: changes arrive in order.
+    pub(super) last_list_change_at: Duration,
 }
 
 impl SimulatedForwarder {
@@ -38,10 +38,11 @@
             requests_in_flight: 0,
             open_messages: 0,
             pending: BTreeMap::new(),
-            list_told_until: Duration::ZERO,
+            last_list_change_at: Duration::ZERO,
         }
     }
 
+    /// Whether the forwarder is up.
     pub(super) fn is_running(&self) -> bool {
         self.policy.is_some()
     }
@@ -51,11 +52,13 @@
         self.pending.values().copied().collect()
     }
 
+    /// Adds a message that the forwarder has accepted.
     pub(super) fn message_accepted(&mut self, message: MessageIndex) {
         self.open_messages += 1;
         self.pending.insert(message.0, message);
     }
 
+    /// Removes a message that needs nothing more.
     pub(super) fn message_finished(&mut self, message: MessageIndex) {
         self.open_messages = self.open_messages.saturating_sub(1);
         self.pending.remove(&message.0);
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -15,7 +15,7 @@
 use super::true_state::TrueState;
 use crate::fault::Fault;
 use crate::ids::{EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex};
-use crate::invariants::proves_not_executed;
+use crate::invariants::{proves_not_executed, EndedAttempt};
 use crate::policy::{EndpointListUpdate, ListedEndpoint, Policy, Submission};
 use crate::scenario::{zone_name, ListWeights};
 
@@ -49,8 +49,8 @@
         }
         for index in 0..self.forwarders.len() {
             let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
-            let at = (self.now() + delay).max(self.forwarders[index].list_told_until);
-            self.forwarders[index].list_told_until = at;
+            let at = (self.now() + delay).max(self.forwarders[index].last_list_change_at);
+            self.forwarders[index].last_list_change_at = at;
             let (forwarder, changes) = (ForwarderIndex(index), changes.to_vec());
             self.schedule.schedule(at, Event::ListChanged { forwarder, changes });
         }
@@ -90,6 +90,7 @@
         self.execute(index, commands);
     }
 
+    /// Passes one input to the policy.
     fn handle_input(
         &mut self,
         forwarder: ForwarderIndex,
@@ -158,6 +159,7 @@
         EndpointListUpdate { complete, endpoints }
     }
 
+    /// An entry of the endpoint list as forwarders read it.
     fn listed_endpoint(&self, change: ListChange) -> ListedEndpoint {
         let plan = &self.endpoints[change.endpoint.0].plan;
         let lists_rates = self.scenario.endpoint_list.weights == ListWeights::Rates;
@@ -171,6 +173,7 @@
         }
     }
 
+    /// A message as its forwarder passes it to the policy.
     fn submission_of(&self, message: MessageIndex) -> Submission {
         let record = &self.messages[message.0];
         let submission = &self.submissions[record.submission.0];
@@ -198,7 +201,8 @@
     fn report_attempt_end(&mut self, forwarder: ForwarderIndex, end: AttemptEnd) {
         let AttemptEnd { attempt, outcome, scope, .. } = end;
         let now = self.now();
-        self.invariants.attempt_finished(now, attempt.message, attempt.number, outcome, scope);
+        let ended = EndedAttempt { message: attempt.message, number: attempt.number, outcome, scope };
+        self.invariants.attempt_finished(now, ended);
         let attempts = &mut self.messages[attempt.message.0].attempts;
         let Some(record) = attempts.get_mut(attempt.number) else { return };
         record.reported = true;
--- a/crates/simulation/src/world/lifecycle.rs
+++ b/crates/simulation/src/world/lifecycle.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Nobody waits any more for the requests that a forwarder has in flight.
     fn abandon_requests_of(&mut self, forwarder: ForwarderIndex) {
         let is_awaited = |request: &RequestIndex| {
             let record = &self.requests[request.0];
@@ -84,7 +85,7 @@
         }
     }
 
-    /// A message went down with its forwarder. Its client submits it again, unless that may have its effect twice.
+    /// A message is lost with its forwarder. Its client submits it again, unless that may have its effect twice.
     fn lose_message(&mut self, message: MessageIndex) {
         let record = &mut self.messages[message.0];
         record.finished = true;
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -38,6 +38,7 @@
         self.deliver(owner, ForwarderInput::Submitted(message));
     }
 
+    /// Schedules the withdrawal of a message, where clients of its program withdraw.
     fn schedule_withdrawal(&mut self, message: MessageIndex, program: usize) {
         if let Some(delay) = self.scenario.programs[program].withdraws_after_s {
             let at = self.now() + delay.span(&mut self.random.clients);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Looks whether a message has its final answer once the time for that is past.
+    /// Schedules the check that a message has its final answer.
     pub(super) fn schedule_answer_check(&mut self, message: MessageIndex) {
         let fleet = &self.scenario.fleet;
         let slack = fleet.answer_slack.0 + 2 * fleet.tick.0;
@@ -53,6 +54,7 @@
         self.schedule.schedule(at, Event::AnswerDue(message));
     }
 
+    /// Checks that a message has its final answer, now that the time for it has passed.
     pub(super) fn check_answer(&mut self, message: MessageIndex) {
         // A forwarder that is down answers for what its write-ahead log holds once it runs again.
         let now = self.now();
@@ -61,6 +63,7 @@
         }
     }
 
+    /// A client withdraws a message.
     pub(super) fn withdraw(&mut self, message: MessageIndex) {
         // A forwarder that is down learns nothing, and goes on with what its write-ahead log holds.
         if self.is_pending_at_running_forwarder(message) {
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -18,6 +18,7 @@
         })
     }
 
+    /// An outage starts; outages of one endpoint may overlap.
     pub(super) fn start_outage(&mut self, endpoint: EndpointIndex) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
@@ -28,6 +29,7 @@
         }
     }
 
+    /// An outage ends; the endpoint recovers with its last one.
     pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, cause: OutageCause) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
@@ -39,7 +41,7 @@
         }
     }
 
-    /// An endpoint has been sent this much; where it is cold that may overload it.
+    /// Work arrives at an endpoint; where it is cold, that may overload it.
     pub(super) fn receive_work(&mut self, endpoint: EndpointIndex, amount: f64, sender: ForwarderIndex) {
         let now = self.now();
         let settings = &self.scenario.recovery;
@@ -55,12 +57,13 @@
         self.reset_connections(endpoint);
     }
 
+    /// An endpoint that was overloaded is up again.
     pub(super) fn end_overload(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].overloaded_until = None;
         self.end_outage(endpoint, OutageCause::Overload);
     }
 
-    /// All that is at an endpoint or tied to it by a connection is lost.
+    /// Resets all connections to an endpoint: their senders learn of it, and their requests are lost.
     pub(super) fn reset_connections(&mut self, endpoint: EndpointIndex) {
         for request in self.endpoints[endpoint.0].reset_connections() {
             self.return_reset(request);
--- a/crates/simulation/src/world/records.rs
+++ b/crates/simulation/src/world/records.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BatchEntry {
     pub(super) attempt: AttemptRef,
-    /// The forwarder does not have the outcome yet.
+    /// The forwarder still waits for its outcome.
     pub(super) awaited: bool,
 }
 
@@ -91,11 +91,11 @@
     pub(super) endpoint_incarnation: u32,
     pub(super) batch: Vec<BatchEntry>,
     pub(super) started_at: Duration,
-    /// Nobody waits for it, and the endpoint found out before it began.
+    /// Nobody waits for it any more, and the endpoint knows so before it begins to serve it.
     pub(super) void: bool,
-    /// Its connection counts at the endpoint.
+    /// It has a connection, which counts at the endpoint.
     pub(super) connected: bool,
-    /// Seconds of work that it came to.
+    /// Work that serving it takes, in seconds; 0 until it is served.
     pub(super) work: f64,
     /// The endpoint has begun to serve it.
     pub(super) serving_began: bool,
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -1,4 +1,4 @@
-//! What a run came to, read at its end.
+//! The report of a run, made at its end.
 
 use super::state::World;
 use crate::account::{Account, Credit, Second, WATCHED_DESTINATIONS};
@@ -50,6 +50,7 @@
         Observed { ramps, down }
     }
 
+    /// The report of the run.
     pub(super) fn report(self) -> Report {
         let (classes, programs) = (self.class_parts(), self.program_parts());
         let (destinations, watched) = (self.worst_destinations(), self.watched_destinations());
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -21,13 +21,14 @@
         self.report()
     }
 
-    /// The same, and gives what only the simulation can see.
+    /// Plays until every submission has its end, and gives what only the simulation can see, too.
     pub(crate) fn play_observed(mut self) -> ObservedRun {
         self.play_events();
         let observed = self.observed();
         ObservedRun { report: self.report(), observed }
     }
 
+    /// Handles all events up to the end of the run.
     fn play_events(&mut self) {
         self.schedule_first_events();
         while let Some((at, event)) = self.schedule.pop() {
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Starts all forwarders, and schedules arrivals, faults and samples.
     fn schedule_first_events(&mut self) {
         for forwarder in 0..self.forwarders.len() {
             self.start_forwarder(ForwarderIndex(forwarder));
@@ -54,6 +56,7 @@
         self.schedule.schedule(Duration::ZERO, Event::CapacitySample);
     }
 
+    /// Handles one event.
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival { program } => self.messages_arrive(program),
@@ -78,6 +81,7 @@
         }
     }
 
+    /// Records what the watched destinations could serve now.
     fn sample_capacity(&mut self) {
         let now = self.now();
         let destinations = self.layout.destinations.len();
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -15,6 +15,7 @@
 const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl World<'_> {
+    /// A free worker begins to serve a request.
     pub(super) fn begin_serving(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
         let work = self.draw_work(request, endpoint);
         let now = self.now();
@@ -28,7 +29,7 @@
         self.schedule.schedule(served_at, Event::Served { endpoint, incarnation, request });
     }
 
-    /// Seconds of work that a request is at its endpoint now.
+    /// Draws how much work a request takes at its endpoint now, in seconds.
     fn draw_work(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> f64 {
         let batch = &self.requests[request.0].batch;
         let work_of = |message: MessageIndex| self.submissions[self.messages[message.0].submission.0].work;
@@ -49,7 +50,7 @@
         work
     }
 
-    /// When work that is begun now is done, where an endpoint stands still again and again.
+    /// When work that begins now is done, with the pauses of the endpoint's faults.
     fn with_pauses(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
         let mut done = now + work;
         for index in &self.endpoints[endpoint.0].active_faults {
@@ -94,7 +95,7 @@
         self.serve_queue(endpoint);
     }
 
-    /// The effects of a request's messages.
+    /// Applies and counts the effects of a request's messages.
     fn apply_effects(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Work ends with a response, or with a connection that is reset before it.
+    /// Responds to a request that was served; a fault may reset its connection instead.
     fn send_response(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
         let mut is_lost = false;
@@ -127,6 +128,7 @@
         self.respond(request, outcome);
     }
 
+    /// Free workers take requests from the endpoint's queue.
     fn serve_queue(&mut self, endpoint: EndpointIndex) {
         while self.endpoints[endpoint.0].busy_workers < self.endpoints[endpoint.0].plan.workers {
             let Some(next) = self.endpoints[endpoint.0].queue.pop_front() else { return };
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -23,7 +23,7 @@
 use crate::schedule::EventSchedule;
 use crate::simulated_endpoint::{SimulatedDestination, SimulatedEndpoint};
 
-/// Random streams that decisions must not shift against each other.
+/// A random stream for each purpose, so that draws for one do not shift those for another.
 pub(super) struct RandomStreams {
     pub(super) arrivals: RandomSource,
     pub(super) service: RandomSource,
@@ -67,7 +67,7 @@
     pub(super) forwarders: Vec<SimulatedForwarder>,
     pub(super) endpoints: Vec<SimulatedEndpoint>,
     pub(super) destinations: Vec<SimulatedDestination>,
-    /// State of each endpoint on the endpoint list, whichever forwarders have read it yet.
+    /// State of each endpoint on the endpoint list now; forwarders learn of it later.
     pub(super) listed_states: Vec<EndpointState>,
     /// Endpoints that each active fault strikes, by the fault's place in the scenario.
     pub(super) active_faults: BTreeMap<usize, Vec<EndpointIndex>>,
@@ -87,6 +87,7 @@
     pub(super) class_sums: Vec<f64>,
 }
 
+/// The sum of all parts up to each of them.
 fn running_sums(parts: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     parts
@@ -97,6 +98,7 @@
         .collect()
 }
 
+/// A checker of the rules that the scenario's settings state.
 fn invariant_checker(scenario: &Scenario) -> InvariantChecker {
     let fleet = &scenario.fleet;
     let rules = |class: &ClassSpec| ClassRules {
@@ -153,18 +155,22 @@
         }
     }
 
+    /// The simulated time.
     pub(super) fn now(&self) -> Duration {
         self.schedule.now()
     }
 
+    /// A fault, by its place in the scenario.
     pub(super) fn fault(&self, index: usize) -> &'a Fault {
         &self.scenario.faults[index].fault
     }
 
+    /// The kind of a destination.
     pub(super) fn kind_of(&self, destination: DestinationIndex) -> &'a DestinationKind {
         &self.scenario.kinds[self.layout.destinations[destination.0].kind]
     }
 
+    /// The destination of an endpoint.
     pub(super) fn destination_of(&self, endpoint: EndpointIndex) -> DestinationIndex {
         self.endpoints[endpoint.0].plan.destination
     }
--- a/crates/simulation/src/world/true_state.rs
+++ b/crates/simulation/src/world/true_state.rs
@@ -12,7 +12,7 @@
 /// Share of an endpoint's queue that the upper bound lets fill.
 const USED_QUEUE_SHARE: f64 = 0.5;
 
-/// What one forwarder's policy sees of the world where it may see all.
+/// The whole world, as the policy of one forwarder may see it.
 pub(super) struct TrueState<'w, 'a> {
     world: &'w World<'a>,
     forwarder: ForwarderIndex,
@@ -62,7 +62,7 @@
             || state.idle_connections.contains_key(&forwarder)
     }
 
-    /// Whether one more request fits into all limits, after those in transit and so many more.
+    /// Whether one more full request fits into all limits, after those in transit and `sent_before` more.
     fn has_capacity(&self, endpoint: EndpointIndex, sent_before: u32) -> bool {
         let now = self.now();
         let state = &self.endpoints[endpoint.0];
