--- a/crates/recorder/src/streams/driver.rs
+++ b/crates/recorder/src/streams/driver.rs
@@ -110,6 +110,7 @@
         self.model.violations
     }
 
+    /// The host will stop soon.
     fn begin_shutdown(&mut self) {
         let deadline = self.now + millis(&mut self.random, 0, 20_000);
         self.policy.begin_shutdown(deadline);
@@ -130,6 +131,7 @@
 
     // # Steps.
 
+    /// One step: time passes, events come, and the policy runs its due work.
     fn step(&mut self) {
         self.pass_time();
         self.fire_timers();
@@ -147,6 +149,7 @@
         self.model.work_done(&self.timers);
     }
 
+    /// Moves the clock on: to the end of the step, or to the first timer before that.
     fn pass_time(&mut self) {
         let drawn = match self.random.random_range(0..1_000_u32) {
             0..=149 => Duration::ZERO,
@@ -163,6 +166,7 @@
         self.model.set_time(self.now);
     }
 
+    /// Fires the timers that are due, some a little early.
     fn fire_timers(&mut self) {
         while let Some(at) = self.timers.first().copied().filter(|at| *at <= self.now + TIMER_EARLY) {
             self.timers.remove(&at);
@@ -172,6 +176,7 @@
 
     // # Outcomes.
 
+    /// Ends the attempts that are due, in the order of their times.
     fn finish_due_attempts(&mut self) {
         let (mut due, in_flight): (Vec<AttemptInFlight>, Vec<AttemptInFlight>) =
             std::mem::take(&mut self.in_flight).into_iter().partition(|attempt| attempt.due <= self.now);
@@ -182,6 +187,7 @@
         }
     }
 
+    /// Reports the outcome of an attempt, as a host does.
     fn finish_attempt(&mut self, ended: AttemptInFlight) {
         let answered = matches!(
             ended.outcome,
@@ -211,6 +217,7 @@
         }
     }
 
+    /// A response carries a load report.
     fn report_load(&mut self, endpoint: EndpointId) {
         let left = self.random.random_range(0.0..1.1);
         let limit = if self.one_in(5) { 0.0 } else { self.random.random_range(0.5..80.0) };
@@ -233,6 +240,7 @@
 
     // # Messages.
 
+    /// Submits no messages, a few, or a burst.
     fn submit_some(&mut self) {
         let burst = self.setup.size.burst as usize;
         let count = match self.below(100) {
@@ -249,6 +257,7 @@
         }
     }
 
+    /// Submits one message.
     fn submit(&mut self, message: &Submission) {
         if self.one_in(20) {
             self.policy.record_knows_destination(message.destination);
@@ -277,6 +286,7 @@
         }
     }
 
+    /// Withdraws a message in some steps.
     fn withdraw_some(&mut self) {
         if self.pending.is_empty() || !self.one_in(12) {
             return;
@@ -305,6 +315,7 @@
 
     // # Commands of the policy.
 
+    /// Executes the commands that the policy has given since the last time.
     fn execute_commands(&mut self) {
         for command in std::mem::take(&mut self.commands.0) {
             match command {
@@ -329,6 +340,7 @@
         }
     }
 
+    /// Plans how an attempt ends, and reports it then.
     fn start_attempt(&mut self, id: MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
         self.model.attempt_started(&id, endpoint, timeouts);
         let Some(attempts) = self.pending.get_mut(&id) else { return };
--- a/crates/recorder/src/streams/endpoint_set.rs
+++ b/crates/recorder/src/streams/endpoint_set.rs
@@ -46,6 +46,7 @@
     Erratic,
 }
 
+/// All behaviors but the healthy one.
 const FAULTY_BEHAVIORS: [EndpointBehavior; 7] = [
     EndpointBehavior::Slow,
     EndpointBehavior::Rejecting,
@@ -159,6 +160,7 @@
     }
 }
 
+/// A weight of the list: mostly a rate, seldom none or a number that makes no sense.
 fn weight(random: &mut Pcg32) -> Option<f64> {
     match random.random_range(0..10_u32) {
         0 => None,
@@ -179,6 +181,7 @@
     setup.kinds[number].clone()
 }
 
+/// Draws how a request to an endpoint of this behavior ends.
 fn draw_outcome(
     behavior: EndpointBehavior,
     response_within: Duration,
@@ -218,6 +221,7 @@
     }
 }
 
+/// Mostly completed.
 fn usual_outcome(random: &mut Pcg32, time_step: Duration) -> AttemptOutcome {
     match random.random_range(0..100_u32) {
         0..=2 => AttemptOutcome::Error,
@@ -230,6 +234,7 @@
     }
 }
 
+/// Any outcome but a cancellation, which the policy asks for itself.
 fn any_outcome(random: &mut Pcg32, time_step: Duration) -> AttemptOutcome {
     match random.random_range(0..10_u32) {
         0..=1 => AttemptOutcome::Completed,
--- a/crates/recorder/src/streams/rule_model/mod.rs
+++ b/crates/recorder/src/streams/rule_model/mod.rs
@@ -46,6 +46,7 @@
 }
 
 impl RuleModel {
+    /// A model before the first call.
     pub fn new(rules: Rules, now: Duration) -> RuleModel {
         RuleModel {
             rules,
@@ -60,23 +61,30 @@
         }
     }
 
-    /// Notes a violation where a rule does not hold.
+    fn add_violation(&mut self, what: String) {
+        self.violations.push(Violation { at: self.now, what });
+    }
+
+    /// Adds a violation where a rule does not hold.
     fn check(&mut self, holds: bool, what: impl FnOnce() -> String) {
         if !holds {
-            self.violations.push(Violation { at: self.now, what: what() });
+            self.add_violation(what());
         }
     }
 
     // # Calls into the policy.
 
+    /// The time of all calls and commands until the next call of this method.
     pub fn set_time(&mut self, now: Duration) {
         self.now = now;
     }
 
+    /// A list begins: the whole one, or changes of it.
     pub fn begin_endpoint_list(&mut self, whole: bool) {
         self.named = whole.then(BTreeSet::new);
     }
 
+    /// One entry of the list.
     pub fn endpoint_updated(&mut self, update: &EndpointUpdate) {
         let EndpointUpdate { endpoint, destination, state, kind, zone, .. } = *update;
         if let Some(named) = &mut self.named {
@@ -103,6 +111,7 @@
         known.state = state;
     }
 
+    /// The list is complete: endpoints that a whole one did not name are removed.
     pub fn finish_endpoint_list(&mut self) {
         let Some(named) = self.named.take() else { return };
         for (_, known) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
@@ -110,10 +119,12 @@
         }
     }
 
+    /// The list was lost before its end: nothing is removed.
     pub fn abort_endpoint_list(&mut self) {
         self.named = None;
     }
 
+    /// A message was submitted.
     pub fn submit(&mut self, message: &Submission) {
         self.submitted += 1;
         let class = self.rules.classes.get(&message.class).copied().unwrap_or(ClassRules::UNKNOWN);
@@ -131,6 +142,7 @@
         self.pending.insert(message.id.clone(), pending);
     }
 
+    /// A message had these attempts before a restart.
     pub fn restore(&mut self, id: &MessageId, previous: &[PreviousAttempt]) {
         let until = self.now + self.rules.ordering_hold_off;
         let Some(pending) = self.pending.get_mut(id) else { return };
@@ -146,6 +158,7 @@
         }
     }
 
+    /// An attempt has ended.
     pub fn attempt_finished(&mut self, ended: &FinishedAttempt) {
         let FinishedAttempt { message: id, number, outcome, message_finished } = *ended;
         let until = self.now + self.rules.ordering_hold_off;
@@ -175,16 +188,19 @@
         }
     }
 
+    /// A response that rejected nothing carried a Retry-After.
     pub fn retry_after_received(&mut self, endpoint: EndpointId, wait: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(&endpoint) {
             endpoint.extend_retry_after(self.now + wait);
         }
     }
 
+    /// A client withdrew a message.
     pub fn withdraw(&mut self, id: &MessageId) {
         self.finish(id);
     }
 
+    /// The host will stop at this time.
     pub fn begin_shutdown(&mut self, deadline: Duration) {
         self.shutdown_deadline = Some(deadline);
     }
@@ -206,6 +222,7 @@
 
     // # Commands of the policy.
 
+    /// The policy starts an attempt.
     pub fn attempt_started(&mut self, id: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
         let mut broken = self.rules_broken_by_attempt(id, endpoint, timeouts);
         let Some(pending) = self.pending.get_mut(id) else { return };
@@ -222,16 +239,18 @@
             broken.push("more requests in flight than allowed");
         }
         for what in broken {
-            self.check(false, || format!("message {} to endpoint {}: {what}", id.0, endpoint.0));
+            self.add_violation(format!("message {} to endpoint {}: {what}", id.0, endpoint.0));
         }
     }
 
+    /// Number of requests that carry the attempts in flight.
     fn requests_in_flight(&self) -> u64 {
         let attempts = self.pending.values().flat_map(|message| message.in_flight.values());
         let requests: BTreeSet<RequestId> = attempts.map(|attempt| attempt.request).collect();
         requests.len() as u64
     }
 
+    /// The policy cancels an attempt.
     pub fn cancelled(&mut self, id: &MessageId, number: AttemptNumber) {
         let in_flight = self.pending.get(id).is_some_and(|message| message.in_flight.contains_key(&number));
         self.check(in_flight, || {
@@ -239,16 +258,19 @@
         });
     }
 
+    /// The policy rejects a message.
     pub fn rejected(&mut self, id: &MessageId) {
         let harmless = self.pending.get(id).is_some_and(|message| message.may_be_rejected(self.now));
         self.check(harmless, || format!("message {}: rejected, and submitting it again may do harm", id.0));
         self.answered(id);
     }
 
+    /// The policy fails a message.
     pub fn failed(&mut self, id: &MessageId) {
         self.answered(id);
     }
 
+    /// A message gets its final answer, which must be the only one.
     fn answered(&mut self, id: &MessageId) {
         let is_pending = self.pending.get(id).is_some_and(|message| !message.finished);
         self.check(is_pending, || format!("message {}: answered, and was not pending", id.0));
--- a/crates/recorder/src/streams/setup.rs
+++ b/crates/recorder/src/streams/setup.rs
@@ -103,6 +103,7 @@
     random.random_bool(0.5).then(|| draw(random))
 }
 
+/// The idempotency of a class in the settings.
 fn idempotency(random: &mut Pcg32) -> Option<Idempotency> {
     let window = millis(random, 200, 8_000);
     let choices = [
@@ -146,6 +147,7 @@
     }
 }
 
+/// One to three kinds of endpoints.
 fn endpoint_kinds(random: &mut Pcg32) -> Vec<EndpointKind> {
     let count = random.random_range(1..=3_usize);
     let mut kinds = Vec::new();
@@ -157,6 +159,7 @@
     kinds
 }
 
+/// Up to two tenants.
 fn tenant_quotas(random: &mut Pcg32) -> Vec<TenantQuota> {
     let count = random.random_range(0..=2_usize);
     let mut tenants = Vec::new();
@@ -167,6 +170,7 @@
     tenants
 }
 
+/// Few requests in flight, more, or many.
 fn max_in_flight(random: &mut Pcg32) -> u64 {
     match random.random_range(0..10_u32) {
         0..=4 => random.random_range(1..=4),
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,10 +1,20 @@
-//! Events that are still to come, in order of time; those of one instant come in the order in which they were
+//! Events that are still to come, in order of time; those of the same time come in the order in which they were
 //! scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
+/// An event whose time has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ScheduledEvent<E> {
+    /// When it happens, since the start of the run.
+    pub at: Duration,
+    /// The event itself.
+    pub event: E,
+}
+
+/// An event that is still to come, and its place in the order in which events were scheduled.
 struct Entry<E> {
     at: Duration,
     sequence: u64,
@@ -51,17 +61,17 @@
         self.now
     }
 
-    /// Schedules an event; one that would lie in the past comes now.
+    /// Schedules an event; one that would lie in the past happens now.
     pub fn schedule(&mut self, at: Duration, event: E) {
         self.scheduled += 1;
         self.heap.push(Entry { at: at.max(self.now), sequence: self.scheduled, event });
     }
 
     /// Takes the next event and moves the clock to it.
-    pub fn pop(&mut self) -> Option<(Duration, E)> {
-        let entry = self.heap.pop()?;
-        self.now = entry.at;
-        Some((entry.at, entry.event))
+    pub fn pop(&mut self) -> Option<ScheduledEvent<E>> {
+        let Entry { at, event, .. } = self.heap.pop()?;
+        self.now = at;
+        Some(ScheduledEvent { at, event })
     }
 
     /// Events scheduled so far.
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether packets to and from the endpoint are lost.
-    fn is_unreachable(&self, endpoint: EndpointIndex) -> bool {
+    pub(super) fn is_unreachable(&self, endpoint: EndpointIndex) -> bool {
         self.has_fault(endpoint, |fault| matches!(fault, Fault::Unreachable { .. }))
     }
 
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -10,6 +10,7 @@
 use crate::ids::{DestinationIndex, ForwarderIndex};
 use crate::observed::ObservedRun;
 use crate::report::Report;
+use crate::schedule::ScheduledEvent;
 
 /// From one sample of the capacity to the next.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
@@ -31,7 +32,7 @@
     /// Handles all events up to the end of the run.
     fn play_events(&mut self) {
         self.schedule_first_events();
-        while let Some((at, event)) = self.schedule.pop() {
+        while let Some(ScheduledEvent { at, event }) = self.schedule.pop() {
             let all_arrived = self.programs_done == self.scenario.programs.len();
             if all_arrived && self.open_submissions == 0 && at >= self.scenario.duration.0 {
                 break;
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -4,7 +4,7 @@
 
 use crate::defective_policy::{Defect, DefectivePolicy};
 use reeddock_simulation::scenario::ValueOverride;
-use reeddock_simulation::schedule::EventSchedule;
+use reeddock_simulation::schedule::{EventSchedule, ScheduledEvent};
 use reeddock_simulation::{run, run_with, BuiltInPolicy, Report, Scenario};
 
 /// Every number is constant but the arrivals: a response comes 108 ms after its attempt where a connection is made
@@ -78,11 +78,11 @@
     for (n, s) in [(0, 2), (1, 1), (2, 2), (3, 1), (4, 2)] {
         schedule.schedule(at(s), n);
     }
-    let order: Vec<i32> = std::iter::from_fn(|| schedule.pop().map(|e| e.1)).collect();
+    let order: Vec<i32> = std::iter::from_fn(|| schedule.pop().map(|scheduled| scheduled.event)).collect();
     assert_eq!(order, [1, 3, 0, 2, 4]);
     // What would lie in the past comes now, after what is here already.
     schedule.schedule(at(1), 5);
-    assert_eq!(schedule.pop(), Some((at(2), 5)));
+    assert_eq!(schedule.pop(), Some(ScheduledEvent { at: at(2), event: 5 }));
 }
 
 #[test]
