--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -102,12 +102,13 @@
 impl PolicySummary {
     /// Summarizes the days of one policy, beside the same days of the first one.
     pub(crate) fn of(policy: &str, days: &[Report], days_of_first: &[Report]) -> PolicySummary {
-        let pairs: Vec<(&Report, &Report)> = days.iter().zip(days_of_first).collect();
+        let same_days = days.iter().zip(days_of_first);
+        let differences: Vec<f64> = same_days.map(|(own, first)| own.credit - first.credit).collect();
         PolicySummary {
             policy: policy.to_owned(),
             days: days.len(),
             metrics: PolicyMetrics::of(days),
-            credit_difference: Statistics::over(&pairs, |(own, first)| own.credit - first.credit),
+            credit_difference: Statistics::of(&differences),
             violations: days.iter().map(|day| day.rules_broken).sum(),
             days_with_violations: days.iter().filter(|day| day.rules_broken > 0).count(),
             overload_failures: days.iter().map(|day| day.overloads).sum(),
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A recording depends on the delivery policy's public interface alone and on nothing that it keeps inside:
 //!
-//! - [`line`] has the typed lines and their text;
+//! - [`mod@line`] has the typed lines and their text;
 //! - [`recording`] writes them, in full or as digests of blocks;
 //! - [`recorded_policy`] records calls and commands on their way between host and policy;
 //! - [`streams`] plays random event streams at the delivery policy, without sockets and without the simulation;
--- a/crates/recorder/src/streams/mod.rs
+++ b/crates/recorder/src/streams/mod.rs
@@ -1,12 +1,12 @@
 //! Random event streams straight at the delivery policy. A stream depends on its seed and on the policy's commands,
 //! and on nothing else, so that the same policy gives the same recording.
 //!
-//! - [`setup`] draws the settings of a stream;
-//! - [`endpoint_set`] has the endpoints as discovery lists them, and how each of them responds;
-//! - [`messages`] draws messages, and the attempts that some had before a restart;
-//! - [`driver`] plays the steps: it is the host of the delivery policy, and the clients, destinations and discovery
-//!   around it; [`list_transfer`] is its part that passes endpoint lists;
-//! - [`rule_model`] checks the policy's commands against its rules.
+//! - `setup` draws the settings of a stream;
+//! - `endpoint_set` has the endpoints as discovery lists them, and how each of them responds;
+//! - `messages` draws messages, and the attempts that some had before a restart;
+//! - `driver` plays the steps: it is the host of the delivery policy, and the clients, destinations and discovery
+//!   around it; `list_transfer` is its part that passes endpoint lists;
+//! - `rule_model` checks the policy's commands against its rules.
 
 mod command_log;
 mod driver;
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -1,4 +1,4 @@
-//! What only the simulation can see of a run, kept beside the [`Report`](crate::Report) so that reports keep
+//! What only the simulation can see of a run, kept beside the [`Report`] so that reports keep
 //! their bytes: what cold endpoints were sent after each recovery, and what was sent to endpoints that were down.
 
 use std::time::Duration;
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -11,7 +11,7 @@
 use super::state::World;
 use crate::fault::Fault;
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
-use crate::invariants::{FinalAnswer, Rule};
+use crate::invariants::Rule;
 
 /// One command of a policy.
 enum HostCommand {
@@ -101,12 +101,12 @@
             }
             HostCommand::Reject { message, retry_after } => {
                 if let Some(message) = self.held_message(forwarder, &message) {
-                    self.answer_undelivered(message, FinalAnswer::Rejected, retry_after);
+                    self.reject_message(message, retry_after);
                 }
             }
             HostCommand::Fail { message } => {
                 if let Some(message) = self.held_message(forwarder, &message) {
-                    self.answer_undelivered(message, FinalAnswer::Failed, None);
+                    self.fail_message(message);
                 }
             }
             HostCommand::SetTimer { after } => self.schedule_timer(forwarder, after),
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -106,28 +106,33 @@
         self.finish_submission(submission);
     }
 
-    /// A forwarder gives a final answer without delivery.
-    pub(super) fn answer_undelivered(
-        &mut self,
-        message: MessageIndex,
-        answer: FinalAnswer,
-        retry_after: Option<Duration>,
-    ) {
+    /// A forwarder rejects a message, with a Retry-After for the client where it gives one.
+    pub(super) fn reject_message(&mut self, message: MessageIndex, retry_after: Option<Duration>) {
+        if !self.answer_undelivered(message, FinalAnswer::Rejected) {
+            return;
+        }
         let now = self.now();
-        self.invariants.message_answered(now, message, answer);
-        if self.messages[message.0].finished {
+        self.account.ends.rejected += 1;
+        self.account.second(now).rejected_messages += 1;
+        self.submission_rejected(self.messages[message.0].submission, retry_after);
+    }
+
+    /// A forwarder fails a message.
+    pub(super) fn fail_message(&mut self, message: MessageIndex) {
+        if !self.answer_undelivered(message, FinalAnswer::Failed) {
             return;
         }
+        let now = self.now();
+        self.account.ends.failed += 1;
+        self.account.second(now).failed += 1;
+        self.finish_submission(self.messages[message.0].submission);
+    }
+
+    /// A forwarder gives a final answer without delivery. Returns whether the message was still pending.
+    fn answer_undelivered(&mut self, message: MessageIndex, answer: FinalAnswer) -> bool {
+        self.invariants.message_answered(self.schedule.now(), message, answer);
+        let was_pending = !self.messages[message.0].finished;
         self.finish_message(message);
-        let submission = self.messages[message.0].submission;
-        if answer == FinalAnswer::Rejected {
-            self.account.ends.rejected += 1;
-            self.account.second(now).rejected_messages += 1;
-            self.submission_rejected(submission, retry_after);
-        } else {
-            self.account.ends.failed += 1;
-            self.account.second(now).failed += 1;
-            self.finish_submission(submission);
-        }
+        was_pending
     }
 }
