--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -33,7 +33,7 @@
         let error = |line, problem| ScenarioError { file: file.to_owned(), line, problem };
         let syntax_error = |fault: toml::de::Error| {
             let line = fault.span().map(|span| line_at(text, span.start));
-            error(line, ScenarioProblem::Syntax(one_line(fault.message())))
+            error(line, ScenarioProblem::Syntax(in_plain_words(fault.message())))
         };
         let scenario: Scenario = if overrides.is_empty() {
             toml::from_str(text).map_err(syntax_error)?
@@ -61,7 +61,7 @@
     let text = toml::to_string(&table).map_err(|error| ScenarioProblem::Syntax(error.to_string()))?;
     toml::from_str(&text).map_err(|error| {
         let paths: Vec<&str> = overrides.iter().map(|one| one.path.as_str()).collect();
-        ScenarioProblem::Overridden { paths: paths.join(", "), message: one_line(error.message()) }
+        ScenarioProblem::Overridden { paths: paths.join(", "), message: in_plain_words(error.message()) }
     })
 }
 
@@ -70,6 +70,12 @@
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
-fn one_line(message: &str) -> String {
-    message.trim().replace('\n', "; ")
+/// What the parser says, on one line, and without the names that the language has for types of numbers.
+fn in_plain_words(message: &str) -> String {
+    let message = message.trim().replace('\n', "; ");
+    match message.rsplit_once("expected ") {
+        Some((before, "u32" | "u64")) => format!("{before}expected a whole number from 0 up"),
+        Some((before, "f64")) => format!("{before}expected a number"),
+        _ => message,
+    }
 }
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -206,7 +206,9 @@
     for (from, to, line, told) in [
         ("lasts_s = 20", "lasts_s = 20\nlast = 1", 5, "last"),
         ("lasts_s = 20", "lasts_s = -1", 4, "expected seconds"),
-        ("lasts_s = 20", "lasts_s = \"long\"", 4, "f64"),
+        ("lasts_s = 20", "lasts_s = \"long\"", 4, "string \"long\", expected a number"),
+        ("slots = 100", "slots = \"many\"", 7, "string \"many\", expected a whole number"),
+        ("slots = 100", "slots = -1", 7, "`-1`, expected a whole number from 0 up"),
         ("version = 1", "version = 2", 2, "expected 1"),
         ("slots = 100", "slots = 0", 5, "expected 1 to"),
         ("queue_s = 2", "told_waits = 1.5", 37, "expected a number from 0 to 1"),
