--- a/crates/experiments/src/recorded_policy.rs
+++ b/crates/experiments/src/recorded_policy.rs
@@ -2,12 +2,10 @@
 
 use std::time::Duration;
 
-use reeddock::{
-    EndpointId, EndpointUpdate, FinishedAttempt, MessageId, PeerId, PolicyHost, PreviousAttempt, Settings,
-};
+use reeddock::{EndpointId, FinishedAttempt, MessageId, PeerId, PolicyHost, PreviousAttempt, Settings};
 use reeddock_recorder::line::PolicyCall;
 use reeddock_recorder::{RecordingHost, RecordingWriter};
-use reeddock_simulation::policy::{ListedEndpoint, Policy, Submission, WorldView};
+use reeddock_simulation::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 use reeddock_simulation::BuiltInPolicy;
 
 /// The delivery policy, with a line in a recording for each call into it and each command that it gives.
@@ -25,7 +23,7 @@
         writer: RecordingWriter,
     ) -> RecordedPolicy {
         writer.record(PolicyCall::Open { now, settings: &settings });
-        let mut recording_host = RecordingHost { writer: &writer, host };
+        let mut recording_host = RecordingHost::new(&writer, host);
         let policy = BuiltInPolicy::DeliveryPolicy.open(now, settings, &mut recording_host);
         RecordedPolicy { policy, writer }
     }
@@ -38,7 +36,7 @@
         call: impl FnOnce(&mut dyn Policy, &mut dyn PolicyHost),
     ) {
         self.writer.record(input);
-        call(self.policy.as_mut(), &mut RecordingHost { writer: &self.writer, host });
+        call(self.policy.as_mut(), &mut RecordingHost::new(&self.writer, host));
     }
 }
 
@@ -46,23 +44,15 @@
     fn update_endpoint_list(
         &mut self,
         now: Duration,
-        whole: bool,
-        entries: &[ListedEndpoint],
+        update: &EndpointListUpdate,
         host: &mut dyn PolicyHost,
     ) {
-        self.writer.record(PolicyCall::BeginEndpointList { whole });
-        for entry in entries {
-            self.writer.record(PolicyCall::UpdateEndpoint(&EndpointUpdate {
-                endpoint: entry.endpoint,
-                destination: entry.destination,
-                state: entry.state,
-                weight: entry.weight,
-                zone: &entry.zone,
-                kind: &entry.kind,
-            }));
+        self.writer.record(PolicyCall::BeginEndpointList { whole: update.complete });
+        for listed in &update.endpoints {
+            self.writer.record(PolicyCall::UpdateEndpoint(&listed.as_update()));
         }
         self.call(PolicyCall::FinishEndpointList, host, |policy, host| {
-            policy.update_endpoint_list(now, whole, entries, host)
+            policy.update_endpoint_list(now, update, host)
         });
     }
 
@@ -72,7 +62,7 @@
             id: &submission.id,
             class: &submission.class,
             tenant: Some(&submission.tenant),
-            key: submission.ordering_key,
+            ordering_key: submission.ordering_key,
             deadline: submission.deadline,
             destination: submission.destination,
         };
@@ -91,8 +81,8 @@
     }
 
     fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
-        let FinishedAttempt { message: id, number, outcome, message_finished: finished } = *ended;
-        let input = PolicyCall::AttemptFinished { now, id, number, outcome, finished };
+        let FinishedAttempt { message: id, number, outcome, message_finished } = *ended;
+        let input = PolicyCall::AttemptFinished { now, id, number, outcome, message_finished };
         self.call(input, host, |policy, host| policy.attempt_finished(now, ended, host));
     }
 
@@ -105,9 +95,9 @@
         self.policy.timer_fired(now);
     }
 
-    fn health_checked(&mut self, now: Duration, target: EndpointId, well: bool) {
-        self.writer.record(PolicyCall::HealthChecked { now, endpoint: target, well });
-        self.policy.health_checked(now, target, well);
+    fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool) {
+        self.writer.record(PolicyCall::HealthChecked { now, endpoint, healthy });
+        self.policy.health_checked(now, endpoint, healthy);
     }
 
     fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]) {
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -40,20 +40,20 @@
     }
 }
 
-/// One way to make a scenario smaller or plainer. Positions are those in the scenario that it was made for.
+/// One way to make a scenario smaller or simpler. Positions are those in the scenario that it was made for.
 #[derive(Clone, Copy, Debug)]
 enum Reduction {
     RemoveFault(usize),
     RemoveKind(usize),
-    RemoveCategory(usize),
+    RemoveClass(usize),
     RemoveProgram(usize),
-    /// Half the fleet and half of all else: each forwarder still sees what it saw.
+    /// Halves the fleet, the traffic and the destinations: each forwarder keeps its load.
     HalveFleetAndLoad,
     HalveFleet,
     HalveDestinations(usize),
     ReduceTraffic,
     Shorten,
-    /// One of the settings that make a scenario plainer where they are off.
+    /// Turns one setting off.
     Simplify(fn(&mut Scenario)),
 }
 
@@ -62,7 +62,7 @@
         match self {
             Reduction::RemoveFault(position) => drop(scenario.faults.remove(position)),
             Reduction::RemoveKind(position) => drop(scenario.kinds.remove(position)),
-            Reduction::RemoveCategory(position) => remove_class(scenario, position),
+            Reduction::RemoveClass(position) => remove_class(scenario, position),
             Reduction::RemoveProgram(position) => remove_program(scenario, position),
             Reduction::HalveFleetAndLoad => {
                 halve_fleet(scenario);
@@ -80,7 +80,7 @@
     }
 }
 
-/// Settings that make a scenario plainer where they are off.
+/// Settings that make a scenario simpler where they are off, each as the change that turns it off.
 const SIMPLIFICATIONS: [fn(&mut Scenario); 11] = [
     |scenario| scenario.traffic.clumped = Share::NONE,
     |scenario| scenario.traffic.skew = 0.0,
@@ -89,7 +89,7 @@
     |scenario| scenario.programs.iter_mut().for_each(|program| program.withdraws_after_s = None),
     |scenario| scenario.programs.iter_mut().for_each(|program| program.max_resubmissions = 0),
     |scenario| scenario.programs.iter_mut().for_each(|program| program.quota_per_s = None),
-    |scenario| scenario.classes.iter_mut().for_each(|category| category.ordered_keys = None),
+    |scenario| scenario.classes.iter_mut().for_each(|class| class.ordered_keys = None),
     |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.rejected_use_up_limit = false),
     |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.max_connections = None),
     |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.max_batch = 1),
@@ -134,7 +134,7 @@
     let mut reductions = Vec::new();
     reductions.extend((0..scenario.faults.len()).map(Reduction::RemoveFault));
     reductions.extend(removable(scenario.kinds.len()).take(MAX_KINDS_REMOVED).map(Reduction::RemoveKind));
-    reductions.extend(removable(scenario.classes.len()).map(Reduction::RemoveCategory));
+    reductions.extend(removable(scenario.classes.len()).map(Reduction::RemoveClass));
     reductions.extend(removable(scenario.programs.len()).map(Reduction::RemoveProgram));
     if scenario.fleet.forwarders > 1 {
         reductions.extend([Reduction::HalveFleetAndLoad, Reduction::HalveFleet]);
--- a/crates/simulation/src/account/keeper.rs
+++ b/crates/simulation/src/account/keeper.rs
@@ -1,4 +1,4 @@
-//! The account of a run.
+//! The account of a run: credit by class, program, destination and second, latencies, and the work of endpoints.
 
 use std::time::Duration;
 
@@ -7,6 +7,7 @@
 use super::counts::{AttemptCounts, Credit, Ends, Load, Second};
 use super::quota::QuotaBucket;
 use crate::ids::{DestinationIndex, SubmissionIndex};
+use crate::report::LatencyStep;
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
 
 /// Destinations whose seconds are kept: the ones with most traffic.
@@ -17,7 +18,7 @@
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 2;
 
-/// What a run has earned and spent so far.
+/// What a run has earned so far, and what it took.
 pub(crate) struct Account {
     submissions: Vec<AccountedSubmission>,
     classes: Vec<Credit>,
@@ -47,6 +48,17 @@
     quotas: Vec<QuotaBucket>,
 }
 
+/// A message that a client wants delivered, as the account needs to know it.
+pub(crate) struct NewSubmission {
+    /// Time of its first submission.
+    pub(crate) submitted_at: Duration,
+    /// Index of its class in the scenario.
+    pub(crate) class: usize,
+    /// Index of its program in the scenario.
+    pub(crate) program: usize,
+    pub(crate) destination: DestinationIndex,
+}
+
 /// The credit of one submission.
 struct AccountedSubmission {
     class: usize,
@@ -91,7 +103,7 @@
         &mut self.seconds[index]
     }
 
-    /// What a destination meets in the second of a time; absent where it is not watched.
+    /// The load of a destination in the second of a time; absent where the destination is not watched.
     pub(crate) fn load(&mut self, destination: DestinationIndex, at: Duration) -> Option<&mut Load> {
         let loads = self.loads.get_mut(destination.0)?;
         let index = at.as_secs() as usize;
@@ -102,29 +114,23 @@
     }
 
     /// A client wants a message delivered; submissions are numbered in this order.
-    pub(crate) fn submitted(
-        &mut self,
-        scenario: &Scenario,
-        now: Duration,
-        class: usize,
-        program: usize,
-        destination: DestinationIndex,
-    ) {
+    pub(crate) fn submitted(&mut self, scenario: &Scenario, submission: NewSubmission) {
+        let NewSubmission { submitted_at, class, program, destination } = submission;
         let mut weight = scenario.classes[class].priority_weight.get();
         if let Some(quota) = scenario.programs[program].quota_per_s {
-            if !self.quotas[program].take(now, quota.get()) {
+            if !self.quotas[program].take(submitted_at, quota.get()) {
                 weight *= OVER_QUOTA_WEIGHT;
             }
         }
         self.classes[class].ask(weight);
         self.programs[program].ask(weight);
         self.destinations[destination.0].ask(weight);
-        self.second(now).credit.ask(weight);
+        self.second(submitted_at).credit.ask(weight);
         self.submissions.push(AccountedSubmission {
             class,
             program,
             destination,
-            submitted_at: now,
+            submitted_at,
             weight,
             completed: false,
             met_outage: false,
@@ -169,18 +175,22 @@
         }
     }
 
+    /// Number of submissions.
     pub(crate) fn submission_count(&self) -> usize {
         self.submissions.len()
     }
 
+    /// Credit of a class, by its index in the scenario.
     pub(crate) fn class(&self, index: usize) -> Credit {
         self.classes[index]
     }
 
+    /// Credit of a program, by its index in the scenario.
     pub(crate) fn program(&self, index: usize) -> Credit {
         self.programs[index]
     }
 
+    /// Credit of a destination, by its rank.
     pub(crate) fn destination(&self, index: usize) -> Credit {
         self.destinations[index]
     }
@@ -194,7 +204,7 @@
         total
     }
 
-    /// Least share of credit over so many seconds in a row.
+    /// Least share of credit in any window of this many seconds.
     pub(crate) fn worst_share_over(&self, seconds: usize) -> f64 {
         let last_asked = self.seconds.iter().rposition(|second| second.credit.asked > 0.0);
         let asked = last_asked.map_or(0, |index| index + 1);
@@ -214,13 +224,16 @@
         &self.latency
     }
 
-    /// Upper end of each step of latencies in milliseconds, with its count.
-    pub(crate) fn latency_steps(&self) -> Vec<(u64, u64)> {
+    /// The latencies as a histogram, without its empty steps.
+    pub(crate) fn latency_steps(&self) -> Vec<LatencyStep> {
         let recorded = self.latency.iter_recorded();
-        recorded.map(|value| (value.value_iterated_to(), value.count_at_value())).collect()
+        recorded
+            .map(|value| LatencyStep { up_to_ms: value.value_iterated_to(), count: value.count_at_value() })
+            .collect()
     }
 }
 
+/// An empty histogram of latencies in milliseconds.
 fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_DIGITS).unwrap_or_else(|_| {
         Histogram::new(LATENCY_DIGITS).expect("two digits are within what the histogram keeps")
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Source of random numbers of a simulated world. Each use has a stream of its own, so that one more draw in one
-/// place leaves the others as they were and two policies meet the same arrivals.
+/// place leaves the others as they were and two policies get the same arrivals.
 pub type RandomSource = rand_pcg::Pcg64;
 
 /// The longest span that a scenario may name, in seconds: a day.
@@ -39,7 +39,7 @@
     Span(f64),
     /// Parameters of a [`Distribution`] that are out of range.
     #[error(
-        "figure out of range: expected numbers from 0 up, uniform = [low, high], a mean or median over 0, \
+        "distribution out of range: expected numbers from 0 up, uniform = [low, high], a mean or median over 0, \
          sigma 3 at most"
     )]
     Distribution,
@@ -182,7 +182,11 @@
 
 /// A distribution to draw from.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
+#[serde(
+    rename_all = "snake_case",
+    deny_unknown_fields,
+    expecting = "a table of the distribution's parameters"
+)]
 pub enum RandomDistribution {
     /// Evenly between two values.
     Uniform([f64; 2]),
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -4,12 +4,23 @@
 
 use reeddock::{AttemptOutcome, EndpointState, Idempotency};
 
-use super::checker::InvariantChecker;
+use super::checker::{InvariantChecker, RetryAfterId};
 use super::history::{AttemptHistory, MessageHistory, ReportedOutcome};
+use super::text::StateText;
 use super::violation::RetryAfterScope;
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
 use crate::rule::Rule;
 
+/// An attempt and how it ended.
+pub(crate) struct EndedAttempt {
+    pub(crate) message: MessageIndex,
+    /// Number of the attempt within its message.
+    pub(crate) number: usize,
+    pub(crate) outcome: AttemptOutcome,
+    /// What a Retry-After in the outcome holds for.
+    pub(crate) scope: RetryAfterScope,
+}
+
 /// A rule that an attempt breaks, and how.
 struct BrokenRule {
     rule: Rule,
@@ -49,7 +60,7 @@
     /// An attempt that may have its effect a second time.
     fn repeats_effect(&self, now: Duration, history: &MessageHistory) -> Option<BrokenRule> {
         let first = history.first_possible_execution()?;
-        match self.classes[history.message.class].idempotency {
+        match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => {
                 let what = "effectful, sent again though it may have run";
@@ -74,11 +85,11 @@
             let what = format!("target {} was in none of its lists", endpoint.0);
             return Some(BrokenRule::new(Rule::Drains, what));
         };
-        if listed.state == EndpointState::Active || now <= listed.since + self.drain_grace {
+        if listed.state == EndpointState::Active || now <= listed.since + self.fleet.drain_grace {
             return None;
         }
         let since = listed.since.as_secs_f64();
-        let what = format!("target {} is {:?}, told at {since:.6}", endpoint.0, listed.state);
+        let what = format!("target {} is {}, told at {since:.6}", endpoint.0, StateText(listed.state));
         Some(BrokenRule::new(Rule::Drains, what))
     }
 
@@ -89,26 +100,21 @@
         forwarder: ForwarderIndex,
         scope: RetryAfterScope,
     ) -> Option<BrokenRule> {
-        let until = self.retry_after.get(&(forwarder, scope)).filter(|until| now < **until)?;
+        let until = self.retry_after.get(&RetryAfterId { forwarder, scope }).filter(|until| now < **until)?;
         let what = format!("{scope} asked it to wait until {:.6}", until.as_secs_f64());
-        Some(BrokenRule::new(Rule::Waits, what))
+        Some(BrokenRule::new(Rule::RetryAfterHonored, what))
     }
 
     /// An attempt has ended, and its forwarder learns of it now.
-    pub(crate) fn attempt_finished(
-        &mut self,
-        now: Duration,
-        message: MessageIndex,
-        number: usize,
-        outcome: AttemptOutcome,
-        scope: RetryAfterScope,
-    ) {
+    pub(crate) fn attempt_finished(&mut self, now: Duration, ended: EndedAttempt) {
+        let EndedAttempt { message, number, outcome, scope } = ended;
         let history = &mut self.histories[message.0];
         if let Some(attempt) = history.attempts.get_mut(number) {
             attempt.ended = Some(ReportedOutcome { outcome, at: now });
         }
         if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
-            let until = self.retry_after.entry((history.message.forwarder, scope)).or_default();
+            let received = RetryAfterId { forwarder: history.message.forwarder, scope };
+            let until = self.retry_after.entry(received).or_default();
             *until = (*until).max(now + wait);
         }
     }
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -8,9 +8,11 @@
 mod endpoints;
 mod history;
 mod ordering;
+mod text;
 mod violation;
 
-pub use checker::{ClassRules, InvariantChecker, Violations};
+pub(crate) use attempts::EndedAttempt;
+pub use checker::{ClassRules, FleetRules, InvariantChecker, Violations};
 pub use history::{proves_not_executed, AcceptedMessage, FinalAnswer};
 pub use violation::{RetryAfterScope, Violation};
 
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -1,16 +1,14 @@
-//! What forwarders could report to each other of destinations that are down: the same circuit breaker, fed by each
-//! forwarder alone or by all. A baseline that shows what sharing is worth; nothing of it reaches the daemon.
+//! A baseline whose circuit breakers are fed by what its own forwarder sees, or by what all forwarders report to each
+//! other. It measures what sharing would bring; the daemon does not use it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use rand::RngExt;
 use reeddock::{AttemptOutcome, EndpointId, Settings};
 
 use super::baseline_host::BaselineHost;
-use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView};
-use super::baselines::backoff;
+use super::baseline_policy::{any_endpoint, backoff, BaselinePolicy, PendingMessage, SelectionView};
 use crate::distribution::RandomSource;
 use crate::policy::Policy;
 
@@ -18,9 +16,9 @@
 const FAILURES_TO_OPEN: usize = 3;
 /// From a failure or a half-open trial to the next trial.
 const RECOVERY_DELAY: Duration = Duration::from_secs(5);
-/// Failures count together for so long.
+/// Window in which failures count together.
 const FAILURE_WINDOW: Duration = Duration::from_secs(50);
-/// A circuit that can no longer matter is dropped after so much longer.
+/// Time for which a circuit is kept beyond the time in which it can matter.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(5);
 /// Events kept for each endpoint.
 const MAX_KEPT_EVENTS: usize = 64;
@@ -34,10 +32,14 @@
     TrialStarted,
 }
 
+/// A forwarder that takes part in an exchange.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberId(usize);
+
 /// An event, and which member reported it.
 struct ReportedEvent {
     at: Duration,
-    member: usize,
+    member: MemberId,
     event: CircuitEvent,
 }
 
@@ -46,13 +48,13 @@
 pub enum CircuitAdmission {
     /// The circuit is closed.
     Admit,
-    /// The circuit is half-open: one attempt may try.
+    /// The circuit is half-open: one attempt may be sent as a trial.
     HalfOpenTrial,
     /// The circuit is open.
     Wait,
 }
 
-/// A circuit as it follows from the events that have reached a member.
+/// The circuit of an endpoint, computed from the events that have reached a member.
 #[derive(Default)]
 struct Circuit {
     /// Failures within the window.
@@ -100,7 +102,7 @@
     }
 }
 
-/// The events that all members have reported, and how long they take from one to another.
+/// What members report to each other of the circuits of endpoints, with a delay.
 pub struct CircuitExchange {
     delay: Duration,
     members: usize,
@@ -113,14 +115,15 @@
         CircuitExchange { delay, members: 0, events: BTreeMap::new() }
     }
 
-    /// Adds a member and gives its number.
-    pub fn join(&mut self) -> usize {
+    /// Adds a member.
+    pub fn join(&mut self) -> MemberId {
+        let member = MemberId(self.members);
         self.members += 1;
-        self.members - 1
+        member
     }
 
     /// What the circuit of an endpoint says at one member, by the events that have reached it.
-    pub fn admission(&self, endpoint: EndpointId, now: Duration, member: usize) -> CircuitAdmission {
+    pub fn admission(&self, endpoint: EndpointId, now: Duration, member: MemberId) -> CircuitAdmission {
         let Some(events) = self.events.get(&endpoint) else { return CircuitAdmission::Admit };
         let mut circuit = Circuit::default();
         for reported in events.iter().filter(|e| e.member == member || e.at + self.delay <= now) {
@@ -129,9 +132,9 @@
         circuit.admission(now)
     }
 
-    /// A member starts a half-open trial.
-    pub fn trial_started(&mut self, endpoint: EndpointId, now: Duration, member: usize) {
-        self.report(endpoint, now, member, CircuitEvent::TrialStarted);
+    /// A member has started a half-open trial.
+    pub fn trial_started(&mut self, endpoint: EndpointId, now: Duration, member: MemberId) {
+        self.report(endpoint, ReportedEvent { at: now, member, event: CircuitEvent::TrialStarted });
     }
 
     /// An attempt has ended at one member.
@@ -139,29 +142,30 @@
         &mut self,
         endpoint: EndpointId,
         now: Duration,
-        member: usize,
+        member: MemberId,
         outcome: AttemptOutcome,
     ) {
-        match outcome {
-            AttemptOutcome::Completed => self.report(endpoint, now, member, CircuitEvent::Succeeded),
+        let event = match outcome {
+            AttemptOutcome::Completed => CircuitEvent::Succeeded,
             AttemptOutcome::Error
             | AttemptOutcome::TimedOut
             | AttemptOutcome::ConnectionReset
-            | AttemptOutcome::NoConnection => self.report(endpoint, now, member, CircuitEvent::Failed),
+            | AttemptOutcome::NoConnection => CircuitEvent::Failed,
             AttemptOutcome::Rejected { .. }
             | AttemptOutcome::Cancelled
             | AttemptOutcome::NotSent
-            | AttemptOutcome::Malformed => {}
-        }
+            | AttemptOutcome::Malformed => return,
+        };
+        self.report(endpoint, ReportedEvent { at: now, member, event });
     }
 
-    fn report(&mut self, endpoint: EndpointId, at: Duration, member: usize, event: CircuitEvent) {
+    fn report(&mut self, endpoint: EndpointId, reported: ReportedEvent) {
         let events = self.events.entry(endpoint).or_default();
-        // Nothing is known against the endpoint, so that a success changes nothing.
-        if event == CircuitEvent::Succeeded && events.is_empty() {
+        // A success changes nothing where no failure is known.
+        if reported.event == CircuitEvent::Succeeded && events.is_empty() {
             return;
         }
-        events.push_back(ReportedEvent { at, member, event });
+        events.push_back(reported);
         if events.len() > MAX_KEPT_EVENTS {
             events.pop_front();
         }
@@ -178,7 +182,7 @@
     Box::new(BaselineHost::new(settings, SharingBreaker { exchange: exchange.clone(), member }))
 }
 
-/// A panic elsewhere leaves events that are still whole.
+/// Locks the exchange. It stays sound when another thread panics, as each event is added whole.
 fn locked(exchange: &SharedExchange) -> MutexGuard<'_, CircuitExchange> {
     exchange.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -186,7 +190,7 @@
 /// Any endpoint whose circuit is closed, else a half-open trial; retries with backoff.
 struct SharingBreaker {
     exchange: SharedExchange,
-    member: usize,
+    member: MemberId,
 }
 
 impl BaselinePolicy for SharingBreaker {
@@ -202,8 +206,8 @@
             .filter(|endpoint| admission(endpoint) == CircuitAdmission::Admit)
             .copied()
             .collect();
-        if !closed.is_empty() {
-            return Some(closed[random.random_range(0..closed.len())]);
+        if let Some(endpoint) = any_endpoint(&closed, random) {
+            return Some(endpoint);
         }
         let is_half_open = |endpoint: &&EndpointId| admission(endpoint) == CircuitAdmission::HalfOpenTrial;
         let trial = view.candidates.iter().find(is_half_open).copied()?;
--- a/crates/simulation/src/scenario/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -7,7 +7,7 @@
 
 /// A kind of destinations, which are drawn alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Kind")]
+#[serde(deny_unknown_fields, expecting = "a table of a kind of destinations")]
 pub struct DestinationKind {
     /// Name in settings, endpoint lists and reports.
     pub name: String,
@@ -67,7 +67,7 @@
     /// Token bucket that holds half a second's requests.
     #[serde(rename = "rate")]
     TokenBucket,
-    /// A count in each window of so many seconds.
+    /// A count in each window of this length.
     #[serde(rename = "span")]
     FixedWindow(Span),
 }
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -4,7 +4,7 @@
 
 use super::error::{ScenarioError, ScenarioProblem};
 use super::model::Scenario;
-use super::overrides::apply_override;
+use super::overrides::{apply_override, ValueOverride};
 use super::validation::validate;
 
 impl Scenario {
@@ -24,17 +24,16 @@
         }
     }
 
-    /// Reads a scenario's text, with single values put in the place of those that stand there: each a path
-    /// of keys and numbers joined by dots, and a value as TOML has it.
+    /// Reads a scenario's text, with single values put in the place of those that stand there.
     ///
     /// # Errors
     ///
     /// Text that is no TOML, unknown keys, and values that are out of range or contradict each other.
-    pub fn parse(file: &str, text: &str, overrides: &[(String, String)]) -> Result<Scenario, ScenarioError> {
+    pub fn parse(file: &str, text: &str, overrides: &[ValueOverride]) -> Result<Scenario, ScenarioError> {
         let error = |line, problem| ScenarioError { file: file.to_owned(), line, problem };
         let syntax_error = |fault: toml::de::Error| {
             let line = fault.span().map(|span| line_at(text, span.start));
-            error(line, ScenarioProblem::Syntax(one_line(fault.message())))
+            error(line, ScenarioProblem::Syntax(in_plain_words(fault.message())))
         };
         let scenario: Scenario = if overrides.is_empty() {
             toml::from_str(text).map_err(syntax_error)?
@@ -54,15 +53,15 @@
 
 fn parse_with_overrides(
     mut table: toml::Table,
-    overrides: &[(String, String)],
+    overrides: &[ValueOverride],
 ) -> Result<Scenario, ScenarioProblem> {
-    for (path, value) in overrides {
-        apply_override(&mut table, path, value)?;
+    for one in overrides {
+        apply_override(&mut table, one)?;
     }
     let text = toml::to_string(&table).map_err(|error| ScenarioProblem::Syntax(error.to_string()))?;
     toml::from_str(&text).map_err(|error| {
-        let paths: Vec<&str> = overrides.iter().map(|(path, _)| path.as_str()).collect();
-        ScenarioProblem::Overridden { paths: paths.join(", "), message: one_line(error.message()) }
+        let paths: Vec<&str> = overrides.iter().map(|one| one.path.as_str()).collect();
+        ScenarioProblem::Overridden { paths: paths.join(", "), message: in_plain_words(error.message()) }
     })
 }
 
@@ -71,6 +70,12 @@
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
-fn one_line(message: &str) -> String {
-    message.trim().replace('\n', "; ")
+/// What the parser says, on one line, and without the names that the language has for types of numbers.
+fn in_plain_words(message: &str) -> String {
+    let message = message.trim().replace('\n', "; ");
+    match message.rsplit_once("expected ") {
+        Some((before, "u32" | "u64")) => format!("{before}expected a whole number from 0 up"),
+        Some((before, "f64")) => format!("{before}expected a number"),
+        _ => message,
+    }
 }
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -7,13 +7,13 @@
 use crate::fault::Fault;
 use crate::ids::EndpointIndex;
 use crate::random_streams::RandomStream;
-use crate::simulated_endpoint::SimulatedEndpoint;
+use crate::simulated_endpoint::{OutageCause, SimulatedEndpoint};
 
 impl World<'_> {
     /// A fault starts, by its place in the scenario.
     pub(super) fn start_fault(&mut self, index: usize) {
         let fault = self.fault(index);
-        // A stream of its own: one fault more or less leaves the others where they were.
+        // A stream of its own: one fault more or less does not change what the others strike.
         let mut random = RandomStream::Fault(index).open(self.seed);
         let selector = fault.endpoint_selector();
         let struck =
@@ -47,7 +47,7 @@
         for endpoint in &struck {
             self.endpoints[endpoint.0].active_faults.retain(|active| *active != index);
             if fault.is_outage() {
-                self.end_outage(*endpoint, false);
+                self.end_outage(*endpoint, OutageCause::Fault);
             }
         }
         match fault {
@@ -57,8 +57,8 @@
                 self.list_endpoints_as(&struck, EndpointState::Removed);
             }
             Fault::ListFrozen {} => {
-                for (forwarder, changes) in std::mem::take(&mut self.frozen_list_changes) {
-                    self.deliver_list_changes(forwarder, changes);
+                for frozen in std::mem::take(&mut self.frozen_list_changes) {
+                    self.deliver_list_changes(frozen.forwarder, frozen.changes);
                 }
             }
             Fault::ForwardersKilled { forwarders } => {
@@ -72,12 +72,14 @@
         }
     }
 
+    /// Gives endpoints a state on the endpoint list.
     fn list_endpoints_as(&mut self, endpoints: &[EndpointIndex], state: EndpointState) {
         let changes: Vec<ListChange> =
             endpoints.iter().map(|endpoint| ListChange { endpoint: *endpoint, state }).collect();
         self.change_endpoint_list(&changes);
     }
 
+    /// An endpoint is gone for good.
     fn remove_endpoint(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].removed = true;
         self.reset_connections(endpoint);
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -11,12 +11,12 @@
 use super::event::{Event, ForwarderInput, ListChange};
 use super::external_ids::{destination_id, endpoint_id};
 use super::records::{AttemptEnd, AttemptRecord};
-use super::state::World;
+use super::state::{FrozenListChanges, World};
 use super::true_state::TrueState;
 use crate::fault::Fault;
 use crate::ids::{EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex};
-use crate::invariants::proves_not_executed;
-use crate::policy::{ListedEndpoint, Policy, Submission};
+use crate::invariants::{proves_not_executed, EndedAttempt};
+use crate::policy::{EndpointListUpdate, ListedEndpoint, Policy, Submission};
 use crate::scenario::{zone_name, ListWeights};
 
 impl World<'_> {
@@ -49,9 +49,10 @@
         }
         for index in 0..self.forwarders.len() {
             let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
-            let at = (self.now() + delay).max(self.forwarders[index].list_told_until);
-            self.forwarders[index].list_told_until = at;
-            self.schedule.schedule(at, Event::ListChanged(ForwarderIndex(index), changes.to_vec()));
+            let at = (self.now() + delay).max(self.forwarders[index].last_list_change_at);
+            self.forwarders[index].last_list_change_at = at;
+            let (forwarder, changes) = (ForwarderIndex(index), changes.to_vec());
+            self.schedule.schedule(at, Event::ListChanged { forwarder, changes });
         }
     }
 
@@ -59,7 +60,7 @@
     pub(super) fn deliver_list_changes(&mut self, forwarder: ForwarderIndex, changes: Vec<ListChange>) {
         let freezes = |index: &usize| matches!(self.fault(*index), Fault::ListFrozen {});
         if self.active_faults.keys().any(freezes) {
-            self.frozen_list_changes.push((forwarder, changes));
+            self.frozen_list_changes.push(FrozenListChanges { forwarder, changes });
             return;
         }
         let incarnation = self.incarnation_of(forwarder);
@@ -89,6 +90,7 @@
         self.execute(index, commands);
     }
 
+    /// Passes one input to the policy.
     fn handle_input(
         &mut self,
         forwarder: ForwarderIndex,
@@ -99,8 +101,8 @@
         let now = self.now();
         match input {
             ForwarderInput::EndpointList { complete, changes } => {
-                let endpoints = self.read_endpoint_list(forwarder, complete, &changes);
-                policy.update_endpoint_list(now, complete, &endpoints, host);
+                let update = self.read_endpoint_list(forwarder, complete, &changes);
+                policy.update_endpoint_list(now, &update, host);
             }
             ForwarderInput::Submitted(message) => policy.submit(now, &self.submission_of(message), host),
             ForwarderInput::Restored(message) => {
@@ -134,13 +136,13 @@
         }
     }
 
-    /// Reports to the checks what a forwarder reads, and gives the entries as the policy gets them.
+    /// Reports to the invariants what a forwarder reads of the endpoint list, and gives it as the policy gets it.
     fn read_endpoint_list(
         &mut self,
         forwarder: ForwarderIndex,
         complete: bool,
         changes: &[ListChange],
-    ) -> Vec<ListedEndpoint> {
+    ) -> EndpointListUpdate {
         let now = self.now();
         if complete {
             // What a complete list does not name is removed.
@@ -153,9 +155,11 @@
         for change in changes {
             self.invariants.endpoint_listed(now, forwarder, change.endpoint, change.state);
         }
-        changes.iter().map(|change| self.listed_endpoint(*change)).collect()
+        let endpoints = changes.iter().map(|change| self.listed_endpoint(*change)).collect();
+        EndpointListUpdate { complete, endpoints }
     }
 
+    /// An entry of the endpoint list as forwarders read it.
     fn listed_endpoint(&self, change: ListChange) -> ListedEndpoint {
         let plan = &self.endpoints[change.endpoint.0].plan;
         let lists_rates = self.scenario.endpoint_list.weights == ListWeights::Rates;
@@ -169,6 +173,7 @@
         }
     }
 
+    /// A message as its forwarder passes it to the policy.
     fn submission_of(&self, message: MessageIndex) -> Submission {
         let record = &self.messages[message.0];
         let submission = &self.submissions[record.submission.0];
@@ -196,7 +201,8 @@
     fn report_attempt_end(&mut self, forwarder: ForwarderIndex, end: AttemptEnd) {
         let AttemptEnd { attempt, outcome, scope, .. } = end;
         let now = self.now();
-        self.invariants.attempt_finished(now, attempt.message, attempt.number, outcome, scope);
+        let ended = EndedAttempt { message: attempt.message, number: attempt.number, outcome, scope };
+        self.invariants.attempt_finished(now, ended);
         let attempts = &mut self.messages[attempt.message.0].attempts;
         let Some(record) = attempts.get_mut(attempt.number) else { return };
         record.reported = true;
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -38,6 +38,7 @@
         self.deliver(owner, ForwarderInput::Submitted(message));
     }
 
+    /// Schedules the withdrawal of a message, where clients of its program withdraw.
     fn schedule_withdrawal(&mut self, message: MessageIndex, program: usize) {
         if let Some(delay) = self.scenario.programs[program].withdraws_after_s {
             let at = self.now() + delay.span(&mut self.random.clients);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Looks whether a message has its final answer once the time for that is past.
+    /// Schedules the check that a message has its final answer.
     pub(super) fn schedule_answer_check(&mut self, message: MessageIndex) {
         let fleet = &self.scenario.fleet;
         let slack = fleet.answer_slack.0 + 2 * fleet.tick.0;
@@ -53,6 +54,7 @@
         self.schedule.schedule(at, Event::AnswerDue(message));
     }
 
+    /// Checks that a message has its final answer, now that the time for it has passed.
     pub(super) fn check_answer(&mut self, message: MessageIndex) {
         // A forwarder that is down answers for what its write-ahead log holds once it runs again.
         let now = self.now();
@@ -61,6 +63,7 @@
         }
     }
 
+    /// A client withdraws a message.
     pub(super) fn withdraw(&mut self, message: MessageIndex) {
         // A forwarder that is down learns nothing, and goes on with what its write-ahead log holds.
         if self.is_pending_at_running_forwarder(message) {
@@ -103,28 +106,33 @@
         self.finish_submission(submission);
     }
 
-    /// A forwarder gives a final answer without delivery.
-    pub(super) fn answer_undelivered(
-        &mut self,
-        message: MessageIndex,
-        answer: FinalAnswer,
-        retry_after: Option<Duration>,
-    ) {
+    /// A forwarder rejects a message, with a Retry-After for the client where it gives one.
+    pub(super) fn reject_message(&mut self, message: MessageIndex, retry_after: Option<Duration>) {
+        if !self.answer_undelivered(message, FinalAnswer::Rejected) {
+            return;
+        }
         let now = self.now();
-        self.invariants.message_answered(now, message, answer);
-        if self.messages[message.0].finished {
+        self.account.ends.rejected += 1;
+        self.account.second(now).rejected_messages += 1;
+        self.submission_rejected(self.messages[message.0].submission, retry_after);
+    }
+
+    /// A forwarder fails a message.
+    pub(super) fn fail_message(&mut self, message: MessageIndex) {
+        if !self.answer_undelivered(message, FinalAnswer::Failed) {
             return;
         }
+        let now = self.now();
+        self.account.ends.failed += 1;
+        self.account.second(now).failed += 1;
+        self.finish_submission(self.messages[message.0].submission);
+    }
+
+    /// A forwarder gives a final answer without delivery. Returns whether the message was still pending.
+    fn answer_undelivered(&mut self, message: MessageIndex, answer: FinalAnswer) -> bool {
+        self.invariants.message_answered(self.schedule.now(), message, answer);
+        let was_pending = !self.messages[message.0].finished;
         self.finish_message(message);
-        let submission = self.messages[message.0].submission;
-        if answer == FinalAnswer::Rejected {
-            self.account.ends.rejected += 1;
-            self.account.second(now).rejected_messages += 1;
-            self.submission_rejected(submission, retry_after);
-        } else {
-            self.account.ends.failed += 1;
-            self.account.second(now).failed += 1;
-            self.finish_submission(submission);
-        }
+        was_pending
     }
 }
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -6,7 +6,7 @@
 use crate::observed::Ramp;
 use crate::received_work::ReceivedWork;
 use crate::report::rounded;
-use crate::simulated_endpoint::{overload_budget, Overload};
+use crate::simulated_endpoint::{overload_budget, OutageCause, Overload};
 
 impl World<'_> {
     /// Whether no endpoint of a destination is up now.
@@ -18,6 +18,7 @@
         })
     }
 
+    /// An outage starts; outages of one endpoint may overlap.
     pub(super) fn start_outage(&mut self, endpoint: EndpointIndex) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
@@ -28,18 +29,19 @@
         }
     }
 
-    pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, was_overload: bool) {
+    /// An outage ends; the endpoint recovers with its last one.
+    pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, cause: OutageCause) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
         state.active_outages = state.active_outages.saturating_sub(1);
         if state.active_outages == 0 {
-            state.recover(now, was_overload);
+            state.recover(now, cause);
             let since = state.down_since.take().unwrap_or(now);
             self.sent_to_down.endpoint_seconds += now.saturating_sub(since).as_secs_f64();
         }
     }
 
-    /// An endpoint has been sent this much; where it is cold that may overload it.
+    /// Work arrives at an endpoint; where it is cold, that may overload it.
     pub(super) fn receive_work(&mut self, endpoint: EndpointIndex, amount: f64, sender: ForwarderIndex) {
         let now = self.now();
         let settings = &self.scenario.recovery;
@@ -55,12 +57,13 @@
         self.reset_connections(endpoint);
     }
 
+    /// An endpoint that was overloaded is up again.
     pub(super) fn end_overload(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].overloaded_until = None;
-        self.end_outage(endpoint, true);
+        self.end_outage(endpoint, OutageCause::Overload);
     }
 
-    /// All that is at an endpoint or tied to it by a connection is lost.
+    /// Resets all connections to an endpoint: their senders learn of it, and their requests are lost.
     pub(super) fn reset_connections(&mut self, endpoint: EndpointIndex) {
         for request in self.endpoints[endpoint.0].reset_connections() {
             self.return_reset(request);
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -10,6 +10,7 @@
 use crate::ids::{DestinationIndex, ForwarderIndex};
 use crate::observed::ObservedRun;
 use crate::report::Report;
+use crate::schedule::ScheduledEvent;
 
 /// From one sample of the capacity to the next.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
@@ -21,16 +22,17 @@
         self.report()
     }
 
-    /// The same, and gives what only the simulation can see.
+    /// Plays until every submission has its end, and gives what only the simulation can see, too.
     pub(crate) fn play_observed(mut self) -> ObservedRun {
         self.play_events();
         let observed = self.observed();
         ObservedRun { report: self.report(), observed }
     }
 
+    /// Handles all events up to the end of the run.
     fn play_events(&mut self) {
         self.schedule_first_events();
-        while let Some((at, event)) = self.schedule.pop() {
+        while let Some(ScheduledEvent { at, event }) = self.schedule.pop() {
             let all_arrived = self.programs_done == self.scenario.programs.len();
             if all_arrived && self.open_submissions == 0 && at >= self.scenario.duration.0 {
                 break;
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Starts all forwarders, and schedules arrivals, faults and samples.
     fn schedule_first_events(&mut self) {
         for forwarder in 0..self.forwarders.len() {
             self.start_forwarder(ForwarderIndex(forwarder));
@@ -54,6 +57,7 @@
         self.schedule.schedule(Duration::ZERO, Event::CapacitySample);
     }
 
+    /// Handles one event.
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival { program } => self.messages_arrive(program),
@@ -61,14 +65,14 @@
             Event::Withdrawal(message) => self.withdraw(message),
             Event::AnswerDue(message) => self.check_answer(message),
             Event::PolicyRun(forwarder) => self.run_policy(forwarder),
-            Event::Input(forwarder, input) => self.deliver(forwarder, input),
-            Event::ListChanged(forwarder, changes) => self.deliver_list_changes(forwarder, changes),
+            Event::Input { to, input } => self.deliver(to, input),
+            Event::ListChanged { forwarder, changes } => self.deliver_list_changes(forwarder, changes),
             Event::RequestArrives(request) => self.request_arrives(request),
             Event::NotConnected(request) => self.finish_request(request, AttemptOutcome::NoConnection),
             Event::Served { endpoint, incarnation, request } => {
                 self.request_served(endpoint, incarnation, request);
             }
-            Event::ResponseArrives(request, outcome) => self.finish_request(request, outcome),
+            Event::ResponseArrives { request, outcome } => self.finish_request(request, outcome),
             Event::TimedOut(position) => self.stop_waiting(position, AttemptOutcome::TimedOut),
             Event::HealthCheckArrives { from, endpoint } => self.health_check_arrives(from, endpoint),
             Event::FaultStarts(index) => self.start_fault(index),
@@ -78,6 +82,7 @@
         }
     }
 
+    /// Records what the watched destinations could serve now.
     fn sample_capacity(&mut self) {
         let now = self.now();
         let destinations = self.layout.destinations.len();
@@ -92,10 +97,10 @@
         }
     }
 
-    /// The policy's timer of an incarnation fires so long from now.
+    /// Schedules the timer of a forwarder's policy, for its present incarnation only.
     pub(super) fn schedule_timer(&mut self, forwarder: ForwarderIndex, after: Duration) {
-        let incarnation = self.incarnation_of(forwarder);
+        let to = self.incarnation_of(forwarder);
         let at = self.now() + after;
-        self.schedule.schedule(at, Event::Input(incarnation, ForwarderInput::TimerFired));
+        self.schedule.schedule(at, Event::Input { to, input: ForwarderInput::TimerFired });
     }
 }
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -15,6 +15,7 @@
 const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl World<'_> {
+    /// A free worker begins to serve a request.
     pub(super) fn begin_serving(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
         let work = self.draw_work(request, endpoint);
         let now = self.now();
@@ -28,7 +29,7 @@
         self.schedule.schedule(served_at, Event::Served { endpoint, incarnation, request });
     }
 
-    /// Seconds of work that a request is at its endpoint now.
+    /// Draws how much work a request takes at its endpoint now, in seconds.
     fn draw_work(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> f64 {
         let batch = &self.requests[request.0].batch;
         let work_of = |message: MessageIndex| self.submissions[self.messages[message.0].submission.0].work;
@@ -36,8 +37,8 @@
         let longest = works.iter().copied().fold(0.0, f64::max);
         let mut work = longest + WORK_PER_EXTRA_MESSAGE * (works.iter().sum::<f64>() - longest);
         work *= self.slowdown(endpoint);
-        for index in self.endpoints[endpoint.0].active_faults.clone() {
-            if let Fault::HeavyTail { share, factor, .. } = self.fault(index) {
+        for index in &self.endpoints[endpoint.0].active_faults {
+            if let Fault::HeavyTail { share, factor, .. } = self.fault(*index) {
                 let is_long = share.occurs(&mut self.random.service);
                 // Drawn in any case, so that the outcome does not shift what is drawn later.
                 let drawn = factor.draw(&mut self.random.service);
@@ -49,7 +50,7 @@
         work
     }
 
-    /// When work that is begun now is done, where an endpoint stands still again and again.
+    /// When work that begins now is done, with the pauses of the endpoint's faults.
     fn with_pauses(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
         let mut done = now + work;
         for index in &self.endpoints[endpoint.0].active_faults {
@@ -94,7 +95,7 @@
         self.serve_queue(endpoint);
     }
 
-    /// The effects of a request's messages.
+    /// Applies and counts the effects of a request's messages.
     fn apply_effects(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
@@ -102,7 +103,7 @@
         if record.is_awaited() {
             self.account.work_useful += record.work;
         }
-        for entry in record.batch.clone() {
+        for entry in &record.batch {
             let message = entry.attempt.message;
             let submission = &mut self.submissions[self.messages[message.0].submission.0];
             submission.applied += 1;
@@ -114,12 +115,12 @@
         }
     }
 
-    /// Work ends with a response, or with a connection that is reset before it.
+    /// Responds to a request that was served; a fault may reset its connection instead.
     fn send_response(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
         let mut is_lost = false;
-        for index in self.endpoints[endpoint.0].active_faults.clone() {
-            if let Fault::ResponsesLost { share, .. } = self.fault(index) {
+        for index in &self.endpoints[endpoint.0].active_faults {
+            if let Fault::ResponsesLost { share, .. } = self.fault(*index) {
                 is_lost |= share.occurs(&mut self.random.service);
             }
         }
@@ -127,6 +128,7 @@
         self.respond(request, outcome);
     }
 
+    /// Free workers take requests from the endpoint's queue.
     fn serve_queue(&mut self, endpoint: EndpointIndex) {
         while self.endpoints[endpoint.0].busy_workers < self.endpoints[endpoint.0].plan.workers {
             let Some(next) = self.endpoints[endpoint.0].queue.pop_front() else { return };
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use crate::defective_policy::{Defect, DefectivePolicy};
-use reeddock_simulation::schedule::EventSchedule;
+use reeddock_simulation::scenario::ValueOverride;
+use reeddock_simulation::schedule::{EventSchedule, ScheduledEvent};
 use reeddock_simulation::{run, run_with, BuiltInPolicy, Report, Scenario};
 
 /// Every number is constant but the arrivals: a response comes 108 ms after its attempt where a connection is made
@@ -48,7 +49,7 @@
 "#;
 
 fn exact(further: &str, instead: &[(&str, &str)]) -> Scenario {
-    let instead: Vec<_> = instead.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect();
+    let instead: Vec<_> = instead.iter().map(|(path, value)| ValueOverride::new(*path, *value)).collect();
     Scenario::parse("exact.toml", &format!("{EXACT}{further}"), &instead).unwrap()
 }
 
@@ -77,11 +78,11 @@
     for (n, s) in [(0, 2), (1, 1), (2, 2), (3, 1), (4, 2)] {
         schedule.schedule(at(s), n);
     }
-    let order: Vec<i32> = std::iter::from_fn(|| schedule.pop().map(|e| e.1)).collect();
+    let order: Vec<i32> = std::iter::from_fn(|| schedule.pop().map(|scheduled| scheduled.event)).collect();
     assert_eq!(order, [1, 3, 0, 2, 4]);
     // What would lie in the past comes now, after what is here already.
     schedule.schedule(at(1), 5);
-    assert_eq!(schedule.pop(), Some((at(2), 5)));
+    assert_eq!(schedule.pop(), Some(ScheduledEvent { at: at(2), event: 5 }));
 }
 
 #[test]
@@ -205,12 +206,15 @@
     for (from, to, line, told) in [
         ("lasts_s = 20", "lasts_s = 20\nlast = 1", 5, "last"),
         ("lasts_s = 20", "lasts_s = -1", 4, "expected seconds"),
-        ("lasts_s = 20", "lasts_s = \"long\"", 4, "f64"),
+        ("lasts_s = 20", "lasts_s = \"long\"", 4, "string \"long\", expected a number"),
+        ("slots = 100", "slots = \"many\"", 7, "string \"many\", expected a whole number"),
+        ("slots = 100", "slots = -1", 7, "`-1`, expected a whole number from 0 up"),
         ("version = 1", "version = 2", 2, "expected 1"),
         ("slots = 100", "slots = 0", 5, "expected 1 to"),
         ("queue_s = 2", "told_waits = 1.5", 37, "expected a number from 0 to 1"),
         ("queue_s = 2", "pace = { uniform = [3, 1] }", 37, "expected numbers"),
         ("queue_s = 2", "limit = { spans = 2 }", 37, "spans"),
+        ("handshake_ms = 4", "handshake_ms = { log_normal = 3 }", 15, "expected a table of the distribution"),
         ("promised_s = 2", "promised_s = 9", 17, "outer_limit_s 8 at most"),
         ("name = \"order\"", "name = \"note\"", 23, "name that stands once"),
     ] {
@@ -221,4 +225,13 @@
     let trouble = "[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = { surge = { program = \"none\", times = 2 } }\n";
     let fault = Scenario::parse("exact.toml", &format!("{EXACT}{trouble}"), &[]).unwrap_err().to_string();
     assert!(fault.starts_with("exact.toml:38: ") && fault.contains("\"none\""), "{fault}");
+    for (what, told) in [
+        ("{ refused = { whom = 3 } }", "expected a table with destinations"),
+        ("{ killed = { which = 3 } }", "expected a table with forwarders"),
+        ("{ slow = 3 }", "expected a table of the fault's values"),
+    ] {
+        let trouble = format!("[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = {what}\n");
+        let fault = Scenario::parse("exact.toml", &format!("{EXACT}{trouble}"), &[]).unwrap_err().to_string();
+        assert!(fault.starts_with("exact.toml:41: ") && fault.contains(told), "{fault}");
+    }
 }
