--- a/crates/forwarder/src/event_loop/log_writer.rs
+++ b/crates/forwarder/src/event_loop/log_writer.rs
@@ -5,7 +5,7 @@
 use reeddock_wal::Record;
 
 use super::commands::OutgoingAttempt;
-use super::submissions::NewSubmission;
+use super::new_submission::NewSubmission;
 use super::EventLoop;
 
 /// Which records of one run of due work were written to the write-ahead log.
--- a/crates/forwarder/src/event_loop/mod.rs
+++ b/crates/forwarder/src/event_loop/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! | step | module |
 //! | --- | --- |
-//! | a client's submission is checked and passed to the policy | [`submissions`] |
+//! | a client's submission is checked and passed to the policy | [`submissions`], [`new_submission`] |
 //! | the policy runs its due work, and its commands are gathered | [`due_work`], [`commands`] |
 //! | final answers without delivery, acceptance, and numbering of attempts | [`state`], [`pending_messages`] |
 //! | all of that goes into the write-ahead log | [`log_writer`] |
@@ -21,6 +21,7 @@
 mod due_work;
 mod endpoint_list;
 mod log_writer;
+mod new_submission;
 mod notices;
 mod pending_messages;
 mod requests;
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -11,8 +11,8 @@
 
 use super::commands::{AttemptCommand, AttemptKey, CommandBuffer, OutgoingAttempt};
 use super::endpoint_list::ListProgress;
+use super::new_submission::NewSubmission;
 use super::pending_messages::{PendingEntry, PendingMessages};
-use super::submissions::NewSubmission;
 use crate::endpoints::EndpointTable;
 
 /// The state of the event loop between its steps.
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -10,16 +10,9 @@
 use tokio::time::Instant;
 
 use super::log_writer::LogWrite;
+use super::new_submission::NewSubmission;
 use super::EventLoop;
 
-/// A message that was submitted since the last due work and is not answered yet.
-pub(super) struct NewSubmission {
-    pub id: MessageId,
-    /// Its record for the write-ahead log.
-    pub accepted: Accepted,
-    pub reply: oneshot::Sender<ClientResponse>,
-}
-
 impl EventLoop {
     /// Passes a submission to the policy, or answers it immediately if it can't be accepted. `received_at` is the time
     /// at which the client's request was read completely.
--- a/crates/recorder/src/streams/driver.rs
+++ b/crates/recorder/src/streams/driver.rs
@@ -12,9 +12,9 @@
 
 use super::command_log::{CommandLog, HostCommand};
 use super::endpoint_set::{draw_retry_after, EndpointSet, PlannedOutcome};
-use super::list_transfer::{ListEnd, ListScope, ListTransfer};
 use super::rule_model::{RuleModel, Violation};
 use super::setup::{millis, rounded_up, DrawnStream, StreamSetup};
+use super::transferred_list::{ListEnd, ListScope, ListTransfer};
 use crate::recorded_policy::{RecordedPolicy, Submission};
 use crate::recording::RecordingWriter;
 
--- a/crates/recorder/src/streams/list_transfer.rs
+++ b/crates/recorder/src/streams/list_transfer.rs
@@ -6,34 +6,11 @@
 
 use super::driver::StreamDriver;
 use super::endpoint_set::ListEntry;
+use super::transferred_list::{ListEnd, ListScope, ListTransfer};
 
 /// Entries that are passed in one step at most, where a list is passed in pieces.
 const MAX_ENTRIES_PER_STEP: usize = 40;
 
-/// What a list is about.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListScope {
-    /// All endpoints: those that it does not name are removed.
-    Complete,
-    /// Those that have changed.
-    Changes,
-}
-
-/// How the transfer of a list ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListEnd {
-    /// All entries were passed.
-    Finished,
-    /// The connection is lost before that.
-    Aborted,
-}
-
-/// A list that is being passed in pieces.
-pub struct ListTransfer {
-    remaining: VecDeque<ListEntry>,
-    end: ListEnd,
-}
-
 impl StreamDriver {
     /// Passes the next piece of a list, or begins a list if one is due or drawn.
     pub(super) fn continue_list(&mut self) {
--- a/crates/recorder/src/streams/mod.rs
+++ b/crates/recorder/src/streams/mod.rs
@@ -5,7 +5,7 @@
 //! - `endpoint_set` has the endpoints as discovery lists them, and how each of them responds;
 //! - `messages` draws messages, and the attempts that some had before a restart;
 //! - `driver` plays the steps: it is the host of the delivery policy, and the clients, destinations and discovery
-//!   around it; `list_transfer` is its part that passes endpoint lists;
+//!   around it; `list_transfer` is its part that passes endpoint lists, `transferred_list` what it passes;
 //! - `rule_model` checks the policy's commands against its rules.
 
 mod command_log;
@@ -15,6 +15,7 @@
 mod messages;
 mod rule_model;
 mod setup;
+mod transferred_list;
 
 use std::io;
 
--- a/crates/scale-test/src/control_plane.rs
+++ b/crates/scale-test/src/control_plane.rs
@@ -10,6 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use bytes::Bytes;
+use http_body_util::combinators::UnsyncBoxBody;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
@@ -26,6 +28,9 @@
 /// A port that is not free yet is tried again after so long.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
+/// The body of a response.
+type Body = UnsyncBoxBody<Bytes, io::Error>;
+
 /// Whether clients can reach a listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Reachability {
--- a/crates/scale-test/src/control_plane/service.rs
+++ b/crates/scale-test/src/control_plane/service.rs
@@ -1,21 +1,16 @@
 //! Responds to the requests of forwarders.
 
 use std::convert::Infallible;
-use std::io;
 use std::sync::atomic::Ordering;
 
 use bytes::Bytes;
 use futures_util::stream;
 use http::{Method, Request, Response, StatusCode};
-use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
 
 use super::watch_stream::watch_body;
-use super::{ConnectionContext, ControlPlane};
-
-/// The body of a response.
-pub(super) type Body = UnsyncBoxBody<Bytes, io::Error>;
+use super::{Body, ConnectionContext, ControlPlane};
 
 /// The response to one request.
 pub(super) async fn respond(
--- a/crates/scale-test/src/control_plane/watch_stream.rs
+++ b/crates/scale-test/src/control_plane/watch_stream.rs
@@ -14,8 +14,7 @@
 use tokio::sync::{watch, AcquireError, OwnedSemaphorePermit};
 use tokio::time::timeout;
 
-use super::service::Body;
-use super::ConnectionContext;
+use super::{Body, ConnectionContext};
 use crate::endpoint_list::{change_line, Change, FullList};
 
 /// An empty line is sent so often while nothing changes.
--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -122,3 +122,25 @@
     #[serde(rename = "unsent")]
     pub not_sent: u64,
 }
+
+/// One step of a histogram of latencies; in JSON a pair of its end and its count.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct LatencyStep {
+    /// Upper end of the step, in milliseconds.
+    pub up_to_ms: u64,
+    /// Messages that completed with a latency in this step.
+    pub count: u64,
+}
+
+impl From<(u64, u64)> for LatencyStep {
+    fn from((up_to_ms, count): (u64, u64)) -> LatencyStep {
+        LatencyStep { up_to_ms, count }
+    }
+}
+
+impl From<LatencyStep> for (u64, u64) {
+    fn from(step: LatencyStep) -> (u64, u64) {
+        (step.up_to_ms, step.count)
+    }
+}
--- a/crates/simulation/src/account/keeper.rs
+++ b/crates/simulation/src/account/keeper.rs
@@ -4,10 +4,9 @@
 
 use hdrhistogram::Histogram;
 
-use super::counts::{AttemptCounts, Credit, Ends, Load, Second};
+use super::counts::{AttemptCounts, Credit, Ends, LatencyStep, Load, Second};
 use super::quota::QuotaBucket;
 use crate::ids::{DestinationIndex, SubmissionIndex};
-use crate::report::LatencyStep;
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
 
 /// Destinations whose seconds are kept: the ones with most traffic.
--- a/crates/simulation/src/account/mod.rs
+++ b/crates/simulation/src/account/mod.rs
@@ -4,5 +4,5 @@
 mod keeper;
 mod quota;
 
-pub use counts::{AttemptCounts, Credit, Ends, Load, Second};
+pub use counts::{AttemptCounts, Credit, Ends, LatencyStep, Load, Second};
 pub(crate) use keeper::{Account, NewSubmission, WATCHED_DESTINATIONS};
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -7,7 +7,15 @@
 
 use crate::ids::{DestinationIndex, EndpointIndex};
 use crate::report::Report;
-use crate::simulated_endpoint::OutageCause;
+
+/// Why an endpoint was down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OutageCause {
+    /// A fault of the scenario.
+    Fault,
+    /// It was overloaded while it was cold after an earlier outage.
+    Overload,
+}
 
 /// What an endpoint was sent while it warmed up after an outage, in the worst window of the length that the
 /// settings name: the one whose sum was largest against what may be sent.
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
+pub use crate::account::LatencyStep;
 use crate::account::{AttemptCounts, Ends, Load, Second};
 use crate::invariants::Violation;
 
@@ -109,28 +110,6 @@
     pub worst: u64,
 }
 
-/// One step of a histogram of latencies; in JSON a pair of its end and its count.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(u64, u64)", into = "(u64, u64)")]
-pub struct LatencyStep {
-    /// Upper end of the step, in milliseconds.
-    pub up_to_ms: u64,
-    /// Messages that completed with a latency in this step.
-    pub count: u64,
-}
-
-impl From<(u64, u64)> for LatencyStep {
-    fn from((up_to_ms, count): (u64, u64)) -> LatencyStep {
-        LatencyStep { up_to_ms, count }
-    }
-}
-
-impl From<LatencyStep> for (u64, u64) {
-    fn from(step: LatencyStep) -> (u64, u64) {
-        (step.up_to_ms, step.count)
-    }
-}
-
 /// A destination with much traffic, second by second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Watched {
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -7,6 +7,7 @@
 use crate::ids::{EndpointIndex, ForwarderIndex, RequestIndex};
 use crate::layout::EndpointPlan;
 use crate::limit::RequestLimit;
+pub use crate::observed::OutageCause;
 use crate::observed::Recovery;
 use crate::received_work::ReceivedWork;
 use crate::scenario::RecoverySettings;
@@ -22,15 +23,6 @@
     allowed + 2.0 * allowed.max(0.0).sqrt() + 2.0
 }
 
-/// Why an endpoint was down.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OutageCause {
-    /// A fault of the scenario.
-    Fault,
-    /// It was overloaded while it was cold after an earlier outage.
-    Overload,
-}
-
 /// The state of one endpoint.
 pub struct SimulatedEndpoint {
     pub(crate) plan: EndpointPlan,
