--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -238,7 +238,9 @@
         if let Ok(body) = timeout(RESPONSE_REMAINDER_BEFORE_RESULT, &mut whole_body).await {
             return body;
         }
-        self.request.early_retry_after.send_replace(protocol::retry_after_of(head));
+        if let Some(retry_after) = protocol::retry_after_of(head) {
+            self.request.early_retry_after.send_replace(Some(retry_after));
+        }
         whole_body.await
     }
 
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -37,8 +37,11 @@
                 exchange = None;
                 supervisor.request_finished(result).await
             }
-            Ok(pause) = next_pause(&mut early_retry_after) => {
-                supervisor.report_retry_after(pause).await;
+            Ok(()) = early_retry_after.changed() => {
+                let retry_after = *early_retry_after.borrow_and_update();
+                if let Some(retry_after) = retry_after {
+                    supervisor.report_retry_after(retry_after).await;
+                }
                 continue;
             }
             Some(first) = interruptions.next() => {
@@ -60,19 +63,6 @@
     }
 }
 
-/// Waits for the `Retry-After` of a response whose body is late. Fails once the request has ended.
-async fn next_pause(
-    early_retry_after: &mut watch::Receiver<Option<Duration>>,
-) -> Result<Duration, watch::error::RecvError> {
-    loop {
-        early_retry_after.changed().await?;
-        let pause = *early_retry_after.borrow_and_update();
-        if let Some(pause) = pause {
-            return Ok(pause);
-        }
-    }
-}
-
 /// Why a message is not waited for any longer while its request is still in flight.
 #[derive(Clone, Copy)]
 enum InterruptionCause {
