--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -8,7 +8,7 @@
 use futures_util::FutureExt;
 use reeddock::{AttemptNumber, EndpointId, MessageId};
 use reeddock_protocol::AttemptResult;
-use tokio::sync::{mpsc, oneshot, watch};
+use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 use tower::{Service, ServiceExt};
 
