--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -7,7 +7,7 @@
 /// Share of failing requests above which an endpoint counts as down.
 const OUTAGE_ERROR_SHARE: f64 = 0.5;
 
-/// The endpoints that a fault strikes.
+/// The endpoints that a fault affects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table with destinations, or a share of them")]
 pub struct EndpointSelector {
@@ -193,7 +193,7 @@
 }
 
 impl Fault {
-    /// The endpoints it strikes, where it strikes endpoints.
+    /// The endpoints it affects, where it affects endpoints.
     pub fn endpoint_selector(&self) -> Option<&EndpointSelector> {
         match self {
             Fault::ConnectionsRefused { endpoints }
@@ -217,7 +217,7 @@
         }
     }
 
-    /// The forwarders it strikes, where it strikes forwarders.
+    /// The forwarders it affects, where it affects forwarders.
     pub fn forwarder_selector(&self) -> Option<&ForwarderSelector> {
         match self {
             Fault::ForwardersKilled { forwarders }
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Whether an endpoint that it strikes counts as down, in the sense of [`Rule::NoOverload`](crate::rule::Rule::NoOverload).
+    /// Whether an endpoint that it affects counts as down, in the sense of [`Rule::NoOverload`](crate::rule::Rule::NoOverload).
     pub fn is_outage(&self) -> bool {
         match self {
             Fault::ConnectionsRefused { .. }
--- a/crates/simulation/src/layout/selection.rs
+++ b/crates/simulation/src/layout/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoints and forwarders of a world a fault strikes.
+//! Which endpoints and forwarders of a world a fault affects.
 
 use rand::RngExt;
 
--- a/crates/simulation/src/random_streams.rs
+++ b/crates/simulation/src/random_streams.rs
@@ -25,7 +25,7 @@
     EndpointList,
     /// Seeds of forwarders that start.
     Forwarders,
-    /// Which endpoints a fault strikes, by its place in the scenario.
+    /// Which endpoints a fault affects, by its place in the scenario.
     Fault(usize),
 }
 
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -35,7 +35,7 @@
     pub(crate) hung_requests: Vec<RequestIndex>,
     /// Responses that wait until it no longer hangs.
     pub(crate) hung_responses: Vec<RequestIndex>,
-    /// Faults that strike it now, by their place in the scenario.
+    /// Faults that affect it now, by their place in the scenario.
     pub(crate) active_faults: Vec<usize>,
     /// Outages among these, overload counted.
     pub(crate) active_outages: u32,
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -21,7 +21,7 @@
 impl World<'_> {
     // # The endpoint's state.
 
-    /// Whether a fault of some kind strikes an endpoint.
+    /// Whether a fault of some kind affects an endpoint.
     pub(super) fn has_fault(&self, endpoint: EndpointIndex, is_kind: impl Fn(&Fault) -> bool) -> bool {
         let active = &self.endpoints[endpoint.0].active_faults;
         active.iter().any(|index| is_kind(self.fault(*index)))
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -13,7 +13,7 @@
     /// A fault starts, by its place in the scenario.
     pub(super) fn start_fault(&mut self, index: usize) {
         let fault = self.fault(index);
-        // A stream of its own: one fault more or less does not change what the others strike.
+        // A stream of its own: one fault more or less does not change what the others affect.
         let mut random = RandomStream::Fault(index).open(self.seed);
         let selector = fault.endpoint_selector();
         let struck =
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -69,7 +69,7 @@
     pub(super) destinations: Vec<SimulatedDestination>,
     /// State of each endpoint on the endpoint list now; forwarders learn of it later.
     pub(super) listed_states: Vec<EndpointState>,
-    /// Endpoints that each active fault strikes, by the fault's place in the scenario.
+    /// Endpoints that each active fault affects, by the fault's place in the scenario.
     pub(super) active_faults: BTreeMap<usize, Vec<EndpointIndex>>,
     /// Changes of the endpoint list that wait for the end of a freeze.
     pub(super) frozen_list_changes: Vec<FrozenListChanges>,
