--- a/crates/wal/src/compaction_plan.rs
+++ b/crates/wal/src/compaction_plan.rs
@@ -18,13 +18,13 @@
 use std::collections::BTreeMap;
 
 /// Files are counted in whole blocks of this size, as file systems allocate them.
-pub(crate) const BLOCK_BYTES: u64 = 512;
+pub const BLOCK_BYTES: u64 = 512;
 /// Bytes copied for each byte appended while a segment is being compacted; see the module's documentation.
-const COPIED_PER_APPENDED_BYTE: u64 = 3;
+pub const COPIED_PER_APPENDED_BYTE: u64 = 3;
 /// The least that a step copies, in bytes: with less, compaction behind short appends would never end.
-const MIN_STEP_BYTES: u64 = 4 * 1024;
+pub const MIN_STEP_BYTES: u64 = 4 * 1024;
 /// The most that a step copies, in bytes: with more, the append before it would take long.
-const MAX_STEP_BYTES: u64 = 256 * 1024;
+pub const MAX_STEP_BYTES: u64 = 256 * 1024;
 /// The folder's limit is divided into this many segments, within the two bounds that follow.
 const SEGMENTS_PER_FOLDER: u64 = 24;
 /// A shorter segment would be mostly block rounding and header.
@@ -37,13 +37,13 @@
 const MAX_RESERVE_BYTES: u64 = 8 * MAX_SEGMENT_BYTES;
 
 /// A length rounded up to whole blocks, in bytes.
-pub(crate) fn whole_blocks(bytes: u64) -> u64 {
+pub fn whole_blocks(bytes: u64) -> u64 {
     bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
 /// Sizes of all segments, and the decisions that follow from them.
 #[derive(Clone, Debug)]
-pub(crate) struct CompactionPlan {
+pub struct CompactionPlan {
     max_bytes: u64,
     max_segment_bytes: u64,
     reserve_bytes: u64,
@@ -59,7 +59,7 @@
 
 /// What compaction does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CompactionStep {
+pub enum CompactionStep {
     /// Nothing.
     Idle,
     /// Compact this segment further.
@@ -90,6 +90,11 @@
         self.max_bytes
     }
 
+    /// Bytes of a segment, after which a new one is begun.
+    pub fn max_segment_bytes(&self) -> u64 {
+        self.max_segment_bytes
+    }
+
     /// Bytes of the whole disk reserve.
     pub fn reserve_bytes(&self) -> u64 {
         self.reserve_bytes
@@ -195,6 +200,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -30,7 +30,7 @@
 
 mod appending;
 mod compaction;
-mod compaction_plan;
+pub mod compaction_plan;
 mod disk_reserve;
 mod encoded_records;
 mod error;
--- a/crates/wal/tests/wal/compaction_plan.rs
+++ b/crates/wal/tests/wal/compaction_plan.rs
@@ -1,6 +1,10 @@
 //! Tests of the bounds that the compaction plan promises.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use reeddock_wal::compaction_plan::{
+    CompactionPlan, CompactionStep, BLOCK_BYTES, COPIED_PER_APPENDED_BYTE, MAX_STEP_BYTES, MIN_STEP_BYTES,
+};
 
 #[test]
 fn only_the_first_segment_is_compacted_and_never_the_last() {
@@ -39,7 +43,7 @@
         // What is pending, then what is finished, up to where compaction starts.
         while plan.used_bytes() < plan.start_threshold(pending_bytes) {
             let number = plan.next_segment();
-            let size = plan.max_segment_bytes.min(max_bytes / 40);
+            let size = plan.max_segment_bytes().min(max_bytes / 40);
             live.insert(number, left.min(size));
             left -= left.min(size);
             plan.set_segment_size(number, size);
@@ -51,7 +55,7 @@
                 plan.set_segment_size(number, 0);
             }
             let last = plan.last_segment().unwrap();
-            plan.set_segment_size(last, plan.segment_sizes[&last] + step);
+            plan.set_segment_size(last, plan.segment_size(last) + step);
             if let CompactionStep::Copy { segment, bytes } = plan.after_append(step, pending_bytes) {
                 let live_bytes = live.entry(segment).or_default();
                 let moved = bytes.min(*live_bytes);
@@ -65,7 +69,7 @@
                     plan.set_segment_size(number, 0);
                 }
                 let last = plan.last_segment().unwrap();
-                plan.set_segment_size(last, plan.segment_sizes[&last] + moved);
+                plan.set_segment_size(last, plan.segment_size(last) + moved);
                 *live.entry(last).or_default() += moved;
                 plan.consume_credit(moved);
                 copied += moved;
--- a/crates/wal/tests/wal/main.rs
+++ b/crates/wal/tests/wal/main.rs
@@ -1,6 +1,7 @@
 //! The write-ahead log after kills, machine losses, corruption and long use.
 
 mod compaction;
+mod compaction_plan;
 mod corruption;
 mod crashes;
 mod full_disk;
