--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -200,7 +200,7 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<usize, A::Error> {
-        let max_entries = ListLimits::default().entries;
+        let max_entries = ListLimits::default().max_entries;
         let mut count = 0;
         loop {
             let entry = entries.next_element::<ListEntry>();
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -8,7 +8,7 @@
 use reeddock_forwarder::limits::ResourceLimits;
 use reeddock_forwarder::ForwarderOptions;
 use reeddock_protocol::{ListEntry, ListPart};
-use reeddock_settings::{parse_settings, DeploymentShape, NetworkSettings};
+use reeddock_settings::{parse_policy_settings, DeploymentShape, NetworkSettings};
 use reeddock_wal::SyncPolicy;
 use serde_json::{Map, Value};
 use tokio::sync::watch;
@@ -92,7 +92,7 @@
         let reader = SectionReader { file, sections: &contents.sections };
         let settings = reader.settings()?;
         let shape = reader.shape(settings)?;
-        let network = NetworkSettings::of(settings);
+        let network = NetworkSettings::from_settings(settings);
         let discovery = reader.discovery()?;
         let (discovery_updates, watched_discovery) = watch::channel(discovery);
         let options = ForwarderOptions {
@@ -100,7 +100,7 @@
             discovery: watched_discovery,
             state,
             resources: reader.resource_limits()?,
-            settings: parse_settings(reader.seed()?, settings),
+            settings: parse_policy_settings(reader.seed()?, settings),
             cached_list: cached_list(file, contents.endpoint_list, entries),
             tick: network.tick.unwrap_or_default(),
             sync,
@@ -162,7 +162,7 @@
         return CachedEndpointList::none();
     };
     match entries {
-        EntryBuffer::Complete(entries) => ListPart { generation, whole: true, entries }.into(),
+        EntryBuffer::Complete(entries) => ListPart { generation, is_full_list: true, entries }.into(),
         EntryBuffer::Overflowed => {
             let file = file.to_owned();
             let read_entries = Box::new(move |apply: &mut dyn FnMut(ListEntry)| {
@@ -185,7 +185,7 @@
     }
 
     fn shape(&self, settings: &Map<String, Value>) -> Result<DeploymentShape, ConfigError> {
-        DeploymentShape::of(settings)
+        DeploymentShape::from_settings(settings)
             .map_err(|source| ConfigError::Settings { file: self.file.to_owned(), source })
     }
 
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use reeddock_protocol::{retry_after_of, watch_request};
+use reeddock_protocol::{parse_retry_after, watch_request};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
@@ -93,7 +93,7 @@
         };
         let (head, body) = response.into_parts();
         if head.status != http::StatusCode::OK {
-            return Loss::Refused { status: head.status, retry_after: retry_after_of(&head) };
+            return Loss::Refused { status: head.status, retry_after: parse_retry_after(&head) };
         }
         ListReader::new(progress, event_loop).read(connection, body, self.periods.silent_after).await
     }
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -28,7 +28,7 @@
     pub(super) fn apply_list_events(&mut self, events: Vec<ListEvent>) {
         for event in events {
             match event {
-                ListEvent::PartStarted { generation, whole } => {
+                ListEvent::PartStarted { generation, is_full_list: whole } => {
                     self.begin_endpoint_list(ListProgress { generation, whole, ..ListProgress::default() });
                 }
                 ListEvent::EndpointUpdated(entry) => self.update_endpoint(entry),
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -91,11 +91,11 @@
     /// Decodes these bytes, and passes their events to the event loop.
     async fn decode(&mut self, mut bytes: &[u8]) -> Result<(), ReadError> {
         loop {
-            let event = match self.decoder.next(&mut bytes) {
+            let event = match self.decoder.next_event(&mut bytes) {
                 Ok(Some(event)) => event,
                 Ok(None) => return self.pass_on().await,
                 Err(fault) => {
-                    let (fault, bytes) = (fault.to_string(), self.decoder.bytes());
+                    let (fault, bytes) = (fault.to_string(), self.decoder.consumed_bytes());
                     return Err(ReadError::Malformed(MalformedList { fault, bytes }));
                 }
             };
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -207,8 +207,8 @@
         if connection.is_new() && protocol::rejects_connection(&head) {
             self.connections.connection_rejected(self.request.endpoint);
         }
-        let load_report = protocol::load_report_of(&head);
-        let result = if single && protocol::attempt_result_of(&head) == AttemptResult::Completed {
+        let load_report = protocol::parse_load_report(&head);
+        let result = if single && protocol::parse_attempt_result(&head) == AttemptResult::Completed {
             self.finish_in_background(connection, body).await;
             batch.same_for_all(AttemptResult::Completed)
         } else {
@@ -238,7 +238,7 @@
         if let Ok(body) = timeout(RESPONSE_REMAINDER_BEFORE_RESULT, &mut whole_body).await {
             return body;
         }
-        if let Some(retry_after) = protocol::retry_after_of(head) {
+        if let Some(retry_after) = protocol::parse_retry_after(head) {
             self.request.early_retry_after.send_replace(Some(retry_after));
         }
         whole_body.await
@@ -254,7 +254,7 @@
     ) -> RequestResult {
         let Ok(body) = self.read_body(head, body).await else {
             // The `Retry-After` is in the head, and is valid even if the body is not.
-            let retry_after = protocol::retry_after_of(head);
+            let retry_after = protocol::parse_retry_after(head);
             return RequestResult { retry_after, ..batch.same_for_all(AttemptResult::MalformedResponse) };
         };
         let end = if connection.ready().await {
@@ -264,14 +264,14 @@
             BodyEnd::Unconfirmed
         };
         if batch.single().is_some() {
-            return batch.same_for_all(protocol::attempt_result_of(head));
+            return batch.same_for_all(protocol::parse_attempt_result(head));
         }
         let body = BatchResponseBody { bytes: &body.to_bytes(), end };
-        let results = protocol::attempt_results_of_batch(head, body, &batch.messages);
+        let results = protocol::parse_batch_results(head, body, &batch.messages);
         let members = batch.positions.iter().zip(results);
         let results =
             members.map(|(position, result)| MessageResult { position: *position, result }).collect();
-        RequestResult { retry_after: protocol::retry_after_of(head), ..RequestResult::new(results) }
+        RequestResult { retry_after: protocol::parse_retry_after(head), ..RequestResult::new(results) }
     }
 }
 
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -71,7 +71,7 @@
     /// A key, an entry or another value with a meaning has too many bytes.
     #[error("expected {limit} bytes at most in one value")]
     ValueTooLong {
-        /// [`ListLimits::value_bytes`](crate::ListLimits::value_bytes).
+        /// [`ListLimits::max_value_bytes`](crate::ListLimits::max_value_bytes).
         limit: usize,
     },
     /// The same key twice in one part.
@@ -91,13 +91,13 @@
     /// The part has more entries than are accepted.
     #[error("expected {limit} entries at most in a list")]
     TooManyEntries {
-        /// [`ListLimits::entries`](crate::ListLimits::entries).
+        /// [`ListLimits::entries`](crate::ListLimits::max_entries).
         limit: usize,
     },
     /// Too many bytes of entries came before both `generation` and `reset` were known.
     #[error("expected generation and reset before instances, or {limit} bytes of these at most")]
     EntriesBeforeHeader {
-        /// [`ListLimits::early_bytes`](crate::ListLimits::early_bytes).
+        /// [`ListLimits::max_buffered_bytes`](crate::ListLimits::max_buffered_bytes).
         limit: usize,
     },
     /// The part ended without a generation.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -25,7 +25,7 @@
 pub use notice::{notices_request, DeliveryNotice, FinalAnswer};
 pub use request::{batch_request, single_request, split_into_batches, OutgoingMessage};
 pub use response::{
-    attempt_result_of, attempt_results_of_batch, load_report_of, rejects_connection, retry_after_of,
+    parse_attempt_result, parse_batch_results, parse_load_report, parse_retry_after, rejects_connection,
     BatchResponseBody, BodyEnd,
 };
 pub use submission::Submission;
--- a/crates/protocol/src/list/decoder.rs
+++ b/crates/protocol/src/list/decoder.rs
@@ -53,12 +53,12 @@
 
     /// The number of bytes that were consumed.
     #[must_use]
-    pub fn bytes(&self) -> u64 {
+    pub fn consumed_bytes(&self) -> u64 {
         self.offset
     }
 
     /// The next event; consumes from the front of `input` the bytes of it. None once all of `input` is consumed.
-    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<ListEvent>, ListError> {
+    pub fn next_event(&mut self, input: &mut &[u8]) -> Result<Option<ListEvent>, ListError> {
         loop {
             if let Some(event) = self.ready.pop_front() {
                 return Ok(Some(event));
@@ -75,14 +75,14 @@
 
     /// Consumes the bytes of `input` that belong to a key, a value or an entry.
     fn scan_value(&mut self, input: &mut &[u8]) -> Result<(), ListError> {
-        let scanned = self.value.take(input, self.limits.value_bytes);
+        let scanned = self.value.take(input, self.limits.max_value_bytes);
         let (taken, rest) = input.split_at(scanned.used);
         self.track_lines(taken)?;
         *input = rest;
         self.offset += taken.len() as u64;
         let passed_over = self.position == Position::InValue && self.key == Key::Other;
-        if self.value.exceeds(self.limits.value_bytes) && !passed_over {
-            return Err(self.error(ListFault::ValueTooLong { limit: self.limits.value_bytes }));
+        if self.value.exceeds(self.limits.max_value_bytes) && !passed_over {
+            return Err(self.error(ListFault::ValueTooLong { limit: self.limits.max_value_bytes }));
         }
         if !scanned.ended {
             return Ok(());
@@ -163,7 +163,7 @@
         let name: Cow<str> = self.decode_value("key: ")?;
         let (key, is_duplicate) = match name.as_ref() {
             "generation" => (Key::Generation, self.part.generation.is_some()),
-            "reset" => (Key::Reset, self.part.whole.is_some()),
+            "reset" => (Key::Reset, self.part.is_full_list.is_some()),
             "instances" => (Key::Instances, std::mem::replace(&mut self.part.has_instances, true)),
             _ => (Key::Other, false),
         };
@@ -178,9 +178,9 @@
     fn end_value(&mut self) -> Result<(), ListError> {
         match self.key {
             Key::Generation => self.part.generation = Some(self.decode_value("generation: ")?),
-            Key::Reset => self.part.whole = Some(self.decode_value("reset: ")?),
+            Key::Reset => self.part.is_full_list = Some(self.decode_value("reset: ")?),
             // Only the beginning of a long value was kept, which says nothing of its form.
-            _ if self.value.exceeds(self.limits.value_bytes) => {}
+            _ if self.value.exceeds(self.limits.max_value_bytes) => {}
             _ => {
                 self.decode_value::<IgnoredAny>("")?;
             }
@@ -191,8 +191,8 @@
     }
 
     fn end_entry(&mut self) -> Result<(), ListError> {
-        if self.part.entries >= self.limits.entries {
-            return Err(self.error(ListFault::TooManyEntries { limit: self.limits.entries }));
+        if self.part.entries >= self.limits.max_entries {
+            return Err(self.error(ListFault::TooManyEntries { limit: self.limits.max_entries }));
         }
         let entry = self.decode_value("")?;
         let bytes = self.value.value().len();
--- a/crates/protocol/src/list/event.rs
+++ b/crates/protocol/src/list/event.rs
@@ -10,7 +10,7 @@
         /// The version of the list that a forwarder has once the part has ended.
         generation: u64,
         /// The part is the whole list, and not just what changed.
-        whole: bool,
+        is_full_list: bool,
     },
     /// One entry of the part.
     EndpointUpdated(ListEntry),
@@ -24,16 +24,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ListLimits {
     /// Most entries of one part.
-    pub entries: usize,
+    pub max_entries: usize,
     /// Most bytes of one entry, of a key, or of any other value that has a meaning.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Most bytes of entries that come before both `generation` and `reset`, which usually come first.
-    pub early_bytes: usize,
+    pub max_buffered_bytes: usize,
 }
 
 impl Default for ListLimits {
     /// Three times the entries of the largest list that is expected, and memory for a small part of such a list.
     fn default() -> ListLimits {
-        ListLimits { entries: 1_000_000, value_bytes: 64 * 1024, early_bytes: 8 * 1024 * 1024 }
+        ListLimits { max_entries: 1_000_000, max_value_bytes: 64 * 1024, max_buffered_bytes: 8 * 1024 * 1024 }
     }
 }
--- a/crates/protocol/src/list/mod.rs
+++ b/crates/protocol/src/list/mod.rs
@@ -28,7 +28,7 @@
     /// The version of the list that a forwarder has with this part; it grows with each change.
     pub generation: u64,
     /// The part is the whole list: endpoints that it does not name are gone.
-    pub whole: bool,
+    pub is_full_list: bool,
     /// The endpoints that it names.
     pub entries: Vec<ListEntry>,
 }
@@ -39,7 +39,7 @@
 struct WirePart {
     generation: u64,
     #[serde(default, rename = "reset")]
-    whole: bool,
+    is_full_list: bool,
     #[serde(default, rename = "instances")]
     entries: Vec<ListEntry>,
 }
@@ -47,8 +47,8 @@
 impl ListPart {
     /// Decodes a part that is in memory completely. A list that may be large is read with [`ListDecoder`].
     pub fn decode(json: &[u8]) -> Result<ListPart, ListPartError> {
-        let WirePart { generation, whole, entries } = serde_json::from_slice(json)?;
-        Ok(ListPart { generation, whole, entries })
+        let WirePart { generation, is_full_list, entries } = serde_json::from_slice(json)?;
+        Ok(ListPart { generation, is_full_list, entries })
     }
 }
 
--- a/crates/protocol/src/list/part_progress.rs
+++ b/crates/protocol/src/list/part_progress.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 pub(super) struct PartProgress {
     pub generation: Option<u64>,
-    pub whole: Option<bool>,
+    pub is_full_list: Option<bool>,
     pub has_instances: bool,
     /// Entries so far.
     pub entries: usize,
@@ -23,11 +23,12 @@
 impl PartProgress {
     /// Yields that the part begins, once its generation and form are known, and then the entries that waited for that.
     pub fn begin_if_known(&mut self, ready: &mut VecDeque<ListEvent>) {
-        let (Some(generation), Some(whole), false) = (self.generation, self.whole, self.begun) else {
+        let (Some(generation), Some(is_full_list), false) = (self.generation, self.is_full_list, self.begun)
+        else {
             return;
         };
         self.begun = true;
-        ready.push_back(ListEvent::PartStarted { generation, whole });
+        ready.push_back(ListEvent::PartStarted { generation, is_full_list });
         ready.extend(self.early.drain(..).map(ListEvent::EndpointUpdated));
     }
 
@@ -45,8 +46,8 @@
             return Ok(());
         }
         self.early_bytes += bytes;
-        if self.early_bytes > limits.early_bytes {
-            return Err(ListFault::EntriesBeforeHeader { limit: limits.early_bytes });
+        if self.early_bytes > limits.max_buffered_bytes {
+            return Err(ListFault::EntriesBeforeHeader { limit: limits.max_buffered_bytes });
         }
         self.early.push_back(entry);
         Ok(())
@@ -57,7 +58,7 @@
         if self.generation.is_none() {
             return Err(ListFault::MissingGeneration);
         }
-        self.whole.get_or_insert(false);
+        self.is_full_list.get_or_insert(false);
         self.begin_if_known(ready);
         Ok(())
     }
--- a/crates/protocol/src/response.rs
+++ b/crates/protocol/src/response.rs
@@ -16,7 +16,7 @@
 
 /// The `Retry-After` of a response. None if it is absent, malformed or zero.
 #[must_use]
-pub fn retry_after_of(response: &response::Parts) -> Option<Duration> {
+pub fn parse_retry_after(response: &response::Parts) -> Option<Duration> {
     let text = header_text(&response.headers, RETRY_AFTER.as_str())?;
     parse_seconds(text).filter(|wait| !wait.is_zero())
 }
@@ -24,7 +24,7 @@
 /// The load report of a response: what is left of the limit of the endpoint's circuit, and the limit. Other fields are
 /// passed over. None if one of the two is missing or no number.
 #[must_use]
-pub fn load_report_of(response: &response::Parts) -> Option<LoadReport> {
+pub fn parse_load_report(response: &response::Parts) -> Option<LoadReport> {
     let report = header_text(&response.headers, LOAD_REPORT)?;
     LoadReport::new(report_field(report, REPORT_LEFT), report_field(report, REPORT_LIMIT))
 }
@@ -48,7 +48,7 @@
 
 /// What the head of a response says of every message in its request.
 #[must_use]
-pub fn attempt_result_of(response: &response::Parts) -> AttemptResult {
+pub fn parse_attempt_result(response: &response::Parts) -> AttemptResult {
     match response.status {
         StatusCode::OK => AttemptResult::Completed,
         StatusCode::INTERNAL_SERVER_ERROR => AttemptResult::Failed,
@@ -56,7 +56,7 @@
             AttemptResult::EgressFull
         }
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            AttemptResult::Rejected { retry_after: retry_after_of(response) }
+            AttemptResult::Rejected { retry_after: parse_retry_after(response) }
         }
         StatusCode::GATEWAY_TIMEOUT => AttemptResult::AttemptsExhausted,
         StatusCode::GONE => AttemptResult::AlreadyFinished,
@@ -95,12 +95,12 @@
 /// A body that leaves a message out, or may have lost its end, proves nothing of any message: all of them get
 /// [`AttemptResult::MalformedResponse`].
 #[must_use]
-pub fn attempt_results_of_batch(
+pub fn parse_batch_results(
     response: &response::Parts,
     body: BatchResponseBody,
     messages: &[OutgoingMessage],
 ) -> Vec<AttemptResult> {
-    match attempt_result_of(response) {
+    match parse_attempt_result(response) {
         AttemptResult::Completed => {}
         AttemptResult::Malformed => return vec![AttemptResult::BatchMalformed; messages.len()],
         of_all => return vec![of_all; messages.len()],
@@ -127,7 +127,7 @@
     match status {
         "accepted" => Some(AttemptResult::Completed),
         "fault" => Some(AttemptResult::Failed),
-        "deferred" => Some(AttemptResult::Rejected { retry_after: retry_after_of(response) }),
+        "deferred" => Some(AttemptResult::Rejected { retry_after: parse_retry_after(response) }),
         "expired" => Some(AttemptResult::AlreadyFinished),
         "no_more" => Some(AttemptResult::AttemptsExhausted),
         _ => None,
--- a/crates/protocol/tests/list_decoder.rs
+++ b/crates/protocol/tests/list_decoder.rs
@@ -25,7 +25,7 @@
     for piece in pieces {
         let mut input = *piece;
         loop {
-            match decoder.next(&mut input) {
+            match decoder.next_event(&mut input) {
                 Ok(Some(event)) => events.push(event),
                 Ok(None) => break,
                 Err(error) => return Decoded { events, error: Some(error.to_string()) },
@@ -33,7 +33,7 @@
         }
         assert!(input.is_empty());
     }
-    assert_eq!(decoder.bytes() as usize, pieces.iter().map(|p| p.len()).sum::<usize>());
+    assert_eq!(decoder.consumed_bytes() as usize, pieces.iter().map(|p| p.len()).sum::<usize>());
     Decoded::without_error(events)
 }
 
@@ -51,7 +51,8 @@
 
 /// The events of a part that is in memory whole.
 fn events_of(part: ListPart) -> Vec<ListEvent> {
-    let mut events = vec![ListEvent::PartStarted { generation: part.generation, whole: part.whole }];
+    let mut events =
+        vec![ListEvent::PartStarted { generation: part.generation, is_full_list: part.is_full_list }];
     events.extend(part.entries.into_iter().map(ListEvent::EndpointUpdated));
     events.push(ListEvent::PartEnded);
     events
@@ -105,7 +106,7 @@
         kind: String::new(),
     };
     let expected =
-        vec![ListEvent::PartStarted { generation: 7, whole: true }, ListEvent::EndpointUpdated(entry)];
+        vec![ListEvent::PartStarted { generation: 7, is_full_list: true }, ListEvent::EndpointUpdated(entry)];
     assert_eq!(decode(&[BEGUN.as_bytes()]), Decoded::without_error(expected));
 }
 
@@ -199,7 +200,7 @@
     }
 }
 
-const SMALL: ListLimits = ListLimits { entries: 3, value_bytes: 80, early_bytes: 100 };
+const SMALL: ListLimits = ListLimits { max_entries: 3, max_value_bytes: 80, max_buffered_bytes: 100 };
 
 /// The keys that stand first as a rule.
 const HEADER: &str = "\"generation\":1,\"reset\":true,";
@@ -251,7 +252,7 @@
 
 #[test]
 fn default_limit_is_three_times_the_entries_of_the_largest_list_that_is_expected() {
-    assert!(ListLimits::default().entries >= 3 * 320_000);
+    assert!(ListLimits::default().max_entries >= 3 * 320_000);
 }
 
 /// One of these texts.
--- a/crates/protocol/tests/list_part.rs
+++ b/crates/protocol/tests/list_part.rs
@@ -16,7 +16,10 @@
 #[test]
 fn part_is_decoded_with_keys_beside_that_have_no_meaning() {
     let part = ListPart::decode(PART.as_bytes()).unwrap();
-    assert_eq!((part.generation, part.whole, part.entries[0].state), (41, true, EndpointState::Draining));
+    assert_eq!(
+        (part.generation, part.is_full_list, part.entries[0].state),
+        (41, true, EndpointState::Draining)
+    );
 }
 
 #[test]
--- a/crates/protocol/tests/responses.rs
+++ b/crates/protocol/tests/responses.rs
@@ -5,7 +5,7 @@
 use http::Response;
 use reeddock::{AttemptOutcome, LoadReport, MessageId};
 use reeddock_protocol::{
-    attempt_result_of, attempt_results_of_batch, load_report_of, rejects_connection, AttemptResult,
+    parse_attempt_result, parse_batch_results, parse_load_report, rejects_connection, AttemptResult,
     BatchResponseBody, BodyEnd, FinalAnswer, OutgoingMessage,
 };
 
@@ -20,7 +20,7 @@
 }
 
 fn outcome(status: u16, header: Header) -> AttemptOutcome {
-    attempt_result_of(&head(status, header)).outcome()
+    parse_attempt_result(&head(status, header)).outcome()
 }
 
 #[test]
@@ -63,8 +63,8 @@
 
 #[test]
 fn only_a_410_says_that_the_message_is_finished() {
-    assert!(attempt_result_of(&head(410, None)).finishes_message());
-    assert!(!attempt_result_of(&head(504, None)).finishes_message());
+    assert!(parse_attempt_result(&head(410, None)).finishes_message());
+    assert!(!parse_attempt_result(&head(504, None)).finishes_message());
 }
 
 #[test]
@@ -73,7 +73,7 @@
 }
 
 fn load_report(line: &str) -> Option<LoadReport> {
-    load_report_of(&head(200, Some(("X-Load-Report", line))))
+    parse_load_report(&head(200, Some(("X-Load-Report", line))))
 }
 
 #[test]
@@ -93,7 +93,7 @@
     for line in ["", "x0=0.4", "x0=,x1=25", "x0=-1,x1=25", "x0=0.4,x1=inf", "x0=NaN,x1=25", "x0:0.4;x1:25"] {
         assert_eq!(load_report(line), None, "{line}");
     }
-    assert_eq!(load_report_of(&head(200, None)), None);
+    assert_eq!(parse_load_report(&head(200, None)), None);
 }
 
 /// A batch response to the messages `a`, `ab` and `c`.
@@ -112,7 +112,7 @@
         idempotency_key: None,
         body: Default::default(),
     });
-    attempt_results_of_batch(&head(status, None), BatchResponseBody { bytes, end }, &messages)
+    parse_batch_results(&head(status, None), BatchResponseBody { bytes, end }, &messages)
 }
 
 #[test]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -18,5 +18,5 @@
 pub use error::SettingsError;
 pub use load_report::LoadReportFields;
 pub use network::NetworkSettings;
-pub use policy::parse_settings;
+pub use policy::parse_policy_settings;
 pub use shape::{DeploymentShape, ListedRates};
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -18,7 +18,7 @@
 impl LoadReportFields {
     /// Reads `report`. None where responses carry no report, or one without both values.
     #[must_use]
-    pub fn of(settings: &Map<String, Value>) -> Option<LoadReportFields> {
+    pub fn from_settings(settings: &Map<String, Value>) -> Option<LoadReportFields> {
         let report = settings.get("report")?;
         let names = report.get("fields")?.as_array()?;
         let index = |name| names.iter().position(|field| field.as_str() == Some(name));
--- a/crates/settings/src/network.rs
+++ b/crates/settings/src/network.rs
@@ -25,7 +25,7 @@
 impl NetworkSettings {
     /// Reads the settings. What is absent or of another type counts as not given.
     #[must_use]
-    pub fn of(settings: &Map<String, Value>) -> NetworkSettings {
+    pub fn from_settings(settings: &Map<String, Value>) -> NetworkSettings {
         let settings = Section::from(settings);
         let limits = settings.section("policyLimits");
         NetworkSettings {
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -11,7 +11,7 @@
 
 /// The settings of the delivery policy. What is absent or of another type counts as not given.
 #[must_use]
-pub fn parse_settings(seed: u64, settings: &Map<String, Value>) -> Settings {
+pub fn parse_policy_settings(seed: u64, settings: &Map<String, Value>) -> Settings {
     let mut parsed = Settings { seed, ..Settings::default() };
     read_fleet(settings, &mut parsed);
     read_traffic(settings, &mut parsed);
@@ -115,7 +115,7 @@
 
 /// How the endpoint list comes, and what it and responses say of limits.
 fn read_discovery(settings: &Map<String, Value>, parsed: &mut Settings) {
-    parsed.responses_carry_load_reports = LoadReportFields::of(settings).is_some();
+    parsed.responses_carry_load_reports = LoadReportFields::from_settings(settings).is_some();
     let settings = Section::from(settings);
     let is_polled = settings.word("discovery") == Some("subscribe");
     let poll_interval_limit = settings.section("guarantees").micros("mustAskInUs");
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -120,7 +120,7 @@
 
 impl DeploymentShape {
     /// Reads the shape from a configuration's settings. The first key that means nothing is an error.
-    pub fn of(settings: &Map<String, Value>) -> Result<DeploymentShape, SettingsError> {
+    pub fn from_settings(settings: &Map<String, Value>) -> Result<DeploymentShape, SettingsError> {
         let keys = Keys::read(settings)?;
         let zones = keys.zones.unwrap_or_default();
         check_zone(keys.zone.as_deref(), &zones)?;
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use reeddock::{Idempotency, KeyScope, LateDecay, ListedWeights, LoadReport};
-use reeddock_settings::{parse_settings, DeploymentShape, LoadReportFields, NetworkSettings};
+use reeddock_settings::{parse_policy_settings, DeploymentShape, LoadReportFields, NetworkSettings};
 use serde_json::{json, Map, Value};
 
 fn object(value: Value) -> Map<String, Value> {
@@ -36,7 +36,7 @@
 
 #[test]
 fn classes_kinds_and_tenants_are_read() {
-    let settings = parse_settings(5, &full());
+    let settings = parse_policy_settings(5, &full());
     let class = &settings.classes[0];
     let window = Duration::from_micros(11);
     assert_eq!(class.name, "update");
@@ -60,7 +60,7 @@
 
 #[test]
 fn fleet_and_limits_are_read() {
-    let settings = parse_settings(5, &full());
+    let settings = parse_policy_settings(5, &full());
     assert_eq!((settings.seed, settings.forwarders, settings.zone.as_str()), (5, Some(200), "east"));
     assert_eq!(
         (settings.max_in_flight, settings.capacity, settings.max_attempts),
@@ -72,7 +72,7 @@
 
 #[test]
 fn guarantees_discovery_and_prices_are_read() {
-    let settings = parse_settings(5, &full());
+    let settings = parse_policy_settings(5, &full());
     assert_eq!((settings.slow_start_floor, settings.slow_start_duration), (Some(0.3), micros(21)));
     assert_eq!((settings.overload_multiple, settings.overload_window), (Some(1.5), micros(22)));
     assert_eq!((settings.ordering_hold_off, settings.poll_interval_limit), (micros(23), micros(24)));
@@ -87,26 +87,26 @@
 fn longest_retry_after_counts_only_where_rejections_may_carry_one() {
     let mut settings = full();
     settings["policyLimits"]["retryAfter"] = json!(false);
-    assert_eq!(parse_settings(5, &settings).max_retry_after, None);
+    assert_eq!(parse_policy_settings(5, &settings).max_retry_after, None);
 }
 
 #[test]
 fn poll_interval_counts_only_where_the_endpoint_list_is_polled() {
     let mut settings = full();
     settings["discovery"] = json!("automatic");
-    assert_eq!(parse_settings(5, &settings).poll_interval_limit, None);
+    assert_eq!(parse_policy_settings(5, &settings).poll_interval_limit, None);
 }
 
 #[test]
 fn idempotency_key_without_a_window_counts_as_not_given() {
     let mut settings = full();
     settings["classes"][0]["windowUs"] = json!("long");
-    assert_eq!(parse_settings(5, &settings).classes[0].idempotency, None);
+    assert_eq!(parse_policy_settings(5, &settings).classes[0].idempotency, None);
 }
 
 #[test]
 fn load_report_is_read_by_the_order_of_its_fields() {
-    let fields = LoadReportFields::of(&full()).unwrap();
+    let fields = LoadReportFields::from_settings(&full()).unwrap();
     let values = [json!(25.0), json!(3), json!(0.4)];
     assert_eq!(fields.read(&values), Some(LoadReport { left: 0.4, limit: 25.0 }));
     assert_eq!(fields.read(&values[..2]), None);
@@ -116,10 +116,10 @@
 fn tick_over_a_tenth_of_a_second_counts_as_not_given() {
     let expected =
         NetworkSettings { tick: micros(5000), connect_timeout: micros(20), idle_timeout: micros(19) };
-    assert_eq!(NetworkSettings::of(&full()), expected);
+    assert_eq!(NetworkSettings::from_settings(&full()), expected);
     let mut settings = full();
     settings["tickUs"] = json!(100_001);
-    assert_eq!(NetworkSettings::of(&settings), NetworkSettings { tick: None, ..expected });
+    assert_eq!(NetworkSettings::from_settings(&settings), NetworkSettings { tick: None, ..expected });
 }
 
 #[test]
@@ -146,7 +146,7 @@
     ] {
         let mut settings = Value::Object(full());
         *settings.pointer_mut(pointer).unwrap() = value;
-        let error = DeploymentShape::of(&object(settings)).unwrap_err();
+        let error = DeploymentShape::from_settings(&object(settings)).unwrap_err();
         assert_eq!(error.to_string(), expected);
     }
 }
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use reeddock::{DeliveryPolicy, EndpointId};
-use reeddock_settings::{parse_settings, LoadReportFields};
+use reeddock_settings::{parse_policy_settings, LoadReportFields};
 use serde_json::{Map, Value};
 
 use crate::commands::Commands;
@@ -25,8 +25,8 @@
     /// Starts a forwarder with these settings.
     pub fn new(seed: u64, settings: &Map<String, Value>, now: Duration, commands: &mut Commands) -> Instance {
         Instance {
-            policy: DeliveryPolicy::new(now, parse_settings(seed, settings), commands),
-            load_report_fields: LoadReportFields::of(settings),
+            policy: DeliveryPolicy::new(now, parse_policy_settings(seed, settings), commands),
+            load_report_fields: LoadReportFields::from_settings(settings),
         }
     }
 
