--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -50,15 +50,15 @@
         self.in_flight.push_back(AttemptInFlight { message: message.clone(), number });
         *attempts += 1;
     }
-    fn cancel(&mut self, _: &MessageId, _: AttemptNumber) {}
-    fn reject(&mut self, _: &MessageId, _: Option<Duration>) {}
-    fn fail(&mut self, _: &MessageId) {}
+    fn cancel_attempt(&mut self, _: &MessageId, _: AttemptNumber) {}
+    fn reject_message(&mut self, _: &MessageId, _: Option<Duration>) {}
+    fn fail_message(&mut self, _: &MessageId) {}
     fn set_timer(&mut self, _: Duration) {}
     fn start_health_check(&mut self, _: EndpointId) {}
     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
-    fn subscribe(&mut self, _: bool) {}
+    fn watch_endpoint_list(&mut self, _: bool) {}
     fn fetch_endpoint_list(&mut self) {}
-    fn report(&mut self, _: &PolicyEvent) {}
+    fn report_event(&mut self, _: &PolicyEvent) {}
 }
 
 /// A policy with its host and clock.
@@ -134,7 +134,7 @@
         for n in 0..waiting {
             let endpoint = endpoint_of(self.served + n);
             // A report makes the circuit known; this one reports no limit.
-            self.policy.load_reported(endpoint, LoadReport { left: 1.0, limit: 0.0 });
+            self.policy.load_reported(endpoint, LoadReport { remaining_share: 1.0, limit_per_second: 0.0 });
             self.policy.retry_after_received(self.now, endpoint, RETRY_AFTER);
         }
         for n in 0..self.size.queued as u64 {
--- a/crates/daemon/src/check.rs
+++ b/crates/daemon/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use reeddock::{Idempotency, KeyScope, MessageClass};
+use reeddock::{Idempotency, IdempotencyKeyScope, MessageClass};
 use reeddock_forwarder::limits::Limits;
 use reeddock_wal::SyncPolicy;
 
@@ -24,7 +24,7 @@
     println!(
         "requests in flight at most: {}; messages without a final answer at most: {}",
         value_or_not_given(settings.max_in_flight),
-        value_or_not_given(settings.capacity)
+        value_or_not_given(settings.max_pending_messages)
     );
     println!("{}", Limits::derive(options.resources));
     Ok(())
@@ -45,8 +45,8 @@
         Some(Idempotency::Idempotent) => "idempotent".into(),
         Some(Idempotency::WithKey { window, scope }) => {
             let scope = match scope {
-                KeyScope::Region => "region",
-                KeyScope::Zone => "zone",
+                IdempotencyKeyScope::Region => "region",
+                IdempotencyKeyScope::Zone => "zone",
             };
             format!("with an idempotency key for {} within a {scope}", seconds(window))
         }
--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -98,15 +98,15 @@
         self.commands.push(Command::StartAttempt(attempt));
     }
 
-    fn cancel(&mut self, message: &MessageId, number: AttemptNumber) {
+    fn cancel_attempt(&mut self, message: &MessageId, number: AttemptNumber) {
         self.commands.push(Command::Cancel(AttemptKey { message: message.clone(), number }));
     }
 
-    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+    fn reject_message(&mut self, message: &MessageId, retry_after: Option<Duration>) {
         self.give_final_answer(message, FinalAnswer::Rejected { retry_after });
     }
 
-    fn fail(&mut self, message: &MessageId) {
+    fn fail_message(&mut self, message: &MessageId) {
         self.give_final_answer(message, FinalAnswer::Failed);
     }
 
@@ -118,16 +118,16 @@
     // on the endpoint list is always open.
     fn start_health_check(&mut self, _: EndpointId) {}
     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
-    fn subscribe(&mut self, _: bool) {}
+    fn watch_endpoint_list(&mut self, _: bool) {}
     fn fetch_endpoint_list(&mut self) {}
 
-    fn report(&mut self, event: &PolicyEvent) {
+    fn report_event(&mut self, event: &PolicyEvent) {
         match *event {
-            PolicyEvent::CircuitOpened { scope, after } => {
+            PolicyEvent::CircuitOpened { scope, outcome: after } => {
                 let CircuitFields { destination, endpoint } = scope.into();
                 tracing::info!(destination, endpoint, ?after, "circuit opened");
             }
-            PolicyEvent::CircuitClosed { scope, after } => {
+            PolicyEvent::CircuitClosed { scope, outcome: after } => {
                 let CircuitFields { destination, endpoint } = scope.into();
                 tracing::info!(destination, endpoint, ?after, "circuit closed");
             }
--- a/crates/forwarder/tests/loopback/support/test_bed.rs
+++ b/crates/forwarder/tests/loopback/support/test_bed.rs
@@ -6,7 +6,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use reeddock::{EndpointKind, Idempotency, KeyScope, ListedWeights, MessageClass, Settings};
+use reeddock::{EndpointKind, Idempotency, IdempotencyKeyScope, ListedWeights, MessageClass, Settings};
 use reeddock_forwarder::limits::ResourceLimits;
 use reeddock_forwarder::{serve_on, ForwarderOptions};
 use reeddock_protocol::ListPart;
@@ -24,7 +24,7 @@
 const CLASSES: [(&str, Idempotency); 3] = [
     ("note", Idempotency::Idempotent),
     ("order", Idempotency::NonIdempotent),
-    ("mark", Idempotency::WithKey { window: ms(5000), scope: KeyScope::Region }),
+    ("mark", Idempotency::WithKey { window: ms(5000), scope: IdempotencyKeyScope::Region }),
 ];
 
 /// One entry of an endpoint list, in discovery's form.
@@ -235,13 +235,13 @@
             classes: self.classes.iter().map(class).collect(),
             endpoint_kinds: vec![endpoint_kind],
             max_in_flight: Some(8),
-            capacity: Some(50),
+            max_pending_messages: Some(50),
             max_attempts: Some(6),
             hedging_allowed: self.hedging_allowed,
             max_retry_after: Some(ms(3000)),
             listed_weights,
             responses_carry_load_reports: self.load_reports,
-            poll_interval_limit: self.load_reports.then_some(ms(10_000)),
+            max_poll_interval: self.load_reports.then_some(ms(10_000)),
             ..Default::default()
         }
     }
--- a/crates/recorder/src/line/text.rs
+++ b/crates/recorder/src/line/text.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use reeddock::{
-    AttemptOutcome, EndpointId, EndpointState, Idempotency, KeyScope, LateDecay, ListedWeights, MessageClass,
-    PreviousAttempt, Settings,
+    AttemptOutcome, EndpointId, EndpointState, Idempotency, IdempotencyKeyScope, LateDecay, ListedWeights,
+    MessageClass, PreviousAttempt, Settings,
 };
 
 use super::{PolicyCall, PolicyCommand, ReturnedValue};
@@ -104,7 +104,7 @@
 fn write_limits(settings: &Settings, to: &mut Formatter) -> fmt::Result {
     write!(to, "seed={} forwarders={}", settings.seed, OrDash(settings.forwarders))?;
     write!(to, " zone={:?} slots={}", settings.zone, OrDash(settings.max_in_flight))?;
-    write!(to, " room={} cap={}", OrDash(settings.capacity), OrDash(settings.max_attempts))?;
+    write!(to, " room={} cap={}", OrDash(settings.max_pending_messages), OrDash(settings.max_attempts))?;
     let exponential = settings.late_decay == LateDecay::Exponential;
     write!(to, " halving={exponential} may_duplicate={}", settings.hedging_allowed)?;
     write!(to, " over_share_credit={}", OrDash(settings.over_quota_weight))?;
@@ -120,7 +120,7 @@
 }
 
 fn write_discovery_and_prices(settings: &Settings, to: &mut Formatter) -> fmt::Result {
-    write!(to, " ask_within={}", seconds_or_dash(settings.poll_interval_limit))?;
+    write!(to, " ask_within={}", seconds_or_dash(settings.max_poll_interval))?;
     write!(to, " idle={}", seconds_or_dash(settings.connection_idle_timeout))?;
     write!(to, " weights={}", WeightsText(settings.listed_weights))?;
     write!(to, " answers_report={}", settings.responses_carry_load_reports)?;
@@ -167,8 +167,8 @@
             Some(Idempotency::NonIdempotent) => to.write_str("Some(Effectful)"),
             Some(Idempotency::WithKey { window, scope }) => {
                 let group = match scope {
-                    KeyScope::Region => "All",
-                    KeyScope::Zone => "Zone",
+                    IdempotencyKeyScope::Region => "All",
+                    IdempotencyKeyScope::Zone => "Zone",
                 };
                 write!(to, "Some(Receipted {{ window: {window:?}, group: {group} }})")
             }
@@ -222,7 +222,11 @@
                 write!(to, " over={message_finished} outcome={}", OutcomeText(*outcome))
             }
             PolicyCall::LoadReported { endpoint, report } => {
-                write!(to, "reported target={} left={} limit={}", endpoint.0, report.left, report.limit)
+                write!(
+                    to,
+                    "reported target={} left={} limit={}",
+                    endpoint.0, report.remaining_share, report.limit_per_second
+                )
             }
             PolicyCall::RetryAfterReceived { now, endpoint, retry_after } => {
                 write!(to, "told_to_wait now={} target={}", Seconds(*now), endpoint.0)?;
--- a/crates/recorder/src/recorded_policy.rs
+++ b/crates/recorder/src/recorded_policy.rs
@@ -29,17 +29,17 @@
         self.writer.record(PolicyCommand::StartAttempt { id, endpoint, timeouts });
         self.host.start_attempt(id, endpoint, timeouts);
     }
-    fn cancel(&mut self, id: &MessageId, number: AttemptNumber) {
+    fn cancel_attempt(&mut self, id: &MessageId, number: AttemptNumber) {
         self.writer.record(PolicyCommand::Cancel { id, number });
-        self.host.cancel(id, number);
+        self.host.cancel_attempt(id, number);
     }
-    fn reject(&mut self, id: &MessageId, retry_after: Option<Duration>) {
+    fn reject_message(&mut self, id: &MessageId, retry_after: Option<Duration>) {
         self.writer.record(PolicyCommand::Reject { id, retry_after });
-        self.host.reject(id, retry_after);
+        self.host.reject_message(id, retry_after);
     }
-    fn fail(&mut self, id: &MessageId) {
+    fn fail_message(&mut self, id: &MessageId) {
         self.writer.record(PolicyCommand::Fail { id });
-        self.host.fail(id);
+        self.host.fail_message(id);
     }
     fn set_timer(&mut self, after: Duration) {
         self.writer.record(PolicyCommand::SetTimer { after });
@@ -53,17 +53,17 @@
         self.writer.record(PolicyCommand::SendGossip { peer, gossip });
         self.host.send_gossip(peer, gossip);
     }
-    fn subscribe(&mut self, on: bool) {
+    fn watch_endpoint_list(&mut self, on: bool) {
         self.writer.record(PolicyCommand::Subscribe { on });
-        self.host.subscribe(on);
+        self.host.watch_endpoint_list(on);
     }
     fn fetch_endpoint_list(&mut self) {
         self.writer.record(PolicyCommand::FetchEndpointList);
         self.host.fetch_endpoint_list();
     }
-    fn report(&mut self, event: &PolicyEvent) {
+    fn report_event(&mut self, event: &PolicyEvent) {
         self.writer.record(PolicyCommand::Report { event });
-        self.host.report(event);
+        self.host.report_event(event);
     }
 }
 
--- a/crates/recorder/src/streams/command_log.rs
+++ b/crates/recorder/src/streams/command_log.rs
@@ -22,13 +22,13 @@
     fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
         self.0.push(HostCommand::StartAttempt { message: message.clone(), endpoint, timeouts });
     }
-    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber) {
+    fn cancel_attempt(&mut self, message: &MessageId, attempt: AttemptNumber) {
         self.0.push(HostCommand::Cancel { message: message.clone(), attempt });
     }
-    fn reject(&mut self, message: &MessageId, _: Option<Duration>) {
+    fn reject_message(&mut self, message: &MessageId, _: Option<Duration>) {
         self.0.push(HostCommand::Reject { message: message.clone() });
     }
-    fn fail(&mut self, message: &MessageId) {
+    fn fail_message(&mut self, message: &MessageId) {
         self.0.push(HostCommand::Fail { message: message.clone() });
     }
     fn set_timer(&mut self, after: Duration) {
@@ -36,9 +36,9 @@
     }
     fn start_health_check(&mut self, _: EndpointId) {}
     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
-    fn subscribe(&mut self, _: bool) {
+    fn watch_endpoint_list(&mut self, _: bool) {
         self.0.push(HostCommand::Subscribe);
     }
     fn fetch_endpoint_list(&mut self) {}
-    fn report(&mut self, _: &PolicyEvent) {}
+    fn report_event(&mut self, _: &PolicyEvent) {}
 }
--- a/crates/recorder/src/streams/rule_model/checks.rs
+++ b/crates/recorder/src/streams/rule_model/checks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reeddock::{AttemptTimeouts, EndpointId, EndpointState, Idempotency, KeyScope, MessageId};
+use reeddock::{AttemptTimeouts, EndpointId, EndpointState, Idempotency, IdempotencyKeyScope, MessageId};
 
 use super::records::PendingMessage;
 use super::RuleModel;
@@ -95,7 +95,8 @@
 
     /// Whether the endpoint would recognize a message that may have been executed elsewhere.
     fn is_recognized(&self, pending: &PendingMessage, endpoint: EndpointId) -> bool {
-        let is_zonal = matches!(pending.idempotency, Idempotency::WithKey { scope: KeyScope::Zone, .. });
+        let is_zonal =
+            matches!(pending.idempotency, Idempotency::WithKey { scope: IdempotencyKeyScope::Zone, .. });
         let Some(executed) = pending.possibly_executed.filter(|_| is_zonal) else { return true };
         let zone = |id| self.endpoints.get(&id).map(|known| &known.zone);
         executed.endpoint == endpoint || zone(executed.endpoint) == zone(endpoint)
--- a/crates/recorder/src/streams/rule_model/records.rs
+++ b/crates/recorder/src/streams/rule_model/records.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use reeddock::{AttemptNumber, DestinationId, EndpointId, EndpointState, Idempotency, KeyScope, RequestId};
+use reeddock::{
+    AttemptNumber, DestinationId, EndpointId, EndpointState, Idempotency, IdempotencyKeyScope, RequestId,
+};
 
 /// What the rules need to know of a message class.
 #[derive(Clone, Copy)]
@@ -82,7 +84,8 @@
         let repeatable = match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithKey { scope, .. } => {
-                scope == KeyScope::Region && self.key_valid_until().is_some_and(|until| now < until)
+                scope == IdempotencyKeyScope::Region
+                    && self.key_valid_until().is_some_and(|until| now < until)
             }
             Idempotency::NonIdempotent => false,
         };
--- a/crates/recorder/src/streams/setup.rs
+++ b/crates/recorder/src/streams/setup.rs
@@ -6,8 +6,8 @@
 use rand::{Rng, RngExt};
 use rand_pcg::Pcg32;
 use reeddock::{
-    EndpointKind, Idempotency, KeyScope, LateDecay, ListedWeights, MessageClass, Settings, TenantQuota,
-    ZoneFee,
+    EndpointKind, Idempotency, IdempotencyKeyScope, LateDecay, ListedWeights, MessageClass, Settings,
+    TenantQuota, ZoneFee,
 };
 
 use super::rule_model::{ClassRules, Rules};
@@ -110,8 +110,8 @@
         Some(Idempotency::Idempotent),
         Some(Idempotency::Idempotent),
         Some(Idempotency::NonIdempotent),
-        Some(Idempotency::WithKey { window, scope: KeyScope::Region }),
-        Some(Idempotency::WithKey { window, scope: KeyScope::Zone }),
+        Some(Idempotency::WithKey { window, scope: IdempotencyKeyScope::Region }),
+        Some(Idempotency::WithKey { window, scope: IdempotencyKeyScope::Zone }),
         None,
     ];
     let drawn = random.random_range(0..choices.len());
@@ -254,7 +254,7 @@
             kinds: kinds.into_iter().map(|kind| kind.name).collect(),
             tenants: tenants.into_iter().map(|quota| quota.tenant).collect(),
             max_in_flight,
-            capacity: settings.capacity.unwrap_or(u64::MAX),
+            capacity: settings.max_pending_messages.unwrap_or(u64::MAX),
             max_attempts: settings.max_attempts.unwrap_or(u64::MAX),
             ordering_hold_off: settings.ordering_hold_off.unwrap_or_default(),
             responses_carry_load_reports: settings.responses_carry_load_reports,
@@ -286,7 +286,7 @@
         over_quota_weight: perhaps(random, |random| random.random_range(0.0..1.0)),
         late_decay: if random.random_bool(0.5) { LateDecay::Exponential } else { LateDecay::Linear },
         max_in_flight: Some(max_in_flight),
-        capacity: capacity(random, u64::from(burst)),
+        max_pending_messages: capacity(random, u64::from(burst)),
         max_attempts: random.random_bool(0.8).then(|| random.random_range(1..=6)),
         hedging_allowed: random.random_bool(0.3),
         max_retry_after: perhaps(random, |random| millis(random, 100, 10_000)),
@@ -295,7 +295,7 @@
         overload_multiple: perhaps(random, |random| random.random_range(0.5..4.0)),
         overload_window: perhaps(random, |random| millis(random, 100, 4_000)),
         ordering_hold_off: perhaps(random, |random| millis(random, 0, 4_000)),
-        poll_interval_limit: perhaps(random, |random| millis(random, 500, 20_000)),
+        max_poll_interval: perhaps(random, |random| millis(random, 500, 20_000)),
         listed_weights: pick(random, &weights).unwrap_or_default(),
         responses_carry_load_reports: random.random_bool(0.4),
         connection_idle_timeout: perhaps(random, |random| millis(random, 0, 5_000)),
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,8 +1,8 @@
 //! What the delivery policy is given of the settings, each value under the policy's own name.
 
 use reeddock::{
-    EndpointKind, Idempotency, KeyScope, LateDecay, ListedWeights, MessageClass, Settings, TenantQuota,
-    ZoneFee,
+    EndpointKind, Idempotency, IdempotencyKeyScope, LateDecay, ListedWeights, MessageClass, Settings,
+    TenantQuota, ZoneFee,
 };
 use serde_json::{Map, Value};
 
@@ -64,8 +64,8 @@
         "deduplicated" => {
             let window = class.micros("windowUs")?;
             let scope = match class.word("dedupScope") {
-                Some("all") => KeyScope::Region,
-                _ => KeyScope::Zone,
+                Some("all") => IdempotencyKeyScope::Region,
+                _ => IdempotencyKeyScope::Zone,
             };
             Some(Idempotency::WithKey { window, scope })
         }
@@ -96,7 +96,7 @@
     let settings = Section::from(settings);
     let limits = settings.section("policyLimits");
     parsed.max_in_flight = settings.section("familyInfo").integer("maxCalls");
-    parsed.capacity = limits.integer("openCap");
+    parsed.max_pending_messages = limits.integer("openCap");
     parsed.max_attempts = limits.integer("attemptsCap");
     parsed.hedging_allowed = limits.flag("mayDuplicate");
     parsed.max_retry_after = limits.micros("maxRetryAfterUs").filter(|_| limits.flag("retryAfter"));
@@ -118,8 +118,8 @@
     parsed.responses_carry_load_reports = LoadReportFields::of(settings).is_some();
     let settings = Section::from(settings);
     let is_polled = settings.word("discovery") == Some("subscribe");
-    let poll_interval_limit = settings.section("guarantees").micros("mustAskInUs");
-    parsed.poll_interval_limit = poll_interval_limit.filter(|_| is_polled);
+    let max_poll_interval = settings.section("guarantees").micros("mustAskInUs");
+    parsed.max_poll_interval = max_poll_interval.filter(|_| is_polled);
     parsed.listed_weights = match settings.word("weights") {
         Some("nominal") => ListedWeights::Rates,
         Some("rough") => ListedWeights::ApproximateRates,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reeddock::{Idempotency, KeyScope, LateDecay, ListedWeights, LoadReport};
+use reeddock::{Idempotency, IdempotencyKeyScope, LateDecay, ListedWeights, LoadReport};
 use reeddock_settings::{parse_settings, DeploymentShape, LoadReportFields, NetworkSettings};
 use serde_json::{json, Map, Value};
 
@@ -40,7 +40,7 @@
     let class = &settings.classes[0];
     let window = Duration::from_micros(11);
     assert_eq!(class.name, "update");
-    assert_eq!(class.idempotency, Some(Idempotency::WithKey { window, scope: KeyScope::Region }));
+    assert_eq!(class.idempotency, Some(Idempotency::WithKey { window, scope: IdempotencyKeyScope::Region }));
     assert_eq!((class.latency_objective, class.deadline), (micros(12), micros(13)));
     assert_eq!((class.priority_weight, class.late_weight), (Some(2.5), Some(0.25)));
     assert!(class.ordered);
@@ -63,7 +63,7 @@
     let settings = parse_settings(5, &full());
     assert_eq!((settings.seed, settings.forwarders, settings.zone.as_str()), (5, Some(200), "east"));
     assert_eq!(
-        (settings.max_in_flight, settings.capacity, settings.max_attempts),
+        (settings.max_in_flight, settings.max_pending_messages, settings.max_attempts),
         (Some(14), Some(16), Some(17))
     );
     assert!(settings.hedging_allowed);
@@ -75,7 +75,7 @@
     let settings = parse_settings(5, &full());
     assert_eq!((settings.slow_start_floor, settings.slow_start_duration), (Some(0.3), micros(21)));
     assert_eq!((settings.overload_multiple, settings.overload_window), (Some(1.5), micros(22)));
-    assert_eq!((settings.ordering_hold_off, settings.poll_interval_limit), (micros(23), micros(24)));
+    assert_eq!((settings.ordering_hold_off, settings.max_poll_interval), (micros(23), micros(24)));
     assert_eq!(settings.listed_weights, ListedWeights::ApproximateRates);
     assert!(settings.responses_carry_load_reports);
     assert_eq!((settings.cross_zone_price, settings.connection_price), (Some(0.2), Some(0.04)));
@@ -94,7 +94,7 @@
 fn poll_interval_counts_only_where_the_endpoint_list_is_polled() {
     let mut settings = full();
     settings["discovery"] = json!("automatic");
-    assert_eq!(parse_settings(5, &settings).poll_interval_limit, None);
+    assert_eq!(parse_settings(5, &settings).max_poll_interval, None);
 }
 
 #[test]
@@ -108,7 +108,7 @@
 fn load_report_is_read_by_the_order_of_its_fields() {
     let fields = LoadReportFields::of(&full()).unwrap();
     let values = [json!(25.0), json!(3), json!(0.4)];
-    assert_eq!(fields.read(&values), Some(LoadReport { left: 0.4, limit: 25.0 }));
+    assert_eq!(fields.read(&values), Some(LoadReport { remaining_share: 0.4, limit_per_second: 25.0 }));
     assert_eq!(fields.read(&values[..2]), None);
 }
 
--- a/crates/sim-adapter/src/commands.rs
+++ b/crates/sim-adapter/src/commands.rs
@@ -42,15 +42,15 @@
         self.0.push(json!(["Try", &*message.0, timeout, endpoint.0]));
     }
 
-    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber) {
+    fn cancel_attempt(&mut self, message: &MessageId, attempt: AttemptNumber) {
         self.0.push(json!(["Revoke", &*message.0, attempt.0]));
     }
 
-    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+    fn reject_message(&mut self, message: &MessageId, retry_after: Option<Duration>) {
         self.0.push(json!(["Shed", &*message.0, retry_after.map(micros)]));
     }
 
-    fn fail(&mut self, message: &MessageId) {
+    fn fail_message(&mut self, message: &MessageId) {
         self.0.push(json!(["RespondError", &*message.0]));
     }
 
@@ -67,7 +67,7 @@
         self.0.push(json!(["WritePeer", to, STANDARD.encode(gossip)]));
     }
 
-    fn subscribe(&mut self, on: bool) {
+    fn watch_endpoint_list(&mut self, on: bool) {
         self.0.push(json!(["Tail", on]));
     }
 
@@ -75,7 +75,7 @@
         self.0.push(json!(["Fetch"]));
     }
 
-    fn report(&mut self, event: &PolicyEvent) {
+    fn report_event(&mut self, event: &PolicyEvent) {
         self.0.push(json!(["SayLog", event.to_string()]));
     }
 }
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -160,12 +160,12 @@
         if harmless && now < message.deadline {
             let until = self.retry_after.get(&message.destination).copied().unwrap_or_default();
             let wait = self.settings.max_retry_after.map(|max| until.saturating_sub(now).min(max));
-            host.reject(&message.id, wait.filter(|wait| !wait.is_zero()));
+            host.reject_message(&message.id, wait.filter(|wait| !wait.is_zero()));
         } else {
-            host.fail(&message.id);
+            host.fail_message(&message.id);
         }
         for attempt in &message.in_flight {
-            host.cancel(&message.id, *attempt);
+            host.cancel_attempt(&message.id, *attempt);
         }
     }
 
@@ -179,7 +179,7 @@
         for number in expired {
             self.give_final_answer(number, now, host);
         }
-        let capacity = self.settings.capacity.unwrap_or(u64::MAX) as usize;
+        let capacity = self.settings.max_pending_messages.unwrap_or(u64::MAX) as usize;
         while self.messages.len() >= capacity {
             let Some(newest) = self.queue.back().copied() else { break };
             self.give_final_answer(newest, now, host);
@@ -352,7 +352,7 @@
     fn submit(&mut self, _now: Duration, submission: &Submission, host: &mut dyn PolicyHost) {
         let classes = &self.settings.classes;
         let Some(index) = classes.iter().position(|class| class.name == submission.class) else {
-            return host.fail(&submission.id);
+            return host.fail_message(&submission.id);
         };
         let class = &classes[index];
         let ordering_key = submission.ordering_key.filter(|_| class.ordered);
@@ -434,7 +434,7 @@
         let Some(number) = self.numbers.get(id).copied() else { return };
         if let Some(message) = self.remove(number) {
             for attempt in &message.in_flight {
-                host.cancel(id, *attempt);
+                host.cancel_attempt(id, *attempt);
             }
         }
     }
--- a/crates/simulation/src/scenario/messages.rs
+++ b/crates/simulation/src/scenario/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reeddock::{Idempotency, KeyScope};
+use reeddock::{Idempotency, IdempotencyKeyScope};
 use serde::{Deserialize, Serialize};
 
 use super::defaults;
@@ -87,7 +87,7 @@
         match idempotency {
             ClassIdempotency::Idempotent => Idempotency::Idempotent,
             ClassIdempotency::WithKey(window) => {
-                Idempotency::WithKey { window: window.0, scope: KeyScope::Region }
+                Idempotency::WithKey { window: window.0, scope: IdempotencyKeyScope::Region }
             }
             ClassIdempotency::NonIdempotent => Idempotency::NonIdempotent,
         }
--- a/crates/simulation/src/scenario/settings.rs
+++ b/crates/simulation/src/scenario/settings.rs
@@ -30,7 +30,7 @@
             over_quota_weight: Some(OVER_QUOTA_WEIGHT),
             late_decay: self.late_decay(),
             max_in_flight: Some(fleet.max_in_flight.into()),
-            capacity: Some(fleet.capacity.into()),
+            max_pending_messages: Some(fleet.capacity.into()),
             max_attempts: Some(fleet.max_attempts.into()),
             hedging_allowed: true,
             max_retry_after: fleet.max_retry_after.map(|span| span.0),
@@ -39,7 +39,7 @@
             overload_multiple: Some(recovery.overload_multiple.get()),
             overload_window: Some(recovery.overload_window.0),
             ordering_hold_off: Some(fleet.ordering_hold_off.0),
-            poll_interval_limit: None,
+            max_poll_interval: None,
             listed_weights: match self.endpoint_list.weights {
                 ListWeights::Rates => ListedWeights::ApproximateRates,
                 ListWeights::None => ListedWeights::Unspecified,
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -35,15 +35,15 @@
         self.0.push(HostCommand::StartAttempt { message: message.clone(), endpoint, timeout });
     }
 
-    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber) {
+    fn cancel_attempt(&mut self, message: &MessageId, attempt: AttemptNumber) {
         self.0.push(HostCommand::Cancel { message: message.clone(), attempt });
     }
 
-    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+    fn reject_message(&mut self, message: &MessageId, retry_after: Option<Duration>) {
         self.0.push(HostCommand::Reject { message: message.clone(), retry_after });
     }
 
-    fn fail(&mut self, message: &MessageId) {
+    fn fail_message(&mut self, message: &MessageId) {
         self.0.push(HostCommand::Fail { message: message.clone() });
     }
 
@@ -60,13 +60,13 @@
     }
 
     /// Forwarders of a simulation always learn of changes.
-    fn subscribe(&mut self, _on: bool) {}
+    fn watch_endpoint_list(&mut self, _on: bool) {}
 
     fn fetch_endpoint_list(&mut self) {
         self.0.push(HostCommand::FetchEndpointList);
     }
 
-    fn report(&mut self, _event: &PolicyEvent) {}
+    fn report_event(&mut self, _event: &PolicyEvent) {}
 }
 
 impl World<'_> {
--- a/crates/simulation/tests/simulation/defective_policy.rs
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -76,21 +76,21 @@
         self.host.start_attempt(message, endpoint, timeouts);
     }
 
-    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber) {
-        self.host.cancel(message, attempt);
+    fn cancel_attempt(&mut self, message: &MessageId, attempt: AttemptNumber) {
+        self.host.cancel_attempt(message, attempt);
     }
 
-    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
-        self.host.reject(message, retry_after);
+    fn reject_message(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+        self.host.reject_message(message, retry_after);
         if self.defect == Defect::AnswersTwice {
-            self.host.fail(message);
+            self.host.fail_message(message);
         }
     }
 
-    fn fail(&mut self, message: &MessageId) {
-        self.host.fail(message);
+    fn fail_message(&mut self, message: &MessageId) {
+        self.host.fail_message(message);
         if self.defect == Defect::AnswersTwice {
-            self.host.fail(message);
+            self.host.fail_message(message);
         }
     }
 
@@ -106,16 +106,16 @@
         self.host.send_gossip(peer, gossip);
     }
 
-    fn subscribe(&mut self, on: bool) {
-        self.host.subscribe(on);
+    fn watch_endpoint_list(&mut self, on: bool) {
+        self.host.watch_endpoint_list(on);
     }
 
     fn fetch_endpoint_list(&mut self) {
         self.host.fetch_endpoint_list();
     }
 
-    fn report(&mut self, event: &PolicyEvent) {
-        self.host.report(event);
+    fn report_event(&mut self, event: &PolicyEvent) {
+        self.host.report_event(event);
     }
 }
 
--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -53,7 +53,7 @@
     }
 
     /// The least times between two requests, in seconds, of all circuits in their order.
-    pub fn pacing_intervals(&self) -> impl Iterator<Item = f64> + '_ {
-        self.circuits().iter().map(|(_, circuit)| circuit.pacing().interval())
+    pub fn pacing_intervals_seconds(&self) -> impl Iterator<Item = f64> + '_ {
+        self.circuits().iter().map(|(_, circuit)| circuit.pacing().interval_seconds())
     }
 }
--- a/src/interface/commands.rs
+++ b/src/interface/commands.rs
@@ -23,11 +23,11 @@
     /// Starts the next attempt of a message.
     fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts);
     /// Cancels an attempt: its response is no longer awaited.
-    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber);
+    fn cancel_attempt(&mut self, message: &MessageId, attempt: AttemptNumber);
     /// Gives the final answer that the message was not delivered and that submitting it again is harmless.
-    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>);
+    fn reject_message(&mut self, message: &MessageId, retry_after: Option<Duration>);
     /// Gives the final answer that the message was not delivered; it may have been executed.
-    fn fail(&mut self, message: &MessageId);
+    fn fail_message(&mut self, message: &MessageId);
     /// Calls [`DeliveryPolicy::timer_fired`](crate::DeliveryPolicy::timer_fired) once this span has passed.
     fn set_timer(&mut self, after: Duration);
     /// Starts a health check of an endpoint.
@@ -35,9 +35,9 @@
     /// Sends gossip to another forwarder, or to all if none is named.
     fn send_gossip(&mut self, peer: Option<PeerId>, gossip: &[u8]);
     /// Starts or stops watching the endpoint list.
-    fn subscribe(&mut self, on: bool);
+    fn watch_endpoint_list(&mut self, on: bool);
     /// Fetches the whole endpoint list once.
     fn fetch_endpoint_list(&mut self);
     /// Reports an event for the log.
-    fn report(&mut self, event: &PolicyEvent);
+    fn report_event(&mut self, event: &PolicyEvent);
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
     /// Share of the limit that was left, 0 to 1.
-    pub left: f64,
+    pub remaining_share: f64,
     /// Requests a second that the limit allows; 0 if there is no limit.
-    pub limit: f64,
+    pub limit_per_second: f64,
 }
 
 impl LoadReport {
@@ -18,7 +18,10 @@
     #[must_use]
     pub fn new(left: Option<f64>, limit: Option<f64>) -> Option<LoadReport> {
         let valid = |value: &f64| value.is_finite() && *value >= 0.0;
-        Some(LoadReport { left: left.filter(valid)?.min(1.0), limit: limit.filter(valid)? })
+        Some(LoadReport {
+            remaining_share: left.filter(valid)?.min(1.0),
+            limit_per_second: limit.filter(valid)?,
+        })
     }
 }
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -32,25 +32,25 @@
         /// What the circuit breaker is kept for.
         scope: CircuitScope,
         /// The outcome that opened it.
-        after: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
     /// A circuit breaker has closed again: requests pass, slowly at first.
     CircuitClosed {
         /// What the circuit breaker is kept for.
         scope: CircuitScope,
         /// The outcome that closed it.
-        after: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
 }
 
 impl Display for PolicyEvent {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
-            PolicyEvent::CircuitOpened { scope, after } => {
-                write!(f, "circuit opened: {scope}, after {after:?}")
+            PolicyEvent::CircuitOpened { scope, outcome } => {
+                write!(f, "circuit opened: {scope}, after {outcome:?}")
             }
-            PolicyEvent::CircuitClosed { scope, after } => {
-                write!(f, "circuit closed: {scope}, after {after:?}")
+            PolicyEvent::CircuitClosed { scope, outcome } => {
+                write!(f, "circuit closed: {scope}, after {outcome:?}")
             }
         }
     }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -20,5 +20,5 @@
 pub use messages::{FinishedAttempt, NewMessage, PreviousAttempt};
 pub use outcomes::AttemptOutcome;
 pub use settings::{
-    EndpointKind, Idempotency, KeyScope, LateDecay, MessageClass, Settings, TenantQuota, ZoneFee,
+    EndpointKind, Idempotency, IdempotencyKeyScope, LateDecay, MessageClass, Settings, TenantQuota, ZoneFee,
 };
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -15,7 +15,7 @@
         /// How long after the first attempt a repeat is recognised.
         window: Duration,
         /// Where it is recognised.
-        scope: KeyScope,
+        scope: IdempotencyKeyScope,
     },
     /// It must not be repeated once an attempt may have executed it.
     NonIdempotent,
@@ -23,7 +23,7 @@
 
 /// Which endpoints of a destination share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyScope {
+pub enum IdempotencyKeyScope {
     /// All endpoints of the destination.
     Region,
     /// Endpoints of the destination in the same zone.
@@ -110,7 +110,7 @@
     /// Most requests in flight at once.
     pub max_in_flight: Option<u64>,
     /// Most messages without a final answer at once.
-    pub capacity: Option<u64>,
+    pub max_pending_messages: Option<u64>,
     /// Most attempts of one message.
     pub max_attempts: Option<u64>,
     /// A message may have two attempts in flight at once.
@@ -128,7 +128,7 @@
     /// How long an ordering key holds its next message off after an attempt with an unknown end.
     pub ordering_hold_off: Option<Duration>,
     /// The endpoint list is polled, at least this often; absent if discovery pushes it.
-    pub poll_interval_limit: Option<Duration>,
+    pub max_poll_interval: Option<Duration>,
     /// What the weights in the endpoint list mean.
     pub listed_weights: ListedWeights,
     /// Responses carry load reports where their endpoint has a limit.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,11 +22,11 @@
 //!         println!("send {message:?} to {endpoint:?}, {timeouts:?}");
 //!         self.started.push(message.clone());
 //!     }
-//!     fn cancel(&mut self, _: &MessageId, _: AttemptNumber) {}
-//!     fn reject(&mut self, message: &MessageId, _: Option<Duration>) {
+//!     fn cancel_attempt(&mut self, _: &MessageId, _: AttemptNumber) {}
+//!     fn reject_message(&mut self, message: &MessageId, _: Option<Duration>) {
 //!         println!("reject {message:?}");
 //!     }
-//!     fn fail(&mut self, message: &MessageId) {
+//!     fn fail_message(&mut self, message: &MessageId) {
 //!         println!("fail {message:?}");
 //!     }
 //!     fn set_timer(&mut self, after: Duration) {
@@ -34,9 +34,9 @@
 //!     }
 //!     fn start_health_check(&mut self, _: EndpointId) {}
 //!     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
-//!     fn subscribe(&mut self, _: bool) {}
+//!     fn watch_endpoint_list(&mut self, _: bool) {}
 //!     fn fetch_endpoint_list(&mut self) {}
-//!     fn report(&mut self, event: &PolicyEvent) {
+//!     fn report_event(&mut self, event: &PolicyEvent) {
 //!         println!("{event}");
 //!     }
 //! }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -5,7 +5,7 @@
 use super::slow_start::SlowStartBudget;
 use super::{seconds, DeliveryPolicy};
 use crate::interface::{CircuitScope, DestinationId};
-use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, NextWake};
+use crate::state::{AdmittedEndpoint, CircuitBreaker, EarliestTime, Endpoint};
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,7 +25,7 @@
     /// In ascending order of their ids.
     pub(super) endpoints: Vec<AdmittedEndpoint>,
     /// When the first of the others may be sent a request.
-    pub(super) next_admission: NextWake,
+    pub(super) next_admission: EarliestTime,
     /// One of the others is [`Admission::Paced`].
     pub(super) some_are_paced: bool,
 }
@@ -35,21 +35,21 @@
     pub(super) fn admitted_endpoints(&self, destination: DestinationId, now: Duration) -> AdmittedEndpoints {
         let mut admitted = AdmittedEndpoints {
             endpoints: Vec::new(),
-            next_admission: NextWake::default(),
+            next_admission: EarliestTime::default(),
             some_are_paced: false,
         };
-        for (id, endpoint) in self.endpoints.active(destination) {
+        for (id, endpoint) in self.endpoints.active_endpoints(destination) {
             let scope = self.endpoints.scope_of(id, endpoint);
             let half_open_trial = match self.admit(scope, endpoint, now) {
                 Admission::Admit => false,
                 Admission::HalfOpenTrial => true,
                 Admission::Wait(at) => {
-                    admitted.next_admission.no_later_than(at);
+                    admitted.next_admission.include(at);
                     continue;
                 }
                 Admission::Paced(at) => {
                     admitted.some_are_paced = true;
-                    admitted.next_admission.no_later_than(at);
+                    admitted.next_admission.include(at);
                     continue;
                 }
             };
@@ -86,9 +86,9 @@
         // Symptom: requests are rejected as over a limit, which rejected requests, trials too, may use up as
         // well. Also covers full queues. It can harm by staying slow for some answers after a limit was met only
         // once.
-        let after_last = circuit.last_sent() + seconds(circuit.pacing().interval());
+        let after_last = circuit.last_sent() + seconds(circuit.pacing().interval_seconds());
         let paced_until =
-            if self.parameters.sparse_traffic { circuit.pacing().put_off_until() } else { after_last };
+            if self.parameters.has_sparse_traffic { circuit.pacing().postponed_until() } else { after_last };
         let admission = circuit.admission(now);
         if !matches!(admission, Admission::Wait(_)) && now < paced_until {
             return Admission::Wait(Some(paced_until));
@@ -96,7 +96,9 @@
         // Only requests sent since the last completion count: older ones, which hang or take long, must not hold
         // the recovery back.
         let unanswered = || circuit.requests_since(circuit.last_completion());
-        if admission == Admission::Admit && circuit.recovery_ramp().is_some_and(|most| unanswered() >= most) {
+        if admission == Admission::Admit
+            && circuit.recovery_request_limit().is_some_and(|most| unanswered() >= most)
+        {
             return Admission::Wait(None);
         }
         admission
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -21,9 +21,10 @@
     pub fn load_reported(&mut self, endpoint: EndpointId, report: LoadReport) {
         let known = self.endpoints.get(endpoint).filter(|_| self.parameters.responses_carry_load_reports);
         let Some(scope) = known.map(|known| self.endpoints.scope_of(endpoint, known)) else { return };
-        let limit = Some(report.limit).filter(|limit| *limit > 0.0);
-        self.endpoints.update_usage(&self.endpoints.in_scope(scope), |usage| usage.set_limit(limit));
-        self.circuit_mut(scope).set_limit_left(limit.map(|_| report.left));
+        let limit = Some(report.limit_per_second).filter(|limit| *limit > 0.0);
+        self.endpoints
+            .update_usage(&self.endpoints.endpoints_in_scope(scope), |usage| usage.set_limit(limit));
+        self.circuit_mut(scope).set_remaining_limit_share(limit.map(|_| report.remaining_share));
     }
 
     /// The long-term rate, in messages a second, that this forwarder has for an endpoint. All forwarders together
@@ -32,9 +33,11 @@
     pub(super) fn baseline_rate(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let Some(destination) = self.endpoints.destination(endpoint.destination) else { return 0.0 };
         let traffic = destination.traffic();
-        let elapsed =
-            now.saturating_sub(traffic.first_seen()).max(self.parameters.slow_start_duration).as_secs_f64();
-        let endpoints = self.endpoints.active(endpoint.destination).count().max(1) as f64;
+        let elapsed = now
+            .saturating_sub(traffic.first_arrival_at())
+            .max(self.parameters.slow_start_duration)
+            .as_secs_f64();
+        let endpoints = self.endpoints.active_endpoints(endpoint.destination).count().max(1) as f64;
         let observed = traffic.arrivals() as f64 / elapsed / endpoints;
         // A listed rate may be half too high, but the capacity is higher still, and a small sample errs by more.
         let endpoints_in_scope = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { endpoints };
@@ -57,7 +60,7 @@
 
     /// This forwarder's share, in requests a second, of what an endpoint's circuit accepts.
     pub(super) fn fair_share(&self, endpoint: &Endpoint, now: Duration) -> f64 {
-        let endpoints = self.endpoints.active(endpoint.destination).count().max(1) as f64;
+        let endpoints = self.endpoints.active_endpoints(endpoint.destination).count().max(1) as f64;
         let endpoints_in_scope = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { endpoints };
         let baseline = self.baseline_rate(endpoint, now) * endpoints_in_scope;
         // Where most other forwarders are down, the share grows with the traffic that comes here in their place.
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -50,9 +50,9 @@
     pub(super) fn record_success(&mut self, now: Duration) {
         if !self.is_closed() {
             // Added to the design: queued messages return one request in flight at a time, then twice as many.
-            self.set_recovery_ramp(Some(1));
-        } else if let Some(requests) = self.recovery_ramp() {
-            self.set_recovery_ramp(Some(requests.saturating_mul(2)));
+            self.set_recovery_request_limit(Some(1));
+        } else if let Some(requests) = self.recovery_request_limit() {
+            self.set_recovery_request_limit(Some(requests.saturating_mul(2)));
         }
         self.close(now);
     }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -17,14 +17,14 @@
     pub fn update_endpoint(&mut self, update: EndpointUpdate) {
         let slot_phase = self.random.draw();
         let queue = &mut self.queue;
-        self.endpoints.apply_update(&update, slot_phase, |destination| queue.touch(destination));
+        self.endpoints.apply_update(&update, slot_phase, |destination| queue.mark_changed(destination));
     }
 
     /// The endpoint list is complete; what a whole one did not name is removed. Returns the endpoints that went
     /// with it.
     pub fn finish_endpoint_list(&mut self) -> Vec<EndpointId> {
         let queue = &mut self.queue;
-        self.endpoints.finish_list(|destination| queue.touch(destination))
+        self.endpoints.finish_list(|destination| queue.mark_changed(destination))
     }
 
     /// The endpoint list broke off before its end: what it named so far holds, and what it did not name stays.
@@ -43,7 +43,7 @@
     /// discovery, which rejects polls while too many wait, answers none. Each polls with exponential backoff and
     /// jitter.
     pub fn discovery_failed(&mut self, now: Duration) {
-        let Some(longest) = self.parameters.poll_interval_limit else { return };
+        let Some(longest) = self.parameters.max_poll_interval else { return };
         let shortest = self.parameters.recovery_delay.min(longest);
         let backoff = (2 * self.polls.backoff()).clamp(shortest, longest);
         let jitter = self.random.draw_jitter();
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -5,7 +5,7 @@
 use rand::seq::IndexedRandom;
 
 use super::DeliveryPolicy;
-use crate::interface::{EndpointId, EndpointState, Idempotency, KeyScope};
+use crate::interface::{EndpointId, EndpointState, Idempotency, IdempotencyKeyScope};
 use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, Message};
 
@@ -48,17 +48,23 @@
     /// Whether the endpoint may not recognise the idempotency key of a message that may have been executed:
     /// keys are shared within a zone only, and that attempt went to another one.
     fn misses_idempotency_key(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
-        let by_zone = matches!(self.idempotency(message), Idempotency::WithKey { scope: KeyScope::Zone, .. });
+        let by_zone = matches!(
+            self.idempotency(message),
+            Idempotency::WithKey { scope: IdempotencyKeyScope::Zone, .. }
+        );
         let in_same_zone = |other: EndpointId| {
             id == other || self.endpoints.get(other).is_some_and(|other| other.is_in_zone_of(endpoint))
         };
-        by_zone && message.possibly_executed().is_some_and(|attempt| !in_same_zone(attempt.endpoint))
+        by_zone && message.possible_execution().is_some_and(|attempt| !in_same_zone(attempt.endpoint))
     }
 
     /// The mean response time of a circuit against that of all requests; at least 1.
     pub(super) fn slowness(&self, circuit: Option<&CircuitBreaker>) -> f64 {
-        let mean_latency = self.response_times.mean_latency().unwrap_or(1.0).max(MIN_MEAN_LATENCY);
-        (circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(mean_latency) / mean_latency).max(1.0)
+        let mean_latency_seconds =
+            self.response_times.mean_latency_seconds().unwrap_or(1.0).max(MIN_MEAN_LATENCY);
+        (circuit.and_then(|circuit| circuit.mean_latency_seconds()).unwrap_or(mean_latency_seconds)
+            / mean_latency_seconds)
+            .max(1.0)
     }
 
     /// Price points that a request to the endpoint costs: its zone's fee, crossing zones, and a new connection.
@@ -77,7 +83,7 @@
     fn has_idle_connection(&self, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         usage.requests_in_flight() == 0
-            && usage.answered().is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
+            && usage.answered_at().is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
     }
 
     /// Excludes endpoints that failed this class and are in backoff, unless all are.
--- a/src/policy/eviction.rs
+++ b/src/policy/eviction.rs
@@ -25,7 +25,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionPlace {
     /// Of late messages the one whose objective ended first.
-    Late { objective_at: Duration, arrival: u64 },
+    Late { objective_at: Duration, arrival_number: u64 },
     /// Of others the one whose objective ends last, of the destination with most queued. The greatest comes first,
     /// so each value is subtracted from the greatest possible one.
     OnTime { below_most_queued: usize, before_last_objective: Duration, before_last_arrival: u64 },
@@ -35,7 +35,7 @@
     /// Symptom: the forwarder is at its capacity, and whatever is submitted next is rejected whatever its priority.
     /// The message with the lowest priority is evicted instead.
     pub(super) fn evict_lowest_priority(&mut self, now: Duration, host: &mut dyn PolicyHost) {
-        while self.messages.len() >= self.parameters.capacity {
+        while self.messages.len() >= self.parameters.max_pending_messages {
             self.refresh_indices();
             let classes = self.queue.priority_classes();
             let candidates = classes.filter_map(|class| self.eviction_candidate(class, now));
@@ -46,16 +46,22 @@
 
     /// The message of a priority class that would be evicted first.
     fn eviction_candidate(&self, class: PriorityClass, now: Duration) -> Option<EvictionKey> {
-        let first = self.queue.earliest(class)?;
+        let first = self.queue.earliest_message(class)?;
         let late = first.objective_at < now;
         let (entry, place) = if late {
-            (first, EvictionPlace::Late { objective_at: first.objective_at, arrival: first.arrival })
+            (
+                first,
+                EvictionPlace::Late {
+                    objective_at: first.objective_at,
+                    arrival_number: first.arrival_number,
+                },
+            )
         } else {
-            let LongestQueue { len, last } = self.queue.longest(class)?;
+            let LongestQueue { len, last } = self.queue.longest_queue(class)?;
             let place = EvictionPlace::OnTime {
                 below_most_queued: usize::MAX - len,
                 before_last_objective: Duration::MAX - last.objective_at,
-                before_last_arrival: u64::MAX - last.arrival,
+                before_last_arrival: u64::MAX - last.arrival_number,
             };
             (last, place)
         };
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -52,9 +52,9 @@
 };
 use crate::queue::MessageQueue;
 use crate::state::{
-    AttemptKey, CircuitBreaker, CircuitTable, EndpointDirectory, InFlight, KindParameters, Message,
-    MessageTable, OrderingQueues, PolicyParameters, PolicyTimer, PollSchedule, ResponseTimes, Sequence,
-    TenantAccounts,
+    AttemptKey, AttemptsInFlight, CircuitBreaker, CircuitTable, EndpointDirectory, EndpointKindParameters,
+    Message, MessageTable, OrderingQueues, PolicyParameters, PolicyTimer, PollSchedule, ResponseTimes,
+    Sequence, TenantTokenBuckets,
 };
 
 /// One instance of the delivery policy. It does no input or output and reads no clock.
@@ -66,7 +66,7 @@
     /// The messages that wait to be sent, by destination.
     queue: MessageQueue,
     /// Attempts and requests without an outcome.
-    in_flight: InFlight,
+    in_flight: AttemptsInFlight,
     /// Endpoints and destinations, as the endpoint list names them.
     endpoints: EndpointDirectory,
     /// Circuit breakers in use.
@@ -74,7 +74,7 @@
     /// Messages of ordered classes, by ordering key.
     ordering: OrderingQueues,
     /// What tenants have left of their quotas.
-    tenants: TenantAccounts,
+    tenants: TenantTokenBuckets,
     response_times: ResponseTimes,
     /// When the endpoint list is polled again after a failure.
     polls: PollSchedule,
@@ -95,18 +95,18 @@
         let random = RandomSources::new(settings.seed);
         let kinds = std::mem::take(&mut settings.endpoint_kinds);
         let parameters = PolicyParameters::from(settings);
-        if parameters.poll_interval_limit.is_some() {
-            host.subscribe(true);
+        if parameters.max_poll_interval.is_some() {
+            host.watch_endpoint_list(true);
         }
         DeliveryPolicy {
             random,
             messages: MessageTable::default(),
             queue: MessageQueue::default(),
-            in_flight: InFlight::default(),
-            endpoints: EndpointDirectory::new(kinds.into_iter().map(KindParameters::from).collect()),
+            in_flight: AttemptsInFlight::default(),
+            endpoints: EndpointDirectory::new(kinds.into_iter().map(EndpointKindParameters::from).collect()),
             circuits: CircuitTable::default(),
             ordering: OrderingQueues::default(),
-            tenants: TenantAccounts::new(parameters.tenants.len(), now),
+            tenants: TenantTokenBuckets::new(parameters.tenants.len(), now),
             response_times: ResponseTimes::default(),
             polls: PollSchedule::default(),
             numbers: Sequence::default(),
@@ -175,7 +175,7 @@
     /// A condition of a circuit changed that may have held messages back: its destination is checked again.
     fn wake_scope(&mut self, scope: CircuitScope) {
         if let Some(destination) = self.endpoints.destination_of(scope) {
-            self.queue.touch(destination);
+            self.queue.mark_changed(destination);
         }
     }
 
@@ -187,7 +187,7 @@
 
     /// The circuit breakers of a destination's active endpoints, as far as they are in use.
     fn circuits_of(&self, destination: DestinationId) -> impl Iterator<Item = &CircuitBreaker> {
-        let active = self.endpoints.active(destination);
+        let active = self.endpoints.active_endpoints(destination);
         active.filter_map(|(id, endpoint)| self.circuits.get(self.endpoints.scope_of(id, endpoint)))
     }
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -35,9 +35,9 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         ) {
             let until = now + self.parameters.ordering_hold_off;
-            self.ordering.hold_off(attempt.ordering_key, attempt.arrival, until);
+            self.ordering.hold_off(attempt.ordering_key, attempt.arrival_number, until);
         }
-        self.leave_ordering_queue(id, attempt.ordering_key, attempt.arrival);
+        self.leave_ordering_queue(id, attempt.ordering_key, attempt.arrival_number);
         if message_finished {
             self.remove_message(attempt.message, host);
         } else {
@@ -97,10 +97,10 @@
         self.record_outcome(attempt, now, outcome);
         if was_closed != is_closed(self) && now >= self.next_report_at {
             self.next_report_at = now + REPORT_INTERVAL;
-            host.report(&if was_closed {
-                PolicyEvent::CircuitOpened { scope, after: outcome }
+            host.report_event(&if was_closed {
+                PolicyEvent::CircuitOpened { scope, outcome }
             } else {
-                PolicyEvent::CircuitClosed { scope, after: outcome }
+                PolicyEvent::CircuitClosed { scope, outcome }
             });
         }
     }
@@ -112,7 +112,7 @@
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
         );
-        usage.set_answered(answered.then_some(now));
+        usage.set_answered_at(answered.then_some(now));
         self.circuit_mut(attempt.scope);
         match outcome {
             AttemptOutcome::Cancelled | AttemptOutcome::Malformed => {}
@@ -136,7 +136,7 @@
     }
 
     fn record_completion(&mut self, attempt: &Attempt, now: Duration) {
-        let in_scope = self.endpoints.in_scope(attempt.scope);
+        let in_scope = self.endpoints.endpoints_in_scope(attempt.scope);
         let has_fault =
             |id: &_| self.endpoints.get(*id).is_some_and(|endpoint| endpoint.usage().last_fault().is_some());
         let had_faults = in_scope.iter().any(has_fault);
@@ -144,14 +144,15 @@
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         let recovered = !circuit.is_closed();
         circuit.record_success(now);
-        let limit_left = circuit.limit_left();
-        circuit.pacing_mut().shrink(limit_left, parameters.sparse_traffic);
+        let remaining_limit_share = circuit.remaining_limit_share();
+        circuit.pacing_mut().shrink(remaining_limit_share, parameters.has_sparse_traffic);
         circuit.set_last_retry_after(circuit.last_retry_after() / 2);
         let latency = now.saturating_sub(attempt.started_at).as_secs_f64();
-        circuit.record_completion(now, next_mean(circuit.mean_latency(), latency));
-        self.response_times.record_completion(now, next_mean(self.response_times.mean_latency(), latency));
-        if circuit.recovery_ramp().is_some_and(|requests| requests >= parameters.max_in_flight) {
-            circuit.set_recovery_ramp(None);
+        circuit.record_completion(now, next_mean(circuit.mean_latency_seconds(), latency));
+        self.response_times
+            .record_completion(now, next_mean(self.response_times.mean_latency_seconds(), latency));
+        if circuit.recovery_request_limit().is_some_and(|requests| requests >= parameters.max_in_flight) {
+            circuit.set_recovery_request_limit(None);
         }
         if let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) {
             usage.reset_failures(attempt.class);
@@ -194,8 +195,8 @@
         let key = attempt.message;
         let Some(message) = self.messages.get_mut(key) else { return };
         if !outcome.proves_not_executed() {
-            let earlier = message.possibly_executed().map(|earlier| earlier.started_at);
-            message.set_possibly_executed(Some(PossibleExecution {
+            let earlier = message.possible_execution().map(|earlier| earlier.started_at);
+            message.set_possible_execution(Some(PossibleExecution {
                 started_at: earlier.map_or(attempt.started_at, |at| at.min(attempt.started_at)),
                 endpoint: attempt.endpoint,
             }));
@@ -205,7 +206,7 @@
         }
         if outcome == AttemptOutcome::Malformed {
             // No endpoint will ever parse it, and whoever submits it again gets the same answer.
-            host.fail(&message.id);
+            host.fail_message(&message.id);
             self.remove_message(key, host);
         } else if self.is_exhausted(key, now) {
             self.finish_undelivered(key, now, host);
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -37,7 +37,7 @@
         endpoint: &Endpoint,
         now: Duration,
     ) -> Option<Duration> {
-        let has_slots = self.parameters.sparse_traffic
+        let has_slots = self.parameters.has_sparse_traffic
             && self.endpoints.has_own_circuit(endpoint)
             && !self.parameters.responses_carry_load_reports;
         let listed = self.listed_rate(endpoint).filter(|_| has_slots)?;
@@ -65,13 +65,13 @@
 }
 
 impl Pacing {
-    /// An attempt was completed: requests may follow each other sooner. `limit_left` is the share of a rate limit
+    /// An attempt was completed: requests may follow each other sooner. `remaining_limit_share` is the share of a rate limit
     /// that is left, where it is known.
-    pub(super) fn shrink(&mut self, limit_left: Option<f64>, sparse_traffic: bool) {
-        let shrink = if sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
+    pub(super) fn shrink(&mut self, remaining_limit_share: Option<f64>, has_sparse_traffic: bool) {
+        let shrink = if has_sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
         // Rejected requests use up a limit too, so the interval shrinks slowly while little is left of it; with
         // capacity left no pacing is needed.
-        let factor = limit_left.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
-        self.set_interval(self.interval() * factor);
+        let factor = remaining_limit_share.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
+        self.set_interval_seconds(self.interval_seconds() * factor);
     }
 }
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -5,7 +5,7 @@
 use super::pacing::APPROXIMATE_RATE_MARGIN;
 use super::retry_budget::initial_retry_tokens;
 use crate::interface::{EndpointKind, Idempotency, ListedWeights, MessageClass, Settings, TenantQuota};
-use crate::state::{ClassParameters, KindParameters, PolicyParameters, TenantParameters};
+use crate::state::{ClassParameters, EndpointKindParameters, PolicyParameters, TenantParameters};
 
 /// The deadline of a class for which the settings give none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
@@ -44,9 +44,10 @@
             zone: settings.zone,
             forwarders: forwarders.max(1) as f64,
             initial_retry_tokens: initial_retry_tokens(forwarders.max(1) as f64),
-            sparse_traffic: forwarders > max_in_flight,
+            has_sparse_traffic: forwarders > max_in_flight,
             max_in_flight: max_in_flight.min(MAX_REQUESTS_IN_FLIGHT) as usize,
-            capacity: settings.capacity.unwrap_or(u64::MAX).clamp(2, MAX_CAPACITY) as usize,
+            max_pending_messages: settings.max_pending_messages.unwrap_or(u64::MAX).clamp(2, MAX_CAPACITY)
+                as usize,
             hedging_allowed: settings.hedging_allowed,
             max_attempts: settings.max_attempts.unwrap_or(u64::MAX).min(MAX_ATTEMPTS) as u32,
             max_retry_after: settings.max_retry_after,
@@ -59,7 +60,7 @@
                 .max(MIN_OVERLOAD_MULTIPLE),
             overload_window: settings.overload_window.unwrap_or(DEFAULT_OVERLOAD_WINDOW),
             ordering_hold_off: settings.ordering_hold_off.unwrap_or_default(),
-            poll_interval_limit: settings.poll_interval_limit,
+            max_poll_interval: settings.max_poll_interval,
             listed_rate_margin: match settings.listed_weights {
                 ListedWeights::Unspecified => None,
                 ListedWeights::ApproximateRates => Some(APPROXIMATE_RATE_MARGIN),
@@ -92,9 +93,9 @@
     }
 }
 
-impl From<EndpointKind> for KindParameters {
-    fn from(kind: EndpointKind) -> KindParameters {
-        KindParameters {
+impl From<EndpointKind> for EndpointKindParameters {
+    fn from(kind: EndpointKind) -> EndpointKindParameters {
+        EndpointKindParameters {
             name: kind.name,
             circuit_per_endpoint: kind.circuit_per_endpoint,
             max_batch: kind.max_batch.unwrap_or(1).clamp(1, MAX_BATCH) as usize,
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -19,12 +19,12 @@
         if self.messages.contains(&message.id) {
             return;
         }
-        message.set_arrival(self.numbers.next());
-        let (destination, ordering_key, arrival) =
-            (message.destination, message.ordering_key, message.arrival);
+        message.set_arrival_number(self.numbers.next());
+        let (destination, ordering_key, arrival_number) =
+            (message.destination, message.ordering_key, message.arrival_number);
         let key = self.messages.insert(message);
         if let Some(ordering_key) = ordering_key {
-            self.ordering.push(ordering_key, arrival, key);
+            self.ordering.push(ordering_key, arrival_number, key);
         }
         let span = self.recent_span();
         self.endpoints.traffic_mut(destination).record_arrival(now, span);
@@ -42,7 +42,7 @@
         let (destination, position) = (message.destination, self.queue_position(message));
         self.queue.insert(destination, key, &position);
         if let Some(message) = self.messages.get_mut(key) {
-            message.set_queued(QueueEntry { number, position });
+            message.set_queue_entry(QueueEntry { number, position });
         }
     }
 
@@ -53,12 +53,12 @@
             queue_class: QueueClass {
                 priority: PriorityClass { class: message.class, over_quota: message.over_quota },
                 errors: message.errors(),
-                tried: message.attempts() > 0,
-                possibly_executed: message.possibly_executed().is_some(),
-                blocked: !self.ordering.is_first(message.ordering_key, message.arrival),
+                previously_attempted: message.attempts() > 0,
+                possibly_executed: message.possible_execution().is_some(),
+                blocked: !self.ordering.is_first(message.ordering_key, message.arrival_number),
             },
             objective_at: message.objective_at(),
-            arrival: message.arrival,
+            arrival_number: message.arrival_number,
             deadline: message.deadline,
             key_valid_until: Some(until).filter(|until| *until < Duration::MAX),
         }
@@ -67,7 +67,7 @@
     /// Takes a message out of the queue; returns the number of its entry, if it had one.
     pub(super) fn dequeue(&mut self, key: MessageKey) -> Option<u64> {
         let message = self.messages.get_mut(key)?;
-        let entry = message.take_queued()?;
+        let entry = message.take_queue_entry()?;
         self.queue.remove(message.destination, key, &entry.position);
         Some(entry.number)
     }
@@ -83,7 +83,7 @@
     pub(super) fn refresh_indices(&mut self) {
         for destination in self.queue.take_stale() {
             let available_at = self.retry_after_ends(destination);
-            self.queue.renew_indices(destination, available_at);
+            self.queue.update_indices(destination, available_at);
         }
         #[cfg(debug_assertions)]
         self.check_indices();
@@ -100,10 +100,10 @@
         let queued = self
             .messages
             .iter()
-            .filter_map(|(key, message)| Some((message.destination, key, message.queued()?.position)));
-        self.queue.check(queued);
+            .filter_map(|(key, message)| Some((message.destination, key, message.queue_entry()?.position)));
+        self.queue.assert_consistent(queued);
         for (_, message) in self.messages.iter() {
-            if let Some(entry) = message.queued() {
+            if let Some(entry) = message.queue_entry() {
                 assert_eq!(entry.position, self.queue_position(message), "position of {:?}", message.id);
                 assert!(message.in_flight().is_empty(), "{:?} is queued and in flight", message.id);
             }
@@ -128,8 +128,8 @@
     pub(super) fn remove_message(&mut self, key: MessageKey, host: &mut dyn PolicyHost) {
         self.dequeue(key);
         let Some(message) = self.messages.remove(key) else { return };
-        self.leave_ordering_queue(&message.id, message.ordering_key, message.arrival);
-        message.in_flight().iter().for_each(|number| host.cancel(&message.id, *number));
+        self.leave_ordering_queue(&message.id, message.ordering_key, message.arrival_number);
+        message.in_flight().iter().for_each(|number| host.cancel_attempt(&message.id, *number));
     }
 
     /// Takes a message out of its key's queue once it is finished and none of its attempts is in flight.
@@ -137,13 +137,13 @@
         &mut self,
         id: &MessageId,
         ordering_key: Option<OrderingKey>,
-        arrival: u64,
+        arrival_number: u64,
     ) {
         let Some(ordering_key) = ordering_key else { return };
         if self.in_flight.has_attempt_of(id) || self.messages.contains(id) {
             return;
         }
-        if let Some(next) = self.ordering.remove(ordering_key, arrival) {
+        if let Some(next) = self.ordering.remove(ordering_key, arrival_number) {
             self.requeue(next);
         }
     }
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -28,12 +28,12 @@
     /// Forgets endpoints that were removed that long ago, with their circuits, and destinations that have none
     /// left and no message: where endpoints are replaced all day, these would fill the memory.
     fn remove_endpoints(&mut self, now: Duration, keep: Duration) {
-        for id in self.endpoints.expired(now, keep, MAX_FORGOTTEN_PER_RUN) {
+        for id in self.endpoints.expired_endpoints(now, keep, MAX_FORGOTTEN_PER_RUN) {
             let Some(destination) = self.endpoints.forget_endpoint(id) else { continue };
             self.circuits.remove(CircuitScope::Endpoint(id));
-            self.queue.touch(destination);
+            self.queue.mark_changed(destination);
             if self.endpoints.is_without_endpoints(destination)
-                && self.queue.of_destination(destination).is_none()
+                && self.queue.destination_queue(destination).is_none()
             {
                 self.endpoints.forget_destination(destination);
                 self.circuits.remove(CircuitScope::Destination(destination));
@@ -47,14 +47,14 @@
         self.circuits.schedule_first_reviews(now + keep);
         while let Some(scope) = self.circuits.take_due_review(now) {
             let Some(circuit) = self.circuits.get(scope) else { continue };
-            let used_until = circuit.used_until();
-            let is_used = used_until + keep > now || !circuit.in_flight().is_empty();
+            let in_use_until = circuit.in_use_until();
+            let is_used = in_use_until + keep > now || !circuit.in_flight().is_empty();
             if is_used || self.has_queued(scope) {
-                self.circuits.schedule_review(scope, now.max(used_until) + keep);
+                self.circuits.schedule_review(scope, now.max(in_use_until) + keep);
                 continue;
             }
             self.circuits.remove(scope);
-            for id in self.endpoints.in_scope(scope) {
+            for id in self.endpoints.endpoints_in_scope(scope) {
                 self.endpoints.forget_idle_usage(id);
             }
         }
@@ -64,7 +64,7 @@
     fn has_queued(&self, scope: CircuitScope) -> bool {
         self.endpoints
             .destination_of(scope)
-            .is_some_and(|destination| self.queue.of_destination(destination).is_some())
+            .is_some_and(|destination| self.queue.destination_queue(destination).is_some())
     }
 
     /// Drops what is too old to matter of a destination's records, before they are read.
@@ -77,7 +77,7 @@
             if let Some(circuit) = self.circuits.get_mut(self.endpoints.scope_of(id, endpoint)) {
                 circuit.expire_if_stale(now, &self.parameters);
             }
-            if let Some(usage) = self.endpoints.usage_if_any(id) {
+            if let Some(usage) = self.endpoints.existing_usage_mut(id) {
                 usage.forget_stale(now, load_for, fault_for);
             }
         }
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -45,27 +45,27 @@
         let wait = retry_after.unwrap_or(circuit.last_retry_after());
         let limit_used_up = circuit.limit_is_used_up();
         // Requests in flight together that are rejected together count once.
-        let follows_last_change = attempt.started_at >= circuit.pacing().changed_at();
-        if parameters.sparse_traffic && follows_last_change {
+        let follows_last_change = attempt.started_at >= circuit.pacing().widened_at();
+        if parameters.has_sparse_traffic && follows_last_change {
             // Symptom: many forwarders are rejected at about the same time, or have Retry-After waits that end
             // together, and all send again at once, over the limit again. Each is put off by chance.
             let pacing = circuit.pacing_mut();
             pacing.widen_sparse(load.fair_share, limit_used_up, parameters, now);
             let jitter = self.random.draw_jitter();
-            pacing.put_off(now + wait + seconds(jitter * pacing.interval()));
+            pacing.postpone(now + wait + seconds(jitter * pacing.interval_seconds()));
         }
         // A short wait comes from a limit, which is no outage: there is capacity at its end.
-        let is_limited = parameters.sparse_traffic
+        let is_limited = parameters.has_sparse_traffic
             && (limit_used_up || !wait.is_zero())
             && wait < parameters.overload_window;
-        let paced_for = circuit.pacing().put_off_until().saturating_sub(now);
+        let paced_for = circuit.pacing().postponed_until().saturating_sub(now);
         circuit.record_failure(now, if is_limited { paced_for } else { load.recovery_delay }, parameters);
         let all_faulty = circuit.shows_outage(now, retry_after, parameters);
         if retry_after.is_none() {
             // A missing Retry-After is estimated by the last one received: at a destination whose rejected
             // requests use up its limit, each early request makes the wait longer for all.
             circuit.extend_retry_after(now + circuit.last_retry_after());
-            if !parameters.sparse_traffic && follows_last_change {
+            if !parameters.has_sparse_traffic && follows_last_change {
                 circuit.pacing_mut().widen(&load, parameters, now);
             }
         }
@@ -77,7 +77,7 @@
 
     fn load_at_rejection(&self, attempt: &Attempt, now: Duration) -> Option<LoadAtRejection> {
         let endpoint = self.endpoints.get(attempt.endpoint)?;
-        let in_scope = self.endpoints.in_scope(attempt.scope);
+        let in_scope = self.endpoints.endpoints_in_scope(attempt.scope);
         let messages = self.baseline_rate(endpoint, now);
         let baseline_rate = messages * in_scope.len() as f64 / self.endpoints.max_batch(endpoint) as f64;
         let endpoints = in_scope.iter().filter_map(|id| self.endpoints.get(*id));
@@ -97,7 +97,7 @@
     /// Whether a rejection is explained by a rate limit. A destination that rejects again and again may be down,
     /// however much of its limit is left.
     fn limit_is_used_up(&self) -> bool {
-        self.failure_count() == 0 && self.limit_left().is_some_and(|left| left < LIMIT_USED_UP)
+        self.failure_count() == 0 && self.remaining_limit_share().is_some_and(|left| left < LIMIT_USED_UP)
     }
 
     /// Whether a rejection shows an outage. With a rate limit some requests pass, or the Retry-After is short; a
@@ -132,7 +132,7 @@
         } else {
             (parameters.recovery_delay, UNEXPLAINED_REJECTION_GROWTH)
         };
-        let wider = (self.interval() * growth).max(first.min(longest_first.as_secs_f64()));
+        let wider = (self.interval_seconds() * growth).max(first.min(longest_first.as_secs_f64()));
         // An interval longer than the deadline of a message would stop delivery, not pace it.
         let interval =
             wider.min(MAX_PACING_INTERVALS / fair_share).min(parameters.longest_deadline.as_secs_f64() / 2.0);
@@ -151,7 +151,7 @@
         // A destination is assumed to accept at least half of its long-term rate, in as many requests or in fewer
         // with larger batches.
         let longest = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / baseline_rate);
-        let interval = (self.interval() * PACING_GROWTH).max(first).min(longest);
+        let interval = (self.interval_seconds() * PACING_GROWTH).max(first).min(longest);
         self.set_interval_after_rejection(interval, now);
     }
 }
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -8,7 +8,7 @@
 use crate::interface::{DestinationId, Idempotency, PolicyHost};
 use crate::message_key::MessageKey;
 use crate::queue::QueueSegment;
-use crate::state::{AdmittedEndpoint, NextWake};
+use crate::state::{AdmittedEndpoint, EarliestTime};
 
 /// A destination that admits requests but has no message that may go is checked again after the recovery delay
 /// divided by this.
@@ -29,7 +29,7 @@
     /// The position of its class in the drawn order.
     class_order: u64,
     objective_at: Duration,
-    arrival: u64,
+    arrival_number: u64,
 }
 
 /// A queued message with its rank, by which it is compared.
@@ -60,11 +60,11 @@
         destination: DestinationId,
         now: Duration,
         host: &mut dyn PolicyHost,
-        next_admission: &mut NextWake,
+        next_admission: &mut EarliestTime,
     ) -> bool {
         let admitted = self.admitted_endpoints(destination, now);
         let wait_until = admitted.next_admission.time();
-        next_admission.no_later_than(wait_until);
+        next_admission.include(wait_until);
         if admitted.endpoints.is_empty() {
             if !admitted.some_are_paced {
                 self.queue.sleep(destination, wait_until);
@@ -74,7 +74,7 @@
         let class_order = self.draw_class_order();
         let candidates = Candidates::from(admitted.endpoints);
         let Some(lead) = self.lead_message(destination, &candidates, &class_order, now) else {
-            next_admission.no_later_than(Some(now + self.parameters.recovery_delay / RECHECK_DIVISOR));
+            next_admission.include(Some(now + self.parameters.recovery_delay / RECHECK_DIVISOR));
             return false;
         };
         let chosen = self.endpoint_for(lead, &candidates, now);
@@ -175,7 +175,7 @@
         let ordered = self.parameters.classes[class].ordered;
         let may_send = move |key: &MessageKey| {
             let message = &self.messages[*key];
-            !ordered || self.ordering.may_send(message.ordering_key, message.arrival, now)
+            !ordered || self.ordering.may_send(message.ordering_key, message.arrival_number, now)
         };
         let entries = segment.entries().filter(move |queued| may_send(&queued.key));
         entries.map(move |queued| RankedMessage {
@@ -185,7 +185,7 @@
                 late,
                 class_order,
                 objective_at: queued.objective_at,
-                arrival: queued.arrival,
+                arrival_number: queued.arrival_number,
             },
             key: queued.key,
         })
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -26,7 +26,7 @@
         }
         self.record_request(to, request, load);
         let pacing = self.circuit_mut(to.scope).pacing_mut();
-        pacing.put_off(pacing.put_off_until().max(now + seconds(pacing.interval())));
+        pacing.postpone(pacing.postponed_until().max(now + seconds(pacing.interval_seconds())));
     }
 
     /// The least response timeout of all attempts of a request. An attempt that timed out before the others and was
@@ -91,6 +91,6 @@
 
     /// Commands to cancel every attempt that a request carries.
     pub(super) fn cancel_request(&mut self, request: RequestId, host: &mut dyn PolicyHost) {
-        self.in_flight.cancel_request(request, |key| host.cancel(&key.message, key.number));
+        self.in_flight.cancel_request(request, |key| host.cancel_attempt(&key.message, key.number));
     }
 }
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -27,17 +27,17 @@
         let earliest = possibly_executed
             .map(|attempt| PossibleExecution { started_at: attempt.started_at, endpoint: attempt.endpoint })
             .min_by_key(|attempt| attempt.started_at);
-        message.set_possibly_executed(earliest);
+        message.set_possible_execution(earliest);
         if earliest.is_some() {
             // It may still be running.
             let until = now + self.parameters.ordering_hold_off;
-            self.ordering.hold_off(message.ordering_key, message.arrival, until);
+            self.ordering.hold_off(message.ordering_key, message.arrival_number, until);
         }
         self.requeue(key);
         if self.is_exhausted(key, now) {
             self.finish_undelivered(key, now, host);
         }
-        if self.parameters.sparse_traffic {
+        if self.parameters.has_sparse_traffic {
             self.pace_restored(destination, objective_at, now);
         }
     }
@@ -46,18 +46,18 @@
     /// knew of limits is gone with the process. The circuits of these messages are treated as if they had
     /// rejected a request; none is put off beyond the message's objective.
     fn pace_restored(&mut self, destination: DestinationId, objective_at: Duration, now: Duration) {
-        let shares: Vec<_> = (self.endpoints.active(destination))
+        let shares: Vec<_> = (self.endpoints.active_endpoints(destination))
             .map(|(id, endpoint)| (self.endpoints.scope_of(id, endpoint), self.fair_share(endpoint, now)))
             .collect();
         for (scope, fair_share) in shares {
-            let is_first = self.circuit_mut(scope).pacing().interval() == 0.0;
+            let is_first = self.circuit_mut(scope).pacing().interval_seconds() == 0.0;
             let drawn = if is_first { self.random.draw() } else { 0.0 };
             let pacing = self.circuit_mut(scope).pacing_mut();
             if is_first {
-                pacing.set_interval(APPROXIMATE_RATE_MARGIN / fair_share);
-                pacing.put_off(now + seconds(drawn * pacing.interval()));
+                pacing.set_interval_seconds(APPROXIMATE_RATE_MARGIN / fair_share);
+                pacing.postpone(now + seconds(drawn * pacing.interval_seconds()));
             }
-            pacing.put_off(pacing.put_off_until().min(objective_at));
+            pacing.postpone(pacing.postponed_until().min(objective_at));
         }
     }
 }
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -18,7 +18,7 @@
     /// The endpoints that a Retry-After of this one holds for.
     #[must_use]
     pub fn endpoints_sharing_circuit(&self, id: EndpointId) -> Vec<EndpointId> {
-        self.endpoints.sharing_circuit(id)
+        self.endpoints.endpoints_sharing_circuit(id)
     }
 
     /// Rule 6. Each message of a request may be the one that is asked to wait, or its response speaks for them
@@ -30,7 +30,7 @@
         self.wake_scope(scope);
         // Symptom: all that was queued goes at once when a long wait ends, to a destination that was down and is
         // cold. A wait as long as the recovery delay opens the circuit, and ends with a trial.
-        let opens_from = if self.parameters.sparse_traffic {
+        let opens_from = if self.parameters.has_sparse_traffic {
             self.parameters.overload_window
         } else {
             self.parameters.recovery_delay
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -46,11 +46,11 @@
         let baseline = self.baseline_rate(endpoint, now).max(MIN_RATE);
         let latency_objective = self.parameters.classes[message.class].latency_objective;
         let idle = now.saturating_sub(usage.last_sent());
-        if message.possibly_executed().is_some() {
+        if message.possible_execution().is_some() {
             return idle >= self.parameters.recovery_delay;
         }
         baseline * latency_objective.as_secs_f64() >= 1.0
-            || self.parameters.sparse_traffic
+            || self.parameters.has_sparse_traffic
             || idle >= seconds(1.0 / baseline)
     }
 }
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -8,7 +8,7 @@
 use super::DeliveryPolicy;
 use crate::interface::{DestinationId, PolicyHost};
 use crate::queue::QueueClass;
-use crate::state::NextWake;
+use crate::state::EarliestTime;
 
 /// Part of its latency objective from which a destination's wait is weighed against its requests in flight. Symptom:
 /// the limit of requests in flight is reached, and a long queue gets no more of them than any other. A slow
@@ -23,20 +23,20 @@
     /// Requests in flight with this one, times the slowness of the destination, divided by its relative wait.
     load_per_wait: u64,
     /// The number of the destination's last request: the one that was served least recently goes first.
-    last_request: u64,
+    last_request_number: u64,
     destination: DestinationId,
 }
 
 impl DeliveryPolicy {
     /// Decides all that can be decided now. To be called once everything known at this time has been reported.
     pub fn run_due_work(&mut self, now: Duration, host: &mut dyn PolicyHost) {
-        let mut wake = NextWake::default();
+        let mut wake = EarliestTime::default();
         if self.polls.take_due(now) {
-            host.subscribe(true);
+            host.watch_endpoint_list(true);
         }
-        wake.no_later_than(self.polls.next_poll());
+        wake.include(self.polls.next_poll());
         self.queue.wake_due(now);
-        for destination in self.queue.awake().clone() {
+        for destination in self.queue.awake_destinations().clone() {
             self.forget_stale_records(destination, now);
         }
         self.evict_lowest_priority(now, host);
@@ -57,24 +57,24 @@
     }
 
     /// Starts requests up to the limit of those in flight, each for the destination with the least key.
-    fn schedule_requests(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
+    fn schedule_requests(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut EarliestTime) {
         if self.in_flight_limit_reached() {
             return;
         }
-        let awake = self.queue.awake().iter();
+        let awake = self.queue.awake_destinations().iter();
         let relative_waits: BTreeMap<_, _> = awake.map(|d| (*d, self.relative_wait(*d, now))).collect();
         let mut candidates: BinaryHeap<_> =
             relative_waits.iter().map(|(d, wait)| Reverse(self.scheduling_key(*d, *wait))).collect();
-        let mut next_admission = NextWake::default();
-        next_admission.no_later_than(self.queue.next_wake());
+        let mut next_admission = EarliestTime::default();
+        next_admission.include(self.queue.next_wake());
         while !self.in_flight_limit_reached() {
             let Some(Reverse(SchedulingKey { destination, .. })) = candidates.pop() else {
                 // Nothing more can go before the next admission.
-                wake.no_later_than(next_admission.time());
+                wake.include(next_admission.time());
                 return;
             };
             if self.schedule_request(destination, now, host, &mut next_admission)
-                && self.queue.of_destination(destination).is_some()
+                && self.queue.destination_queue(destination).is_some()
             {
                 candidates.push(Reverse(self.scheduling_key(destination, relative_waits[&destination])));
             }
@@ -90,7 +90,7 @@
         let traffic = self.endpoints.destination(destination).map(|known| known.traffic());
         SchedulingKey {
             load_per_wait: (requests * slowness / relative_wait) as u64,
-            last_request: traffic.map_or(0, |traffic| traffic.last_request()),
+            last_request_number: traffic.map_or(0, |traffic| traffic.last_request_number()),
             destination,
         }
     }
@@ -105,8 +105,11 @@
         let passed = |(class, objective_at): (&QueueClass, Duration)| {
             1.0 - objective_at.saturating_sub(now).as_secs_f64() / objective(class)
         };
-        let next =
-            self.queue.of_destination(destination).into_iter().flat_map(|queue| queue.next_objectives(now));
+        let next = self
+            .queue
+            .destination_queue(destination)
+            .into_iter()
+            .flat_map(|queue| queue.next_objectives(now));
         next.map(passed).filter(|passed| *passed < 1.0).fold(MIN_RELATIVE_WAIT, f64::max)
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -48,7 +48,7 @@
         // would overload it as it returns.
         let answered =
             self.circuits.get(scope).is_some_and(|circuit| circuit.last_completion() >= last_fault);
-        let assumed_downtime = if answered || !parameters.sparse_traffic {
+        let assumed_downtime = if answered || !parameters.has_sparse_traffic {
             Duration::ZERO
         } else {
             parameters.slow_start_duration
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -6,7 +6,7 @@
 use super::timeouts::timeout_factor;
 use super::{seconds, DeliveryPolicy};
 use crate::interface::{PolicyHost, RequestId};
-use crate::state::{Attempt, CircuitBreaker, NextWake};
+use crate::state::{Attempt, CircuitBreaker, EarliestTime};
 
 /// A circuit is silent when no answer came for so many mean response times, plus so many more divided by the
 /// requests in flight.
@@ -27,8 +27,8 @@
     /// sooner.
     pub(super) fn straggler_after(&self, circuit: &CircuitBreaker) -> Duration {
         let mean = circuit
-            .mean_latency()
-            .or(self.response_times.mean_latency())
+            .mean_latency_seconds()
+            .or(self.response_times.mean_latency_seconds())
             .unwrap_or(self.parameters.recovery_delay.as_secs_f64() / 2.0);
         let sharing = circuit.in_flight().len().max(1) as f64;
         seconds(mean * (STRAGGLER_MEANS + STRAGGLER_SHARED_MEANS / sharing))
@@ -40,7 +40,12 @@
     /// Symptom: the limit of requests in flight is reached, partly by requests to silent endpoints, while others
     /// could send. The request that is overdue most is cancelled; a non-idempotent one later. Covers hanging, silent
     /// and very slow destinations; it can harm by repeating work that would still have been answered.
-    pub(super) fn cancel_straggler(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
+    pub(super) fn cancel_straggler(
+        &mut self,
+        now: Duration,
+        host: &mut dyn PolicyHost,
+        wake: &mut EarliestTime,
+    ) {
         let completed_at = self.last_relevant_completion(now);
         let mut worst: Option<Straggler> = None;
         let attempts = self.in_flight.attempts().map(|(_, attempt)| attempt);
@@ -49,7 +54,7 @@
             let taken = now.saturating_sub(attempt.started_at);
             let overdue_ratio = taken.as_secs_f64() / allowed.as_secs_f64();
             if overdue_ratio < 1.0 {
-                wake.no_later_than(Some(attempt.started_at + allowed));
+                wake.include(Some(attempt.started_at + allowed));
             } else if worst.as_ref().is_none_or(|worst| overdue_ratio > worst.overdue_ratio) {
                 worst = Some(Straggler { overdue_ratio, request: attempt.request });
             }
@@ -64,8 +69,8 @@
     /// slow, none is.
     fn last_relevant_completion(&self, now: Duration) -> Duration {
         let mut newest = Duration::ZERO;
-        for destination in self.queue.awake() {
-            for (id, endpoint) in self.endpoints.active(*destination) {
+        for destination in self.queue.awake_destinations() {
+            for (id, endpoint) in self.endpoints.active_endpoints(*destination) {
                 let scope = self.endpoints.scope_of(id, endpoint);
                 if self.admit(scope, endpoint, now) != Admission::Admit {
                     continue;
--- a/src/policy/submission.rs
+++ b/src/policy/submission.rs
@@ -14,7 +14,7 @@
     pub fn submit(&mut self, now: Duration, message: NewMessage, host: &mut dyn PolicyHost) {
         let NewMessage { id, class, tenant, ordering_key, deadline, destination } = message;
         let Some(class) = self.parameters.classes.iter().position(|known| known.name == class) else {
-            host.fail(&id);
+            host.fail_message(&id);
             return;
         };
         let ordering_key = ordering_key.filter(|_| self.parameters.classes[class].ordered);
@@ -40,6 +40,6 @@
     /// over that here is over it everywhere.
     fn spend_quota(&mut self, tenant: usize, now: Duration) -> bool {
         let quota = self.parameters.tenants[tenant].messages_per_second;
-        !self.tenants.spend(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
+        !self.tenants.try_take_token(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
     }
 }
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -22,7 +22,7 @@
     /// Until when a retry is safe: while the idempotency key of the first attempt that may have executed the
     /// message is valid. Without end for what needs no key.
     pub(super) fn key_valid_until(&self, message: &Message) -> Duration {
-        match (message.possibly_executed(), self.idempotency(message)) {
+        match (message.possible_execution(), self.idempotency(message)) {
             (Some(first), Idempotency::WithKey { window, .. }) => first.started_at + window,
             _ => Duration::MAX,
         }
@@ -31,8 +31,8 @@
     /// Until when an attempt may begin. A message in flight when the program stops may have been executed, and a
     /// non-idempotent one could then not be retried.
     pub(super) fn start_by(&self, message: &Message, scope: CircuitScope) -> Duration {
-        let own = self.circuits.get(scope).and_then(|circuit| circuit.mean_latency());
-        let mean = own.or(self.response_times.mean_latency()).unwrap_or_default();
+        let own = self.circuits.get(scope).and_then(|circuit| circuit.mean_latency_seconds());
+        let mean = own.or(self.response_times.mean_latency_seconds()).unwrap_or_default();
         let means = if self.idempotency(message) == Idempotency::NonIdempotent { TRIAL_MEANS } else { 0.0 };
         let shutdown =
             self.shutdown_deadline.map_or(Duration::MAX, |by| by.saturating_sub(seconds(means * mean)));
@@ -43,7 +43,7 @@
     pub(super) fn response_timeout(&self, message: &Message, scope: CircuitScope, trial: bool) -> Duration {
         let class = &self.parameters.classes[message.class];
         let circuit = self.circuits.get(scope);
-        let mean = circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(0.0);
+        let mean = circuit.and_then(|circuit| circuit.mean_latency_seconds()).unwrap_or(0.0);
         let timeouts = circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_TIMEOUT_GROWTHS));
         let growth = TIMEOUT_GROWTH.powi(timeouts as i32);
         // No second trial is sent while one is in flight, so a long one would delay the recovery.
--- a/src/queue/consistency.rs
+++ b/src/queue/consistency.rs
@@ -12,7 +12,10 @@
     /// # Panics
     ///
     /// Where the two differ: an index was not kept up to date.
-    pub fn check(&self, queued: impl Iterator<Item = (DestinationId, MessageKey, QueuePosition)>) {
+    pub fn assert_consistent(
+        &self,
+        queued: impl Iterator<Item = (DestinationId, MessageKey, QueuePosition)>,
+    ) {
         let mut fresh = MessageQueue::default();
         for (destination, key, position) in queued {
             fresh.insert(destination, key, &position);
@@ -35,7 +38,7 @@
         assert_eq!(queue.deadlines, walked.deadlines, "deadlines of {destination:?}");
         assert_eq!(queue.key_expiries, walked.key_expiries, "key expiries of {destination:?}");
         assert_eq!(queue.len, walked.len, "length of {destination:?}");
-        fresh.renew_indices(destination, queue.indexed.available_at);
+        fresh.update_indices(destination, queue.indexed.available_at);
         let renewed = &fresh.destinations[&destination].indexed;
         assert_eq!(queue.indexed, *renewed, "index entries of {destination:?}");
         let asleep = queue.wakefulness != Wakefulness::Awake;
--- a/src/queue/message_queue.rs
+++ b/src/queue/message_queue.rs
@@ -53,7 +53,7 @@
     }
 
     /// The queue of a destination; none while nothing is queued for it.
-    pub fn of_destination(&self, destination: DestinationId) -> Option<&DestinationQueue> {
+    pub fn destination_queue(&self, destination: DestinationId) -> Option<&DestinationQueue> {
         self.destinations.get(&destination)
     }
 
@@ -68,18 +68,18 @@
 
     /// Records an event that may change what holds a destination's messages back: wakes it, and has its entries
     /// in the indices renewed.
-    pub fn touch(&mut self, destination: DestinationId) {
+    pub fn mark_changed(&mut self, destination: DestinationId) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         self.stale.insert(destination);
         self.schedule.wake(destination, &mut queue.wakefulness);
     }
 
     /// Destinations with queued messages that are to be checked.
-    pub fn awake(&self) -> &BTreeSet<DestinationId> {
+    pub fn awake_destinations(&self) -> &BTreeSet<DestinationId> {
         &self.schedule.awake
     }
 
-    /// The destination need not be checked before this time, or, without one, before [`MessageQueue::touch`].
+    /// The destination need not be checked before this time, or, without one, before [`MessageQueue::mark_changed`].
     pub fn sleep(&mut self, destination: DestinationId, until: Option<Duration>) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         queue.wakefulness = self.schedule.sleep(destination, until);
@@ -98,14 +98,14 @@
         self.schedule.wake_times.first().map(|due| due.at)
     }
 
-    /// Destinations whose entries have to be renewed by [`MessageQueue::renew_indices`] before the indices are read.
+    /// Destinations whose entries have to be renewed by [`MessageQueue::update_indices`] before the indices are read.
     #[must_use]
     pub fn take_stale(&mut self) -> BTreeSet<DestinationId> {
         std::mem::take(&mut self.stale)
     }
 
     /// Renews the entries of a destination; `available_at` is when the first of its endpoints may be called.
-    pub fn renew_indices(&mut self, destination: DestinationId, available_at: Duration) {
+    pub fn update_indices(&mut self, destination: DestinationId, available_at: Duration) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         let entries = queue.index_entries(available_at);
         if entries == queue.indexed {
@@ -118,7 +118,7 @@
 
     /// Messages that expire by now, where an answer takes so long: their deadline or the validity of their
     /// idempotency key ends before an answer could come, or will before any of their endpoints may be called.
-    pub fn expiring(&self, now: Duration, answer: Duration) -> BTreeSet<MessageKey> {
+    pub fn expiring_messages(&self, now: Duration, answer: Duration) -> BTreeSet<MessageKey> {
         let mut expiring = BTreeSet::new();
         let last_deadline = now.saturating_add(answer);
         for due in self.indices.deadlines.iter().take_while(|due| due.at <= last_deadline) {
@@ -151,13 +151,13 @@
     }
 
     /// The message of a priority class whose latency objective ends first.
-    pub fn earliest(&self, priority: PriorityClass) -> Option<QueuedMessage> {
+    pub fn earliest_message(&self, priority: PriorityClass) -> Option<QueuedMessage> {
         Some(self.indices.earliest.get(&priority)?.first()?.first)
     }
 
     /// The length of the longest destination queue that has messages of a priority class, and that one of them
     /// whose latency objective ends last.
-    pub fn longest(&self, priority: PriorityClass) -> Option<LongestQueue> {
+    pub fn longest_queue(&self, priority: PriorityClass) -> Option<LongestQueue> {
         let longest = self.indices.longest.get(&priority)?.last()?;
         Some(LongestQueue { len: longest.len, last: longest.last })
     }
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -14,7 +14,7 @@
     /// Attempts so far that were answered with an error.
     pub errors: u32,
     /// An attempt was started before.
-    pub tried: bool,
+    pub previously_attempted: bool,
     /// An earlier attempt may have been executed.
     pub possibly_executed: bool,
     /// An earlier message with its ordering key has to finish first.
@@ -38,7 +38,7 @@
     /// Until when it meets its latency objective, since the start.
     pub objective_at: Duration,
     /// Number of the message in the order of submission.
-    pub arrival: u64,
+    pub arrival_number: u64,
     /// When its final answer is due, since the start.
     pub deadline: Duration,
     /// Until when a retry may begin, where its idempotency key has a window.
@@ -48,7 +48,7 @@
 impl QueuePosition {
     /// Its place among the messages of its class.
     pub(super) fn objective_order(&self) -> ObjectiveOrder {
-        ObjectiveOrder { objective_at: self.objective_at, arrival: self.arrival }
+        ObjectiveOrder { objective_at: self.objective_at, arrival_number: self.arrival_number }
     }
 }
 
@@ -59,20 +59,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ObjectiveOrder {
     pub objective_at: Duration,
-    pub arrival: u64,
+    pub arrival_number: u64,
 }
 
 impl ObjectiveOrder {
     /// Behind every message whose objective ends at or before this time, and before all others.
     pub(super) fn end_of(objective_at: Duration) -> ObjectiveOrder {
-        ObjectiveOrder { objective_at, arrival: u64::MAX }
+        ObjectiveOrder { objective_at, arrival_number: u64::MAX }
     }
 }
 
 impl Ord for ObjectiveOrder {
     #[inline]
     fn cmp(&self, other: &ObjectiveOrder) -> Ordering {
-        (self.objective_at, self.arrival).cmp(&(other.objective_at, other.arrival))
+        (self.objective_at, self.arrival_number).cmp(&(other.objective_at, other.arrival_number))
     }
 }
 
@@ -92,14 +92,14 @@
     /// Until when it meets its latency objective, since the start.
     pub objective_at: Duration,
     /// Number of the message in the order of submission.
-    pub arrival: u64,
+    pub arrival_number: u64,
     /// The message.
     pub key: MessageKey,
 }
 
 impl QueuedMessage {
     pub(super) fn new(order: ObjectiveOrder, key: MessageKey) -> QueuedMessage {
-        QueuedMessage { objective_at: order.objective_at, arrival: order.arrival, key }
+        QueuedMessage { objective_at: order.objective_at, arrival_number: order.arrival_number, key }
     }
 }
 
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -36,7 +36,7 @@
     /// The message's ordering key and arrival, by which it keeps its place in the ordering queue though it may
     /// be finished.
     pub(crate) ordering_key: Option<OrderingKey>,
-    pub(crate) arrival: u64,
+    pub(crate) arrival_number: u64,
     pub(crate) endpoint: EndpointId,
     pub(crate) scope: CircuitScope,
     /// The index of the message's class.
@@ -59,7 +59,7 @@
         Attempt {
             message: key,
             ordering_key: message.ordering_key,
-            arrival: message.arrival,
+            arrival_number: message.arrival_number,
             endpoint: admitted.endpoint,
             scope: admitted.scope,
             class: message.class,
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -33,7 +33,7 @@
     /// The half-open trial that is in flight.
     trial: Option<AttemptKey>,
     /// Most requests in flight at once while traffic returns after a recovery; none: no such limit.
-    recovery_ramp: Option<usize>,
+    recovery_request_limit: Option<usize>,
     retry_after_until: Duration,
     last_retry_after: Duration,
     pacing: Pacing,
@@ -43,10 +43,10 @@
     /// Requests in flight, in the order in which they were sent.
     in_flight: VecDeque<RequestInFlight>,
     /// Running mean of its response times, in seconds.
-    mean_latency: Option<f64>,
+    mean_latency_seconds: Option<f64>,
     last_completion: Duration,
     /// Share of its rate limit that was left by the last report; none where no limit is reported.
-    limit_left: Option<f64>,
+    remaining_limit_share: Option<f64>,
 }
 
 // Failures, and the state that follows from them.
@@ -128,12 +128,12 @@
     }
 
     /// Most requests in flight at once while traffic returns after a recovery; none: no such limit.
-    pub(crate) fn recovery_ramp(&self) -> Option<usize> {
-        self.recovery_ramp
+    pub(crate) fn recovery_request_limit(&self) -> Option<usize> {
+        self.recovery_request_limit
     }
 
-    pub(crate) fn set_recovery_ramp(&mut self, most: Option<usize>) {
-        self.recovery_ramp = most;
+    pub(crate) fn set_recovery_request_limit(&mut self, most: Option<usize>) {
+        self.recovery_request_limit = most;
     }
 }
 
@@ -159,12 +159,12 @@
     }
 
     /// Share of its rate limit that was left by the last report; none where no limit is reported.
-    pub(crate) fn limit_left(&self) -> Option<f64> {
-        self.limit_left
+    pub(crate) fn remaining_limit_share(&self) -> Option<f64> {
+        self.remaining_limit_share
     }
 
-    pub(crate) fn set_limit_left(&mut self, share: Option<f64>) {
-        self.limit_left = share;
+    pub(crate) fn set_remaining_limit_share(&mut self, share: Option<f64>) {
+        self.remaining_limit_share = share;
     }
 
     pub(crate) fn pacing(&self) -> &Pacing {
@@ -189,10 +189,10 @@
         self.in_flight.retain(|request| request.id != id);
     }
 
-    /// A request was completed; `mean_latency` is the running mean of response times with this one, in seconds.
-    pub(crate) fn record_completion(&mut self, now: Duration, mean_latency: f64) {
+    /// A request was completed; `mean_latency_seconds` is the running mean of response times with this one, in seconds.
+    pub(crate) fn record_completion(&mut self, now: Duration, mean_latency_seconds: f64) {
         self.last_completion = now;
-        self.mean_latency = Some(mean_latency);
+        self.mean_latency_seconds = Some(mean_latency_seconds);
         self.consecutive_timeouts = 0;
     }
 
@@ -222,8 +222,8 @@
     }
 
     /// Running mean of its response times, in seconds; none before the first completion.
-    pub(crate) fn mean_latency(&self) -> Option<f64> {
-        self.mean_latency
+    pub(crate) fn mean_latency_seconds(&self) -> Option<f64> {
+        self.mean_latency_seconds
     }
 
     /// Timeouts since the last completion.
@@ -232,8 +232,8 @@
     }
 
     /// The last time at which the record was used, or until which it holds requests back.
-    pub(crate) fn used_until(&self) -> Duration {
-        let used = self.last_sent.max(self.changed_at).max(self.pacing.put_off_until());
+    pub(crate) fn in_use_until(&self) -> Duration {
+        let used = self.last_sent.max(self.changed_at).max(self.pacing.postponed_until());
         used.max(self.retry_after_until).max(self.open_until.unwrap_or_default())
     }
 }
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -24,17 +24,17 @@
     /// Arrivals with exponential decay, as of `recent_at`.
     recent_arrivals: f64,
     recent_at: Duration,
-    first_seen: Duration,
+    first_arrival_at: Duration,
     /// The number of the last request that went to the destination.
-    last_request: u64,
+    last_request_number: u64,
 }
 
 static NO_TRAFFIC: Traffic = Traffic {
     arrivals: 0,
     recent_arrivals: 0.0,
     recent_at: Duration::ZERO,
-    first_seen: Duration::ZERO,
-    last_request: 0,
+    first_arrival_at: Duration::ZERO,
+    last_request_number: 0,
 };
 
 impl Destination {
@@ -70,23 +70,23 @@
     }
 
     /// When the first message was submitted.
-    pub(crate) fn first_seen(&self) -> Duration {
-        self.first_seen
+    pub(crate) fn first_arrival_at(&self) -> Duration {
+        self.first_arrival_at
     }
 
     /// The number of the last request that went to the destination; 0 if none did.
-    pub(crate) fn last_request(&self) -> u64 {
-        self.last_request
+    pub(crate) fn last_request_number(&self) -> u64 {
+        self.last_request_number
     }
 
     pub(crate) fn record_request(&mut self, number: u64) {
-        self.last_request = number;
+        self.last_request_number = number;
     }
 
     /// Counts a message that was submitted now; older ones decay over the span.
     pub(crate) fn record_arrival(&mut self, now: Duration, span: Duration) {
         if self.arrivals == 0 {
-            self.first_seen = now;
+            self.first_arrival_at = now;
         }
         self.arrivals += 1;
         self.recent_arrivals = self.recent_arrivals(now, span) + 1.0;
--- a/src/state/next_wake.rs
+++ b/src/state/earliest_time.rs
@@ -4,11 +4,11 @@
 
 /// Collects times and keeps the earliest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct NextWake(Option<Duration>);
+pub(crate) struct EarliestTime(Option<Duration>);
 
-impl NextWake {
+impl EarliestTime {
     /// Wakes at this time at the latest; no time changes nothing.
-    pub(crate) fn no_later_than(&mut self, at: Option<Duration>) {
+    pub(crate) fn include(&mut self, at: Option<Duration>) {
         if let Some(at) = at {
             self.0 = Some(self.0.map_or(at, |known| known.min(at)));
         }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -39,7 +39,7 @@
     recent_load: VecDeque<SentLoad>,
     last_sent: Duration,
     /// When its last request ended, if that ended with an answer, which leaves a connection idle.
-    answered: Option<Duration>,
+    answered_at: Option<Duration>,
 }
 
 /// The load that one request put on an endpoint, in requests with one message.
@@ -100,12 +100,12 @@
     }
 
     /// When the last request ended, if that ended with an answer, which leaves a connection idle.
-    pub(crate) fn answered(&self) -> Option<Duration> {
-        self.answered
+    pub(crate) fn answered_at(&self) -> Option<Duration> {
+        self.answered_at
     }
 
-    pub(crate) fn set_answered(&mut self, at: Option<Duration>) {
-        self.answered = at;
+    pub(crate) fn set_answered_at(&mut self, at: Option<Duration>) {
+        self.answered_at = at;
     }
 
     /// A message of a class, by its index, has failed.
@@ -146,7 +146,7 @@
     last_fault: None,
     recent_load: VecDeque::new(),
     last_sent: Duration::ZERO,
-    answered: None,
+    answered_at: None,
 };
 
 impl Endpoint {
@@ -170,7 +170,7 @@
     }
 
     /// The same, for what matters only of an endpoint that requests were sent to.
-    pub(super) fn usage_if_any(&mut self) -> Option<&mut EndpointUsage> {
+    pub(super) fn existing_usage_mut(&mut self) -> Option<&mut EndpointUsage> {
         self.usage.as_deref_mut()
     }
 
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -7,7 +7,7 @@
 use super::destination::{Destination, Traffic};
 use super::removed_endpoints::RemovedEndpoints;
 use super::zones::Zones;
-use super::{Endpoint, EndpointUsage, KindParameters};
+use super::{Endpoint, EndpointKindParameters, EndpointUsage};
 use crate::interface::{CircuitScope, DestinationId, EndpointId, EndpointState, EndpointUpdate};
 
 /// All endpoints and destinations, with those that have left the list recently.
@@ -16,7 +16,7 @@
     destinations: BTreeMap<DestinationId, Destination>,
     removed: RemovedEndpoints,
     zones: Zones,
-    kinds: Vec<KindParameters>,
+    kinds: Vec<EndpointKindParameters>,
     /// Whole lists that were begun so far; counts on from its start when it is used up.
     whole_lists: u32,
     /// A whole list has begun and not ended.
@@ -25,7 +25,7 @@
 
 impl EndpointDirectory {
     /// An empty one, for endpoints of these kinds.
-    pub(crate) fn new(kinds: Vec<KindParameters>) -> EndpointDirectory {
+    pub(crate) fn new(kinds: Vec<EndpointKindParameters>) -> EndpointDirectory {
         EndpointDirectory {
             endpoints: BTreeMap::new(),
             destinations: BTreeMap::new(),
@@ -57,8 +57,8 @@
     }
 
     /// The same, for what matters only of an endpoint that requests were sent to.
-    pub(crate) fn usage_if_any(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
-        self.endpoints.get_mut(&id).and_then(Endpoint::usage_if_any)
+    pub(crate) fn existing_usage_mut(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
+        self.endpoints.get_mut(&id).and_then(Endpoint::existing_usage_mut)
     }
 
     /// Drops what requests have shown of an endpoint, unless one is in flight to it.
@@ -83,22 +83,25 @@
     }
 
     /// All endpoints of a destination, in ascending order.
-    fn of_destination(&self, id: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
+    fn endpoints_of(&self, id: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
         let endpoints = self.destinations.get(&id).into_iter().flat_map(Destination::endpoints);
         endpoints.filter_map(|id| self.endpoints.get(id).map(|endpoint| (*id, endpoint)))
     }
 
     /// The endpoints of a destination that take new requests, in ascending order.
-    pub(crate) fn active(&self, id: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
-        self.of_destination(id).filter(|(_, endpoint)| endpoint.state == EndpointState::Active)
+    pub(crate) fn active_endpoints(
+        &self,
+        id: DestinationId,
+    ) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
+        self.endpoints_of(id).filter(|(_, endpoint)| endpoint.state == EndpointState::Active)
     }
 
     /// Requests in flight to all endpoints of a destination.
     pub(crate) fn requests_in_flight(&self, id: DestinationId) -> usize {
-        self.of_destination(id).map(|(_, endpoint)| endpoint.usage().requests_in_flight() as usize).sum()
+        self.endpoints_of(id).map(|(_, endpoint)| endpoint.usage().requests_in_flight() as usize).sum()
     }
 
-    fn kind(&self, endpoint: &Endpoint) -> Option<&KindParameters> {
+    fn kind(&self, endpoint: &Endpoint) -> Option<&EndpointKindParameters> {
         endpoint.kind.and_then(|kind| self.kinds.get(usize::from(kind)))
     }
 
@@ -127,11 +130,11 @@
     }
 
     /// The endpoints that share a circuit.
-    pub(crate) fn in_scope(&self, scope: CircuitScope) -> Vec<EndpointId> {
+    pub(crate) fn endpoints_in_scope(&self, scope: CircuitScope) -> Vec<EndpointId> {
         match scope {
             CircuitScope::Endpoint(endpoint) => vec![endpoint],
             CircuitScope::Destination(destination) => {
-                let endpoints = self.of_destination(destination);
+                let endpoints = self.endpoints_of(destination);
                 let listed = endpoints.filter(|(_, endpoint)| endpoint.state != EndpointState::Removed);
                 listed.map(|(id, _)| id).collect()
             }
@@ -139,8 +142,8 @@
     }
 
     /// The endpoints that share this one's circuit, itself included.
-    pub(crate) fn sharing_circuit(&self, id: EndpointId) -> Vec<EndpointId> {
-        self.get(id).map_or(vec![id], |endpoint| self.in_scope(self.scope_of(id, endpoint)))
+    pub(crate) fn endpoints_sharing_circuit(&self, id: EndpointId) -> Vec<EndpointId> {
+        self.get(id).map_or(vec![id], |endpoint| self.endpoints_in_scope(self.scope_of(id, endpoint)))
     }
 
     /// The destination that a circuit belongs to, as far as its endpoint is known.
@@ -249,7 +252,12 @@
 
     /// Endpoints that have been removed for longer than this span and have no request in flight; at most so many
     /// of them. Those that were removed since the last call count as removed now.
-    pub(crate) fn expired(&mut self, now: Duration, keep: Duration, most: usize) -> Vec<EndpointId> {
+    pub(crate) fn expired_endpoints(
+        &mut self,
+        now: Duration,
+        keep: Duration,
+        most: usize,
+    ) -> Vec<EndpointId> {
         self.removed.stamp(now);
         let idle = |id: &EndpointId| self.get(*id).is_none_or(|e| e.usage().requests_in_flight() == 0);
         self.removed.older_than(now, keep).filter(idle).take(most).collect()
--- a/src/state/in_flight.rs
+++ b/src/state/in_flight.rs
@@ -7,7 +7,7 @@
 
 /// All attempts and requests in flight.
 #[derive(Default)]
-pub(crate) struct InFlight {
+pub(crate) struct AttemptsInFlight {
     attempts: BTreeMap<AttemptKey, Attempt>,
     /// Attempts of each request that have no outcome yet.
     requests: BTreeMap<RequestId, u32>,
@@ -20,7 +20,7 @@
     pub(crate) request_ended: bool,
 }
 
-impl InFlight {
+impl AttemptsInFlight {
     pub(crate) fn request_count(&self) -> usize {
         self.requests.len()
     }
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -38,7 +38,7 @@
     pub(crate) ordering_key: Option<OrderingKey>,
     pub(crate) destination: DestinationId,
     /// Its number among all arrivals and requests.
-    pub(crate) arrival: u64,
+    pub(crate) arrival_number: u64,
     pub(crate) deadline: Duration,
     /// Its tenant had used its quota up when it came.
     pub(crate) over_quota: bool,
@@ -48,9 +48,9 @@
     /// Answers with an error that it got.
     errors: u32,
     in_flight: BTreeSet<AttemptNumber>,
-    possibly_executed: Option<PossibleExecution>,
+    possible_execution: Option<PossibleExecution>,
     /// None while an attempt is in flight.
-    queued: Option<QueueEntry>,
+    queue_entry: Option<QueueEntry>,
 }
 
 impl Message {
@@ -68,21 +68,21 @@
             class,
             ordering_key,
             destination,
-            arrival: 0,
+            arrival_number: 0,
             deadline: times.deadline,
             over_quota,
             objective_at: times.objective_at,
             attempts: 0,
             errors: 0,
             in_flight: BTreeSet::new(),
-            possibly_executed: None,
-            queued: None,
+            possible_execution: None,
+            queue_entry: None,
         }
     }
 
     /// The message is accepted under this arrival number.
-    pub(crate) fn set_arrival(&mut self, arrival: u64) {
-        self.arrival = arrival;
+    pub(crate) fn set_arrival_number(&mut self, arrival_number: u64) {
+        self.arrival_number = arrival_number;
     }
 
     /// Until when it meets its latency objective.
@@ -134,26 +134,26 @@
     }
 
     /// The earliest attempt that may have executed it; none if it is known not to have been executed.
-    pub(crate) fn possibly_executed(&self) -> Option<PossibleExecution> {
-        self.possibly_executed
+    pub(crate) fn possible_execution(&self) -> Option<PossibleExecution> {
+        self.possible_execution
     }
 
-    pub(crate) fn set_possibly_executed(&mut self, attempt: Option<PossibleExecution>) {
-        self.possibly_executed = attempt;
+    pub(crate) fn set_possible_execution(&mut self, attempt: Option<PossibleExecution>) {
+        self.possible_execution = attempt;
     }
 
     /// Its place in the queue; none while an attempt is in flight.
-    pub(crate) fn queued(&self) -> Option<&QueueEntry> {
-        self.queued.as_ref()
+    pub(crate) fn queue_entry(&self) -> Option<&QueueEntry> {
+        self.queue_entry.as_ref()
     }
 
     /// It has been inserted into the queue.
-    pub(crate) fn set_queued(&mut self, entry: QueueEntry) {
-        self.queued = Some(entry);
+    pub(crate) fn set_queue_entry(&mut self, entry: QueueEntry) {
+        self.queue_entry = Some(entry);
     }
 
     /// Takes its place in the queue, from which it is to be removed.
-    pub(crate) fn take_queued(&mut self) -> Option<QueueEntry> {
-        self.queued.take()
+    pub(crate) fn take_queue_entry(&mut self) -> Option<QueueEntry> {
+        self.queue_entry.take()
     }
 }
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -28,14 +28,14 @@
 
 impl OrderingQueues {
     /// Adds a message to the end of its key's queue.
-    pub(crate) fn push(&mut self, key: OrderingKey, arrival: u64, message: MessageKey) {
-        self.queues.entry(key).or_default().by_arrival.insert(arrival, message);
+    pub(crate) fn push(&mut self, key: OrderingKey, arrival_number: u64, message: MessageKey) {
+        self.queues.entry(key).or_default().by_arrival.insert(arrival_number, message);
     }
 
     /// Takes out the message with this arrival number. Returns the one that comes first now.
-    pub(crate) fn remove(&mut self, key: OrderingKey, arrival: u64) -> Option<MessageKey> {
+    pub(crate) fn remove(&mut self, key: OrderingKey, arrival_number: u64) -> Option<MessageKey> {
         let queue = self.queues.get_mut(&key)?;
-        queue.by_arrival.remove(&arrival);
+        queue.by_arrival.remove(&arrival_number);
         let next = queue.by_arrival.first_key_value().map(|(_, next)| *next);
         if next.is_none() {
             self.emptied.push(key);
@@ -44,26 +44,26 @@
     }
 
     /// Holds the messages behind this one off until the given time.
-    pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, arrival: u64, until: Duration) {
+    pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, arrival_number: u64, until: Duration) {
         let Some(queue) = key.and_then(|key| self.queues.get_mut(&key)) else { return };
-        if queue.by_arrival.contains_key(&arrival) {
+        if queue.by_arrival.contains_key(&arrival_number) {
             queue.held_off_until = until;
-            queue.held_off_by = arrival;
+            queue.held_off_by = arrival_number;
         }
     }
 
     /// Whether no other message of its key comes before the one with this arrival number.
-    pub(crate) fn is_first(&self, key: Option<OrderingKey>, arrival: u64) -> bool {
+    pub(crate) fn is_first(&self, key: Option<OrderingKey>, arrival_number: u64) -> bool {
         let queue = key.and_then(|key| self.queues.get(&key));
         let first = queue.and_then(|queue| queue.by_arrival.first_key_value());
-        first.is_none_or(|(first, _)| *first == arrival)
+        first.is_none_or(|(first, _)| *first == arrival_number)
     }
 
     /// Whether a message is the first of its key and not held off.
-    pub(crate) fn may_send(&self, key: Option<OrderingKey>, arrival: u64, now: Duration) -> bool {
+    pub(crate) fn may_send(&self, key: Option<OrderingKey>, arrival_number: u64, now: Duration) -> bool {
         let queue = key.and_then(|key| self.queues.get(&key));
-        let open = |queue: &OrderingQueue| now >= queue.held_off_until || queue.held_off_by == arrival;
-        self.is_first(key, arrival) && queue.is_none_or(open)
+        let open = |queue: &OrderingQueue| now >= queue.held_off_until || queue.held_off_by == arrival_number;
+        self.is_first(key, arrival_number) && queue.is_none_or(open)
     }
 
     /// Removes the queues of keys that have no message and are not held off.
--- a/src/state/parameters.rs
+++ b/src/state/parameters.rs
@@ -21,7 +21,7 @@
 }
 
 /// The parameters of one kind of endpoints.
-pub(crate) struct KindParameters {
+pub(crate) struct EndpointKindParameters {
     pub(crate) name: String,
     /// Each endpoint has a circuit of its own.
     pub(crate) circuit_per_endpoint: bool,
@@ -46,11 +46,11 @@
     /// Retries that an endpoint's budget allows before its first completion.
     pub(crate) initial_retry_tokens: f64,
     /// Forwarders outnumber the requests that one may have in flight: each sees little of most destinations.
-    pub(crate) sparse_traffic: bool,
+    pub(crate) has_sparse_traffic: bool,
     /// Most requests in flight at once.
     pub(crate) max_in_flight: usize,
     /// Most messages without a final answer at once.
-    pub(crate) capacity: usize,
+    pub(crate) max_pending_messages: usize,
     /// Most attempts of one message.
     pub(crate) max_attempts: u32,
     /// A message may have two attempts in flight.
@@ -74,7 +74,7 @@
     /// How long an ordering key is held off after an attempt with an unknown end.
     pub(crate) ordering_hold_off: Duration,
     /// The endpoint list is polled, at least this often; absent if discovery pushes it.
-    pub(crate) poll_interval_limit: Option<Duration>,
+    pub(crate) max_poll_interval: Option<Duration>,
     /// How many times as high as the true rate a listed rate may be; none where no rates are listed.
     pub(crate) listed_rate_margin: Option<f64>,
     /// Responses carry load reports where their endpoint has a limit.
--- a/tests/policy/circuit_breaker.rs
+++ b/tests/policy/circuit_breaker.rs
@@ -33,11 +33,11 @@
 fn circuit_that_opens_and_closes_is_reported_with_its_scope_and_the_outcome() {
     let mut test = with_open_circuit();
     let scope = CircuitScope::Destination(DestinationId(9));
-    let opened = PolicyEvent::CircuitOpened { scope, after: AttemptOutcome::NoConnection };
+    let opened = PolicyEvent::CircuitOpened { scope, outcome: AttemptOutcome::NoConnection };
     assert_eq!(test.host.events, [opened]);
     let trial = test.started_after(ms(6000));
     test.complete_attempt(&trial[0], 1);
-    let closed = PolicyEvent::CircuitClosed { scope, after: AttemptOutcome::Completed };
+    let closed = PolicyEvent::CircuitClosed { scope, outcome: AttemptOutcome::Completed };
     assert_eq!(test.host.events, [opened, closed]);
     assert_eq!(opened.to_string(), "circuit opened: destination 9, after NoConnection");
     assert_eq!(closed.to_string(), "circuit closed: destination 9, after Completed");
--- a/tests/policy/discovery.rs
+++ b/tests/policy/discovery.rs
@@ -97,7 +97,7 @@
 
 #[test]
 fn failed_polls_back_off() {
-    let settings = Settings { poll_interval_limit: Some(ms(10_000)), ..settings() };
+    let settings = Settings { max_poll_interval: Some(ms(10_000)), ..settings() };
     let mut test = PolicyTest::without_endpoint_list(settings);
     test.run_after(ms(0));
     let mut polled = Vec::new();
--- a/tests/policy/eviction.rs
+++ b/tests/policy/eviction.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn full_queue_rejects_the_lowest_priority_whatever_its_destination() {
-    let mut settings = Settings { max_in_flight: Some(0), capacity: Some(4), ..settings() };
+    let mut settings = Settings { max_in_flight: Some(0), max_pending_messages: Some(4), ..settings() };
     settings.classes[1].priority_weight = Some(3.0);
     let endpoints = [listed(1, 9, SHARED_CIRCUIT), listed(2, 8, SHARED_CIRCUIT)];
     let mut test = PolicyTest::new(settings, &endpoints);
@@ -33,7 +33,7 @@
 
 #[test]
 fn full_queue_gives_up_the_last_objective_of_the_longest_queue_and_of_late_messages_the_first() {
-    let settings = Settings { capacity: Some(6), max_in_flight: Some(1), ..settings() };
+    let settings = Settings { max_pending_messages: Some(6), max_in_flight: Some(1), ..settings() };
     let endpoints = [listed(1, 9, SHARED_CIRCUIT), listed(2, 8, SHARED_CIRCUIT)];
     let mut test = PolicyTest::new(settings, &endpoints);
     test.complete_with_retry_after(1, 9, ms(10_000));
--- a/tests/policy/fleet_pacing.rs
+++ b/tests/policy/fleet_pacing.rs
@@ -43,7 +43,7 @@
     (0..messages).for_each(|n| test.submit(&format!("e{n}"), IDEMPOTENT, 9));
     let started = (0..100).find_map(|_| test.started_after(ms(100)).pop()).unwrap();
     test.reject_attempt(&started, 0, None);
-    let first_interval = test.policy.pacing_intervals().next();
+    let first_interval = test.policy.pacing_intervals_seconds().next();
     first_interval.unwrap()
 }
 
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -52,7 +52,7 @@
         }],
         forwarders: Some(0),
         max_in_flight: Some(0),
-        capacity: Some(0),
+        max_pending_messages: Some(0),
         slow_start_floor: Some(-1.0),
         overload_multiple: Some(f64::INFINITY),
         overload_window: zero,
--- a/tests/policy/scheduling.rs
+++ b/tests/policy/scheduling.rs
@@ -77,7 +77,7 @@
 fn at_a_destination_at_its_limit_a_class_of_low_priority_is_sent_now_and_then() {
     let mut settings = settings();
     settings.max_in_flight = Some(1);
-    settings.capacity = Some(500);
+    settings.max_pending_messages = Some(500);
     settings.classes[1].priority_weight = Some(3.0);
     let mut test = PolicyTest::new(settings, ONE_ENDPOINT);
     let mut low = 0;
--- a/tests/policy/support/host.rs
+++ b/tests/policy/support/host.rs
@@ -62,13 +62,13 @@
         self.timeouts.insert(message.clone(), timeouts);
         self.commands.push(HostCommand::StartAttempt(StartedAttempt { message, endpoint }));
     }
-    fn cancel(&mut self, message: &MessageId, attempt: AttemptNumber) {
+    fn cancel_attempt(&mut self, message: &MessageId, attempt: AttemptNumber) {
         self.commands.push(HostCommand::Cancel { message: message.0.to_string(), attempt });
     }
-    fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
+    fn reject_message(&mut self, message: &MessageId, retry_after: Option<Duration>) {
         self.commands.push(reject(&message.0, retry_after));
     }
-    fn fail(&mut self, message: &MessageId) {
+    fn fail_message(&mut self, message: &MessageId) {
         self.commands.push(fail(&message.0));
     }
     fn set_timer(&mut self, after: Duration) {
@@ -76,11 +76,11 @@
     }
     fn start_health_check(&mut self, _endpoint: EndpointId) {}
     fn send_gossip(&mut self, _peer: Option<PeerId>, _gossip: &[u8]) {}
-    fn subscribe(&mut self, _on: bool) {
+    fn watch_endpoint_list(&mut self, _on: bool) {
         self.commands.push(HostCommand::Subscribe);
     }
     fn fetch_endpoint_list(&mut self) {}
-    fn report(&mut self, event: &PolicyEvent) {
+    fn report_event(&mut self, event: &PolicyEvent) {
         self.events.push(*event);
     }
 }
--- a/tests/policy/support/policy_test.rs
+++ b/tests/policy/support/policy_test.rs
@@ -66,7 +66,7 @@
 
     /// The same with capacity for a hundred thousand messages.
     pub fn with_large_capacity(endpoints: &[ListedEndpoint]) -> PolicyTest {
-        PolicyTest::new(Settings { capacity: Some(100_000), ..settings() }, endpoints)
+        PolicyTest::new(Settings { max_pending_messages: Some(100_000), ..settings() }, endpoints)
     }
 
     /// A complete endpoint list, of active endpoints.
@@ -175,7 +175,10 @@
 
     /// An answer of an endpoint reports what is left of its limit.
     pub fn report_load(&mut self, endpoint: u32, left: f64, limit: f64) {
-        self.policy.load_reported(EndpointId(endpoint), LoadReport { left, limit });
+        self.policy.load_reported(
+            EndpointId(endpoint),
+            LoadReport { remaining_share: left, limit_per_second: limit },
+        );
     }
 
     /// Lets time pass and nothing else happen.
@@ -210,6 +213,6 @@
 
     /// The longest time between two requests that is now kept to at any circuit, in seconds.
     pub fn longest_pacing_interval(&self) -> f64 {
-        self.policy.pacing_intervals().fold(0.0, f64::max)
+        self.policy.pacing_intervals_seconds().fold(0.0, f64::max)
     }
 }
--- a/tests/policy/support/settings.rs
+++ b/tests/policy/support/settings.rs
@@ -32,7 +32,7 @@
         classes: vec![
             class(IDEMPOTENT, Idempotency::Idempotent),
             class(NON_IDEMPOTENT, Idempotency::NonIdempotent),
-            class(WITH_KEY, Idempotency::WithKey { window: ms(5000), scope: KeyScope::Region }),
+            class(WITH_KEY, Idempotency::WithKey { window: ms(5000), scope: IdempotencyKeyScope::Region }),
             MessageClass { ordered: true, ..class(ORDERED, Idempotency::Idempotent) },
         ],
         endpoint_kinds: vec![
@@ -43,7 +43,7 @@
             kind(OWN_CIRCUIT_BATCH_OF_10, true, 10),
         ],
         max_in_flight: Some(8),
-        capacity: Some(50),
+        max_pending_messages: Some(50),
         max_attempts: Some(6),
         max_retry_after: Some(ms(3000)),
         ordering_hold_off: Some(ms(3000)),
