--- /dev/null
+++ b/crates/scale-test/tests/output_keys.rs
@@ -0,0 +1,367 @@
+//! Names that operators and scripts see: keys and labels of the JSON lines, keys of the scenario file, options of the
+//! command line. What is renamed in the code must not rename these.
+
+use std::collections::BTreeSet;
+use std::process::Command;
+
+use reeddock_scale_test::fit::{least_squares, FittedFigure};
+use reeddock_scale_test::report::{
+    ForwarderUsage, LatencySummary, Occasion, Phase, ResultLine, Role, Since, TrafficRates,
+};
+use reeddock_scale_test::scenario::{FaultKind, Scenario};
+use serde::Serialize;
+use serde_json::{json, Value};
+
+/// A scenario file with every key and every kind of fault.
+const FULL_SCENARIO: &str = r#"
+version = 1
+name = "full"
+about = "every key of a scenario"
+seed = 1
+limit_s = 60
+
+[fleet]
+real = 2
+hollow = 40
+hollow_threads = 2
+zones = 7
+regions = 3
+
+[list]
+targets = 500
+whole_at_once = 4
+start_within_s = 20
+
+[changes]
+every_s = 0.1
+probe_every = 4
+lasts_s = 6
+settle_within_s = 20
+
+[process]
+memory_mb = 64
+descriptors = 256
+disk_mb = 3
+
+[traffic]
+per_forwarder_per_s = 20
+
+[[trouble]]
+kind = "rolling_restart"
+at_s = 0.5
+one_in = 10
+gap_s = 0.1
+down_s = 0.3
+
+[[trouble]]
+kind = "control_restart"
+at_s = 2
+down_s = 0.3
+forgets = true
+
+[[trouble]]
+kind = "zone"
+at_s = 3
+down_s = 0.2
+zone = 3
+
+[[trouble]]
+kind = "rack"
+at_s = 3.5
+down_s = 0.2
+zone = 5
+machines = 3
+
+[[trouble]]
+kind = "region_cut"
+at_s = 3.5
+lasts_s = 2
+region = 1
+
+[fit]
+targets = [100, 200, 300, 400]
+hollow = [10, 20, 30, 40]
+target_targets = 320000
+target_forwarders = 1000
+"#;
+
+/// The paths of the keys in that file, but for those of faults, as they are written again.
+const SCENARIO_KEYS: [&str; 32] = [
+    "about",
+    "changes",
+    "changes.every_s",
+    "changes.lasts_s",
+    "changes.probe_every",
+    "changes.settle_within_s",
+    "fit",
+    "fit.hollow",
+    "fit.target_forwarders",
+    "fit.target_targets",
+    "fit.targets",
+    "fleet",
+    "fleet.hollow",
+    "fleet.hollow_threads",
+    "fleet.real",
+    "fleet.regions",
+    "fleet.zones",
+    "limit_s",
+    "list",
+    "list.start_within_s",
+    "list.targets",
+    "list.whole_at_once",
+    "name",
+    "process",
+    "process.descriptors",
+    "process.disk_mb",
+    "process.memory_mb",
+    "seed",
+    "traffic",
+    "traffic.per_forwarder_per_s",
+    "trouble",
+    "version",
+];
+
+/// The paths of all keys in a value; `[]` stands for the items of a list.
+fn key_paths(value: &Value) -> BTreeSet<String> {
+    let mut paths = BTreeSet::new();
+    collect_key_paths(value, "", &mut paths);
+    paths
+}
+
+fn collect_key_paths(value: &Value, place: &str, paths: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(fields) => {
+            for (key, field) in fields {
+                let path = if place.is_empty() { key.clone() } else { format!("{place}.{key}") };
+                collect_key_paths(field, &path, paths);
+                paths.insert(path);
+            }
+        }
+        Value::Array(items) => {
+            items.iter().for_each(|item| collect_key_paths(item, &format!("{place}[]"), paths));
+        }
+        _ => {}
+    }
+}
+
+fn written(value: impl Serialize) -> Value {
+    serde_json::to_value(value).unwrap()
+}
+
+fn full_scenario() -> Scenario {
+    Scenario::parse("full", FULL_SCENARIO).unwrap()
+}
+
+fn latency() -> LatencySummary {
+    LatencySummary { count: 1, p50_ms: 2.5, p99_ms: 3.5, worst_ms: 4.5 }
+}
+
+fn usage() -> ForwarderUsage {
+    ForwarderUsage { forwarder: 1, starts: 2, processor_s: 3.5, resident_bytes: 4, resident_peak_bytes: 5 }
+}
+
+/// The JSON form of [`latency`].
+fn latency_json() -> Value {
+    json!({"count": 1, "p50_ms": 2.5, "p99_ms": 3.5, "worst_ms": 4.5})
+}
+
+/// The JSON form of [`usage`].
+fn usage_json() -> Value {
+    json!({"forwarder": 1, "starts": 2, "processor_s": 3.5, "resident_bytes": 4, "resident_peak_bytes": 5})
+}
+
+#[test]
+fn run_line_has_these_keys_beside_the_scenario() {
+    let line = written(ResultLine::Run { scenario: Box::new(full_scenario()), version: "1", cores: 2 });
+    assert_eq!(line["line"], "run");
+    assert_eq!(line["scenario"], written(full_scenario()));
+    let keys: Vec<&String> = line.as_object().unwrap().keys().collect();
+    let sorted: BTreeSet<&str> = keys.into_iter().map(String::as_str).collect();
+    assert!(sorted.iter().eq(&["cores", "line", "scenario", "version"]), "{sorted:?}");
+}
+
+#[test]
+fn lines_of_latencies_have_these_keys_and_labels() {
+    let latency = latency();
+    let spans = latency_json();
+    let (role, occasion, since) = (Role::Hollow, Occasion::Calm, Since::Change);
+    assert_eq!(
+        written(ResultLine::ListInForce { role, occasion: Occasion::FirstStart, latency }),
+        json!({"line": "list_in_force", "role": "hollow", "occasion": "first start", "spans": spans})
+    );
+    assert_eq!(
+        written(ResultLine::ChangeInForce { role, occasion, since, latency }),
+        json!({
+            "line": "change_in_force", "role": "hollow", "occasion": "calm", "since": "change",
+            "spans": spans,
+        })
+    );
+    assert_eq!(
+        written(ResultLine::ProbeResolution { latency }),
+        json!({"line": "probe_resolution", "spans": spans})
+    );
+}
+
+#[test]
+fn lines_of_messages_and_traffic_have_these_keys() {
+    let phase = Phase::Start;
+    assert_eq!(
+        written(ResultLine::Submissions {
+            phase,
+            latency: latency(),
+            accepted: 1,
+            rejected: 2,
+            unanswered: 3
+        }),
+        json!({
+            "line": "hand_in", "phase": "at the start", "spans": latency_json(), "taken_on": 1,
+            "refused": 2, "unanswered": 3,
+        })
+    );
+    assert_eq!(
+        written(ResultLine::Deliveries { requests: 1, notices: 2 }),
+        json!({"line": "ends", "calls": 1, "notices": 2})
+    );
+    let rates = TrafficRates { received_bytes_per_s: 1.5, sent_bytes_per_s: 2.5, messages_per_s: 3.5 };
+    assert_eq!(
+        written(ResultLine::Exchange { role: Role::Real, phase, forwarders: 1, seconds: 2.5, rates }),
+        json!({
+            "line": "exchange", "role": "real", "phase": "at the start", "forwarders": 1, "seconds": 2.5,
+            "figures": {"received_bytes_per_s": 1.5, "sent_bytes_per_s": 2.5, "messages_per_s": 3.5},
+        })
+    );
+}
+
+#[test]
+fn lines_of_resources_have_these_keys() {
+    assert_eq!(
+        written(ResultLine::Sample { at_s: 1.5, usage: usage() }),
+        json!({"line": "sample", "at_s": 1.5, "used": usage_json()})
+    );
+    assert_eq!(
+        written(ResultLine::Process { usage: usage() }),
+        json!({"line": "process", "used": usage_json()})
+    );
+    assert_eq!(
+        written(ResultLine::Thread { name: "clients".to_owned(), core_share: 0.5 }),
+        json!({"line": "part", "part": "clients", "core_share": 0.5})
+    );
+    assert_eq!(
+        written(ResultLine::Program { resident_bytes: 1, resident_peak_bytes: 2 }),
+        json!({"line": "program", "resident_bytes": 1, "resident_peak_bytes": 2})
+    );
+}
+
+#[test]
+fn lines_of_figures_and_checks_have_these_keys() {
+    assert_eq!(
+        written(ResultLine::Figure { name: "a".to_owned(), value: 1.5 }),
+        json!({"line": "figure", "name": "a", "value": 1.5})
+    );
+    assert_eq!(
+        written(ResultLine::Check { name: "a", passed: true, detail: "b".to_owned() }),
+        json!({"line": "check", "check": "a", "passed": true, "detail": "b"})
+    );
+}
+
+#[test]
+fn labels_are_written_with_these_words() {
+    let roles = written([Role::ControlPlane, Role::Hollow, Role::Real]);
+    assert_eq!(roles, json!(["control side", "hollow", "real"]));
+    let phases = written([Phase::AfterStart, Phase::Start]);
+    assert_eq!(phases, json!(["after the start", "at the start"]));
+    assert_eq!(written([Since::Change, Since::Reachable]), json!(["change", "reachable"]));
+    let occasions = written([Occasion::Calm, Occasion::FirstStart, Occasion::Restart]);
+    assert_eq!(occasions, json!(["calm", "first start", "restart"]));
+    let kinds = [
+        FaultKind::ControlRestart,
+        FaultKind::RackOutage,
+        FaultKind::RegionPartition,
+        FaultKind::RollingRestart,
+        FaultKind::ZoneOutage,
+    ];
+    let expected = json!(["control_restart", "rack", "region_cut", "rolling_restart", "zone"]);
+    assert_eq!(written(kinds.map(Occasion::Fault)), expected);
+}
+
+#[test]
+fn fitted_figure_has_these_keys() {
+    let line = least_squares(&[(1.0, 1.0), (2.0, 2.0), (3.0, 4.0)]).unwrap();
+    let figure = FittedFigure {
+        figure: "a".to_owned(),
+        over: "b",
+        sizes: vec![1],
+        values: vec![1.5],
+        line,
+        planned_size: 2,
+        at_planned_size: 2.5,
+        factor: 3.5,
+    };
+    let expected = [
+        "at_target",
+        "factor",
+        "figure",
+        "line",
+        "line.deviation",
+        "line.intercept",
+        "line.points",
+        "line.slope",
+        "line.slope_error",
+        "over",
+        "sizes",
+        "target",
+        "values",
+    ];
+    let paths = key_paths(&written(figure));
+    assert!(paths.iter().eq(&expected), "{paths:?}");
+}
+
+#[test]
+fn scenario_with_everything_set_is_read_and_written_with_these_keys() {
+    let mut paths = key_paths(&written(full_scenario()));
+    paths.retain(|path| !path.starts_with("trouble[]"));
+    assert!(paths.iter().eq(&SCENARIO_KEYS), "{paths:?}");
+}
+
+#[test]
+fn faults_are_written_as_they_are_read() {
+    let expected = json!([
+        {"kind": "rolling_restart", "at_s": 0.5, "one_in": 10, "gap_s": 0.1, "down_s": 0.3},
+        {"kind": "control_restart", "at_s": 2.0, "down_s": 0.3, "forgets": true},
+        {"kind": "zone", "at_s": 3.0, "down_s": 0.2, "zone": 3},
+        {"kind": "rack", "at_s": 3.5, "down_s": 0.2, "zone": 5, "machines": 3},
+        {"kind": "region_cut", "at_s": 3.5, "lasts_s": 2.0, "region": 1},
+    ]);
+    assert_eq!(written(full_scenario())["trouble"], expected);
+}
+
+fn help(arguments: &[&str]) -> String {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_reeddock-scale-test"));
+    let output = command.args(arguments).arg("--help").output().unwrap();
+    assert!(output.status.success(), "{arguments:?}: {output:?}");
+    String::from_utf8(output.stdout).unwrap()
+}
+
+/// The names in the lines below a heading of a help text: those of options without what they take.
+fn help_names(help: &str, heading: &str) -> Vec<String> {
+    let below = help.lines().skip_while(|line| *line != heading).skip(1);
+    let lines = below.take_while(|line| line.is_empty() || line.starts_with(' '));
+    let name = |line: &str| match heading {
+        "Options:" => {
+            let long = line.trim_start().starts_with('-').then(|| line.find("--")).flatten()?;
+            line[long..].split_whitespace().next().map(str::to_owned)
+        }
+        _ => line.split_whitespace().next().map(str::to_owned),
+    };
+    let mut names: Vec<String> = lines.filter_map(name).collect();
+    names.sort_unstable();
+    names
+}
+
+#[test]
+fn program_has_these_subcommands_and_options() {
+    let whole = help(&[]);
+    assert_eq!(help_names(&whole, "Commands:"), ["fit", "help"]);
+    assert_eq!(help_names(&whole, "Options:"), ["--forwarder", "--help", "--jsonl", "--version"]);
+    assert_eq!(help_names(&help(&["fit"]), "Options:"), ["--forwarder", "--help", "--jsonl"]);
+}
