--- a/crates/daemon/src/wal_command/json.rs
+++ b/crates/daemon/src/wal_command/json.rs
@@ -103,7 +103,7 @@
             ordering_key: message.ordering_key,
             seconds_left: seconds_left(message, now),
             possibly_executed: possibly_executed(message) > 0,
-            deadline: message.deadline,
+            deadline: message.deadline_unix_us,
             id: &message.id.0,
             records_lost: message.records_lost,
             tenant: message.tenant.as_deref(),
@@ -114,7 +114,7 @@
 impl<'a> From<&'a RecordedAttempt> for AttemptLine<'a> {
     fn from(attempt: &'a RecordedAttempt) -> AttemptLine<'a> {
         AttemptLine {
-            started_at: attempt.started_at,
+            started_at: attempt.started_at_unix_us,
             finished: attempt.state.is_finished(),
             proven_not_executed: attempt.state.proves_not_executed(),
             endpoint: &attempt.endpoint,
--- a/crates/daemon/src/wal_command/mod.rs
+++ b/crates/daemon/src/wal_command/mod.rs
@@ -105,7 +105,7 @@
 
 /// Whole seconds until the deadline, rounded down; negative after it.
 fn seconds_left(message: &PendingMessage, now_us: u64) -> i64 {
-    let left_us = i128::from(message.deadline) - i128::from(now_us);
+    let left_us = i128::from(message.deadline_unix_us) - i128::from(now_us);
     left_us.div_euclid(1_000_000) as i64
 }
 
--- a/crates/daemon/tests/wal_command.rs
+++ b/crates/daemon/tests/wal_command.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use reeddock_protocol::FinalAnswer;
-use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
+use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 use temp_folder::TempFolder;
 
 /// What the command wrote, to both of its outputs, and its exit code.
@@ -26,14 +26,14 @@
 }
 
 fn accepted(id: &str, class: &str, destination: u64) -> Record {
-    Record::Accepted(Accepted {
+    Record::Accepted(AcceptedMessage {
         idempotency_key: None,
         id: id.into(),
         class: class.into(),
         tenant: None,
         ordering_key: None,
         destination,
-        deadline: 1,
+        deadline_unix_us: 1,
         body: "a body".into(),
     })
 }
@@ -45,7 +45,12 @@
         accepted("order-1", "order", 7),
         accepted("note-1", "note", 8),
         accepted("note-2", "note", 8),
-        Record::AttemptStarted { id: "order-1".into(), number: 0, endpoint: "t".into(), started_at: 5 },
+        Record::AttemptStarted {
+            id: "order-1".into(),
+            number: 0,
+            endpoint: "t".into(),
+            started_at_unix_us: 5,
+        },
         Record::Finished { id: "note-2".into(), notice: Some(FinalAnswer::Failed) },
     ];
     log.append(&records, Duration::ZERO).unwrap();
--- a/crates/daemon/tests/wal_command_names.rs
+++ b/crates/daemon/tests/wal_command_names.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
+use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 use temp_folder::TempFolder;
 
 fn reeddock(command: &str, folder: &Path, arguments: &[&str]) -> Output {
@@ -17,14 +17,14 @@
 
 /// Writes a log with one pending message, whose time is up.
 fn write_log(folder: &Path) {
-    let message = Accepted {
+    let message = AcceptedMessage {
         idempotency_key: None,
         id: "order-1".into(),
         class: "order".into(),
         tenant: None,
         ordering_key: None,
         destination: 7,
-        deadline: 1,
+        deadline_unix_us: 1,
         body: "a body".into(),
     };
     let mut log = WriteAheadLog::open(folder, 100_000, SyncPolicy::Never).unwrap();
--- a/crates/forwarder/src/event_loop/log_writer.rs
+++ b/crates/forwarder/src/event_loop/log_writer.rs
@@ -40,10 +40,10 @@
         attempts: &[OutgoingAttempt],
         now: Duration,
     ) -> LogWrite {
-        let started_at = self.clock.to_unix_micros(now);
+        let started_at_unix_us = self.clock.to_unix_micros(now);
         let accepted = submissions.iter().map(|submission| Record::Accepted(submission.accepted.clone()));
         let finished = self.state.unwritten_records().iter().cloned();
-        let started = attempts.iter().map(|attempt| self.attempt_record(attempt, started_at));
+        let started = attempts.iter().map(|attempt| self.attempt_record(attempt, started_at_unix_us));
         let records: Vec<Record> = accepted.chain(finished).chain(started).collect();
         match self.log.append(&records, now) {
             Ok(outcome) => {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// The record that precedes the first byte of an attempt; `started_at` in microseconds of Unix time.
-    fn attempt_record(&self, attempt: &OutgoingAttempt, started_at: u64) -> Record {
+    /// The record that precedes the first byte of an attempt; `started_at_unix_us` in microseconds of Unix time.
+    fn attempt_record(&self, attempt: &OutgoingAttempt, started_at_unix_us: u64) -> Record {
         Record::AttemptStarted {
             id: attempt.message.id.0.to_string(),
             number: attempt.number.0,
             endpoint: self.state.endpoints().name(attempt.endpoint).unwrap_or_default().to_owned(),
-            started_at,
+            started_at_unix_us,
         }
     }
 }
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -5,7 +5,7 @@
 
 use reeddock::{DestinationId, MessageId, NewMessage, OrderingKey, PreviousAttempt};
 use reeddock_protocol::{DeliveryNotice, FinalAnswer};
-use reeddock_wal::{Accepted, PendingMessage, Record};
+use reeddock_wal::{AcceptedMessage, PendingMessage, Record};
 
 use super::pending_messages::PendingEntry;
 use super::EventLoop;
@@ -19,7 +19,7 @@
         let ids: Vec<MessageId> = index.pending().iter().map(|pending| pending.id.clone()).collect();
         for id in ids {
             let Some(pending) = self.log.index().get(&id).cloned() else { continue };
-            match self.log.read_accepted(&pending) {
+            match self.log.read_message(&pending) {
                 Ok(accepted) => self.restore_message(pending, accepted, now),
                 Err(error) => {
                     tracing::error!(%error, message_id = &*id.0, "pending message unreadable, answered as failed");
@@ -48,7 +48,7 @@
     }
 
     /// Passes one message to the policy, with its previous attempts.
-    fn restore_message(&mut self, pending: PendingMessage, accepted: Accepted, now: Duration) {
+    fn restore_message(&mut self, pending: PendingMessage, accepted: AcceptedMessage, now: Duration) {
         let previous_attempts = self.previous_attempts(&pending);
         let id = pending.id;
         let message = NewMessage {
@@ -57,7 +57,7 @@
             // Its tenant's quota was charged for it by the process that accepted it.
             tenant: None,
             ordering_key: pending.ordering_key.map(OrderingKey),
-            deadline: self.clock.from_unix_micros(pending.deadline),
+            deadline: self.clock.from_unix_micros(pending.deadline_unix_us),
             destination: DestinationId(pending.destination),
         };
         self.policy.submit(now, message, self.state.commands());
@@ -77,7 +77,7 @@
         for started in &pending.attempts {
             attempts.push(PreviousAttempt {
                 endpoint: self.state.endpoints_mut().number(&started.endpoint),
-                started_at: self.clock.from_unix_micros(started.started_at),
+                started_at: self.clock.from_unix_micros(started.started_at_unix_us),
                 proves_not_executed: started.state.proves_not_executed(),
             });
         }
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -5,7 +5,7 @@
 
 use reeddock::{MessageId, NewMessage};
 use reeddock_protocol::{ClientResponse, Submission};
-use reeddock_wal::Accepted;
+use reeddock_wal::AcceptedMessage;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -62,21 +62,21 @@
     }
 
     /// The record of a submission that is accepted.
-    fn accepted_record(&self, submission: Submission, deadline: Duration) -> Accepted {
-        Accepted {
+    fn accepted_record(&self, submission: Submission, deadline: Duration) -> AcceptedMessage {
+        AcceptedMessage {
             id: submission.id.0.to_string(),
             class: submission.class,
             tenant: submission.tenant,
             ordering_key: submission.ordering_key.map(|key| key.0),
             destination: submission.destination.0,
-            deadline: self.clock.to_unix_micros(deadline),
+            deadline_unix_us: self.clock.to_unix_micros(deadline),
             body: submission.body,
             idempotency_key: submission.idempotency_key,
         }
     }
 
     /// Whether memory and disk have space for one more message, in addition to those submitted since the last due work.
-    fn has_capacity_for(&mut self, accepted: &Accepted) -> bool {
+    fn has_capacity_for(&mut self, accepted: &AcceptedMessage) -> bool {
         let new_bytes = self.state.submitted_bytes() + accepted.reserved_bytes();
         let memory_bytes = self.state.pending().bytes() + new_bytes;
         let has_capacity = new_bytes <= self.log.free_bytes() && memory_bytes <= self.max_message_bytes;
--- a/crates/forwarder/tests/loopback/restarts.rs
+++ b/crates/forwarder/tests/loopback/restarts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use reeddock::Idempotency;
-use reeddock_wal::{Accepted, Record};
+use reeddock_wal::{AcceptedMessage, Record};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
@@ -166,19 +166,24 @@
 fn records_of(id: &str, class: &str, first_attempt: FirstAttempt) -> Vec<Record> {
     let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let micros = |time: Duration| time.as_micros() as u64;
-    let mut records = vec![Record::Accepted(Accepted {
+    let mut records = vec![Record::Accepted(AcceptedMessage {
         id: id.into(),
         class: class.into(),
         tenant: None,
         ordering_key: None,
         destination: 3,
-        deadline: micros(unix_time + ms(15_000)),
+        deadline_unix_us: micros(unix_time + ms(15_000)),
         body: "x".into(),
         idempotency_key: None,
     })];
     if first_attempt != FirstAttempt::None {
-        let started_at = micros(unix_time - ms(500));
-        records.push(Record::AttemptStarted { id: id.into(), number: 0, endpoint: "t".into(), started_at });
+        let started_at_unix_us = micros(unix_time - ms(500));
+        records.push(Record::AttemptStarted {
+            id: id.into(),
+            number: 0,
+            endpoint: "t".into(),
+            started_at_unix_us,
+        });
     }
     if first_attempt == FirstAttempt::ProvenNotExecuted {
         records.push(Record::AttemptFinished { id: id.into(), number: 0, proves_not_executed: true });
--- a/crates/wal/examples/appends.rs
+++ b/crates/wal/examples/appends.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
+use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 
 /// Messages in one append while the log is filled.
 const FILL_GROUP: u64 = 16;
@@ -47,14 +47,14 @@
     format!("{number:08x}-4c1e-4a2b-9d3f-{number:012x}")
 }
 
-fn message(number: u64, body: &Bytes) -> Accepted {
-    Accepted {
+fn message(number: u64, body: &Bytes) -> AcceptedMessage {
+    AcceptedMessage {
         id: id(number),
         class: "order".into(),
         tenant: None,
         ordering_key: None,
         destination: number % 100,
-        deadline: u64::MAX / 2,
+        deadline_unix_us: u64::MAX / 2,
         body: body.clone(),
         idempotency_key: None,
     }
@@ -109,7 +109,7 @@
                 id: id(number),
                 number: 0,
                 endpoint: "target".into(),
-                started_at: 1,
+                started_at_unix_us: 1,
             });
             if let Some(oldest) = self.pending.pop_front() {
                 group.push(Record::Finished { id: id(oldest), notice: None });
--- a/crates/wal/examples/owed.rs
+++ b/crates/wal/examples/owed.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
+use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 
 /// Messages in one append.
 const GROUP: u64 = 16;
@@ -22,15 +22,15 @@
     format!("{number:08x}-4c1e-4a2b-9d3f-{number:012x}")
 }
 
-fn message(number: u64, body: &Bytes, destinations: u64) -> Accepted {
-    Accepted {
+fn message(number: u64, body: &Bytes, destinations: u64) -> AcceptedMessage {
+    AcceptedMessage {
         idempotency_key: None,
         id: id(number),
         class: "order".into(),
         tenant: None,
         ordering_key: None,
         destination: number % destinations,
-        deadline: u64::MAX / 2,
+        deadline_unix_us: u64::MAX / 2,
         body: body.clone(),
     }
 }
@@ -72,7 +72,7 @@
                 id: id(number),
                 number: 0,
                 endpoint: "target".into(),
-                started_at: 1,
+                started_at_unix_us: 1,
             });
             group.push(Record::Finished { id: id(number), notice: None });
             new_due += new_for_each;
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -133,7 +133,7 @@
     /// Adds the copy of a live record; returns false if the index does not know its message.
     fn add_copy(&self, batch: &mut CopyBatch, live: &LiveRecord) -> Result<bool, WalError> {
         if let Some(pending) = self.index.get(&live.id) {
-            let accepted = self.read_accepted(pending)?;
+            let accepted = self.read_message(pending)?;
             batch.bytes += pending.location().length as u64;
             batch.records.push(Record::Checkpoint(pending.checkpoint(accepted)));
         } else if let Some(notice) = self.index.notice_record(&live.id) {
--- a/crates/wal/src/compaction_plan.rs
+++ b/crates/wal/src/compaction_plan.rs
@@ -13,7 +13,7 @@
 //!   before the rest is full: while two fifths are copied, the log grows by what is appended, two fifteenths, and one
 //!   segment.
 //! - There is always space for the attempts and final records of pending messages: it is set aside when the message is
-//!   accepted (`Accepted::reserved_bytes`), and the disk reserve guarantees it.
+//!   accepted (`AcceptedMessage::reserved_bytes`), and the disk reserve guarantees it.
 
 use std::collections::BTreeMap;
 
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -58,7 +58,7 @@
 pub use file_storage::FileStorage;
 pub use inspection::{inspect, Inspection};
 pub use pending_index::{PendingCounts, PendingIndex, PendingMessage};
-pub use record::{Accepted, AttemptState, Checkpoint, Record, RecordedAttempt};
+pub use record::{AcceptedMessage, AttemptState, Checkpoint, Record, RecordedAttempt};
 pub use storage::Storage;
 pub use verification::{Corruption, VerificationReport};
 pub use write_ahead_log::{SyncPolicy, WriteAheadLog};
--- a/crates/wal/src/opening.rs
+++ b/crates/wal/src/opening.rs
@@ -200,7 +200,7 @@
             continue;
         };
         let location = message.location();
-        let accepted = single_file::read_accepted(bytes, location).ok_or_else(|| corrupt_at(location))?;
+        let accepted = single_file::read_message(bytes, location).ok_or_else(|| corrupt_at(location))?;
         records.push(Record::Checkpoint(message.checkpoint(accepted)));
     }
     Ok(records)
--- a/crates/wal/src/pending_index.rs
+++ b/crates/wal/src/pending_index.rs
@@ -8,7 +8,7 @@
 use reeddock_protocol::{DeliveryNotice, FinalAnswer};
 
 use crate::live_records::{LiveRecord, LiveRecords, RecordLocation};
-use crate::record::{Accepted, AttemptState, Checkpoint, Record, RecordedAttempt};
+use crate::record::{AcceptedMessage, AttemptState, Checkpoint, Record, RecordedAttempt};
 use crate::record_view::{AcceptedView, CheckpointView, RecordView};
 
 /// Disk space that is set aside for a notice until the platform has acknowledged it, in bytes.
@@ -30,7 +30,7 @@
     /// The destination's id.
     pub destination: u64,
     /// When the message must have its final answer, in microseconds of Unix time.
-    pub deadline: u64,
+    pub deadline_unix_us: u64,
     /// Its attempts, in the order of their numbers.
     pub attempts: Vec<RecordedAttempt>,
     /// Whether records of further attempts may have been lost to corruption: the message may have been executed, and
@@ -50,7 +50,7 @@
     }
 
     /// The checkpoint of the message; `accepted` is the message as read from its record.
-    pub(crate) fn checkpoint(&self, accepted: Accepted) -> Checkpoint {
+    pub(crate) fn checkpoint(&self, accepted: AcceptedMessage) -> Checkpoint {
         Checkpoint {
             accepted,
             position: self.position,
@@ -59,12 +59,12 @@
         }
     }
 
-    fn start_attempt(&mut self, number: usize, endpoint: Arc<str>, started_at: u64) {
+    fn start_attempt(&mut self, number: usize, endpoint: Arc<str>, started_at_unix_us: u64) {
         let known = self.attempts.len();
         // Attempts are numbered without gaps: a gap means that records of attempts were lost.
         self.attempts.resize_with(known.max(number), RecordedAttempt::unknown);
         if number >= known {
-            self.attempts.push(RecordedAttempt::in_flight(endpoint, started_at));
+            self.attempts.push(RecordedAttempt::in_flight(endpoint, started_at_unix_us));
             // The number shows that no earlier attempt is missing except those just filled in.
             self.records_lost = false;
         }
@@ -187,10 +187,10 @@
             RecordView::AcceptedV1(_) | RecordView::CheckpointV1(_) => {}
             RecordView::Accepted(accepted) => self.accept(&accepted, location),
             RecordView::Checkpoint(checkpoint) => self.restore_checkpoint(checkpoint, location),
-            RecordView::AttemptStarted { id, number, endpoint, started_at } => {
+            RecordView::AttemptStarted { id, number, endpoint, started_at_unix_us } => {
                 let endpoint = self.intern(endpoint);
                 match self.pending.get_mut(&message_id(id)) {
-                    Some(message) => message.start_attempt(number as usize, endpoint, started_at),
+                    Some(message) => message.start_attempt(number as usize, endpoint, started_at_unix_us),
                     None => self.add_orphan(message_id(id)),
                 }
             }
@@ -234,7 +234,7 @@
             tenant: fields.tenant.map(|tenant| self.intern(tenant)),
             ordering_key: fields.ordering_key,
             destination: fields.destination,
-            deadline: fields.deadline,
+            deadline_unix_us: fields.deadline_unix_us,
             attempts: Vec::new(),
             records_lost: false,
             reserved_bytes: accepted.reserved_bytes(),
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -8,7 +8,7 @@
 
 /// A message as it is stored before its client is answered 202.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedMessage {
     /// The id that the client gave the message.
     pub id: String,
     /// The message class in the settings.
@@ -20,7 +20,7 @@
     /// The destination's id.
     pub destination: u64,
     /// When the message must have its final answer, in microseconds of Unix time.
-    pub deadline: u64,
+    pub deadline_unix_us: u64,
     /// The message's body.
     pub body: Bytes,
     /// The key by which the destination recognizes a repeat, where the client gave one.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// A message was accepted.
-    Accepted(Accepted),
+    Accepted(AcceptedMessage),
     /// An attempt starts. Written before its first byte is sent.
     AttemptStarted {
         /// The message's id.
@@ -41,7 +41,7 @@
         /// The endpoint's name in the endpoint list.
         endpoint: String,
         /// When it started, in microseconds of Unix time.
-        started_at: u64,
+        started_at_unix_us: u64,
     },
     /// An attempt has finished, and its message has not.
     AttemptFinished {
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Checkpoint {
     /// The message as it was accepted.
-    pub accepted: Accepted,
+    pub accepted: AcceptedMessage,
     /// Its position among all accepted messages; pending messages are listed in this order.
     pub position: u64,
     /// Its attempts so far, in the order of their numbers.
@@ -89,15 +89,15 @@
     #[serde(with = "shared_str")]
     pub endpoint: Arc<str>,
     /// When it started, in microseconds of Unix time; 0 if its record was lost.
-    pub started_at: u64,
+    pub started_at_unix_us: u64,
     /// Whether it has finished, and what its result proves.
     pub state: AttemptState,
 }
 
 impl RecordedAttempt {
     /// An attempt that has no result yet.
-    pub(crate) fn in_flight(endpoint: Arc<str>, started_at: u64) -> RecordedAttempt {
-        RecordedAttempt { endpoint, started_at, state: AttemptState::InFlight }
+    pub(crate) fn in_flight(endpoint: Arc<str>, started_at_unix_us: u64) -> RecordedAttempt {
+        RecordedAttempt { endpoint, started_at_unix_us, state: AttemptState::InFlight }
     }
 
     /// An attempt whose own record was lost; a later attempt's number shows that it existed.
--- a/crates/wal/src/record_view.rs
+++ b/crates/wal/src/record_view.rs
@@ -4,7 +4,7 @@
 use reeddock_protocol::FinalAnswer;
 use serde::{Deserialize, Serialize, Serializer};
 
-use crate::record::{Accepted, Record, RecordedAttempt};
+use crate::record::{AcceptedMessage, Record, RecordedAttempt};
 
 /// Disk space that is set aside for the records of one pending message's attempts, in bytes.
 const ATTEMPTS_RESERVED_BYTES: u64 = 512;
@@ -21,7 +21,7 @@
         id: &'a str,
         number: u32,
         endpoint: &'a str,
-        started_at: u64,
+        started_at_unix_us: u64,
     },
     AttemptFinished {
         id: &'a str,
@@ -49,7 +49,7 @@
     pub tenant: Option<&'a str>,
     pub ordering_key: Option<u64>,
     pub destination: u64,
-    pub deadline: u64,
+    pub deadline_unix_us: u64,
     #[serde(serialize_with = "serialize_bytes")]
     pub body: &'a [u8],
 }
@@ -92,7 +92,7 @@
     }
 
     /// The message that this record carries, if it carries one.
-    pub fn accepted(&self) -> Option<Accepted> {
+    pub fn accepted(&self) -> Option<AcceptedMessage> {
         match self {
             RecordView::Accepted(accepted) => Some(accepted.to_owned()),
             RecordView::Checkpoint(checkpoint) => Some(checkpoint.accepted.to_owned()),
@@ -117,22 +117,22 @@
         (text + fields.body.len()) as u64 + ATTEMPTS_RESERVED_BYTES
     }
 
-    fn to_owned(&self) -> Accepted {
+    fn to_owned(&self) -> AcceptedMessage {
         let fields = &self.fields;
-        Accepted {
+        AcceptedMessage {
             id: fields.id.to_owned(),
             class: fields.class.to_owned(),
             tenant: fields.tenant.map(str::to_owned),
             ordering_key: fields.ordering_key,
             destination: fields.destination,
-            deadline: fields.deadline,
+            deadline_unix_us: fields.deadline_unix_us,
             body: Bytes::copy_from_slice(fields.body),
             idempotency_key: self.idempotency_key.map(str::to_owned),
         }
     }
 }
 
-impl Accepted {
+impl AcceptedMessage {
     /// Disk space that the message needs until it is finished, in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         self.view().reserved_bytes()
@@ -147,7 +147,7 @@
                 tenant: self.tenant.as_deref(),
                 ordering_key: self.ordering_key,
                 destination: self.destination,
-                deadline: self.deadline,
+                deadline_unix_us: self.deadline_unix_us,
                 body: &self.body,
             },
             idempotency_key: self.idempotency_key.as_deref(),
@@ -160,8 +160,13 @@
     pub(crate) fn view(&self) -> RecordView<'_> {
         match self {
             Record::Accepted(accepted) => RecordView::Accepted(accepted.view()),
-            Record::AttemptStarted { id, number, endpoint, started_at } => {
-                RecordView::AttemptStarted { id, number: *number, endpoint, started_at: *started_at }
+            Record::AttemptStarted { id, number, endpoint, started_at_unix_us } => {
+                RecordView::AttemptStarted {
+                    id,
+                    number: *number,
+                    endpoint,
+                    started_at_unix_us: *started_at_unix_us,
+                }
             }
             Record::AttemptFinished { id, number, proves_not_executed } => {
                 RecordView::AttemptFinished { id, number: *number, proves_not_executed: *proves_not_executed }
--- a/crates/wal/src/single_file.rs
+++ b/crates/wal/src/single_file.rs
@@ -3,7 +3,7 @@
 
 use crate::live_records::RecordLocation;
 use crate::pending_index::PendingIndex;
-use crate::record::Accepted;
+use crate::record::AcceptedMessage;
 use crate::record_view::RecordView;
 use crate::verification::Corruption;
 
@@ -58,6 +58,6 @@
 }
 
 /// The message whose record is at this location.
-pub(crate) fn read_accepted(bytes: &[u8], location: RecordLocation) -> Option<Accepted> {
+pub(crate) fn read_message(bytes: &[u8], location: RecordLocation) -> Option<AcceptedMessage> {
     parse_frame(bytes.get(location.offset as usize..)?)?.record.accepted()
 }
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -9,7 +9,7 @@
 use crate::frame;
 use crate::pending_index::{PendingIndex, PendingMessage};
 use crate::quarantine::Quarantine;
-use crate::record::{Accepted, Record};
+use crate::record::{AcceptedMessage, Record};
 use crate::record_view::RecordView;
 use crate::segment;
 use crate::storage::Storage;
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// If the segment can't be read, or the record at this location is corrupt or carries no message.
-    pub fn read_accepted(&self, pending: &PendingMessage) -> Result<Accepted, WalError> {
+    pub fn read_message(&self, pending: &PendingMessage) -> Result<AcceptedMessage, WalError> {
         let location = pending.location();
         let file = segment::file_name(location.segment);
         let bytes = self.storage.read_at(&file, location.offset, location.length)?;
@@ -89,7 +89,7 @@
         record.accepted().ok_or(WalError::UnexpectedRecord)
     }
 
-    /// Bytes that are free for messages accepted from here on, counted as [`Accepted::reserved_bytes`] counts them.
+    /// Bytes that are free for messages accepted from here on, counted as [`AcceptedMessage::reserved_bytes`] counts them.
     pub fn free_bytes(&self) -> u64 {
         let pending_bytes = self.index.pending_bytes();
         let recently_full = self
--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -1,17 +1,17 @@
 //! Records that all test programs write.
 
 use bytes::Bytes;
-use reeddock_wal::{Accepted, Record};
+use reeddock_wal::{AcceptedMessage, Record};
 
 /// A message with all optional fields; its body repeats its id up to so many bytes.
 pub fn accepted(id: &str, body_bytes: usize) -> Record {
-    Record::Accepted(Accepted {
+    Record::Accepted(AcceptedMessage {
         id: id.into(),
         class: "order".into(),
         tenant: Some("t".into()),
         ordering_key: Some(9),
         destination: 3,
-        deadline: 77,
+        deadline_unix_us: 77,
         body: Bytes::from(id.as_bytes().iter().copied().cycle().take(body_bytes).collect::<Vec<u8>>()),
         idempotency_key: Some(format!("key of {id}")),
     })
@@ -19,7 +19,7 @@
 
 /// The start of an attempt, at an endpoint named by its number.
 pub fn started(id: &str, number: u32) -> Record {
-    Record::AttemptStarted { id: id.into(), number, endpoint: format!("t{number}"), started_at: 5 }
+    Record::AttemptStarted { id: id.into(), number, endpoint: format!("t{number}"), started_at_unix_us: 5 }
 }
 
 /// The end of a message that was delivered.
--- a/crates/wal/tests/wal/old_formats.rs
+++ b/crates/wal/tests/wal/old_formats.rs
@@ -3,7 +3,7 @@
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::memory_storage::{Faults, MemoryStorage};
 use reeddock_wal::{
-    Accepted, AttemptState, Checkpoint, PendingMessage, Record, RecordedAttempt, Storage, SyncPolicy,
+    AcceptedMessage, AttemptState, Checkpoint, PendingMessage, Record, RecordedAttempt, Storage, SyncPolicy,
     WriteAheadLog,
 };
 use serde::Serialize;
@@ -19,7 +19,7 @@
 #[derive(Serialize)]
 enum RecordV1 {
     Accepted(AcceptedV1),
-    AttemptStarted { id: String, number: u32, endpoint: String, started_at: u64 },
+    AttemptStarted { id: String, number: u32, endpoint: String, started_at_unix_us: u64 },
     AttemptFinished { id: String, number: u32, proves_not_executed: bool },
     Finished { id: String, notice: Option<FinalAnswer> },
     NoticeAcknowledged { id: String },
@@ -33,26 +33,26 @@
     tenant: Option<String>,
     ordering_key: Option<u64>,
     destination: u64,
-    deadline: u64,
+    deadline_unix_us: u64,
     body: Vec<u8>,
 }
 
 #[derive(Serialize)]
 struct AttemptV1 {
     endpoint: String,
-    started_at: u64,
+    started_at_unix_us: u64,
     proves_not_executed: Option<bool>,
 }
 
-impl From<Accepted> for AcceptedV1 {
-    fn from(message: Accepted) -> AcceptedV1 {
+impl From<AcceptedMessage> for AcceptedV1 {
+    fn from(message: AcceptedMessage) -> AcceptedV1 {
         AcceptedV1 {
             id: message.id,
             class: message.class,
             tenant: message.tenant,
             ordering_key: message.ordering_key,
             destination: message.destination,
-            deadline: message.deadline,
+            deadline_unix_us: message.deadline_unix_us,
             body: message.body.to_vec(),
         }
     }
@@ -67,7 +67,7 @@
         };
         AttemptV1 {
             endpoint: attempt.endpoint.to_string(),
-            started_at: attempt.started_at,
+            started_at_unix_us: attempt.started_at_unix_us,
             proves_not_executed,
         }
     }
@@ -77,8 +77,8 @@
     fn from(record: Record) -> RecordV1 {
         match record {
             Record::Accepted(message) => RecordV1::Accepted(message.into()),
-            Record::AttemptStarted { id, number, endpoint, started_at } => {
-                RecordV1::AttemptStarted { id, number, endpoint, started_at }
+            Record::AttemptStarted { id, number, endpoint, started_at_unix_us } => {
+                RecordV1::AttemptStarted { id, number, endpoint, started_at_unix_us }
             }
             Record::AttemptFinished { id, number, proves_not_executed } => {
                 RecordV1::AttemptFinished { id, number, proves_not_executed }
@@ -128,7 +128,7 @@
 /// Id, number of attempts and idempotency key of each pending message.
 fn pending_with_keys(log: &WriteAheadLog) -> Vec<(String, usize, Option<String>)> {
     let fields = |message: &PendingMessage| {
-        let idempotency_key = log.read_accepted(message).unwrap().idempotency_key;
+        let idempotency_key = log.read_message(message).unwrap().idempotency_key;
         (message.id.0.to_string(), message.attempts.len(), idempotency_key)
     };
     log.index().pending().into_iter().map(fields).collect()
@@ -136,8 +136,11 @@
 
 #[test]
 fn segments_of_version_1_are_read_and_nothing_is_written_behind_them() {
-    let attempts =
-        vec![RecordedAttempt { endpoint: "t0".into(), started_at: 5, state: AttemptState::NotExecuted }];
+    let attempts = vec![RecordedAttempt {
+        endpoint: "t0".into(),
+        started_at_unix_us: 5,
+        state: AttemptState::NotExecuted,
+    }];
     let Record::Accepted(copied) = accepted("copied", 30) else { unreachable!() };
     let records = vec![
         accepted("fresh", 30),
@@ -196,7 +199,7 @@
         assert_eq!(Model::of(log.index()), model, "killed after {stop}");
         assert!(log.verification().is_sound(), "killed after {stop}: {:?}", log.verification());
         let first = log.index().pending()[0].clone();
-        assert_eq!(log.read_accepted(&first).unwrap().body.len(), 30);
+        assert_eq!(log.read_message(&first).unwrap().body.len(), 30);
         assert!(!memory.files().unwrap().contains_key(SINGLE_FILE), "killed after {stop}");
     }
 }
--- a/crates/wal/tests/wal/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -60,7 +60,7 @@
             prop_assert!(log.used_bytes() <= folder_bytes, "{} of {}", log.used_bytes(), folder_bytes);
             prop_assert!(memory.total_bytes() <= folder_bytes);
             for pending in log.index().pending() {
-                let accepted = log.read_accepted(pending).unwrap();
+                let accepted = log.read_message(pending).unwrap();
                 prop_assert_eq!(accepted.body.len(), body_bytes);
                 prop_assert_eq!(accepted.idempotency_key, Some(format!("key of {}", pending.id.0)));
             }
--- a/crates/wal/tests/wal/reopening.rs
+++ b/crates/wal/tests/wal/reopening.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
-use reeddock_wal::{Accepted, AttemptState, Record, SyncPolicy, WriteAheadLog};
+use reeddock_wal::{AcceptedMessage, AttemptState, Record, SyncPolicy, WriteAheadLog};
 use tempfile::TempDir;
 
 use crate::harness::{pending_ids, FIRST_SEGMENT, FOLDER_BYTES, NOW};
@@ -31,13 +31,13 @@
 
 /// A message with a binary body, without tenant and idempotency key.
 fn accepted(id: &str) -> Record {
-    Record::Accepted(Accepted {
+    Record::Accepted(AcceptedMessage {
         id: id.into(),
         class: "order".into(),
         tenant: None,
         ordering_key: Some(9),
         destination: 3,
-        deadline: 77,
+        deadline_unix_us: 77,
         body: Bytes::from_static(b"\x00 any bytes \xff"),
         idempotency_key: None,
     })
@@ -59,8 +59,8 @@
     let mut log = open(&folder);
     assert_eq!(pending_ids(&log), ["b"]);
     let b = log.index().pending()[0].clone();
-    assert_eq!((&*b.class, b.ordering_key, b.destination, b.deadline), ("order", Some(9), 3, 77));
-    assert_eq!(log.read_accepted(&b).unwrap().body, Bytes::from_static(b"\x00 any bytes \xff"));
+    assert_eq!((&*b.class, b.ordering_key, b.destination, b.deadline_unix_us), ("order", Some(9), 3, 77));
+    assert_eq!(log.read_message(&b).unwrap().body, Bytes::from_static(b"\x00 any bytes \xff"));
     let attempts: Vec<_> = b.attempts.iter().map(|attempt| (&*attempt.endpoint, attempt.state)).collect();
     assert_eq!(attempts, [("t0", AttemptState::NotExecuted), ("t1", AttemptState::InFlight)]);
     let notified: Vec<_> = log.index().unacknowledged_notices().map(|n| n.id.0.to_string()).collect();
--- a/crates/wal/tests/wal/state_before_rename.rs
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::{
-    inspect, Accepted, AttemptState, Inspection, PendingCounts, PendingIndex, PendingMessage, Record,
+    inspect, AcceptedMessage, AttemptState, Inspection, PendingCounts, PendingIndex, PendingMessage, Record,
     RecordedAttempt, SyncPolicy, WriteAheadLog,
 };
 use tempfile::TempDir;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct AttemptFields {
     endpoint: String,
-    started_at: u64,
+    started_at_unix_us: u64,
     state: AttemptState,
 }
 
@@ -63,15 +63,15 @@
         self.messages > 100 && n >= 10 && n % 50 != n % 10
     }
 
-    fn message(&self, n: u64) -> Accepted {
+    fn message(&self, n: u64) -> AcceptedMessage {
         let body: Vec<u8> = (0..(n % 5) * 20).map(|at| (at * 7 + n) as u8).collect();
-        Accepted {
+        AcceptedMessage {
             id: format!("fixture-{n:03}"),
             class: if n.is_multiple_of(2) { "order" } else { "notice" }.into(),
             tenant: n.is_multiple_of(4).then(|| format!("tenant-{}", n % 3)),
             ordering_key: n.is_multiple_of(3).then_some(n * 1000),
             destination: n % 7,
-            deadline: 1_700_000_000_000_000 + n,
+            deadline_unix_us: 1_700_000_000_000_000 + n,
             body: Bytes::from(body),
             idempotency_key: (self.has_idempotency_keys && n.is_multiple_of(2))
                 .then(|| format!("once-{n:03}")),
@@ -80,7 +80,7 @@
 
     /// The messages that are pending, in the order in which the build that wrote them reads them, with their
     /// attempts.
-    fn pending(&self) -> Vec<(Accepted, Vec<AttemptFields>)> {
+    fn pending(&self) -> Vec<(AcceptedMessage, Vec<AttemptFields>)> {
         let numbers: Vec<u64> = match self.name {
             "compacted" => COMPACTED_ORDER.iter().flat_map(|first| *first..first + 4).collect(),
             _ => (0..self.messages).filter(|n| n % 10 < 4).collect(),
@@ -107,7 +107,7 @@
 fn attempts(n: u64) -> Vec<AttemptFields> {
     let attempt = |number: u32, state| AttemptFields {
         endpoint: format!("target-{number}"),
-        started_at: 1_600_000_000_000_000 + n,
+        started_at_unix_us: 1_600_000_000_000_000 + n,
         state,
     };
     match n % 10 {
@@ -125,7 +125,7 @@
         id: id(),
         number,
         endpoint: format!("target-{number}"),
-        started_at: 1_600_000_000_000_000 + n,
+        started_at_unix_us: 1_600_000_000_000_000 + n,
     };
     let attempt_finished =
         |number, proves_not_executed| Record::AttemptFinished { id: id(), number, proves_not_executed };
@@ -164,7 +164,7 @@
 fn fields_of_attempts(pending: &PendingMessage) -> Vec<AttemptFields> {
     let fields = |attempt: &RecordedAttempt| AttemptFields {
         endpoint: attempt.endpoint.to_string(),
-        started_at: attempt.started_at,
+        started_at_unix_us: attempt.started_at_unix_us,
         state: attempt.state,
     };
     pending.attempts.iter().map(fields).collect()
@@ -173,7 +173,7 @@
 /// Holds each field of each pending message and each notice against what is expected.
 fn check(
     log: &WriteAheadLog,
-    pending: &[(Accepted, Vec<AttemptFields>)],
+    pending: &[(AcceptedMessage, Vec<AttemptFields>)],
     notified: &[(String, FinalAnswer)],
 ) {
     assert!(log.verification().is_sound(), "{:?}", log.verification());
@@ -182,11 +182,11 @@
     let expected: Vec<&str> = pending.iter().map(|(message, _)| message.id.as_str()).collect();
     assert_eq!(pending_ids(log), expected, "in the order of the build that wrote them");
     for (found, (message, attempts)) in found.iter().zip(pending) {
-        assert_eq!(&log.read_accepted(found).unwrap(), message);
+        assert_eq!(&log.read_message(found).unwrap(), message);
         assert_eq!(&*found.class, message.class);
         assert_eq!(found.tenant.as_deref(), message.tenant.as_deref());
         assert_eq!((found.ordering_key, found.destination), (message.ordering_key, message.destination));
-        assert_eq!(found.deadline, message.deadline);
+        assert_eq!(found.deadline_unix_us, message.deadline_unix_us);
         assert_eq!(found.reserved_bytes, message.reserved_bytes());
         assert!(!found.records_lost, "{}", message.id);
         assert_eq!(&fields_of_attempts(found), attempts, "{}", message.id);
@@ -206,19 +206,25 @@
     assert!(pending.len() >= 24 && notified.len() >= 18);
     check(&log, &pending, &notified);
 
-    let new =
-        Accepted { id: "later".into(), idempotency_key: Some("once-later".into()), ..fixture.message(12) };
+    let new = AcceptedMessage {
+        id: "later".into(),
+        idempotency_key: Some("once-later".into()),
+        ..fixture.message(12)
+    };
     let finished = pending.remove(0).0.id;
     let acknowledged = notified.remove(1).0;
-    let attempt =
-        AttemptFields { endpoint: "target-9".to_owned(), started_at: 17, state: AttemptState::InFlight };
+    let attempt = AttemptFields {
+        endpoint: "target-9".to_owned(),
+        started_at_unix_us: 17,
+        state: AttemptState::InFlight,
+    };
     pending[0].1.push(attempt.clone());
     pending.push((new.clone(), Vec::new()));
     let started = Record::AttemptStarted {
         id: "fixture-001".into(),
         number: 1,
         endpoint: attempt.endpoint,
-        started_at: attempt.started_at,
+        started_at_unix_us: attempt.started_at_unix_us,
     };
     let records = [
         Record::Accepted(new),
