--- a/crates/wal/examples/appends.rs
+++ b/crates/wal/examples/appends.rs
@@ -1,7 +1,7 @@
-//! Measures how long appends take while the write-ahead log is compacted, and a start with many pending messages, on a
-//! real folder.
+//! Measures the latency of appends during compaction, and the duration of a start with many pending messages, in a
+//! folder on disk.
 //!
-//!     cargo run --release -p reeddock-wal --example appends -- FOLDER OWED_MB BODY_BYTES SECONDS
+//!     cargo run --release -p reeddock-wal --example appends -- FOLDER PENDING_MB BODY_BYTES SECONDS
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -12,13 +12,12 @@
 use hdrhistogram::Histogram;
 use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 
-/// Messages in one append while the log is filled.
+/// Number of messages in one append while the log is filled.
 const FILL_GROUP: u64 = 16;
-/// Messages that are accepted, sent and finished in one append while it is measured.
+/// Number of messages that one measured append accepts, and of attempts and finished messages in it.
 const MEASURED_GROUP: u64 = 8;
 const MEGABYTE: u64 = 1_000_000;
 
-/// What the command line asks for.
 struct Arguments {
     folder: PathBuf,
     pending_bytes: u64,
@@ -37,7 +36,7 @@
         })
     }
 
-    /// Pending messages may take two fifths of the folder, so that 2.7 times as much leaves some room.
+    /// Returns the folder's limit: more than 2.5 times the pending bytes, which may take two fifths of it.
     fn folder_bytes(&self) -> u64 {
         self.pending_bytes * 27 / 10
     }
@@ -64,18 +63,20 @@
     WriteAheadLog::open(folder, folder_bytes, SyncPolicy::Never).expect("the write-ahead log opens")
 }
 
-/// A log with the numbers of its pending messages, the oldest first.
+/// A log with its pending messages.
 struct FilledLog {
     log: WriteAheadLog,
+    /// Numbers of the pending messages, oldest first.
     pending: VecDeque<u64>,
+    /// Number of the next message.
     next: u64,
     body: Bytes,
-    /// Bytes set aside for each message.
+    /// Bytes reserved for each message.
     message_size: u64,
 }
 
 impl FilledLog {
-    /// Accepts messages until so much is pending.
+    /// Accepts messages until the wanted number of bytes is pending.
     fn fill(log: WriteAheadLog, arguments: &Arguments) -> FilledLog {
         let body = Bytes::from(vec![7; arguments.body_bytes as usize]);
         let message_size = message(0, &body).reserved_bytes();
@@ -99,7 +100,7 @@
         Record::Accepted(message(number, &self.body))
     }
 
-    /// New messages, each with an attempt, and the ends of as many old ones.
+    /// Returns the records of new messages with an attempt each, and of as many old messages that finish.
     fn measured_group(&mut self) -> Vec<Record> {
         let mut group = Vec::new();
         for _ in 0..MEASURED_GROUP {
@@ -119,7 +120,7 @@
     }
 }
 
-/// Appends for some time, and prints how long appends took.
+/// Appends for `duration`, and prints the latency of the appends.
 fn measure_appends(filled: &mut FilledLog, duration: Duration) {
     let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
     let started = Instant::now();
@@ -132,7 +133,7 @@
         bytes += MEASURED_GROUP * filled.message_size;
     }
     println!(
-        "{} owed, {} MB; {} appends, {:.0} MB/s: p50 {} us, p99 {} us, p99.9 {} us, worst {} us",
+        "{} pending, {} MB; {} appends, {:.0} MB/s: p50 {} us, p99 {} us, p99.9 {} us, maximum {} us",
         filled.pending.len(),
         filled.pending_bytes() / MEGABYTE,
         latencies.len(),
@@ -147,7 +148,7 @@
 fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let Some(arguments) = Arguments::parse(&words) else {
-        eprintln!("appends: expected FOLDER OWED_MB BODY_BYTES SECONDS");
+        eprintln!("appends: expected FOLDER PENDING_MB BODY_BYTES SECONDS");
         return ExitCode::from(2);
     };
     std::fs::create_dir_all(&arguments.folder).expect("the folder can be made");
@@ -157,6 +158,6 @@
     drop(filled);
     let started = Instant::now();
     let log = open(&arguments.folder, arguments.folder_bytes());
-    println!("a start with {} owed: {:?}", log.index().counts().messages, started.elapsed());
+    println!("start with {} pending: {:?}", log.index().counts().messages, started.elapsed());
     ExitCode::SUCCESS
 }
--- a/crates/wal/examples/owed.rs
+++ b/crates/wal/examples/owed.rs
@@ -1,10 +1,10 @@
-//! Measures what a large number of pending messages costs: memory and disk for each, a start with them, and
-//! finishing them beside new ones. Each command prints one JSON line; run each in a process of its own, as memory
-//! is read from the process.
+//! Measures the cost of many pending messages: memory, disk space, the duration of a start, and finishing them while new
+//! ones arrive. Each command prints one JSON line, and needs a process of its own because the memory of the process is
+//! measured.
 //!
 //!     cargo run --release -p reeddock-wal --example owed -- fill FOLDER COUNT BODY_BYTES [DESTINATIONS]
 //!     cargo run --release -p reeddock-wal --example owed -- start FOLDER COUNT BODY_BYTES
-//!     cargo run --release -p reeddock-wal --example owed -- drain FOLDER COUNT BODY_BYTES NEW_FOR_EACH_ENDED
+//!     cargo run --release -p reeddock-wal --example owed -- drain FOLDER COUNT BODY_BYTES NEW_PER_FINISHED
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -13,9 +13,9 @@
 use bytes::Bytes;
 use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 
-/// Messages in one append.
+/// Number of messages in one append.
 const GROUP: u64 = 16;
-/// Destinations that messages are spread over, where the command line has none.
+/// Default number of destinations of the messages.
 const DESTINATIONS: u64 = 320_000;
 
 fn id(number: u64) -> String {
@@ -35,7 +35,7 @@
     }
 }
 
-/// A line of `/proc/self/status` in bytes; 0 where the system has none.
+/// Returns a value of `/proc/self/status` in bytes; 0 if the system does not have it.
 fn process_memory(key: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix(key)?.strip_prefix(':'));
@@ -43,13 +43,13 @@
     kilobytes.unwrap_or_default() * 1024
 }
 
-/// Bytes of all files of a folder.
+/// Returns the size of all files of a folder in bytes.
 fn disk_bytes(folder: &Path) -> u64 {
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
     files.filter_map(|f| f.metadata().ok()).map(|m| m.len()).sum()
 }
 
-/// Accepts so many messages.
+/// Accepts `count` messages.
 fn fill(log: &mut WriteAheadLog, count: u64, body: &Bytes, destinations: u64) {
     for first in (0..count).step_by(GROUP as usize) {
         let group: Vec<Record> = (first..count.min(first + GROUP))
@@ -59,9 +59,9 @@
     }
 }
 
-/// Finishes all pending messages, the oldest first, and accepts so many new ones for each. Gives how many messages
-/// finished.
-fn drain(log: &mut WriteAheadLog, count: u64, body: &Bytes, new_for_each: f64) -> u64 {
+/// Finishes all pending messages, oldest first, and accepts `new_per_finished` new ones for each. Returns the number of
+/// finished messages.
+fn drain(log: &mut WriteAheadLog, count: u64, body: &Bytes, new_per_finished: f64) -> u64 {
     let (mut oldest, mut newest, mut new_due) = (0, count, 0.0);
     let started = Instant::now();
     while oldest < newest {
@@ -75,7 +75,7 @@
                 started_at_unix_us: 1,
             });
             group.push(Record::Finished { id: id(number), notice: None });
-            new_due += new_for_each;
+            new_due += new_per_finished;
         }
         oldest = last;
         while new_due >= 1.0 {
@@ -88,18 +88,17 @@
     oldest
 }
 
-/// What is measured.
 enum Command {
-    /// Accepts messages, spread over so many destinations.
+    /// Accepts messages to `destinations` destinations.
     Fill { destinations: u64 },
     /// Opens the log.
     Start,
-    /// Finishes all messages, and accepts so many new ones for each.
-    Drain { new_for_each: f64 },
+    /// Finishes all messages, and accepts `new_per_finished` new ones for each.
+    Drain { new_per_finished: f64 },
 }
 
 impl Command {
-    /// Reads the command and the arguments that only it has.
+    /// Parses the command and its own arguments.
     fn parse(words: &[String]) -> Result<Command, String> {
         let last = words.get(4);
         match words.first().map(String::as_str) {
@@ -109,16 +108,17 @@
             }
             Some("start") => Ok(Command::Start),
             Some("drain") => {
-                let new_for_each = last.and_then(|word| word.parse::<f64>().ok());
-                let new_for_each = new_for_each.filter(|share| (0.0..1.0).contains(share));
-                let new_for_each = new_for_each.ok_or("expected NEW_FOR_EACH_ENDED from 0 to under 1")?;
-                Ok(Command::Drain { new_for_each })
+                let new_per_finished = last.and_then(|word| word.parse::<f64>().ok());
+                let new_per_finished = new_per_finished.filter(|share| (0.0..1.0).contains(share));
+                let new_per_finished =
+                    new_per_finished.ok_or("expected NEW_PER_FINISHED of at least 0 and less than 1")?;
+                Ok(Command::Drain { new_per_finished })
             }
             other => Err(format!("{:?}: expected fill, start or drain", other.unwrap_or_default())),
         }
     }
 
-    /// Carries the command out on an open log, and gives how many messages finished.
+    /// Runs the command on an open log, and returns the number of finished messages.
     fn run(&self, log: &mut WriteAheadLog, count: u64, body: &Bytes) -> u64 {
         match self {
             Command::Fill { destinations } => {
@@ -126,12 +126,11 @@
                 0
             }
             Command::Start => 0,
-            Command::Drain { new_for_each } => drain(log, count, body, *new_for_each),
+            Command::Drain { new_per_finished } => drain(log, count, body, *new_per_finished),
         }
     }
 }
 
-/// What the command line asks for.
 struct Arguments {
     name: String,
     command: Command,
@@ -153,11 +152,11 @@
     }
 }
 
-/// Opens the log, carries the command out and prints its line.
+/// Opens the log, runs the command and prints its JSON line.
 fn run(arguments: &Arguments) {
     let Arguments { name, command, folder, count, body_bytes } = arguments;
     let body = Bytes::from(vec![7; *body_bytes as usize]);
-    // Pending messages may take two fifths of the folder, so that 2.7 times as much leaves some room.
+    // Pending messages may take two fifths of the folder, so that its limit is more than 2.5 times their size.
     let message_size = message(0, &body, DESTINATIONS).reserved_bytes();
     let folder_bytes = count * message_size * 27 / 10 + 64_000_000;
     std::fs::create_dir_all(folder).expect("the folder can be made");
--- a/crates/wal/src/appending.rs
+++ b/crates/wal/src/appending.rs
@@ -1,5 +1,5 @@
-//! Appending records: all records of an append are written or none. On a full disk there is still space for the
-//! records that finish pending messages.
+//! Appends records to the log. An append writes all of its records or none, except on a full disk, where it writes the
+//! records of pending messages without the new messages.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -15,29 +15,29 @@
 /// The outcome of an append that returned no error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendOutcome {
-    /// Whether the new messages among the records were accepted. If there was no space for them, all records except
-    /// these messages and their attempts were written.
+    /// Whether the new messages among the records were accepted. If not, there was no space for them, and only the
+    /// records of other messages were written.
     pub messages_accepted: bool,
 }
 
-/// The state of a segment before an append, for undoing the append.
+/// The state of a segment before an append, used to undo the append.
 #[derive(Clone, Copy)]
 pub(crate) struct AppendUndo {
     segment: u64,
-    /// Its length in bytes; `None` if the append created it.
+    /// Length in bytes; `None` if the append created the segment.
     size_before: Option<u64>,
 }
 
 impl WriteAheadLog {
-    /// Writes these records, and then runs one compaction step. Once this returns, the records survive the end of this
-    /// process; on an error none of them was written. If no space is left, no message is accepted, and the disk reserve
-    /// is released for the records of messages that are pending already.
+    /// Writes records, and then runs one compaction step. The records survive the end of the process after a return
+    /// without error; after an error none of them takes effect. If no space is left, no message is accepted, and the
+    /// disk reserve is released for records of messages that are already pending.
     ///
-    /// `now` is the time on any monotonic clock; it decides when syncs are due and warnings are repeated.
+    /// `now` is the time on any monotonic clock, and decides when syncs are due and when warnings are repeated.
     ///
     /// # Errors
     ///
-    /// If the disk fails, or is too full even for the records of pending messages.
+    /// [`WalError::Io`] if a file operation fails, or if there is no space even for records of pending messages.
     pub fn append(&mut self, records: &[Record], now: Duration) -> Result<AppendOutcome, WalError> {
         if records.is_empty() {
             return Ok(AppendOutcome { messages_accepted: true });
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Writes the records that concern no new message, if necessary into the space of the disk reserve.
+    /// Writes the records that concern no new message, and releases the disk reserve if they do not fit otherwise.
     fn append_on_full_disk(&mut self, records: &[Record], now: Duration) -> Result<AppendOutcome, WalError> {
         self.pending_bytes_when_full = Some(self.index.pending_bytes());
         let required = without_new_messages(records);
@@ -72,11 +72,11 @@
         Ok(outcome)
     }
 
-    /// Makes all appended records survive a loss of the machine, unless syncs are off.
+    /// Syncs all segments with unsynced bytes, unless the policy is [`SyncPolicy::Never`].
     ///
     /// # Errors
     ///
-    /// If the disk fails; the next call syncs the segments that were not synced.
+    /// [`WalError::Io`] if a sync fails; the next call tries the remaining segments again.
     pub fn sync_all(&mut self) -> Result<(), WalError> {
         if self.sync == SyncPolicy::Never {
             self.unsynced_segments.clear();
@@ -112,7 +112,7 @@
             }
             self.last_sync = now;
         }
-        self.apply(records, encoded);
+        self.apply_to_index(records, encoded);
         Ok(encoded.frames_bytes())
     }
 
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Writes the retractions: records that finish the messages of failed writes that could not be undone.
+    /// Writes the queued retractions, which finish the messages of failed writes that could not be undone.
     fn write_retractions(&mut self) -> Result<(), WalError> {
         let retractions = std::mem::take(&mut self.retractions);
         let written = self.write_without_sync(&retractions);
@@ -134,7 +134,7 @@
         written
     }
 
-    /// Writes records and applies them to the index.
+    /// Writes records without a sync, and applies them to the index.
     pub(crate) fn write_without_sync(&mut self, records: &[Record]) -> Result<(), WalError> {
         if records.is_empty() {
             return Ok(());
@@ -142,7 +142,7 @@
         let mut encoded = self.encode(records);
         let written = self.append_or_retract(records, &mut encoded);
         if written.is_ok() {
-            self.apply(records, &encoded);
+            self.apply_to_index(records, &encoded);
         }
         self.encode_buffer = encoded.into_buffer();
         written.map(drop)
@@ -152,7 +152,7 @@
         EncodedRecords::encode(records, std::mem::take(&mut self.encode_buffer))
     }
 
-    /// Appends records. If that fails and can't be undone, queues retractions for their messages.
+    /// Appends records. If the append fails and can't be undone, queues retractions for its new messages.
     fn append_or_retract(
         &mut self,
         records: &[Record],
@@ -171,13 +171,13 @@
         appended
     }
 
-    /// Appends frames to the last segment, or to a new one, after making room for them by compaction if need be.
+    /// Appends frames to the last segment or a new one, after compaction if they do not fit otherwise.
     fn append_encoded(&mut self, encoded: &mut EncodedRecords) -> Result<AppendUndo, WalError> {
         self.make_room(encoded.frames_bytes() + SEGMENT_HEADER_BYTES as u64)?;
         self.append_to_segment(encoded)
     }
 
-    /// Appends frames to the last segment, or to a new one. A failed append is undone.
+    /// Appends frames to the last segment or a new one, and undoes a failed append.
     pub(crate) fn append_to_segment(&mut self, encoded: &mut EncodedRecords) -> Result<AppendUndo, WalError> {
         let begins_segment = self.last_segment_sealed || self.plan.needs_new_segment(encoded.frames_bytes());
         let undo = match self.plan.last_segment().filter(|_| !begins_segment) {
@@ -202,8 +202,7 @@
         Ok(undo)
     }
 
-    /// Undoes a failed append. If that fails too, a new segment is begun, as nothing may be written behind a torn
-    /// write.
+    /// Undoes a failed append. If that fails too, seals the segment, so that nothing is appended after a torn write.
     fn undo_append(&mut self, undo: AppendUndo) {
         let AppendUndo { segment, size_before } = undo;
         let file = segment::file_name(segment);
@@ -228,8 +227,8 @@
         }
     }
 
-    /// Applies records to the index that were just appended, so that their frames are the last of the last segment.
-    pub(crate) fn apply(&mut self, records: &[Record], encoded: &EncodedRecords) {
+    /// Applies records to the index. Their frames must be the last ones of the last segment.
+    pub(crate) fn apply_to_index(&mut self, records: &[Record], encoded: &EncodedRecords) {
         let Some(last) = self.plan.last_segment() else { return };
         let mut offset = self.plan.segment_size(last) - encoded.frames_bytes();
         for (record, length) in records.iter().zip(encoded.frame_lengths()) {
@@ -239,7 +238,7 @@
     }
 }
 
-/// The records that are written even if no message can be accepted: all except new messages and their attempts.
+/// Returns all records except new messages and their attempts; these are written even if no message can be accepted.
 fn without_new_messages(records: &[Record]) -> Vec<Record> {
     let accepted: BTreeSet<&str> = records
         .iter()
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -1,5 +1,5 @@
 //! Compaction: copies the live records of the first segment to the end of the log, in one bounded step after each
-//! append, and then drops the segment. [`CompactionPlan`](crate::compaction_plan::CompactionPlan) decides when.
+//! append, and then removes the segment. [`CompactionPlan`](crate::compaction_plan::CompactionPlan) decides when.
 
 use std::io;
 use std::time::Duration;
@@ -15,35 +15,36 @@
 use crate::segment::{self, SEGMENT_HEADER_BYTES};
 use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
-/// Failures of compaction are logged at most once in this interval.
+/// Minimum interval between log entries about failures of compaction.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
-/// On a full disk a segment is compacted only if it is at least this many times as large as its live records.
-const FULL_DISK_MIN_GAIN: u64 = 4;
-/// The most steps that make room for one append: this many for each pending message, and the following constant.
-const STEPS_PER_PENDING_MESSAGE: usize = 4;
-/// See [`STEPS_PER_PENDING_MESSAGE`].
-const EXTRA_STEPS: usize = 1000;
+/// Minimum ratio of a segment's size to its live records for a compaction on a full disk.
+const FULL_DISK_MIN_SIZE_RATIO: u64 = 4;
+/// Maximum number of compaction steps for each pending message that make room for one append, in addition to
+/// [`MAX_BASE_STEPS`].
+const MAX_STEPS_PER_PENDING_MESSAGE: usize = 4;
+/// Maximum number of compaction steps that make room for one append if no message is pending.
+const MAX_BASE_STEPS: usize = 1000;
 
 /// The live records that one step copies.
 struct CopyBatch {
     records: Vec<Record>,
-    /// Their size in bytes, as the plan counts it.
+    /// Size that is deducted from the plan's copy credit.
     bytes: u64,
-    /// Whether the segment has no further live record after them.
+    /// Whether the segment has no live record after these records.
     reaches_end: bool,
 }
 
 impl WriteAheadLog {
-    /// Makes room for an append of `bytes` bytes, by compacting the first segments if they do not fit otherwise.
+    /// Compacts the first segments until an append of `bytes` bytes fits.
     pub(crate) fn make_room(&mut self, bytes: u64) -> Result<(), WalError> {
-        let mut steps_left = STEPS_PER_PENDING_MESSAGE * self.index.counts().messages + EXTRA_STEPS;
+        let mut steps_left = MAX_STEPS_PER_PENDING_MESSAGE * self.index.counts().messages + MAX_BASE_STEPS;
         while !self.plan.fits(bytes) {
             let CompactionStep::Copy { segment, bytes } = self.plan.forced_step() else { break };
             if steps_left == 0 || !self.plan.fits(0) {
                 break;
             }
             steps_left -= 1;
-            // The copies themselves must fit. Copying half of what is free leaves room for their frames and a header.
+            // The copies must fit too. Half of the free space is left for their frames and a segment header.
             let free = self.plan.max_bytes().saturating_sub(self.plan.used_bytes());
             self.compact(segment, bytes.min(free / 2))?;
         }
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Runs one bounded compaction step after an append, and replenishes the disk reserve. A failure of either does not
-    /// affect the append.
+    /// Runs one bounded compaction step after an append of `appended` bytes, and replenishes the disk reserve. Failures
+    /// do not affect the append.
     pub(crate) fn compact_after_append(&mut self, appended: u64, now: Duration) {
         if let CompactionStep::Copy { segment, bytes } = self.step_after_append(appended) {
             match self.compact(segment, bytes) {
@@ -72,8 +73,8 @@
         }
     }
 
-    /// The step that is due. A disk that was full has less space than the folder's limit, so that copies could use up
-    /// the rest of it: then a segment is compacted only if that frees far more space than its copies need.
+    /// Returns the step that is due. After the disk was full, a segment is compacted only if its removal frees far more
+    /// space than its copies take, so that copies do not fill the disk again.
     fn step_after_append(&mut self, appended: u64) -> CompactionStep {
         let planned = self.plan.after_append(appended, self.index.pending_bytes());
         let was_full =
@@ -81,9 +82,9 @@
         let forced = self.plan.forced_step();
         match forced {
             CompactionStep::Copy { segment, .. } if was_full => {
-                let pays =
-                    FULL_DISK_MIN_GAIN * self.index.live_bytes(segment) <= self.plan.segment_size(segment);
-                if pays {
+                let frees_enough = FULL_DISK_MIN_SIZE_RATIO * self.index.live_bytes(segment)
+                    <= self.plan.segment_size(segment);
+                if frees_enough {
                     forced
                 } else {
                     CompactionStep::Idle
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Copies about `bytes` bytes of live records of the first segment to the end of the log, and drops the segment
-    /// once it has none. Returns the bytes copied.
+    /// Copies about `bytes` bytes of live records of the first segment to the end of the log, and removes the segment
+    /// if it has no more live records. Returns the bytes copied.
     fn compact(&mut self, segment: u64, bytes: u64) -> Result<u64, WalError> {
         let batch = self.gather_live_records(segment, bytes)?;
         if !batch.records.is_empty() {
@@ -112,7 +113,7 @@
         Ok(batch.bytes)
     }
 
-    /// Reads live records of a segment from the compaction offset on, until they have `bytes` bytes.
+    /// Reads at least `bytes` bytes of live records of a segment from the compaction offset on, as far as there are any.
     fn gather_live_records(&mut self, segment: u64, bytes: u64) -> Result<CopyBatch, WalError> {
         let mut batch = CopyBatch { records: Vec::new(), bytes: 0, reaches_end: true };
         let mut next = self.index.first_live_record(segment, self.compaction_offset);
@@ -130,7 +131,7 @@
         Ok(batch)
     }
 
-    /// Adds the copy of a live record; returns false if the index does not know its message.
+    /// Adds the copy of a live record to the batch; returns false if the index does not know its message.
     fn add_copy(&self, batch: &mut CopyBatch, live: &LiveRecord) -> Result<bool, WalError> {
         if let Some(pending) = self.index.get(&live.id) {
             let accepted = self.read_message(pending)?;
@@ -145,20 +146,19 @@
         Ok(true)
     }
 
-    /// Appends copies. Unlike [`WriteAheadLog::append`] it does not make room, which would call compaction again.
+    /// Appends copies of live records without making room for them, which would start compaction recursively.
     fn append_copies(&mut self, records: &[Record]) -> Result<(), WalError> {
         let mut encoded = EncodedRecords::encode(records, Vec::new());
         if !self.plan.fits(encoded.frames_bytes() + SEGMENT_HEADER_BYTES as u64) {
             return Err(WalError::storage_full());
         }
         self.append_to_segment(&mut encoded)?;
-        self.apply(records, &encoded);
+        self.apply_to_index(records, &encoded);
         Ok(())
     }
 
-    /// Drops the first segment, which has no live record. The copies are synced and the manifest is replaced before the
-    /// file is removed: otherwise a loss of the machine could restore this segment without a later one, and with it
-    /// messages whose final records were in the later one.
+    /// Removes the first segment, which has no live record. The copies are synced and the manifest is replaced first:
+    /// otherwise a loss of the machine could restore the segment without the later one that finished its messages.
     fn drop_first_segment(&mut self, segment: u64) -> Result<(), WalError> {
         self.sync_all()?;
         self.write_manifest(segment + 1)?;
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    /// Moves a segment with corrupt parts into quarantine, and removes the oldest quarantined files beyond its limit.
+    /// Moves a segment with corrupt parts into quarantine, and removes the oldest quarantined files above the limit.
     fn quarantine_segment(&mut self, segment: u64) -> Result<(), WalError> {
         let file = segment::file_name(segment);
         let quarantined = Quarantine::name_for(&file);
@@ -186,7 +186,7 @@
         Ok(())
     }
 
-    /// Replaces the manifest by one that names this first segment.
+    /// Replaces the manifest by one with a new first segment.
     pub(crate) fn write_manifest(&mut self, first_segment: u64) -> Result<(), WalError> {
         let bytes = Manifest::new(first_segment).encode();
         match self.storage.remove(NEXT_MANIFEST_FILE) {
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -2,40 +2,42 @@
 
 use std::io;
 
-/// Why the write-ahead log could not be opened, read or appended to.
+/// An error of opening, reading or appending to a write-ahead log.
 #[derive(Debug, thiserror::Error)]
 pub enum WalError {
-    /// The storage failed; [`WalError::is_storage_full`] distinguishes a full disk from other errors.
+    /// A file operation failed. [`WalError::is_storage_full`] distinguishes a full disk from other errors.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Another process holds the lock of the folder, or it could not be acquired.
-    #[error("another process writes this ledger")]
+    /// The folder's lock could not be acquired, usually because another process holds it.
+    #[error("cannot lock the folder: another process has its write-ahead log open for writing")]
     AlreadyOpen,
-    /// A file was written by a later version of the program. Nothing was changed.
-    #[error("{file} is of version {found}, and this program knows {newest} at most")]
+    /// A file was written by a later version of the program. Opening the log changed nothing.
+    #[error("{file} has format version {found}, expected version {newest} or earlier")]
     UnsupportedVersion {
-        /// The name of the file in the folder.
+        /// Name of the file in the folder.
         file: String,
-        /// The version in the file.
+        /// Format version in the file.
         found: u16,
-        /// The newest version that this program reads.
+        /// Newest format version that this program reads.
         newest: u16,
     },
-    /// A record that the index knows can't be decoded any more.
-    #[error("{file}: the record at byte {offset} is corrupt")]
+    /// A record of a pending message can't be decoded, although it could when the index was built.
+    #[error("{file}: the record at byte {offset} is corrupt, expected a message with a matching checksum")]
     CorruptRecord {
-        /// The name of the segment's file.
+        /// Name of the segment's file, or of the single file of the oldest format.
         file: String,
         /// Offset of the record's frame in bytes.
         offset: u64,
     },
-    /// The record at a location that the index knows is valid, but carries no message.
-    #[error("the record at this location carries no message")]
+    /// The record at the location of a pending message is valid, but carries no message.
+    #[error(
+        "the record of a pending message has another type, expected an accepted message or its checkpoint"
+    )]
     UnexpectedRecord,
 }
 
 impl WalError {
-    /// The kind of the I/O error that corresponds to this error, for callers that report [`io::Error`]s.
+    /// Returns the corresponding kind of I/O error, for callers that report an [`io::Error`].
     pub fn kind(&self) -> io::ErrorKind {
         match self {
             WalError::Io(error) => error.kind(),
@@ -45,12 +47,12 @@
         }
     }
 
-    /// Whether no space was left, on the disk or within the folder's limit.
+    /// Returns whether no space was left on the disk or within the folder's limit.
     pub fn is_storage_full(&self) -> bool {
         self.kind() == io::ErrorKind::StorageFull
     }
 
-    /// The error for an append that does not fit.
+    /// Returns the error for an append that does not fit.
     pub(crate) fn storage_full() -> WalError {
         WalError::Io(io::ErrorKind::StorageFull.into())
     }
--- a/crates/wal/src/file_storage.rs
+++ b/crates/wal/src/file_storage.rs
@@ -1,4 +1,4 @@
-//! A folder on the real file system.
+//! A folder in the file system.
 
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
@@ -9,41 +9,41 @@
 use crate::error::WalError;
 use crate::storage::Storage;
 
-/// The file whose lock the writing process holds.
+/// Name of the file whose lock the writing process holds.
 const LOCK_FILE: &str = "lock";
-/// The most files that are kept open: the segment that is written, those that are copied from, the reserve.
+/// Maximum number of files that are kept open: the last segment, segments that are copied from, and the disk reserve.
 const MAX_OPEN_FILES: usize = 4;
 
 /// A folder on disk.
 pub struct FileStorage {
     path: PathBuf,
-    /// Files that were appended to and are kept open.
+    /// Files that are kept open after an append, by name.
     open_files: BTreeMap<String, File>,
-    /// Held as long as this process writes here.
+    /// Lock that is held until the storage is dropped; `None` for reading only.
     _lock: Option<File>,
 }
 
 impl FileStorage {
-    /// Opens a folder for writing, and holds its lock until this is dropped.
+    /// Opens an existing folder for writing, and holds its lock until the storage is dropped.
     ///
     /// # Errors
     ///
-    /// [`WalError::AlreadyOpen`] if another process holds the lock.
+    /// [`WalError::AlreadyOpen`] if the lock can't be acquired, and [`WalError::Io`] if the lock file can't be created.
     pub fn open_for_writing(path: &Path) -> Result<FileStorage, WalError> {
         let lock = File::create(path.join(LOCK_FILE))?;
         lock.try_lock().map_err(|_| WalError::AlreadyOpen)?;
         Ok(FileStorage { path: path.to_owned(), open_files: BTreeMap::new(), _lock: Some(lock) })
     }
 
-    /// Opens a folder for reading, also while another process writes it.
+    /// Returns a folder for reading, without a lock. Another process may write to the folder at the same time.
     pub fn open_for_reading(path: &Path) -> FileStorage {
         FileStorage { path: path.to_owned(), open_files: BTreeMap::new(), _lock: None }
     }
 
-    /// The open file with this name; it is opened or created if necessary.
+    /// Returns the open file with a name, and opens or creates the file if necessary.
     fn open_file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open_files.contains_key(name) && self.open_files.len() >= MAX_OPEN_FILES {
-            // The lowest name first, which is the oldest segment.
+            // The lowest name belongs to the oldest segment.
             self.open_files.pop_first();
         }
         match self.open_files.entry(name.to_owned()) {
@@ -65,7 +65,7 @@
                 Ok(metadata) if metadata.is_file() => {
                     files.insert(entry.file_name().to_string_lossy().into_owned(), metadata.len());
                 }
-                // Not found: the writer has removed it since its name was read.
+                // The writing process may remove a file after its name is read.
                 Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
                 _ => {}
             }
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -1,26 +1,27 @@
-//! The frame around each record: marker, length, checksum of the record, and checksum of these ten bytes.
+//! The frame of a record. The header has a marker, the record's length, the record's checksum, and a checksum of the
+//! preceding ten bytes. All numbers are little-endian.
 //!
-//! The checksum over the header distinguishes a corrupt length from a record that a torn write left short. The marker
-//! lets the scanner find the next frame behind corruption. All numbers are little-endian.
+//! The header's checksum distinguishes a corrupt length from a record that a torn write cut short. The marker lets the
+//! scan find the next frame after a corrupt part.
 
 use serde::Serialize;
 
-/// Bytes of a frame before its record.
+/// Size of a frame's header.
 pub(crate) const FRAME_HEADER_BYTES: usize = 14;
-/// A header with a greater length is taken as corrupt: no body with the attempts of any message is as long.
+/// Maximum length of a record; a header with a greater length is corrupt.
 const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
 const MARKER: [u8; 2] = [0xd7, 0x5e];
 
 /// A valid frame header.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FrameHeader {
-    /// Bytes of the record, without the header.
+    /// Length of the record without the header.
     pub record_bytes: usize,
     checksum: u32,
 }
 
 impl FrameHeader {
-    /// Parses the header at the start of `bytes`; `None` if it is incomplete or invalid.
+    /// Parses the header at the start of `bytes`; returns `None` if the header is incomplete or invalid.
     pub fn parse(bytes: &[u8]) -> Option<FrameHeader> {
         let header = bytes.get(..FRAME_HEADER_BYTES)?;
         let read_u32 = |offset: usize| {
@@ -34,25 +35,26 @@
             .then_some(FrameHeader { record_bytes, checksum })
     }
 
-    /// Bytes of header and record.
+    /// Returns the length of header and record in bytes.
     pub fn frame_bytes(&self) -> usize {
         FRAME_HEADER_BYTES + self.record_bytes
     }
 }
 
-/// The record's bytes in the frame at the start of `bytes`, if the frame is complete and its checksums match.
+/// Returns the encoded record in the frame at the start of `bytes`; `None` if the frame is incomplete or a checksum does
+/// not match.
 pub(crate) fn payload(bytes: &[u8]) -> Option<&[u8]> {
     let header = FrameHeader::parse(bytes)?;
     let record = bytes.get(FRAME_HEADER_BYTES..header.frame_bytes())?;
     (crc32fast::hash(record) == header.checksum).then_some(record)
 }
 
-/// Encodes a value with postcard and appends it in a frame.
+/// Encodes a value with postcard, and appends it to the buffer in a frame.
 pub(crate) fn append_frame<T: Serialize>(buffer: &mut Vec<u8>, value: &T) {
     let start = buffer.len();
     buffer.extend([0; FRAME_HEADER_BYTES]);
     if let Err(error) = postcard::to_io(value, &mut *buffer) {
-        // Writing to a vector does not fail, so that this is not expected to happen.
+        // Writes to a vector do not fail, and all encoded types can be serialized.
         tracing::error!(%error, "record could not be encoded");
         return buffer.truncate(start);
     }
--- a/crates/wal/src/inspection.rs
+++ b/crates/wal/src/inspection.rs
@@ -1,4 +1,4 @@
-//! Reads a write-ahead log for tools, also while a forwarder writes it.
+//! Reads a write-ahead log for tools, even while a forwarder writes it.
 
 use std::io;
 use std::path::Path;
@@ -9,14 +9,14 @@
 use crate::recovery::{self, RecoveredState};
 use crate::verification::VerificationReport;
 
-/// How often reading is started again because compaction removed a segment meanwhile, before the error is returned.
+/// Maximum number of times that a read is repeated because compaction removed a segment during the read.
 const MAX_RETRIES: u32 = 10;
 
 /// The contents of a folder's write-ahead log.
 pub struct Inspection {
-    /// Its pending messages and unacknowledged notices.
+    /// Pending messages and unacknowledged notices.
     pub index: PendingIndex,
-    /// Totals of what was read, and the parts that could not be read.
+    /// Corrupt parts, and totals of what was read.
     pub verification: VerificationReport,
 }
 
@@ -26,18 +26,19 @@
     }
 }
 
-/// Reads a folder's write-ahead log, also while a forwarder writes it, and changes nothing.
+/// Reads the write-ahead log of a folder without a lock and without changing any file. A forwarder may write the log at
+/// the same time.
 ///
 /// # Errors
 ///
-/// If a file can't be read, or has a later version.
+/// [`WalError::Io`] if a file can't be read, and [`WalError::UnsupportedVersion`] if a later program wrote the log.
 pub fn inspect(folder: &Path) -> Result<Inspection, WalError> {
     let storage = FileStorage::open_for_reading(folder);
     let mut retries = 0;
     loop {
         match recovery::read(&storage) {
             Ok(state) => return Ok(state.into()),
-            // A segment was dropped while it was being read: its live records are in a later one by now.
+            // A segment was removed during the read, after its live records were copied to a later one.
             Err(error)
                 if error.kind() == io::ErrorKind::NotFound && retries < MAX_RETRIES && folder.exists() =>
             {
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,28 +1,27 @@
-//! The write-ahead log of a forwarder: the messages that it has accepted and not finished, in a folder that outlives
-//! its process.
+//! The write-ahead log of a forwarder. A folder on disk holds the messages that are accepted and not finished, so that
+//! the next process can finish them.
 //!
 //! # Invariants
 //!
-//! - Once [`WriteAheadLog::append`] has returned, its records survive the process, and the machine as far as
-//!   [`SyncPolicy`]
-//!   promises.
-//! - Records are appended to the last of a sequence of numbered segments. The first one is compacted in bounded steps
-//!   after appends, and dropped. The manifest names the first segment that counts: it is replaced after the copies are
-//!   written and before the file is removed.
-//! - Pending messages can always be finished: the space for that is set aside when a message is accepted, and a disk
-//!   reserve is released when no space is left.
-//! - At a start only the remains of a torn write are cut off. Any other corruption is skipped, reported with its place,
-//!   and kept. Messages that were pending at that place of the log count as possibly executed, as records of their
+//! - Records survive the end of the process once [`WriteAheadLog::append`] has returned. [`SyncPolicy`] sets when they
+//!   also survive a loss of the machine.
+//! - Records are appended to the last of a sequence of numbered segments. The first segment is compacted in bounded
+//!   steps after appends, and then removed. The manifest names the first segment in use. The manifest is replaced after
+//!   the copies are written and before the compacted segment is removed.
+//! - Pending messages can always be finished: space for their final records is reserved when they are accepted, and a
+//!   disk reserve is released when the disk is full.
+//! - Opening the log cuts off a torn write at its end. Other corruption is skipped, reported with file and offset, and
+//!   kept on disk. Messages that were pending at that offset count as possibly executed, because records of their
 //!   attempts may be lost.
 //!
 //! # Modules
 //!
-//! | modules | what they do |
+//! | modules | purpose |
 //! | --- | --- |
 //! | `write_ahead_log`, `opening`, `appending`, `compaction`, `disk_reserve` | the open log |
-//! | `recovery`, `inspection`, `verification`, `quarantine` | reading a folder, and handling what can't be read |
+//! | `recovery`, `inspection`, `verification`, `quarantine` | reading a folder, and handling its corrupt parts |
 //! | `pending_index`, `live_records` | the state that results from the records |
-//! | `compaction_plan` | when to compact, and what fits: sizes only, no I/O |
+//! | `compaction_plan` | when to compact and what fits, calculated from sizes without I/O |
 //! | `record`, `record_view`, `frame`, `encoded_records`, `segment`, `segment_scan`, `manifest`, `single_file` | the format |
 //! | `storage`, `file_storage`, `memory_storage` | file access |
 //!
--- a/crates/wal/src/live_records.rs
+++ b/crates/wal/src/live_records.rs
@@ -1,4 +1,4 @@
-//! Which records still matter, by segment: what compaction must copy before a segment may be dropped.
+//! Live records by segment. Compaction copies them before it removes their segment.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,26 @@
 /// The location of a record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordLocation {
-    /// The number of its segment; 0 for the single file of the oldest format.
+    /// Number of the segment; 0 for the single file of the oldest format.
     pub segment: u64,
-    /// Where its frame starts, in bytes.
+    /// Offset of the frame in the file, in bytes.
     pub offset: u64,
-    /// The length of its frame, in bytes.
+    /// Length of the frame, in bytes.
     pub length: usize,
 }
 
-/// The live records of all segments, each with the id of its message.
+/// The live records of all segments, with the ids of their messages.
 #[derive(Default)]
 pub(crate) struct LiveRecords {
-    /// By segment, then by offset.
+    /// Message ids by segment number and offset.
     segments: BTreeMap<u64, BTreeMap<u64, MessageId>>,
 }
 
 impl LiveRecords {
-    /// Adds a record that has become live.
     pub fn insert(&mut self, location: RecordLocation, id: MessageId) {
         self.segments.entry(location.segment).or_default().insert(location.offset, id);
     }
 
-    /// Removes a record that is no longer live.
     pub fn remove(&mut self, location: RecordLocation) {
         let Some(records) = self.segments.get_mut(&location.segment) else { return };
         records.remove(&location.offset);
@@ -37,22 +35,22 @@
         }
     }
 
-    /// The first live record of a segment at this offset or behind it.
+    /// Returns the first live record of a segment at or after an offset.
     pub fn first_from(&self, segment: u64, offset: u64) -> Option<LiveRecord> {
         let (offset, id) = self.segments.get(&segment)?.range(offset..).next()?;
         Some(LiveRecord { offset: *offset, id: id.clone() })
     }
 
-    /// The ids of the messages that have live records in a segment.
+    /// Returns the ids of the messages that have live records in a segment.
     pub fn ids_in(&self, segment: u64) -> impl Iterator<Item = &MessageId> {
         self.segments.get(&segment).into_iter().flat_map(|records| records.values())
     }
 }
 
-/// One live record of a segment.
+/// A live record of a segment.
 pub(crate) struct LiveRecord {
-    /// Where its frame starts, in bytes.
+    /// Offset of the frame in the segment, in bytes.
     pub offset: u64,
-    /// The message that it belongs to.
+    /// Id of the message.
     pub id: MessageId,
 }
--- a/crates/wal/src/manifest.rs
+++ b/crates/wal/src/manifest.rs
@@ -1,7 +1,7 @@
-//! The manifest: a small file that names the format's version and the first segment that counts.
+//! The manifest: a small file that holds the format version and the number of the first segment in use.
 //!
-//! It is replaced after a segment's copies are written and before that segment is removed. Without it, a loss of the
-//! machine could restore one removed segment and not the next one, and with it messages that were finished.
+//! The manifest is replaced after the live records of a segment are copied and before the segment is removed. Without
+//! the manifest, a loss of the machine could restore a removed segment without the later one that finished its messages.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -13,39 +13,40 @@
 use crate::segment::VERSION;
 use crate::storage::Storage;
 
-/// The name of the manifest.
+/// Name of the manifest.
 pub(crate) const MANIFEST_FILE: &str = "ledger.manifest";
-/// The next manifest, before it replaces the current one.
+/// Name of the next manifest until it replaces the current one.
 pub(crate) const NEXT_MANIFEST_FILE: &str = "ledger.manifest.new";
-/// The most bytes of the file that are read; a manifest has far fewer.
+/// Maximum number of bytes that are read from the file; a valid manifest is shorter.
 const MAX_MANIFEST_BYTES: u64 = 4096;
 
-/// The manifest's content. The order of the fields is their order on disk, the version first in every version.
+/// The content of the manifest. The order of the fields is their order on disk. Every format version starts with the
+/// version.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Manifest {
     version: u16,
-    /// The number of the first segment that counts. Lower numbers were compacted.
+    /// Number of the first segment in use. Segments with lower numbers were compacted.
     pub first_segment: u64,
 }
 
-/// The manifest as it is found in a folder.
+/// The manifest as found in a folder.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum StoredManifest {
-    /// There is no file.
+    /// The file does not exist.
     Missing,
-    /// There is a file, but it can't be decoded.
+    /// The file exists and can't be decoded.
     Corrupt,
-    /// It was decoded.
+    /// The file was decoded.
     Valid(Manifest),
 }
 
 impl Manifest {
-    /// A manifest of this program's version.
+    /// Returns a manifest of the current format version.
     pub fn new(first_segment: u64) -> Manifest {
         Manifest { version: VERSION, first_segment }
     }
 
-    /// The bytes of the file.
+    /// Returns the bytes of the file.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         frame::append_frame(&mut bytes, self);
@@ -53,18 +54,18 @@
     }
 }
 
-/// Reads the manifest of a folder with these files.
+/// Reads the manifest of a folder; `files` are the names and lengths of the files in the folder.
 ///
 /// # Errors
 ///
-/// [`WalError::UnsupportedVersion`] if a later program wrote it.
+/// [`WalError::UnsupportedVersion`] if a later program wrote the manifest, and [`WalError::Io`].
 pub(crate) fn read(storage: &dyn Storage, files: &BTreeMap<String, u64>) -> Result<StoredManifest, WalError> {
     if !files.contains_key(MANIFEST_FILE) {
         return Ok(StoredManifest::Missing);
     }
     let bytes = read_file(storage)?;
     let Some(payload) = frame::payload(&bytes) else { return Ok(StoredManifest::Corrupt) };
-    // In a later version, anything may follow the number.
+    // The version is decoded alone, because later versions may have other fields after it.
     if let Ok((version, _)) = postcard::take_from_bytes::<u16>(payload) {
         if version > VERSION {
             let file = MANIFEST_FILE.to_owned();
--- a/crates/wal/src/opening.rs
+++ b/crates/wal/src/opening.rs
@@ -1,4 +1,4 @@
-//! Opening a write-ahead log: recovers its state, removes leftovers of a killed process, and migrates the oldest
+//! Opens a write-ahead log: recovers the state, removes files that a killed process left, and migrates the oldest
 //! format.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,30 +20,31 @@
 use crate::storage::Storage;
 use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
-/// The most corrupt places that are logged; `reeddock wal --verify` lists more.
+/// Maximum number of corrupt places that are logged at a start; `reeddock wal --verify` lists more.
 const MAX_LOGGED_CORRUPTIONS: usize = 10;
-/// The most orphans (messages known by their id only) that are named in the log.
+/// Maximum number of orphans (messages of which only the id is known) that are named in the log at a start.
 const MAX_LOGGED_ORPHANS: usize = 20;
-/// The most messages and notices that a migration writes in one append.
-const MIGRATION_GROUP: usize = 64;
+/// Maximum number of records that a migration writes in one append.
+const MIGRATION_RECORDS_PER_APPEND: usize = 64;
 
 impl WriteAheadLog {
-    /// Opens the write-ahead log of a folder that may hold `max_bytes`, and locks the folder.
+    /// Opens the write-ahead log of a folder for writing, and locks the folder. All files together take at most
+    /// `max_bytes`.
     ///
     /// # Errors
     ///
-    /// [`WalError::AlreadyOpen`] if another process has it open for writing, [`WalError::UnsupportedVersion`] if a
-    /// later program wrote it, and I/O errors. Corruption is no error: see [`WriteAheadLog::verification`].
+    /// [`WalError::AlreadyOpen`] if another process has the log open for writing, [`WalError::UnsupportedVersion`] if a
+    /// later program wrote it, and [`WalError::Io`]. Corruption is no error: see [`WriteAheadLog::verification`].
     pub fn open(folder: &Path, max_bytes: u64, sync: SyncPolicy) -> Result<WriteAheadLog, WalError> {
         let storage = FileStorage::open_for_writing(folder)?;
         WriteAheadLog::open_in(Box::new(storage), max_bytes, sync)
     }
 
-    /// Opens the write-ahead log of any storage.
+    /// Opens the write-ahead log of any storage for writing, without a lock.
     ///
     /// # Errors
     ///
-    /// As for [`WriteAheadLog::open`], except for the lock.
+    /// The errors of [`WriteAheadLog::open`] except [`WalError::AlreadyOpen`].
     pub fn open_in(
         storage: Box<dyn Storage>,
         max_bytes: u64,
@@ -65,7 +66,7 @@
             compaction_offset: 0,
             reserve_bytes: files.get(RESERVE_FILE).copied().unwrap_or_default(),
             pending_bytes_when_full: None,
-            quarantine: Quarantine::among(&files),
+            quarantine: Quarantine::from_files(&files),
             encode_buffer: Vec::new(),
             compaction_warnings_muted_until: Duration::ZERO,
         };
@@ -83,14 +84,15 @@
                 log.write_manifest(recovered.first_segment)?;
             }
             log.remove_migrated_single_file(&files)?;
-            log.cut_torn_write(recovered.torn_at);
+            log.truncate_torn_write(recovered.torn_at);
         }
         log.last_segment_sealed |= recovered.last_segment_is_older || log.last_segment_is_corrupt();
         log.fill_reserve();
         Ok(log)
     }
 
-    /// Removes files that a killed process left: a manifest that is not in force yet, and superseded segments.
+    /// Removes files that a killed process left: a manifest that has not replaced the current one, and superseded
+    /// segments.
     fn remove_leftovers(
         &mut self,
         files: &BTreeMap<String, u64>,
@@ -105,7 +107,7 @@
         Ok(())
     }
 
-    /// Removes the single file if a start that migrated it was killed before it removed it.
+    /// Removes the single file if a migration was killed after it wrote the segments.
     fn remove_migrated_single_file(&mut self, files: &BTreeMap<String, u64>) -> Result<(), WalError> {
         if files.contains_key(single_file::FILE_NAME) {
             self.storage.remove(single_file::FILE_NAME)?;
@@ -113,13 +115,13 @@
         Ok(())
     }
 
-    /// Whether the last segment has a corrupt part: nothing is appended behind one.
+    /// Returns whether the last segment has a corrupt part, after which nothing may be appended.
     fn last_segment_is_corrupt(&self) -> bool {
         self.plan.last_segment().is_some_and(|last| self.corrupt_segments.contains(&last))
     }
 
-    /// Cuts the torn write that a killed process left at the end of the last segment.
-    fn cut_torn_write(&mut self, torn_at: Option<u64>) {
+    /// Cuts off the torn write that a killed process left at the end of the last segment.
+    fn truncate_torn_write(&mut self, torn_at: Option<u64>) {
         let (Some(offset), Some(last)) = (torn_at, self.plan.last_segment()) else { return };
         if self.corrupt_segments.contains(&last) {
             return;
@@ -128,7 +130,7 @@
         tracing::warn!(file, offset, bytes = self.verification.torn_bytes, "torn write cut off");
         match self.storage.truncate(&file, offset) {
             Ok(()) if offset == 0 => {
-                // Not even its header is whole.
+                // The segment's header is incomplete.
                 self.last_segment_sealed = self.storage.remove(&file).is_err();
                 if !self.last_segment_sealed {
                     self.plan.remove_segment(last);
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Logs the corrupt places, and the messages that they concern.
+    /// Logs the corrupt places, and how many messages they may concern.
     fn report_corruption(&self) {
         if self.verification.is_sound() {
             return;
@@ -162,12 +164,12 @@
         );
     }
 
-    /// Writes the contents of the oldest format's single file as segments, and removes the file; if part of it can't be
-    /// read, it is quarantined.
+    /// Migrates the single file of the oldest format to segments, and removes the file. A file with corrupt parts is
+    /// quarantined.
     fn migrate_single_file(&mut self, bytes: &[u8]) -> Result<(), WalError> {
         let recovered = std::mem::take(&mut self.index);
         let records = records_to_migrate(&recovered, bytes)?;
-        for group in records.chunks(MIGRATION_GROUP) {
+        for group in records.chunks(MIGRATION_RECORDS_PER_APPEND) {
             self.write_without_sync(group)?;
         }
         self.sync_all()?;
@@ -186,9 +188,9 @@
     }
 }
 
-/// A checkpoint for each pending message, then a record for each unacknowledged notice.
+/// Returns a checkpoint for each pending message, then a record for each unacknowledged notice.
 ///
-/// If a message with an unacknowledged notice was accepted again under the same id, only the checkpoint is written, as
+/// If a message with an unacknowledged notice was accepted again under the same id, only the checkpoint is returned, as
 /// in compaction.
 fn records_to_migrate(index: &PendingIndex, bytes: &[u8]) -> Result<Vec<Record>, WalError> {
     let pending = index.pending().into_iter().map(|message| message.id.clone());
@@ -200,13 +202,14 @@
             continue;
         };
         let location = message.location();
-        let accepted = single_file::read_message(bytes, location).ok_or_else(|| corrupt_at(location))?;
+        let accepted =
+            single_file::read_message(bytes, location).ok_or_else(|| corrupt_record_error(location))?;
         records.push(Record::Checkpoint(message.checkpoint(accepted)));
     }
     Ok(records)
 }
 
-/// The error for a record of the single file that can't be decoded.
-fn corrupt_at(location: RecordLocation) -> WalError {
+/// Returns the error for a record of the single file that can't be decoded.
+fn corrupt_record_error(location: RecordLocation) -> WalError {
     WalError::CorruptRecord { file: single_file::FILE_NAME.to_owned(), offset: location.offset }
 }
--- a/crates/wal/src/pending_index.rs
+++ b/crates/wal/src/pending_index.rs
@@ -1,5 +1,5 @@
-//! The index over the write-ahead log: the pending messages and unacknowledged notices that result from its records.
-//! Bodies stay in the files; the index keeps their locations.
+//! The index of the write-ahead log: the pending messages and unacknowledged notices that result from its records. The
+//! index holds the locations of bodies; the bodies themselves stay on disk.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,49 +11,49 @@
 use crate::record::{AcceptedMessage, AttemptState, Checkpoint, Record, RecordedAttempt};
 use crate::record_view::{AcceptedView, CheckpointView, RecordView};
 
-/// Disk space that is set aside for a notice until the platform has acknowledged it, in bytes.
+/// Disk space that is reserved for a notice until the platform has acknowledged it.
 const NOTICE_RESERVED_BYTES: u64 = 160;
-/// The most orphans (messages known by their id only) that are listed; further ones are counted.
+/// Maximum number of orphans (messages of which only the id is known) that are listed; further ones are counted.
 const MAX_LISTED_ORPHANS: usize = 1000;
 
-/// A message that was accepted and is not finished.
+/// An accepted message that is not finished.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingMessage {
-    /// The id that the client gave the message.
+    /// Message id, set by the client.
     pub id: MessageId,
-    /// The message class in the settings.
+    /// Name of the message class in the settings.
     pub class: Arc<str>,
-    /// The tenant whose quota the message counts against, if it has one.
+    /// Tenant whose quota the message counts against; `None` if it counts against no tenant's quota.
     pub tenant: Option<Arc<str>>,
-    /// The ordering key, if the message is delivered in order.
+    /// Ordering key; `None` if the message may be delivered in any order.
     pub ordering_key: Option<u64>,
-    /// The destination's id.
+    /// Id of the destination.
     pub destination: u64,
-    /// When the message must have its final answer, in microseconds of Unix time.
+    /// Time by which the message must have its final answer, in microseconds of Unix time.
     pub deadline_unix_us: u64,
-    /// Its attempts, in the order of their numbers.
+    /// Attempts so far, in the order of their numbers.
     pub attempts: Vec<RecordedAttempt>,
-    /// Whether records of further attempts may have been lost to corruption: the message may have been executed, and
-    /// it is not known when or by which endpoint.
+    /// Whether records of further attempts may have been lost to corruption, so that the message may have been executed
+    /// at an unknown time by an unknown endpoint.
     pub records_lost: bool,
-    /// Disk space that is set aside for the message until it is finished, in bytes.
+    /// Disk space that is reserved for the message until it is finished.
     pub reserved_bytes: u64,
-    /// Its position among all accepted messages.
-    position: u64,
+    /// Number of the message in the order of acceptance.
+    acceptance_number: u64,
     location: RecordLocation,
 }
 
 impl PendingMessage {
-    /// The location of the record that carries the message.
+    /// Returns the location of the record that carries the message.
     pub(crate) fn location(&self) -> RecordLocation {
         self.location
     }
 
-    /// The checkpoint of the message; `accepted` is the message as read from its record.
+    /// Returns the checkpoint of the message; `accepted` is the message as read from its record.
     pub(crate) fn checkpoint(&self, accepted: AcceptedMessage) -> Checkpoint {
         Checkpoint {
             accepted,
-            position: self.position,
+            acceptance_number: self.acceptance_number,
             attempts: self.attempts.clone(),
             records_lost: self.records_lost,
         }
@@ -61,11 +61,11 @@
 
     fn start_attempt(&mut self, number: usize, endpoint: Arc<str>, started_at_unix_us: u64) {
         let known = self.attempts.len();
-        // Attempts are numbered without gaps: a gap means that records of attempts were lost.
+        // Attempts are numbered consecutively, so that a gap means that records were lost.
         self.attempts.resize_with(known.max(number), RecordedAttempt::unknown);
         if number >= known {
             self.attempts.push(RecordedAttempt::in_flight(endpoint, started_at_unix_us));
-            // The number shows that no earlier attempt is missing except those just filled in.
+            // All attempts up to this number are known, or were just added as unknown ones.
             self.records_lost = false;
         }
     }
@@ -78,112 +78,112 @@
     }
 }
 
-/// A notice that the platform has not acknowledged.
 struct UnacknowledgedNotice {
     answer: FinalAnswer,
     location: RecordLocation,
 }
 
-/// All pending messages and unacknowledged notices.
+/// All pending messages and unacknowledged notices of a write-ahead log.
 #[derive(Default)]
 pub struct PendingIndex {
-    /// No hash map: when one grows, an append would wait until all entries have been moved.
+    /// Not a hash map, because an append would wait while a growing hash map moves all entries.
     pending: BTreeMap<MessageId, Box<PendingMessage>>,
     notices: BTreeMap<MessageId, UnacknowledgedNotice>,
     live_records: LiveRecords,
-    /// The position of the message that was accepted last.
-    last_position: u64,
-    /// Disk space set aside for all pending messages and notices.
+    last_acceptance_number: u64,
+    /// Disk space that is reserved for all pending messages and notices.
     pending_bytes: u64,
-    /// Names of classes, tenants and endpoints. There are few of them, and each is kept once.
+    /// Interned names of classes, tenants and endpoints.
     names: BTreeSet<Arc<str>>,
-    /// Messages whose `Accepted` record was lost, known from later records.
+    /// Ids of messages whose `Accepted` record was lost, known from later records.
     orphans: BTreeSet<MessageId>,
     unlisted_orphans: u64,
 }
 
-/// How many messages are pending, and how many notices are unacknowledged.
+/// The numbers of pending messages and unacknowledged notices.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PendingCounts {
-    /// Messages that were accepted and are not finished.
+    /// Number of accepted messages that are not finished.
     pub messages: usize,
-    /// Notices that the platform has not acknowledged.
+    /// Number of notices that the platform has not acknowledged.
     pub notices: usize,
 }
 
 impl PendingCounts {
-    /// Whether no message is pending and no notice unacknowledged.
+    /// Returns whether no message is pending and no notice is unacknowledged.
     pub fn is_empty(&self) -> bool {
         *self == PendingCounts::default()
     }
 }
 
 impl PendingIndex {
-    /// The pending messages by position, which is the order of acceptance.
+    /// Returns the pending messages in the order of their acceptance.
     pub fn pending(&self) -> Vec<&PendingMessage> {
         let mut pending: Vec<&PendingMessage> = self.pending.values().map(|message| &**message).collect();
-        pending.sort_by_key(|message| message.position);
+        pending.sort_by_key(|message| message.acceptance_number);
         pending
     }
 
-    /// A pending message by its id.
+    /// Returns the pending message with an id; `None` if the message is unknown or finished.
     pub fn get(&self, id: &MessageId) -> Option<&PendingMessage> {
         self.pending.get(id).map(|message| &**message)
     }
 
-    /// The notices that the platform has not acknowledged, by id.
+    /// Returns the notices that the platform has not acknowledged, in the order of their ids.
     pub fn unacknowledged_notices(&self) -> impl Iterator<Item = DeliveryNotice> + '_ {
         self.notices.iter().map(|(id, notice)| DeliveryNotice { id: id.clone(), answer: notice.answer })
     }
 
-    /// How many messages are pending, and how many notices are unacknowledged.
+    /// Returns the numbers of pending messages and unacknowledged notices.
     pub fn counts(&self) -> PendingCounts {
         PendingCounts { messages: self.pending.len(), notices: self.notices.len() }
     }
 
-    /// Messages whose `Accepted` record was lost, so that only the id is known. They may still be pending.
+    /// Returns the ids of messages whose `Accepted` record was lost, so that nothing else is known of them. Such
+    /// messages may still be pending.
     pub fn orphans(&self) -> impl Iterator<Item = &MessageId> {
         self.orphans.iter()
     }
 
-    /// How many orphans there are beyond those that [`PendingIndex::orphans`] lists.
+    /// Returns the number of orphans beyond those that [`PendingIndex::orphans`] lists.
     pub fn unlisted_orphans(&self) -> u64 {
         self.unlisted_orphans
     }
 
-    /// Disk space set aside for all pending messages and notices, in bytes.
+    /// Returns the disk space that is reserved for all pending messages and notices, in bytes.
     pub(crate) fn pending_bytes(&self) -> u64 {
         self.pending_bytes
     }
 
-    /// The first live record of a segment at this offset or behind it.
+    /// Returns the first live record of a segment at or after an offset.
     pub(crate) fn first_live_record(&self, segment: u64, offset: u64) -> Option<LiveRecord> {
         self.live_records.first_from(segment, offset)
     }
 
-    /// Bytes of a segment's live records.
+    /// Returns the size of the live records of a segment, in bytes.
     pub(crate) fn live_bytes(&self, segment: u64) -> u64 {
         let bytes =
             |id| self.pending.get(id).map_or(NOTICE_RESERVED_BYTES, |message| message.location.length as u64);
         self.live_records.ids_in(segment).map(bytes).sum()
     }
 
-    /// The record that stands for an unacknowledged notice.
+    /// Returns the record of an unacknowledged notice, as compaction writes it.
     pub(crate) fn notice_record(&self, id: &MessageId) -> Option<Record> {
         let notice = self.notices.get(id)?;
         Some(Record::Finished { id: id.0.to_string(), notice: Some(notice.answer) })
     }
 
-    /// Records were lost at this point of the log: any message that is pending here may have been sent.
+    /// Marks all messages that are pending at this point of the log, because lost records may be records of their
+    /// attempts.
     pub(crate) fn mark_records_lost(&mut self) {
         self.pending.values_mut().for_each(|message| message.records_lost = true);
     }
 
-    /// Applies a record that is in the log at this location.
+    /// Applies the record at a location of the log.
     pub(crate) fn apply(&mut self, record: RecordView, location: RecordLocation) {
         let message_id = |id: &str| MessageId(Arc::from(id));
         match record {
-            // `RecordView::decode` converts these to their current form.
+            // `RecordView::decode` converts records of version 1, so that none is passed here.
             RecordView::AcceptedV1(_) | RecordView::CheckpointV1(_) => {}
             RecordView::Accepted(accepted) => self.accept(&accepted, location),
             RecordView::Checkpoint(checkpoint) => self.restore_checkpoint(checkpoint, location),
@@ -207,24 +207,24 @@
     }
 
     fn accept(&mut self, accepted: &AcceptedView, location: RecordLocation) {
-        self.last_position += 1;
-        let message = self.pending_message(accepted, self.last_position, location);
+        self.last_acceptance_number += 1;
+        let message = self.pending_message(accepted, self.last_acceptance_number, location);
         self.insert(message);
     }
 
     fn restore_checkpoint(&mut self, checkpoint: CheckpointView<AcceptedView>, location: RecordLocation) {
-        self.last_position = self.last_position.max(checkpoint.position);
-        let mut message = self.pending_message(&checkpoint.accepted, checkpoint.position, location);
+        self.last_acceptance_number = self.last_acceptance_number.max(checkpoint.acceptance_number);
+        let mut message = self.pending_message(&checkpoint.accepted, checkpoint.acceptance_number, location);
         message.attempts = checkpoint.attempts;
         message.records_lost = checkpoint.records_lost;
         self.insert(message);
     }
 
-    /// A message without attempts.
+    /// Returns the index entry of a message, without attempts.
     fn pending_message(
         &mut self,
         accepted: &AcceptedView,
-        position: u64,
+        acceptance_number: u64,
         location: RecordLocation,
     ) -> PendingMessage {
         let fields = &accepted.fields;
@@ -238,7 +238,7 @@
             attempts: Vec::new(),
             records_lost: false,
             reserved_bytes: accepted.reserved_bytes(),
-            position,
+            acceptance_number,
             location,
         }
     }
@@ -282,7 +282,7 @@
         }
     }
 
-    /// The one shared copy of a name.
+    /// Returns the shared copy of a name.
     fn intern(&mut self, name: &str) -> Arc<str> {
         if let Some(known) = self.names.get(name) {
             return known.clone();
--- a/crates/wal/src/quarantine.rs
+++ b/crates/wal/src/quarantine.rs
@@ -1,13 +1,13 @@
-//! Quarantine: files with corrupt parts that are no longer needed and are kept for inspection, within a limit.
+//! The quarantine: files with corrupt parts that the log no longer needs, kept for inspection up to a limit.
 
 use std::collections::BTreeMap;
 
-use crate::compaction_plan::whole_blocks;
+use crate::compaction_plan::round_up_to_blocks;
 
-/// The prefix of quarantined files' names; the original name follows.
+/// Prefix that is added to the names of quarantined files.
 const NAME_PREFIX: &str = "damaged-";
-/// The quarantine may have one part in this many of the folder's limit.
-const SHARE_OF_FOLDER: u64 = 16;
+/// Divisor of the folder's limit that gives the maximum size of the quarantine.
+const FOLDER_SHARE_DIVISOR: u64 = 16;
 
 /// The quarantined files of a folder, with their lengths in bytes.
 pub(crate) struct Quarantine {
@@ -15,31 +15,31 @@
 }
 
 impl Quarantine {
-    /// The quarantined files among the files of a folder.
-    pub fn among(files: &BTreeMap<String, u64>) -> Quarantine {
+    /// Returns the quarantine of a folder; `files` are the names and lengths of all files in the folder.
+    pub fn from_files(files: &BTreeMap<String, u64>) -> Quarantine {
         let quarantined = files.iter().filter(|(name, _)| name.starts_with(NAME_PREFIX));
         Quarantine { files: quarantined.map(|(name, size)| (name.clone(), *size)).collect() }
     }
 
-    /// The name that a file gets in quarantine.
+    /// Returns the name of a file in quarantine.
     pub fn name_for(file: &str) -> String {
         format!("{NAME_PREFIX}{file}")
     }
 
-    /// Counts a file that was renamed into quarantine.
+    /// Adds a file that was renamed into quarantine.
     pub fn insert(&mut self, name: String, size: u64) {
         self.files.insert(name, size);
     }
 
-    /// Bytes of all files, in whole blocks.
+    /// Returns the size of all quarantined files in bytes, each rounded up to whole blocks.
     pub fn used_bytes(&self) -> u64 {
-        self.files.values().map(|size| whole_blocks(*size)).sum()
+        self.files.values().map(|size| round_up_to_blocks(*size)).sum()
     }
 
-    /// If the quarantine is larger than a folder with this limit allows, drops the oldest file and returns its name;
-    /// the caller removes the file.
+    /// Drops the oldest file if the quarantine exceeds its share of `folder_bytes`, and returns its name. The caller
+    /// removes the file from disk.
     pub fn pop_excess(&mut self, folder_bytes: u64) -> Option<String> {
-        if self.used_bytes() <= folder_bytes / SHARE_OF_FOLDER {
+        if self.used_bytes() <= folder_bytes / FOLDER_SHARE_DIVISOR {
             return None;
         }
         self.files.pop_first().map(|(name, _)| name)
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of the write-ahead log, as the forwarder passes them in.
+//! The records of the write-ahead log, as the forwarder appends them.
 
 use std::sync::Arc;
 
@@ -6,24 +6,24 @@
 use reeddock_protocol::FinalAnswer;
 use serde::{Deserialize, Serialize};
 
-/// A message as it is stored before its client is answered 202.
+/// A message as it is stored before the client is answered 202.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedMessage {
-    /// The id that the client gave the message.
+    /// Message id, set by the client.
     pub id: String,
-    /// The message class in the settings.
+    /// Name of the message class in the settings.
     pub class: String,
-    /// The tenant whose quota the message counts against, if it has one.
+    /// Tenant whose quota the message counts against; `None` if it counts against no tenant's quota.
     pub tenant: Option<String>,
-    /// The ordering key, if the message is delivered in order.
+    /// Ordering key; `None` if the message may be delivered in any order.
     pub ordering_key: Option<u64>,
-    /// The destination's id.
+    /// Id of the destination.
     pub destination: u64,
-    /// When the message must have its final answer, in microseconds of Unix time.
+    /// Time by which the message must have its final answer, in microseconds of Unix time.
     pub deadline_unix_us: u64,
-    /// The message's body.
+    /// Body as received from the client.
     pub body: Bytes,
-    /// The key by which the destination recognizes a repeat, where the client gave one.
+    /// Key by which the destination recognizes a repeated request; `None` if the client set none.
     pub idempotency_key: Option<String>,
 }
 
@@ -32,106 +32,106 @@
 pub enum Record {
     /// A message was accepted.
     Accepted(AcceptedMessage),
-    /// An attempt starts. Written before its first byte is sent.
+    /// An attempt starts. The record is written before the first byte of the attempt is sent.
     AttemptStarted {
-        /// The message's id.
+        /// Message id.
         id: String,
-        /// The attempt's number among those of the message, from 0.
+        /// Number of the attempt, counted from 0 for each message.
         number: u32,
-        /// The endpoint's name in the endpoint list.
+        /// Name of the endpoint in the endpoint list.
         endpoint: String,
-        /// When it started, in microseconds of Unix time.
+        /// Start of the attempt, in microseconds of Unix time.
         started_at_unix_us: u64,
     },
-    /// An attempt has finished, and its message has not.
+    /// An attempt finished without finishing its message.
     AttemptFinished {
-        /// The message's id.
+        /// Message id.
         id: String,
-        /// The attempt's number.
+        /// Number of the attempt, as in its `AttemptStarted` record.
         number: u32,
-        /// Whether its result proves that the destination never executed it.
+        /// Whether the result proves that the destination never executed the attempt.
         proves_not_executed: bool,
     },
     /// A message is finished.
     Finished {
-        /// The message's id.
+        /// Message id.
         id: String,
-        /// The final answer that the platform is to be notified of; `None` if the message was delivered.
+        /// Final answer of which the platform is notified; `None` if the message was delivered.
         notice: Option<FinalAnswer>,
     },
-    /// The platform has acknowledged the notice about a message.
+    /// The platform acknowledged the notice about a message.
     NoticeAcknowledged {
-        /// The message's id.
+        /// Message id.
         id: String,
     },
-    /// A pending message, copied by compaction.
+    /// A pending message was copied by compaction.
     Checkpoint(Checkpoint),
 }
 
-/// A pending message with all that is known of it, copied from a segment that is being compacted. It replaces
-/// every record about this message before it.
+/// A pending message with its attempts, copied from a segment that is being compacted. A checkpoint replaces all earlier
+/// records of the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// The message as it was accepted.
+    /// Message as in its `Accepted` record.
     pub accepted: AcceptedMessage,
-    /// Its position among all accepted messages; pending messages are listed in this order.
-    pub position: u64,
-    /// Its attempts so far, in the order of their numbers.
+    /// Number of the message in the order of acceptance, in which pending messages are listed.
+    pub acceptance_number: u64,
+    /// Attempts so far, in the order of their numbers.
     pub attempts: Vec<RecordedAttempt>,
-    /// Whether records of its attempts may have been lost to corruption.
+    /// Whether records of attempts may have been lost to corruption.
     pub records_lost: bool,
 }
 
-/// An attempt of a pending message, as the index and checkpoints keep it.
+/// An attempt of a pending message, as stored in the index and in checkpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAttempt {
-    /// The endpoint's name in the endpoint list, which stays valid across restarts; empty if its record was lost.
+    /// Name of the endpoint in the endpoint list; empty if the record of the attempt was lost.
     #[serde(with = "shared_str")]
     pub endpoint: Arc<str>,
-    /// When it started, in microseconds of Unix time; 0 if its record was lost.
+    /// Start of the attempt, in microseconds of Unix time; 0 if the record of the attempt was lost.
     pub started_at_unix_us: u64,
-    /// Whether it has finished, and what its result proves.
+    /// Result of the attempt, as far as one is recorded.
     pub state: AttemptState,
 }
 
 impl RecordedAttempt {
-    /// An attempt that has no result yet.
+    /// Returns an attempt that has no result yet.
     pub(crate) fn in_flight(endpoint: Arc<str>, started_at_unix_us: u64) -> RecordedAttempt {
         RecordedAttempt { endpoint, started_at_unix_us, state: AttemptState::InFlight }
     }
 
-    /// An attempt whose own record was lost; a later attempt's number shows that it existed.
+    /// Returns an attempt whose record was lost, and that is known only from the number of a later attempt.
     pub(crate) fn unknown() -> RecordedAttempt {
         RecordedAttempt::in_flight(Arc::from(""), 0)
     }
 }
 
-/// Whether an attempt has finished, and what its result proves.
+/// The recorded result of an attempt.
 ///
-/// On disk this is an `Option<bool>`: `None` while in flight, otherwise whether non-execution is proven.
+/// The encoding is an `Option<bool>`: `None` while in flight, otherwise whether non-execution is proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Option<bool>", into = "Option<bool>")]
 pub enum AttemptState {
-    /// No result was recorded. After a restart such an attempt counts as possibly executed.
+    /// No result is recorded. After a restart the attempt counts as possibly executed.
     InFlight,
-    /// It finished, and the destination may have executed it.
+    /// The attempt finished, and the destination may have executed it.
     PossiblyExecuted,
-    /// It finished in a way that proves that the destination never executed it.
+    /// The attempt finished with a result that proves that the destination never executed it.
     NotExecuted,
 }
 
 impl AttemptState {
-    /// Whether a result was recorded.
+    /// Returns whether a result is recorded.
     pub fn is_finished(self) -> bool {
         self != AttemptState::InFlight
     }
 
-    /// Whether its result proves that the destination never executed it.
+    /// Returns whether the recorded result proves that the destination never executed the attempt.
     pub fn proves_not_executed(self) -> bool {
         self == AttemptState::NotExecuted
     }
 
-    /// The state of an attempt that finished.
+    /// Returns the state of a finished attempt.
     pub(crate) fn finished(proves_not_executed: bool) -> AttemptState {
         if proves_not_executed {
             AttemptState::NotExecuted
@@ -153,7 +153,7 @@
     }
 }
 
-/// Serde for an `Arc<str>` as a plain string.
+/// Encodes an `Arc<str>` as a plain string.
 mod shared_str {
     use std::sync::Arc;
 
--- a/crates/wal/src/record_view.rs
+++ b/crates/wal/src/record_view.rs
@@ -1,4 +1,5 @@
-//! Records as they are encoded on disk, borrowed from the bytes that were read: a start reads millions of them.
+//! Records as they are encoded on disk. Views borrow from the encoded bytes, because opening a log may read millions of
+//! records.
 
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
@@ -6,15 +7,15 @@
 
 use crate::record::{AcceptedMessage, Record, RecordedAttempt};
 
-/// Disk space that is set aside for the records of one pending message's attempts, in bytes.
+/// Disk space that is reserved for the attempt records of a pending message.
 const ATTEMPTS_RESERVED_BYTES: u64 = 512;
 
-/// One record as postcard encodes it.
+/// A record as postcard encodes it.
 ///
-/// A variant's position in this list is its number on disk: variants are never reordered or removed.
+/// The order of the variants gives their numbers on disk, so that variants must not be reordered or removed.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum RecordView<'a> {
-    /// Version 1, without an idempotency key: read, and not written any more.
+    /// Format version 1, without an idempotency key: read, but no longer written.
     #[serde(borrow)]
     AcceptedV1(AcceptedFieldsView<'a>),
     AttemptStarted {
@@ -35,13 +36,13 @@
     NoticeAcknowledged {
         id: &'a str,
     },
-    /// Version 1, without an idempotency key: read, and not written any more.
+    /// Format version 1, without an idempotency key: read, but no longer written.
     CheckpointV1(CheckpointView<AcceptedFieldsView<'a>>),
     Accepted(AcceptedView<'a>),
     Checkpoint(CheckpointView<AcceptedView<'a>>),
 }
 
-/// The fields of a message that both versions have. The order of the fields is their order on disk.
+/// The fields of a message that format versions 1 and 2 share. The order of the fields is their order on disk.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct AcceptedFieldsView<'a> {
     pub id: &'a str,
@@ -54,7 +55,7 @@
     pub body: &'a [u8],
 }
 
-/// A message as version 2 writes it.
+/// A message in format version 2.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct AcceptedView<'a> {
     #[serde(borrow)]
@@ -62,28 +63,29 @@
     pub idempotency_key: Option<&'a str>,
 }
 
-/// A checkpoint, with the message as one of the versions writes it.
+/// A checkpoint whose message `T` is in format version 1 or 2.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CheckpointView<T> {
     pub accepted: T,
-    pub position: u64,
+    pub acceptance_number: u64,
     pub attempts: Vec<RecordedAttempt>,
     pub records_lost: bool,
 }
 
-/// Writes the body in one piece; serde's default for slices goes byte by byte.
+/// Writes the body at once, while serde's default for slices writes byte by byte.
 fn serialize_bytes<S: Serializer>(body: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(body)
 }
 
 impl<'a> RecordView<'a> {
-    /// Decodes a record of any version; one of version 1 becomes its current form. `None` if the bytes are no record.
+    /// Decodes a record of any format version and converts it to the current one. Returns `None` if the bytes are no
+    /// record.
     pub fn decode(bytes: &'a [u8]) -> Option<RecordView<'a>> {
         Some(match postcard::from_bytes(bytes).ok()? {
             RecordView::AcceptedV1(fields) => RecordView::Accepted(fields.without_idempotency_key()),
             RecordView::CheckpointV1(checkpoint) => RecordView::Checkpoint(CheckpointView {
                 accepted: checkpoint.accepted.without_idempotency_key(),
-                position: checkpoint.position,
+                acceptance_number: checkpoint.acceptance_number,
                 attempts: checkpoint.attempts,
                 records_lost: checkpoint.records_lost,
             }),
@@ -91,7 +93,7 @@
         })
     }
 
-    /// The message that this record carries, if it carries one.
+    /// Returns the message that the record carries; `None` if it is neither an accepted message nor a checkpoint.
     pub fn accepted(&self) -> Option<AcceptedMessage> {
         match self {
             RecordView::Accepted(accepted) => Some(accepted.to_owned()),
@@ -108,7 +110,7 @@
 }
 
 impl AcceptedView<'_> {
-    /// Disk space that the message needs until it is finished, in bytes: its own record, and those of some attempts.
+    /// Returns the disk space that is reserved for the message and its attempt records until it is finished, in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         let fields = &self.fields;
         let optional = |text: Option<&str>| text.map_or(0, str::len);
@@ -133,12 +135,12 @@
 }
 
 impl AcceptedMessage {
-    /// Disk space that the message needs until it is finished, in bytes.
+    /// Returns the disk space that is reserved for the message and its attempt records until it is finished, in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         self.view().reserved_bytes()
     }
 
-    /// The message as it is encoded.
+    /// Returns the view that is encoded for the message.
     pub(crate) fn view(&self) -> AcceptedView<'_> {
         AcceptedView {
             fields: AcceptedFieldsView {
@@ -156,7 +158,7 @@
 }
 
 impl Record {
-    /// The record as it is encoded.
+    /// Returns the view that is encoded for the record.
     pub(crate) fn view(&self) -> RecordView<'_> {
         match self {
             Record::Accepted(accepted) => RecordView::Accepted(accepted.view()),
@@ -175,7 +177,7 @@
             Record::NoticeAcknowledged { id } => RecordView::NoticeAcknowledged { id },
             Record::Checkpoint(checkpoint) => RecordView::Checkpoint(CheckpointView {
                 accepted: checkpoint.accepted.view(),
-                position: checkpoint.position,
+                acceptance_number: checkpoint.acceptance_number,
                 attempts: checkpoint.attempts.clone(),
                 records_lost: checkpoint.records_lost,
             }),
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads the write-ahead log of a folder, without changing anything.
+//! Reads the write-ahead log of a folder without changing any file.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Read;
@@ -13,51 +13,51 @@
 use crate::storage::Storage;
 use crate::verification::{Corruption, VerificationReport};
 
-/// Missing segments that are reported one by one in one gap of the numbers.
-const MAX_REPORTED_GAP: u64 = 1000;
+/// Maximum number of missing segments that are reported for one gap in the numbers.
+const MAX_REPORTED_MISSING_SEGMENTS: u64 = 1000;
 
-/// Whether a segment is the one to which records were appended last.
+/// Whether a segment is the last one, to which records were appended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SegmentPosition {
-    /// It is the last one, so that it may end in a torn write.
+    /// The last segment, which may end in a torn write.
     Last,
-    /// Another one follows it, so that it must be complete.
+    /// A segment that is followed by another one, and must be complete.
     Earlier,
 }
 
-/// The state of a folder, as read from its files.
+/// The state of a write-ahead log, as read from its files.
 pub(crate) struct RecoveredState {
-    /// The index that results from the records.
+    /// Pending messages and unacknowledged notices that result from the records.
     pub index: PendingIndex,
-    /// Totals of what was read, and the parts that could not be read.
+    /// Corrupt parts, and totals of what was read.
     pub verification: VerificationReport,
-    /// Segments that count, with their lengths in bytes.
+    /// Numbers of the segments in use, with their lengths in bytes.
     pub segments: BTreeMap<u64, u64>,
-    /// Segments with a part that can't be read.
+    /// Numbers of segments with unreadable parts.
     pub corrupt_segments: BTreeSet<u64>,
-    /// Where the torn write at the end of the last segment starts.
+    /// Offset of the torn write at the end of the last segment, in bytes; `None` if there is no torn write.
     pub torn_at: Option<u64>,
-    /// Segments that were compacted and not removed yet, or were left by an interrupted migration.
+    /// Numbers of segments that were compacted but not removed yet, or were left by an interrupted migration.
     pub superseded_segments: Vec<u64>,
-    /// The number of the first segment that counts.
+    /// Number of the first segment in use.
     pub first_segment: u64,
-    /// The bytes of the oldest format's single file, if the folder was not migrated yet.
+    /// Content of the single file of the oldest format; `None` if there is none, or if the folder is migrated.
     pub single_file: Option<Vec<u8>>,
-    /// Whether there is a manifest, readable or not.
+    /// Whether a manifest exists, even if it is corrupt.
     pub has_manifest: bool,
-    /// Whether the last segment is of an older version.
+    /// Whether the last segment has an older format version.
     pub last_segment_is_older: bool,
 }
 
-/// Reads a folder.
+/// Reads the write-ahead log of a folder.
 ///
 /// # Errors
 ///
-/// [`WalError::UnsupportedVersion`] where any part of it is of a later version: then nothing of it is used.
+/// [`WalError::UnsupportedVersion`] if the manifest or any segment has a later version, and [`WalError::Io`].
 pub(crate) fn read(storage: &dyn Storage) -> Result<RecoveredState, WalError> {
     let files = storage.files()?;
     let manifest = manifest::read(storage, &files)?;
-    let sizes = files.iter().filter_map(|(name, size)| Some((segment::number_in(name)?, *size)));
+    let sizes = files.iter().filter_map(|(name, size)| Some((segment::parse_file_name(name)?, *size)));
     let mut state = RecoveredState::new(sizes.collect(), manifest);
     check_versions(storage, &state.segments)?;
     if matches!(manifest, StoredManifest::Missing) && files.contains_key(single_file::FILE_NAME) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Reads the oldest format. Segments beside it are left by a migration that was interrupted.
+    /// Reads the single file of the oldest format. Any segments next to the file were left by an interrupted migration.
     fn read_single_file(&mut self, storage: &dyn Storage) -> Result<(), WalError> {
         self.superseded_segments = std::mem::take(&mut self.segments).into_keys().collect();
         let mut bytes = Vec::new();
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Finds the first segment that counts, and separates those before it.
+    /// Finds the first segment in use, and moves the segments before it to `superseded_segments`.
     fn select_segments(&mut self, manifest: StoredManifest, manifest_bytes: u64) {
         let lowest = self.segments.keys().next().copied();
         self.first_segment = match manifest {
@@ -126,17 +126,17 @@
         let superseded = std::mem::replace(&mut self.segments, counted);
         self.superseded_segments = superseded.into_keys().collect();
         if self.segments.is_empty() && self.first_segment > 1 {
-            // The last segment is never dropped, so that there must have been one.
+            // Compaction never removes the last segment, so that at least one must exist.
             self.verification.add(Corruption::missing(&segment::file_name(self.first_segment)));
         }
     }
 
-    /// Reads the segments that count in the order of their numbers, and reports those that are missing.
+    /// Reads the segments in use in the order of their numbers, and reports missing ones.
     fn read_segments(&mut self, storage: &dyn Storage) -> Result<(), WalError> {
         let last = self.segments.keys().next_back().copied();
         let mut expected = self.first_segment;
         for (number, size) in self.segments.clone() {
-            for missing in expected..number.min(expected + MAX_REPORTED_GAP) {
+            for missing in expected..number.min(expected + MAX_REPORTED_MISSING_SEGMENTS) {
                 self.verification.add(Corruption::missing(&segment::file_name(missing)));
                 self.index.mark_records_lost();
             }
@@ -162,7 +162,7 @@
         let scan = SegmentScan::start(storage.reader(&file)?, number)?;
         match scan.header() {
             SegmentHeader::Incomplete if is_last => {
-                // It was created, and torn before any record was written to it.
+                // The write that created the segment was torn before its first record.
                 self.verification.torn_bytes += self.segments.get(&number).copied().unwrap_or_default();
                 self.torn_at = Some(0);
                 return Ok(());
@@ -170,15 +170,15 @@
             SegmentHeader::Incomplete | SegmentHeader::Corrupt => {
                 self.add_corruption(number, Corruption::new(&file, 0, SEGMENT_HEADER_BYTES as u64));
             }
-            // Nothing is appended to an older version's segment: its program would take the new records for
-            // corruption.
+            // A segment of an older version is not appended to, because the older program would report the new
+            // records as corruption.
             SegmentHeader::Supported { version } if is_last => self.last_segment_is_older = version < VERSION,
             SegmentHeader::Supported { .. } | SegmentHeader::Unsupported { .. } => {}
         }
         self.read_records(scan, number, position)
     }
 
-    /// Applies the records of a segment to the index, and reports the parts that can't be read.
+    /// Applies the records of a segment to the index, and reports corrupt parts.
     fn read_records(
         &mut self,
         mut scan: SegmentScan<impl Read>,
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Reports a corrupt part. It may have held records of any message that is pending at this point of the log.
+    /// Reports a corrupt part, and marks all messages that are pending at this point of the log, because their records
+    /// may have been in the corrupt part.
     fn add_corruption(&mut self, segment: u64, corruption: Corruption) {
         self.verification.add(corruption);
         self.index.mark_records_lost();
--- a/crates/wal/src/single_file.rs
+++ b/crates/wal/src/single_file.rs
@@ -1,5 +1,5 @@
-//! The oldest format: a single file of frames, each with length and checksum, and no header. It is read once, at
-//! the first start of a program that writes segments.
+//! The oldest format: a single file of frames with length and checksum, without a file header. The file is migrated to
+//! segments by the first start of a program that writes segments.
 
 use crate::live_records::RecordLocation;
 use crate::pending_index::PendingIndex;
@@ -7,20 +7,20 @@
 use crate::record_view::RecordView;
 use crate::verification::Corruption;
 
-/// The name of the single file.
+/// Name of the single file.
 pub(crate) const FILE_NAME: &str = "ledger";
-/// Bytes of a frame before its record: length and checksum.
+/// Size of a frame's header: length and checksum.
 const FRAME_HEADER_BYTES: usize = 8;
-/// A frame with a greater length is taken as corrupt: a body of 64 KiB with its names is far shorter.
+/// Maximum length of a record; a frame with a greater length is corrupt. A record with a body of 64 KiB is shorter.
 const MAX_RECORD_BYTES: usize = 1 << 20;
 
-/// A valid frame: its record, and its length in bytes.
+/// A valid frame with its length in bytes.
 struct ValidFrame<'a> {
     record: RecordView<'a>,
     length: usize,
 }
 
-/// The frame at the start of `bytes`, if it is complete and its record can be decoded.
+/// Parses the frame at the start of `bytes`; returns `None` if the frame is incomplete or corrupt.
 fn parse_frame(bytes: &[u8]) -> Option<ValidFrame<'_>> {
     let header = bytes.get(..FRAME_HEADER_BYTES)?;
     let record_bytes = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
@@ -36,7 +36,7 @@
     Some(ValidFrame { record: RecordView::decode(record)?, length })
 }
 
-/// Applies all records of the file to the index, and returns the parts that can't be read.
+/// Applies all records of the file to the index, and returns the corrupt parts.
 pub(crate) fn read(bytes: &[u8], index: &mut PendingIndex) -> Vec<Corruption> {
     let mut corruptions = Vec::new();
     let mut position = 0;
@@ -50,14 +50,14 @@
         while position < bytes.len() && parse_frame(&bytes[position..]).is_none() {
             position += 1;
         }
-        // The length has no checksum in this format, so that a torn write can't be distinguished from corruption.
+        // A torn write can't be distinguished from corruption, because the length has no checksum in this format.
         index.mark_records_lost();
         corruptions.push(Corruption::new(FILE_NAME, start as u64, (position - start) as u64));
     }
     corruptions
 }
 
-/// The message whose record is at this location.
+/// Reads the message whose record is at a location; returns `None` if the record is corrupt or carries no message.
 pub(crate) fn read_message(bytes: &[u8], location: RecordLocation) -> Option<AcceptedMessage> {
     parse_frame(bytes.get(location.offset as usize..)?)?.record.accepted()
 }
--- a/crates/wal/src/verification.rs
+++ b/crates/wal/src/verification.rs
@@ -1,35 +1,34 @@
-//! The report of reading the whole write-ahead log: corruption, torn writes, and totals.
+//! The report on reading a whole write-ahead log: corrupt parts, torn writes, and totals.
 
 use std::fmt;
 
-/// The most corrupt places that are listed; further ones are counted.
-const MAX_LISTED: usize = 100;
+/// Maximum number of corrupt places that are listed; further ones are counted.
+const MAX_LISTED_CORRUPTIONS: usize = 100;
 
-/// A part of the write-ahead log that can't be read.
+/// A part of a write-ahead log that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Corruption {
-    /// The name of the file in the folder.
+    /// Name of the file in the folder.
     pub file: String,
-    /// Where the part starts, in bytes.
+    /// Offset of the part in the file, in bytes.
     pub offset: u64,
-    /// Its length in bytes; 0 if the whole file is missing.
+    /// Length of the part; 0 if the whole file is missing.
     pub bytes: u64,
-    /// The longest run of text in it, most likely an id; empty if there is none.
+    /// Longest run of printable text in the part, probably an id; empty if there is none.
     pub hint: String,
 }
 
 impl Corruption {
-    /// A part of a file, without a hint.
+    /// Returns a corrupt part of a file, without a hint.
     pub(crate) fn new(file: &str, offset: u64, bytes: u64) -> Corruption {
         Corruption { file: file.to_owned(), offset, bytes, hint: String::new() }
     }
 
-    /// A file that should exist and does not.
+    /// Returns the corruption for a missing file.
     pub(crate) fn missing(file: &str) -> Corruption {
         Corruption::new(file, 0, 0)
     }
 
-    /// Adds a hint.
     pub(crate) fn with_hint(self, hint: String) -> Corruption {
         Corruption { hint, ..self }
     }
@@ -48,39 +47,40 @@
     }
 }
 
-/// The result of reading the whole write-ahead log.
+/// The result of reading a whole write-ahead log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// Bytes of a torn write at the end. This is usual after a kill, and is not corruption.
+    /// Bytes of a torn write at the end of the last segment. A killed process usually leaves a torn write, which is not
+    /// corruption.
     pub torn_bytes: u64,
-    /// Corrupt places, in the order in which they were found, up to a bounded number.
+    /// The first corrupt places, in the order in which they were found.
     pub corruptions: Vec<Corruption>,
-    /// Corrupt places beyond those listed.
+    /// Number of corrupt places beyond those in `corruptions`.
     pub unlisted_corruptions: u64,
-    /// Segments that were read.
+    /// Number of segments that were read.
     pub segments: u64,
-    /// Bytes of the files that were read.
+    /// Size of all segments, or of the single file of the oldest format.
     pub bytes: u64,
-    /// Records that were read.
+    /// Number of records with matching checksums in segments; 0 for the single file of the oldest format.
     pub records: u64,
 }
 
 impl VerificationReport {
-    /// Adds a corrupt place to the list, or only counts it if the list is full.
+    /// Adds a corrupt place to the list, or counts it if the list is full.
     pub(crate) fn add(&mut self, corruption: Corruption) {
-        if self.corruptions.len() < MAX_LISTED {
+        if self.corruptions.len() < MAX_LISTED_CORRUPTIONS {
             self.corruptions.push(corruption);
         } else {
             self.unlisted_corruptions += 1;
         }
     }
 
-    /// Whether nothing is corrupt.
+    /// Returns whether no part is corrupt. A torn write does not count.
     pub fn is_sound(&self) -> bool {
         self.corruptions.is_empty()
     }
 
-    /// All corrupt places, listed or not.
+    /// Returns the number of all corrupt places, listed or not.
     pub(crate) fn corruption_count(&self) -> u64 {
         self.corruptions.len() as u64 + self.unlisted_corruptions
     }
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -1,5 +1,5 @@
-//! The open write-ahead log: its state and its queries. Opening, appending, compaction and the disk reserve are
-//! implemented in modules of their own.
+//! The open write-ahead log: its state and its queries. The modules `opening`, `appending`, `compaction` and
+//! `disk_reserve` implement its other operations.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,20 +15,21 @@
 use crate::storage::Storage;
 use crate::verification::VerificationReport;
 
-/// After the disk was full, no message is accepted before one part in this many of what was pending then is finished:
-/// sooner, each submission would cause a write that fails.
-const FULL_DISK_RETRY_SHARE: u64 = 16;
+/// Divisor of the bytes that were pending when the disk was full. Messages are accepted again after this part of them
+/// is finished, so that submissions do not cause one failing write after another.
+const FULL_DISK_RETRY_DIVISOR: u64 = 16;
 
-/// When appended records are synced to disk (`fdatasync`), so that they survive a loss of the machine and not only
-/// the end of the process.
+/// When appended records are synced to disk (`fdatasync`). Synced records survive a loss of the machine; other records
+/// survive only the end of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SyncPolicy {
-    /// Never: the records survive the process, and are lost with the machine.
+    /// Records are not synced, and may be lost with the machine.
     #[default]
     Never,
-    /// Before each append returns. All records of one append share one sync.
+    /// Records are synced before the append returns. All records of one append share one sync.
     EachAppend,
-    /// With the first append after this interval: a lost machine loses what was written since the last sync.
+    /// Records are synced by the first append after this interval. A loss of the machine loses records written since the
+    /// last sync.
     Interval(Duration),
 }
 
@@ -39,37 +40,38 @@
     pub(crate) sync: SyncPolicy,
     pub(crate) index: PendingIndex,
     pub(crate) verification: VerificationReport,
-    /// Nothing may be appended to the last segment: it ends in bytes that can't be read, or has an older version.
+    /// Whether appends must start a new segment, because the last one ends in unreadable bytes or has an older version.
     pub(crate) last_segment_sealed: bool,
-    /// A `Finished` record for each message whose `Accepted` record may be in the log although its client was not
-    /// answered 202, because a failed write could not be undone. They are written before anything else.
+    /// `Finished` records that the next append writes first. Each is for a message whose client was not answered 202,
+    /// but whose `Accepted` record may be in the log because a failed write could not be undone.
     pub(crate) retractions: Vec<Record>,
-    /// Segments with bytes that were not synced.
+    /// Numbers of segments with bytes that were not synced.
     pub(crate) unsynced_segments: BTreeSet<u64>,
-    /// The time of the last sync, on the clock whose times are passed to appends.
+    /// Time of the last sync, on the clock of the `now` that is passed to appends.
     pub(crate) last_sync: Duration,
-    /// Segments with a part that can't be read.
+    /// Numbers of segments with unreadable parts.
     pub(crate) corrupt_segments: BTreeSet<u64>,
-    /// Live records of the first segment from this offset on are not copied yet.
+    /// Offset in the first segment, in bytes, from which compaction has not copied live records yet.
     pub(crate) compaction_offset: u64,
-    /// Bytes that the disk reserve has now.
+    /// Current size of the disk reserve.
     pub(crate) reserve_bytes: u64,
-    /// The bytes that were pending when the disk was last full; `None` if it was not full since a segment was dropped.
+    /// Bytes that were pending when the disk was last full; `None` if the disk was not full since compaction last removed
+    /// a segment.
     pub(crate) pending_bytes_when_full: Option<u64>,
     pub(crate) quarantine: Quarantine,
-    /// The buffer in which appends are encoded, kept for the next one.
+    /// Buffer in which appends are encoded, reused by the next append.
     pub(crate) encode_buffer: Vec<u8>,
-    /// Failures of compaction are not logged again before this time.
+    /// Time before which failures of compaction are not logged again.
     pub(crate) compaction_warnings_muted_until: Duration,
 }
 
 impl WriteAheadLog {
-    /// All pending messages and unacknowledged notices.
+    /// Returns the index of all pending messages and unacknowledged notices.
     pub fn index(&self) -> &PendingIndex {
         &self.index
     }
 
-    /// What reading the whole log at the start found.
+    /// Returns the report on the corrupt parts and totals that were found when the log was opened.
     pub fn verification(&self) -> &VerificationReport {
         &self.verification
     }
@@ -78,7 +80,8 @@
     ///
     /// # Errors
     ///
-    /// If the segment can't be read, or the record at this location is corrupt or carries no message.
+    /// [`WalError::Io`] if the segment can't be read, [`WalError::CorruptRecord`] if the record is corrupt, and
+    /// [`WalError::UnexpectedRecord`] if the record carries no message.
     pub fn read_message(&self, pending: &PendingMessage) -> Result<AcceptedMessage, WalError> {
         let location = pending.location();
         let file = segment::file_name(location.segment);
@@ -89,20 +92,20 @@
         record.accepted().ok_or(WalError::UnexpectedRecord)
     }
 
-    /// Bytes that are free for messages accepted from here on, counted as [`AcceptedMessage::reserved_bytes`] counts them.
+    /// Returns the bytes that are available for new messages, in the measure of [`AcceptedMessage::reserved_bytes`].
     pub fn free_bytes(&self) -> u64 {
         let pending_bytes = self.index.pending_bytes();
         let recently_full = self
             .pending_bytes_when_full
-            .is_some_and(|then| pending_bytes > then - then / FULL_DISK_RETRY_SHARE);
-        // Without the whole reserve, the final records of messages that are pending already may not fit.
+            .is_some_and(|then| pending_bytes > then - then / FULL_DISK_RETRY_DIVISOR);
+        // Final records of pending messages may not fit unless the disk reserve is complete.
         if recently_full || self.reserve_bytes < self.plan.reserve_bytes() {
             return 0;
         }
         self.plan.max_pending_bytes().saturating_sub(pending_bytes)
     }
 
-    /// Bytes of all files, in whole blocks.
+    /// Returns the size of all files in bytes, each rounded up to whole blocks.
     pub fn used_bytes(&self) -> u64 {
         self.plan.used_bytes()
     }
--- a/crates/wal/tests/processes.rs
+++ b/crates/wal/tests/processes.rs
@@ -1,7 +1,7 @@
-//! Real processes on a real folder, killed at random moments.
+//! Guards against records that are lost when a process is killed at a random moment.
 //!
-//! This is a test program of its own: a process that is being started holds the file locks of the one that starts it
-//! for a moment, so that other tests beside it could find their folders locked.
+//! These tests have a test program of their own, because a child process briefly inherits the file locks of its parent,
+//! so that other tests in the same program could find their folders locked.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Write};
@@ -16,16 +16,16 @@
 
 use support::{accepted, finished, started};
 
-/// Names the folder to the process that is killed; without it that "test" does nothing.
+/// Environment variable with the folder of the child process; without the variable, the child's test does nothing.
 const FOLDER_VARIABLE: &str = "REEDDOCK_WAL_TEST_FOLDER";
 const FOLDER_BYTES: u64 = 200_000;
-/// What the process that is killed says of a message, before its id.
+/// First words of the lines that the child process prints; the id of a message follows.
 const ACCEPTED: &str = "accepted";
 const FINISHED: &str = "finished";
 
-/// Not a test of its own: what the killed process runs. It prints each line once the write-ahead log has the records.
+/// Runs in the child process, and prints a line after each append.
 #[test]
-fn the_process_that_is_killed() {
+fn child_process_appends_until_it_is_killed() {
     let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else { return };
     let mut log = WriteAheadLog::open(folder.as_ref(), FOLDER_BYTES, SyncPolicy::Never).unwrap();
     let mut out = std::io::stdout().lock();
@@ -51,13 +51,13 @@
     let mut pending = BTreeSet::new();
     for round in 0..12 {
         let mut child = Command::new(std::env::current_exe().unwrap())
-            .args(["--exact", "the_process_that_is_killed", "--nocapture"])
+            .args(["--exact", "child_process_appends_until_it_is_killed", "--nocapture"])
             .env(FOLDER_VARIABLE, folder.path())
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
         let lines = BufReader::new(child.stdout.take().unwrap());
-        // After so many lines the process is killed; what it printed until then is read to the end.
+        // The process is killed after `kill_after` lines; the lines that it printed before it ended are read too.
         let kill_after = random.random_range(1..900);
         let mut printed = 0;
         for line in lines.lines() {
@@ -73,18 +73,21 @@
             }
         }
         child.wait().unwrap();
-        assert!(printed >= kill_after, "round {round}: it ended by itself");
+        assert!(printed >= kill_after, "round {round}: the child process ended before it was killed");
         let Inspection { index, verification } = inspect(folder.path()).unwrap();
         assert!(verification.is_sound(), "round {round}: {verification:?}");
         let found: BTreeSet<String> =
             index.pending().iter().map(|message| message.id.0.to_string()).collect();
-        // One more group may have been written, and its line not.
+        // The last group may have been written without its line.
         let missing: Vec<_> = pending.difference(&found).collect();
         let more: Vec<_> = found.difference(&pending).collect();
-        assert!(missing.len() <= 1 && more.len() <= 1, "round {round}: {missing:?} missing, {more:?} more");
+        assert!(
+            missing.len() <= 1 && more.len() <= 1,
+            "round {round}: {missing:?} missing, {more:?} unexpected"
+        );
         assert!(index.pending().iter().all(|message| message.attempts.len() == 1 && !message.records_lost));
         pending = found;
-        // The next process goes on in this folder.
+        // The next round opens the same folder.
         let size: u64 =
             std::fs::read_dir(folder.path()).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum();
         assert!(size <= FOLDER_BYTES, "{size}");
--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Records that all test programs write.
+//! Records for all test programs.
 
 use bytes::Bytes;
 use reeddock_wal::{AcceptedMessage, Record};
 
-/// A message with all optional fields; its body repeats its id up to so many bytes.
+/// Returns the record of a message with all optional fields; the body repeats the id up to `body_bytes` bytes.
 pub fn accepted(id: &str, body_bytes: usize) -> Record {
     Record::Accepted(AcceptedMessage {
         id: id.into(),
@@ -17,12 +17,12 @@
     })
 }
 
-/// The start of an attempt, at an endpoint named by its number.
+/// Returns the record of the start of an attempt, at an endpoint that is named after the attempt's number.
 pub fn started(id: &str, number: u32) -> Record {
     Record::AttemptStarted { id: id.into(), number, endpoint: format!("t{number}"), started_at_unix_us: 5 }
 }
 
-/// The end of a message that was delivered.
+/// Returns the record of a message that was delivered.
 pub fn finished(id: &str) -> Record {
     Record::Finished { id: id.into(), notice: None }
 }
--- a/crates/wal/tests/wal/compaction.rs
+++ b/crates/wal/tests/wal/compaction.rs
@@ -1,4 +1,4 @@
-//! What compaction keeps, and how much it frees.
+//! Guards against compaction that loses or restores messages, or frees too little space.
 
 use reeddock_wal::memory_storage::MemoryStorage;
 use reeddock_wal::{PendingCounts, SyncPolicy, WriteAheadLog};
@@ -7,7 +7,7 @@
 use crate::support::{accepted, finished, started};
 
 #[test]
-fn a_log_of_finished_messages_is_compacted_to_little() {
+fn log_of_finished_messages_stays_small() {
     const LARGE_FOLDER_BYTES: u64 = 1 << 20;
     let memory = MemoryStorage::default();
     let mut log =
@@ -18,13 +18,13 @@
         log.append(&[finished(&id)], NOW).unwrap();
         assert!(log.used_bytes() <= LARGE_FOLDER_BYTES);
     }
-    // The folder is not filled with what is finished.
+    // Finished messages do not fill the folder.
     assert!(log.used_bytes() < 300_000, "{}", log.used_bytes());
     assert_eq!(reopen(&memory).index().counts(), PendingCounts { messages: 0, notices: 0 });
 }
 
 #[test]
-fn a_message_that_finishes_while_its_segment_is_compacted_stays_finished() {
+fn message_that_finishes_while_its_segment_is_compacted_stays_finished() {
     let memory = MemoryStorage::default();
     let mut log = open(&memory);
     let mut pending: Vec<String> = Vec::new();
@@ -33,7 +33,7 @@
         log.append(&[accepted(&id, 200), started(&id, 0)], NOW).unwrap();
         pending.push(id);
         if pending.len() > 12 {
-            // Those in the middle of the first segments, as they are being copied.
+            // The message is in the middle of the first segments, which are being copied.
             let done = pending.remove(n % 7);
             log.append(&[finished(&done)], NOW).unwrap();
         }
--- a/crates/wal/tests/wal/compaction_plan.rs
+++ b/crates/wal/tests/wal/compaction_plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the bounds that the compaction plan promises.
+//! Guards the bounds of the compaction plan.
 
 use std::collections::BTreeMap;
 
@@ -18,11 +18,11 @@
 }
 
 #[test]
-fn a_step_is_bounded_and_grows_with_what_was_appended() {
+fn step_is_proportional_to_appended_bytes_up_to_its_maximum() {
     let mut plan = CompactionPlan::new(1 << 30);
     (1..30).for_each(|n| plan.set_segment_size(n, 32 << 20));
     let CompactionStep::Copy { bytes, .. } = plan.after_append(50_000, 0) else {
-        panic!("it is nearly full")
+        panic!("the folder is nearly full, and no step is due")
     };
     assert_eq!(bytes, COPIED_PER_APPENDED_BYTE * 50_000);
     plan.consume_credit(bytes);
@@ -30,8 +30,8 @@
     assert_eq!(bytes, MAX_STEP_BYTES);
 }
 
-/// The worst that the bounds allow: two fifths are pending, all in the first segments, and only appends bring
-/// compaction on.
+/// Checks the worst case: two fifths of the folder are pending, all in the first segments, and only appends start
+/// compaction steps.
 #[test]
 fn compaction_passes_all_segments_before_the_folder_is_full() {
     for max_bytes in [200_000, 3_000_000, 1 << 30] {
@@ -40,7 +40,7 @@
         let pending_bytes = plan.max_pending_bytes();
         let (mut live, mut copied) = (BTreeMap::new(), 0);
         let mut left = pending_bytes;
-        // What is pending, then what is finished, up to where compaction starts.
+        // Pending messages, then finished ones, up to the threshold at which compaction starts.
         while plan.used_bytes() < plan.start_threshold(pending_bytes) {
             let number = plan.next_segment();
             let size = plan.max_segment_bytes().min(max_bytes / 40);
@@ -76,6 +76,9 @@
             }
             assert!(plan.used_bytes() <= max_bytes, "{} of {max_bytes}", plan.used_bytes());
         }
-        assert!(copied > pending_bytes, "it went through all segments, of {max_bytes}");
+        assert!(
+            copied > pending_bytes,
+            "compaction did not pass all segments of a folder of {max_bytes} bytes"
+        );
     }
 }
--- a/crates/wal/tests/wal/corruption.rs
+++ b/crates/wal/tests/wal/corruption.rs
@@ -1,4 +1,4 @@
-//! Bits that flip, noise behind the last record, segments that are missing.
+//! Guards against corruption that is not reported, or that hides messages or their attempts.
 
 use std::collections::BTreeSet;
 
@@ -11,33 +11,33 @@
 use crate::model::Model;
 use crate::support::accepted;
 
-/// Holds what is read after a bit was flipped in a file against the reference of what was written.
+/// Compares a log that was read after a bit flip in `file` with the reference model of what was written.
 fn check_after_flip(log: &WriteAheadLog, model: &Model, file: &str, place: &str) {
-    assert!(!log.verification().is_sound(), "{place}: not seen");
+    assert!(!log.verification().is_sound(), "{place}: corruption not detected");
     let reported: String = log.verification().corruptions.iter().map(ToString::to_string).collect();
-    assert!(reported.contains(file), "{place}: not named: {reported}");
+    assert!(reported.contains(file), "{place}: file not named in {reported}");
     let orphans: BTreeSet<MessageId> = log.index().orphans().cloned().collect();
     for (id, attempts) in &model.pending {
         let key = MessageId(id.as_str().into());
         let Some(pending) = log.index().get(&key) else {
-            // Its place is reported, and its id too unless the flipped bit stands in that.
+            // The report names the id, or at least one of its halves if the flipped bit is in the id.
             let named = orphans.contains(&key) || reported.contains(&id[..4]) || reported.contains(&id[5..]);
-            assert!(named, "{place}: {id} has vanished: {reported}");
+            assert!(named, "{place}: {id} is missing and not reported: {reported}");
             continue;
         };
         let was_sent = attempts.iter().any(|state| !state.proves_not_executed());
         let possibly_executed = pending.records_lost
             || pending.attempts.iter().any(|attempt| !attempt.state.proves_not_executed());
-        assert!(!was_sent || possibly_executed, "{place}: {id} was sent, and counts as never executed");
+        assert!(!was_sent || possibly_executed, "{place}: {id} was sent, but counts as never executed");
     }
-    // What was finished is either finished still or counts as possibly executed.
+    // A finished message is either still finished or counts as possibly executed.
     if let Some(done) = log.index().get(&MessageId("cccc-done".into())) {
         assert!(done.records_lost || !done.attempts.is_empty(), "{place}");
     }
 }
 
 #[test]
-fn any_flipped_bit_is_reported_and_hides_no_message_and_no_execution() {
+fn any_flipped_bit_is_reported_and_hides_no_message_or_execution() {
     let (memory, model) = mixed_records();
     let files = memory.files().unwrap();
     let mut flips = 0;
@@ -56,19 +56,19 @@
 }
 
 #[test]
-fn noise_and_zeros_are_kept_and_nothing_is_written_behind_them() {
+fn unreadable_bytes_after_the_last_record_are_kept_and_not_appended_to() {
     for noise in [vec![0; 700], (0..700).map(|n| (n * 7 % 251) as u8).collect::<Vec<u8>>()] {
         let (memory, model) = mixed_records();
         let mut bytes = memory.bytes(FIRST_SEGMENT);
         bytes.extend(&noise);
-        memory.put(FIRST_SEGMENT, &bytes);
+        memory.write_file(FIRST_SEGMENT, &bytes);
         let mut log = open(&memory);
         assert!(!log.verification().is_sound());
         assert_eq!(log.index().counts().messages, model.pending.len());
         log.append(&[accepted("later", 10)], NOW).unwrap();
-        assert_eq!(memory.bytes(FIRST_SEGMENT), bytes, "left as it was found");
+        assert_eq!(memory.bytes(FIRST_SEGMENT), bytes, "the segment is unchanged");
         assert!(reopen(&memory).index().get(&MessageId("later".into())).is_some());
-        // Once it holds no live record, it is quarantined.
+        // The segment is quarantined when it has no more live records.
         let mut load = Load::new(3, 300);
         load.model = Model { pending: model.pending.clone(), notices: Default::default() };
         load.model.pending.insert("later".into(), Vec::new());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_missing_segment_is_reported_by_name() {
+fn missing_segment_is_reported_by_name() {
     let memory = MemoryStorage::default();
     let mut log = open(&memory);
     for n in 0..40 {
@@ -88,7 +88,7 @@
     without_segment.remove("ledger-000000000002").unwrap();
     let log = reopen(&without_segment);
     assert_eq!(log.verification().corruptions[0].to_string(), "ledger-000000000002 is missing");
-    // Messages before it may have been sent, those behind it not.
+    // Messages before the missing segment may have been sent; messages after it were not.
     let pending = log.index().pending();
     assert!(pending.first().unwrap().records_lost && !pending.last().unwrap().records_lost);
 }
--- a/crates/wal/tests/wal/crashes.rs
+++ b/crates/wal/tests/wal/crashes.rs
@@ -1,4 +1,4 @@
-//! The process is killed, or the machine is lost, after any single operation.
+//! Guards against lost or restored messages after a kill or a loss of the machine at any operation.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -14,20 +14,28 @@
 const GROUPS: usize = 200;
 const BODY_BYTES: usize = 300;
 
-/// What is put between the log and its folder.
-type Wrap = fn(MemoryStorage) -> Box<dyn Storage>;
+/// Makes the storage through which the log accesses its folder.
+type MakeStorage = fn(MemoryStorage) -> Box<dyn Storage>;
 
-fn unwrapped(memory: MemoryStorage) -> Box<dyn Storage> {
+fn direct_storage(memory: MemoryStorage) -> Box<dyn Storage> {
     Box::new(memory)
 }
 
-/// Plays the load until the folder stops after so many operations, and holds what the next start finds against the
-/// reference.
-fn crash(stops_after: u64, torn_write_bytes: usize, sync: SyncPolicy, wrap: Wrap) -> Result<(), String> {
+/// Appends the load until operations fail, and compares the state that the next start reads with the reference model.
+fn crash(
+    fails_after_operations: u64,
+    torn_write_bytes: usize,
+    sync: SyncPolicy,
+    make_storage: MakeStorage,
+) -> Result<(), String> {
     let memory = MemoryStorage::default();
-    memory.set_faults(Faults { stops_after: Some(stops_after), torn_write_bytes, ..Faults::default() });
+    memory.set_faults(Faults {
+        fails_after_operations: Some(fails_after_operations),
+        torn_write_bytes,
+        ..Faults::default()
+    });
     let mut load = Load::new(7, BODY_BYTES);
-    let opened = WriteAheadLog::open_in(wrap(memory.clone()), FOLDER_BYTES, sync);
+    let opened = WriteAheadLog::open_in(make_storage(memory.clone()), FOLDER_BYTES, sync);
     let played = match opened {
         Ok(mut log) => load.play(&mut log, GROUPS),
         Err(_) => Ok(()),
@@ -40,10 +48,10 @@
     let mut log =
         WriteAheadLog::open_in(Box::new(left.clone()), FOLDER_BYTES, sync).map_err(|e| e.to_string())?;
     if !log.verification().is_sound() {
-        return Err(format!("corruption where there was a crash: {:?}", log.verification().corruptions));
+        return Err(format!("corruption reported after a crash: {:?}", log.verification().corruptions));
     }
     Model::of(log.index()).is_between(&before, &after)?;
-    // And it goes on from there.
+    // The log accepts and keeps further messages.
     let mut next = Load::new(8, BODY_BYTES);
     next.model = Model::of(log.index());
     log.append(&[accepted("later", 10)], Default::default()).map_err(|e| e.to_string())?;
@@ -54,42 +62,42 @@
     Model::of(again.index()).is_between(&next.model, &next.model)
 }
 
-/// Operations of the whole load, and how many of them compaction did.
+/// Returns the number of operations of the whole load, and how many of them are renames and removals by compaction.
 fn operations(sync: SyncPolicy) -> (u64, usize) {
     let memory = MemoryStorage::default();
     let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, sync).unwrap();
-    let opened = memory.operations();
+    let opened = memory.operation_count();
     Load::new(7, BODY_BYTES).play(&mut log, GROUPS).unwrap();
     assert!(opened > 0);
     let log = memory.operation_log();
     let of_compaction = log.iter().filter(|line| line.starts_with("rename") || line.starts_with("remove"));
-    (memory.operations(), of_compaction.count())
+    (memory.operation_count(), of_compaction.count())
 }
 
 #[test]
-fn a_kill_after_any_operation_or_within_an_append_loses_and_revives_nothing() {
+fn kill_after_any_operation_or_within_an_append_loses_and_restores_no_message() {
     let (all, of_compaction) = operations(SyncPolicy::Never);
     assert!(all > 220 && of_compaction > 15, "{all} operations, {of_compaction} of compaction");
     for at in 0..all {
         for torn_write_bytes in [0, 13, 150] {
-            crash(at, torn_write_bytes, SyncPolicy::Never, unwrapped)
+            crash(at, torn_write_bytes, SyncPolicy::Never, direct_storage)
                 .unwrap_or_else(|e| panic!("after {at}, torn at {torn_write_bytes}: {e}"));
         }
     }
 }
 
 #[test]
-fn a_machine_loss_after_any_operation_keeps_what_was_synced() {
+fn machine_loss_after_any_operation_keeps_synced_records() {
     let (all, _) = operations(SyncPolicy::EachAppend);
     for at in 0..all {
-        crash(at, 30, SyncPolicy::EachAppend, unwrapped).unwrap_or_else(|e| panic!("after {at}: {e}"));
+        crash(at, 30, SyncPolicy::EachAppend, direct_storage).unwrap_or_else(|e| panic!("after {at}: {e}"));
     }
 }
 
-/// Delays one kind of operation until the next segment is removed, which swaps their order.
+/// A storage that delays one kind of operation until the next removal of a segment, so that their order is swapped.
 struct ReorderingStorage {
     inner: MemoryStorage,
-    /// Whether an operation on a file is delayed.
+    /// Returns whether an operation on a file is delayed.
     delays: fn(Operation, &str) -> bool,
     delayed: Vec<DelayedOperation>,
 }
@@ -107,8 +115,8 @@
 }
 
 impl ReorderingStorage {
-    /// Carries out what was delayed.
-    fn release(&mut self) -> io::Result<()> {
+    /// Runs the delayed operations.
+    fn run_delayed(&mut self) -> io::Result<()> {
         for delayed in std::mem::take(&mut self.delayed) {
             match delayed {
                 DelayedOperation::Append(name, bytes) => self.inner.append(&name, &bytes)?,
@@ -124,16 +132,16 @@
         self.inner.files()
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        // A delayed append comes before the one that follows it.
+        // Delayed appends are written in their order.
         if (self.delays)(Operation::Append, name) {
-            self.release()?;
+            self.run_delayed()?;
             self.delayed.push(DelayedOperation::Append(name.into(), bytes.to_vec()));
             return Ok(());
         }
         self.inner.append(name, bytes)
     }
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.release()?;
+        self.run_delayed()?;
         self.inner.truncate(name, length)
     }
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -146,7 +154,7 @@
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let removed = self.inner.remove(name);
         if name.starts_with("ledger-") {
-            self.release()?;
+            self.run_delayed()?;
         }
         removed
     }
@@ -164,20 +172,20 @@
     }
 }
 
-/// The crash tests are tested themselves: with two operations in the wrong order, some crash must lose something.
+/// Guards against crash tests that detect nothing: with two operations in the wrong order, some crash must fail.
 #[test]
-fn crash_tests_detect_two_operations_in_the_wrong_order() {
-    let manifest_after_removal: Wrap = |inner| {
+fn crash_tests_detect_operations_in_the_wrong_order() {
+    let manifest_after_removal: MakeStorage = |inner| {
         let delays = |operation, name: &str| operation == Operation::Rename && name == "ledger.manifest";
         Box::new(ReorderingStorage { inner, delays, delayed: Vec::new() })
     };
-    let copies_after_removal: Wrap = |inner| {
+    let copies_after_removal: MakeStorage = |inner| {
         let delays = |operation, name: &str| operation == Operation::Append && name.starts_with("ledger-");
         Box::new(ReorderingStorage { inner, delays, delayed: Vec::new() })
     };
     let (all, _) = operations(SyncPolicy::Never);
     for reordered in [manifest_after_removal, copies_after_removal] {
         let detected = (0..all).filter(|at| crash(*at, 0, SyncPolicy::Never, reordered).is_err()).count();
-        assert!(detected > 0, "a crash between the two goes unseen");
+        assert!(detected > 0, "no crash between the two operations is detected");
     }
 }
--- a/crates/wal/tests/wal/full_disk.rs
+++ b/crates/wal/tests/wal/full_disk.rs
@@ -1,4 +1,4 @@
-//! Disks that fill, and operations that fail.
+//! Guards against lost messages when the disk is full or file operations fail.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -11,43 +11,43 @@
 use crate::model::Model;
 use crate::support::{accepted, finished, started};
 
-/// Appends messages until one is not accepted, and gives the ids of those that were.
-fn accept_until_full(log: &mut WriteAheadLog, capacity: u64) -> Vec<String> {
+/// Appends messages until one is not accepted, and returns the ids of the accepted ones.
+fn accept_until_full(log: &mut WriteAheadLog, capacity_bytes: u64) -> Vec<String> {
     let mut pending = Vec::new();
     for n in 0..200 {
         let id = format!("e{n:03}");
         match log.append(&[accepted(&id, 300)], NOW) {
             Ok(outcome) if outcome.messages_accepted => pending.push(id),
             Ok(_) => return pending,
-            Err(error) => panic!("{capacity}: {error}"),
+            Err(error) => panic!("{capacity_bytes}: {error}"),
         }
     }
-    panic!("{capacity}: never full");
+    panic!("{capacity_bytes}: never full");
 }
 
 #[test]
-fn a_full_disk_accepts_nothing_and_lets_every_pending_message_finish() {
-    for capacity in [9_000, 14_000, 23_000, 31_000] {
+fn full_disk_accepts_no_message_and_every_pending_message_can_finish() {
+    for capacity_bytes in [9_000, 14_000, 23_000, 31_000] {
         let memory = MemoryStorage::default();
-        memory.set_faults(Faults { capacity: Some(capacity), ..Faults::default() });
+        memory.set_faults(Faults { capacity_bytes: Some(capacity_bytes), ..Faults::default() });
         let mut log = open(&memory);
-        let mut pending = accept_until_full(&mut log, capacity);
-        assert!(pending.len() > 3, "{capacity}: {} pending", pending.len());
-        assert_eq!(log.free_bytes(), 0, "submissions are rejected before they are pending");
+        let mut pending = accept_until_full(&mut log, capacity_bytes);
+        assert!(pending.len() > 3, "{capacity_bytes}: {} pending", pending.len());
+        assert_eq!(log.free_bytes(), 0, "bytes are free on a full disk");
         for id in &pending {
             log.append(&[started(id, 0)], NOW)
-                .unwrap_or_else(|error| panic!("{capacity}: start {id}: {error}"));
+                .unwrap_or_else(|error| panic!("{capacity_bytes}: start {id}: {error}"));
         }
-        // The oldest first, or the newest, whose ends free nothing in the first segment.
-        if capacity % 2_000 == 0 {
+        // Messages finish oldest first or newest first; the newest ones free nothing in the first segment.
+        if capacity_bytes % 2_000 == 0 {
             pending.reverse();
         }
         for id in &pending {
             log.append(&[finished(id)], NOW)
-                .unwrap_or_else(|error| panic!("{capacity}: finish {id}: {error}"));
+                .unwrap_or_else(|error| panic!("{capacity_bytes}: finish {id}: {error}"));
         }
         assert_eq!(reopen(&memory).index().counts(), PendingCounts { messages: 0, notices: 0 });
-        // With space again, the reserve is filled again and messages are accepted.
+        // When there is space, the disk reserve is filled again and messages are accepted.
         memory.set_faults(Faults::default());
         log.append(&[finished("none")], NOW).unwrap();
         assert!(log.free_bytes() > 0);
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn a_disk_that_fills_at_any_byte_of_a_load_loses_nothing() {
-    for capacity in (3_000..40_000).step_by(211) {
+fn disk_that_fills_at_any_point_of_a_load_loses_nothing() {
+    for capacity_bytes in (3_000..40_000).step_by(211) {
         let memory = MemoryStorage::default();
-        memory.set_faults(Faults { capacity: Some(capacity), ..Faults::default() });
+        memory.set_faults(Faults { capacity_bytes: Some(capacity_bytes), ..Faults::default() });
         let opened = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
         let Ok(mut log) = opened else { continue };
         let mut load = Load::new(5, 200);
@@ -66,19 +66,19 @@
             let group = load.group(&log);
             match log.append(&group, NOW) {
                 Ok(outcome) => apply_written(&mut load.model, &group, outcome),
-                Err(error) => assert_eq!(error.kind(), io::ErrorKind::StorageFull, "{capacity}"),
+                Err(error) => assert_eq!(error.kind(), io::ErrorKind::StorageFull, "{capacity_bytes}"),
             }
         }
         let after = reopen(&memory);
-        assert!(after.verification().is_sound(), "{capacity}: {:?}", after.verification());
+        assert!(after.verification().is_sound(), "{capacity_bytes}: {:?}", after.verification());
         Model::of(after.index())
             .is_between(&load.model, &load.model)
-            .unwrap_or_else(|error| panic!("{capacity}: {error}"));
+            .unwrap_or_else(|error| panic!("{capacity_bytes}: {error}"));
     }
 }
 
-/// Plays a load, in its later part with faults, and holds the pending messages that the next start finds against
-/// the reference.
+/// Appends a load, its later part with faults, and compares the pending messages after the next start with the
+/// reference model.
 fn play_with_faults(faults: impl Fn(&MemoryStorage) -> Faults, what: &str) {
     let memory = MemoryStorage::default();
     let mut log = open(&memory);
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn a_rename_a_truncation_or_a_removal_that_fails_loses_nothing() {
-    play_with_faults(|_| Faults { refuses_renames: true, ..Faults::default() }, "renames");
+fn failed_rename_truncation_or_removal_loses_nothing() {
+    play_with_faults(|_| Faults { renames_fail: true, ..Faults::default() }, "renames");
     let full_without_truncation = |memory: &MemoryStorage| Faults {
-        refuses_truncations: true,
-        capacity: Some(memory.total_bytes() + 2_000),
+        truncations_fail: true,
+        capacity_bytes: Some(memory.total_bytes() + 2_000),
         ..Faults::default()
     };
     play_with_faults(full_without_truncation, "truncations");
-    play_with_faults(|_| Faults { refuses_removals: true, ..Faults::default() }, "removals");
+    play_with_faults(|_| Faults { removals_fail: true, ..Faults::default() }, "removals");
 }
--- a/crates/wal/tests/wal/harness.rs
+++ b/crates/wal/tests/wal/harness.rs
@@ -1,4 +1,4 @@
-//! Logs in a folder in memory, and records that were appended to them.
+//! Opens logs in a folder in memory, and prepares their records.
 
 use std::time::Duration;
 
@@ -9,37 +9,37 @@
 use crate::model::Model;
 use crate::support::{accepted, finished, started};
 
-/// The folder's limit in most tests.
+/// Limit of the folder in most tests.
 pub const FOLDER_BYTES: u64 = 60_000;
-/// The time of appends where it does not matter.
+/// Time of appends in tests that do not depend on it.
 pub const NOW: Duration = Duration::ZERO;
-/// The file of the first segment.
+/// File name of the first segment.
 pub const FIRST_SEGMENT: &str = "ledger-000000000001";
 
-/// Opens the log on the folder itself.
+/// Opens the log of the folder.
 pub fn open(memory: &MemoryStorage) -> WriteAheadLog {
     WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never).unwrap()
 }
 
-/// Opens the log on a copy of the folder, as the next process after a kill does.
+/// Opens the log of a copy of the folder, as the next process does after a kill.
 pub fn reopen(memory: &MemoryStorage) -> WriteAheadLog {
     open(&memory.after_kill())
 }
 
-/// The ids of the pending messages, in the order of the index.
+/// Returns the ids of the pending messages, in the order of the index.
 pub fn pending_ids(log: &WriteAheadLog) -> Vec<String> {
     log.index().pending().iter().map(|message| message.id.0.to_string()).collect()
 }
 
-/// Applies what an append wrote of a group whose records are about different messages.
+/// Applies the records that an append wrote to the model; each record of the group is about a different message.
 pub fn apply_written(model: &mut Model, group: &[Record], outcome: AppendOutcome) {
     let written =
         group.iter().filter(|record| outcome.messages_accepted || !matches!(record, Record::Accepted(_)));
     written.for_each(|record| model.apply(record));
 }
 
-/// A log of mixed records: some messages have an attempt in flight, some one that never ran, some are finished, and
-/// one notice is acknowledged.
+/// Returns the folder of a log with various records, and the model of its state: an attempt in flight, an attempt that
+/// was not executed, a finished message, a message without attempts, and an acknowledged notice.
 pub fn mixed_records() -> (MemoryStorage, Model) {
     let memory = MemoryStorage::default();
     let mut log = open(&memory);
--- a/crates/wal/tests/wal/load.rs
+++ b/crates/wal/tests/wal/load.rs
@@ -1,4 +1,4 @@
-//! A load that is the same each time, with the reference of what it leaves.
+//! A reproducible random load, with the reference model of the state that results from it.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use crate::model::Model;
 use crate::support::{accepted, finished, started};
 
-/// Draws groups of records of which no two are about the same message.
+/// A generator of groups of records; each record of a group is about a different message.
 pub struct Load {
     random: Pcg32,
     accepted_count: u32,
     body_bytes: usize,
-    /// What the groups so far leave.
+    /// State that results from the groups that were applied so far.
     pub model: Model,
 }
 
-/// A group that could not be appended.
+/// A failed append of a group.
 #[derive(Debug, thiserror::Error)]
 #[error("a group could not be appended: {error}")]
 pub struct PlayError {
     pub error: WalError,
-    /// The reference without the group.
+    /// Model without the group.
     pub before: Model,
-    /// The reference with the group.
+    /// Model with the group.
     pub after: Model,
 }
 
@@ -35,7 +35,7 @@
         Load { random: Pcg32::seed_from_u64(seed), accepted_count: 0, body_bytes, model: Model::default() }
     }
 
-    /// The next group. It is not applied to the reference.
+    /// Returns the next group without applying it to the model.
     pub fn group(&mut self, log: &WriteAheadLog) -> Vec<Record> {
         let mut group = Vec::new();
         let mut used: Vec<String> = Vec::new();
@@ -47,7 +47,7 @@
         group
     }
 
-    /// A record about none of these messages; `None` where one was drawn for which the log has no room.
+    /// Returns a record about none of the used messages; `None` if the drawn message does not fit into the log.
     fn record(&mut self, log: &WriteAheadLog, used: &[String]) -> Option<Record> {
         let ids: Vec<String> = self.model.pending.keys().filter(|id| !used.contains(id)).cloned().collect();
         let drawn = (!ids.is_empty()).then(|| ids[self.random.random_range(0..ids.len())].clone());
@@ -76,7 +76,7 @@
         (message.reserved_bytes() * 4 <= log.free_bytes()).then_some(record)
     }
 
-    /// Appends so many groups, and applies each to the reference.
+    /// Appends a number of groups, and applies each to the model.
     pub fn play(&mut self, log: &mut WriteAheadLog, groups: usize) -> Result<(), Box<PlayError>> {
         for n in 0..groups {
             let group = self.group(log);
--- a/crates/wal/tests/wal/main.rs
+++ b/crates/wal/tests/wal/main.rs
@@ -1,4 +1,4 @@
-//! The write-ahead log after kills, machine losses, corruption and long use.
+//! Tests of the write-ahead log: kills, machine losses, full disks, corruption, older formats and compaction.
 
 mod compaction;
 mod compaction_plan;
--- a/crates/wal/tests/wal/model.rs
+++ b/crates/wal/tests/wal/model.rs
@@ -1,4 +1,4 @@
-//! The reference: what records come down to, kept in the simplest way.
+//! The reference model: a simple implementation of the state that results from records.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 /// Pending messages with the states of their attempts, and unacknowledged notices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
-    /// By id; the attempts in the order of their numbers.
+    /// Attempts of each message by its id, in the order of their numbers.
     pub pending: BTreeMap<String, Vec<AttemptState>>,
-    /// By id.
+    /// Final answers by message id.
     pub notices: BTreeMap<String, FinalAnswer>,
 }
 
@@ -41,17 +41,17 @@
         }
     }
 
-    /// What an index holds, of which nothing may have been lost.
+    /// Returns the state in an index; panics if records of a message were lost.
     pub fn of(index: &PendingIndex) -> Model {
         let pending = index.pending().into_iter().map(|message| {
-            assert!(!message.records_lost, "nothing was lost of {}", message.id.0);
+            assert!(!message.records_lost, "records of {} were lost", message.id.0);
             (message.id.0.to_string(), message.attempts.iter().map(|attempt| attempt.state).collect())
         });
         let notices = index.unacknowledged_notices().map(|notice| (notice.id.0.to_string(), notice.answer));
         Model { pending: pending.collect(), notices: notices.collect() }
     }
 
-    /// Whether each message and each notice stands as before a group of records or as after it.
+    /// Checks that each message and each notice is as before a group of records or as after it.
     pub fn is_between(&self, before: &Model, after: &Model) -> Result<(), String> {
         each_is_between("message", &self.pending, &before.pending, &after.pending)?;
         each_is_between("notice", &self.notices, &before.notices, &after.notices)
@@ -67,7 +67,7 @@
     for id in before.keys().chain(after.keys()).chain(found.keys()) {
         let (found, before, after) = (found.get(id), before.get(id), after.get(id));
         if found != before && found != after {
-            return Err(format!("{what} {id} is {found:?}, and was {before:?} or {after:?}"));
+            return Err(format!("{what} {id} is {found:?}, expected {before:?} or {after:?}"));
         }
     }
     Ok(())
--- a/crates/wal/tests/wal/old_formats.rs
+++ b/crates/wal/tests/wal/old_formats.rs
@@ -1,4 +1,4 @@
-//! Files of earlier and later programs.
+//! Guards against files of earlier programs that can't be read, and files of later programs that are changed.
 
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::memory_storage::{Faults, MemoryStorage};
@@ -12,10 +12,10 @@
 use crate::model::Model;
 use crate::support::{accepted, finished, started};
 
-/// The file of the oldest format.
+/// File name of the oldest format.
 const SINGLE_FILE: &str = "ledger";
 
-/// Records as they stood in the single file and in segments of version 1, when no message had an idempotency key.
+/// Records of the single file and of segments of version 1, in which messages have no idempotency key.
 #[derive(Serialize)]
 enum RecordV1 {
     Accepted(AcceptedV1),
@@ -23,7 +23,7 @@
     AttemptFinished { id: String, number: u32, proves_not_executed: bool },
     Finished { id: String, notice: Option<FinalAnswer> },
     NoticeAcknowledged { id: String },
-    Checkpoint { accepted: AcceptedV1, position: u64, attempts: Vec<AttemptV1>, records_lost: bool },
+    Checkpoint { accepted: AcceptedV1, acceptance_number: u64, attempts: Vec<AttemptV1>, records_lost: bool },
 }
 
 #[derive(Serialize)]
@@ -87,7 +87,7 @@
             Record::NoticeAcknowledged { id } => RecordV1::NoticeAcknowledged { id },
             Record::Checkpoint(checkpoint) => RecordV1::Checkpoint {
                 accepted: checkpoint.accepted.into(),
-                position: checkpoint.position,
+                acceptance_number: checkpoint.acceptance_number,
                 attempts: checkpoint.attempts.into_iter().map(AttemptV1::from).collect(),
                 records_lost: checkpoint.records_lost,
             },
@@ -95,7 +95,7 @@
     }
 }
 
-/// One frame of the single file.
+/// Returns a frame of the single file.
 fn single_file_frame(record: &Record) -> Vec<u8> {
     let value = postcard::to_allocvec(&RecordV1::from(record.clone())).unwrap();
     let mut bytes = (value.len() as u32).to_le_bytes().to_vec();
@@ -104,7 +104,7 @@
     bytes
 }
 
-/// One frame of a segment or manifest, the same in versions 1 and 2.
+/// Returns a frame of a segment or manifest, which is the same in versions 1 and 2.
 fn segment_frame(value: &impl Serialize) -> Vec<u8> {
     let value = postcard::to_allocvec(value).unwrap();
     let mut bytes = vec![0xd7, 0x5e];
@@ -115,7 +115,7 @@
     bytes
 }
 
-/// A segment of version 1.
+/// Returns a segment of version 1.
 fn segment_v1(number: u64, records: &[Record]) -> Vec<u8> {
     let mut bytes = b"reeddock".to_vec();
     bytes.extend(1u16.to_le_bytes());
@@ -125,7 +125,7 @@
     bytes
 }
 
-/// Id, number of attempts and idempotency key of each pending message.
+/// Returns id, number of attempts and idempotency key of each pending message.
 fn pending_with_keys(log: &WriteAheadLog) -> Vec<(String, usize, Option<String>)> {
     let fields = |message: &PendingMessage| {
         let idempotency_key = log.read_message(message).unwrap().idempotency_key;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn segments_of_version_1_are_read_and_nothing_is_written_behind_them() {
+fn segments_of_version_1_are_read_and_not_appended_to() {
     let attempts = vec![RecordedAttempt {
         endpoint: "t0".into(),
         started_at_unix_us: 5,
@@ -144,27 +144,33 @@
     let Record::Accepted(copied) = accepted("copied", 30) else { unreachable!() };
     let records = vec![
         accepted("fresh", 30),
-        Record::Checkpoint(Checkpoint { accepted: copied, position: 7, attempts, records_lost: false }),
+        Record::Checkpoint(Checkpoint {
+            accepted: copied,
+            acceptance_number: 7,
+            attempts,
+            records_lost: false,
+        }),
         accepted("over", 30),
         Record::Finished { id: "over".into(), notice: Some(FinalAnswer::Rejected { retry_after: None }) },
         started("fresh", 0),
     ];
     let memory = MemoryStorage::default();
-    memory.put(FIRST_SEGMENT, &segment_v1(1, &records));
-    memory.put("ledger.manifest", &segment_frame(&(1u16, 1u64)));
+    memory.write_file(FIRST_SEGMENT, &segment_v1(1, &records));
+    memory.write_file("ledger.manifest", &segment_frame(&(1u16, 1u64)));
     let mut log = open(&memory);
     assert!(log.verification().is_sound());
     let before = [("fresh".into(), 1, None), ("copied".into(), 1, None)];
     assert_eq!(pending_with_keys(&log), before);
     let segment = memory.bytes(FIRST_SEGMENT);
     log.append(&[accepted("new", 30)], NOW).unwrap();
-    assert_eq!(memory.bytes(FIRST_SEGMENT), segment, "the program of version 1 still reads it");
+    assert_eq!(memory.bytes(FIRST_SEGMENT), segment, "a program of version 1 can still read the segment");
     assert_eq!(memory.bytes("ledger-000000000002")[8..10], 2u16.to_le_bytes());
     let new = ("new".to_string(), 0, Some("key of new".to_string()));
     assert_eq!(pending_with_keys(&reopen(&memory)), [before[0].clone(), before[1].clone(), new]);
 }
 
-/// A single file of twenty messages, each with an attempt, of which every third is finished.
+/// Returns a single file of twenty messages with an attempt each, every third of them finished, and the model of its
+/// state.
 fn single_file() -> (Vec<u8>, Model) {
     let mut model = Model::default();
     let mut bytes = Vec::new();
@@ -183,16 +189,16 @@
 }
 
 #[test]
-fn the_single_file_is_migrated_after_a_kill_at_any_operation_of_a_start() {
+fn single_file_is_migrated_after_a_kill_at_any_operation_of_a_start() {
     let (bytes, model) = single_file();
-    let start_until = |stops_after: Option<u64>| {
+    let start_until = |fails_after_operations: Option<u64>| {
         let memory = MemoryStorage::default();
-        memory.put(SINGLE_FILE, &bytes);
-        memory.set_faults(Faults { stops_after, torn_write_bytes: 9, ..Faults::default() });
+        memory.write_file(SINGLE_FILE, &bytes);
+        memory.set_faults(Faults { fails_after_operations, torn_write_bytes: 9, ..Faults::default() });
         let _ = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
         memory
     };
-    let operations = start_until(None).operations();
+    let operations = start_until(None).operation_count();
     for stop in 0..=operations {
         let memory = start_until(Some(stop)).after_kill();
         let log = open(&memory);
@@ -205,13 +211,13 @@
 }
 
 #[test]
-fn a_single_file_with_a_flipped_bit_is_read_past_it_and_quarantined() {
+fn single_file_with_a_flipped_bit_is_read_after_the_corruption_and_quarantined() {
     let (mut bytes, model) = single_file();
     bytes[40] ^= 4;
     let memory = MemoryStorage::default();
-    memory.put(SINGLE_FILE, &bytes);
+    memory.write_file(SINGLE_FILE, &bytes);
     let log = open(&memory);
-    // One message is corrupt; all others are there, and no attempt is forgotten.
+    // At most one message is lost, and every other message has an attempt or counts as possibly executed.
     assert!(log.index().counts().messages >= model.pending.len() - 1);
     let pending = log.index().pending();
     assert!(pending.iter().all(|message| !message.attempts.is_empty() || message.records_lost));
@@ -219,16 +225,16 @@
 }
 
 #[test]
-fn a_later_version_is_refused_and_left_untouched() {
+fn later_version_is_rejected_and_left_unchanged() {
     let (memory, _) = mixed_records();
     let mut bytes = memory.bytes(FIRST_SEGMENT);
     bytes[8] = 9;
     let checksum = crc32fast::hash(&bytes[..18]);
     bytes[18..22].copy_from_slice(&checksum.to_le_bytes());
-    memory.put(FIRST_SEGMENT, &bytes);
-    let operations = memory.operations();
+    memory.write_file(FIRST_SEGMENT, &bytes);
+    let operations = memory.operation_count();
     let refused = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
     let line = refused.err().unwrap().to_string();
-    assert_eq!(line, format!("{FIRST_SEGMENT} is of version 9, and this program knows 2 at most"));
-    assert_eq!(memory.operations(), operations);
+    assert_eq!(line, format!("{FIRST_SEGMENT} has format version 9, expected version 2 or earlier"));
+    assert_eq!(memory.operation_count(), operations);
 }
--- a/crates/wal/tests/wal/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -1,4 +1,4 @@
-//! Random steps against the reference: appends, restarts after kills, restarts after losses of the machine.
+//! Compares the log with the reference model after random appends, kills and losses of the machine.
 
 use proptest::prelude::*;
 use reeddock_wal::memory_storage::MemoryStorage;
@@ -10,11 +10,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Appends so many groups of the load.
+    /// Appends a number of groups of the load.
     AppendGroups(usize),
     Kill,
     LoseMachine,
-    /// All pending messages finish at once, as after a long stop.
+    /// Finishes all pending messages in one append.
     FinishAll,
 }
 
@@ -32,7 +32,7 @@
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_index_equals_the_reference_after_random_steps(
+    fn index_equals_the_reference_model_after_random_steps(
         seed in any::<u64>(),
         body_bytes in 0..900usize,
         folder_bytes in 40_000..200_000u64,
--- a/crates/wal/tests/wal/reopening.rs
+++ b/crates/wal/tests/wal/reopening.rs
@@ -1,4 +1,4 @@
-//! What a folder on disk holds when it is opened again.
+//! Guards against state that is lost or changed when a folder on disk is opened again.
 
 use std::fs::{self, OpenOptions};
 use std::path::Path;
@@ -16,7 +16,7 @@
     WriteAheadLog::open(folder.path(), FOLDER_BYTES, SyncPolicy::Never).unwrap()
 }
 
-/// Bytes of all files, in whole blocks of 512.
+/// Returns the size of all files in bytes, each rounded up to whole blocks of 512 bytes.
 fn size_in_blocks(folder: &TempDir) -> u64 {
     let files = fs::read_dir(folder.path()).unwrap();
     files.map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512).sum()
@@ -29,7 +29,7 @@
     }
 }
 
-/// A message with a binary body, without tenant and idempotency key.
+/// Returns the record of a message with a binary body, without tenant and idempotency key.
 fn accepted(id: &str) -> Record {
     Record::Accepted(AcceptedMessage {
         id: id.into(),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn pending_messages_are_found_again_in_order_with_their_attempts() {
+fn pending_messages_are_restored_in_order_with_their_attempts() {
     let folder = tempfile::tempdir().unwrap();
     let mut log = open(&folder);
     let returned = Record::AttemptFinished { id: "b".into(), number: 0, proves_not_executed: true };
@@ -53,7 +53,8 @@
     log.append(&[finished("a")], NOW).unwrap();
     log.append(&[Record::Finished { id: "c".into(), notice: Some(FinalAnswer::Failed) }], NOW).unwrap();
     let second = WriteAheadLog::open(folder.path(), FOLDER_BYTES, SyncPolicy::Never);
-    assert_eq!(second.err().unwrap().to_string(), "another process writes this ledger");
+    let locked = "cannot lock the folder: another process has its write-ahead log open for writing";
+    assert_eq!(second.err().unwrap().to_string(), locked);
     drop(log);
 
     let mut log = open(&folder);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_torn_write_is_cut_off_and_later_appends_are_read() {
+fn torn_write_is_cut_off_and_later_appends_are_read() {
     let folder = tempfile::tempdir().unwrap();
     open(&folder).append(&[accepted("whole")], NOW).unwrap();
     let segment = folder.path().join(FIRST_SEGMENT);
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn long_use_stays_within_the_folder_limit_and_loses_nothing() {
+fn many_appends_stay_within_the_folder_limit_and_lose_no_pending_message() {
     let folder = tempfile::tempdir().unwrap();
     let mut log = open(&folder);
     log.append(&[accepted("first"), started("first", 0)], NOW).unwrap();
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn an_unfinished_manifest_of_a_killed_process_is_removed() {
+fn unfinished_manifest_of_a_killed_process_is_removed() {
     let folder = tempfile::tempdir().unwrap();
     open(&folder).append(&[accepted("a")], NOW).unwrap();
     let next_manifest = folder.path().join("ledger.manifest.new");
--- a/crates/wal/tests/wal/state_before_rename.rs
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -1,5 +1,5 @@
-//! State folders that were written by the build before the rename: read in full, appended to, read again, and
-//! written again byte for byte. `tests/fixtures/state-before-rename/README.md` says how they were written.
+//! Guards against a changed encoding of state folders, which an earlier build wrote.
+//! `tests/fixtures/state-before-rename/README.md` describes how the folders were written.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,12 +16,12 @@
 
 use crate::harness::{pending_ids, FOLDER_BYTES, NOW};
 
-/// How the fixtures differ.
+/// A state folder that an earlier build wrote.
 #[derive(Clone, Copy)]
 struct Fixture {
     name: &'static str,
     messages: u64,
-    /// The single file had no idempotency keys.
+    /// Whether messages have idempotency keys, which the single file does not have.
     has_idempotency_keys: bool,
 }
 
@@ -29,14 +29,13 @@
 const COMPACTED: Fixture = Fixture { name: "compacted", messages: 400, has_idempotency_keys: true };
 const SINGLE_FILE: Fixture = Fixture { name: "single-file", messages: 60, has_idempotency_keys: false };
 
-/// The first of each four pending messages of `compacted`, in the order in which the old build lists them.
+/// The first number of each four pending messages of `compacted`, in the order in which the old build lists them.
 ///
-/// It is not the order of acceptance: what was accepted last is counted from 1 again where the segments before it
-/// were dropped, while checkpoints keep the places they had. That is how the old build reads these files
-/// (measured with its `look`), and this test holds that reading fast.
+/// The order differs from the order of acceptance, because the numbers of acceptance start from 1 again if earlier
+/// segments were removed, while checkpoints keep their numbers.
 const COMPACTED_ORDER: [u64; 8] = [0, 300, 50, 100, 150, 200, 350, 250];
 
-/// One attempt as the fixtures have it: endpoint, start, and how it finished.
+/// An attempt of a message in a fixture.
 #[derive(Clone, Debug, PartialEq)]
 struct AttemptFields {
     endpoint: String,
@@ -49,7 +48,7 @@
         Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/state-before-rename").join(self.name)
     }
 
-    /// A copy that may be written to.
+    /// Returns a copy of the folder that may be written to.
     fn copy(&self) -> TempDir {
         let copy = tempfile::tempdir().unwrap();
         for (name, bytes) in files(&self.folder()) {
@@ -58,7 +57,8 @@
         copy
     }
 
-    /// Whether the program that wrote the fixture finished and acknowledged this message whatever its history.
+    /// Returns whether the program that wrote the fixture finished the message and acknowledged its notice after the
+    /// records of [`history`].
     fn is_cleared(&self, n: u64) -> bool {
         self.messages > 100 && n >= 10 && n % 50 != n % 10
     }
@@ -78,8 +78,7 @@
         }
     }
 
-    /// The messages that are pending, in the order in which the build that wrote them reads them, with their
-    /// attempts.
+    /// Returns the pending messages with their attempts, in the order in which the build that wrote them lists them.
     fn pending(&self) -> Vec<(AcceptedMessage, Vec<AttemptFields>)> {
         let numbers: Vec<u64> = match self.name {
             "compacted" => COMPACTED_ORDER.iter().flat_map(|first| *first..first + 4).collect(),
@@ -88,7 +87,7 @@
         numbers.into_iter().map(|n| (self.message(n), attempts(n))).collect()
     }
 
-    /// The notices that the platform has not acknowledged, by id.
+    /// Returns the notices that the platform has not acknowledged, in the order of their ids.
     fn unacknowledged(&self) -> Vec<(String, FinalAnswer)> {
         let ends = (0..self.messages).filter(|n| !self.is_cleared(*n)).filter_map(|n| {
             let end = match n % 10 {
@@ -103,7 +102,7 @@
     }
 }
 
-/// The attempts of a message that is pending.
+/// Returns the attempts of a pending message.
 fn attempts(n: u64) -> Vec<AttemptFields> {
     let attempt = |number: u32, state| AttemptFields {
         endpoint: format!("target-{number}"),
@@ -118,7 +117,7 @@
     }
 }
 
-/// The records that followed the acceptance of a message.
+/// Returns the records that follow the `Accepted` record of a message.
 fn history(n: u64) -> Vec<Record> {
     let id = || format!("fixture-{n:03}");
     let started = |number: u32| Record::AttemptStarted {
@@ -147,7 +146,7 @@
     }
 }
 
-/// The files of a folder with their bytes.
+/// Returns the content of the files of a folder, by name.
 fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let entries = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
     entries.map(|e| (e.file_name().into_string().unwrap(), fs::read(e.path()).unwrap())).collect()
@@ -170,7 +169,7 @@
     pending.attempts.iter().map(fields).collect()
 }
 
-/// Holds each field of each pending message and each notice against what is expected.
+/// Compares each field of each pending message and each notice with the expected one.
 fn check(
     log: &WriteAheadLog,
     pending: &[(AcceptedMessage, Vec<AttemptFields>)],
@@ -198,7 +197,7 @@
     assert_eq!(log.index().unlisted_orphans(), 0);
 }
 
-/// Opens a copy, checks it, goes on from there, opens it again and checks it again.
+/// Opens a copy of the fixture and checks it, then appends records, opens the copy again and checks it again.
 fn open_append_and_reopen(fixture: Fixture) {
     let copy = fixture.copy();
     let mut log = open(copy.path());
@@ -249,7 +248,7 @@
 }
 
 #[test]
-fn the_single_file_is_migrated_and_appended_to() {
+fn single_file_is_migrated_and_appended_to() {
     open_append_and_reopen(SINGLE_FILE);
 }
 
@@ -268,7 +267,7 @@
 }
 
 #[test]
-fn the_same_records_are_written_again_byte_for_byte() {
+fn same_records_are_written_with_the_same_bytes() {
     for fixture in [APPENDED, COMPACTED] {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
