--- a/crates/wal/tests/wal/old_formats.rs
+++ b/crates/wal/tests/wal/old_formats.rs
@@ -1,9 +1,9 @@
-//! Files of earlier and later programs.
+//! Guards against files of earlier programs that can't be read, and files of later programs that are changed.
 
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::memory_storage::{Faults, MemoryStorage};
 use reeddock_wal::{
-    Accepted, AttemptState, Checkpoint, PendingMessage, Record, RecordedAttempt, Storage, SyncPolicy,
+    AcceptedMessage, AttemptState, Checkpoint, PendingMessage, Record, RecordedAttempt, Storage, SyncPolicy,
     WriteAheadLog,
 };
 use serde::Serialize;
@@ -12,18 +12,18 @@
 use crate::model::Model;
 use crate::support::{accepted, finished, started};
 
-/// The file of the oldest format.
+/// File name of the oldest format.
 const SINGLE_FILE: &str = "ledger";
 
-/// Records as they stood in the single file and in segments of version 1, when no message had an idempotency key.
+/// Records of the single file and of segments of version 1, in which messages have no idempotency key.
 #[derive(Serialize)]
 enum RecordV1 {
     Accepted(AcceptedV1),
-    AttemptStarted { id: String, number: u32, endpoint: String, started_at: u64 },
+    AttemptStarted { id: String, number: u32, endpoint: String, started_at_unix_us: u64 },
     AttemptFinished { id: String, number: u32, proves_not_executed: bool },
     Finished { id: String, notice: Option<FinalAnswer> },
     NoticeAcknowledged { id: String },
-    Checkpoint { accepted: AcceptedV1, position: u64, attempts: Vec<AttemptV1>, records_lost: bool },
+    Checkpoint { accepted: AcceptedV1, acceptance_number: u64, attempts: Vec<AttemptV1>, records_lost: bool },
 }
 
 #[derive(Serialize)]
@@ -33,26 +33,26 @@
     tenant: Option<String>,
     ordering_key: Option<u64>,
     destination: u64,
-    deadline: u64,
+    deadline_unix_us: u64,
     body: Vec<u8>,
 }
 
 #[derive(Serialize)]
 struct AttemptV1 {
     endpoint: String,
-    started_at: u64,
+    started_at_unix_us: u64,
     proves_not_executed: Option<bool>,
 }
 
-impl From<Accepted> for AcceptedV1 {
-    fn from(message: Accepted) -> AcceptedV1 {
+impl From<AcceptedMessage> for AcceptedV1 {
+    fn from(message: AcceptedMessage) -> AcceptedV1 {
         AcceptedV1 {
             id: message.id,
             class: message.class,
             tenant: message.tenant,
             ordering_key: message.ordering_key,
             destination: message.destination,
-            deadline: message.deadline,
+            deadline_unix_us: message.deadline_unix_us,
             body: message.body.to_vec(),
         }
     }
@@ -67,7 +67,7 @@
         };
         AttemptV1 {
             endpoint: attempt.endpoint.to_string(),
-            started_at: attempt.started_at,
+            started_at_unix_us: attempt.started_at_unix_us,
             proves_not_executed,
         }
     }
@@ -77,8 +77,8 @@
     fn from(record: Record) -> RecordV1 {
         match record {
             Record::Accepted(message) => RecordV1::Accepted(message.into()),
-            Record::AttemptStarted { id, number, endpoint, started_at } => {
-                RecordV1::AttemptStarted { id, number, endpoint, started_at }
+            Record::AttemptStarted { id, number, endpoint, started_at_unix_us } => {
+                RecordV1::AttemptStarted { id, number, endpoint, started_at_unix_us }
             }
             Record::AttemptFinished { id, number, proves_not_executed } => {
                 RecordV1::AttemptFinished { id, number, proves_not_executed }
@@ -87,7 +87,7 @@
             Record::NoticeAcknowledged { id } => RecordV1::NoticeAcknowledged { id },
             Record::Checkpoint(checkpoint) => RecordV1::Checkpoint {
                 accepted: checkpoint.accepted.into(),
-                position: checkpoint.position,
+                acceptance_number: checkpoint.acceptance_number,
                 attempts: checkpoint.attempts.into_iter().map(AttemptV1::from).collect(),
                 records_lost: checkpoint.records_lost,
             },
@@ -95,7 +95,7 @@
     }
 }
 
-/// One frame of the single file.
+/// Returns a frame of the single file.
 fn single_file_frame(record: &Record) -> Vec<u8> {
     let value = postcard::to_allocvec(&RecordV1::from(record.clone())).unwrap();
     let mut bytes = (value.len() as u32).to_le_bytes().to_vec();
@@ -104,7 +104,7 @@
     bytes
 }
 
-/// One frame of a segment or manifest, the same in versions 1 and 2.
+/// Returns a frame of a segment or manifest, which is the same in versions 1 and 2.
 fn segment_frame(value: &impl Serialize) -> Vec<u8> {
     let value = postcard::to_allocvec(value).unwrap();
     let mut bytes = vec![0xd7, 0x5e];
@@ -115,7 +115,7 @@
     bytes
 }
 
-/// A segment of version 1.
+/// Returns a segment of version 1.
 fn segment_v1(number: u64, records: &[Record]) -> Vec<u8> {
     let mut bytes = b"reeddock".to_vec();
     bytes.extend(1u16.to_le_bytes());
@@ -125,43 +125,52 @@
     bytes
 }
 
-/// Id, number of attempts and idempotency key of each pending message.
+/// Returns id, number of attempts and idempotency key of each pending message.
 fn pending_with_keys(log: &WriteAheadLog) -> Vec<(String, usize, Option<String>)> {
     let fields = |message: &PendingMessage| {
-        let idempotency_key = log.read_accepted(message).unwrap().idempotency_key;
+        let idempotency_key = log.read_message(message).unwrap().idempotency_key;
         (message.id.0.to_string(), message.attempts.len(), idempotency_key)
     };
     log.index().pending().into_iter().map(fields).collect()
 }
 
 #[test]
-fn segments_of_version_1_are_read_and_nothing_is_written_behind_them() {
-    let attempts =
-        vec![RecordedAttempt { endpoint: "t0".into(), started_at: 5, state: AttemptState::NotExecuted }];
+fn segments_of_version_1_are_read_and_not_appended_to() {
+    let attempts = vec![RecordedAttempt {
+        endpoint: "t0".into(),
+        started_at_unix_us: 5,
+        state: AttemptState::NotExecuted,
+    }];
     let Record::Accepted(copied) = accepted("copied", 30) else { unreachable!() };
     let records = vec![
         accepted("fresh", 30),
-        Record::Checkpoint(Checkpoint { accepted: copied, position: 7, attempts, records_lost: false }),
+        Record::Checkpoint(Checkpoint {
+            accepted: copied,
+            acceptance_number: 7,
+            attempts,
+            records_lost: false,
+        }),
         accepted("over", 30),
         Record::Finished { id: "over".into(), notice: Some(FinalAnswer::Rejected { retry_after: None }) },
         started("fresh", 0),
     ];
     let memory = MemoryStorage::default();
-    memory.put(FIRST_SEGMENT, &segment_v1(1, &records));
-    memory.put("ledger.manifest", &segment_frame(&(1u16, 1u64)));
+    memory.write_file(FIRST_SEGMENT, &segment_v1(1, &records));
+    memory.write_file("ledger.manifest", &segment_frame(&(1u16, 1u64)));
     let mut log = open(&memory);
     assert!(log.verification().is_sound());
     let before = [("fresh".into(), 1, None), ("copied".into(), 1, None)];
     assert_eq!(pending_with_keys(&log), before);
     let segment = memory.bytes(FIRST_SEGMENT);
     log.append(&[accepted("new", 30)], NOW).unwrap();
-    assert_eq!(memory.bytes(FIRST_SEGMENT), segment, "the program of version 1 still reads it");
+    assert_eq!(memory.bytes(FIRST_SEGMENT), segment, "a program of version 1 can still read the segment");
     assert_eq!(memory.bytes("ledger-000000000002")[8..10], 2u16.to_le_bytes());
     let new = ("new".to_string(), 0, Some("key of new".to_string()));
     assert_eq!(pending_with_keys(&reopen(&memory)), [before[0].clone(), before[1].clone(), new]);
 }
 
-/// A single file of twenty messages, each with an attempt, of which every third is finished.
+/// Returns a single file of twenty messages with an attempt each, every third of them finished, and the model of its
+/// state.
 fn single_file() -> (Vec<u8>, Model) {
     let mut model = Model::default();
     let mut bytes = Vec::new();
@@ -180,35 +189,35 @@
 }
 
 #[test]
-fn the_single_file_is_migrated_after_a_kill_at_any_operation_of_a_start() {
+fn single_file_is_migrated_after_a_kill_at_any_operation_of_a_start() {
     let (bytes, model) = single_file();
-    let start_until = |stops_after: Option<u64>| {
+    let start_until = |fails_after_operations: Option<u64>| {
         let memory = MemoryStorage::default();
-        memory.put(SINGLE_FILE, &bytes);
-        memory.set_faults(Faults { stops_after, torn_write_bytes: 9, ..Faults::default() });
+        memory.write_file(SINGLE_FILE, &bytes);
+        memory.set_faults(Faults { fails_after_operations, torn_write_bytes: 9, ..Faults::default() });
         let _ = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
         memory
     };
-    let operations = start_until(None).operations();
+    let operations = start_until(None).operation_count();
     for stop in 0..=operations {
         let memory = start_until(Some(stop)).after_kill();
         let log = open(&memory);
         assert_eq!(Model::of(log.index()), model, "killed after {stop}");
         assert!(log.verification().is_sound(), "killed after {stop}: {:?}", log.verification());
         let first = log.index().pending()[0].clone();
-        assert_eq!(log.read_accepted(&first).unwrap().body.len(), 30);
+        assert_eq!(log.read_message(&first).unwrap().body.len(), 30);
         assert!(!memory.files().unwrap().contains_key(SINGLE_FILE), "killed after {stop}");
     }
 }
 
 #[test]
-fn a_single_file_with_a_flipped_bit_is_read_past_it_and_quarantined() {
+fn single_file_with_a_flipped_bit_is_read_after_the_corruption_and_quarantined() {
     let (mut bytes, model) = single_file();
     bytes[40] ^= 4;
     let memory = MemoryStorage::default();
-    memory.put(SINGLE_FILE, &bytes);
+    memory.write_file(SINGLE_FILE, &bytes);
     let log = open(&memory);
-    // One message is corrupt; all others are there, and no attempt is forgotten.
+    // At most one message is lost, and every other message has an attempt or counts as possibly executed.
     assert!(log.index().counts().messages >= model.pending.len() - 1);
     let pending = log.index().pending();
     assert!(pending.iter().all(|message| !message.attempts.is_empty() || message.records_lost));
@@ -216,16 +225,16 @@
 }
 
 #[test]
-fn a_later_version_is_refused_and_left_untouched() {
+fn later_version_is_rejected_and_left_unchanged() {
     let (memory, _) = mixed_records();
     let mut bytes = memory.bytes(FIRST_SEGMENT);
     bytes[8] = 9;
     let checksum = crc32fast::hash(&bytes[..18]);
     bytes[18..22].copy_from_slice(&checksum.to_le_bytes());
-    memory.put(FIRST_SEGMENT, &bytes);
-    let operations = memory.operations();
+    memory.write_file(FIRST_SEGMENT, &bytes);
+    let operations = memory.operation_count();
     let refused = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
     let line = refused.err().unwrap().to_string();
-    assert_eq!(line, format!("{FIRST_SEGMENT} is of version 9, and this program knows 2 at most"));
-    assert_eq!(memory.operations(), operations);
+    assert_eq!(line, format!("{FIRST_SEGMENT} has format version 9, expected version 2 or earlier"));
+    assert_eq!(memory.operation_count(), operations);
 }
--- a/crates/wal/tests/wal/state_before_rename.rs
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -1,5 +1,5 @@
-//! State folders that were written by the build before the rename: read in full, appended to, read again, and
-//! written again byte for byte. `tests/fixtures/state-before-rename/README.md` says how they were written.
+//! Guards against a changed encoding of state folders, which an earlier build wrote.
+//! `tests/fixtures/state-before-rename/README.md` describes how the folders were written.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,19 +9,19 @@
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
 use reeddock_wal::{
-    inspect, Accepted, AttemptState, Inspection, PendingCounts, PendingIndex, PendingMessage, Record,
+    inspect, AcceptedMessage, AttemptState, Inspection, PendingCounts, PendingIndex, PendingMessage, Record,
     RecordedAttempt, SyncPolicy, WriteAheadLog,
 };
 use tempfile::TempDir;
 
 use crate::harness::{pending_ids, FOLDER_BYTES, NOW};
 
-/// How the fixtures differ.
+/// A state folder that an earlier build wrote.
 #[derive(Clone, Copy)]
 struct Fixture {
     name: &'static str,
     messages: u64,
-    /// The single file had no idempotency keys.
+    /// Whether messages have idempotency keys, which the single file does not have.
     has_idempotency_keys: bool,
 }
 
@@ -29,18 +29,17 @@
 const COMPACTED: Fixture = Fixture { name: "compacted", messages: 400, has_idempotency_keys: true };
 const SINGLE_FILE: Fixture = Fixture { name: "single-file", messages: 60, has_idempotency_keys: false };
 
-/// The first of each four pending messages of `compacted`, in the order in which the old build lists them.
+/// The first number of each four pending messages of `compacted`, in the order in which the old build lists them.
 ///
-/// It is not the order of acceptance: what was accepted last is counted from 1 again where the segments before it
-/// were dropped, while checkpoints keep the places they had. That is how the old build reads these files
-/// (measured with its `look`), and this test holds that reading fast.
+/// The order differs from the order of acceptance, because the numbers of acceptance start from 1 again if earlier
+/// segments were removed, while checkpoints keep their numbers.
 const COMPACTED_ORDER: [u64; 8] = [0, 300, 50, 100, 150, 200, 350, 250];
 
-/// One attempt as the fixtures have it: endpoint, start, and how it finished.
+/// An attempt of a message in a fixture.
 #[derive(Clone, Debug, PartialEq)]
 struct AttemptFields {
     endpoint: String,
-    started_at: u64,
+    started_at_unix_us: u64,
     state: AttemptState,
 }
 
@@ -49,7 +48,7 @@
         Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/state-before-rename").join(self.name)
     }
 
-    /// A copy that may be written to.
+    /// Returns a copy of the folder that may be written to.
     fn copy(&self) -> TempDir {
         let copy = tempfile::tempdir().unwrap();
         for (name, bytes) in files(&self.folder()) {
@@ -58,29 +57,29 @@
         copy
     }
 
-    /// Whether the program that wrote the fixture finished and acknowledged this message whatever its history.
+    /// Returns whether the program that wrote the fixture finished the message and acknowledged its notice after the
+    /// records of [`history`].
     fn is_cleared(&self, n: u64) -> bool {
         self.messages > 100 && n >= 10 && n % 50 != n % 10
     }
 
-    fn message(&self, n: u64) -> Accepted {
+    fn message(&self, n: u64) -> AcceptedMessage {
         let body: Vec<u8> = (0..(n % 5) * 20).map(|at| (at * 7 + n) as u8).collect();
-        Accepted {
+        AcceptedMessage {
             id: format!("fixture-{n:03}"),
             class: if n.is_multiple_of(2) { "order" } else { "notice" }.into(),
             tenant: n.is_multiple_of(4).then(|| format!("tenant-{}", n % 3)),
             ordering_key: n.is_multiple_of(3).then_some(n * 1000),
             destination: n % 7,
-            deadline: 1_700_000_000_000_000 + n,
+            deadline_unix_us: 1_700_000_000_000_000 + n,
             body: Bytes::from(body),
             idempotency_key: (self.has_idempotency_keys && n.is_multiple_of(2))
                 .then(|| format!("once-{n:03}")),
         }
     }
 
-    /// The messages that are pending, in the order in which the build that wrote them reads them, with their
-    /// attempts.
-    fn pending(&self) -> Vec<(Accepted, Vec<AttemptFields>)> {
+    /// Returns the pending messages with their attempts, in the order in which the build that wrote them lists them.
+    fn pending(&self) -> Vec<(AcceptedMessage, Vec<AttemptFields>)> {
         let numbers: Vec<u64> = match self.name {
             "compacted" => COMPACTED_ORDER.iter().flat_map(|first| *first..first + 4).collect(),
             _ => (0..self.messages).filter(|n| n % 10 < 4).collect(),
@@ -88,7 +87,7 @@
         numbers.into_iter().map(|n| (self.message(n), attempts(n))).collect()
     }
 
-    /// The notices that the platform has not acknowledged, by id.
+    /// Returns the notices that the platform has not acknowledged, in the order of their ids.
     fn unacknowledged(&self) -> Vec<(String, FinalAnswer)> {
         let ends = (0..self.messages).filter(|n| !self.is_cleared(*n)).filter_map(|n| {
             let end = match n % 10 {
@@ -103,11 +102,11 @@
     }
 }
 
-/// The attempts of a message that is pending.
+/// Returns the attempts of a pending message.
 fn attempts(n: u64) -> Vec<AttemptFields> {
     let attempt = |number: u32, state| AttemptFields {
         endpoint: format!("target-{number}"),
-        started_at: 1_600_000_000_000_000 + n,
+        started_at_unix_us: 1_600_000_000_000_000 + n,
         state,
     };
     match n % 10 {
@@ -118,14 +117,14 @@
     }
 }
 
-/// The records that followed the acceptance of a message.
+/// Returns the records that follow the `Accepted` record of a message.
 fn history(n: u64) -> Vec<Record> {
     let id = || format!("fixture-{n:03}");
     let started = |number: u32| Record::AttemptStarted {
         id: id(),
         number,
         endpoint: format!("target-{number}"),
-        started_at: 1_600_000_000_000_000 + n,
+        started_at_unix_us: 1_600_000_000_000_000 + n,
     };
     let attempt_finished =
         |number, proves_not_executed| Record::AttemptFinished { id: id(), number, proves_not_executed };
@@ -147,7 +146,7 @@
     }
 }
 
-/// The files of a folder with their bytes.
+/// Returns the content of the files of a folder, by name.
 fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let entries = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap());
     entries.map(|e| (e.file_name().into_string().unwrap(), fs::read(e.path()).unwrap())).collect()
@@ -164,16 +163,16 @@
 fn fields_of_attempts(pending: &PendingMessage) -> Vec<AttemptFields> {
     let fields = |attempt: &RecordedAttempt| AttemptFields {
         endpoint: attempt.endpoint.to_string(),
-        started_at: attempt.started_at,
+        started_at_unix_us: attempt.started_at_unix_us,
         state: attempt.state,
     };
     pending.attempts.iter().map(fields).collect()
 }
 
-/// Holds each field of each pending message and each notice against what is expected.
+/// Compares each field of each pending message and each notice with the expected one.
 fn check(
     log: &WriteAheadLog,
-    pending: &[(Accepted, Vec<AttemptFields>)],
+    pending: &[(AcceptedMessage, Vec<AttemptFields>)],
     notified: &[(String, FinalAnswer)],
 ) {
     assert!(log.verification().is_sound(), "{:?}", log.verification());
@@ -182,11 +181,11 @@
     let expected: Vec<&str> = pending.iter().map(|(message, _)| message.id.as_str()).collect();
     assert_eq!(pending_ids(log), expected, "in the order of the build that wrote them");
     for (found, (message, attempts)) in found.iter().zip(pending) {
-        assert_eq!(&log.read_accepted(found).unwrap(), message);
+        assert_eq!(&log.read_message(found).unwrap(), message);
         assert_eq!(&*found.class, message.class);
         assert_eq!(found.tenant.as_deref(), message.tenant.as_deref());
         assert_eq!((found.ordering_key, found.destination), (message.ordering_key, message.destination));
-        assert_eq!(found.deadline, message.deadline);
+        assert_eq!(found.deadline_unix_us, message.deadline_unix_us);
         assert_eq!(found.reserved_bytes, message.reserved_bytes());
         assert!(!found.records_lost, "{}", message.id);
         assert_eq!(&fields_of_attempts(found), attempts, "{}", message.id);
@@ -198,7 +197,7 @@
     assert_eq!(log.index().unlisted_orphans(), 0);
 }
 
-/// Opens a copy, checks it, goes on from there, opens it again and checks it again.
+/// Opens a copy of the fixture and checks it, then appends records, opens the copy again and checks it again.
 fn open_append_and_reopen(fixture: Fixture) {
     let copy = fixture.copy();
     let mut log = open(copy.path());
@@ -206,19 +205,25 @@
     assert!(pending.len() >= 24 && notified.len() >= 18);
     check(&log, &pending, &notified);
 
-    let new =
-        Accepted { id: "later".into(), idempotency_key: Some("once-later".into()), ..fixture.message(12) };
+    let new = AcceptedMessage {
+        id: "later".into(),
+        idempotency_key: Some("once-later".into()),
+        ..fixture.message(12)
+    };
     let finished = pending.remove(0).0.id;
     let acknowledged = notified.remove(1).0;
-    let attempt =
-        AttemptFields { endpoint: "target-9".to_owned(), started_at: 17, state: AttemptState::InFlight };
+    let attempt = AttemptFields {
+        endpoint: "target-9".to_owned(),
+        started_at_unix_us: 17,
+        state: AttemptState::InFlight,
+    };
     pending[0].1.push(attempt.clone());
     pending.push((new.clone(), Vec::new()));
     let started = Record::AttemptStarted {
         id: "fixture-001".into(),
         number: 1,
         endpoint: attempt.endpoint,
-        started_at: attempt.started_at,
+        started_at_unix_us: attempt.started_at_unix_us,
     };
     let records = [
         Record::Accepted(new),
@@ -243,7 +248,7 @@
 }
 
 #[test]
-fn the_single_file_is_migrated_and_appended_to() {
+fn single_file_is_migrated_and_appended_to() {
     open_append_and_reopen(SINGLE_FILE);
 }
 
@@ -262,7 +267,7 @@
 }
 
 #[test]
-fn the_same_records_are_written_again_byte_for_byte() {
+fn same_records_are_written_with_the_same_bytes() {
     for fixture in [APPENDED, COMPACTED] {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
