--- a/crates/daemon/tests/deployment_shape.rs
+++ b/crates/daemon/tests/deployment_shape.rs
@@ -40,16 +40,20 @@
         (
             "/report",
             [json!({"how": "silent", "fields": []}), json!({"how": "piggyback", "fields": ["x0", "x1"]})],
-            ["answers tell of no limit", "answers tell of limits"],
+            ["responses carry no load reports", "responses carry load reports"],
         ),
         ("/weights", [json!("silent"), json!("nominal")], ["no listed rates", "exact rates"]),
-        ("/discovery", [json!("automatic"), json!("subscribe")], ["lists are pushed", "lists are asked for"]),
+        (
+            "/discovery",
+            [json!("automatic"), json!("subscribe")],
+            ["endpoint list is pushed", "endpoint list is polled"],
+        ),
         (
             "/policyLimits/mayDuplicate",
             [json!(false), json!(true)],
-            ["one dispatch out at a time", "two dispatches out at most"],
+            ["one attempt in flight per message", "at most two attempts in flight per message"],
         ),
-        ("/familyInfo/zoneFee", [json!([]), json!([0.0, 0.04])], ["no fees", "fees by zone"]),
+        ("/familyInfo/zoneFee", [json!([]), json!([0.0, 0.04])], ["no zone fees", "zone fees"]),
     ];
     for mixture in 0..1 << parts.len() {
         let mut settings = reporting_settings();
@@ -66,17 +70,17 @@
 #[test]
 fn what_is_left_out_or_null_has_the_default_shape() {
     let default_shape =
-        "answers tell of no limit, no listed rates, lists are pushed, one dispatch out at a time, no fees";
+        "responses carry no load reports, no listed rates, endpoint list is pushed, one attempt in flight per message, no zone fees";
     assert_eq!(shape(&json!({})), default_shape);
     let mut settings = reporting_settings();
     settings["report"]["fields"] = json!(["utilization", "x0"]);
     settings["weights"] = json!(null);
     assert_eq!(
         shape(&settings),
-        "answers tell of no limit, no listed rates, lists are asked for, one dispatch out at a time, fees by zone"
+        "responses carry no load reports, no listed rates, endpoint list is polled, one attempt in flight per message, zone fees"
     );
     settings["weights"] = json!("rough");
-    assert!(shape(&settings).contains("rough rates"));
+    assert!(shape(&settings).contains("approximate rates"));
 }
 
 #[test]
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,24 +1,24 @@
-//! What can be wrong with an operator's settings.
+//! Errors of an operator's settings.
 
 use thiserror::Error;
 
-/// A value in the settings that means nothing.
+/// An invalid value in the settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A value is of a type that its key does not have, or none of the words that its key knows.
+    /// A value has the wrong type for its key or is not one of the words that its key allows.
     #[error("{key}: {source}")]
     InvalidValue {
-        /// The path of the key, as `policyLimits.mayDuplicate`.
+        /// Path of the key, such as `policyLimits.mayDuplicate`.
         key: String,
-        /// What the JSON decoder expected and found.
+        /// The error of the JSON decoder, with what it expected and found.
         source: serde_json::Error,
     },
-    /// A value does not go with the others.
+    /// A value is outside its valid range or contradicts another value.
     #[error("{key}: expected {expected}")]
     Unexpected {
-        /// The path of the key, as `familyInfo.zoneFee[1]`.
+        /// Path of the key, such as `familyInfo.zoneFee[1]`.
         key: String,
-        /// What may stand there.
+        /// Description of the valid values.
         expected: String,
     },
 }
--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -1,11 +1,10 @@
-//! Reads values of a JSON object whose author can't be asked: one that is absent, null or of another type counts as not
-//! given.
+//! Lenient access to the values of a JSON object: a value that is null or of the wrong type is treated as absent.
 
 use std::time::Duration;
 
 use serde_json::{Map, Value};
 
-/// An object in the settings, or one without keys where it is not given.
+/// An object in the settings. An absent object is treated as empty.
 #[derive(Clone, Copy)]
 pub(crate) struct Section<'a>(Option<&'a Map<String, Value>>);
 
@@ -26,42 +25,42 @@
         self.0?.get(key)
     }
 
-    /// The object at a key.
+    /// Returns the object at a key; empty if absent.
     pub fn section(self, key: &str) -> Section<'a> {
         Section(self.get(key).and_then(Value::as_object))
     }
 
-    /// The array at a key; empty if not given.
+    /// Returns the array at a key; empty if absent.
     pub fn list(self, key: &str) -> &'a [Value] {
         self.get(key).and_then(Value::as_array).map_or(&[], Vec::as_slice)
     }
 
-    /// The word at a key.
-    pub fn word(self, key: &str) -> Option<&'a str> {
+    /// Returns the string at a key.
+    pub fn text(self, key: &str) -> Option<&'a str> {
         self.get(key).and_then(Value::as_str)
     }
 
-    /// The text at a key; empty if not given.
-    pub fn text(self, key: &str) -> String {
-        self.word(key).unwrap_or_default().to_owned()
+    /// Returns the string at a key; empty if absent.
+    pub fn text_or_empty(self, key: &str) -> String {
+        self.text(key).unwrap_or_default().to_owned()
     }
 
-    /// The whole number at a key.
+    /// Returns the non-negative integer at a key.
     pub fn integer(self, key: &str) -> Option<u64> {
         self.get(key).and_then(Value::as_u64)
     }
 
-    /// The number at a key.
+    /// Returns the number at a key.
     pub fn number(self, key: &str) -> Option<f64> {
         self.get(key).and_then(Value::as_f64)
     }
 
-    /// The time at a key, which is given in whole microseconds.
+    /// Returns the time at a key, which is an integer in microseconds.
     pub fn micros(self, key: &str) -> Option<Duration> {
         self.integer(key).map(Duration::from_micros)
     }
 
-    /// The flag at a key; unset if not given.
+    /// Returns the boolean at a key; `false` if absent.
     pub fn flag(self, key: &str) -> bool {
         self.get(key).and_then(Value::as_bool).unwrap_or_default()
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! The settings that operators hand a forwarder, on the simulator's wire as on sockets. Each module reads one part of
-//! the same JSON object; nothing is decided here.
+//! Parsing of the settings that operators provide to a forwarder, with sockets and in the simulator. Each module reads
+//! its part of the same JSON object.
 //!
-//! | Module | Reads | Into | An odd value is |
+//! | Module | Settings | Type | An invalid value is |
 //! | --- | --- | --- | --- |
-//! | `policy` | what the delivery policy works with | [`reeddock::Settings`] | treated as absent |
-//! | `load_report` | where load reports have their two values | [`LoadReportFields`] | treated as absent |
-//! | `network` | timeouts of connections | [`NetworkSettings`] | treated as absent |
-//! | `shape` | how the deployment is laid out | [`DeploymentShape`] | refused with its key |
+//! | `policy` | settings of the delivery policy | [`reeddock::Settings`] | treated as absent |
+//! | `load_report` | positions of the two values in load reports | [`LoadReportFields`] | treated as absent |
+//! | `network` | connection timeouts and the tick | [`NetworkSettings`] | treated as absent |
+//! | `shape` | features that the deployment uses | [`DeploymentShape`] | refused with its key |
 
 mod error;
 mod lenient;
--- a/crates/settings/src/network.rs
+++ b/crates/settings/src/network.rs
@@ -1,4 +1,4 @@
-//! Timeouts of connections, and how often input is processed. The delivery policy does not know of them.
+//! Connection timeouts and the interval at which input is processed. The delivery policy does not use them.
 
 use std::time::Duration;
 
@@ -6,24 +6,23 @@
 
 use crate::lenient::Section;
 
-/// Longest tick that is accepted; a longer one counts as not given. Clients wait for less than half a second for their
-/// answer, and a tick is a part of that.
+/// Maximum tick. Longer ticks are treated as absent because they would delay responses to clients too much.
 const MAX_TICK: Duration = Duration::from_millis(100);
 
-/// How a forwarder behaves on the network.
+/// Network settings of a forwarder. A field is `None` if the setting is absent or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NetworkSettings {
-    /// `tickUs`: the delivery policy is given what came in at most this often, so that it sees together what came
-    /// together.
+    /// `tickUs`: minimum time between two deliveries of input to the delivery policy, so that concurrent input is
+    /// processed together.
     pub tick: Option<Duration>,
-    /// `policyLimits.connectTimeoutUs`: a connection that is not established by then counts as failed.
+    /// `policyLimits.connectTimeoutUs`: time after which an attempt to connect fails.
     pub connect_timeout: Option<Duration>,
-    /// `policyLimits.connIdleUs`: endpoints close a connection that has been idle for so long.
+    /// `policyLimits.connIdleUs`: idle time after which endpoints close a connection.
     pub idle_timeout: Option<Duration>,
 }
 
 impl NetworkSettings {
-    /// Reads the settings. What is absent or of another type counts as not given.
+    /// Reads the network settings. Values of the wrong type are treated as absent.
     #[must_use]
     pub fn from_settings(settings: &Map<String, Value>) -> NetworkSettings {
         let settings = Section::from(settings);
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,4 +1,4 @@
-//! What the delivery policy is given of the settings, each value under the policy's own name.
+//! Mapping of the operators' settings to the settings of the delivery policy.
 
 use reeddock::{
     EndpointKind, Idempotency, KeyScope, LateDecay, ListedWeights, MessageClass, Settings, TenantQuota,
@@ -9,7 +9,7 @@
 use crate::lenient::Section;
 use crate::LoadReportFields;
 
-/// The settings of the delivery policy. What is absent or of another type counts as not given.
+/// Parses the settings of the delivery policy. Values of the wrong type are treated as absent.
 #[must_use]
 pub fn parse_policy_settings(seed: u64, settings: &Map<String, Value>) -> Settings {
     let mut parsed = Settings { seed, ..Settings::default() };
@@ -22,31 +22,31 @@
     parsed
 }
 
-/// The position of this forwarder in the fleet, and the size of the fleet.
+/// Reads the number of forwarders in the fleet and this forwarder's zone.
 fn read_fleet(settings: &Map<String, Value>, parsed: &mut Settings) {
     let settings = Section::from(settings);
     parsed.forwarders = settings.integer("balancers");
-    parsed.zone = settings.text("az");
+    parsed.zone = settings.text_or_empty("az");
 }
 
-/// Classes of messages, kinds of endpoints, and tenants.
+/// Reads message classes, endpoint kinds, tenants and the decay of late messages' weight.
 fn read_traffic(settings: &Map<String, Value>, parsed: &mut Settings) {
     let settings = Section::from(settings);
-    parsed.classes = settings.list("classes").iter().map(message_class).collect();
-    parsed.endpoint_kinds = endpoint_kinds(settings);
-    parsed.tenants = settings.list("realms").iter().map(tenant_quota).collect();
+    parsed.classes = settings.list("classes").iter().map(parse_message_class).collect();
+    parsed.endpoint_kinds = parse_endpoint_kinds(settings);
+    parsed.tenants = settings.list("realms").iter().map(parse_tenant_quota).collect();
     parsed.over_quota_weight = settings.number("overShareWorth");
-    parsed.late_decay = match settings.section("familyInfo").word("decay") {
+    parsed.late_decay = match settings.section("familyInfo").text("decay") {
         Some("halving") => LateDecay::Exponential,
         _ => LateDecay::Linear,
     };
 }
 
-fn message_class(class: &Value) -> MessageClass {
+fn parse_message_class(class: &Value) -> MessageClass {
     let class = Section::from(class);
     MessageClass {
-        name: class.text("name"),
-        idempotency: idempotency(class),
+        name: class.text_or_empty("name"),
+        idempotency: parse_idempotency(class),
         latency_objective: class.micros("onTimeUs"),
         deadline: class.micros("giveUpUs"),
         priority_weight: class.number("importance"),
@@ -55,15 +55,15 @@
     }
 }
 
-/// Whether messages of a class may be repeated. A window that is not given is no promise: it counts as not given at
-/// all.
-fn idempotency(class: Section) -> Option<Idempotency> {
-    match class.word("effect")? {
+/// Parses whether messages of a class may be executed repeatedly. Deduplication without a window is treated as absent
+/// because it guarantees nothing.
+fn parse_idempotency(class: Section) -> Option<Idempotency> {
+    match class.text("effect")? {
         "idempotent" => Some(Idempotency::Idempotent),
         "at_most_once" => Some(Idempotency::NonIdempotent),
         "deduplicated" => {
             let window = class.micros("windowUs")?;
-            let scope = match class.word("dedupScope") {
+            let scope = match class.text("dedupScope") {
                 Some("all") => KeyScope::Region,
                 _ => KeyScope::Zone,
             };
@@ -73,25 +73,25 @@
     }
 }
 
-/// The kinds by name; their other values stand in arrays beside, at the same index.
-fn endpoint_kinds(settings: Section) -> Vec<EndpointKind> {
+/// Parses the endpoint kinds. Their names and other values are in parallel arrays with the same indices.
+fn parse_endpoint_kinds(settings: Section) -> Vec<EndpointKind> {
     let family = settings.section("familyInfo");
     let batches = family.list("batchByKind");
-    let own_circuits = family.list("kindApart");
+    let circuits_per_endpoint = family.list("kindApart");
     let kind = |(index, name): (usize, &Value)| EndpointKind {
         name: name.as_str().unwrap_or_default().to_owned(),
-        circuit_per_endpoint: own_circuits.get(index).and_then(Value::as_bool).unwrap_or_default(),
+        circuit_per_endpoint: circuits_per_endpoint.get(index).and_then(Value::as_bool).unwrap_or_default(),
         max_batch: batches.get(index).and_then(Value::as_u64),
     };
     settings.list("kinds").iter().enumerate().map(kind).collect()
 }
 
-fn tenant_quota(tenant: &Value) -> TenantQuota {
+fn parse_tenant_quota(tenant: &Value) -> TenantQuota {
     let tenant = Section::from(tenant);
-    TenantQuota { tenant: tenant.text("name"), messages_per_second: tenant.number("quotaPerS") }
+    TenantQuota { tenant: tenant.text_or_empty("name"), messages_per_second: tenant.number("quotaPerS") }
 }
 
-/// What one forwarder may have open, and what rejections may carry.
+/// Reads the limits on messages, requests and attempts of a forwarder, and on the `Retry-After` of rejections.
 fn read_limits(settings: &Map<String, Value>, parsed: &mut Settings) {
     let settings = Section::from(settings);
     let limits = settings.section("policyLimits");
@@ -103,7 +103,7 @@
     parsed.connection_idle_timeout = limits.micros("connIdleUs");
 }
 
-/// The operators' guarantees about destinations that recover from an outage, and about ordering keys.
+/// Reads the operators' guarantees about slow start, overload and ordering keys.
 fn read_guarantees(settings: &Map<String, Value>, parsed: &mut Settings) {
     let guarantees = Section::from(settings).section("guarantees");
     parsed.slow_start_floor = guarantees.number("coldFrom");
@@ -113,21 +113,21 @@
     parsed.ordering_hold_off = guarantees.micros("keyQuietUs");
 }
 
-/// How the endpoint list comes, and what it and responses say of limits.
+/// Reads how the endpoint list is received, and which rates the list and responses carry.
 fn read_discovery(settings: &Map<String, Value>, parsed: &mut Settings) {
     parsed.responses_carry_load_reports = LoadReportFields::from_settings(settings).is_some();
     let settings = Section::from(settings);
-    let is_polled = settings.word("discovery") == Some("subscribe");
+    let is_polled = settings.text("discovery") == Some("subscribe");
     let poll_interval_limit = settings.section("guarantees").micros("mustAskInUs");
     parsed.poll_interval_limit = poll_interval_limit.filter(|_| is_polled);
-    parsed.listed_weights = match settings.word("weights") {
+    parsed.listed_weights = match settings.text("weights") {
         Some("nominal") => ListedWeights::Rates,
         Some("rough") => ListedWeights::ApproximateRates,
         _ => ListedWeights::Unspecified,
     };
 }
 
-/// Prices of requests and connections.
+/// Reads the prices of requests and connections.
 fn read_prices(settings: &Map<String, Value>, parsed: &mut Settings) {
     let settings = Section::from(settings);
     let tariffs = settings.section("tariffs");
@@ -135,11 +135,11 @@
     parsed.connection_price = tariffs.number("handshake");
     let zones = settings.list("areas");
     let fees = settings.section("familyInfo").list("zoneFee");
-    parsed.zone_fees = zones.iter().zip(fees).filter_map(|(zone, fee)| zone_fee(zone, fee)).collect();
+    parsed.zone_fees = zones.iter().zip(fees).filter_map(|(zone, fee)| parse_zone_fee(zone, fee)).collect();
 }
 
-/// The price in one zone; None where the fee is no number.
-fn zone_fee(zone: &Value, fee: &Value) -> Option<ZoneFee> {
+/// Parses the fee of one zone. `None` if the fee is not a number.
+fn parse_zone_fee(zone: &Value, fee: &Value) -> Option<ZoneFee> {
     let zone = zone.as_str().unwrap_or_default().to_owned();
     fee.as_f64().map(|fee| ZoneFee { zone, fee })
 }
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,6 +1,5 @@
-//! How a deployment is laid out, as its configuration says: each part from its own keys, in any mixture, since customers
-//! differ in all of them. The simulator's wire is lenient, and treats an odd value as absent; in an operator's file a
-//! value that means nothing is refused with its key.
+//! Features that a deployment uses, each read from its own keys of the configuration. Unlike the other modules, this
+//! module refuses invalid values with an error that names the key.
 
 use std::fmt;
 
@@ -9,37 +8,37 @@
 
 use crate::SettingsError;
 
-/// The parts of a deployment's layout, none of which follows from another.
+/// Features that a deployment uses, independent of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeploymentShape {
-    /// Responses report how much of their circuit's limit is left, and the limit: `report.how` is `piggyback`, and
-    /// `report.fields` has both `x0` and `x1`.
+    /// Whether responses carry the limit of the endpoint's circuit and its remaining share: `report.how` is `piggyback`
+    /// and `report.fields` contains `x0` and `x1`.
     pub responses_carry_load_reports: bool,
-    /// What the endpoint list says of requests a second: `weights`.
+    /// Accuracy of the request rates in the endpoint list: `weights`.
     pub listed_rates: ListedRates,
-    /// The endpoint list comes only when it is polled: `discovery` is `subscribe`, and `guarantees.mustAskInUs` says
-    /// how often.
+    /// Whether the endpoint list is polled instead of pushed: `discovery` is `subscribe`, and `guarantees.mustAskInUs`
+    /// limits the time between polls.
     pub endpoint_list_is_polled: bool,
-    /// A message may have two attempts in flight: `policyLimits.mayDuplicate`.
+    /// Whether a message may have two attempts in flight: `policyLimits.mayDuplicate`.
     pub hedging_allowed: bool,
-    /// Requests to endpoints with a circuit of their own have a price by zone: a value over 0 in
-    /// `familyInfo.zoneFee`, which has one for each of `areas`.
-    pub zone_fees: bool,
+    /// Whether requests to endpoints with their own circuit have a price by zone: `familyInfo.zoneFee`, which has one
+    /// value for each of `areas`, contains a value above 0.
+    pub has_zone_fees: bool,
 }
 
-/// What the endpoint list says of requests a second.
+/// Accuracy of the request rates in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRates {
-    /// Nothing: `weights` is absent, `silent` or `live`.
+    /// The list has no rates: `weights` is absent, `silent` or `live`.
     Unspecified,
-    /// Rates that may be up to half too high or too low: `weights` is `rough`.
+    /// Rates may be too high or too low by up to half: `weights` is `rough`.
     Approximate,
-    /// Rates of a usual day: `weights` is `nominal`.
+    /// Rates are those of a usual day: `weights` is `nominal`.
     Exact,
 }
 
-/// The keys that a shape follows from; others are passed over. One that is null counts as absent. Names of the wire's
-/// types are part of error messages.
+/// The keys of the settings that define a [`DeploymentShape`]. Other keys are ignored, and null values are treated as
+/// absent.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct Keys {
@@ -56,17 +55,17 @@
     zone: Option<String>,
 }
 
-/// How the endpoint list comes.
+/// How the endpoint list is received.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 enum Discovery {
-    /// It is pushed.
+    /// The list is pushed.
     Automatic,
-    /// It is polled.
+    /// The list is polled.
     Subscribe,
 }
 
-/// What the weights in the endpoint list mean.
+/// Meaning of the weights in the endpoint list.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 enum Weights {
@@ -76,15 +75,15 @@
     Live,
 }
 
-/// Which load reports there are.
+/// The load reports that endpoints send.
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "a JSON object")]
 struct Report {
     how: How,
     fields: Vec<String>,
 }
 
-/// How load reports come.
+/// How load reports are received.
 #[derive(Default, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 enum How {
@@ -92,34 +91,34 @@
     Piggyback,
     /// On request.
     Pull,
-    /// Not at all.
+    /// Load reports are not sent.
     #[default]
     Silent,
 }
 
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "a JSON object")]
 struct Limits {
     #[serde(rename = "mayDuplicate")]
     hedging_allowed: Option<bool>,
 }
 
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "a JSON object")]
 struct Guarantees {
     #[serde(rename = "mustAskInUs")]
     poll_interval_limit_us: Option<u64>,
 }
 
 #[derive(Default, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "a JSON object")]
 struct Family {
     #[serde(rename = "zoneFee")]
     zone_fees: Vec<f64>,
 }
 
 impl DeploymentShape {
-    /// Reads the shape from a configuration's settings. The first key that means nothing is an error.
+    /// Reads the features from the settings of a configuration. Returns an error for the first invalid key.
     pub fn from_settings(settings: &Map<String, Value>) -> Result<DeploymentShape, SettingsError> {
         let keys = Keys::read(settings)?;
         let zones = keys.zones.unwrap_or_default();
@@ -131,11 +130,11 @@
             check_poll_interval(&keys.guarantees.unwrap_or_default())?;
         }
         Ok(DeploymentShape {
-            responses_carry_load_reports: keys.report.unwrap_or_default().covers_limits(),
+            responses_carry_load_reports: keys.report.unwrap_or_default().has_limits(),
             listed_rates: keys.weights.into(),
             endpoint_list_is_polled,
             hedging_allowed: keys.policy_limits.unwrap_or_default().hedging_allowed.unwrap_or_default(),
-            zone_fees: zone_fees.iter().any(|fee| *fee > 0.0),
+            has_zone_fees: zone_fees.iter().any(|fee| *fee > 0.0),
         })
     }
 }
@@ -150,10 +149,10 @@
 }
 
 impl Report {
-    /// Whether responses report a limit and what is left of it. A report of other things is none of limits.
-    fn covers_limits(&self) -> bool {
-        let has = |name: &str| self.fields.iter().any(|field| field == name);
-        self.how == How::Piggyback && has("x0") && has("x1")
+    /// Returns whether responses carry a limit and its remaining share.
+    fn has_limits(&self) -> bool {
+        let has_field = |name: &str| self.fields.iter().any(|field| field == name);
+        self.how == How::Piggyback && has_field("x0") && has_field("x1")
     }
 }
 
@@ -167,59 +166,59 @@
     }
 }
 
-/// Checks that the forwarder's own zone, where both are given, is one of the deployment's.
+/// Checks that the forwarder's zone is one of the deployment's zones, if both are given.
 fn check_zone(zone: Option<&str>, zones: &[String]) -> Result<(), SettingsError> {
     let Some(zone) = zone.filter(|zone| !zone.is_empty()) else { return Ok(()) };
     if zones.is_empty() || zones.iter().any(|known| known == zone) {
         return Ok(());
     }
-    Err(SettingsError::unexpected("az", "one of areas"))
+    Err(SettingsError::unexpected("az", "one of the zones in areas"))
 }
 
-/// Checks that each fee is a price, and that there are as many as zones, or none.
+/// Checks that each fee is 0 or more, and that there is one fee for each zone or none at all.
 fn check_zone_fees(fees: &[f64], zones: &[String]) -> Result<(), SettingsError> {
     if let Some(index) = fees.iter().position(|fee| !fee.is_finite() || *fee < 0.0) {
-        return Err(SettingsError::unexpected(format!("familyInfo.zoneFee[{index}]"), "0 or more"));
+        return Err(SettingsError::unexpected(format!("familyInfo.zoneFee[{index}]"), "a fee of 0 or more"));
     }
     if !fees.is_empty() && fees.len() != zones.len() {
-        let expected = format!("a fee for each of {} areas, found {}", zones.len(), fees.len());
+        let expected = format!("one fee for each of the {} areas, found {}", zones.len(), fees.len());
         return Err(SettingsError::unexpected("familyInfo.zoneFee", expected));
     }
     Ok(())
 }
 
-/// Checks that a list which is polled has a limit on the time between two polls.
+/// Checks that a deployment whose endpoint list is polled has a limit on the time between two polls.
 fn check_poll_interval(guarantees: &Guarantees) -> Result<(), SettingsError> {
     match guarantees.poll_interval_limit_us {
         None | Some(0) => Err(SettingsError::unexpected(
             "guarantees.mustAskInUs",
-            "microseconds over 0, as the list is asked for",
+            "microseconds above 0, because discovery is subscribe",
         )),
         Some(_) => Ok(()),
     }
 }
 
-/// One line for operators, with a phrase for each part.
+/// Formats the features as one line for operators.
 impl fmt::Display for DeploymentShape {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let load_reports = match self.responses_carry_load_reports {
-            true => "answers tell of limits",
-            false => "answers tell of no limit",
+            true => "responses carry load reports",
+            false => "responses carry no load reports",
         };
         let rates = match self.listed_rates {
             ListedRates::Unspecified => "no listed rates",
-            ListedRates::Approximate => "rough rates",
+            ListedRates::Approximate => "approximate rates",
             ListedRates::Exact => "exact rates",
         };
         let discovery = match self.endpoint_list_is_polled {
-            true => "lists are asked for",
-            false => "lists are pushed",
+            true => "endpoint list is polled",
+            false => "endpoint list is pushed",
         };
         let attempts = match self.hedging_allowed {
-            true => "two dispatches out at most",
-            false => "one dispatch out at a time",
+            true => "at most two attempts in flight per message",
+            false => "one attempt in flight per message",
         };
-        let fees = if self.zone_fees { "fees by zone" } else { "no fees" };
+        let fees = if self.has_zone_fees { "zone fees" } else { "no zone fees" };
         write!(f, "{load_reports}, {rates}, {discovery}, {attempts}, {fees}")
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Which key of the settings each value comes from.
+//! Parsing of settings: the key of each value, invalid values and their errors.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     value.as_object().cloned().unwrap()
 }
 
-/// Settings with every key, no value of which is the same as when it is absent.
-fn full() -> Map<String, Value> {
+/// Settings with every key and with values that differ from the defaults.
+fn full_settings() -> Map<String, Value> {
     object(json!({
         "balancers": 200, "az": "east", "areas": ["east", "west"], "discovery": "subscribe", "weights": "rough",
         "tickUs": 5000, "overShareWorth": 0.5,
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn classes_kinds_and_tenants_are_read() {
-    let settings = parse_policy_settings(5, &full());
+fn classes_kinds_and_tenants_are_parsed() {
+    let settings = parse_policy_settings(5, &full_settings());
     let class = &settings.classes[0];
     let window = Duration::from_micros(11);
     assert_eq!(class.name, "update");
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn fleet_and_limits_are_read() {
-    let settings = parse_policy_settings(5, &full());
+fn fleet_and_limits_are_parsed() {
+    let settings = parse_policy_settings(5, &full_settings());
     assert_eq!((settings.seed, settings.forwarders, settings.zone.as_str()), (5, Some(200), "east"));
     assert_eq!(
         (settings.max_in_flight, settings.capacity, settings.max_attempts),
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn guarantees_discovery_and_prices_are_read() {
-    let settings = parse_policy_settings(5, &full());
+fn guarantees_discovery_and_prices_are_parsed() {
+    let settings = parse_policy_settings(5, &full_settings());
     assert_eq!((settings.slow_start_floor, settings.slow_start_duration), (Some(0.3), micros(21)));
     assert_eq!((settings.overload_multiple, settings.overload_window), (Some(1.5), micros(22)));
     assert_eq!((settings.ordering_hold_off, settings.poll_interval_limit), (micros(23), micros(24)));
@@ -84,67 +84,67 @@
 }
 
 #[test]
-fn longest_retry_after_counts_only_where_rejections_may_carry_one() {
-    let mut settings = full();
+fn max_retry_after_is_ignored_if_rejections_carry_no_retry_after() {
+    let mut settings = full_settings();
     settings["policyLimits"]["retryAfter"] = json!(false);
     assert_eq!(parse_policy_settings(5, &settings).max_retry_after, None);
 }
 
 #[test]
-fn poll_interval_counts_only_where_the_endpoint_list_is_polled() {
-    let mut settings = full();
+fn poll_interval_is_ignored_if_the_endpoint_list_is_not_polled() {
+    let mut settings = full_settings();
     settings["discovery"] = json!("automatic");
     assert_eq!(parse_policy_settings(5, &settings).poll_interval_limit, None);
 }
 
 #[test]
-fn idempotency_key_without_a_window_counts_as_not_given() {
-    let mut settings = full();
+fn deduplication_without_a_valid_window_is_treated_as_absent() {
+    let mut settings = full_settings();
     settings["classes"][0]["windowUs"] = json!("long");
     assert_eq!(parse_policy_settings(5, &settings).classes[0].idempotency, None);
 }
 
 #[test]
-fn load_report_is_read_by_the_order_of_its_fields() {
-    let fields = LoadReportFields::from_settings(&full()).unwrap();
+fn load_report_is_parsed_by_the_order_of_its_fields() {
+    let fields = LoadReportFields::from_settings(&full_settings()).unwrap();
     let values = [json!(25.0), json!(3), json!(0.4)];
-    assert_eq!(fields.read(&values), Some(LoadReport { left: 0.4, limit: 25.0 }));
-    assert_eq!(fields.read(&values[..2]), None);
+    assert_eq!(fields.parse_report(&values), Some(LoadReport { left: 0.4, limit: 25.0 }));
+    assert_eq!(fields.parse_report(&values[..2]), None);
 }
 
 #[test]
-fn tick_over_a_tenth_of_a_second_counts_as_not_given() {
+fn tick_over_the_maximum_is_treated_as_absent() {
     let expected =
         NetworkSettings { tick: micros(5000), connect_timeout: micros(20), idle_timeout: micros(19) };
-    assert_eq!(NetworkSettings::from_settings(&full()), expected);
-    let mut settings = full();
+    assert_eq!(NetworkSettings::from_settings(&full_settings()), expected);
+    let mut settings = full_settings();
     settings["tickUs"] = json!(100_001);
     assert_eq!(NetworkSettings::from_settings(&settings), NetworkSettings { tick: None, ..expected });
 }
 
 #[test]
-fn value_of_the_shape_that_means_nothing_is_refused_with_its_key() {
+fn invalid_value_of_a_deployment_feature_is_refused_with_its_key() {
     for (pointer, value, expected) in [
-        ("/az", json!("north"), "az: expected one of areas"),
-        ("/familyInfo/zoneFee", json!([0.01, -1.0]), "familyInfo.zoneFee[1]: expected 0 or more"),
+        ("/az", json!("north"), "az: expected one of the zones in areas"),
+        ("/familyInfo/zoneFee", json!([0.01, -1.0]), "familyInfo.zoneFee[1]: expected a fee of 0 or more"),
         (
             "/familyInfo/zoneFee",
             json!([0.01]),
-            "familyInfo.zoneFee: expected a fee for each of 2 areas, found 1",
+            "familyInfo.zoneFee: expected one fee for each of the 2 areas, found 1",
         ),
         (
             "/guarantees/mustAskInUs",
             json!(0),
-            "guarantees.mustAskInUs: expected microseconds over 0, as the list is asked for",
+            "guarantees.mustAskInUs: expected microseconds above 0, because discovery is subscribe",
         ),
-        ("/familyInfo", json!(7), "familyInfo: invalid type: integer `7`, expected struct Family"),
+        ("/familyInfo", json!(7), "familyInfo: invalid type: integer `7`, expected a JSON object"),
         (
             "/weights",
             json!("heavy"),
             "weights: unknown variant `heavy`, expected one of `silent`, `nominal`, `rough`, `live`",
         ),
     ] {
-        let mut settings = Value::Object(full());
+        let mut settings = Value::Object(full_settings());
         *settings.pointer_mut(pointer).unwrap() = value;
         let error = DeploymentShape::from_settings(&object(settings)).unwrap_err();
         assert_eq!(error.to_string(), expected);
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Batches of events for many instances, and the replies to them.
+//! Processing of batches of events for several instances.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use crate::instance::{Instance, RegisteredLists};
 use crate::AdapterError;
 
-/// All forwarders that this process plays. They share nothing but the numbered endpoint lists, which the wire shares.
+/// The forwarders of a simulation. They share only the registered endpoint lists, as the simulator's wire defines.
 #[derive(Default)]
 pub struct SimulationAdapter {
     instances: BTreeMap<u64, Instance>,
@@ -21,13 +21,14 @@
 }
 
 impl SimulationAdapter {
-    /// Answers one batch with one reply, both a line of JSON.
+    /// Applies a batch and returns its reply. Both are one line of JSON. An error means that the batch is malformed.
     pub fn process_batch(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Value = serde_json::from_str(line)?;
         let clock = batch.get("wallUs").and_then(Value::as_u64).ok_or(AdapterError::MissingClock)?;
         let now = Duration::from_micros(clock);
         let serial = batch.get("serial").filter(|s| s.is_u64()).ok_or(AdapterError::MissingSerial)?;
-        let parts = batch.get("forwarders").and_then(Value::as_array).ok_or(AdapterError::MissingParts)?;
+        let parts =
+            batch.get("forwarders").and_then(Value::as_array).ok_or(AdapterError::MissingForwarders)?;
         let mut replies = Vec::new();
         for part in parts {
             replies.extend(self.process_part(part, now)?);
@@ -35,9 +36,9 @@
         Ok(json!({"serial": serial, "forwarders": replies}).to_string())
     }
 
-    /// Passes one instance its part of a batch, and returns its commands; None if there are none.
+    /// Applies the part of a batch for one instance and returns the commands of the instance. `None` if there are none.
     ///
-    /// A panic of the delivery policy goes into the reply, so that the simulator knows which instance it happened to.
+    /// A panic of the delivery policy is reported in the reply with the number of its instance.
     fn process_part(&mut self, part: &Value, now: Duration) -> Result<Option<Value>, AdapterError> {
         let number = part.get("i").and_then(Value::as_u64).ok_or(AdapterError::MissingInstance)?;
         let events = part.get("in").and_then(Value::as_array).ok_or(AdapterError::MissingEvents)?;
@@ -86,7 +87,7 @@
             }
             "Retire" => {
                 self.instances.remove(&number);
-                // Its commands of earlier in this batch are void with it.
+                // Commands that the instance gave earlier in this batch are no longer valid.
                 commands.clear();
             }
             _ => {
@@ -94,15 +95,15 @@
                     event: fields.name.to_owned(),
                     instance: number,
                 })?;
-                instance.apply(InstanceEvent::try_from(fields)?, &self.lists, now, commands)?;
+                instance.apply_event(InstanceEvent::try_from(fields)?, &self.lists, now, commands)?;
             }
         }
         Ok(())
     }
 }
 
-/// The message that a panic was raised with.
+/// Returns the message of a panic.
 fn panic_message(cause: &(dyn Any + Send)) -> &str {
     let owned = cause.downcast_ref::<String>().map(String::as_str);
-    owned.or(cause.downcast_ref::<&str>().copied()).unwrap_or("the module panicked")
+    owned.or(cause.downcast_ref::<&str>().copied()).unwrap_or("delivery policy panicked without a message")
 }
--- a/crates/sim-adapter/src/commands.rs
+++ b/crates/sim-adapter/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of one delivery policy during one batch, encoded for the reply.
+//! Encoding of the commands that a delivery policy gives during one batch.
 
 use std::time::Duration;
 
@@ -6,36 +6,36 @@
 use reeddock::{AttemptNumber, AttemptTimeouts, EndpointId, MessageId, PeerId, PolicyEvent, PolicyHost};
 use serde_json::{json, Value};
 
-/// Commands in the order in which they were given.
+/// The commands of a delivery policy in the order in which they were given, as JSON arrays.
 #[derive(Default)]
 pub(crate) struct Commands(Vec<Value>);
 
 impl Commands {
-    /// The reply of an instance whose delivery policy panicked, in place of all commands.
+    /// Returns the commands of an instance whose delivery policy panicked, which replace all earlier commands.
     pub fn panicked(message: &str) -> Commands {
         Commands(vec![json!(["Panic", message])])
     }
 
-    /// Drops all commands so far.
+    /// Removes all commands given so far.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// The commands as JSON arrays.
+    /// Returns the commands as JSON arrays.
     pub fn into_values(self) -> Vec<Value> {
         self.0
     }
 }
 
-/// A time in whole microseconds, as on the wire.
-fn micros(time: Duration) -> u64 {
+/// Converts a time to whole microseconds, the unit of the wire.
+fn to_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
 impl PolicyHost for Commands {
     fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
-        // The wire reads 0 as no timeout, and a negative number as no time left.
-        let timeout = match micros(timeouts.response_within) {
+        // On the wire, 0 means no timeout and a negative number means that no time is left.
+        let timeout = match to_micros(timeouts.response_within) {
             0 => json!(-1),
             micros => json!(micros),
         };
@@ -47,7 +47,7 @@
     }
 
     fn reject(&mut self, message: &MessageId, retry_after: Option<Duration>) {
-        self.0.push(json!(["Shed", &*message.0, retry_after.map(micros)]));
+        self.0.push(json!(["Shed", &*message.0, retry_after.map(to_micros)]));
     }
 
     fn fail(&mut self, message: &MessageId) {
@@ -55,7 +55,7 @@
     }
 
     fn set_timer(&mut self, after: Duration) {
-        self.0.push(json!(["Schedule", micros(after), "wake"]));
+        self.0.push(json!(["Schedule", to_micros(after), "wake"]));
     }
 
     fn start_health_check(&mut self, endpoint: EndpointId) {
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,74 +1,76 @@
-//! What can be wrong with a batch, and with the two streams that batches and replies travel on.
+//! Errors of reading, decoding and answering batches.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why a batch can't be answered. After one of these the program ends.
+/// The reason why a batch cannot be answered. The program ends after any of these errors.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Standard input broke off.
-    #[error("cannot read a batch: {0}")]
+    /// Reading standard input failed.
+    #[error("cannot read a batch from standard input: {0}")]
     Read(#[source] io::Error),
-    /// Standard output broke off.
-    #[error("cannot write a reply: {0}")]
+    /// Writing standard output failed.
+    #[error("cannot write a reply to standard output: {0}")]
     Write(#[source] io::Error),
-    /// The line is no JSON.
+    /// A line is not valid JSON.
     #[error("batch is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The batch lacks the time in microseconds.
-    #[error("batch has no clock in wallUs")]
+    /// The batch has no valid time.
+    #[error("batch: expected a whole number of microseconds in wallUs")]
     MissingClock,
-    /// The batch lacks the number that its reply repeats.
-    #[error("batch has no serial")]
+    /// The batch has no valid serial number, which its reply repeats.
+    #[error("batch: expected a whole number in serial")]
     MissingSerial,
-    /// The batch lacks its parts, one for each forwarder.
-    #[error("batch has no forwarders")]
-    MissingParts,
-    /// A part lacks the number of its instance.
-    #[error("a part has no instance number in i")]
+    /// The batch has no array of parts, one for each forwarder.
+    #[error("batch: expected an array in forwarders")]
+    MissingForwarders,
+    /// A part of the batch has no valid instance number.
+    #[error("batch: expected an instance number in key i of each part")]
     MissingInstance,
-    /// A part lacks its events.
-    #[error("a part has no events in in")]
+    /// A part of the batch has no array of events.
+    #[error("batch: expected an array of events in key in of each part")]
     MissingEvents,
-    /// An event is something other than an array.
-    #[error("an event is not an array")]
+    /// An event is not an array.
+    #[error("event: expected an array")]
     EventNotArray,
-    /// An event does not start with its name.
-    #[error("an event has no name")]
-    UnnamedEvent,
-    /// There is no event of this name.
+    /// The first value of an event is not a name.
+    #[error("event: expected a name as the first value")]
+    MissingEventName,
+    /// An event has a name that the wire does not define.
     #[error("unknown event {0:?}")]
     UnknownEvent(String),
-    /// A value of an event is missing or of another type.
+    /// A value of an event is missing or has the wrong type.
     #[error("{event}: value {number} is missing or malformed")]
     InvalidValue {
-        /// The event's name.
+        /// Name of the event.
         event: String,
-        /// Which of its values, from 1.
+        /// Position of the value in the event, from 1.
         number: usize,
     },
-    /// An event for an instance that was not attached or was retired.
+    /// An event is for an instance that was not attached or was retired.
     #[error("{event}: instance {instance} is not attached")]
     NotAttached {
-        /// The event's name.
+        /// Name of the event.
         event: String,
-        /// The number of the instance.
+        /// Number of the instance.
         instance: u64,
     },
-    /// `Sync` with a word for its kind that is not known.
-    #[error("Sync: unknown kind {0:?}")]
+    /// `Sync` has an unknown kind.
+    #[error("Sync: unknown kind {0:?}, expected C, D, F or X")]
     UnknownSyncKind(String),
-    /// `Sync` with the number of a list that was not registered.
-    #[error("Sync: list {0} was never registered")]
+    /// `Sync` refers to the number of a list that was not registered.
+    #[error("Sync: list {0} is not registered")]
     UnknownList(u64),
-    /// An entry of a registered list is something other than an array.
-    #[error("Register: an entry is not an array")]
+    /// An entry of a registered list is not an array.
+    #[error("Register: expected each entry to be an array")]
     EntryNotArray,
-    /// An entry of a registered list with a state that is not known.
-    #[error("Register entry: unknown health {0:?}")]
-    UnknownHealth(String),
-    /// `Settled` with an outcome that is not known.
-    #[error("Settled: unknown outcome {0:?}")]
+    /// An entry of a registered list has an unknown endpoint state.
+    #[error("Register entry: unknown state {0:?}, expected active, leaving or left")]
+    UnknownEndpointState(String),
+    /// `Settled` has an unknown outcome.
+    #[error(
+        "Settled: unknown outcome {0:?}, expected delivered, app_error, shed, expired, dial_failed, dropped, revoked or unused"
+    )]
     UnknownOutcome(String),
 }
--- a/crates/sim-adapter/src/event.rs
+++ b/crates/sim-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that the simulator sends to one instance, and entries of the endpoint lists that it registers.
+//! Decoding of events for one instance and of entries of registered endpoint lists.
 
 use std::time::Duration;
 
@@ -12,59 +12,56 @@
 use crate::event_fields::EventFields;
 use crate::AdapterError;
 
-/// An event for one instance that is attached.
+/// An event for an attached instance.
 pub(crate) enum InstanceEvent<'a> {
-    /// `Sync` of kind `X`: the endpoint list could not be fetched.
+    /// `Sync` of kind `X`: fetching the endpoint list failed.
     DiscoveryFailed,
-    /// `Sync` of another kind: the endpoint list, or what changed of it.
+    /// `Sync` of another kind: the full endpoint list or its changes were received.
     EndpointList {
-        /// It is the whole list.
-        whole: bool,
-        /// The number that the list was registered under.
+        /// Whether it is the full list.
+        is_full_list: bool,
+        /// Number that the list was registered under.
         list: u64,
     },
-    /// `Demand`: a client submits a message.
+    /// `Demand`: a client submitted a message.
     Submitted(NewMessage<'a>),
-    /// `Settled`: an attempt has ended.
+    /// `Settled`: an attempt ended.
     AttemptFinished(FinishedAttempt<'a>),
-    /// `Left`: the client does not wait for the message any more.
+    /// `Left`: the client stopped waiting for a message.
     Withdrawn(MessageId),
-    /// `Alarm`: a timer of the policy has fired.
+    /// `Alarm`: a timer of the policy fired.
     TimerFired,
-    /// `HealthResult`: a health check has ended.
+    /// `HealthResult`: a health check ended.
     HealthChecked {
-        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// It answered as a healthy one does.
+        /// Whether the endpoint is healthy.
         healthy: bool,
-        /// The values of the load report that came with it.
+        /// Values of the load report in the response; `None` if it has none.
         load_report: Option<&'a [Value]>,
     },
-    /// `FromPeer`: gossip of another forwarder.
+    /// `FromPeer`: gossip of another forwarder was received.
     GossipReceived {
-        /// Who sent it.
+        /// Forwarder that sent the gossip.
         peer: PeerId,
-        /// What it sent.
         gossip: Vec<u8>,
     },
-    /// `Accepted`: the response to an attempt has begun.
+    /// `Accepted`: the response to an attempt started.
     ResponseStarted {
-        /// The attempt's message.
         message: MessageId,
-        /// Which of its attempts.
+        /// Number of the attempt among those of its message.
         attempt: AttemptNumber,
     },
 }
 
-/// How an attempt ended.
+/// An attempt that ended.
 pub(crate) struct FinishedAttempt<'a> {
     pub message: MessageId,
     pub attempt: AttemptNumber,
     pub endpoint: EndpointId,
     pub outcome: AttemptOutcome,
-    /// The message is finished with it.
+    /// Whether the message is finished with this attempt.
     pub message_finished: bool,
-    /// The values of the load report that came with it.
+    /// Values of the load report in the response; `None` if it has none.
     pub load_report: Option<&'a [Value]>,
 }
 
@@ -84,7 +81,7 @@
                 load_report: fields.optional_array(3),
             },
             "FromPeer" => InstanceEvent::GossipReceived {
-                gossip: STANDARD.decode(fields.text(1)?).map_err(|_| fields.invalid(1))?,
+                gossip: STANDARD.decode(fields.text(1)?).map_err(|_| fields.invalid_value(1))?,
                 peer: fields.peer(0)?,
             },
             "Accepted" => {
@@ -98,9 +95,9 @@
 fn parse_sync<'a>(fields: &EventFields<'a>) -> Result<InstanceEvent<'a>, AdapterError> {
     match fields.text(0)? {
         "X" => Ok(InstanceEvent::DiscoveryFailed),
-        // Of the three other kinds, only `D` has just what changed.
+        // `D` carries the changes of the list, `F` and `C` carry the full list.
         kind @ ("D" | "F" | "C") => {
-            Ok(InstanceEvent::EndpointList { whole: kind != "D", list: fields.integer(2)? })
+            Ok(InstanceEvent::EndpointList { is_full_list: kind != "D", list: fields.integer(2)? })
         }
         other => Err(AdapterError::UnknownSyncKind(other.to_owned())),
     }
@@ -112,7 +109,7 @@
         class: fields.text(1)?,
         tenant: fields.optional_text(2),
         ordering_key: fields.optional_integer(3)?.map(OrderingKey),
-        deadline: fields.micros(4)?,
+        deadline: fields.duration_from_micros(4)?,
         destination: fields.destination(6)?,
     })
 }
@@ -121,7 +118,7 @@
     type Error = AdapterError;
 
     fn try_from(fields: &EventFields<'a>) -> Result<FinishedAttempt<'a>, AdapterError> {
-        // This one time is in milliseconds.
+        // This time is in milliseconds, unlike the others on the wire.
         let retry_after = fields.optional_integer(6)?.filter(|ms| *ms > 0).map(Duration::from_millis);
         Ok(FinishedAttempt {
             outcome: parse_outcome(fields.text(4)?, retry_after)?,
@@ -150,12 +147,12 @@
 
 /// Parses an entry of a registered list.
 pub(crate) fn parse_list_entry(entry: &Value) -> Result<EndpointUpdate<'_>, AdapterError> {
-    let fields = EventFields::of_list_entry(entry)?;
+    let fields = EventFields::from_list_entry(entry)?;
     let state = match fields.text(4)? {
         "active" => EndpointState::Active,
         "leaving" => EndpointState::Draining,
         "left" => EndpointState::Removed,
-        other => return Err(AdapterError::UnknownHealth(other.to_owned())),
+        other => return Err(AdapterError::UnknownEndpointState(other.to_owned())),
     };
     Ok(EndpointUpdate {
         endpoint: fields.endpoint(0)?,
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One forwarder of the simulator: a delivery policy, to which events are passed.
+//! A simulated forwarder, which passes its events to a delivery policy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 /// Endpoint lists by the number that they were registered under.
 pub(crate) type RegisteredLists = BTreeMap<u64, Vec<Value>>;
 
-/// One forwarder.
+/// A simulated forwarder.
 pub(crate) struct Instance {
     policy: DeliveryPolicy,
-    /// The positions of the values in load reports; None if responses carry none.
+    /// Positions of the values in load reports. `None` if responses carry no load reports.
     load_report_fields: Option<LoadReportFields>,
 }
 
 impl Instance {
-    /// Starts a forwarder with these settings.
+    /// Creates a forwarder. Commands that the delivery policy gives at its start are added to `commands`.
     pub fn new(seed: u64, settings: &Map<String, Value>, now: Duration, commands: &mut Commands) -> Instance {
         Instance {
             policy: DeliveryPolicy::new(now, parse_policy_settings(seed, settings), commands),
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Passes one event to the delivery policy.
-    pub fn apply(
+    /// Passes an event to the delivery policy.
+    pub fn apply_event(
         &mut self,
         event: InstanceEvent,
         lists: &RegisteredLists,
@@ -40,9 +40,9 @@
     ) -> Result<(), AdapterError> {
         match event {
             InstanceEvent::DiscoveryFailed => self.policy.discovery_failed(now),
-            InstanceEvent::EndpointList { whole, list } => {
+            InstanceEvent::EndpointList { is_full_list, list } => {
                 let entries = lists.get(&list).ok_or(AdapterError::UnknownList(list))?;
-                self.apply_endpoint_list(whole, entries)?;
+                self.apply_endpoint_list(is_full_list, entries)?;
             }
             InstanceEvent::Submitted(message) => self.policy.submit(now, message, commands),
             InstanceEvent::AttemptFinished(attempt) => self.finish_attempt(&attempt, now, commands),
@@ -60,13 +60,13 @@
         Ok(())
     }
 
-    /// Runs the delivery policy's due work, which reacts to all events since the last run.
+    /// Runs the due work of the delivery policy, which processes all events since the last run.
     pub fn run_due_work(&mut self, now: Duration, commands: &mut Commands) {
         self.policy.run_due_work(now, commands);
     }
 
-    fn apply_endpoint_list(&mut self, whole: bool, entries: &[Value]) -> Result<(), AdapterError> {
-        self.policy.begin_endpoint_list(whole);
+    fn apply_endpoint_list(&mut self, is_full_list: bool, entries: &[Value]) -> Result<(), AdapterError> {
+        self.policy.begin_endpoint_list(is_full_list);
         for entry in entries {
             self.policy.update_endpoint(parse_list_entry(entry)?);
         }
@@ -85,10 +85,11 @@
         self.policy.attempt_finished(now, &ended, commands);
     }
 
-    /// Passes the load report that came with an outcome to the delivery policy, before the outcome itself.
+    /// Passes the load report of a response to the delivery policy. It must be called before the outcome of the response is
+    /// passed on.
     fn apply_load_report(&mut self, endpoint: EndpointId, values: Option<&[Value]>) {
         let Some((fields, values)) = self.load_report_fields.zip(values) else { return };
-        if let Some(report) = fields.read(values) {
+        if let Some(report) = fields.parse_report(values) {
             self.policy.load_reported(endpoint, report);
         }
     }
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads batches from standard input and answers each on standard output until input ends.
+//! Reads batches from standard input and writes a reply to each to standard output, until the input ends.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -6,7 +6,7 @@
 use reeddock_sim_adapter::{AdapterError, SimulationAdapter};
 
 fn main() -> ExitCode {
-    // A panic of the delivery policy goes into the reply; the usual report of it on standard error would be a second one.
+    // Panics of the delivery policy are reported in the reply, so that the default report on standard error is disabled.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire, batch by batch: odd but legal ones are answered, malformed ones end with one plain line.
+//! Replies to unusual but valid batches, and errors for malformed batches.
 
 use reeddock_sim_adapter::SimulationAdapter;
 use serde_json::{json, Value};
@@ -10,14 +10,14 @@
            "kinds": ["k"], "familyInfo": {"maxCalls": 4}, "unheard": {"of": 1}})
 }
 
-/// A batch with events for instance 3, at as many seconds as its serial number.
+/// Returns a batch with events for instance 3. Its time in seconds equals its serial number.
 fn batch(serial: u64, events: Value) -> String {
     json!({"wallUs": 1_000_000 * serial, "serial": serial, "forwarders": [{"i": 3, "in": events}]})
         .to_string()
 }
 
-/// Events that start an instance, whose list has endpoint 7 alone after two lists under the same number.
-fn attach() -> Value {
+/// Returns events that attach an instance and register two lists under the same number, the second with endpoint 7.
+fn attach_events() -> Value {
     json!([
         ["Attach", u64::MAX, settings()],
         ["Register", 0, [[4_294_967_295u64, null, 9, null, "active", "z", "k"]]],
@@ -27,36 +27,36 @@
     ])
 }
 
-/// An adapter with instance 3.
-fn attached() -> SimulationAdapter {
+/// Returns an adapter to which instance 3 is attached.
+fn adapter_with_instance() -> SimulationAdapter {
     let mut adapter = SimulationAdapter::default();
-    adapter.process_batch(&batch(1, attach())).unwrap();
+    adapter.process_batch(&batch(1, attach_events())).unwrap();
     adapter
 }
 
 #[test]
-fn list_numbers_are_reused_inside_a_batch_and_large_numbers_stay_exact() {
+fn list_number_can_be_reused_within_a_batch_and_large_integers_are_exact() {
     let message =
         json!(["Demand", MESSAGE, "c", null, 9007199254740991u64, 10_000_001, null, 9, false, false, false]);
-    let reply = attached().process_batch(&batch(2, json!([message]))).unwrap();
+    let reply = adapter_with_instance().process_batch(&batch(2, json!([message]))).unwrap();
     let reply: Value = serde_json::from_str(&reply).unwrap();
     assert_eq!(reply["forwarders"][0]["cmds"][0], json!(["Try", MESSAGE, 2_000_000, 7]));
 }
 
 #[test]
-fn empty_batch_is_answered_with_its_serial_number() {
+fn empty_batch_gets_a_reply_with_its_serial_number() {
     let mut adapter = SimulationAdapter::default();
     let reply = adapter.process_batch(r#"{"wallUs":8412250,"serial":1,"forwarders":[]}"#).unwrap();
     let reply: Value = serde_json::from_str(&reply).unwrap();
     assert_eq!(reply, json!({"serial": 1, "forwarders": []}));
-    adapter.process_batch(&batch(2, attach())).unwrap();
+    adapter.process_batch(&batch(2, attach_events())).unwrap();
 }
 
 #[test]
-fn instance_may_retire_and_attach_in_one_batch_and_hear_of_messages_that_it_does_not_hold() {
-    let mut adapter = attached();
+fn instance_can_retire_and_attach_in_one_batch_and_unknown_messages_are_ignored() {
+    let mut adapter = adapter_with_instance();
     let mut events = vec![json!(["Left", MESSAGE]), json!(["Sync", "X", 0, null]), json!(["Retire"])];
-    events.extend(attach().as_array().unwrap().clone());
+    events.extend(attach_events().as_array().unwrap().clone());
     adapter.process_batch(&batch(2, json!(events))).unwrap();
     adapter.process_batch(&batch(3, json!([["Retire"]]))).unwrap();
     assert!(adapter.process_batch(&batch(4, json!([["Alarm", "wake"]]))).is_err());
@@ -64,19 +64,19 @@
 
 #[test]
 fn event_for_a_retired_instance_is_refused() {
-    let mut adapter = attached();
+    let mut adapter = adapter_with_instance();
     adapter.process_batch(&batch(2, json!([["Retire"]]))).unwrap();
     let error = adapter.process_batch(&batch(3, json!([["Alarm", "wake"]]))).unwrap_err();
     assert_eq!(error.to_string(), "Alarm: instance 3 is not attached");
 }
 
 #[test]
-fn odd_load_reports_and_settings_count_as_not_given() {
+fn invalid_load_reports_and_settings_are_accepted() {
     for report in
         [json!({"how": "piggyback", "fields": ["x1", "x0"]}), json!({"how": 3}), json!(null), json!([])]
     {
         let mut adapter = SimulationAdapter::default();
-        let mut events = attach();
+        let mut events = attach_events();
         events[0][2]["report"] = report;
         events[0][2]["familyInfo"]["zoneFee"] = json!([0.1, null, "x", -3]);
         events[0][2]["areas"] = json!(["z"]);
@@ -93,20 +93,23 @@
 }
 
 #[test]
-fn malformed_input_is_refused_with_one_line() {
-    let mut adapter = attached();
+fn malformed_batch_is_refused_with_a_one_line_error() {
+    let mut adapter = adapter_with_instance();
     let bad_entry = json!([-4, 1, 9, 0, "active", "z", "k"]);
     for (line, expected) in [
         ("{", "batch is not JSON: EOF while parsing an object at line 1 column 1"),
-        ("[]", "batch has no clock in wallUs"),
-        (r#"{"wallUs":-1,"serial":1,"forwarders":[]}"#, "batch has no clock in wallUs"),
+        ("[]", "batch: expected a whole number of microseconds in wallUs"),
+        (
+            r#"{"wallUs":-1,"serial":1,"forwarders":[]}"#,
+            "batch: expected a whole number of microseconds in wallUs",
+        ),
         (&batch(2, json!([["Nonsense"]])), "unknown event \"Nonsense\""),
         (&batch(2, json!([["Demand", MESSAGE]])), "Demand: value 2 is missing or malformed"),
         (
             &batch(2, json!([["Settled", MESSAGE, 0, 1, 7, "odd", false, null, null]])),
-            "Settled: unknown outcome \"odd\"",
+            "Settled: unknown outcome \"odd\", expected delivered, app_error, shed, expired, dial_failed, dropped, revoked or unused",
         ),
-        (&batch(2, json!([["Sync", "D", 1, 15]])), "Sync: list 15 was never registered"),
+        (&batch(2, json!([["Sync", "D", 1, 15]])), "Sync: list 15 is not registered"),
         (
             &batch(2, json!([["Register", 0, [bad_entry]], ["Sync", "D", 1, 0]])),
             "Register entry: value 1 is missing or malformed",
