--- a/crates/protocol/src/attempt_result.rs
+++ b/crates/protocol/src/attempt_result.rs
@@ -40,11 +40,11 @@
         /// `Retry-After` of the response. `None` if it is absent, malformed or zero.
         retry_after: Option<Duration>,
     },
-    /// Not forwarded because all request slots of this forwarder were in use.
+    /// The request was not forwarded because all request slots of this forwarder were in use.
     EgressFull,
-    /// Not forwarded because the message has no attempts left. Its final answer is still due.
+    /// The request was not forwarded because the message has no attempts left. The final answer is still due.
     AttemptsExhausted,
-    /// Not forwarded because the message already has its final answer.
+    /// The request was not forwarded because the message already has its final answer.
     AlreadyFinished,
     /// The endpoint could not parse the request, or it was too large. The message was the only one in the request.
     Malformed,
@@ -64,15 +64,15 @@
     MalformedResponse,
     /// No response was received in time.
     TimedOut,
-    /// This forwarder cancelled the attempt by closing its connection.
+    /// The forwarder cancelled the attempt by closing its connection.
     Cancelled,
-    /// Not sent because the endpoint set a `Retry-After` while the connection was being established.
+    /// The request was not sent because the endpoint set a `Retry-After` while the connection was being established.
     RetryAfterActive,
-    /// Not sent because the endpoint list marked the endpoint as draining or gone while the connection was being
-    /// established.
+    /// The request was not sent because the endpoint list marked the endpoint as draining or gone while the connection
+    /// was being established.
     EndpointDraining,
-    /// Not sent because no file descriptor was available, the write-ahead log could not be written, or the attempt was
-    /// cancelled before it was sent.
+    /// The request was not sent because no file descriptor was available, the write-ahead log could not be written, or
+    /// the attempt was cancelled first.
     NotSent,
 }
 
@@ -114,7 +114,7 @@
             Self::Completed => AttemptOutcome::Completed,
             Self::Failed | Self::UnexpectedStatus | Self::MalformedResponse => AttemptOutcome::Error,
             Self::Rejected { retry_after } => AttemptOutcome::Rejected { retry_after },
-            // Not `Rejected`, because these two results give no information about the endpoint's capacity.
+            // `Rejected` would be wrong: these two results give no information about the endpoint's capacity.
             Self::AttemptsExhausted | Self::AlreadyFinished => AttemptOutcome::NotSent,
             Self::EgressFull | Self::BatchMalformed => AttemptOutcome::NotSent,
             Self::RetryAfterActive | Self::EndpointDraining | Self::NotSent => AttemptOutcome::NotSent,
--- a/crates/protocol/src/client_response.rs
+++ b/crates/protocol/src/client_response.rs
@@ -44,7 +44,7 @@
     NotFound,
     /// 200 to a health check: the forwarder accepts messages.
     Healthy {
-        /// One-line description of a fault of the endpoint list, sent in the response body. `None` if the list is valid.
+        /// One-line description of a fault of the endpoint list, sent in the response body. `None` without a fault.
         list_fault: Option<String>,
     },
     /// 503 to a health check: the process is shutting down.
--- a/crates/protocol/src/list/decoder.rs
+++ b/crates/protocol/src/list/decoder.rs
@@ -57,8 +57,8 @@
         self.offset
     }
 
-    /// Returns the next event and advances `input` past the bytes that were read. `None` once `input` is empty and no event
-    /// is left.
+    /// Returns the next event and advances `input` past the bytes that were read. `None` if `input` is empty and no
+    /// event is left.
     pub fn next_event(&mut self, input: &mut &[u8]) -> Result<Option<ListEvent>, ListError> {
         loop {
             if let Some(event) = self.ready.pop_front() {
@@ -144,8 +144,8 @@
         })
     }
 
-    /// Tracks line ends. An empty line within a part is an error, because discovery sends empty lines only between parts
-    /// and the rest of the part would never arrive.
+    /// Tracks line ends. An empty line within a part is an error, because discovery sends empty lines only between
+    /// parts and the rest of the part would never arrive.
     fn track_lines(&mut self, bytes: &[u8]) -> Result<(), ListError> {
         for byte in bytes {
             match byte {
--- a/crates/protocol/src/list/value_scan.rs
+++ b/crates/protocol/src/list/value_scan.rs
@@ -52,8 +52,8 @@
         self.length > limit
     }
 
-    /// Scans the bytes of `chunk` that belong to the value and keeps the first `limit` bytes of the value. The first byte
-    /// of the value must not be white space.
+    /// Scans the bytes of `chunk` that belong to the value and keeps the first `limit` bytes of the value. The first
+    /// byte of the value must not be white space.
     pub fn consume(&mut self, chunk: &[u8], limit: usize) -> ScanResult {
         let scanned = self.find_end(chunk);
         let capacity = limit.saturating_sub(self.kept.len());
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -21,7 +21,7 @@
 }
 
 impl SimulationAdapter {
-    /// Applies a batch and returns its reply. Both are one line of JSON. An error means that the batch is malformed.
+    /// Applies a batch and returns its reply. Both are one line of JSON. Returns an error if the batch is invalid.
     pub fn process_batch(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Value = serde_json::from_str(line)?;
         let clock = batch.get("wallUs").and_then(Value::as_u64).ok_or(AdapterError::MissingClock)?;
--- a/crates/sim-adapter/src/event.rs
+++ b/crates/sim-adapter/src/event.rs
@@ -118,7 +118,7 @@
     type Error = AdapterError;
 
     fn try_from(fields: &EventFields<'a>) -> Result<FinishedAttempt<'a>, AdapterError> {
-        // This time is in milliseconds, unlike the others on the wire.
+        // `retry_after` is in milliseconds, unlike the other times on the wire.
         let retry_after = fields.optional_integer(6)?.filter(|ms| *ms > 0).map(Duration::from_millis);
         Ok(FinishedAttempt {
             outcome: parse_outcome(fields.text(4)?, retry_after)?,
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -6,7 +6,7 @@
 use reeddock_sim_adapter::{AdapterError, SimulationAdapter};
 
 fn main() -> ExitCode {
-    // Panics of the delivery policy are reported in the reply, so that the default report on standard error is disabled.
+    // Disables the default report on standard error, because replies report panics of the delivery policy.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
