--- a/crates/daemon/tests/json_keys.rs
+++ b/crates/daemon/tests/json_keys.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use reeddock_protocol::FinalAnswer;
-use reeddock_wal::{Accepted, Record, SyncPolicy, WriteAheadLog};
+use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 use serde_json::{json, Value};
 use temp_folder::TempFolder;
 
@@ -17,20 +17,20 @@
 const BYTE_OF_FIRST_RECORD: usize = 40;
 
 fn accepted(id: &str) -> Record {
-    Record::Accepted(Accepted {
+    Record::Accepted(AcceptedMessage {
         idempotency_key: Some("a key".into()),
         id: id.into(),
         class: "order".into(),
         tenant: Some("shop".into()),
         ordering_key: Some(9),
         destination: 7,
-        deadline: 1,
+        deadline_unix_us: 1,
         body: "a body".into(),
     })
 }
 
 fn started(id: &str, number: u32) -> Record {
-    Record::AttemptStarted { id: id.into(), number, endpoint: format!("t{number}"), started_at: 5 }
+    Record::AttemptStarted { id: id.into(), number, endpoint: format!("t{number}"), started_at_unix_us: 5 }
 }
 
 fn ended(id: &str, number: u32, proves_not_executed: bool) -> Record {
