--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -1,5 +1,5 @@
-//! A delivery policy under load, for the benchmarks: it queues messages for destinations that asked for a wait,
-//! while it delivers to others.
+//! Delivery policy under load, for the benchmarks. Messages stay queued for destinations that sent a Retry-After,
+//! while other destinations receive messages.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -7,39 +7,38 @@
 
 use reeddock::*;
 
-/// Attempts that finish, and messages that are submitted, in each run of due work.
+/// Number of attempts that finish, and of messages that are submitted, in each run of due work.
 pub const MESSAGES_PER_RUN: usize = 16;
-/// Runs after which as many attempts finish as start.
+/// Number of runs until as many attempts finish as start.
 const WARM_UP_RUNS: usize = 4;
-/// Between two runs of due work.
+/// Time between two runs of due work.
 const RUN_INTERVAL: Duration = Duration::from_millis(5);
 /// Long enough that no message expires during a benchmark.
 const DEADLINE: Duration = Duration::from_secs(100_000);
-/// Outlasts any benchmark, and is under the latency objective.
+/// Longer than any benchmark, and shorter than the latency objective.
 const RETRY_AFTER: Duration = Duration::from_secs(25_000);
 
-/// How much a policy has to keep.
+/// Size of the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSize {
-    /// Messages that stay queued.
+    /// Number of messages that stay queued.
     pub queued: usize,
-    /// Each has one endpoint.
+    /// Number of destinations, each with one endpoint.
     pub destinations: u64,
-    /// The largest number of requests in flight.
+    /// Maximum number of requests in flight.
     pub max_in_flight: u64,
 }
 
-/// An attempt that has not finished.
 struct AttemptInFlight {
     message: MessageId,
     number: AttemptNumber,
 }
 
-/// A host that only remembers the attempts in flight.
+/// Host that records the attempts in flight and does nothing else.
 #[derive(Default)]
 struct AttemptRecorder {
     in_flight: VecDeque<AttemptInFlight>,
-    /// How many attempts each message had, until one finishes.
+    /// Number of attempts of each message that has none finished yet.
     attempts: HashMap<Arc<str>, u32>,
 }
 
@@ -61,14 +60,14 @@
     fn report_event(&mut self, _: &PolicyEvent) {}
 }
 
-/// A policy with its host and clock.
+/// Policy with its host and clock.
 pub struct LoadedPolicy {
     policy: DeliveryPolicy,
     host: AttemptRecorder,
     now: Duration,
     size: LoadSize,
     submitted: usize,
-    /// How many destinations are delivered to, from number 0 up; those behind them wait.
+    /// Number of destinations that receive messages, from number 0 up; the messages of others stay queued.
     served: u64,
 }
 
@@ -92,13 +91,13 @@
     }
 }
 
-/// The endpoint of a destination, both counted from 0.
+/// Returns the endpoint of the destination with the given number, counted from 0.
 fn endpoint_of(destination: u64) -> EndpointId {
     EndpointId(destination as u32 + 1)
 }
 
 impl LoadedPolicy {
-    /// A policy that has its settings and no endpoint list yet.
+    /// Returns a policy without an endpoint list.
     pub fn new(size: LoadSize) -> LoadedPolicy {
         let mut host = AttemptRecorder::default();
         let policy = DeliveryPolicy::new(Duration::ZERO, settings(size.max_in_flight), &mut host);
@@ -106,7 +105,7 @@
         LoadedPolicy { policy, host, now: RUN_INTERVAL, size, submitted: 0, served }
     }
 
-    /// Gives it the complete endpoint list.
+    /// Sends the full endpoint list to the policy.
     pub fn list_endpoints(&mut self) {
         self.policy.begin_endpoint_list(true);
         for n in 0..self.size.destinations {
@@ -122,18 +121,18 @@
         self.policy.finish_endpoint_list();
     }
 
-    /// How many destinations ask for a wait: half of them, or as many as there are messages to keep queued.
+    /// Returns the number of destinations that send a Retry-After: half of them, or at most one per queued message.
     fn waiting(&self) -> u64 {
         (self.size.destinations - self.served).min(self.size.queued as u64).max(1)
     }
 
-    /// Has those destinations ask for a wait, and submits what stays queued for them. No run of due work is
-    /// needed for it, as an answer that rejects nothing may ask for a wait.
+    /// Reports a Retry-After of the waiting destinations and submits the messages that stay queued for them. The
+    /// Retry-After takes effect without a run of due work.
     pub fn queue_messages(&mut self) {
         let waiting = self.waiting();
         for n in 0..waiting {
             let endpoint = endpoint_of(self.served + n);
-            // A report makes the circuit known; this one reports no limit.
+            // The load report, which has no limit, creates the circuit breaker.
             self.policy.load_reported(endpoint, LoadReport { remaining_share: 1.0, limit_per_second: 0.0 });
             self.policy.retry_after_received(self.now, endpoint, RETRY_AFTER);
         }
@@ -176,12 +175,16 @@
         self.policy.run_due_work(self.now, &mut self.host);
     }
 
-    /// Some runs, after which the number of attempts in flight stays the same.
+    /// Runs due work until the number of attempts in flight is constant.
     pub fn warm_up(&mut self) {
         for _ in 0..WARM_UP_RUNS {
             self.run_once();
         }
         let in_flight = self.host.in_flight.len();
-        assert_eq!(in_flight, MESSAGES_PER_RUN, "{:?}: what is to stay queued was sent", self.size);
+        assert_eq!(
+            in_flight, MESSAGES_PER_RUN,
+            "{:?}: expected one run's attempts in flight, but messages that must stay queued were sent",
+            self.size
+        );
     }
 }
--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -1,5 +1,5 @@
-//! What the delivery policy keeps in memory for each listed endpoint and each queued message: the resident memory
-//! of a process of its own for each size (Linux). A message's figure has its id in it, 36 bytes.
+//! Memory of the delivery policy per listed endpoint and per queued message, measured as resident memory (Linux only)
+//! of a separate process for each size. The memory of a message includes its id of 36 bytes.
 
 mod load;
 
@@ -12,7 +12,7 @@
     LoadSize { queued, destinations, max_in_flight: 64 }
 }
 
-/// Some of the sizes of `benches/turns.rs`.
+/// Subset of the sizes in `benches/turns.rs`.
 const SIZES: [LoadSize; 9] = [
     size(10, 10),
     size(100, 100),
@@ -24,17 +24,17 @@
     size(1_200_000, 1_000),
     size(1_200_000, 320_000),
 ];
-/// With fewer messages or endpoints than that, bytes for each would be those of the process.
+/// Minimum count for a value in bytes per item; with fewer items, the memory of the process dominates.
 const MIN_COUNT_FOR_BYTES: u64 = 10_000;
-/// The option with which this program measures one size.
+/// Option of this program that measures one size.
 const ONE_SIZE: &str = "--one-size";
-/// Resident memory of a process now, in `/proc/self/status`.
+/// Name of the current resident memory in `/proc/self/status`.
 const RESIDENT_NOW: &str = "VmRSS";
-/// Its highest value so far, there.
+/// Name of the peak resident memory in `/proc/self/status`.
 const RESIDENT_PEAK: &str = "VmHWM";
 
-/// A value of `/proc/self/status`, in kB.
-fn memory(name: &str) -> io::Result<u64> {
+/// Returns a value of `/proc/self/status`, in kB.
+fn memory_kb(name: &str) -> io::Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
     let value = line.and_then(|line| line.trim().strip_suffix(" kB")?.parse().ok());
@@ -46,37 +46,37 @@
     format!("{queued:>9} {destinations:>12} {list:>9} {endpoint:>12} {all:>9} {message:>14} {peak:>9}")
 }
 
-/// Bytes for each of so many, of a difference in kB.
-fn bytes_each(kilobytes: u64, count: u64) -> String {
+/// Returns the bytes per item as table text, or `-` if there are too few items.
+fn bytes_per_item(kilobytes: u64, count: u64) -> String {
     if count < MIN_COUNT_FOR_BYTES {
         return "-".to_owned();
     }
     (kilobytes * 1_024 / count).to_string()
 }
 
-/// Measures one size in this process; returns a row of the table.
+/// Measures one size in this process and returns a row of the table.
 fn measure(size: LoadSize) -> io::Result<String> {
     let mut load = LoadedPolicy::new(size);
-    let empty = memory(RESIDENT_NOW)?;
+    let empty = memory_kb(RESIDENT_NOW)?;
     load.list_endpoints();
-    let listed = memory(RESIDENT_NOW)?;
+    let listed = memory_kb(RESIDENT_NOW)?;
     load.queue_messages();
-    let loaded = memory(RESIDENT_NOW)?;
+    let loaded = memory_kb(RESIDENT_NOW)?;
     load.warm_up();
-    let peak = memory(RESIDENT_PEAK)?;
+    let peak = memory_kb(RESIDENT_PEAK)?;
     let megabytes = |kilobytes: u64| format!("{:.1}", kilobytes.saturating_sub(empty) as f64 / 1_024.0);
     Ok(table_row([
         size.queued.to_string(),
         size.destinations.to_string(),
         megabytes(listed),
-        bytes_each(listed.saturating_sub(empty), size.destinations),
+        bytes_per_item(listed.saturating_sub(empty), size.destinations),
         megabytes(loaded),
-        bytes_each(loaded.saturating_sub(listed), size.queued as u64),
+        bytes_per_item(loaded.saturating_sub(listed), size.queued as u64),
         megabytes(peak),
     ]))
 }
 
-/// Measures one size in a process that has measured none before: memory given back stays with a process.
+/// Measures one size in a new process, because freed memory remains resident.
 fn measure_in_new_process(size: LoadSize) -> io::Result<String> {
     let LoadSize { queued, destinations, .. } = size;
     let program = std::env::current_exe()?;
@@ -92,15 +92,15 @@
 }
 
 fn print_table() -> io::Result<()> {
-    let heads = ["queued", "destinations", "list MB", "B/endpoint", "all MB", "B/message", "peak MB"];
-    println!("{}", table_row(heads.map(str::to_owned)));
+    let headings = ["queued", "destinations", "list MB", "B/endpoint", "all MB", "B/message", "peak MB"];
+    println!("{}", table_row(headings.map(str::to_owned)));
     for size in SIZES {
         println!("{}", measure_in_new_process(size)?);
     }
     Ok(())
 }
 
-/// Prints the row of the size that the arguments after [`ONE_SIZE`] say.
+/// Prints the row of the size that the arguments after [`ONE_SIZE`] specify.
 fn print_one_size(arguments: &[String]) -> io::Result<()> {
     let number = |n: usize| arguments.get(n).and_then(|text| text.parse::<u64>().ok());
     let (Some(queued), Some(destinations)) = (number(0), number(1)) else {
--- a/benches/turns.rs
+++ b/benches/turns.rs
@@ -1,9 +1,9 @@
-//! What one run of due work costs (a *turn* in the names of these benchmarks, which earlier results refer to), by
-//! the messages that are queued (*held* there), by destinations and by the largest number of requests in flight
-//! (*slots* there).
+//! Duration of one run of due work, by the number of queued messages, of destinations and of requests in flight.
+//! Benchmark names keep the older terms *turn* (run of due work), *held* (queued) and *slots* (maximum number of
+//! requests in flight), so that results stay comparable.
 //!
-//! A forwarder keeps messages queued for destinations that asked for a wait, and delivers to others: in each turn
-//! sixteen attempts finish, sixteen messages are submitted, and the delivery policy decides.
+//! Messages stay queued for destinations that sent a Retry-After, while others receive messages. In each run,
+//! sixteen attempts finish and sixteen messages are submitted.
 
 mod load;
 
@@ -29,7 +29,7 @@
     size(100_000, 1_000, 64),
     size(100_000, 1_000, 1_000),
     size(100_000, 10_000, 64),
-    // The part of one forwarder in a fleet that sends to 320,000 destinations.
+    // Load of one forwarder in a fleet that sends to 320,000 destinations.
     size(100, 100, 64),
     size(100, 10_000, 64),
     size(100, 100_000, 64),
@@ -49,13 +49,13 @@
 fn turns(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("turn");
     group.sample_size(10).warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(1));
-    // As many turns in each sample: with slow ones a growing number would take minutes.
+    // Flat sampling uses the same number of runs in each sample; a growing number takes minutes for slow sizes.
     group.sampling_mode(SamplingMode::Flat);
     group.throughput(Throughput::Elements(MESSAGES_PER_RUN as u64));
     for size in SIZES {
         let LoadSize { queued, destinations, max_in_flight } = size;
         let name = format!("{queued} held, {destinations} destinations, {max_in_flight} slots");
-        // Set up only where this size is asked for.
+        // The load is set up only if this size is selected.
         let mut load = None;
         group.bench_function(BenchmarkId::from_parameter(name), |bencher| {
             let load = load.get_or_insert_with(|| loaded(size));
--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -1,34 +1,34 @@
-//! Read-only views of what a policy keeps, for tests, benchmarks and diagnostics.
+//! Read-only views of the policy's state, for tests, benchmarks and diagnostics.
 
 use std::time::Duration;
 
 use crate::interface::{EndpointId, MessageId};
 use crate::policy::DeliveryPolicy;
 
-/// How many records of each kind a policy keeps.
+/// Number of records of each kind that a policy keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateSize {
     /// Messages without a final answer.
     pub messages: usize,
-    /// Endpoints, with those that were removed recently.
+    /// Listed endpoints, and endpoints that were removed recently.
     pub endpoints: usize,
-    /// Destinations with endpoints or messages.
+    /// Destinations that have endpoints or messages.
     pub destinations: usize,
     /// Circuit breakers in use.
     pub circuits: usize,
 }
 
-/// What is known of a message without a final answer.
+/// Progress of a message without a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageProgress {
-    /// Attempts that were started.
+    /// Number of attempts that were started.
     pub attempts: u32,
-    /// Until when it meets its latency objective.
+    /// Time until which a delivery meets the latency objective.
     pub objective_at: Duration,
 }
 
 impl DeliveryPolicy {
-    /// How much the policy keeps.
+    /// Returns the number of records that the policy keeps.
     #[must_use]
     pub fn state_size(&self) -> StateSize {
         StateSize {
@@ -39,20 +39,20 @@
         }
     }
 
-    /// The progress of a message; none once it has its final answer.
+    /// Returns the progress of a message, or `None` once it has its final answer.
     #[must_use]
     pub fn message_progress(&self, id: &MessageId) -> Option<MessageProgress> {
         let message = self.messages().get(self.messages().key_of(id)?)?;
         Some(MessageProgress { attempts: message.attempts(), objective_at: message.objective_at() })
     }
 
-    /// Whether an endpoint is kept, though it may have been removed from the list.
+    /// Returns whether the policy keeps a record of an endpoint, which may be removed from the endpoint list.
     #[must_use]
     pub fn keeps_endpoint(&self, endpoint: EndpointId) -> bool {
         self.endpoints().get(endpoint).is_some()
     }
 
-    /// The least times between two requests, in seconds, of all circuits in their order.
+    /// Returns the minimum time between two requests, in seconds, of each circuit breaker in the order of scopes.
     pub fn pacing_intervals_seconds(&self) -> impl Iterator<Item = f64> + '_ {
         self.circuits().iter().map(|(_, circuit)| circuit.pacing().interval_seconds())
     }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,65 +1,66 @@
-//! Endpoints as discovery and their own responses describe them.
+//! Endpoint list entries and load reports.
 
 use super::ids::{DestinationId, EndpointId};
 
-/// What a response or a health check reports of the rate limit of its endpoint. Reports are up to a second old
-/// and a little noisy.
+/// Load report of an endpoint, received with a response or a health check. Values are approximate and up to one
+/// second old.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Share of the limit that was left, 0 to 1.
+    /// Unused share of the rate limit, 0 to 1.
     pub remaining_share: f64,
-    /// Requests a second that the limit allows; 0 if there is no limit.
+    /// Rate limit in requests per second; 0 if the endpoint has no limit.
     pub limit_per_second: f64,
 }
 
 impl LoadReport {
-    /// A report of both values as they were received. None if one is missing, negative or not finite; a share
-    /// over 1 counts as 1.
+    /// Returns a report of the received values, or `None` if one is missing, negative or not finite. A share
+    /// above 1 is reduced to 1.
     #[must_use]
-    pub fn new(left: Option<f64>, limit: Option<f64>) -> Option<LoadReport> {
+    pub fn new(remaining_share: Option<f64>, limit_per_second: Option<f64>) -> Option<LoadReport> {
         let valid = |value: &f64| value.is_finite() && *value >= 0.0;
         Some(LoadReport {
-            remaining_share: left.filter(valid)?.min(1.0),
-            limit_per_second: limit.filter(valid)?,
+            remaining_share: remaining_share.filter(valid)?.min(1.0),
+            limit_per_second: limit_per_second.filter(valid)?,
         })
     }
 }
 
-/// What the weights in the endpoint list mean.
+/// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedWeights {
-    /// They have no agreed meaning.
+    /// Weights without a defined meaning.
     #[default]
     Unspecified,
-    /// Requests a second that an endpoint accepts, up to half too high or too low.
+    /// Requests per second that an endpoint accepts, up to 50% too high or too low.
     ApproximateRates,
-    /// Requests a second that an endpoint accepts on an ordinary day.
+    /// Requests per second that an endpoint accepts in normal operation.
     Rates,
 }
 
-/// The state of an endpoint in the endpoint list.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts new requests.
+    /// The endpoint accepts new requests.
     Active,
-    /// It finishes its requests in flight and accepts no new ones.
+    /// The endpoint finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
-/// One entry of the endpoint list.
+/// Entry of the endpoint list.
 pub struct EndpointUpdate<'a> {
-    /// The endpoint that the entry describes.
+    /// Endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// The destination that it serves.
+    /// Destination that the endpoint serves.
     pub destination: DestinationId,
-    /// Whether it accepts new requests.
+    /// Whether the endpoint accepts new requests.
     pub state: EndpointState,
-    /// Its meaning is that of the settings' [`ListedWeights`]; none if the list gives no weight.
+    /// Weight with the meaning set by [`Settings::listed_weights`](crate::Settings::listed_weights); `None` if
+    /// not listed.
     pub weight: Option<f64>,
-    /// The zone that it is in; empty if unknown.
+    /// Zone of the endpoint; empty if unknown.
     pub zone: &'a str,
-    /// The name of its [`EndpointKind`](crate::EndpointKind); empty if unknown.
+    /// Name of the endpoint's [`EndpointKind`](crate::EndpointKind); empty if unknown.
     pub kind: &'a str,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,17 +1,17 @@
-//! Events that the policy reports for the operators. Nothing has to be done for them.
+//! Events that the policy reports for the operators' log. The host needs no action for them.
 
 use std::fmt::{self, Display, Formatter};
 
 use super::ids::{DestinationId, EndpointId};
 use super::outcomes::AttemptOutcome;
 
-/// What one circuit breaker is kept for: a whole destination, or one of its endpoints where
-/// [`EndpointKind::circuit_per_endpoint`](crate::EndpointKind::circuit_per_endpoint) says so.
+/// Endpoints that share one circuit breaker: those of a destination, or a single endpoint if
+/// [`EndpointKind::circuit_per_endpoint`](crate::EndpointKind::circuit_per_endpoint) is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CircuitScope {
-    /// All endpoints of a destination.
+    /// Endpoints of a destination without circuit breakers of their own.
     Destination(DestinationId),
-    /// One endpoint.
+    /// Endpoint with a circuit breaker of its own.
     Endpoint(EndpointId),
 }
 
@@ -24,21 +24,21 @@
     }
 }
 
-/// Something that operators want to find in the log.
+/// Change that operators look up in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyEvent {
-    /// A closed circuit breaker has opened: only half-open trials are sent until it closes.
+    /// A closed circuit breaker opened. Only half-open trials are sent until it closes.
     CircuitOpened {
-        /// What the circuit breaker is kept for.
+        /// Endpoints that share the circuit breaker.
         scope: CircuitScope,
-        /// The outcome that opened it.
+        /// Outcome of the attempt that opened the circuit breaker.
         outcome: AttemptOutcome,
     },
-    /// A circuit breaker has closed again: requests pass, slowly at first.
+    /// A circuit breaker closed. Requests are sent again, at a limited rate at first.
     CircuitClosed {
-        /// What the circuit breaker is kept for.
+        /// Endpoints that share the circuit breaker.
         scope: CircuitScope,
-        /// The outcome that closed it.
+        /// Outcome of the attempt that closed the circuit breaker.
         outcome: AttemptOutcome,
     },
 }
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -1,47 +1,47 @@
-//! Messages and attempts as the host describes them to the policy.
+//! Messages and attempts that the host reports to the policy.
 
 use std::time::Duration;
 
 use super::ids::{AttemptNumber, DestinationId, EndpointId, MessageId, OrderingKey};
 use super::outcomes::AttemptOutcome;
 
-/// A message that a client has submitted.
+/// Message submitted by a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewMessage<'a> {
-    /// The id that every command about the message names.
+    /// Identifies the message in all commands.
     pub id: MessageId,
-    /// The name of its [`MessageClass`](crate::MessageClass).
+    /// Name of the message's [`MessageClass`](crate::MessageClass).
     pub class: &'a str,
-    /// Whose quota it counts against, if it names a tenant.
+    /// Tenant whose quota the message counts against; `None` if the client names none.
     pub tenant: Option<&'a str>,
-    /// Ignored unless the class is ordered.
+    /// Ordering key; ignored unless the class is ordered.
     pub ordering_key: Option<OrderingKey>,
-    /// When its final answer is due.
+    /// Time at which the final answer is due, since the host's start time.
     pub deadline: Duration,
-    /// Where it is to be delivered.
+    /// Destination that the message is delivered to.
     pub destination: DestinationId,
 }
 
-/// An attempt that was started before this start of the program.
+/// Attempt that was started before the program's last restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PreviousAttempt {
-    /// Where it went.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// When it was started; zero if that is not known.
+    /// Start time of the attempt; zero if unknown.
     pub started_at: Duration,
-    /// It is known to have ended in a way that proves that the message was not executed.
+    /// Whether the known outcome proves that the message was not executed; false if the outcome is unknown.
     pub proves_not_executed: bool,
 }
 
-/// The end of an attempt.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedAttempt<'a> {
-    /// The message that was attempted.
+    /// Message that the attempt belongs to.
     pub message: &'a MessageId,
-    /// Which of its attempts.
+    /// Number of the attempt within its message.
     pub number: AttemptNumber,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The message has its final answer, by this end or before it.
+    /// Whether the message has its final answer, from this attempt or earlier.
     pub message_finished: bool,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,9 +1,9 @@
-//! The interface between the delivery policy and the program that hosts it: identifiers, settings, what the
-//! host reports to the policy, the commands that it gives and the events that it reports.
+//! Interface between the delivery policy and its host program: identifiers, settings, reports from the host,
+//! commands to the host, and events for the log.
 //!
-//! The policy does no input or output. A program that hosts it implements [`PolicyHost`], which carries out
-//! the policy's commands, and calls a [`DeliveryPolicy`](crate::DeliveryPolicy) with what happens. All times
-//! are spans since one start that the host chooses.
+//! The policy performs no input or output. The host implements [`PolicyHost`], which carries out the policy's
+//! commands, and reports each occurrence to a [`DeliveryPolicy`](crate::DeliveryPolicy). All times are durations
+//! since a start time that the host chooses.
 
 mod commands;
 mod endpoints;
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -1,35 +1,35 @@
-//! How a delivery attempt ends, as the policy sees it.
+//! Outcomes of delivery attempts.
 
 use std::time::Duration;
 
-/// How one attempt ended.
+/// Outcome of a delivery attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Delivered.
+    /// The message was delivered.
     Completed,
-    /// Answered with an error; the message may have been executed.
+    /// The endpoint answered with an error; the message may have been executed.
     Error,
-    /// Rejected before execution, as over a rate limit or with a full queue.
+    /// The endpoint rejected the request before execution, for example because of a rate limit or a full queue.
     Rejected {
-        /// The Retry-After that the destination asks for, if it gave one.
+        /// Retry-After of the response; `None` if the response has none.
         retry_after: Option<Duration>,
     },
-    /// No answer came within the response timeout.
+    /// No response arrived within the response timeout.
     TimedOut,
-    /// No connection came up, or it broke before the request's last byte was written.
+    /// No connection was established, or it was lost before the request's last byte was written.
     NoConnection,
     /// The connection was lost after the request's last byte was written.
     ConnectionReset,
-    /// Cancelled by the policy.
+    /// The policy cancelled the attempt.
     Cancelled,
-    /// The request never left the forwarder.
+    /// No part of the request left the forwarder.
     NotSent,
-    /// The endpoint could not parse the request, and executed nothing of it.
+    /// The endpoint could not parse the request and executed no part of it.
     Malformed,
 }
 
 impl AttemptOutcome {
-    /// Whether this outcome proves that the message was not executed.
+    /// Returns whether this outcome proves that the message was not executed.
     #[must_use]
     pub fn proves_not_executed(self) -> bool {
         use AttemptOutcome::{Malformed, NoConnection, NotSent, Rejected};
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,5 +1,5 @@
-//! The settings that a forwarder is started with. The policy derives its parameters from them once; an absent
-//! value means that the operators' settings do not give it.
+//! Settings of the policy, from which its parameters are derived once at start. Values that the operators do not
+//! set are `None`.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 /// Whether a message may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating it is harmless.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// The destination recognises a repeat by an idempotency key.
+    /// The destination recognizes repeated messages by an idempotency key.
     WithKey {
-        /// How long after the first attempt a repeat is recognised.
+        /// Time from the first attempt during which a repeated message is recognized.
         window: Duration,
-        /// Where it is recognised.
+        /// Endpoints that recognize the key.
         scope: IdempotencyKeyScope,
     },
-    /// It must not be repeated once an attempt may have executed it.
+    /// The message must not be sent again after an attempt that may have executed it.
     NonIdempotent,
 }
 
-/// Which endpoints of a destination share their idempotency keys.
+/// Endpoints of a destination that share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyKeyScope {
     /// All endpoints of the destination.
@@ -30,115 +30,115 @@
     Zone,
 }
 
-/// How a message loses priority weight once it is later than its latency objective.
+/// Decrease of a message's priority weight after its latency objective has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LateDecay {
-    /// Evenly from the latency objective to the deadline.
+    /// Linear decrease from the latency objective to the deadline.
     #[default]
     Linear,
-    /// It halves with each further latency objective that passes.
+    /// The weight halves each time that another latency objective passes.
     Exponential,
 }
 
-/// A class of messages.
+/// Class of messages with the same delivery requirements.
 #[derive(Default)]
 pub struct MessageClass {
-    /// The name that clients submit messages under.
+    /// Name of the class in submitted messages.
     pub name: String,
-    /// Whether its messages may be repeated; if not given they may not.
+    /// Whether messages may be executed more than once; treated as non-idempotent if `None`.
     pub idempotency: Option<Idempotency>,
-    /// Time from submission within which delivery earns the full weight.
+    /// Time from submission within which a delivery has the full priority weight.
     pub latency_objective: Option<Duration>,
     /// Time from submission to the deadline.
     pub deadline: Option<Duration>,
-    /// Weight of a delivery within the objective, against other classes; 1 if not given.
+    /// Weight of a delivery within the latency objective, relative to other classes; 1 if `None`.
     pub priority_weight: Option<f64>,
-    /// Share of the weight that is left at the deadline, 0 to 1; 0 if not given.
+    /// Share of the priority weight that remains at the deadline, 0 to 1; 0 if `None`.
     pub late_weight: Option<f64>,
-    /// Messages with the same ordering key are delivered in order.
+    /// Whether messages with the same ordering key are delivered in order.
     pub ordered: bool,
 }
 
-/// A kind of endpoints.
+/// Kind of endpoints with the same circuit breaker scope and batch size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointKind {
-    /// The name that the endpoint list uses.
+    /// Name of the kind in the endpoint list.
     pub name: String,
-    /// Each endpoint has a circuit of its own; otherwise those of a destination share one.
+    /// Whether each endpoint has a circuit breaker of its own; otherwise the endpoints of a destination share one.
     pub circuit_per_endpoint: bool,
-    /// Most messages in one request; 1 if not given.
+    /// Maximum number of messages in one request; 1 if `None`.
     pub max_batch: Option<u64>,
 }
 
-/// The quota of one tenant.
+/// Message quota of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQuota {
-    /// The name that clients submit messages under.
+    /// Name of the tenant in submitted messages.
     pub tenant: String,
-    /// Messages a second; without limit if not given.
+    /// Messages per second; unlimited if `None`.
     pub messages_per_second: Option<f64>,
 }
 
-/// The price of a request to an endpoint with a circuit of its own in one zone.
+/// Price of requests to the endpoints of a zone that have circuit breakers of their own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneFee {
-    /// The endpoint's zone.
+    /// Zone of the endpoints.
     pub zone: String,
-    /// Price points of one request.
+    /// Price of one request, in price points.
     pub fee: f64,
 }
 
-/// The settings of one forwarder.
+/// Settings of a forwarder's delivery policy.
 #[derive(Default)]
 pub struct Settings {
-    /// Seeds the random numbers of the policy: the same seed draws the same numbers.
+    /// Seed of the policy's random numbers; equal seeds give equal numbers.
     pub seed: u64,
-    /// Forwarders in the fleet.
+    /// Number of forwarders in the fleet.
     pub forwarders: Option<u64>,
-    /// The zone that this forwarder is in.
+    /// Zone of this forwarder.
     pub zone: String,
-    /// The classes that messages may have.
+    /// Message classes that clients may use.
     pub classes: Vec<MessageClass>,
-    /// The kinds that endpoints may have.
+    /// Endpoint kinds that the endpoint list may use.
     pub endpoint_kinds: Vec<EndpointKind>,
-    /// Tenants with a quota.
+    /// Quotas of tenants; tenants that are not included have none.
     pub tenants: Vec<TenantQuota>,
-    /// Share of its priority weight that a message over its tenant's quota has; 0 if not given.
+    /// Share of the priority weight, 0 to 1, that a message over its tenant's quota has; 0 if `None`.
     pub over_quota_weight: Option<f64>,
-    /// How late messages lose priority weight.
+    /// Decrease of the priority weight after the latency objective.
     pub late_decay: LateDecay,
-    /// Most requests in flight at once.
+    /// Maximum number of requests in flight.
     pub max_in_flight: Option<u64>,
-    /// Most messages without a final answer at once.
+    /// Maximum number of messages without a final answer.
     pub max_pending_messages: Option<u64>,
-    /// Most attempts of one message.
+    /// Maximum number of attempts per message.
     pub max_attempts: Option<u64>,
-    /// A message may have two attempts in flight at once.
+    /// Whether a message may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// Longest Retry-After that clients honour; absent if rejections may not carry one.
+    /// Maximum Retry-After that clients honor; `None` if rejections carry no Retry-After.
     pub max_retry_after: Option<Duration>,
-    /// Share of its capacity, 0 to 1, that a destination has right after an outage.
+    /// Share of its capacity, 0 to 1, that a destination has directly after an outage.
     pub slow_start_floor: Option<f64>,
-    /// How long a destination takes after an outage to regain its full capacity.
+    /// Time from the end of an outage until a destination has its full capacity.
     pub slow_start_duration: Option<Duration>,
-    /// A destination that is warming up fails if its load exceeds this multiple of the capacity that it has then.
+    /// Multiple of its current capacity above which load makes a destination fail during its slow start.
     pub overload_multiple: Option<f64>,
-    /// How long that overload has to last for the destination to fail.
+    /// Duration of overload, as defined by `overload_multiple`, after which a destination fails.
     pub overload_window: Option<Duration>,
-    /// How long an ordering key holds its next message off after an attempt with an unknown end.
+    /// Delay of the next message of an ordering key after an attempt with an unknown outcome.
     pub ordering_hold_off: Option<Duration>,
-    /// The endpoint list is polled, at least this often; absent if discovery pushes it.
+    /// Maximum time between two polls of the endpoint list; `None` if discovery pushes the list.
     pub max_poll_interval: Option<Duration>,
-    /// What the weights in the endpoint list mean.
+    /// Meaning of the weights in the endpoint list.
     pub listed_weights: ListedWeights,
-    /// Responses carry load reports where their endpoint has a limit.
+    /// Whether endpoints with a rate limit send load reports with their responses.
     pub responses_carry_load_reports: bool,
-    /// How long an idle connection is kept open.
+    /// Time after which an idle connection is closed.
     pub connection_idle_timeout: Option<Duration>,
-    /// Price points of a request that crosses zones.
+    /// Price of a request to another zone, in price points.
     pub cross_zone_price: Option<f64>,
-    /// Price points of a new connection.
+    /// Price of a new connection, in price points.
     pub connection_price: Option<f64>,
-    /// Prices of endpoints with circuits of their own, by zone.
+    /// Prices of requests to endpoints with circuit breakers of their own, by zone.
     pub zone_fees: Vec<ZoneFee>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! reeddock decides how a forwarder delivers outbound messages to other firms' systems.
+//! Decides how a forwarder delivers outbound messages to other companies' systems.
 //!
-//! All decisions are made in the modules of `src/policy/`, on the plain state of `src/state/` and `src/queue`. A
-//! program that hosts the policy implements [`PolicyHost`], which carries out what is decided, and calls a
-//! [`DeliveryPolicy`] with what happens; time comes in with each call, as a span since the start, and nothing else
-//! is read.
+//! The modules of `src/policy/` make all decisions; `src/state/` and `src/queue/` hold the state. A host program
+//! implements [`PolicyHost`], which carries out the commands of the policy, and reports each occurrence to a
+//! [`DeliveryPolicy`]. Each call passes the current time, as a duration since the start; the policy reads no
+//! clock and no other input.
 //!
 //! # Hosting the policy
 //!
@@ -11,13 +11,13 @@
 //! use std::time::Duration;
 //! use reeddock::*;
 //!
-//! /// A host that only prints its commands; a real one sends requests and reports how they end.
+//! /// Prints its commands. A production host sends requests and reports their outcomes.
 //! #[derive(Default)]
-//! struct Printer {
+//! struct PrintingHost {
 //!     started: Vec<MessageId>,
 //! }
 //!
-//! impl PolicyHost for Printer {
+//! impl PolicyHost for PrintingHost {
 //!     fn start_attempt(&mut self, message: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
 //!         println!("send {message:?} to {endpoint:?}, {timeouts:?}");
 //!         self.started.push(message.clone());
@@ -41,7 +41,7 @@
 //!     }
 //! }
 //!
-//! let mut host = Printer::default();
+//! let mut host = PrintingHost::default();
 //! let news = MessageClass {
 //!     name: "news".into(),
 //!     idempotency: Some(Idempotency::Idempotent),
@@ -79,13 +79,13 @@
 //! assert_eq!(host.started, [id.clone()]);
 //!
 //! let later = start + Duration::from_millis(80);
-//! let ended = FinishedAttempt {
+//! let finished = FinishedAttempt {
 //!     message: &id,
 //!     number: AttemptNumber(0),
 //!     outcome: AttemptOutcome::Completed,
 //!     message_finished: true,
 //! };
-//! policy.attempt_finished(later, &ended, &mut host);
+//! policy.attempt_finished(later, &finished, &mut host);
 //! policy.run_due_work(later, &mut host);
 //! ```
 
--- a/src/message_key.rs
+++ b/src/message_key.rs
@@ -1,7 +1,6 @@
-//! The key by which everything inside the policy refers to a message.
+//! Key of a message inside the policy.
 
 use slotmap::DefaultKey;
 
-/// Refers to one message without a final answer. The key of a message that is finished never refers to
-/// another one.
+/// Key of a message without a final answer. The key of a finished message is not used for another message.
 pub(crate) type MessageKey = DefaultKey;
--- a/src/queue/consistency.rs
+++ b/src/queue/consistency.rs
@@ -1,17 +1,17 @@
-//! Debug builds: every index against a full walk over the queued messages.
+//! Checks the indices against the queued messages in debug builds.
 
 use super::message_queue::MessageQueue;
 use super::position::QueuePosition;
-use super::wake_schedule::Wakefulness;
+use super::wake_schedule::WakeState;
 use crate::interface::DestinationId;
 use crate::message_key::MessageKey;
 
 impl MessageQueue {
-    /// Compares every index with one built afresh from what is queued. To be called when nothing is stale.
+    /// Compares every index with one that is rebuilt from the queued messages. No destination may be stale.
     ///
     /// # Panics
     ///
-    /// Where the two differ: an index was not kept up to date.
+    /// Panics if an index was not kept up to date.
     pub fn assert_consistent(
         &self,
         queued: impl Iterator<Item = (DestinationId, MessageKey, QueuePosition)>,
@@ -22,7 +22,7 @@
         }
         assert!(
             fresh.destinations.keys().eq(self.destinations.keys()),
-            "a queue for each destination that has queued messages"
+            "expected one queue for each destination with queued messages"
         );
         for destination in self.destinations.keys() {
             self.check_destination(*destination, &mut fresh);
@@ -33,33 +33,33 @@
 
     fn check_destination(&self, destination: DestinationId, fresh: &mut MessageQueue) {
         let queue = &self.destinations[&destination];
-        let walked = &fresh.destinations[&destination];
-        assert_eq!(queue.classes, walked.classes, "classes of {destination:?}");
-        assert_eq!(queue.deadlines, walked.deadlines, "deadlines of {destination:?}");
-        assert_eq!(queue.key_expiries, walked.key_expiries, "key expiries of {destination:?}");
-        assert_eq!(queue.len, walked.len, "length of {destination:?}");
-        fresh.update_indices(destination, queue.indexed.available_at);
-        let renewed = &fresh.destinations[&destination].indexed;
-        assert_eq!(queue.indexed, *renewed, "index entries of {destination:?}");
-        let asleep = queue.wakefulness != Wakefulness::Awake;
-        assert_ne!(asleep, self.schedule.awake.contains(&destination), "wakefulness of {destination:?}");
+        let rebuilt = &fresh.destinations[&destination];
+        assert_eq!(queue.classes, rebuilt.classes, "classes of {destination:?}");
+        assert_eq!(queue.deadlines, rebuilt.deadlines, "deadlines of {destination:?}");
+        assert_eq!(queue.key_expiries, rebuilt.key_expiries, "key expiries of {destination:?}");
+        assert_eq!(queue.len, rebuilt.len, "length of {destination:?}");
+        fresh.update_indices(destination, queue.indexed_entries.available_at);
+        let updated = &fresh.destinations[&destination].indexed_entries;
+        assert_eq!(queue.indexed_entries, *updated, "index entries of {destination:?}");
+        let asleep = queue.wake_state != WakeState::Awake;
+        assert_ne!(asleep, self.schedule.awake.contains(&destination), "wake state of {destination:?}");
     }
 
     fn check_indices(&self, fresh: &MessageQueue) {
-        let (ours, walked) = (&self.indices, &fresh.indices);
-        assert_eq!((&ours.deadlines, &ours.key_expiries), (&walked.deadlines, &walked.key_expiries));
-        assert_eq!(ours.times_left_when_available, walked.times_left_when_available);
+        let (actual, rebuilt) = (&self.indices, &fresh.indices);
+        assert_eq!((&actual.deadlines, &actual.key_expiries), (&rebuilt.deadlines, &rebuilt.key_expiries));
+        assert_eq!(actual.by_time_left, rebuilt.by_time_left);
         let by_priority = |queue: &MessageQueue| -> Vec<_> {
             let indices = &queue.indices;
-            let of_class = |c| (c, indices.earliest[&c].clone(), indices.longest[&c].clone());
+            let of_class = |c| (c, indices.by_first_message[&c].clone(), indices.by_length[&c].clone());
             indices.priority_classes().map(of_class).collect()
         };
         assert_eq!(by_priority(self), by_priority(fresh));
     }
 
     fn check_wake_times(&self) {
-        let sleeps_until = |wakefulness: Wakefulness| matches!(wakefulness, Wakefulness::AsleepUntil(_));
-        let timed = self.destinations.values().filter(|queue| sleeps_until(queue.wakefulness)).count();
-        assert_eq!(self.schedule.wake_times.len(), timed);
+        let has_wake_time = |wake_state: WakeState| matches!(wake_state, WakeState::AsleepUntil(_));
+        let expected = self.destinations.values().filter(|queue| has_wake_time(queue.wake_state)).count();
+        assert_eq!(self.schedule.wake_times.len(), expected);
     }
 }
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one destination.
+//! Queue of one destination.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,25 +8,25 @@
     ClassEntries, Due, ObjectiveOrder, PriorityClass, QueueClass, QueuePosition, QueuedMessage,
 };
 use super::segment::QueueSegment;
-use super::wake_schedule::Wakefulness;
+use super::wake_schedule::WakeState;
 use crate::message_key::MessageKey;
 
-/// The messages that wait for one destination.
+/// Queued messages of one destination.
 #[derive(Default)]
 pub(crate) struct DestinationQueue {
     pub(super) classes: BTreeMap<QueueClass, ClassEntries>,
-    /// Every message by its deadline.
+    /// All messages by deadline.
     pub(super) deadlines: BTreeSet<Due<MessageKey>>,
-    /// Messages that may only be retried while their idempotency key is valid, by the end of that.
+    /// Messages that may only be retried while their idempotency key is valid, by expiry of the key.
     pub(super) key_expiries: BTreeSet<Due<MessageKey>>,
     pub(super) len: usize,
-    pub(super) wakefulness: Wakefulness,
-    /// The entries under which this queue stands in the indices now.
-    pub(super) indexed: IndexEntries,
+    pub(super) wake_state: WakeState,
+    /// Entries of this queue in the indices, as of the last update.
+    pub(super) indexed_entries: IndexEntries,
 }
 
 impl DestinationQueue {
-    /// The first latency objective that ends after now, of each class that has one.
+    /// Returns the first latency objective that ends after `now` of each queue class that has one.
     pub fn next_objectives(&self, now: Duration) -> impl Iterator<Item = (&QueueClass, Duration)> {
         self.classes.iter().filter_map(move |(queue_class, entries)| {
             let after_now = ObjectiveOrder::end_of(now);
@@ -59,7 +59,7 @@
         self.len -= 1;
     }
 
-    /// Its messages in segments, without those that another message of their ordering key blocks.
+    /// Returns the messages in segments, without those that are blocked by a message with the same ordering key.
     pub(super) fn segments(&self, now: Duration) -> impl Iterator<Item = QueueSegment<'_>> {
         let unblocked = self.classes.iter().filter(|(queue_class, _)| !queue_class.blocked);
         unblocked.flat_map(move |(queue_class, entries)| {
@@ -67,18 +67,18 @@
         })
     }
 
-    /// Messages whose deadline is at or before this time.
+    /// Returns the messages whose deadline is at or before `last`.
     pub(super) fn deadlines_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
-        subjects_up_to(&self.deadlines, last)
+        subjects_due_by(&self.deadlines, last)
     }
 
-    /// Messages whose idempotency key is valid until this time at most.
+    /// Returns the messages whose idempotency key expires at or before `last`.
     pub(super) fn key_expiries_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
-        subjects_up_to(&self.key_expiries, last)
+        subjects_due_by(&self.key_expiries, last)
     }
 
-    /// The entries under which it is to stand in the indices; `available_at` is when the first of its endpoints
-    /// may be called.
+    /// Returns the current entries of this queue for the indices. `available_at` is the time at which the first
+    /// endpoint of the destination may receive a request.
     pub(super) fn index_entries(&self, available_at: Duration) -> IndexEntries {
         let deadline = self.deadlines.first().map(|due| due.at);
         let key_expiry = self.key_expiries.first().map(|due| due.at);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The earliest and the latest message of each priority class.
+    /// Returns the first and the last message of each priority class, by latency objective.
     fn objective_ranges(&self) -> Vec<ObjectiveRange> {
         let mut ranges: BTreeMap<PriorityClass, ObjectiveRange> = BTreeMap::new();
         for (queue_class, entries) in &self.classes {
@@ -114,9 +114,9 @@
     }
 }
 
-fn subjects_up_to(
-    order: &BTreeSet<Due<MessageKey>>,
+fn subjects_due_by(
+    dues: &BTreeSet<Due<MessageKey>>,
     last: Duration,
 ) -> impl Iterator<Item = MessageKey> + '_ {
-    order.iter().take_while(move |due| due.at <= last).map(|due| due.subject)
+    dues.iter().take_while(move |due| due.at <= last).map(|due| due.subject)
 }
--- a/src/queue/indices.rs
+++ b/src/queue/indices.rs
@@ -1,4 +1,4 @@
-//! The indices over all destination queues.
+//! Indices over all destination queues.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use super::position::{Due, PriorityClass, QueuedMessage};
 use crate::interface::DestinationId;
 
-/// The entries under which one destination queue stands in the indices.
+/// Entries of a destination queue in the indices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct IndexEntries {
-    /// The earliest deadline of its messages.
+    /// Earliest deadline of the messages.
     pub deadline: Option<Duration>,
-    /// The earliest end of an idempotency key that a message needs.
+    /// Earliest expiry of an idempotency key that a message needs.
     pub key_expiry: Option<Duration>,
-    /// When the first of the destination's endpoints may be called.
+    /// Time at which the first endpoint of the destination may receive a request.
     pub available_at: Duration,
-    /// How much is left then before the earliest deadline; nothing if a key expires before.
+    /// Time from `available_at` to the earliest deadline; zero if an idempotency key expires by then.
     pub time_left_when_available: Option<Duration>,
-    /// How many messages are queued.
+    /// Number of queued messages.
     pub len: usize,
-    /// One for each priority class with queued messages, in their order.
+    /// Range of each priority class with queued messages, in ascending order.
     pub objective_ranges: Vec<ObjectiveRange>,
 }
 
-/// The first and the last message of one priority class in a destination queue, by latency objective.
+/// First and last message of a priority class in a destination queue, by latency objective.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ObjectiveRange {
     pub priority: PriorityClass,
@@ -31,14 +31,14 @@
     pub last: QueuedMessage,
 }
 
-/// A destination queue in the order of its first message.
+/// Destination queue, ordered by its first message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ByFirstMessage {
     pub first: QueuedMessage,
     pub destination: DestinationId,
 }
 
-/// A destination queue in the order of its length, and where that is equal, of its last message.
+/// Destination queue, ordered by its length and then by its last message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ByLength {
     pub len: usize,
@@ -46,27 +46,26 @@
     pub destination: DestinationId,
 }
 
-/// A destination queue in the order of what is left before its earliest deadline once an endpoint may be called.
+/// Destination queue, ordered by the time between the availability of an endpoint and the earliest deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ByTimeLeft {
     pub time_left: Duration,
     pub destination: DestinationId,
 }
 
-/// Destination queues in the orders that the policy needs.
+/// Destination queues in all orders that the policy uses.
 #[derive(Default)]
 pub(super) struct Indices {
-    /// By the earliest deadline.
+    /// Destinations by earliest deadline.
     pub deadlines: BTreeSet<Due<DestinationId>>,
-    /// By the earliest end of an idempotency key.
+    /// Destinations by earliest expiry of an idempotency key.
     pub key_expiries: BTreeSet<Due<DestinationId>>,
-    /// By what is left before the earliest deadline once an endpoint may be called; nothing is left if an
-    /// idempotency key expires before.
-    pub times_left_when_available: BTreeSet<ByTimeLeft>,
-    /// For each priority class, by the first message. Sets that became empty stay.
-    pub earliest: BTreeMap<PriorityClass, BTreeSet<ByFirstMessage>>,
-    /// For each priority class, by the length of the whole queue. Sets that became empty stay.
-    pub longest: BTreeMap<PriorityClass, BTreeSet<ByLength>>,
+    /// Destinations by [`IndexEntries::time_left_when_available`].
+    pub by_time_left: BTreeSet<ByTimeLeft>,
+    /// Destinations by first message, for each priority class. Empty sets are kept.
+    pub by_first_message: BTreeMap<PriorityClass, BTreeSet<ByFirstMessage>>,
+    /// Destinations by length of the entire queue, for each priority class. Empty sets are kept.
+    pub by_length: BTreeMap<PriorityClass, BTreeSet<ByLength>>,
 }
 
 impl Indices {
@@ -74,13 +73,12 @@
         self.deadlines.extend(entries.deadline.map(|at| Due::new(at, destination)));
         self.key_expiries.extend(entries.key_expiry.map(|at| Due::new(at, destination)));
         let time_left = entries.time_left_when_available;
-        self.times_left_when_available
-            .extend(time_left.map(|time_left| ByTimeLeft { time_left, destination }));
+        self.by_time_left.extend(time_left.map(|time_left| ByTimeLeft { time_left, destination }));
         for ObjectiveRange { priority, first, last } in &entries.objective_ranges {
             let by_first_message = ByFirstMessage { first: *first, destination };
-            self.earliest.entry(*priority).or_default().insert(by_first_message);
+            self.by_first_message.entry(*priority).or_default().insert(by_first_message);
             let by_length = ByLength { len: entries.len, last: *last, destination };
-            self.longest.entry(*priority).or_default().insert(by_length);
+            self.by_length.entry(*priority).or_default().insert(by_length);
         }
     }
 
@@ -92,20 +90,20 @@
             self.key_expiries.remove(&Due::new(at, destination));
         }
         if let Some(time_left) = entries.time_left_when_available {
-            self.times_left_when_available.remove(&ByTimeLeft { time_left, destination });
+            self.by_time_left.remove(&ByTimeLeft { time_left, destination });
         }
         for ObjectiveRange { priority, first, last } in &entries.objective_ranges {
-            if let Some(earliest) = self.earliest.get_mut(priority) {
+            if let Some(earliest) = self.by_first_message.get_mut(priority) {
                 earliest.remove(&ByFirstMessage { first: *first, destination });
             }
-            if let Some(longest) = self.longest.get_mut(priority) {
+            if let Some(longest) = self.by_length.get_mut(priority) {
                 longest.remove(&ByLength { len: entries.len, last: *last, destination });
             }
         }
     }
 
-    /// Priority classes with queued messages, in their order.
+    /// Returns the priority classes with queued messages in ascending order.
     pub(super) fn priority_classes(&self) -> impl Iterator<Item = PriorityClass> + '_ {
-        self.earliest.iter().filter(|(_, queues)| !queues.is_empty()).map(|(priority, _)| *priority)
+        self.by_first_message.iter().filter(|(_, queues)| !queues.is_empty()).map(|(priority, _)| *priority)
     }
 }
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -1,20 +1,19 @@
-//! Messages that wait to be sent, indexed by the questions that the scheduler asks: which message of a destination
-//! may go next, which messages expire next, which has the lowest priority, and which destinations are to be checked.
+//! Messages that wait to be sent, with indices for the queries of the scheduler: the next message of a destination,
+//! the next messages to expire, the message with the lowest priority, and the destinations to check.
 //!
-//! The indices decide nothing: orders and thresholds stand in the policy. A [`DestinationQueue`] exists for each
-//! destination with queued messages. The indices over all destinations hold a few entries for each destination and
-//! none for each message; a destination queue that changes is marked stale, and its entries are renewed before
-//! they are next read.
+//! Each destination with queued messages has a [`DestinationQueue`]. The indices over all destinations hold a few
+//! entries per destination and none per message. A destination queue that changes is marked as stale, and its
+//! entries are updated before the indices are next read. The policy defines priorities and thresholds.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `position` | what a message is queued under, and the orders that follow from it |
-//! | `segment` | the messages of one class that have, or have not, missed their latency objective |
-//! | `destination_queue` | the queue of one destination |
-//! | `indices` | the indices over all destination queues |
-//! | `wake_schedule` | which destinations are checked now, and when the others are |
-//! | `message_queue` | all of it together, as the policy uses it |
-//! | `consistency` | debug builds: every index against a full walk |
+//! | `position` | sort keys of queued messages |
+//! | `segment` | messages of one class that are all late or all in time |
+//! | `destination_queue` | queue of one destination |
+//! | `indices` | indices over all destination queues |
+//! | `wake_schedule` | destinations to check now, and wake times of the others |
+//! | `message_queue` | queued messages of all destinations |
+//! | `consistency` | checks of the indices in debug builds |
 
 #[cfg(debug_assertions)]
 mod consistency;
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -1,4 +1,4 @@
-//! What a message is queued under, and the orders that follow from it.
+//! Sort keys of queued messages.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -6,56 +6,55 @@
 
 use crate::message_key::MessageKey;
 
-/// What decides, besides the latency objective, which message of a destination goes next.
+/// Properties that, in addition to the latency objective, determine the next message of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueClass {
-    /// Its priority; compared first.
+    /// Priority class; compared first.
     pub priority: PriorityClass,
-    /// Attempts so far that were answered with an error.
+    /// Number of attempts that were answered with an error.
     pub errors: u32,
-    /// An attempt was started before.
+    /// Whether an attempt was started before.
     pub previously_attempted: bool,
-    /// An earlier attempt may have been executed.
+    /// Whether an earlier attempt may have executed the message.
     pub possibly_executed: bool,
-    /// An earlier message with its ordering key has to finish first.
+    /// Whether an earlier message with the same ordering key must finish first.
     pub blocked: bool,
 }
 
-/// Messages that have the same priority as long as they are equally late.
+/// Class of messages that have equal priority when they are equally late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PriorityClass {
     /// Index of the message class in the policy's parameters.
     pub class: usize,
-    /// The tenant had used its quota up when the message came.
+    /// Whether the tenant's quota was used up when the message was submitted.
     pub over_quota: bool,
 }
 
-/// What a message is queued under; needed again, unchanged, to remove it.
+/// Sort key of a message in its queue. The message is removed with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuePosition {
-    /// The class whose messages it waits among.
+    /// Queue class of the message.
     pub queue_class: QueueClass,
-    /// Until when it meets its latency objective, since the start.
+    /// Time until which a delivery meets the latency objective, since the start.
     pub objective_at: Duration,
-    /// Number of the message in the order of submission.
+    /// Sequence number of the message, in the order of submission.
     pub arrival_number: u64,
-    /// When its final answer is due, since the start.
+    /// Time at which the final answer is due, since the start.
     pub deadline: Duration,
-    /// Until when a retry may begin, where its idempotency key has a window.
+    /// Time until which a retry may begin; `None` if no idempotency key limits it.
     pub key_valid_until: Option<Duration>,
 }
 
 impl QueuePosition {
-    /// Its place among the messages of its class.
+    /// Returns the sort key within the queue class.
     pub(super) fn objective_order(&self) -> ObjectiveOrder {
         ObjectiveOrder { objective_at: self.objective_at, arrival_number: self.arrival_number }
     }
 }
 
-/// The order within a class: by latency objective, then by arrival.
+/// Sort key within a queue class: latency objective, then arrival.
 ///
-/// It is compared as a tuple, as [`Due`] is: a derived `Ord` took more instructions, and these comparisons are
-/// most of what it costs to queue a message.
+/// Comparison uses tuples, like that of [`Due`], because a derived `Ord` takes more instructions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ObjectiveOrder {
     pub objective_at: Duration,
@@ -63,7 +62,7 @@
 }
 
 impl ObjectiveOrder {
-    /// Behind every message whose objective ends at or before this time, and before all others.
+    /// Returns a key that sorts after all messages whose objective ends by the given time, and before all others.
     pub(super) fn end_of(objective_at: Duration) -> ObjectiveOrder {
         ObjectiveOrder { objective_at, arrival_number: u64::MAX }
     }
@@ -83,17 +82,16 @@
     }
 }
 
-/// The queued messages of one class.
+/// Queued messages of one queue class.
 pub(super) type ClassEntries = BTreeMap<ObjectiveOrder, MessageKey>;
 
-/// One queued message in the order of latency objectives, over all classes and destinations.
+/// Queued message, ordered by latency objective across all classes and destinations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedMessage {
-    /// Until when it meets its latency objective, since the start.
+    /// Time until which a delivery meets the latency objective, since the start.
     pub objective_at: Duration,
-    /// Number of the message in the order of submission.
+    /// Sequence number of the message, in the order of submission.
     pub arrival_number: u64,
-    /// The message.
     pub key: MessageKey,
 }
 
@@ -103,16 +101,16 @@
     }
 }
 
-/// The longest destination queue that has messages of a priority class.
+/// Longest destination queue that has messages of a priority class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LongestQueue {
-    /// Messages of all classes in it.
+    /// Number of messages of all classes in the queue.
     pub len: usize,
-    /// The message of the priority class whose latency objective ends last.
+    /// Message of the priority class whose latency objective ends last.
     pub last: QueuedMessage,
 }
 
-/// Something that is due at a time; ordered by the time, then by what it is.
+/// Subject with a due time, ordered by the time and then by the subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Due<T> {
     pub at: Duration,
--- a/src/queue/segment.rs
+++ b/src/queue/segment.rs
@@ -1,23 +1,23 @@
-//! The messages of one class that have, or have not, missed their latency objective.
+//! Messages of one queue class that are all late or all in time.
 
 use std::ops::Bound;
 use std::time::Duration;
 
 use super::position::{ClassEntries, ObjectiveOrder, QueueClass, QueuedMessage};
 
-/// The messages of one class of a destination queue whose latency objectives have all passed, or all not yet.
+/// Messages of one queue class of a destination whose latency objectives have either all passed or all not passed.
 #[derive(Clone, Copy)]
 pub(crate) struct QueueSegment<'q> {
-    /// The class that all of them are in.
+    /// Queue class of the messages.
     pub queue_class: QueueClass,
-    /// Whether their objectives have passed.
+    /// Whether the latency objectives have passed.
     pub late: bool,
     now: Duration,
     entries: &'q ClassEntries,
 }
 
 impl<'q> QueueSegment<'q> {
-    /// The late messages of a class, and then those that are in time.
+    /// Returns the late messages of a queue class, followed by those in time.
     pub(super) fn late_and_in_time(
         queue_class: QueueClass,
         entries: &'q ClassEntries,
@@ -26,7 +26,7 @@
         [true, false].map(|late| QueueSegment { queue_class, late, now, entries }).into_iter()
     }
 
-    /// Its messages in the order of their latency objectives.
+    /// Returns the messages in the order of their latency objectives.
     pub fn entries(&self) -> impl Iterator<Item = QueuedMessage> + 'q {
         let last_late = ObjectiveOrder::end_of(self.now);
         let bounds = if self.late {
--- a/src/queue/wake_schedule.rs
+++ b/src/queue/wake_schedule.rs
@@ -1,5 +1,5 @@
-//! Which destinations are checked now, and when the others are. Only events can change what holds a sleeping
-//! destination back, so that checking it in between would be work for nothing.
+//! Destinations to check now, and wake times of the others. The messages of a sleeping destination cannot be sent
+//! before its wake time or an event, so that earlier checks are unnecessary.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,19 +7,19 @@
 use super::position::Due;
 use crate::interface::DestinationId;
 
-/// Whether a destination is checked whenever due work is run.
+/// State of a destination that determines whether a run of due work checks its messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Wakefulness {
-    /// It is.
+pub(super) enum WakeState {
+    /// The destination is checked in every run.
     #[default]
     Awake,
-    /// Not before this time, or before an event concerns it.
+    /// The destination is not checked before the given time or an event that affects it.
     AsleepUntil(Duration),
-    /// Not before an event concerns it.
+    /// The destination is not checked before an event that affects it.
     AsleepUntilEvent,
 }
 
-/// The destinations with queued messages that are awake, and the times at which others wake.
+/// Awake destinations with queued messages, and wake times of sleeping destinations.
 #[derive(Default)]
 pub(super) struct WakeSchedule {
     pub awake: BTreeSet<DestinationId>,
@@ -27,35 +27,35 @@
 }
 
 impl WakeSchedule {
-    /// Puts an awake destination to sleep, and returns the state that its queue has then.
+    /// Puts an awake destination to sleep. Returns the new state for its queue.
     #[must_use]
-    pub(super) fn sleep(&mut self, destination: DestinationId, until: Option<Duration>) -> Wakefulness {
+    pub(super) fn sleep(&mut self, destination: DestinationId, until: Option<Duration>) -> WakeState {
         self.awake.remove(&destination);
-        let Some(until) = until else { return Wakefulness::AsleepUntilEvent };
+        let Some(until) = until else { return WakeState::AsleepUntilEvent };
         self.wake_times.insert(Due::new(until, destination));
-        Wakefulness::AsleepUntil(until)
+        WakeState::AsleepUntil(until)
     }
 
-    /// Wakes a destination whose queue is in this state, and sets that to awake.
-    pub(super) fn wake(&mut self, destination: DestinationId, wakefulness: &mut Wakefulness) {
-        self.cancel_wake_time(destination, std::mem::take(wakefulness));
+    /// Wakes a destination and sets the state of its queue to awake.
+    pub(super) fn wake(&mut self, destination: DestinationId, wake_state: &mut WakeState) {
+        self.cancel_wake_time(destination, std::mem::take(wake_state));
         self.awake.insert(destination);
     }
 
-    /// Forgets a destination whose queue was in this state when it became empty.
-    pub(super) fn remove(&mut self, destination: DestinationId, wakefulness: Wakefulness) {
-        self.cancel_wake_time(destination, wakefulness);
+    /// Removes a destination whose queue became empty in the given state.
+    pub(super) fn remove(&mut self, destination: DestinationId, wake_state: WakeState) {
+        self.cancel_wake_time(destination, wake_state);
         self.awake.remove(&destination);
     }
 
-    /// The first destination whose time to wake has come.
+    /// Returns the first destination whose wake time has passed.
     pub(super) fn first_due(&self, now: Duration) -> Option<DestinationId> {
         let first = self.wake_times.first().filter(|due| due.at <= now)?;
         Some(first.subject)
     }
 
-    fn cancel_wake_time(&mut self, destination: DestinationId, wakefulness: Wakefulness) {
-        if let Wakefulness::AsleepUntil(until) = wakefulness {
+    fn cancel_wake_time(&mut self, destination: DestinationId, wake_state: WakeState) {
+        if let WakeState::AsleepUntil(until) = wake_state {
             self.wake_times.remove(&Due::new(until, destination));
         }
     }
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -1,4 +1,4 @@
-//! The records of delivery attempts and requests that have not ended yet.
+//! Records of delivery attempts and requests in flight.
 
 use std::time::Duration;
 
@@ -6,50 +6,47 @@
 use crate::interface::{AttemptNumber, CircuitScope, EndpointId, MessageId, OrderingKey, RequestId};
 use crate::message_key::MessageKey;
 
-/// Names an attempt: its message and its number. The attempts of one message sort by number.
+/// Identifies an attempt. The attempts of one message are ordered by number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub(crate) message: MessageId,
     pub(crate) number: AttemptNumber,
 }
 
-/// A request without an outcome yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RequestInFlight {
     pub(crate) id: RequestId,
     pub(crate) started_at: Duration,
 }
 
-/// An endpoint that a request may be sent to now.
+/// Endpoint that a request may be sent to now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AdmittedEndpoint {
     pub(crate) endpoint: EndpointId,
-    /// What its circuit is kept for.
+    /// Scope of the endpoint's circuit breaker.
     pub(crate) scope: CircuitScope,
-    /// The request is the trial of a half-open circuit.
+    /// Whether the request is the trial of a half-open circuit.
     pub(crate) half_open_trial: bool,
 }
 
-/// Lives from the start of an attempt to its outcome.
+/// Attempt in flight, kept from its start until its outcome is known.
 pub(crate) struct Attempt {
     pub(crate) message: MessageKey,
-    /// The message's ordering key and arrival, by which it keeps its place in the ordering queue though it may
-    /// be finished.
+    /// Key and arrival number identify the message's place in its ordering queue, even if the message is finished.
     pub(crate) ordering_key: Option<OrderingKey>,
     pub(crate) arrival_number: u64,
     pub(crate) endpoint: EndpointId,
     pub(crate) scope: CircuitScope,
-    /// The index of the message's class.
+    /// Index of the message class.
     pub(crate) class: usize,
-    /// The request that carries it.
     pub(crate) request: RequestId,
     pub(crate) started_at: Duration,
-    /// The policy has commanded to cancel it, as a straggler.
+    /// Whether the policy has cancelled the attempt as a straggler.
     pub(crate) cancelled: bool,
 }
 
 impl Attempt {
-    /// An attempt of a message that starts now as a part of a request.
+    /// Returns an attempt of `message` that starts now as a part of `request`.
     pub(crate) fn new(
         key: MessageKey,
         message: &Message,
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -1,4 +1,4 @@
-//! The record of one circuit breaker.
+//! State of a circuit breaker.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,52 +6,50 @@
 use super::{AttemptKey, Pacing, RequestInFlight};
 use crate::interface::RequestId;
 
-/// The state of a circuit breaker at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CircuitState {
-    /// Requests pass.
+    /// Requests are sent.
     Closed,
-    /// No request passes before this time.
+    /// No request is sent before `until`.
     Open {
-        /// When it becomes half-open.
+        /// Time at which the circuit becomes half-open.
         until: Duration,
     },
-    /// One trial request passes at a time.
+    /// One trial request is sent at a time.
     HalfOpen,
 }
 
-/// The record of one circuit breaker, and what the guards around it remember. The decisions on it are in
+/// Circuit breaker with its failures, pacing and requests in flight. The decisions are made in
 /// [`policy::circuit_breaker`](crate::policy).
 #[derive(Default)]
 pub(crate) struct CircuitBreaker {
-    /// Times of the latest failures, oldest first.
-    failures: Vec<Duration>,
-    /// None while the circuit is closed.
+    /// Times of recent failures, oldest first.
+    failure_times: Vec<Duration>,
+    /// `None` while the circuit is closed.
     open_until: Option<Duration>,
-    /// The last change of the two fields above, but for a reset.
+    /// Time of the last change to `failure_times` or `open_until` other than by [`CircuitBreaker::reset`].
     changed_at: Duration,
-    /// The half-open trial that is in flight.
+    /// Half-open trial in flight.
     trial: Option<AttemptKey>,
-    /// Most requests in flight at once while traffic returns after a recovery; none: no such limit.
+    /// Maximum number of requests in flight after a recovery; `None` if not limited.
     recovery_request_limit: Option<usize>,
     retry_after_until: Duration,
     last_retry_after: Duration,
     pacing: Pacing,
-    /// Since the last completion.
+    /// Timeouts since the last completion.
     consecutive_timeouts: u32,
     last_sent: Duration,
-    /// Requests in flight, in the order in which they were sent.
+    /// Requests in the order in which they were sent.
     in_flight: VecDeque<RequestInFlight>,
-    /// Running mean of its response times, in seconds.
+    /// Running mean of response times.
     mean_latency_seconds: Option<f64>,
     last_completion: Duration,
-    /// Share of its rate limit that was left by the last report; none where no limit is reported.
+    /// Unused share of the rate limit in the last load report; `None` if no limit is reported.
     remaining_limit_share: Option<f64>,
 }
 
-// Failures, and the state that follows from them.
+// Failures and circuit state.
 impl CircuitBreaker {
-    /// The state at this time.
     pub(crate) fn state(&self, now: Duration) -> CircuitState {
         match self.open_until {
             None => CircuitState::Closed,
@@ -60,96 +58,95 @@
         }
     }
 
-    /// Whether requests pass; otherwise it is open or half-open.
+    /// Returns whether the circuit is closed, that is, neither open nor half-open.
     pub(crate) fn is_closed(&self) -> bool {
         self.open_until.is_none()
     }
 
-    /// When an open circuit becomes half-open, or has become so; none while it is closed.
+    /// Returns the time at which the circuit becomes, or became, half-open; `None` while it is closed.
     pub(crate) fn open_until(&self) -> Option<Duration> {
         self.open_until
     }
 
-    /// The last failure, opening or closing.
+    /// Returns the time of the last failure, opening or closing.
     pub(crate) fn changed_at(&self) -> Duration {
         self.changed_at
     }
 
-    /// How many failures are kept.
     pub(crate) fn failure_count(&self) -> usize {
-        self.failures.len()
+        self.failure_times.len()
     }
 
-    /// Adds a failure, and drops those that are older than the window, or the oldest if there are too many.
+    /// Adds a failure. Removes failures that are older than `window`, and the oldest ones beyond `max_kept`.
     pub(crate) fn add_failure(&mut self, now: Duration, window: Duration, max_kept: usize) {
-        self.failures.push(now);
-        self.failures.retain(|failure| now.saturating_sub(*failure) <= window);
-        self.failures.drain(..self.failures.len().saturating_sub(max_kept));
+        self.failure_times.push(now);
+        self.failure_times.retain(|failed_at| now.saturating_sub(*failed_at) <= window);
+        self.failure_times.drain(..self.failure_times.len().saturating_sub(max_kept));
         self.changed_at = now;
     }
 
-    /// Opens the circuit until this time, in place of an earlier or a later one.
+    /// Opens the circuit until the given time, which replaces any previous one.
     pub(crate) fn open(&mut self, now: Duration, until: Duration) {
         self.open_until = Some(until);
         self.changed_at = now;
     }
 
-    /// Opens the circuit until this time, unless it is open for longer.
+    /// Opens the circuit until the given time, unless it is already open for longer.
     pub(crate) fn extend_open(&mut self, now: Duration, until: Duration) {
         self.open_until = self.open_until.max(Some(until));
         self.changed_at = now;
     }
 
-    /// Closes the circuit and drops its failures.
+    /// Closes the circuit and removes its failures.
     pub(crate) fn close(&mut self, now: Duration) {
         self.reset();
         self.changed_at = now;
     }
 
-    /// Closes the circuit and drops its failures, which counts as no change of the record.
+    /// Closes the circuit and removes its failures, without a change of [`CircuitBreaker::changed_at`].
     pub(crate) fn reset(&mut self) {
-        self.failures.clear();
+        self.failure_times.clear();
         self.open_until = None;
     }
 
-    /// Whether a half-open trial is in flight.
+    /// Returns whether a half-open trial is in flight.
     pub(crate) fn has_trial(&self) -> bool {
         self.trial.is_some()
     }
 
-    /// A half-open trial has been sent.
+    /// Records that a half-open trial was sent.
     pub(crate) fn begin_trial(&mut self, attempt: AttemptKey) {
         self.trial = Some(attempt);
     }
 
-    /// An attempt has ended, which may be the trial.
+    /// Clears the half-open trial if `attempt` is the trial.
     pub(crate) fn end_trial(&mut self, attempt: &AttemptKey) {
         self.trial.take_if(|trial| trial == attempt);
     }
 
-    /// Most requests in flight at once while traffic returns after a recovery; none: no such limit.
+    /// Returns the maximum number of requests in flight after a recovery; `None` if not limited.
     pub(crate) fn recovery_request_limit(&self) -> Option<usize> {
         self.recovery_request_limit
     }
 
-    pub(crate) fn set_recovery_request_limit(&mut self, most: Option<usize>) {
-        self.recovery_request_limit = most;
+    pub(crate) fn set_recovery_request_limit(&mut self, limit: Option<usize>) {
+        self.recovery_request_limit = limit;
     }
 }
 
 // Retry-After, rate limit and pacing.
 impl CircuitBreaker {
-    /// No request is sent before this time, as a Retry-After or a pause demands.
+    /// Returns the time before which a Retry-After or a pause allows no request.
     pub(crate) fn retry_after_until(&self) -> Duration {
         self.retry_after_until
     }
 
-    /// Holds requests back until this time, unless they are held back for longer.
+    /// Postpones requests until the given time, unless they are already postponed for longer.
     pub(crate) fn extend_retry_after(&mut self, until: Duration) {
         self.retry_after_until = self.retry_after_until.max(until);
     }
 
-    /// The last Retry-After, by which missing ones are estimated.
+    /// Returns the last Retry-After, which serves as an estimate for rejections without one.
     pub(crate) fn last_retry_after(&self) -> Duration {
         self.last_retry_after
     }
@@ -158,7 +155,7 @@
         self.last_retry_after = wait;
     }
 
-    /// Share of its rate limit that was left by the last report; none where no limit is reported.
+    /// Returns the unused share of the rate limit in the last load report; `None` if no limit is reported.
     pub(crate) fn remaining_limit_share(&self) -> Option<f64> {
         self.remaining_limit_share
     }
@@ -176,62 +173,60 @@
     }
 }
 
-// Its requests, and how long they take.
+// Requests and response times.
 impl CircuitBreaker {
-    /// A request has been sent.
     pub(crate) fn record_request(&mut self, request: RequestInFlight) {
         self.in_flight.push_back(request);
         self.last_sent = request.started_at;
     }
 
-    /// A request has ended, with whatever outcome.
+    /// Removes a request that ended with any outcome.
     pub(crate) fn end_request(&mut self, id: RequestId) {
         self.in_flight.retain(|request| request.id != id);
     }
 
-    /// A request was completed; `mean_latency_seconds` is the running mean of response times with this one, in seconds.
+    /// Records a completed request and the running mean of response times that includes it.
     pub(crate) fn record_completion(&mut self, now: Duration, mean_latency_seconds: f64) {
         self.last_completion = now;
         self.mean_latency_seconds = Some(mean_latency_seconds);
         self.consecutive_timeouts = 0;
     }
 
-    /// A request has timed out.
     pub(crate) fn record_timeout(&mut self) {
         self.consecutive_timeouts += 1;
     }
 
-    /// Requests in flight, in the order in which they were sent.
+    /// Returns the requests in flight, in the order in which they were sent.
     pub(crate) fn in_flight(&self) -> &VecDeque<RequestInFlight> {
         &self.in_flight
     }
 
-    /// How many requests in flight were sent at this time or later.
+    /// Returns the number of requests in flight that were sent at `since` or later.
     pub(crate) fn requests_since(&self, since: Duration) -> usize {
         self.in_flight.iter().rev().take_while(|request| request.started_at >= since).count()
     }
 
-    /// When the last request was sent; zero if none was.
+    /// Returns the time of the last request; zero if none was sent.
     pub(crate) fn last_sent(&self) -> Duration {
         self.last_sent
     }
 
-    /// When the last request was completed; zero if none was.
+    /// Returns the time of the last completion; zero before the first.
     pub(crate) fn last_completion(&self) -> Duration {
         self.last_completion
     }
 
-    /// Running mean of its response times, in seconds; none before the first completion.
+    /// Returns the running mean of response times; `None` before the first completion.
     pub(crate) fn mean_latency_seconds(&self) -> Option<f64> {
         self.mean_latency_seconds
     }
 
-    /// Timeouts since the last completion.
+    /// Returns the number of timeouts since the last completion.
     pub(crate) fn consecutive_timeouts(&self) -> u32 {
         self.consecutive_timeouts
     }
 
-    /// The last time at which the record was used, or until which it holds requests back.
+    /// Returns the later of the last use or change and the time until which requests are postponed.
     pub(crate) fn in_use_until(&self) -> Duration {
         let used = self.last_sent.max(self.changed_at).max(self.pacing.postponed_until());
         used.max(self.retry_after_until).max(self.open_until.unwrap_or_default())
--- a/src/state/circuit_table.rs
+++ b/src/state/circuit_table.rs
@@ -1,4 +1,4 @@
-//! The table of the circuit breakers in use.
+//! Table of the circuit breakers in use.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use super::CircuitBreaker;
 use crate::interface::CircuitScope;
 
-/// The circuit breakers in use. One is made when it is first changed and removed when idle for long.
+/// Circuit breakers in use. Entries are created on their first change and removed after a long idle time.
 #[derive(Default)]
 pub(crate) struct CircuitTable {
     circuits: BTreeMap<CircuitScope, CircuitBreaker>,
-    /// When each is next reviewed for its removal.
+    /// Times at which circuit breakers are next checked for removal.
     review_at: BTreeSet<(Duration, CircuitScope)>,
-    /// Made since reviews were last scheduled.
+    /// Scopes of circuit breakers that have no review scheduled yet.
     without_review: Vec<CircuitScope>,
 }
 
@@ -29,7 +29,7 @@
         self.circuits.get_mut(&scope)
     }
 
-    /// The circuit breaker of a scope, made if there is none.
+    /// Returns the circuit breaker of a scope, which is created if absent.
     pub(crate) fn get_or_insert(&mut self, scope: CircuitScope) -> &mut CircuitBreaker {
         self.circuits.entry(scope).or_insert_with(|| {
             self.without_review.push(scope);
@@ -41,12 +41,12 @@
         self.circuits.remove(&scope);
     }
 
-    /// All, in the order of their scopes.
+    /// Returns all circuit breakers in the order of their scopes.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (CircuitScope, &CircuitBreaker)> {
         self.circuits.iter().map(|(scope, circuit)| (*scope, circuit))
     }
 
-    /// Schedules the first review of those that were made since the last call.
+    /// Schedules the first review of the circuit breakers that were created since the last call.
     pub(crate) fn schedule_first_reviews(&mut self, at: Duration) {
         for scope in std::mem::take(&mut self.without_review) {
             self.schedule_review(scope, at);
@@ -57,7 +57,7 @@
         self.review_at.insert((at, scope));
     }
 
-    /// Takes the next scope whose review is due.
+    /// Removes and returns the next scope whose review is due.
     pub(crate) fn take_due_review(&mut self, now: Duration) -> Option<CircuitScope> {
         let (_, scope) = self.review_at.first().copied().filter(|(due, _)| *due <= now)?;
         self.review_at.pop_first();
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -1,4 +1,4 @@
-//! One destination: its listed endpoints and the traffic submitted for it.
+//! Listed endpoints and submitted traffic of a destination.
 
 use std::time::Duration;
 
@@ -6,33 +6,32 @@
 
 use crate::interface::EndpointId;
 
-/// The least span, in seconds, over which arrivals decay, so that nothing is divided by zero.
+/// Minimum time constant of the decay of arrivals; prevents a division by zero.
 const MIN_DECAY_SECONDS: f64 = 0.001;
 
-/// What is listed for one destination, and what was submitted for it.
 #[derive(Default)]
 pub(crate) struct Destination {
-    /// In ascending order.
+    /// Endpoint ids in ascending order.
     endpoints: SmallVec<[EndpointId; 2]>,
     traffic: Option<Box<Traffic>>,
 }
 
-/// What was submitted for one destination.
+/// Traffic that was submitted for a destination.
 #[derive(Default)]
 pub(crate) struct Traffic {
     arrivals: u64,
-    /// Arrivals with exponential decay, as of `recent_at`.
+    /// Exponentially decayed number of arrivals as of `recent_arrivals_at`.
     recent_arrivals: f64,
-    recent_at: Duration,
+    recent_arrivals_at: Duration,
     first_arrival_at: Duration,
-    /// The number of the last request that went to the destination.
+    /// Number of the last request that was sent to the destination.
     last_request_number: u64,
 }
 
 static NO_TRAFFIC: Traffic = Traffic {
     arrivals: 0,
     recent_arrivals: 0.0,
-    recent_at: Duration::ZERO,
+    recent_arrivals_at: Duration::ZERO,
     first_arrival_at: Duration::ZERO,
     last_request_number: 0,
 };
@@ -64,17 +63,17 @@
 }
 
 impl Traffic {
-    /// Messages submitted so far.
+    /// Returns the number of messages submitted so far.
     pub(crate) fn arrivals(&self) -> u64 {
         self.arrivals
     }
 
-    /// When the first message was submitted.
+    /// Returns the time at which the first message was submitted.
     pub(crate) fn first_arrival_at(&self) -> Duration {
         self.first_arrival_at
     }
 
-    /// The number of the last request that went to the destination; 0 if none did.
+    /// Returns the number of the last request that was sent to the destination; 0 if none was sent.
     pub(crate) fn last_request_number(&self) -> u64 {
         self.last_request_number
     }
@@ -83,20 +82,20 @@
         self.last_request_number = number;
     }
 
-    /// Counts a message that was submitted now; older ones decay over the span.
+    /// Counts a message that was submitted at `now`. Earlier arrivals decay with the time constant `span`.
     pub(crate) fn record_arrival(&mut self, now: Duration, span: Duration) {
         if self.arrivals == 0 {
             self.first_arrival_at = now;
         }
         self.arrivals += 1;
         self.recent_arrivals = self.recent_arrivals(now, span) + 1.0;
-        self.recent_at = now;
+        self.recent_arrivals_at = now;
     }
 
-    /// Arrivals within about this span before now.
+    /// Returns the approximate number of arrivals within `span` before `now`.
     pub(crate) fn recent_arrivals(&self, now: Duration, span: Duration) -> f64 {
-        let spans =
-            now.saturating_sub(self.recent_at).as_secs_f64() / span.as_secs_f64().max(MIN_DECAY_SECONDS);
+        let spans = now.saturating_sub(self.recent_arrivals_at).as_secs_f64()
+            / span.as_secs_f64().max(MIN_DECAY_SECONDS);
         self.recent_arrivals * (-spans).exp()
     }
 }
--- a/src/state/earliest_time.rs
+++ b/src/state/earliest_time.rs
@@ -1,20 +1,20 @@
-//! The earliest time at which the policy has due work again.
+//! Minimum of several points in time.
 
 use std::time::Duration;
 
-/// Collects times and keeps the earliest.
+/// Earliest of the times that were included; empty if there is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EarliestTime(Option<Duration>);
 
 impl EarliestTime {
-    /// Wakes at this time at the latest; no time changes nothing.
+    /// Includes a time; `None` is ignored.
     pub(crate) fn include(&mut self, at: Option<Duration>) {
         if let Some(at) = at {
-            self.0 = Some(self.0.map_or(at, |known| known.min(at)));
+            self.0 = Some(self.0.map_or(at, |earliest| earliest.min(at)));
         }
     }
 
-    /// The earliest time, if there is any.
+    /// Returns the earliest time, or `None` if no time was included.
     pub(crate) fn time(self) -> Option<Duration> {
         self.0
     }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: what the endpoint list says of it and what requests have shown.
+//! Record of an endpoint: its entry in the endpoint list and the results of its requests.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,43 +6,43 @@
 use super::zones::ZoneNumber;
 use crate::interface::{DestinationId, EndpointState};
 
-/// Lives as long as the endpoint is listed, and a while after. What is only listed costs little memory: what
-/// requests have shown is kept apart, and only for endpoints in use.
+/// Endpoint that is listed or was removed recently. Results of requests are stored separately, and only for
+/// endpoints in use, so that listed endpoints need little memory.
 pub(crate) struct Endpoint {
     pub(crate) destination: DestinationId,
     pub(crate) state: EndpointState,
-    /// As listed; 0 where none is.
+    /// Listed weight; 0 if none is listed.
     pub(super) weight: f64,
     pub(super) zone: ZoneNumber,
-    /// The index of its kind, if the settings name it.
+    /// Index of the endpoint kind; `None` if the settings have no such kind.
     pub(super) kind: Option<u16>,
-    /// Where in time this forwarder's time slots at it begin, in slots.
+    /// Offset of this forwarder's time slots at the endpoint, as a fraction of a time slot.
     pub(crate) slot_phase: f64,
-    /// The number of the last whole list that named it.
-    pub(super) named_by: u32,
+    /// Number of the last full endpoint list that contained the endpoint.
+    pub(super) last_full_list: u32,
     pub(super) usage: Option<Box<EndpointUsage>>,
 }
 
-/// What requests have shown of an endpoint.
+/// Results of the requests to an endpoint.
 #[derive(Default)]
 pub(crate) struct EndpointUsage {
-    /// Requests a second that its rate limit allows, by the last report.
+    /// Rate limit in requests per second from the last load report; `None` if there is no limit.
     limit: Option<f64>,
-    /// Retries that completions have earned and retries have not spent; none before the first of either.
+    /// Unused tokens of the retry budget; `None` before the first completion or retry.
     retry_tokens: Option<f64>,
     requests_in_flight: u32,
-    /// Failures of each class since its last completion, by class index.
+    /// Failures of each message class since its last completion, by class index.
     consecutive_failures: BTreeMap<usize, u32>,
-    /// Last evidence that it may be down or warming up.
+    /// Latest time at which the endpoint may be down or in slow start.
     last_fault: Option<Duration>,
-    /// What was sent recently, oldest first.
+    /// Load of recent requests, oldest first.
     recent_load: VecDeque<SentLoad>,
     last_sent: Duration,
-    /// When its last request ended, if that ended with an answer, which leaves a connection idle.
+    /// Time of the last response, which leaves an idle connection; `None` if the last request ended without one.
     answered_at: Option<Duration>,
 }
 
-/// The load that one request put on an endpoint, in requests with one message.
+/// Load of a request on its endpoint. The unit is the load of a request with one message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SentLoad {
     pub(crate) at: Duration,
@@ -50,7 +50,7 @@
 }
 
 impl EndpointUsage {
-    /// Requests a second that its rate limit allows, by the last report; none if there is no limit.
+    /// Returns the rate limit in requests per second from the last load report; `None` if there is no limit.
     pub(crate) fn limit(&self) -> Option<f64> {
         self.limit
     }
@@ -59,7 +59,7 @@
         self.limit = limit;
     }
 
-    /// Retries that completions have earned and retries have not spent; none before the first of either.
+    /// Returns the unused tokens of the retry budget; `None` before the first completion or retry.
     pub(crate) fn retry_tokens(&self) -> Option<f64> {
         self.retry_tokens
     }
@@ -68,19 +68,19 @@
         self.retry_tokens = Some(tokens);
     }
 
-    /// A request has been sent, which puts so much load on the endpoint.
+    /// Records a sent request and its load on the endpoint.
     pub(crate) fn record_request(&mut self, sent: SentLoad) {
         self.requests_in_flight += 1;
         self.last_sent = sent.at;
         self.recent_load.push_back(sent);
     }
 
-    /// A request has ended, with whatever outcome.
+    /// Records the end of a request with any outcome.
     pub(crate) fn end_request(&mut self) {
         self.requests_in_flight = self.requests_in_flight.saturating_sub(1);
     }
 
-    /// Takes back the load of the last request, which never reached the endpoint.
+    /// Removes the load of the last request, which did not reach the endpoint.
     pub(crate) fn drop_last_load(&mut self) {
         self.recent_load.pop_back();
     }
@@ -89,17 +89,18 @@
         self.requests_in_flight
     }
 
-    /// When the last request was sent; zero if none was.
+    /// Returns the time of the last request; zero if none was sent.
     pub(crate) fn last_sent(&self) -> Duration {
         self.last_sent
     }
 
-    /// What was sent recently, oldest first.
+    /// Returns the load of recent requests, oldest first.
     pub(crate) fn recent_load(&self) -> &VecDeque<SentLoad> {
         &self.recent_load
     }
 
-    /// When the last request ended, if that ended with an answer, which leaves a connection idle.
+    /// Returns the time of the last response, which leaves an idle connection; `None` if the last request ended
+    /// without one.
     pub(crate) fn answered_at(&self) -> Option<Duration> {
         self.answered_at
     }
@@ -108,37 +109,42 @@
         self.answered_at = at;
     }
 
-    /// A message of a class, by its index, has failed.
+    /// Records the failure of a message, given the index of its class.
     pub(crate) fn record_failure(&mut self, class: usize) {
         *self.consecutive_failures.entry(class).or_default() += 1;
     }
 
-    /// A message of a class, by its index, was completed.
+    /// Resets the consecutive failures of a message class, given its index.
     pub(crate) fn reset_failures(&mut self, class: usize) {
         self.consecutive_failures.remove(&class);
     }
 
-    /// Last evidence that the endpoint may be down or warming up.
+    /// Returns the latest time at which the endpoint may be down or in slow start.
     pub(crate) fn last_fault(&self) -> Option<Duration> {
         self.last_fault
     }
 
-    /// The endpoint may be down or warming up as of this time.
+    /// Records that the endpoint may be down or in slow start at the given time.
     pub(crate) fn record_fault(&mut self, at: Duration) {
         self.last_fault = Some(at);
     }
 
-    /// Drops load and faults that are older than the given spans; the last load is kept.
-    pub(crate) fn forget_stale(&mut self, now: Duration, load_for: Duration, fault_for: Duration) {
-        while self.recent_load.len() > 1 && now.saturating_sub(self.recent_load[0].at) > load_for {
+    /// Removes loads and faults that are older than their retention times, except the last load.
+    pub(crate) fn forget_stale(
+        &mut self,
+        now: Duration,
+        load_retention: Duration,
+        fault_retention: Duration,
+    ) {
+        while self.recent_load.len() > 1 && now.saturating_sub(self.recent_load[0].at) > load_retention {
             self.recent_load.pop_front();
         }
-        self.last_fault = self.last_fault.filter(|at| now <= *at + fault_for);
+        self.last_fault = self.last_fault.filter(|at| now <= *at + fault_retention);
     }
 }
 
-/// What is known of an endpoint that no request was sent to.
-static UNUSED: EndpointUsage = EndpointUsage {
+/// Usage of endpoints that no request was sent to.
+static NO_USAGE: EndpointUsage = EndpointUsage {
     limit: None,
     retry_tokens: None,
     requests_in_flight: 0,
@@ -150,36 +156,36 @@
 };
 
 impl Endpoint {
-    /// The listed weight.
+    /// Returns the listed weight; `None` if none is listed.
     pub(crate) fn weight(&self) -> Option<f64> {
         Some(self.weight).filter(|weight| *weight > 0.0)
     }
 
-    /// Whether it is known to stand in the same zone as another endpoint.
+    /// Returns whether both endpoints are known to be in the same zone.
     pub(crate) fn is_in_zone_of(&self, other: &Endpoint) -> bool {
         self.zone == other.zone
     }
 
     pub(crate) fn usage(&self) -> &EndpointUsage {
-        self.usage.as_deref().unwrap_or(&UNUSED)
+        self.usage.as_deref().unwrap_or(&NO_USAGE)
     }
 
-    /// What requests have shown, made if there was none yet.
+    /// Returns the usage, which is created if absent.
     pub(super) fn usage_mut(&mut self) -> &mut EndpointUsage {
         self.usage.get_or_insert_default()
     }
 
-    /// The same, for what matters only of an endpoint that requests were sent to.
+    /// Returns the usage, or `None` if there is none yet.
     pub(super) fn existing_usage_mut(&mut self) -> Option<&mut EndpointUsage> {
         self.usage.as_deref_mut()
     }
 
-    /// Drops what requests have shown, unless one is in flight.
+    /// Removes the usage unless a request is in flight.
     pub(super) fn forget_idle_usage(&mut self) {
         self.usage.take_if(|usage| usage.requests_in_flight == 0);
     }
 
-    /// Failures of a class, by its index, since the endpoint last completed one.
+    /// Returns the failures of a message class since its last completion, given the index of the class.
     pub(crate) fn consecutive_failures(&self, class: usize) -> u32 {
         self.usage().consecutive_failures.get(&class).copied().unwrap_or_default()
     }
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! All endpoints and destinations, as the endpoint list names them.
+//! Endpoints and destinations of the endpoint list.
 
 use std::collections::BTreeMap;
 use std::ops::Index;
@@ -10,21 +10,21 @@
 use super::{Endpoint, EndpointKindParameters, EndpointUsage};
 use crate::interface::{CircuitScope, DestinationId, EndpointId, EndpointState, EndpointUpdate};
 
-/// All endpoints and destinations, with those that have left the list recently.
+/// Listed endpoints and their destinations, and endpoints that were removed recently.
 pub(crate) struct EndpointDirectory {
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: BTreeMap<DestinationId, Destination>,
     removed: RemovedEndpoints,
     zones: Zones,
     kinds: Vec<EndpointKindParameters>,
-    /// Whole lists that were begun so far; counts on from its start when it is used up.
-    whole_lists: u32,
-    /// A whole list has begun and not ended.
-    receiving_whole_list: bool,
+    /// Number of full endpoint lists that were begun; wraps around.
+    full_lists_begun: u32,
+    /// Whether a full endpoint list has begun and not ended.
+    receiving_full_list: bool,
 }
 
 impl EndpointDirectory {
-    /// An empty one, for endpoints of these kinds.
+    /// Returns an empty directory for endpoints of the given kinds.
     pub(crate) fn new(kinds: Vec<EndpointKindParameters>) -> EndpointDirectory {
         EndpointDirectory {
             endpoints: BTreeMap::new(),
@@ -32,17 +32,15 @@
             removed: RemovedEndpoints::default(),
             zones: Zones::default(),
             kinds,
-            whole_lists: 0,
-            receiving_whole_list: false,
+            full_lists_begun: 0,
+            receiving_full_list: false,
         }
     }
 
-    /// How many endpoints are kept.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// How many destinations are kept.
     pub(crate) fn destination_count(&self) -> usize {
         self.destinations.len()
     }
@@ -51,17 +49,17 @@
         self.endpoints.get(&id)
     }
 
-    /// What requests have shown of an endpoint, made if there was none yet.
+    /// Returns the usage of an endpoint, which is created if absent.
     pub(crate) fn usage_mut(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
         self.endpoints.get_mut(&id).map(Endpoint::usage_mut)
     }
 
-    /// The same, for what matters only of an endpoint that requests were sent to.
+    /// Returns the usage of an endpoint, or `None` if there is none yet.
     pub(crate) fn existing_usage_mut(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
         self.endpoints.get_mut(&id).and_then(Endpoint::existing_usage_mut)
     }
 
-    /// Drops what requests have shown of an endpoint, unless one is in flight to it.
+    /// Removes the usage of an endpoint unless a request to it is in flight.
     pub(crate) fn forget_idle_usage(&mut self, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.forget_idle_usage();
@@ -72,23 +70,23 @@
         self.destinations.get(&id)
     }
 
-    /// The traffic of a destination, which is inserted if it is not known yet.
+    /// Returns the traffic of a destination, which is created if absent.
     pub(crate) fn traffic_mut(&mut self, id: DestinationId) -> &mut Traffic {
         self.destinations.entry(id).or_default().traffic_mut()
     }
 
-    /// Whether the list has named a destination. While it has named no endpoint, nothing is known to be missing.
+    /// Returns whether a destination is known. Before the first listed endpoint, every destination counts as known.
     pub(crate) fn knows_destination(&self, id: DestinationId) -> bool {
         self.endpoints.is_empty() || self.destinations.contains_key(&id)
     }
 
-    /// All endpoints of a destination, in ascending order.
+    /// Returns the endpoints of a destination, in ascending order.
     fn endpoints_of(&self, id: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
         let endpoints = self.destinations.get(&id).into_iter().flat_map(Destination::endpoints);
         endpoints.filter_map(|id| self.endpoints.get(id).map(|endpoint| (*id, endpoint)))
     }
 
-    /// The endpoints of a destination that take new requests, in ascending order.
+    /// Returns the endpoints of a destination that accept new requests, in ascending order.
     pub(crate) fn active_endpoints(
         &self,
         id: DestinationId,
@@ -96,7 +94,7 @@
         self.endpoints_of(id).filter(|(_, endpoint)| endpoint.state == EndpointState::Active)
     }
 
-    /// Requests in flight to all endpoints of a destination.
+    /// Returns the number of requests in flight to all endpoints of a destination.
     pub(crate) fn requests_in_flight(&self, id: DestinationId) -> usize {
         self.endpoints_of(id).map(|(_, endpoint)| endpoint.usage().requests_in_flight() as usize).sum()
     }
@@ -105,22 +103,22 @@
         endpoint.kind.and_then(|kind| self.kinds.get(usize::from(kind)))
     }
 
-    /// Whether the endpoint has a circuit of its own, and shares none with its destination.
+    /// Returns whether the endpoint has a circuit breaker of its own.
     pub(crate) fn has_own_circuit(&self, endpoint: &Endpoint) -> bool {
         self.kind(endpoint).is_some_and(|kind| kind.circuit_per_endpoint)
     }
 
-    /// Most messages in one request to the endpoint.
+    /// Returns the maximum number of messages in one request to the endpoint.
     pub(crate) fn max_batch(&self, endpoint: &Endpoint) -> usize {
         self.kind(endpoint).map_or(1, |kind| kind.max_batch)
     }
 
-    /// The name of the endpoint's zone; empty if unknown.
+    /// Returns the name of the endpoint's zone; empty if unknown.
     pub(crate) fn zone_name(&self, endpoint: &Endpoint) -> &str {
         self.zones.name(endpoint.zone)
     }
 
-    /// What the endpoint's circuit is kept for.
+    /// Returns the scope of the endpoint's circuit breaker.
     pub(crate) fn scope_of(&self, id: EndpointId, endpoint: &Endpoint) -> CircuitScope {
         if self.has_own_circuit(endpoint) {
             CircuitScope::Endpoint(id)
@@ -129,7 +127,7 @@
         }
     }
 
-    /// The endpoints that share a circuit.
+    /// Returns the endpoints that share a circuit breaker, without removed endpoints of a destination.
     pub(crate) fn endpoints_in_scope(&self, scope: CircuitScope) -> Vec<EndpointId> {
         match scope {
             CircuitScope::Endpoint(endpoint) => vec![endpoint],
@@ -141,12 +139,12 @@
         }
     }
 
-    /// The endpoints that share this one's circuit, itself included.
+    /// Returns the endpoints that share the endpoint's circuit breaker, including the endpoint.
     pub(crate) fn endpoints_sharing_circuit(&self, id: EndpointId) -> Vec<EndpointId> {
         self.get(id).map_or(vec![id], |endpoint| self.endpoints_in_scope(self.scope_of(id, endpoint)))
     }
 
-    /// The destination that a circuit belongs to, as far as its endpoint is known.
+    /// Returns the destination of a circuit breaker; `None` if its endpoint is unknown.
     pub(crate) fn destination_of(&self, scope: CircuitScope) -> Option<DestinationId> {
         match scope {
             CircuitScope::Destination(destination) => Some(destination),
@@ -154,7 +152,7 @@
         }
     }
 
-    /// Makes the same change to what is known of each of these endpoints.
+    /// Applies the same change to the usage of each of the given endpoints.
     pub(crate) fn update_usage(&mut self, ids: &[EndpointId], mut change: impl FnMut(&mut EndpointUsage)) {
         for id in ids {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -164,46 +162,46 @@
     }
 }
 
-// Keeping up with the endpoint list.
+// Updates from the endpoint list.
 impl EndpointDirectory {
-    /// Updates follow: those of a whole list, or only what changed.
-    pub(crate) fn begin_list(&mut self, whole: bool) {
-        self.whole_lists = self.whole_lists.wrapping_add(u32::from(whole));
-        self.receiving_whole_list = whole;
+    /// Begins a sequence of updates: a full endpoint list, or only the changes.
+    pub(crate) fn begin_list(&mut self, full: bool) {
+        self.full_lists_begun = self.full_lists_begun.wrapping_add(u32::from(full));
+        self.receiving_full_list = full;
     }
 
-    /// The list is complete; what a whole one did not name is removed. Returns the endpoints that went with it
+    /// Ends a list and marks the endpoints that a full list did not contain as removed. Returns these endpoints
     /// and calls `changed` with the destination of each.
     pub(crate) fn finish_list(&mut self, mut changed: impl FnMut(DestinationId)) -> Vec<EndpointId> {
-        if !std::mem::take(&mut self.receiving_whole_list) {
+        if !std::mem::take(&mut self.receiving_full_list) {
             return Vec::new();
         }
-        let mut dropped = Vec::new();
+        let mut removed = Vec::new();
         for (id, endpoint) in &mut self.endpoints {
-            if endpoint.named_by != self.whole_lists && endpoint.state != EndpointState::Removed {
+            if endpoint.last_full_list != self.full_lists_begun && endpoint.state != EndpointState::Removed {
                 endpoint.state = EndpointState::Removed;
                 self.removed.add(*id);
                 changed(endpoint.destination);
-                dropped.push(*id);
+                removed.push(*id);
             }
         }
-        dropped
+        removed
     }
 
-    /// The list ended early: the entries received so far are in force, and endpoints that it did not name stay.
+    /// Ends an incomplete list. Entries received so far stay applied, and no other endpoint is removed.
     pub(crate) fn abort_list(&mut self) {
-        self.receiving_whole_list = false;
+        self.receiving_full_list = false;
     }
 
-    /// Applies one entry of the list. A new endpoint gets the given slot phase. Calls `changed` with each
-    /// destination whose endpoints changed.
+    /// Applies an entry of the list. A new endpoint gets the given slot phase. Calls `changed` with each destination
+    /// whose endpoints changed.
     pub(crate) fn apply_update(
         &mut self,
         update: &EndpointUpdate,
         slot_phase: f64,
         mut changed: impl FnMut(DestinationId),
     ) {
-        let listed = self.listed(update, slot_phase);
+        let listed = self.endpoint_from(update, slot_phase);
         let destination = update.destination;
         let previous = match self.endpoints.get_mut(&update.endpoint) {
             None => {
@@ -211,8 +209,8 @@
                 None
             }
             Some(known) => {
-                known.named_by = listed.named_by;
-                if known.is_listed_as(&listed) {
+                known.last_full_list = listed.last_full_list;
+                if known.has_same_listing(&listed) {
                     return;
                 }
                 let (slot_phase, usage) = (known.slot_phase, known.usage.take());
@@ -235,8 +233,8 @@
         }
     }
 
-    /// An endpoint as an entry of the list describes it.
-    fn listed(&mut self, update: &EndpointUpdate, slot_phase: f64) -> Endpoint {
+    /// Returns an endpoint without usage, as the entry of the list describes it.
+    fn endpoint_from(&mut self, update: &EndpointUpdate, slot_phase: f64) -> Endpoint {
         let kind = self.kinds.iter().position(|kind| kind.name == update.kind);
         Endpoint {
             destination: update.destination,
@@ -245,25 +243,25 @@
             zone: self.zones.number(update.zone),
             kind: kind.and_then(|k| u16::try_from(k).ok()),
             slot_phase,
-            named_by: self.whole_lists,
+            last_full_list: self.full_lists_begun,
             usage: None,
         }
     }
 
-    /// Endpoints that have been removed for longer than this span and have no request in flight; at most so many
-    /// of them. Those that were removed since the last call count as removed now.
+    /// Returns at most `max_count` endpoints that were removed more than `retention` ago and have no request in
+    /// flight. Endpoints that were removed since the last call get the removal time `now`.
     pub(crate) fn expired_endpoints(
         &mut self,
         now: Duration,
-        keep: Duration,
-        most: usize,
+        retention: Duration,
+        max_count: usize,
     ) -> Vec<EndpointId> {
-        self.removed.stamp(now);
+        self.removed.set_removal_times(now);
         let idle = |id: &EndpointId| self.get(*id).is_none_or(|e| e.usage().requests_in_flight() == 0);
-        self.removed.older_than(now, keep).filter(idle).take(most).collect()
+        self.removed.older_than(now, retention).filter(idle).take(max_count).collect()
     }
 
-    /// Forgets an endpoint. Returns its destination, if the endpoint was known.
+    /// Deletes the record of an endpoint. Returns its destination, or `None` if the endpoint is unknown.
     pub(crate) fn forget_endpoint(&mut self, id: EndpointId) -> Option<DestinationId> {
         self.removed.remove(id);
         let endpoint = self.endpoints.remove(&id)?;
@@ -274,7 +272,7 @@
         Some(endpoint.destination)
     }
 
-    /// Whether a destination is kept that has no endpoint left.
+    /// Returns whether a destination is known and has no endpoints.
     pub(crate) fn is_without_endpoints(&self, id: DestinationId) -> bool {
         self.destinations.get(&id).is_some_and(|destination| destination.endpoints().is_empty())
     }
@@ -283,15 +281,15 @@
         self.destinations.remove(&id);
     }
 
-    /// Takes the endpoints that were forgotten since the last call.
+    /// Returns the endpoints whose records were deleted since the last call.
     pub(crate) fn take_forgotten(&mut self) -> Vec<EndpointId> {
         self.removed.take_forgotten()
     }
 }
 
 impl Endpoint {
-    /// Whether the list says of it what it says of the other.
-    fn is_listed_as(&self, other: &Endpoint) -> bool {
+    /// Returns whether both endpoints have equal entries in the list.
+    fn has_same_listing(&self, other: &Endpoint) -> bool {
         self.destination == other.destination
             && self.state == other.state
             && self.weight == other.weight
--- a/src/state/in_flight.rs
+++ b/src/state/in_flight.rs
@@ -1,22 +1,20 @@
-//! Attempts and requests that have no outcome yet.
+//! Table of attempts and requests in flight.
 
 use std::collections::BTreeMap;
 
 use super::{Attempt, AttemptKey};
 use crate::interface::{AttemptNumber, MessageId, RequestId};
 
-/// All attempts and requests in flight.
 #[derive(Default)]
 pub(crate) struct AttemptsInFlight {
     attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Attempts of each request that have no outcome yet.
+    /// Number of attempts in flight of each request.
     requests: BTreeMap<RequestId, u32>,
 }
 
-/// An attempt that has ended.
 pub(crate) struct EndedAttempt {
     pub(crate) attempt: Attempt,
-    /// It was the last one of its request.
+    /// Whether the attempt was the last one of its request.
     pub(crate) request_ended: bool,
 }
 
@@ -25,7 +23,7 @@
         self.requests.len()
     }
 
-    /// Enters a request that carries so many attempts.
+    /// Adds a request that carries the given number of attempts.
     pub(crate) fn add_request(&mut self, id: RequestId, attempts: u32) {
         self.requests.insert(id, attempts);
     }
@@ -38,13 +36,12 @@
         self.attempts.get(key)
     }
 
-    /// All attempts, in the order of their keys.
+    /// Returns all attempts in the order of their keys.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         self.attempts.iter()
     }
 
-    /// Marks the attempts that a request carries as cancelled, and calls `cancelled` with the key of each, in
-    /// ascending order.
+    /// Marks the attempts of a request as cancelled, and calls `cancelled` with their keys in ascending order.
     pub(crate) fn cancel_request(&mut self, request: RequestId, mut cancelled: impl FnMut(&AttemptKey)) {
         for (key, attempt) in &mut self.attempts {
             if attempt.request == request {
@@ -54,22 +51,22 @@
         }
     }
 
-    /// Whether an attempt of the message is in flight.
+    /// Returns whether an attempt of the message is in flight.
     pub(crate) fn has_attempt_of(&self, message: &MessageId) -> bool {
         let first = AttemptKey { message: message.clone(), number: AttemptNumber(0) };
         self.attempts.range(first..).next().is_some_and(|(key, _)| key.message == *message)
     }
 
-    /// Takes out an attempt that has ended.
+    /// Removes and returns an attempt that has ended; `None` if the attempt is not in flight.
     pub(crate) fn end_attempt(&mut self, key: &AttemptKey) -> Option<EndedAttempt> {
         let attempt = self.attempts.remove(key)?;
-        let left = self.requests.get_mut(&attempt.request).map_or(0, |left| {
-            *left -= 1;
-            *left
+        let remaining = self.requests.get_mut(&attempt.request).map_or(0, |remaining| {
+            *remaining -= 1;
+            *remaining
         });
-        if left == 0 {
+        if remaining == 0 {
             self.requests.remove(&attempt.request);
         }
-        Some(EndedAttempt { attempt, request_ended: left == 0 })
+        Some(EndedAttempt { attempt, request_ended: remaining == 0 })
     }
 }
--- a/src/state/message_table.rs
+++ b/src/state/message_table.rs
@@ -1,5 +1,5 @@
-//! All messages, by a small key. Ids come in as text; they are looked up once at the policy's interface, and
-//! everything inside refers to a message by its key.
+//! Table of the messages without a final answer. Ids, which are text, are looked up once at the policy's interface;
+//! the policy uses keys internally.
 
 use std::collections::HashMap;
 use std::ops::Index;
@@ -10,16 +10,16 @@
 use crate::interface::MessageId;
 use crate::message_key::MessageKey;
 
-/// All messages that wait for their final answer.
+/// Messages without a final answer, by key.
 #[derive(Default)]
 pub(crate) struct MessageTable {
-    slots: SlotMap<MessageKey, Message>,
+    messages: SlotMap<MessageKey, Message>,
     keys: HashMap<MessageId, MessageKey>,
 }
 
 impl MessageTable {
     pub(crate) fn len(&self) -> usize {
-        self.slots.len()
+        self.messages.len()
     }
 
     pub(crate) fn contains(&self, id: &MessageId) -> bool {
@@ -28,13 +28,13 @@
 
     pub(crate) fn insert(&mut self, message: Message) -> MessageKey {
         let id = message.id.clone();
-        let key = self.slots.insert(message);
+        let key = self.messages.insert(message);
         self.keys.insert(id, key);
         key
     }
 
     pub(crate) fn remove(&mut self, key: MessageKey) -> Option<Message> {
-        let message = self.slots.remove(key)?;
+        let message = self.messages.remove(key)?;
         self.keys.remove(&message.id);
         Some(message)
     }
@@ -44,16 +44,16 @@
     }
 
     pub(crate) fn get(&self, key: MessageKey) -> Option<&Message> {
-        self.slots.get(key)
+        self.messages.get(key)
     }
 
     pub(crate) fn get_mut(&mut self, key: MessageKey) -> Option<&mut Message> {
-        self.slots.get_mut(key)
+        self.messages.get_mut(key)
     }
 
     #[cfg(debug_assertions)]
     pub(crate) fn iter(&self) -> impl Iterator<Item = (MessageKey, &Message)> {
-        self.slots.iter()
+        self.messages.iter()
     }
 }
 
@@ -61,6 +61,6 @@
     type Output = Message;
 
     fn index(&self, key: MessageKey) -> &Message {
-        &self.slots[key]
+        &self.messages[key]
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The plain state of the delivery policy: records and tables, each with the operations that keep it
-//! consistent. Nothing is decided here and no module here imports one of those that decide
-//! ([`policy`](crate::policy)).
+//! State of the delivery policy: records and tables with the operations that keep them consistent.
+//!
+//! The modules of [`policy`](crate::policy) make the decisions. No module in `state` imports them.
 
 mod attempt;
 mod circuit;
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -1,4 +1,4 @@
-//! The queues of ordering keys: which message of a key comes first, and how long a key is held off.
+//! Queues of ordering keys, which determine the next message of each key and how long messages are held off.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,23 +6,23 @@
 use crate::interface::OrderingKey;
 use crate::message_key::MessageKey;
 
-/// The messages of one ordering key, in the order of their arrival.
+/// Messages of an ordering key, in the order of their arrival.
 #[derive(Default)]
 struct OrderingQueue {
     by_arrival: BTreeMap<u64, MessageKey>,
-    /// No message but that of `held_off_by` is sent before this time.
+    /// Time before which only the message `held_off_by` is sent.
     held_off_until: Duration,
-    /// The arrival number of the message whose attempt holds the others off.
+    /// Arrival number of the message whose attempt holds off the other messages.
     held_off_by: u64,
 }
 
-/// The queues of all ordering keys in use.
+/// Queues of all ordering keys in use.
 #[derive(Default)]
 pub(crate) struct OrderingQueues {
     queues: BTreeMap<OrderingKey, OrderingQueue>,
-    /// Keys that lost their last message since idle ones were last removed.
+    /// Keys whose queues became empty since idle queues were last removed.
     emptied: Vec<OrderingKey>,
-    /// Empty keys by the end of their hold-off.
+    /// Keys with empty queues, by the end of their hold-off.
     remove_at: BTreeSet<(Duration, OrderingKey)>,
 }
 
@@ -32,7 +32,7 @@
         self.queues.entry(key).or_default().by_arrival.insert(arrival_number, message);
     }
 
-    /// Takes out the message with this arrival number. Returns the one that comes first now.
+    /// Removes the message with the given arrival number. Returns the message that is then first in the queue.
     pub(crate) fn remove(&mut self, key: OrderingKey, arrival_number: u64) -> Option<MessageKey> {
         let queue = self.queues.get_mut(&key)?;
         queue.by_arrival.remove(&arrival_number);
@@ -43,7 +43,7 @@
         next
     }
 
-    /// Holds the messages behind this one off until the given time.
+    /// Holds off the messages that follow the one with the given arrival number until the given time.
     pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, arrival_number: u64, until: Duration) {
         let Some(queue) = key.and_then(|key| self.queues.get_mut(&key)) else { return };
         if queue.by_arrival.contains_key(&arrival_number) {
@@ -52,18 +52,19 @@
         }
     }
 
-    /// Whether no other message of its key comes before the one with this arrival number.
+    /// Returns whether no other message of the key precedes the one with the given arrival number.
     pub(crate) fn is_first(&self, key: Option<OrderingKey>, arrival_number: u64) -> bool {
         let queue = key.and_then(|key| self.queues.get(&key));
         let first = queue.and_then(|queue| queue.by_arrival.first_key_value());
         first.is_none_or(|(first, _)| *first == arrival_number)
     }
 
-    /// Whether a message is the first of its key and not held off.
+    /// Returns whether a message is the first of its key and not held off.
     pub(crate) fn may_send(&self, key: Option<OrderingKey>, arrival_number: u64, now: Duration) -> bool {
         let queue = key.and_then(|key| self.queues.get(&key));
-        let open = |queue: &OrderingQueue| now >= queue.held_off_until || queue.held_off_by == arrival_number;
-        self.is_first(key, arrival_number) && queue.is_none_or(open)
+        let may_proceed =
+            |queue: &OrderingQueue| now >= queue.held_off_until || queue.held_off_by == arrival_number;
+        self.is_first(key, arrival_number) && queue.is_none_or(may_proceed)
     }
 
     /// Removes the queues of keys that have no message and are not held off.
--- a/src/state/parameters.rs
+++ b/src/state/parameters.rs
@@ -1,93 +1,90 @@
-//! The parameters of the policy, derived once from the settings. How they are derived is decided in
-//! [`policy`](crate::policy).
+//! Parameters of the policy, which [`policy`](crate::policy) derives from the settings once at start.
 
 use std::time::Duration;
 
 use crate::interface::{Idempotency, LateDecay, ZoneFee};
 
-/// The parameters of one class of messages.
 pub(crate) struct ClassParameters {
     pub(crate) name: String,
     pub(crate) idempotency: Idempotency,
-    /// Time from submission within which delivery earns the full weight.
+    /// Time from submission within which a delivery has the full priority weight.
     pub(crate) latency_objective: Duration,
     /// Time from submission to the deadline.
     pub(crate) deadline: Duration,
-    /// Messages with the same ordering key are delivered in order.
+    /// Whether messages with the same ordering key are delivered in order.
     pub(crate) ordered: bool,
     pub(crate) priority_weight: f64,
-    /// Share of the weight that is left at the deadline.
+    /// Share of the priority weight that remains at the deadline.
     pub(crate) late_weight: f64,
 }
 
-/// The parameters of one kind of endpoints.
 pub(crate) struct EndpointKindParameters {
     pub(crate) name: String,
-    /// Each endpoint has a circuit of its own.
+    /// Whether each endpoint has a circuit breaker of its own.
     pub(crate) circuit_per_endpoint: bool,
-    /// Most messages in one request.
+    /// Maximum number of messages in one request.
     pub(crate) max_batch: usize,
 }
 
-/// The quota of one tenant.
 pub(crate) struct TenantParameters {
     pub(crate) name: String,
     pub(crate) messages_per_second: f64,
 }
 
-/// What is derived from the settings at start. The settings themselves are not kept.
+/// Parameters that are derived from the settings at start. The settings themselves are not kept.
 pub(crate) struct PolicyParameters {
     pub(crate) classes: Vec<ClassParameters>,
     pub(crate) tenants: Vec<TenantParameters>,
-    /// The zone that this forwarder is in.
+    /// Zone of this forwarder.
     pub(crate) zone: String,
-    /// Forwarders in the fleet, 1 at least.
+    /// Number of forwarders in the fleet, at least 1.
     pub(crate) forwarders: f64,
-    /// Retries that an endpoint's budget allows before its first completion.
+    /// Tokens in an endpoint's retry budget before its first completion.
     pub(crate) initial_retry_tokens: f64,
-    /// Forwarders outnumber the requests that one may have in flight: each sees little of most destinations.
+    /// Whether each forwarder sends only a small part of the traffic of most destinations, because forwarders
+    /// outnumber the requests that each may have in flight.
     pub(crate) has_sparse_traffic: bool,
-    /// Most requests in flight at once.
+    /// Maximum number of requests in flight.
     pub(crate) max_in_flight: usize,
-    /// Most messages without a final answer at once.
+    /// Maximum number of messages without a final answer.
     pub(crate) max_pending_messages: usize,
-    /// Most attempts of one message.
+    /// Maximum number of attempts per message.
     pub(crate) max_attempts: u32,
-    /// A message may have two attempts in flight.
+    /// Whether a message may have two attempts in flight at once.
     pub(crate) hedging_allowed: bool,
-    /// The longest deadline of all classes.
+    /// Longest time from submission to the deadline among all classes.
     pub(crate) longest_deadline: Duration,
-    /// Longest Retry-After that clients honour; absent if rejections may not carry one.
+    /// Maximum Retry-After that clients honor; `None` if rejections carry no Retry-After.
     pub(crate) max_retry_after: Option<Duration>,
-    /// Only failures within this span count together.
+    /// Time within which failures are counted together.
     pub(crate) failure_window: Duration,
-    /// How long a circuit stays open before a trial.
+    /// Time from the opening of a circuit to its half-open trial.
     pub(crate) recovery_delay: Duration,
-    /// Share of its capacity that a destination has right after an outage.
+    /// Share of its capacity that a destination has directly after an outage.
     pub(crate) slow_start_floor: f64,
-    /// How long a destination takes after an outage to regain its full capacity.
+    /// Time from the end of an outage until a destination has its full capacity.
     pub(crate) slow_start_duration: Duration,
-    /// A destination that is warming up fails if its load exceeds this multiple of the capacity that it has then.
+    /// Multiple of its current capacity above which load makes a destination fail during its slow start.
     pub(crate) overload_multiple: f64,
-    /// How long that overload has to last for the destination to fail.
+    /// Duration of overload, as defined by `overload_multiple`, after which a destination fails.
     pub(crate) overload_window: Duration,
-    /// How long an ordering key is held off after an attempt with an unknown end.
+    /// Delay of the next message of an ordering key after an attempt with an unknown outcome.
     pub(crate) ordering_hold_off: Duration,
-    /// The endpoint list is polled, at least this often; absent if discovery pushes it.
+    /// Maximum time between two polls of the endpoint list; `None` if discovery pushes the list.
     pub(crate) max_poll_interval: Option<Duration>,
-    /// How many times as high as the true rate a listed rate may be; none where no rates are listed.
+    /// Maximum ratio of a listed rate to the true rate; `None` if no rates are listed.
     pub(crate) listed_rate_margin: Option<f64>,
-    /// Responses carry load reports where their endpoint has a limit.
+    /// Whether endpoints with a rate limit send load reports with their responses.
     pub(crate) responses_carry_load_reports: bool,
     pub(crate) late_decay: LateDecay,
-    /// Share of its weight that a message over its tenant's quota has.
+    /// Share of the priority weight that a message over its tenant's quota has.
     pub(crate) over_quota_weight: f64,
-    /// How long an idle connection is kept open.
+    /// Time after which an idle connection is closed.
     pub(crate) connection_idle_timeout: Duration,
-    /// Price points of a request that crosses zones.
+    /// Price of a request to another zone, in price points.
     pub(crate) cross_zone_price: f64,
-    /// Price points of a new connection.
+    /// Price of a new connection, in price points.
     pub(crate) connection_price: f64,
-    /// Prices of endpoints with circuits of their own, by zone.
+    /// Prices of requests to endpoints with circuit breakers of their own, by zone.
     pub(crate) zone_fees: Vec<ZoneFee>,
 }
--- a/src/state/poll_schedule.rs
+++ b/src/state/poll_schedule.rs
@@ -1,12 +1,12 @@
-//! When the endpoint list is to be polled again.
+//! Schedule of the polls of the endpoint list.
 
 use std::time::Duration;
 
-/// The next poll of the endpoint list after a failed one.
+/// Next poll of the endpoint list, and the backoff after failed polls.
 #[derive(Default)]
 pub(crate) struct PollSchedule {
     next_poll: Option<Duration>,
-    /// The backoff after the last failure, before chance; zero after a success.
+    /// Backoff after the last failed poll, without jitter; zero after a success.
     backoff: Duration,
 }
 
@@ -19,18 +19,18 @@
         self.backoff
     }
 
-    /// Schedules a poll, with the backoff that it comes from.
+    /// Schedules a poll and records the backoff that its time is based on.
     pub(crate) fn schedule(&mut self, at: Duration, backoff: Duration) {
         self.next_poll = Some(at);
         self.backoff = backoff;
     }
 
-    /// The list is being received.
+    /// Resets the backoff, because the endpoint list is being received.
     pub(crate) fn reset_backoff(&mut self) {
         self.backoff = Duration::ZERO;
     }
 
-    /// Takes the scheduled poll if its time has come; says whether it has.
+    /// Removes the scheduled poll if it is due. Returns whether it was due.
     pub(crate) fn take_due(&mut self, now: Duration) -> bool {
         self.next_poll.take_if(|at| *at <= now).is_some()
     }
--- a/src/state/removed_endpoints.rs
+++ b/src/state/removed_endpoints.rs
@@ -1,47 +1,47 @@
-//! Endpoints that have left the endpoint list and are kept for a while.
+//! Endpoints that were removed from the endpoint list and are kept for a limited time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::interface::EndpointId;
 
-/// Endpoints that are no longer listed, until they are forgotten.
+/// Endpoints that are no longer listed, until their records are deleted.
 #[derive(Default)]
 pub(super) struct RemovedEndpoints {
-    /// Removed since times were last stamped.
-    unstamped: BTreeSet<EndpointId>,
+    /// Endpoints without a removal time yet.
+    without_removal_time: BTreeSet<EndpointId>,
     removed_at: BTreeMap<EndpointId, Duration>,
-    by_time: BTreeSet<(Duration, EndpointId)>,
-    /// Forgotten, and not yet reported to the host.
+    by_removal_time: BTreeSet<(Duration, EndpointId)>,
+    /// Endpoints whose deletion has not been reported to the host yet.
     forgotten: Vec<EndpointId>,
 }
 
 impl RemovedEndpoints {
     pub(super) fn add(&mut self, endpoint: EndpointId) {
         if !self.removed_at.contains_key(&endpoint) {
-            self.unstamped.insert(endpoint);
+            self.without_removal_time.insert(endpoint);
         }
     }
 
-    /// The endpoint is listed again, or forgotten.
+    /// Removes an endpoint from the table because it is listed again or its record is deleted.
     pub(super) fn remove(&mut self, endpoint: EndpointId) {
-        self.unstamped.remove(&endpoint);
+        self.without_removal_time.remove(&endpoint);
         if let Some(removed_at) = self.removed_at.remove(&endpoint) {
-            self.by_time.remove(&(removed_at, endpoint));
+            self.by_removal_time.remove(&(removed_at, endpoint));
         }
     }
 
-    /// Those without a time count as removed now.
-    pub(super) fn stamp(&mut self, now: Duration) {
-        for endpoint in std::mem::take(&mut self.unstamped) {
+    /// Sets the removal time of endpoints without one to `now`.
+    pub(super) fn set_removal_times(&mut self, now: Duration) {
+        for endpoint in std::mem::take(&mut self.without_removal_time) {
             self.removed_at.insert(endpoint, now);
-            self.by_time.insert((now, endpoint));
+            self.by_removal_time.insert((now, endpoint));
         }
     }
 
-    /// Those that were removed more than this span ago, the oldest first.
-    pub(super) fn older_than(&self, now: Duration, keep: Duration) -> impl Iterator<Item = EndpointId> + '_ {
-        self.by_time.iter().take_while(move |(since, _)| now > *since + keep).map(|(_, id)| *id)
+    /// Returns the endpoints that were removed more than `age` ago, oldest first.
+    pub(super) fn older_than(&self, now: Duration, age: Duration) -> impl Iterator<Item = EndpointId> + '_ {
+        self.by_removal_time.iter().take_while(move |(since, _)| now > *since + age).map(|(_, id)| *id)
     }
 
     pub(super) fn record_forgotten(&mut self, endpoint: EndpointId) {
--- a/src/state/tenants.rs
+++ b/src/state/tenants.rs
@@ -1,40 +1,40 @@
-//! The running accounts of tenants against their quotas.
+//! Token buckets that limit tenants to their quotas.
 
 use std::time::Duration;
 
-/// A token bucket in messages.
-struct TenantAccount {
-    balance: f64,
-    updated_at: Duration,
+/// Token bucket of a tenant; one token allows one message.
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Duration,
 }
 
-/// The accounts of all tenants with a quota, in the order of the settings.
-pub(crate) struct TenantTokenBuckets(Vec<TenantAccount>);
+/// Token buckets of all tenants with a quota, in the order of the settings.
+pub(crate) struct TenantTokenBuckets(Vec<TokenBucket>);
 
 impl TenantTokenBuckets {
-    /// Empty accounts for so many tenants.
+    /// Returns empty buckets for the given number of tenants.
     pub(crate) fn new(tenants: usize, now: Duration) -> TenantTokenBuckets {
-        let empty = || TenantAccount { balance: 0.0, updated_at: now };
+        let empty = || TokenBucket { tokens: 0.0, refilled_at: now };
         TenantTokenBuckets(std::iter::repeat_with(empty).take(tenants).collect())
     }
 
-    /// Lets a tenant's balance grow by so many messages a second, up to a maximum, and takes one message from
-    /// it; says whether the balance covered that.
+    /// Refills a tenant's bucket at `tokens_per_second` up to `max_tokens`, and takes one token. Returns whether a
+    /// token was available.
     pub(crate) fn try_take_token(
         &mut self,
         tenant: usize,
-        per_second: f64,
-        most: f64,
+        tokens_per_second: f64,
+        max_tokens: f64,
         now: Duration,
     ) -> bool {
-        let account = &mut self.0[tenant];
-        let passed = now.saturating_sub(account.updated_at).as_secs_f64();
-        account.balance = (account.balance + per_second * passed).min(most);
-        account.updated_at = now;
-        let covered = account.balance >= 1.0;
-        if covered {
-            account.balance -= 1.0;
+        let bucket = &mut self.0[tenant];
+        let elapsed_seconds = now.saturating_sub(bucket.refilled_at).as_secs_f64();
+        bucket.tokens = (bucket.tokens + tokens_per_second * elapsed_seconds).min(max_tokens);
+        bucket.refilled_at = now;
+        let has_token = bucket.tokens >= 1.0;
+        if has_token {
+            bucket.tokens -= 1.0;
         }
-        covered
+        has_token
     }
 }
--- a/src/state/timer.rs
+++ b/src/state/timer.rs
@@ -1,19 +1,19 @@
-//! The one timer that the policy has its host set.
+//! Timer that the policy requests from its host.
 
 use std::time::Duration;
 
-/// The shortest timer, and how early a host's timer may fire.
+/// Minimum duration of a timer, and maximum time by which a host's timer may fire early.
 pub(crate) const MIN_TIMER: Duration = Duration::from_millis(1);
 
-/// The timer that was set last and has not fired.
+/// Pending timer of the host, if any.
 #[derive(Default)]
 pub(crate) struct PolicyTimer {
     fires_at: Option<Duration>,
 }
 
 impl PolicyTimer {
-    /// Requests that the timer fires at this time, unless one is pending that fires no later. Returns the span of
-    /// the timer that the host has to set, if any.
+    /// Requests a timer for the given time. Returns the duration of the timer that the host must set, or `None` if
+    /// the pending timer fires early enough.
     #[must_use]
     pub(crate) fn request(&mut self, at: Duration, now: Duration) -> Option<Duration> {
         let at = at.max(now + MIN_TIMER);
@@ -24,8 +24,8 @@
         Some(at - now)
     }
 
-    /// The timer has fired. Symptom that the margin prevents: a message outlives its deadline, as a host's timer
-    /// rounds down and fires a moment early.
+    /// Clears the pending timer if it is due. Timers that fire up to [`MIN_TIMER`] early count as due, because
+    /// otherwise no new timer is set and a message misses its deadline.
     pub(crate) fn fired(&mut self, now: Duration) {
         if self.fires_at.is_some_and(|at| at <= now + MIN_TIMER) {
             self.fires_at = None;
--- a/src/state/zones.rs
+++ b/src/state/zones.rs
@@ -1,24 +1,24 @@
-//! The names of zones, each kept once and referred to by a number.
+//! Names of zones, each stored once and referenced by a number.
 
 use indexmap::IndexSet;
 
-/// Stands for a zone's name.
+/// Reference to the name of a zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZoneNumber(u16);
 
 impl ZoneNumber {
-    /// A zone beyond those that can be numbered.
-    const BEYOND: ZoneNumber = ZoneNumber(u16::MAX);
+    /// Zones beyond the maximum that [`Zones`] stores.
+    const UNNUMBERED: ZoneNumber = ZoneNumber(u16::MAX);
 }
 
 impl PartialEq for ZoneNumber {
-    /// A zone beyond those that can be numbered equals none, not even itself.
+    /// Compares the numbers; [`ZoneNumber::UNNUMBERED`] equals no zone, including itself.
     fn eq(&self, other: &ZoneNumber) -> bool {
-        self.0 == other.0 && *self != ZoneNumber::BEYOND
+        self.0 == other.0 && *self != ZoneNumber::UNNUMBERED
     }
 }
 
-/// All zone names that the endpoint list has used.
+/// Zone names that have appeared in the endpoint list.
 #[derive(Default)]
 pub(super) struct Zones(IndexSet<String>);
 
@@ -27,10 +27,10 @@
         let known = self.0.get_index_of(name);
         let may_grow = self.0.len() < usize::from(u16::MAX);
         let number = known.or_else(|| may_grow.then(|| self.0.insert_full(name.to_owned()).0));
-        number.and_then(|n| u16::try_from(n).ok()).map_or(ZoneNumber::BEYOND, ZoneNumber)
+        number.and_then(|n| u16::try_from(n).ok()).map_or(ZoneNumber::UNNUMBERED, ZoneNumber)
     }
 
-    /// The name of a zone; empty for one that could not be numbered.
+    /// Returns the name of a zone; empty for [`ZoneNumber::UNNUMBERED`].
     pub(super) fn name(&self, zone: ZoneNumber) -> &str {
         self.0.get_index(zone.0.into()).map_or("", String::as_str)
     }
