--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -34,7 +34,7 @@
         /// Outcome of the attempt that opened the circuit breaker.
         outcome: AttemptOutcome,
     },
-    /// A circuit breaker closed. Requests are sent again, at a limited rate at first.
+    /// A circuit breaker closed. Requests are sent again, in a limited number at first.
     CircuitClosed {
         /// Endpoints that share the circuit breaker.
         scope: CircuitScope,
