--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,42 +1,42 @@
-//! Whether a request may go to an endpoint now: the circuit breaker and the guards around it.
+//! Admission of requests to endpoints: circuit breaker, Retry-After, pacing and slow start.
 
 use std::time::Duration;
 
 use super::slow_start::SlowStartBudget;
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::{CircuitScope, DestinationId};
 use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, NextWake};
 
-/// Whether a request may be sent.
+/// The admission decision for one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Admission {
-    /// It may.
+    /// A request may be sent.
     Admit,
-    /// It may, as the trial of a half-open circuit.
+    /// A request may be sent, as the trial of a half-open circuit.
     HalfOpenTrial,
-    /// Not before this time, or before an event of the circuit; without a time, not before an event.
+    /// No request before this time or an event of the circuit; with `None`, only an event ends the wait.
     Wait(Option<Duration>),
-    /// Not before this time by the present rates, which change as time passes.
+    /// No request before this time at the current rates, which change over time. `None` if the time is unknown.
     Paced(Option<Duration>),
 }
 
-/// The endpoints of a destination that a request may go to now.
+/// The endpoints of a destination that admit a request now.
 pub(super) struct AdmittedEndpoints {
-    /// In ascending order of their ids.
+    /// Sorted by endpoint id.
     pub(super) endpoints: Vec<AdmittedEndpoint>,
-    /// When the first of the others may be sent a request.
+    /// The earliest time at which an endpoint that admits no request now may admit one.
     pub(super) next_admission: NextWake,
-    /// One of the others is [`Admission::Paced`].
-    pub(super) some_are_paced: bool,
+    /// Whether an endpoint that admits no request now is [`Admission::Paced`].
+    pub(super) any_paced: bool,
 }
 
 impl DeliveryPolicy {
-    /// Checks for each active endpoint of a destination whether a request may go to it.
+    /// Returns the active endpoints of a destination that admit a request now.
     pub(super) fn admitted_endpoints(&self, destination: DestinationId, now: Duration) -> AdmittedEndpoints {
         let mut admitted = AdmittedEndpoints {
             endpoints: Vec::new(),
             next_admission: NextWake::default(),
-            some_are_paced: false,
+            any_paced: false,
         };
         for (id, endpoint) in self.endpoints.active(destination) {
             let scope = self.endpoints.scope_of(id, endpoint);
@@ -48,7 +48,7 @@
                     continue;
                 }
                 Admission::Paced(at) => {
-                    admitted.some_are_paced = true;
+                    admitted.any_paced = true;
                     admitted.next_admission.no_later_than(at);
                     continue;
                 }
@@ -58,7 +58,8 @@
         admitted
     }
 
-    /// Whether a request may go to the endpoint now. Conditions that only an event can end are checked first.
+    /// Decides whether the endpoint admits a request now. Conditions that only an event can end are checked
+    /// first.
     pub(super) fn admit(&self, scope: CircuitScope, endpoint: &Endpoint, now: Duration) -> Admission {
         let circuit = self.circuits.get(scope);
         let admission = circuit.map_or(Admission::Admit, |circuit| self.admit_by_circuit(circuit, now));
@@ -69,7 +70,7 @@
             return Admission::Paced(Some(at));
         }
         let Some(circuit) = circuit.filter(|_| admission == Admission::Admit) else { return admission };
-        if self.is_silent(circuit, now) {
+        if self.is_unresponsive(circuit, now) {
             return Admission::Paced(None);
         }
         match self.slow_start_budget(scope, endpoint, now) {
@@ -78,39 +79,42 @@
         }
     }
 
-    /// What the circuit's own record allows: Retry-After, pacing, its state and the recovery ramp.
+    /// Applies the circuit's own record: Retry-After, pacing, circuit state and recovery ramp.
     fn admit_by_circuit(&self, circuit: &CircuitBreaker, now: Duration) -> Admission {
         if now < circuit.retry_after_until() {
             return Admission::Wait(Some(circuit.retry_after_until()));
         }
-        // Symptom: requests are rejected as over a limit, which rejected requests, trials too, may use up as
-        // well. Also covers full queues. It can harm by staying slow for some answers after a limit was met only
-        // once.
-        let after_last = circuit.last_sent() + seconds(circuit.pacing().interval());
+        // Pacing limits the requests to a destination that rejects them. Rejected requests and half-open trials
+        // may count against its rate limit too.
+        let after_last = circuit.last_sent() + duration_from_seconds(circuit.pacing().interval());
         let paced_until =
             if self.parameters.sparse_traffic { circuit.pacing().put_off_until() } else { after_last };
         let admission = circuit.admission(now);
         if !matches!(admission, Admission::Wait(_)) && now < paced_until {
             return Admission::Wait(Some(paced_until));
         }
-        // Only requests sent since the last completion count: older ones, which hang or take long, must not hold
-        // the recovery back.
+        // Requests sent before the last completion do not count, so that one that hangs cannot hold back the
+        // recovery.
         let unanswered = || circuit.requests_since(circuit.last_completion());
-        if admission == Admission::Admit && circuit.recovery_ramp().is_some_and(|most| unanswered() >= most) {
+        if admission == Admission::Admit
+            && circuit.recovery_ramp().is_some_and(|max_requests| unanswered() >= max_requests)
+        {
             return Admission::Wait(None);
         }
         admission
     }
 
-    /// Symptom: requests are in flight and none has been answered for long. Against a silent or hanging
-    /// destination that takes all slots before its first timeout; also covers stalls and slowdowns, which it paces
-    /// by their own answers. It can harm by waiting behind one very long request, hence at least two.
-    fn is_silent(&self, circuit: &CircuitBreaker, now: Duration) -> bool {
+    /// Returns whether requests are in flight and none has been answered for longer than the straggler
+    /// threshold.
+    ///
+    /// Prevents an unresponsive destination from using up the limit of requests in flight before its first
+    /// timeout. A single request may take long, so at least two must be in flight.
+    fn is_unresponsive(&self, circuit: &CircuitBreaker, now: Duration) -> bool {
         if circuit.in_flight().len() < 2 || circuit.requests_since(circuit.last_completion()) == 0 {
             return false;
         }
         let oldest = circuit.in_flight().front().map_or(now, |request| request.started_at);
         let since = oldest.max(circuit.last_completion());
-        now.saturating_sub(since) > self.straggler_after(circuit)
+        now.saturating_sub(since) > self.straggler_threshold(circuit)
     }
 }
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -1,38 +1,40 @@
-//! The circuit breaker, as the design page has it from its source: a circuit opens after some failures within a
-//! window, and closes again with a trial that succeeds. Only the failure times and until when it is open matter;
-//! all else is derived from them.
+//! The circuit breaker: a circuit opens after several failures within a window, and closes after a successful
+//! trial. The state is derived from the times of the failures and the end of the open period.
 
 use std::time::Duration;
 
 use super::admission::Admission;
 use crate::state::{CircuitBreaker, CircuitState, PolicyParameters};
 
-/// Most failure times kept for a circuit.
+/// Maximum number of failure times kept for a circuit.
 const MAX_FAILURES_KEPT: usize = 5;
-/// Failures within the window that open a circuit; measured at 2, 3 and 5.
+/// Number of failures within the window that opens a circuit.
 const FAILURE_THRESHOLD: usize = 3;
-/// Added to a record's lifetime against clocks that are read at different moments.
-pub(super) const RECORD_MARGIN: Duration = Duration::from_secs(5);
+/// Added to the lifetime of a record, so that clocks read at different moments cannot end it early.
+pub(super) const RECORD_EXPIRY_MARGIN: Duration = Duration::from_secs(5);
 
 impl CircuitBreaker {
-    /// The design's question before each request. It changes nothing: [`CircuitBreaker::reopen`] follows when
-    /// the trial is sent, as a trial that finds no message to carry it must not put the next one off.
+    /// Returns whether the circuit admits a request, and changes nothing.
+    ///
+    /// [`CircuitBreaker::reopen`] is called when the trial is sent, so that a trial without a message to carry
+    /// does not postpone the next one.
     pub(super) fn admission(&self, now: Duration) -> Admission {
         match self.state(now) {
             CircuitState::Closed => Admission::Admit,
             CircuitState::Open { until } => Admission::Wait(Some(until)),
-            // Added to the design: no new trial while one is in flight.
+            // Only one trial is in flight at a time.
             CircuitState::HalfOpen if self.has_trial() => Admission::Wait(None),
             CircuitState::HalfOpen => Admission::HalfOpenTrial,
         }
     }
 
-    /// Opens the circuit until the delay has passed, whatever it was.
+    /// Opens the circuit for the recovery delay, whatever its state.
     pub(super) fn reopen(&mut self, now: Duration, recovery_delay: Duration) {
         self.open(now, now + recovery_delay);
     }
 
-    /// Counts a failure. It opens the circuit at the threshold, and keeps one open that was not closed.
+    /// Records a failure. A closed circuit opens at the threshold; an open or half-open one stays open for at
+    /// least the recovery delay.
     pub(super) fn record_failure(
         &mut self,
         now: Duration,
@@ -41,15 +43,15 @@
     ) {
         self.add_failure(now, parameters.failure_window, MAX_FAILURES_KEPT);
         if !self.is_closed() || self.failure_count() >= FAILURE_THRESHOLD {
-            // Never sooner than a Retry-After that was received.
+            // A Retry-After that was received may keep the circuit open for longer.
             self.extend_open(now, now + recovery_delay);
         }
     }
 
-    /// Closes the circuit and forgets its failures.
+    /// Closes the circuit and removes its failures.
     pub(super) fn record_success(&mut self, now: Duration) {
         if !self.is_closed() {
-            // Added to the design: queued messages return one request in flight at a time, then twice as many.
+            // The recovery ramp limits the requests in flight to one at first, and doubles with each success.
             self.set_recovery_ramp(Some(1));
         } else if let Some(requests) = self.recovery_ramp() {
             self.set_recovery_ramp(Some(requests.saturating_mul(2)));
@@ -57,12 +59,12 @@
         self.close(now);
     }
 
-    /// The design's expiry, derived: a record that can no longer matter is as good as none. With one recovery
-    /// delay it is max(delay, window) + margin after the last change; a Retry-After may make that longer.
+    /// Resets a record that no longer affects a decision, because the failure window and the open period have
+    /// ended.
     pub(super) fn expire_if_stale(&mut self, now: Duration, parameters: &PolicyParameters) {
-        let matters_until =
+        let relevant_until =
             self.open_until().unwrap_or_default().max(self.changed_at() + parameters.failure_window);
-        if !self.has_trial() && now > matters_until + RECORD_MARGIN {
+        if !self.has_trial() && now > relevant_until + RECORD_EXPIRY_MARGIN {
             self.reset();
         }
     }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: keeping up with it, and polling it after failures.
+//! Updates from the endpoint list, and polls of it after failures.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use crate::interface::{DestinationId, EndpointId, EndpointUpdate};
 
 impl DeliveryPolicy {
-    /// Entries of the endpoint list follow: all of them, or only those that changed.
-    pub fn begin_endpoint_list(&mut self, whole: bool) {
+    /// Begins an endpoint list: a complete one, or one with only the entries that changed.
+    pub fn begin_endpoint_list(&mut self, complete: bool) {
         self.polls.reset_backoff();
-        self.endpoints.begin_list(whole);
+        self.endpoints.begin_list(complete);
     }
 
-    /// One entry of the endpoint list, between [`DeliveryPolicy::begin_endpoint_list`] and
+    /// Applies one entry of the endpoint list, between [`DeliveryPolicy::begin_endpoint_list`] and
     /// [`DeliveryPolicy::finish_endpoint_list`].
     pub fn update_endpoint(&mut self, update: EndpointUpdate) {
         let slot_phase = self.random.draw();
@@ -20,32 +20,33 @@
         self.endpoints.apply_update(&update, slot_phase, |destination| queue.touch(destination));
     }
 
-    /// The endpoint list is complete; what a whole one did not name is removed. Returns the endpoints that went
-    /// with it.
+    /// Finishes the endpoint list. Removes the endpoints that a complete list did not name, and returns them.
     pub fn finish_endpoint_list(&mut self) -> Vec<EndpointId> {
         let queue = &mut self.queue;
         self.endpoints.finish_list(|destination| queue.touch(destination))
     }
 
-    /// The endpoint list broke off before its end: what it named so far holds, and what it did not name stays.
+    /// Aborts an endpoint list that ended early. The entries received so far stay in effect, and no endpoint is
+    /// removed.
     pub fn abort_endpoint_list(&mut self) {
         self.endpoints.abort_list();
     }
 
-    /// Whether the endpoint list has named a destination. While it has named no endpoint, every one counts as
-    /// named.
+    /// Returns whether the endpoint list has named a destination; true for all destinations while it has named
+    /// no endpoint.
     #[must_use]
     pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.endpoints.knows_destination(destination)
     }
 
-    /// A poll of the endpoint list failed; the old list stays. Symptom: all forwarders poll again at once, and
-    /// discovery, which rejects polls while too many wait, answers none. Each polls with exponential backoff and
-    /// jitter.
+    /// Records a failed poll of the endpoint list and schedules the next one with exponential backoff and
+    /// jitter. The previous list stays in effect.
+    ///
+    /// Prevents all forwarders from polling again at once, which would overload discovery.
     pub fn discovery_failed(&mut self, now: Duration) {
-        let Some(longest) = self.parameters.poll_interval_limit else { return };
-        let shortest = self.parameters.recovery_delay.min(longest);
-        let backoff = (2 * self.polls.backoff()).clamp(shortest, longest);
+        let Some(max_backoff) = self.parameters.poll_interval_limit else { return };
+        let min_backoff = self.parameters.recovery_delay.min(max_backoff);
+        let backoff = (2 * self.polls.backoff()).clamp(min_backoff, max_backoff);
         let jitter = self.random.draw_jitter();
         self.polls.schedule(now + backoff.mul_f64(jitter), backoff);
     }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Selects the endpoint for a request.
 
 use std::time::Duration;
 
@@ -9,20 +9,21 @@
 use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, Message};
 
-/// Failures in a row beyond which endpoints are equal in choosing one.
+/// Maximum number of consecutive failures that counts in the selection of an endpoint.
 const MAX_COUNTED_FAILURES: u32 = 3;
-/// Failures in a row beyond which the backoff of an endpoint grows no more.
-const MAX_BACKOFF_DELAYS: u32 = 4;
-/// Prices are compared in millionths of a price point.
+/// Maximum backoff of a failing endpoint, in recovery delays.
+const MAX_BACKOFF_RECOVERY_DELAYS: u32 = 4;
+/// Number of steps per price point in which prices are compared.
 const PRICE_STEPS: f64 = 1e6;
-/// The least mean response time, in seconds, that others are compared with.
-const MIN_MEAN_LATENCY: f64 = 0.001;
+/// Minimum mean response time, in seconds, that others are compared with; prevents a division by zero.
+const MIN_MEAN_LATENCY_SECONDS: f64 = 0.001;
 
-/// Orders endpoints for the next request: the least is chosen. Compared in the order of the fields.
+/// Sort key of endpoints for the next request. The endpoint with the lowest key is chosen; fields are compared
+/// in their order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct EndpointBurden {
+struct EndpointSelectionKey {
     consecutive_failures: u32,
-    /// The power of two by which it is slower than the mean.
+    /// Binary logarithm, rounded down, of its mean response time divided by that of all requests.
     slowness: u64,
     /// In millionths of a price point.
     price: u64,
@@ -30,24 +31,25 @@
 }
 
 impl DeliveryPolicy {
-    /// Whether this message may go to that endpoint at all, by the rules and by the retry budget.
+    /// Returns whether the endpoint may get the message, by the endpoint's state, the idempotency key, the
+    /// shutdown and the retry budget.
     pub(super) fn may_attempt(&self, key: MessageKey, to: &AdmittedEndpoint, now: Duration) -> bool {
         let message = &self.messages[key];
         let endpoint = &self.endpoints[to.endpoint];
         if endpoint.state != EndpointState::Active || endpoint.destination != message.destination {
             return false;
         }
-        if self.misses_idempotency_key(message, to.endpoint, endpoint)
-            || now >= self.start_by(message, to.scope)
+        if self.may_lack_idempotency_key(message, to.endpoint, endpoint)
+            || now >= self.latest_start(message, to.scope)
         {
             return false;
         }
         self.may_retry(message, endpoint, now)
     }
 
-    /// Whether the endpoint may not recognise the idempotency key of a message that may have been executed:
-    /// keys are shared within a zone only, and that attempt went to another one.
-    fn misses_idempotency_key(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
+    /// Returns whether the endpoint may not recognize the idempotency key of a message that may have been
+    /// executed: keys are shared within a zone only, and that attempt went to another zone.
+    fn may_lack_idempotency_key(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
         let by_zone = matches!(self.idempotency(message), Idempotency::WithKey { scope: KeyScope::Zone, .. });
         let in_same_zone = |other: EndpointId| {
             id == other || self.endpoints.get(other).is_some_and(|other| other.is_in_zone_of(endpoint))
@@ -55,13 +57,14 @@
         by_zone && message.possibly_executed().is_some_and(|attempt| !in_same_zone(attempt.endpoint))
     }
 
-    /// The mean response time of a circuit against that of all requests; at least 1.
+    /// Returns the mean response time of a circuit divided by that of all requests; at least 1.
     pub(super) fn slowness(&self, circuit: Option<&CircuitBreaker>) -> f64 {
-        let mean_latency = self.response_times.mean_latency().unwrap_or(1.0).max(MIN_MEAN_LATENCY);
+        let mean_latency = self.response_times.mean_latency().unwrap_or(1.0).max(MIN_MEAN_LATENCY_SECONDS);
         (circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(mean_latency) / mean_latency).max(1.0)
     }
 
-    /// Price points that a request to the endpoint costs: its zone's fee, crossing zones, and a new connection.
+    /// Returns the price points of a request to the endpoint: the fee of its zone, a zone crossing and a new
+    /// connection.
     fn price(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let parameters = &self.parameters;
         let zone = self.endpoints.zone_name(endpoint);
@@ -73,21 +76,25 @@
         fee.map_or(0.0, |fee| fee.fee) + crossing + connecting
     }
 
-    /// Whether an idle connection to the endpoint is likely to be open.
+    /// Returns whether an idle connection to the endpoint is probably open.
     fn has_idle_connection(&self, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         usage.requests_in_flight() == 0
             && usage.answered().is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
     }
 
-    /// Excludes endpoints that failed this class and are in backoff, unless all are.
+    /// Excludes endpoints that are in backoff after failures of this class, unless all are.
     ///
-    /// Symptom: one endpoint of a destination fails, or fails one class, while what else answers keeps the
-    /// circuit closed. It can harm by excluding an endpoint for one lost request.
-    pub(super) fn exclude_failing(&self, eligible: &mut Vec<AdmittedEndpoint>, class: usize, now: Duration) {
+    /// Handles an endpoint that fails, or fails one class, while other completions keep the circuit closed.
+    pub(super) fn exclude_failing_endpoints(
+        &self,
+        eligible: &mut Vec<AdmittedEndpoint>,
+        class: usize,
+        now: Duration,
+    ) {
         let backoff_is_over = |eligible: &AdmittedEndpoint| {
             let endpoint = &self.endpoints[eligible.endpoint];
-            let delays = endpoint.consecutive_failures(class).min(MAX_BACKOFF_DELAYS);
+            let delays = endpoint.consecutive_failures(class).min(MAX_BACKOFF_RECOVERY_DELAYS);
             now >= endpoint.usage().last_sent() + self.parameters.recovery_delay * delays
         };
         if eligible.iter().any(backoff_is_over) {
@@ -95,17 +102,16 @@
         }
     }
 
-    /// The endpoint with the least [`EndpointBurden`] among two drawn at random and all those with an idle
-    /// connection: without failures, not twice as slow, then by price.
+    /// Chooses the endpoint with the lowest [`EndpointSelectionKey`] among two drawn at random and all those
+    /// with an idle connection.
     pub(super) fn choose_endpoint(
         &mut self,
         eligible: &[AdmittedEndpoint],
         class: usize,
         now: Duration,
     ) -> AdmittedEndpoint {
-        // Departure from the design: where endpoints with circuits of their own have listed rates, these are the
-        // weights of the draw. A forwarder that sends little to each has no other sign that one accepts a third
-        // of what another does.
+        // Endpoints with circuits of their own are drawn by their listed rates: a forwarder that sends little
+        // to each cannot observe how much it accepts.
         let rate = |eligible: &AdmittedEndpoint| {
             let endpoint = &self.endpoints[eligible.endpoint];
             self.listed_rate(endpoint).filter(|_| self.endpoints.has_own_circuit(endpoint)).unwrap_or(1.0)
@@ -118,13 +124,20 @@
         let is_connected =
             |eligible: &AdmittedEndpoint| self.has_idle_connection(&self.endpoints[eligible.endpoint], now);
         let candidates = drawn.into_iter().chain(eligible.iter().copied().filter(is_connected));
-        candidates.min_by_key(|candidate| self.burden(candidate, class, now)).unwrap_or(eligible[0])
+        candidates
+            .min_by_key(|candidate| self.endpoint_selection_key(candidate, class, now))
+            .unwrap_or(eligible[0])
     }
 
-    fn burden(&self, candidate: &AdmittedEndpoint, class: usize, now: Duration) -> EndpointBurden {
+    fn endpoint_selection_key(
+        &self,
+        candidate: &AdmittedEndpoint,
+        class: usize,
+        now: Duration,
+    ) -> EndpointSelectionKey {
         let endpoint = &self.endpoints[candidate.endpoint];
         let circuit = self.circuits.get(candidate.scope);
-        EndpointBurden {
+        EndpointSelectionKey {
             consecutive_failures: endpoint.consecutive_failures(class).min(MAX_COUNTED_FAILURES),
             slowness: self.slowness(circuit).log2() as u64,
             price: (self.price(endpoint, now) * PRICE_STEPS) as u64,
--- a/src/policy/eviction.rs
+++ b/src/policy/eviction.rs
@@ -1,4 +1,4 @@
-//! Which message is evicted when the forwarder is at its capacity.
+//! Eviction of messages when the forwarder is at its capacity.
 
 use std::time::Duration;
 
@@ -7,59 +7,61 @@
 use crate::message_key::MessageKey;
 use crate::queue::{LongestQueue, PriorityClass};
 
-/// Priorities are compared in millionths.
+/// Number of steps per unit of priority weight in which priorities are compared.
 const PRIORITY_STEPS: f64 = 1e6;
 
-/// Orders messages for eviction: the least goes first. Compared in the order of the fields.
+/// Sort key of messages for eviction. The message with the lowest key is evicted; fields are compared in their
+/// order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
-    /// Its priority weight now, in millionths.
+    /// Current priority weight, in millionths.
     priority: u64,
-    /// It may still meet its latency objective.
+    /// Whether the message may still meet its latency objective.
     on_time: bool,
-    place: EvictionPlace,
+    order: EvictionOrder,
     message: MessageKey,
 }
 
-/// The order among messages of the same priority.
+/// The order among messages of the same priority weight.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum EvictionPlace {
-    /// Of late messages the one whose objective ended first.
+enum EvictionOrder {
+    /// A late message. The one whose objective ended first is evicted first.
     Late { objective_at: Duration, arrival: u64 },
-    /// Of others the one whose objective ends last, of the destination with most queued. The greatest comes first,
-    /// so each value is subtracted from the greatest possible one.
-    OnTime { below_most_queued: usize, before_last_objective: Duration, before_last_arrival: u64 },
+    /// A message that is not late. The one with the latest objective in the longest queue is evicted first.
+    /// Values are subtracted from their type's maximum, so that the greatest sorts first.
+    OnTime { inverted_queue_length: usize, inverted_objective_at: Duration, inverted_arrival: u64 },
 }
 
 impl DeliveryPolicy {
-    /// Symptom: the forwarder is at its capacity, and whatever is submitted next is rejected whatever its priority.
-    /// The message with the lowest priority is evicted instead.
+    /// Evicts the messages with the lowest priority weight while the forwarder is at its capacity.
+    ///
+    /// Without eviction, every new message would be rejected, whatever its priority.
     pub(super) fn evict_lowest_priority(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         while self.messages.len() >= self.parameters.capacity {
             self.refresh_indices();
             let classes = self.queue.priority_classes();
             let candidates = classes.filter_map(|class| self.eviction_candidate(class, now));
-            let Some(least) = candidates.min() else { return };
-            self.finish_undelivered(least.message, now, host);
+            let Some(lowest) = candidates.min() else { return };
+            self.finish_undelivered(lowest.message, now, host);
         }
     }
 
-    /// The message of a priority class that would be evicted first.
+    /// Returns the message of a priority class that would be evicted first.
     fn eviction_candidate(&self, class: PriorityClass, now: Duration) -> Option<EvictionKey> {
         let first = self.queue.earliest(class)?;
-        let late = first.objective_at < now;
-        let (entry, place) = if late {
-            (first, EvictionPlace::Late { objective_at: first.objective_at, arrival: first.arrival })
+        let is_late = first.objective_at < now;
+        let (entry, order) = if is_late {
+            (first, EvictionOrder::Late { objective_at: first.objective_at, arrival: first.arrival })
         } else {
             let LongestQueue { len, last } = self.queue.longest(class)?;
-            let place = EvictionPlace::OnTime {
-                below_most_queued: usize::MAX - len,
-                before_last_objective: Duration::MAX - last.objective_at,
-                before_last_arrival: u64::MAX - last.arrival,
+            let order = EvictionOrder::OnTime {
+                inverted_queue_length: usize::MAX - len,
+                inverted_objective_at: Duration::MAX - last.objective_at,
+                inverted_arrival: u64::MAX - last.arrival,
             };
-            (last, place)
+            (last, order)
         };
         let priority = (self.priority(&self.messages[entry.key], now) * PRIORITY_STEPS) as u64;
-        Some(EvictionKey { priority, on_time: !late, place, message: entry.key })
+        Some(EvictionKey { priority, on_time: !is_late, order, message: entry.key })
     }
 }
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::{Idempotency, KeyScope, PolicyHost};
 use crate::message_key::MessageKey;
 use crate::state::NextWake;
 
-/// The least time that an answer is expected to take.
-const MIN_ANSWER_TIME: Duration = Duration::from_millis(10);
+/// Minimum time that a response is expected to take.
+const MIN_RESPONSE_TIME: Duration = Duration::from_millis(10);
 
 impl DeliveryPolicy {
-    /// Whether a message may not be sent again, whatever the state of its destination.
-    pub(super) fn is_exhausted(&self, key: MessageKey, now: Duration) -> bool {
+    /// Returns whether a message may not be sent again, whatever the state of its destination.
+    pub(super) fn cannot_be_sent(&self, key: MessageKey, now: Duration) -> bool {
         let Some(message) = self.messages.get(key) else { return true };
         message.attempts() >= self.parameters.max_attempts
             || now >= message.deadline
@@ -20,18 +20,18 @@
                 && message.possibly_executed().is_some())
     }
 
-    /// Gives the final answer for a message that is not delivered: it is rejected where submitting it again is
-    /// harmless, and failed otherwise.
+    /// Gives the final answer for an undelivered message: rejected if submitting it again is harmless, failed
+    /// otherwise.
     pub(super) fn finish_undelivered(&mut self, key: MessageKey, now: Duration, host: &mut dyn PolicyHost) {
         let Some(message) = self.messages.get(key) else { return };
         let not_executed = message.possibly_executed().is_none() && message.in_flight().is_empty();
         let has_valid_key = message.possibly_executed().is_some() && now < self.key_valid_until(message);
-        let repeatable = match self.idempotency(message) {
+        let is_repeatable = match self.idempotency(message) {
             Idempotency::Idempotent => true,
             Idempotency::WithKey { scope, .. } => has_valid_key && scope == KeyScope::Region,
             Idempotency::NonIdempotent => false,
         };
-        if (not_executed || repeatable) && now < message.deadline {
+        if (not_executed || is_repeatable) && now < message.deadline {
             host.reject(&message.id, self.retry_after_for_client(message.destination, now));
         } else {
             host.fail(&message.id);
@@ -39,14 +39,13 @@
         self.remove_message(key, host);
     }
 
-    /// Messages that can no longer be completed are answered at once: no time for an answer is left, the
-    /// Retry-After of every endpoint ends too late, or an idempotency key has expired. Before the deadline they can
-    /// still be rejected, which says that submitting again is harmless.
+    /// Gives a final answer to queued messages that can no longer be completed: too little time is left for a
+    /// response, the Retry-After of every endpoint ends too late, or an idempotency key has expired.
     pub(super) fn expire_messages(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
         let mean_latency = self.response_times.mean_latency().unwrap_or_default();
-        let answer_time = seconds(mean_latency).max(MIN_ANSWER_TIME);
+        let response_time = duration_from_seconds(mean_latency).max(MIN_RESPONSE_TIME);
         self.refresh_indices();
-        let mut expired: Vec<_> = self.queue.expiring(now, answer_time).into_iter().collect();
+        let mut expired: Vec<_> = self.queue.expiring(now, response_time).into_iter().collect();
         expired.sort_by_key(|key| {
             let message = &self.messages[*key];
             (message.destination, message.queued().map(|entry| entry.number))
@@ -55,6 +54,6 @@
             self.finish_undelivered(key, now, host);
         }
         self.refresh_indices();
-        wake.no_later_than(self.queue.next_expiry(answer_time));
+        wake.no_later_than(self.queue.next_expiry(response_time));
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,21 +1,21 @@
-//! The delivery policy: every decision, and every tuned value.
+//! The delivery policy, which makes all delivery decisions.
 //!
-//! A host makes one [`DeliveryPolicy`] for each instance with [`DeliveryPolicy::new`], reports what happens
-//! ([`DeliveryPolicy::submit`], [`DeliveryPolicy::attempt_finished`], [`DeliveryPolicy::update_endpoint`], ...)
-//! and, once all that is known at a moment has been reported, calls [`DeliveryPolicy::run_due_work`]. Decisions
-//! go out as commands to a [`PolicyHost`]. The plain records that they rest on are in
+//! A host creates one [`DeliveryPolicy`] for each instance with [`DeliveryPolicy::new`] and reports each event
+//! ([`DeliveryPolicy::submit`], [`DeliveryPolicy::attempt_finished`], [`DeliveryPolicy::update_endpoint`], ...).
+//! Once all events of a moment are reported, the host calls [`DeliveryPolicy::run_due_work`]. The policy sends its
+//! decisions as commands to a [`PolicyHost`]. The records that decisions depend on are in
 //! [`state`](crate::state).
 //!
-//! In the order in which one request comes about:
+//! The modules, in the order in which a request passes them:
 //!
-//! - `submission`, `queueing`, `restore`, `discovery`: what comes in;
-//! - `scheduling`, `request_selection`, `requests`: which request goes next, and with which messages;
-//! - `admission`, `circuit_breaker`, `pacing`, `slow_start`, `capacity_share`: whether a request may go;
-//! - `endpoint_selection`, `retry_budget`, `timeouts`: where it goes and how long it may take;
-//! - `outcomes`, `rejection`, `retry_after`, `stragglers`: what follows from how it ends;
+//! - `submission`, `queueing`, `restore`, `discovery`: input;
+//! - `scheduling`, `request_selection`, `requests`: which request is sent next, and with which messages;
+//! - `admission`, `circuit_breaker`, `pacing`, `slow_start`, `capacity_share`: whether a request may be sent;
+//! - `endpoint_selection`, `retry_budget`, `timeouts`: the endpoint and the timeouts of a request;
+//! - `outcomes`, `rejection`, `retry_after`, `stragglers`: the end of a request and its effects;
 //! - `expiry`, `eviction`, `priority`: final answers without delivery;
-//! - `record_expiry`: when records are forgotten;
-//! - `parameters`, `random`: what all of them use.
+//! - `record_expiry`: removal of records;
+//! - `parameters`, `random`: shared by all of the above.
 
 mod admission;
 mod capacity_share;
@@ -57,13 +57,13 @@
     TenantAccounts,
 };
 
-/// One instance of the delivery policy. It does no input or output and reads no clock.
+/// One instance of the delivery policy, which does no input or output and reads no clock.
 pub struct DeliveryPolicy {
     parameters: PolicyParameters,
     random: RandomSources,
     /// All messages without a final answer.
     messages: MessageTable,
-    /// The messages that wait to be sent, by destination.
+    /// Queued messages, by destination.
     queue: MessageQueue,
     /// Attempts and requests without an outcome.
     in_flight: InFlight,
@@ -73,24 +73,24 @@
     circuits: CircuitTable,
     /// Messages of ordered classes, by ordering key.
     ordering: OrderingQueues,
-    /// What tenants have left of their quotas.
+    /// The remaining quota of each tenant.
     tenants: TenantAccounts,
     response_times: ResponseTimes,
     /// When the endpoint list is polled again after a failure.
     polls: PollSchedule,
-    /// Numbers messages and requests, in the order in which they came up.
+    /// Numbers messages and requests in order of creation.
     numbers: Sequence,
     /// Numbers the entries of the queue.
     queue_entries: Sequence,
     timer: PolicyTimer,
     /// No event is reported before this time.
     next_report_at: Duration,
-    /// The program stops by then.
+    /// When the program stops; `None` before a shutdown begins.
     shutdown_deadline: Option<Duration>,
 }
 
 impl DeliveryPolicy {
-    /// A new instance, which knows the settings and nothing else. The same seed always draws the same.
+    /// Creates an instance from the settings. The same seed gives the same random numbers.
     pub fn new(now: Duration, mut settings: Settings, host: &mut dyn PolicyHost) -> DeliveryPolicy {
         let random = RandomSources::new(settings.seed);
         let kinds = std::mem::take(&mut settings.endpoint_kinds);
@@ -118,26 +118,25 @@
         }
     }
 
-    /// The timer that was set has fired.
+    /// Records that the timer has fired.
     pub fn timer_fired(&mut self, now: Duration) {
         self.timer.fired(now);
     }
 
-    /// The program shuts down and stops by this time. Messages that have no final answer then are kept by the
-    /// host.
-    pub fn begin_shutdown(&mut self, by: Duration) {
-        self.shutdown_deadline = Some(by);
+    /// Begins a shutdown that ends at `deadline`. The host keeps messages that have no final answer by then.
+    pub fn begin_shutdown(&mut self, deadline: Duration) {
+        self.shutdown_deadline = Some(deadline);
     }
 
-    /// Where an attempt in flight went.
+    /// Returns the endpoint of an attempt; `None` if the attempt is not in flight.
     #[must_use]
     pub fn attempt_endpoint(&self, id: &MessageId, number: AttemptNumber) -> Option<EndpointId> {
         let key = AttemptKey { message: id.clone(), number };
         self.in_flight.attempt(&key).map(|attempt| attempt.endpoint)
     }
 
-    /// The response to an attempt has begun. Nothing follows from it: no other attempt is in flight for its
-    /// message that could be cancelled.
+    /// Reports that the response to an attempt has begun. The policy takes no action, because no other attempt
+    /// of the message is in flight that could be cancelled.
     pub fn response_started(
         &mut self,
         _now: Duration,
@@ -147,23 +146,22 @@
     ) {
     }
 
-    /// A health check has ended. Nothing follows from it: this policy starts none.
+    /// Reports the result of a health check. The policy starts none and takes no action.
     pub fn health_checked(&mut self, _now: Duration, _endpoint: EndpointId, _healthy: bool) {}
 
-    /// Another forwarder has sent gossip. Nothing follows from it: this policy sends none.
+    /// Reports gossip from another forwarder. The policy sends none and takes no action.
     pub fn gossip_received(&mut self, _now: Duration, _from: PeerId, _gossip: &[u8]) {}
 
-    /// The messages without a final answer.
+    /// Messages without a final answer.
     pub(crate) fn messages(&self) -> &MessageTable {
         &self.messages
     }
 
-    /// The endpoints and destinations that are kept.
+    /// Endpoints and destinations, with those that were removed recently.
     pub(crate) fn endpoints(&self) -> &EndpointDirectory {
         &self.endpoints
     }
 
-    /// The circuit breakers in use.
     pub(crate) fn circuits(&self) -> &CircuitTable {
         &self.circuits
     }
@@ -172,27 +170,28 @@
         self.parameters.classes[message.class].idempotency
     }
 
-    /// A condition of a circuit changed that may have held messages back: its destination is checked again.
-    fn wake_scope(&mut self, scope: CircuitScope) {
+    /// Wakes the destination of a circuit after a change that may allow requests again.
+    fn wake_destination_of(&mut self, scope: CircuitScope) {
         if let Some(destination) = self.endpoints.destination_of(scope) {
             self.queue.touch(destination);
         }
     }
 
-    /// The circuit breaker of a scope, made if there is none, to be changed: its destination is checked again.
+    /// Returns the circuit breaker of a scope for a change, inserted if there is none, and wakes its
+    /// destination.
     fn circuit_mut(&mut self, scope: CircuitScope) -> &mut CircuitBreaker {
-        self.wake_scope(scope);
+        self.wake_destination_of(scope);
         self.circuits.get_or_insert(scope)
     }
 
-    /// The circuit breakers of a destination's active endpoints, as far as they are in use.
+    /// Returns the circuit breakers in use for the active endpoints of a destination.
     fn circuits_of(&self, destination: DestinationId) -> impl Iterator<Item = &CircuitBreaker> {
         let active = self.endpoints.active(destination);
         active.filter_map(|(id, endpoint)| self.circuits.get(self.endpoints.scope_of(id, endpoint)))
     }
 }
 
-/// A span of so many seconds: zero if negative, a day if not a number or too long for a [`Duration`].
-fn seconds(seconds: f64) -> Duration {
+/// Converts seconds to a [`Duration`]: zero if negative or not a number, a day if too long for a `Duration`.
+fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::from_secs(86_400))
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt: for its circuit, its endpoint and its message.
+//! Handles the end of an attempt: updates its circuit, its endpoint and its message.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
-/// After an attempt that was not sent, a circuit pauses for the recovery delay divided by this.
+/// A circuit pauses for the recovery delay divided by this after an attempt that was not sent.
 const NOT_SENT_PAUSE_DIVISOR: u32 = 4;
-/// At most one event about circuits is reported in this span.
+/// Minimum time between two reported circuit events.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 impl DeliveryPolicy {
-    /// An attempt has ended.
+    /// Records the end of an attempt, and queues its message again or finishes it.
     pub fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
         let FinishedAttempt { message: id, number, outcome, message_finished } = *ended;
         let key = AttemptKey { message: id.clone(), number };
         let Some(EndedAttempt { attempt, request_ended }) = self.end_attempt(&key) else { return };
         if let Some(endpoint) = self.endpoints.get(attempt.endpoint) {
-            self.forget_stale_records(endpoint.destination, now);
+            self.remove_stale_records(endpoint.destination, now);
         }
         if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
             self.apply_retry_after(now, attempt.scope, wait);
         }
-        let message_to_blame = self.count_error(&attempt, outcome);
-        // The attempts of one request end together, and count once.
-        if request_ended && !message_to_blame {
+        let message_at_fault = self.record_message_error(&attempt, outcome);
+        // The attempts of one request end together and count as one outcome.
+        if request_ended && !message_at_fault {
             self.record_and_report_outcome(&attempt, now, outcome, host);
         }
         if matches!(
@@ -37,22 +37,22 @@
             let until = now + self.parameters.ordering_hold_off;
             self.ordering.hold_off(attempt.ordering_key, attempt.arrival, until);
         }
-        self.leave_ordering_queue(id, attempt.ordering_key, attempt.arrival);
+        self.remove_from_ordering_queue(id, attempt.ordering_key, attempt.arrival);
         if message_finished {
             self.remove_message(attempt.message, host);
         } else {
-            self.continue_message(&attempt, now, outcome, host);
+            self.requeue_or_finish(&attempt, now, outcome, host);
         }
     }
 
-    /// Takes an ended attempt out of all records of what is in flight.
+    /// Removes an ended attempt from all records of what is in flight.
     fn end_attempt(&mut self, key: &AttemptKey) -> Option<EndedAttempt> {
         let ended = self.in_flight.end_attempt(key)?;
         let attempt = &ended.attempt;
         if let Some(message) = self.messages.get_mut(attempt.message) {
             message.end_attempt(key.number);
         }
-        self.wake_scope(attempt.scope);
+        self.wake_destination_of(attempt.scope);
         if ended.request_ended {
             if let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) {
                 usage.end_request();
@@ -67,13 +67,11 @@
         Some(ended)
     }
 
-    /// Counts an answer with an error for the message; says whether the message, and not the endpoint, is to
-    /// blame.
+    /// Counts an error response to a message, and returns whether the message and not the endpoint is at fault:
+    /// from its second error on.
     ///
-    /// Symptom: one message is answered with errors wherever it goes, and as the trial keeps its destination's
-    /// circuit open. Its second error says something of the message and not of the destination. It can harm by
-    /// seeing an outage with errors later, where a single message is all that is sent.
-    fn count_error(&mut self, attempt: &Attempt, outcome: AttemptOutcome) -> bool {
+    /// Prevents a message that always gets an error from keeping a circuit open.
+    fn record_message_error(&mut self, attempt: &Attempt, outcome: AttemptOutcome) -> bool {
         if outcome != AttemptOutcome::Error {
             return false;
         }
@@ -82,7 +80,7 @@
         message.errors() > 1
     }
 
-    /// Records what an outcome shows, and reports it if the circuit opened or closed by it.
+    /// Records an outcome, and reports an event if the circuit opened or closed.
     fn record_and_report_outcome(
         &mut self,
         attempt: &Attempt,
@@ -105,14 +103,14 @@
         }
     }
 
-    /// What one outcome shows of the circuit and the endpoint.
+    /// Updates the circuit and the endpoint by one outcome.
     fn record_outcome(&mut self, attempt: &Attempt, now: Duration, outcome: AttemptOutcome) {
         let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) else { return };
-        let answered = matches!(
+        let got_response = matches!(
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
         );
-        usage.set_answered(answered.then_some(now));
+        usage.set_answered(got_response.then_some(now));
         self.circuit_mut(attempt.scope);
         match outcome {
             AttemptOutcome::Cancelled | AttemptOutcome::Malformed => {}
@@ -126,9 +124,10 @@
         }
     }
 
-    /// Pauses the circuit. Symptom: a message uses up its attempts in an instant, as each comes back without being
-    /// sent: a request in flight or a connection that was cancelled still counts, or the write-ahead log fails. It
-    /// can harm by a short pause.
+    /// Pauses the circuit for a short time.
+    ///
+    /// Prevents a message from using up its attempts at once when each ends without being sent, for example
+    /// while the write-ahead log fails.
     fn record_not_sent(&mut self, attempt: &Attempt, now: Duration) {
         let pause = self.parameters.recovery_delay / NOT_SENT_PAUSE_DIVISOR;
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
@@ -148,8 +147,8 @@
         circuit.pacing_mut().shrink(limit_left, parameters.sparse_traffic);
         circuit.set_last_retry_after(circuit.last_retry_after() / 2);
         let latency = now.saturating_sub(attempt.started_at).as_secs_f64();
-        circuit.record_completion(now, next_mean(circuit.mean_latency(), latency));
-        self.response_times.record_completion(now, next_mean(self.response_times.mean_latency(), latency));
+        circuit.record_completion(now, updated_mean(circuit.mean_latency(), latency));
+        self.response_times.record_completion(now, updated_mean(self.response_times.mean_latency(), latency));
         if circuit.recovery_ramp().is_some_and(|requests| requests >= parameters.max_in_flight) {
             circuit.set_recovery_ramp(None);
         }
@@ -157,7 +156,7 @@
             usage.reset_failures(attempt.class);
             usage.earn_retry_tokens(parameters.initial_retry_tokens);
         }
-        // The whole circuit has only now recovered, so slow start begins now for all of its endpoints.
+        // Slow start begins for all endpoints of a circuit when the circuit recovers.
         if recovered && had_faults {
             self.endpoints.update_usage(&in_scope, |usage| usage.record_fault(now));
         }
@@ -171,20 +170,20 @@
         circuit.record_failure(now, recovery_delay, &self.parameters);
         usage.record_failure(attempt.class);
         match outcome {
-            // The request never reached the destination, and put no load on it.
+            // The request never reached the destination and added no load.
             AttemptOutcome::NoConnection => usage.drop_last_load(),
             AttemptOutcome::TimedOut => circuit.record_timeout(),
             _ => {}
         }
-        // A single connection that is lost between completions is no sign of an outage.
+        // A single lost connection between completions does not indicate an outage.
         if outcome == AttemptOutcome::TimedOut || circuit.failure_count() > 1 {
             usage.record_fault(now);
         }
     }
 
-    /// What comes next for a message whose attempt has ended without a final answer: it is queued again where
-    /// its class and what is known of the attempt allow that; otherwise it gets a final answer.
-    fn continue_message(
+    /// Queues a message again after an attempt without a final answer, or finishes it if it may not be sent
+    /// again.
+    fn requeue_or_finish(
         &mut self,
         attempt: &Attempt,
         now: Duration,
@@ -204,10 +203,10 @@
             return;
         }
         if outcome == AttemptOutcome::Malformed {
-            // No endpoint will ever parse it, and whoever submits it again gets the same answer.
+            // A malformed message gets the same result at every endpoint, also when it is submitted again.
             host.fail(&message.id);
             self.remove_message(key, host);
-        } else if self.is_exhausted(key, now) {
+        } else if self.cannot_be_sent(key, now) {
             self.finish_undelivered(key, now, host);
         } else {
             self.enqueue(key);
@@ -215,7 +214,7 @@
     }
 }
 
-/// A running mean with one more response time, in seconds.
-fn next_mean(mean: Option<f64>, latency: f64) -> f64 {
+/// Returns a running mean updated with one response time, both in seconds.
+fn updated_mean(mean: Option<f64>, latency: f64) -> f64 {
     mean.map_or(latency, |mean| mean + MEAN_LATENCY_WEIGHT * (latency - mean))
 }
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -1,4 +1,4 @@
-//! How the parameters are derived from the settings.
+//! Derives the parameters of the policy from the settings.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use crate::interface::{EndpointKind, Idempotency, ListedWeights, MessageClass, Settings, TenantQuota};
 use crate::state::{ClassParameters, KindParameters, PolicyParameters, TenantParameters};
 
-/// The deadline of a class for which the settings give none.
+/// Deadline of a class without one in the settings.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// The shortest latency objective where there is no class.
+/// Shortest latency objective if the settings have no class.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(2);
-/// How a destination is assumed to warm up where the settings do not say, and the least values that budgets are
+/// Assumed warm-up of a destination if the settings do not describe it, and the minimum values that budgets are
 /// derived from.
 const DEFAULT_SLOW_START_FLOOR: f64 = 0.2;
 const MIN_SLOW_START_FLOOR: f64 = 0.01;
@@ -19,11 +19,11 @@
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 2.0;
 const MIN_OVERLOAD_MULTIPLE: f64 = 0.1;
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
-/// The recovery delay is no shorter, however short the latency objective of a class is.
+/// Minimum recovery delay, for classes with a very short latency objective.
 const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(50);
-/// The failure window in recovery delays.
-const FAILURE_WINDOW_DELAYS: u32 = 10;
-/// Upper bounds: greater values in the settings count as these.
+/// Length of the failure window, in recovery delays.
+const FAILURE_WINDOW_RECOVERY_DELAYS: u32 = 10;
+/// Upper limits; greater values in the settings are reduced to these.
 const MAX_REQUESTS_IN_FLIGHT: u64 = 1 << 20;
 const MAX_CAPACITY: u64 = 1 << 30;
 const MAX_ATTEMPTS: u64 = 1 << 20;
@@ -32,9 +32,10 @@
 impl From<Settings> for PolicyParameters {
     fn from(settings: Settings) -> PolicyParameters {
         let classes: Vec<_> = settings.classes.into_iter().map(ClassParameters::from).collect();
-        let shortest = classes.iter().map(|c| c.latency_objective).min().unwrap_or(DEFAULT_OBJECTIVE);
+        let shortest_objective =
+            classes.iter().map(|c| c.latency_objective).min().unwrap_or(DEFAULT_OBJECTIVE);
         // A trial that succeeds within half the shortest objective still lets a queued message meet it.
-        let recovery_delay = (shortest / 2).max(MIN_RECOVERY_DELAY);
+        let recovery_delay = (shortest_objective / 2).max(MIN_RECOVERY_DELAY);
         let forwarders = settings.forwarders.unwrap_or(1);
         let max_in_flight = settings.max_in_flight.unwrap_or(u64::MAX);
         PolicyParameters {
@@ -50,7 +51,7 @@
             hedging_allowed: settings.hedging_allowed,
             max_attempts: settings.max_attempts.unwrap_or(u64::MAX).min(MAX_ATTEMPTS) as u32,
             max_retry_after: settings.max_retry_after,
-            failure_window: recovery_delay * FAILURE_WINDOW_DELAYS,
+            failure_window: recovery_delay * FAILURE_WINDOW_RECOVERY_DELAYS,
             recovery_delay,
             slow_start_floor: non_negative_or(settings.slow_start_floor, DEFAULT_SLOW_START_FLOOR)
                 .clamp(MIN_SLOW_START_FLOOR, 1.0),
@@ -81,7 +82,7 @@
         let deadline = class.deadline.unwrap_or(DEFAULT_DEADLINE);
         ClassParameters {
             name: class.name,
-            // Where the settings do not say, the most restrictive is assumed.
+            // Without a setting, a class is assumed not to allow repeats.
             idempotency: class.idempotency.unwrap_or(Idempotency::NonIdempotent),
             latency_objective: class.latency_objective.unwrap_or(deadline).min(deadline),
             deadline,
@@ -111,7 +112,7 @@
     }
 }
 
-/// A value of the settings if it is a finite number that is not negative; otherwise the default.
+/// Returns a value of the settings if it is finite and not negative, and the default otherwise.
 fn non_negative_or(value: Option<f64>, default: f64) -> f64 {
     value.filter(|v| v.is_finite() && *v >= 0.0).unwrap_or(default)
 }
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -1,5 +1,4 @@
-//! The life of a message from its acceptance to its final answer: it is queued, indexed while it is queued, and
-//! forgotten.
+//! Accepts, queues and removes messages, and updates the indices of the queue.
 
 #[cfg(debug_assertions)]
 use std::collections::BTreeSet;
@@ -14,7 +13,7 @@
 use crate::state::{Message, QueueEntry};
 
 impl DeliveryPolicy {
-    /// Accepts a message and queues it. Another one with an id that is in use already is ignored.
+    /// Accepts a message and queues it. A message whose id is already in use is ignored.
     pub(super) fn accept(&mut self, mut message: Message, now: Duration) {
         if self.messages.contains(&message.id) {
             return;
@@ -31,7 +30,7 @@
         self.enqueue(key);
     }
 
-    /// Queues a message for its destination, behind all that were queued before.
+    /// Queues a message for its destination, after all that were queued before.
     pub(super) fn enqueue(&mut self, key: MessageKey) {
         let number = self.queue_entries.next();
         self.insert_into_queue(key, number);
@@ -46,7 +45,7 @@
         }
     }
 
-    /// The position in the queue that a message is to have.
+    /// Returns the queue position for the current state of a message.
     fn queue_position(&self, message: &Message) -> QueuePosition {
         let until = self.key_valid_until(message);
         QueuePosition {
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Takes a message out of the queue; returns the number of its entry, if it had one.
+    /// Removes a message from the queue and returns the number of its entry; `None` if it was not queued.
     pub(super) fn dequeue(&mut self, key: MessageKey) -> Option<u64> {
         let message = self.messages.get_mut(key)?;
         let entry = message.take_queued()?;
@@ -72,29 +71,32 @@
         Some(entry.number)
     }
 
-    /// Renews the position of a message that has changed; one that is not queued stays so.
+    /// Updates the queue position of a message that has changed; a message that is not queued stays so.
     pub(super) fn requeue(&mut self, key: MessageKey) {
         if let Some(number) = self.dequeue(key) {
             self.insert_into_queue(key, number);
         }
     }
 
-    /// Renews the indices for destinations whose queues changed, before the indices over all are read.
+    /// Updates the indices of destinations whose queues changed. Called before the indices over all
+    /// destinations are read.
     pub(super) fn refresh_indices(&mut self) {
         for destination in self.queue.take_stale() {
-            let available_at = self.retry_after_ends(destination);
+            let available_at = self.earliest_retry_after_end(destination);
             self.queue.renew_indices(destination, available_at);
         }
         #[cfg(debug_assertions)]
         self.check_indices();
     }
 
-    /// Compares all indices with full walks: always where little is queued, otherwise now and then.
+    /// Compares all indices with full scans: always while few messages are pending, otherwise now and then.
     #[cfg(debug_assertions)]
     fn check_indices(&self) {
-        const ALWAYS_UP_TO: usize = 64;
-        const OTHERWISE_ONE_IN: u64 = 64;
-        if self.messages.len() > ALWAYS_UP_TO && !self.queue_entries.last().is_multiple_of(OTHERWISE_ONE_IN) {
+        const MAX_MESSAGES_ALWAYS_CHECKED: usize = 64;
+        const CHECK_ONE_IN: u64 = 64;
+        if self.messages.len() > MAX_MESSAGES_ALWAYS_CHECKED
+            && !self.queue_entries.last().is_multiple_of(CHECK_ONE_IN)
+        {
             return;
         }
         let queued = self
@@ -117,23 +119,24 @@
         }
     }
 
-    /// Forgets a message that has its final answer or was withdrawn, and cancels what is in flight for it.
+    /// Removes a message that has its final answer or was withdrawn, and cancels its attempts in flight.
     pub fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
         if let Some(key) = self.messages.key_of(id) {
             self.remove_message(key, host);
         }
     }
 
-    /// Forgets a message that has its final answer, and cancels what is in flight for it.
+    /// Removes a message that has its final answer, and cancels its attempts in flight.
     pub(super) fn remove_message(&mut self, key: MessageKey, host: &mut dyn PolicyHost) {
         self.dequeue(key);
         let Some(message) = self.messages.remove(key) else { return };
-        self.leave_ordering_queue(&message.id, message.ordering_key, message.arrival);
+        self.remove_from_ordering_queue(&message.id, message.ordering_key, message.arrival);
         message.in_flight().iter().for_each(|number| host.cancel(&message.id, *number));
     }
 
-    /// Takes a message out of its key's queue once it is finished and none of its attempts is in flight.
-    pub(super) fn leave_ordering_queue(
+    /// Removes a message from the queue of its ordering key once the message is finished and none of its
+    /// attempts is in flight.
+    pub(super) fn remove_from_ordering_queue(
         &mut self,
         id: &MessageId,
         ordering_key: Option<OrderingKey>,
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -1,34 +1,38 @@
-//! When records are forgotten: once no decision can depend on them any more, they only fill the memory.
+//! Removal of records that no longer affect any decision, which limits memory use.
 
 use std::time::Duration;
 
-use super::circuit_breaker::RECORD_MARGIN;
+use super::circuit_breaker::RECORD_EXPIRY_MARGIN;
 use super::DeliveryPolicy;
 use crate::interface::{CircuitScope, DestinationId, EndpointId};
 
-/// A circuit that was not used for so many times the longest deadline is forgotten.
+/// A circuit is removed once it was unused for the longest deadline times this factor.
 const IDLE_RETENTION_FACTOR: u32 = 10;
-/// Removed endpoints that one run forgets at most, so that a list which drops many does not hold the run up.
-const MAX_FORGOTTEN_PER_RUN: usize = 1_000;
+/// Maximum number of endpoints whose records one run removes, so that a list that drops many does not delay the
+/// run.
+const MAX_ENDPOINTS_REMOVED_PER_RUN: usize = 1_000;
 
 impl DeliveryPolicy {
-    /// Endpoints that were forgotten since the last call; a host need not know them any longer.
+    /// Returns the endpoints whose records were removed since the last call. A host needs no record of them
+    /// either.
     #[must_use]
     pub fn take_removed_endpoints(&mut self) -> Vec<EndpointId> {
         self.endpoints.take_forgotten()
     }
 
-    /// Forgets removed endpoints, idle circuits and idle ordering keys.
+    /// Removes the records of removed endpoints, idle circuits and idle ordering keys.
     pub(super) fn remove_expired(&mut self, now: Duration) {
-        self.remove_endpoints(now, self.parameters.longest_deadline + RECORD_MARGIN);
+        self.remove_expired_endpoints(now, self.parameters.longest_deadline + RECORD_EXPIRY_MARGIN);
         self.remove_idle_circuits(now, self.parameters.longest_deadline * IDLE_RETENTION_FACTOR);
         self.ordering.remove_idle(now);
     }
 
-    /// Forgets endpoints that were removed that long ago, with their circuits, and destinations that have none
-    /// left and no message: where endpoints are replaced all day, these would fill the memory.
-    fn remove_endpoints(&mut self, now: Duration, keep: Duration) {
-        for id in self.endpoints.expired(now, keep, MAX_FORGOTTEN_PER_RUN) {
+    /// Removes the records of endpoints that left the list at least `retention` ago, with their circuits, and
+    /// destinations without endpoints and messages.
+    ///
+    /// Limits memory use where endpoints are replaced continuously.
+    fn remove_expired_endpoints(&mut self, now: Duration, retention: Duration) {
+        for id in self.endpoints.expired(now, retention, MAX_ENDPOINTS_REMOVED_PER_RUN) {
             let Some(destination) = self.endpoints.forget_endpoint(id) else { continue };
             self.circuits.remove(CircuitScope::Endpoint(id));
             self.queue.touch(destination);
@@ -41,16 +45,17 @@
         }
     }
 
-    /// Forgets circuits, and what is known of their endpoints, that were not used for long: a forwarder of a
-    /// large fleet sends to most destinations seldom, and would otherwise keep a record of each.
-    fn remove_idle_circuits(&mut self, now: Duration, keep: Duration) {
-        self.circuits.schedule_first_reviews(now + keep);
+    /// Removes circuits that were unused for `retention`, and the usage records of their endpoints.
+    ///
+    /// Limits memory use in a large fleet, where a forwarder seldom sends to most destinations.
+    fn remove_idle_circuits(&mut self, now: Duration, retention: Duration) {
+        self.circuits.schedule_first_reviews(now + retention);
         while let Some(scope) = self.circuits.take_due_review(now) {
             let Some(circuit) = self.circuits.get(scope) else { continue };
             let used_until = circuit.used_until();
-            let is_used = used_until + keep > now || !circuit.in_flight().is_empty();
+            let is_used = used_until + retention > now || !circuit.in_flight().is_empty();
             if is_used || self.has_queued(scope) {
-                self.circuits.schedule_review(scope, now.max(used_until) + keep);
+                self.circuits.schedule_review(scope, now.max(used_until) + retention);
                 continue;
             }
             self.circuits.remove(scope);
@@ -60,17 +65,17 @@
         }
     }
 
-    /// Whether messages are queued for the destination of a circuit.
+    /// Returns whether messages are queued for the destination of a circuit.
     fn has_queued(&self, scope: CircuitScope) -> bool {
         self.endpoints
             .destination_of(scope)
             .is_some_and(|destination| self.queue.of_destination(destination).is_some())
     }
 
-    /// Drops what is too old to matter of a destination's records, before they are read.
-    pub(super) fn forget_stale_records(&mut self, destination: DestinationId, now: Duration) {
-        let load_for = self.parameters.overload_window;
-        let fault_for = self.parameters.overload_window + 2 * self.parameters.slow_start_duration;
+    /// Removes outdated parts of a destination's records before these are read.
+    pub(super) fn remove_stale_records(&mut self, destination: DestinationId, now: Duration) {
+        let load_retention = self.parameters.overload_window;
+        let fault_retention = self.parameters.overload_window + 2 * self.parameters.slow_start_duration;
         let endpoints = self.endpoints.destination(destination).map(|known| known.endpoints().clone());
         for id in endpoints.unwrap_or_default() {
             let Some(endpoint) = self.endpoints.get(id) else { continue };
@@ -78,7 +83,7 @@
                 circuit.expire_if_stale(now, &self.parameters);
             }
             if let Some(usage) = self.endpoints.usage_if_any(id) {
-                usage.forget_stale(now, load_for, fault_for);
+                usage.forget_stale(now, load_retention, fault_retention);
             }
         }
     }
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -1,38 +1,39 @@
-//! What follows from a rejection: a destination over its rate limit or with a full queue, or one that is down.
+//! Handles rejections by a destination that is over its rate limit, has a full queue, or is in an outage.
 
 use std::time::Duration;
 
 use super::capacity_share::{MIN_DESTINATION_CAPACITY, MIN_RATE};
 use super::pacing::{APPROXIMATE_RATE_MARGIN, PACING_GROWTH};
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::EndpointId;
 use crate::state::{Attempt, CircuitBreaker, Pacing, PolicyParameters};
 
-/// Growth of the pacing interval for rejections that no limit explains: a full queue, or a destination that is down
-/// and will have to warm up.
+/// Factor by which the pacing interval grows with a rejection that no rate limit explains: by a full queue, or
+/// by a destination that is down and will have to warm up.
 const UNEXPLAINED_REJECTION_GROWTH: f64 = 4.0;
-/// A rejection comes from a limit where less than this share of it was left. Reports are up to a second old.
-const LIMIT_USED_UP: f64 = 0.5;
-/// The first pacing interval, as a multiple of the mean interval between a forwarder's requests to the circuit.
-const FIRST_INTERVAL: f64 = 0.5;
-/// The longest pacing interval in a large fleet, as a multiple of the interval at this forwarder's share.
-const MAX_PACING_INTERVALS: f64 = 8.0;
+/// A rejection is attributed to a rate limit if less than this share of the limit was left. Load reports may be
+/// up to a second old.
+const LIMIT_USED_UP_THRESHOLD: f64 = 0.5;
+/// First pacing interval, as a multiple of the mean interval between this forwarder's requests to the circuit.
+const FIRST_INTERVAL_FACTOR: f64 = 0.5;
+/// Maximum pacing interval in a large fleet, as a multiple of the interval at this forwarder's share.
+const MAX_PACING_INTERVAL_FACTOR: f64 = 8.0;
 
-/// What had been sent to a circuit when it rejected a request.
+/// The load on a circuit when it rejected a request.
 struct LoadAtRejection {
     /// The endpoints that share the circuit.
     in_scope: Vec<EndpointId>,
     recovery_delay: Duration,
-    /// Long-term rate of requests, in requests a second.
+    /// Long-term rate, in requests a second.
     baseline_rate: f64,
-    /// Requests a second that are this forwarder's share.
+    /// This forwarder's share, in requests a second.
     fair_share: f64,
-    /// Requests within the last overload window.
+    /// Number of requests within the last overload window.
     recent_requests: usize,
 }
 
 impl DeliveryPolicy {
-    /// What a rejection shows of the circuit and its endpoints.
+    /// Updates the circuit and its endpoints by a rejection.
     pub(super) fn record_rejection(
         &mut self,
         attempt: &Attempt,
@@ -43,33 +44,38 @@
         let parameters = &self.parameters;
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         let wait = retry_after.unwrap_or(circuit.last_retry_after());
-        let limit_used_up = circuit.limit_is_used_up();
-        // Requests in flight together that are rejected together count once.
+        let limit_used_up = circuit.is_explained_by_limit();
+        // Concurrent requests that are rejected together count once.
         let follows_last_change = attempt.started_at >= circuit.pacing().changed_at();
         if parameters.sparse_traffic && follows_last_change {
-            // Symptom: many forwarders are rejected at about the same time, or have Retry-After waits that end
-            // together, and all send again at once, over the limit again. Each is put off by chance.
+            // Random delays prevent many forwarders that were rejected at the same time, or whose Retry-After
+            // ends together, from sending again at once.
             let pacing = circuit.pacing_mut();
-            pacing.widen_sparse(load.fair_share, limit_used_up, parameters, now);
+            pacing.widen_for_sparse_traffic(load.fair_share, limit_used_up, parameters, now);
             let jitter = self.random.draw_jitter();
-            pacing.put_off(now + wait + seconds(jitter * pacing.interval()));
+            pacing.put_off(now + wait + duration_from_seconds(jitter * pacing.interval()));
         }
-        // A short wait comes from a limit, which is no outage: there is capacity at its end.
-        let is_limited = parameters.sparse_traffic
+        // A short Retry-After indicates a rate limit and no outage: the destination has capacity when the wait
+        // ends.
+        let is_rate_limited = parameters.sparse_traffic
             && (limit_used_up || !wait.is_zero())
             && wait < parameters.overload_window;
-        let paced_for = circuit.pacing().put_off_until().saturating_sub(now);
-        circuit.record_failure(now, if is_limited { paced_for } else { load.recovery_delay }, parameters);
-        let all_faulty = circuit.shows_outage(now, retry_after, parameters);
+        let pacing_wait = circuit.pacing().put_off_until().saturating_sub(now);
+        circuit.record_failure(
+            now,
+            if is_rate_limited { pacing_wait } else { load.recovery_delay },
+            parameters,
+        );
+        let is_outage = circuit.shows_outage(now, retry_after, parameters);
         if retry_after.is_none() {
-            // A missing Retry-After is estimated by the last one received: at a destination whose rejected
-            // requests use up its limit, each early request makes the wait longer for all.
+            // The last Retry-After replaces a missing one. Where rejected requests count against the rate
+            // limit, early requests would extend the wait for all forwarders.
             circuit.extend_retry_after(now + circuit.last_retry_after());
             if !parameters.sparse_traffic && follows_last_change {
                 circuit.pacing_mut().widen(&load, parameters, now);
             }
         }
-        if all_faulty {
+        if is_outage {
             let until = now + retry_after.unwrap_or_default();
             self.endpoints.update_usage(&load.in_scope, |usage| usage.record_fault(until));
         }
@@ -94,64 +100,68 @@
 }
 
 impl CircuitBreaker {
-    /// Whether a rejection is explained by a rate limit. A destination that rejects again and again may be down,
-    /// however much of its limit is left.
-    fn limit_is_used_up(&self) -> bool {
-        self.failure_count() == 0 && self.limit_left().is_some_and(|left| left < LIMIT_USED_UP)
+    /// Returns whether a rate limit explains a rejection. A destination that rejects repeatedly may be down,
+    /// whatever is left of its limit.
+    fn is_explained_by_limit(&self) -> bool {
+        self.failure_count() == 0 && self.limit_left().is_some_and(|left| left < LIMIT_USED_UP_THRESHOLD)
     }
 
-    /// Whether a rejection shows an outage. With a rate limit some requests pass, or the Retry-After is short; a
-    /// destination that rejects all for long, or with a long Retry-After, is down.
+    /// Returns whether a rejection indicates an outage: its Retry-After is long, or a circuit that is not
+    /// closed has completed no request for some time.
     fn shows_outage(
         &self,
         now: Duration,
         retry_after: Option<Duration>,
         parameters: &PolicyParameters,
     ) -> bool {
-        let silent = now.saturating_sub(self.last_completion()) >= parameters.overload_window / 2;
-        let rejects_all = !self.is_closed() && silent;
+        let without_completion = now.saturating_sub(self.last_completion()) >= parameters.overload_window / 2;
+        let rejects_all = !self.is_closed() && without_completion;
         retry_after.map_or(rejects_all, |wait| wait >= parameters.overload_window)
     }
 }
 
 impl Pacing {
-    /// Widens the interval where a forwarder sees little of the destination.
-    fn widen_sparse(
+    /// Widens the interval under sparse traffic, where a forwarder sees little of the destination's load.
+    fn widen_for_sparse_traffic(
         &mut self,
         fair_share: f64,
         limit_used_up: bool,
         parameters: &PolicyParameters,
         now: Duration,
     ) {
-        let first = parameters.listed_rate_margin.unwrap_or(APPROXIMATE_RATE_MARGIN) / fair_share;
-        // Where responses report that there is capacity again, the interval need not be long at first.
-        let (longest_first, growth) = if !parameters.responses_carry_load_reports {
+        let first_interval = parameters.listed_rate_margin.unwrap_or(APPROXIMATE_RATE_MARGIN) / fair_share;
+        // With load reports, which show when there is capacity again, the first interval can be short.
+        let (max_first_interval, growth) = if !parameters.responses_carry_load_reports {
             (parameters.longest_deadline, PACING_GROWTH)
         } else if limit_used_up {
             (parameters.recovery_delay, PACING_GROWTH)
         } else {
             (parameters.recovery_delay, UNEXPLAINED_REJECTION_GROWTH)
         };
-        let wider = (self.interval() * growth).max(first.min(longest_first.as_secs_f64()));
-        // An interval longer than the deadline of a message would stop delivery, not pace it.
-        let interval =
-            wider.min(MAX_PACING_INTERVALS / fair_share).min(parameters.longest_deadline.as_secs_f64() / 2.0);
+        let grown_interval =
+            (self.interval() * growth).max(first_interval.min(max_first_interval.as_secs_f64()));
+        // An interval longer than the deadline of a message would stop delivery.
+        let interval = grown_interval
+            .min(MAX_PACING_INTERVAL_FACTOR / fair_share)
+            .min(parameters.longest_deadline.as_secs_f64() / 2.0);
         self.set_interval_after_rejection(interval, now);
     }
 
-    /// Widens the interval where a forwarder's own requests show much of the destination.
+    /// Widens the interval by this forwarder's recent requests, where these are a large part of the
+    /// destination's load.
     fn widen(&mut self, load: &LoadAtRejection, parameters: &PolicyParameters, now: Duration) {
-        let recent_gap = if load.recent_requests > 1 {
+        let mean_recent_interval = if load.recent_requests > 1 {
             parameters.overload_window.as_secs_f64() / load.recent_requests as f64
         } else {
             0.0
         };
         let baseline_rate = load.baseline_rate.max(MIN_RATE);
-        let first = (PACING_GROWTH * recent_gap).max(FIRST_INTERVAL / baseline_rate);
+        let first_interval =
+            (PACING_GROWTH * mean_recent_interval).max(FIRST_INTERVAL_FACTOR / baseline_rate);
         // A destination is assumed to accept at least half of its long-term rate, in as many requests or in fewer
         // with larger batches.
-        let longest = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / baseline_rate);
-        let interval = (self.interval() * PACING_GROWTH).max(first).min(longest);
+        let max_interval = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / baseline_rate);
+        let interval = (self.interval() * PACING_GROWTH).max(first_interval).min(max_interval);
         self.set_interval_after_rejection(interval, now);
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,9 +1,9 @@
-//! Starting a request, and what is recorded of it.
+//! Starts requests and records them.
 
 use std::time::Duration;
 
 use super::slow_start::LOAD_PER_EXTRA_MESSAGE;
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::{AttemptTimeouts, PolicyHost, RequestId};
 use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, Attempt, AttemptKey, RequestInFlight, SentLoad};
@@ -26,11 +26,13 @@
         }
         self.record_request(to, request, load);
         let pacing = self.circuit_mut(to.scope).pacing_mut();
-        pacing.put_off(pacing.put_off_until().max(now + seconds(pacing.interval())));
+        pacing.put_off(pacing.put_off_until().max(now + duration_from_seconds(pacing.interval())));
     }
 
-    /// The least response timeout of all attempts of a request. An attempt that timed out before the others and was
-    /// retried would duplicate what its request still carries.
+    /// Returns the minimum response timeout for all attempts of a request: the longest of their own timeouts.
+    ///
+    /// An attempt that timed out before the others would be retried while its request still carries the
+    /// message.
     fn shared_timeout(&self, messages: &[MessageKey], to: AdmittedEndpoint) -> Duration {
         if self.parameters.hedging_allowed {
             return Duration::ZERO;
@@ -54,7 +56,7 @@
         let time_left = message.deadline.saturating_sub(now);
         let own_timeout = self.response_timeout(message, to.scope, to.half_open_trial);
         let response_within = own_timeout.max(shared_timeout).min(time_left);
-        let start_within = self.start_by(message, to.scope).saturating_sub(now).min(response_within);
+        let start_within = self.latest_start(message, to.scope).saturating_sub(now).min(response_within);
         let is_retry = message.attempts() > 0;
         let attempt = Attempt::new(key, message, to, request);
         let Some(attempt_key) = self.record_attempt(attempt) else { return };
@@ -72,7 +74,7 @@
         host.start_attempt(&attempt_key.message, to.endpoint, timeouts);
     }
 
-    /// Records an attempt of a queued message, which leaves the queue.
+    /// Records an attempt of a queued message, and removes the message from the queue.
     fn record_attempt(&mut self, attempt: Attempt) -> Option<AttemptKey> {
         self.dequeue(attempt.message);
         let message = self.messages.get_mut(attempt.message)?;
@@ -82,14 +84,14 @@
         Some(key)
     }
 
-    /// Records a request that has gone out, with what it adds to the load of its endpoint.
+    /// Records a request that was sent, and the load that it adds to its endpoint.
     fn record_request(&mut self, to: AdmittedEndpoint, request: RequestInFlight, load: f64) {
         self.circuit_mut(to.scope).record_request(request);
         let sent = SentLoad { at: request.started_at, load };
         self.endpoints.update_usage(&[to.endpoint], |usage| usage.record_request(sent));
     }
 
-    /// Commands to cancel every attempt that a request carries.
+    /// Cancels every attempt that a request carries.
     pub(super) fn cancel_request(&mut self, request: RequestId, host: &mut dyn PolicyHost) {
         self.in_flight.cancel_request(request, |key| host.cancel(&key.message, key.number));
     }
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -1,14 +1,15 @@
-//! Messages from before a start of the program.
+//! Restores messages that were accepted before a restart.
 
 use std::time::Duration;
 
 use super::pacing::APPROXIMATE_RATE_MARGIN;
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::{DestinationId, MessageId, PolicyHost, PreviousAttempt};
 use crate::state::PossibleExecution;
 
 impl DeliveryPolicy {
-    /// A message that the host accepted before this start and has submitted again had these attempts until then.
+    /// Restores the attempts that a message had before this start of the program. The host submits the message
+    /// again first.
     pub fn restore(
         &mut self,
         now: Duration,
@@ -20,7 +21,7 @@
         let Some(message) = self.messages.get_mut(key) else { return };
         message.set_previous_attempts(previous.len() as u32);
         let destination = message.destination;
-        // It was accepted before, so it does not count as late: its objective lasts for half of the time left.
+        // A restored message does not count as late: its objective lasts for half of the time left.
         let objective_at = now + message.deadline.saturating_sub(now) / 2;
         message.extend_objective(objective_at);
         let possibly_executed = previous.iter().filter(|attempt| !attempt.proves_not_executed);
@@ -29,33 +30,35 @@
             .min_by_key(|attempt| attempt.started_at);
         message.set_possibly_executed(earliest);
         if earliest.is_some() {
-            // It may still be running.
+            // An earlier attempt may still be being executed.
             let until = now + self.parameters.ordering_hold_off;
             self.ordering.hold_off(message.ordering_key, message.arrival, until);
         }
         self.requeue(key);
-        if self.is_exhausted(key, now) {
+        if self.cannot_be_sent(key, now) {
             self.finish_undelivered(key, now, host);
         }
         if self.parameters.sparse_traffic {
-            self.pace_restored(destination, objective_at, now);
+            self.pace_restored_messages(destination, objective_at, now);
         }
     }
 
-    /// Symptom: many forwarders that restart at once send what each of them has pending in one wave, and what they
-    /// knew of limits is gone with the process. The circuits of these messages are treated as if they had
-    /// rejected a request; none is put off beyond the message's objective.
-    fn pace_restored(&mut self, destination: DestinationId, objective_at: Duration, now: Duration) {
+    /// Paces the circuits of a restored message as if they had rejected a request, at most until the message's
+    /// objective.
+    ///
+    /// Prevents forwarders that restart together from sending all pending messages at once, as the rates they
+    /// had observed are lost.
+    fn pace_restored_messages(&mut self, destination: DestinationId, objective_at: Duration, now: Duration) {
         let shares: Vec<_> = (self.endpoints.active(destination))
             .map(|(id, endpoint)| (self.endpoints.scope_of(id, endpoint), self.fair_share(endpoint, now)))
             .collect();
         for (scope, fair_share) in shares {
             let is_first = self.circuit_mut(scope).pacing().interval() == 0.0;
-            let drawn = if is_first { self.random.draw() } else { 0.0 };
+            let phase = if is_first { self.random.draw() } else { 0.0 };
             let pacing = self.circuit_mut(scope).pacing_mut();
             if is_first {
                 pacing.set_interval(APPROXIMATE_RATE_MARGIN / fair_share);
-                pacing.put_off(now + seconds(drawn * pacing.interval()));
+                pacing.put_off(now + duration_from_seconds(phase * pacing.interval()));
             }
             pacing.put_off(pacing.put_off_until().min(objective_at));
         }
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -1,4 +1,4 @@
-//! Retry-After: what destinations ask for, and what clients are given.
+//! Retry-After: received from destinations, and sent to clients.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::state::CircuitBreaker;
 
 impl DeliveryPolicy {
-    /// A response that rejected no message carried a Retry-After.
+    /// Records a Retry-After from a response that rejected no message.
     pub fn retry_after_received(&mut self, now: Duration, endpoint: EndpointId, wait: Duration) {
         let known = self.endpoints.get(endpoint);
         if let Some(scope) = known.map(|known| self.endpoints.scope_of(endpoint, known)) {
@@ -15,22 +15,22 @@
         }
     }
 
-    /// The endpoints that a Retry-After of this one holds for.
+    /// Returns the endpoints to which a Retry-After of this endpoint applies.
     #[must_use]
     pub fn endpoints_sharing_circuit(&self, id: EndpointId) -> Vec<EndpointId> {
         self.endpoints.sharing_circuit(id)
     }
 
-    /// Rule 6. Each message of a request may be the one that is asked to wait, or its response speaks for them
-    /// all.
+    /// Records a Retry-After of a circuit. A request with several messages may receive one for each message or
+    /// one for all.
     pub(super) fn apply_retry_after(&mut self, now: Duration, scope: CircuitScope, wait: Duration) {
         if let Some(destination) = self.endpoints.destination_of(scope) {
-            self.forget_stale_records(destination, now);
+            self.remove_stale_records(destination, now);
         }
-        self.wake_scope(scope);
-        // Symptom: all that was queued goes at once when a long wait ends, to a destination that was down and is
-        // cold. A wait as long as the recovery delay opens the circuit, and ends with a trial.
-        let opens_from = if self.parameters.sparse_traffic {
+        self.wake_destination_of(scope);
+        // A long Retry-After opens the circuit, so that the wait ends with one trial. All queued messages
+        // together would overload a destination that is warming up.
+        let min_wait_to_open = if self.parameters.sparse_traffic {
             self.parameters.overload_window
         } else {
             self.parameters.recovery_delay
@@ -38,27 +38,28 @@
         let Some(circuit) = self.circuits.get_mut(scope) else { return };
         circuit.extend_retry_after(now + wait);
         circuit.set_last_retry_after(wait);
-        if wait >= opens_from {
+        if wait >= min_wait_to_open {
             circuit.reopen(now, wait);
         }
     }
 
-    /// The Retry-After for a client: when a destination may take a message again, as far as that is known.
+    /// Returns the Retry-After for a client: the expected time until the destination accepts messages again.
+    /// `None` if rejections may not carry one.
     pub(super) fn retry_after_for_client(
         &self,
         destination: DestinationId,
         now: Duration,
     ) -> Option<Duration> {
-        let most = self.parameters.max_retry_after?;
-        let closed_at = |circuit: &CircuitBreaker| {
+        let max_retry_after = self.parameters.max_retry_after?;
+        let admits_from = |circuit: &CircuitBreaker| {
             circuit.retry_after_until().max(circuit.open_until().unwrap_or_default())
         };
-        let available_at = self.circuits_of(destination).map(closed_at).min().unwrap_or_default();
-        Some(available_at.saturating_sub(now).max(self.parameters.recovery_delay).min(most))
+        let available_at = self.circuits_of(destination).map(admits_from).min().unwrap_or_default();
+        Some(available_at.saturating_sub(now).max(self.parameters.recovery_delay).min(max_retry_after))
     }
 
-    /// When the first of a destination's endpoints may be called again, as far as Retry-After goes.
-    pub(super) fn retry_after_ends(&self, destination: DestinationId) -> Duration {
+    /// Returns when the first Retry-After of the destination's endpoints ends.
+    pub(super) fn earliest_retry_after_end(&self, destination: DestinationId) -> Duration {
         self.circuits_of(destination).map(|circuit| circuit.retry_after_until()).min().unwrap_or_default()
     }
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,31 +1,31 @@
-//! The retry budget of each endpoint: completions earn retries, retries spend them.
+//! The retry budget of each endpoint: completions earn retry tokens, and retries spend them.
 
 use std::time::Duration;
 
 use super::capacity_share::MIN_RATE;
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::state::{Endpoint, EndpointUsage, Message};
 
-/// Retry tokens that an endpoint has with all forwarders together before its first completion.
-const RETRY_BUDGET_INITIAL: f64 = 6.0;
-/// Most retry tokens that an endpoint has with one forwarder.
-const RETRY_BUDGET_MAX: f64 = 5.0;
+/// Retry tokens of an endpoint before its first completion, summed over all forwarders.
+const INITIAL_RETRY_TOKENS: f64 = 6.0;
+/// Maximum number of retry tokens of an endpoint at one forwarder.
+const MAX_RETRY_TOKENS: f64 = 5.0;
 /// Retry tokens that one completion earns.
-const RETRY_BUDGET_PER_ANSWER: f64 = 0.25;
+const RETRY_TOKENS_PER_COMPLETION: f64 = 0.25;
 
-/// The initial tokens of an endpoint with one of so many forwarders.
+/// Returns the initial retry tokens of an endpoint at one of `forwarders` forwarders.
 pub(super) fn initial_retry_tokens(forwarders: f64) -> f64 {
-    (RETRY_BUDGET_INITIAL / forwarders).min(RETRY_BUDGET_MAX)
+    (INITIAL_RETRY_TOKENS / forwarders).min(MAX_RETRY_TOKENS)
 }
 
 impl EndpointUsage {
-    /// A completion earns a fraction of a retry.
+    /// Adds the retry tokens that one completion earns.
     pub(super) fn earn_retry_tokens(&mut self, initial: f64) {
         let tokens = self.retry_tokens().unwrap_or(initial);
-        self.set_retry_tokens((tokens + RETRY_BUDGET_PER_ANSWER).min(RETRY_BUDGET_MAX));
+        self.set_retry_tokens((tokens + RETRY_TOKENS_PER_COMPLETION).min(MAX_RETRY_TOKENS));
     }
 
-    /// A retry has been sent.
+    /// Removes the retry token that one retry spends.
     pub(super) fn spend_retry_token(&mut self, initial: f64) {
         let tokens = self.retry_tokens().unwrap_or(initial);
         self.set_retry_tokens((tokens - 1.0).max(0.0));
@@ -33,9 +33,10 @@
 }
 
 impl DeliveryPolicy {
-    /// Whether a message may go to an endpoint by its retry budget: a retry needs a token, or that nothing was sent
-    /// there for a while. A message that was not executed may also go by the pacing alone in a large fleet or with
-    /// much traffic, and otherwise after the mean interval between messages.
+    /// Returns whether the retry budget of an endpoint allows an attempt. Only retries need a token.
+    ///
+    /// Without a token, a retry waits until the endpoint was idle for a while. Where much traffic or a large
+    /// fleet make pacing sufficient, a message that was not executed need not wait.
     pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         if message.attempts() == 0
@@ -51,6 +52,6 @@
         }
         baseline * latency_objective.as_secs_f64() >= 1.0
             || self.parameters.sparse_traffic
-            || idle >= seconds(1.0 / baseline)
+            || idle >= duration_from_seconds(1.0 / baseline)
     }
 }
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -1,5 +1,4 @@
-//! Which destination the next request goes to. The number of requests in flight is limited, so that destinations
-//! compete for them.
+//! Schedules requests: destinations compete for the limited number of requests in flight.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,25 +9,26 @@
 use crate::queue::QueueClass;
 use crate::state::NextWake;
 
-/// Part of its latency objective from which a destination's wait is weighed against its requests in flight. Symptom:
-/// the limit of requests in flight is reached, and a long queue gets no more of them than any other. A slow
-/// destination does not get all of them, and others fill their batches meanwhile.
+/// Minimum relative wait of a destination, as a share of the latency objective. Longer waits raise the
+/// destination's share of the requests in flight.
 const MIN_RELATIVE_WAIT: f64 = 0.1;
-/// The least latency objective, in seconds, that waits are compared with.
+/// Minimum latency objective, in seconds, that waits are compared with; prevents a division by zero.
 const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
 
-/// Orders destinations for the next request: the least goes first. Compared in the order of the fields.
+/// Sort key of destinations for the next request. The destination with the lowest key is served first; fields
+/// are compared in their order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SchedulingKey {
-    /// Requests in flight with this one, times the slowness of the destination, divided by its relative wait.
+    /// Requests in flight including the next one, times the slowness of the destination, divided by its
+    /// relative wait.
     load_per_wait: u64,
-    /// The number of the destination's last request: the one that was served least recently goes first.
+    /// Number of the destination's last request, so that the least recently served destination comes first.
     last_request: u64,
     destination: DestinationId,
 }
 
 impl DeliveryPolicy {
-    /// Decides all that can be decided now. To be called once everything known at this time has been reported.
+    /// Makes all decisions that are due. Called once everything known at this time has been reported.
     pub fn run_due_work(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         let mut wake = NextWake::default();
         if self.polls.take_due(now) {
@@ -37,7 +37,7 @@
         wake.no_later_than(self.polls.next_poll());
         self.queue.wake_due(now);
         for destination in self.queue.awake().clone() {
-            self.forget_stale_records(destination, now);
+            self.remove_stale_records(destination, now);
         }
         self.evict_lowest_priority(now, host);
         self.remove_expired(now);
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Whether as many requests are in flight as may be.
+    /// Returns whether the limit of requests in flight is reached.
     fn in_flight_limit_reached(&self) -> bool {
         self.in_flight.request_count() >= self.parameters.max_in_flight
     }
 
-    /// Starts requests up to the limit of those in flight, each for the destination with the least key.
+    /// Starts requests up to the limit of requests in flight, each for the destination with the lowest key.
     fn schedule_requests(&mut self, now: Duration, host: &mut dyn PolicyHost, wake: &mut NextWake) {
         if self.in_flight_limit_reached() {
             return;
@@ -69,7 +69,7 @@
         next_admission.no_later_than(self.queue.next_wake());
         while !self.in_flight_limit_reached() {
             let Some(Reverse(SchedulingKey { destination, .. })) = candidates.pop() else {
-                // Nothing more can go before the next admission.
+                // No other request can be sent before the next admission.
                 wake.no_later_than(next_admission.time());
                 return;
             };
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The key of a destination. A slow request takes up the limit of requests in flight for as long as several
-    /// others would, and counts as that many.
+    /// Returns the sort key of a destination. A slow request counts as several, because it occupies the limit
+    /// of requests in flight for as long as these.
     fn scheduling_key(&self, destination: DestinationId, relative_wait: f64) -> SchedulingKey {
         let slowness = self.circuits_of(destination).map(|circuit| self.slowness(Some(circuit)));
         let slowness = slowness.reduce(f64::min).unwrap_or(1.0);
@@ -95,18 +95,18 @@
         }
     }
 
-    /// How long a destination's oldest message that may still meet its latency objective has waited, as a part
-    /// of the objective.
+    /// Returns how long the oldest message of a destination that may still meet its latency objective has
+    /// waited, as a share of the objective.
     fn relative_wait(&self, destination: DestinationId, now: Duration) -> f64 {
         let objective = |class: &QueueClass| {
             let objective = self.parameters.classes[class.priority.class].latency_objective;
             objective.as_secs_f64().max(MIN_OBJECTIVE_SECONDS)
         };
-        let passed = |(class, objective_at): (&QueueClass, Duration)| {
+        let elapsed_share = |(class, objective_at): (&QueueClass, Duration)| {
             1.0 - objective_at.saturating_sub(now).as_secs_f64() / objective(class)
         };
         let next =
             self.queue.of_destination(destination).into_iter().flat_map(|queue| queue.next_objectives(now));
-        next.map(passed).filter(|passed| *passed < 1.0).fold(MIN_RELATIVE_WAIT, f64::max)
+        next.map(elapsed_share).filter(|elapsed_share| *elapsed_share < 1.0).fold(MIN_RELATIVE_WAIT, f64::max)
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,41 +1,39 @@
-//! Slow start: what a destination may be sent while it warms up after an outage.
+//! Slow start: limits the load on a destination that warms up after an outage.
 
 use std::time::Duration;
 
 use super::capacity_share::{MIN_DESTINATION_CAPACITY, MIN_RATE};
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::CircuitScope;
 use crate::state::Endpoint;
 
-/// What may be sent, as a multiple of the budget derived from the long-term rate. Over 1, as a destination is built
-/// for more than its ordinary traffic. Measured at 0.75, 1.1 and 1.5: faster recoveries each time, no rule broken by it.
+/// Slow start budget as a multiple of the budget at the long-term rate. Above 1, because a destination has more
+/// capacity than its ordinary traffic needs.
 const SLOW_START_BASELINE_MULTIPLE: f64 = 1.5;
-/// Load of one more message within a request, against that of a request with one.
+/// Load of each further message in a request, relative to a request with one message.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
 
-/// The least slow start duration, in seconds, that shares of it are derived from.
-const MIN_DURATION_SECONDS: f64 = 0.001;
+/// Minimum slow start duration, in seconds, that shares of it are derived from; prevents a division by zero.
+const MIN_SLOW_START_SECONDS: f64 = 0.001;
 
-/// What an endpoint may be sent now.
+/// The load that an endpoint may get now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SlowStartBudget {
-    /// So much load, in requests with one message.
+    /// Maximum load, in requests with one message.
     Load(f64),
-    /// Nothing before this time.
+    /// No request before this time.
     UsedUpUntil(Duration),
 }
 
 impl SlowStartBudget {
-    /// For an endpoint that is not warming up.
+    /// The budget of an endpoint that is not warming up.
     const UNLIMITED: SlowStartBudget = SlowStartBudget::Load(f64::MAX);
 }
 
 impl DeliveryPolicy {
-    /// What may go to the endpoint now.
+    /// Returns the load that the endpoint may get now.
     ///
-    /// Guard for rule 4. Symptom: an endpoint that failed requests, or rejected all, may be recovering and have to
-    /// warm up. Also covers one that fails part of its requests. It can harm one that was never down, by pacing it
-    /// for some seconds after a timeout.
+    /// Prevents overload of an endpoint that failed requests, or rejected all, and may be warming up.
     pub(super) fn slow_start_budget(
         &self,
         scope: CircuitScope,
@@ -44,8 +42,8 @@
     ) -> SlowStartBudget {
         let Some(last_fault) = endpoint.usage().last_fault() else { return SlowStartBudget::UNLIMITED };
         let parameters = &self.parameters;
-        // An endpoint that has not answered since may still be down, and with many forwarders their requests together
-        // would overload it as it returns.
+        // An endpoint without a completion since its last fault may still be down. The requests of many
+        // forwarders together would overload it when it returns.
         let answered =
             self.circuits.get(scope).is_some_and(|circuit| circuit.last_completion() >= last_fault);
         let assumed_downtime = if answered || !parameters.sparse_traffic {
@@ -53,29 +51,36 @@
         } else {
             parameters.slow_start_duration
         };
-        // Measured to the middle of the span that the budget is counted over.
-        let warmed =
+        // The warm-up time is taken at the middle of the window that the budget applies to.
+        let warm_up_seconds =
             now.saturating_sub(last_fault + assumed_downtime + parameters.overload_window / 2).as_secs_f64();
         let share = parameters.slow_start_floor
-            + (1.0 - parameters.slow_start_floor) * warmed
-                / parameters.slow_start_duration.as_secs_f64().max(MIN_DURATION_SECONDS);
+            + (1.0 - parameters.slow_start_floor) * warm_up_seconds
+                / parameters.slow_start_duration.as_secs_f64().max(MIN_SLOW_START_SECONDS);
         if share >= 1.0 {
             return SlowStartBudget::UNLIMITED;
         }
         let baseline = self.baseline_rate(endpoint, now);
-        let per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * baseline;
-        // The share of one forwarder is a few requests in each window, so they are spaced and not counted.
-        let last = endpoint.usage().recent_load().back();
-        let next = last.map(|sent| sent.at + seconds(sent.load / per_second.max(MIN_RATE)));
-        let budget = (per_second * parameters.overload_window.as_secs_f64()).max(1.0);
-        match next {
+        let load_per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * baseline;
+        // The budget of one forwarder is a few requests per window, so that requests are spaced and not
+        // counted.
+        let last_load = endpoint.usage().recent_load().back();
+        let next_load_at =
+            last_load.map(|sent| sent.at + duration_from_seconds(sent.load / load_per_second.max(MIN_RATE)));
+        let budget = (load_per_second * parameters.overload_window.as_secs_f64()).max(1.0);
+        match next_load_at {
             Some(at) if now < at => SlowStartBudget::UsedUpUntil(at),
             _ => SlowStartBudget::Load(budget),
         }
     }
 
-    /// How many messages a request may carry within the slow start budget; 1 where it is used up.
-    pub(super) fn slow_start_batch(&self, scope: CircuitScope, endpoint: &Endpoint, now: Duration) -> usize {
+    /// Returns how many messages a request may carry within the slow start budget; 1 if it is used up.
+    pub(super) fn slow_start_max_batch(
+        &self,
+        scope: CircuitScope,
+        endpoint: &Endpoint,
+        now: Duration,
+    ) -> usize {
         let budget = match self.slow_start_budget(scope, endpoint, now) {
             SlowStartBudget::Load(budget) => budget,
             SlowStartBudget::UsedUpUntil(_) => 1.0,
@@ -83,9 +88,10 @@
         (1.0 + (budget - 1.0) / LOAD_PER_EXTRA_MESSAGE) as usize
     }
 
-    /// How long a circuit stays open before a trial. Every forwarder sends trials of its own, and the first ones
-    /// after a recovery all reach a destination that is warming up: with many forwarders or a small destination
-    /// they are sent less often.
+    /// Returns how long a circuit stays open before a trial.
+    ///
+    /// Every forwarder sends its own trials, and the first ones after a recovery reach a destination that is
+    /// warming up. With many forwarders or a small destination, the delay is longer.
     pub(super) fn recovery_delay(&self, endpoint: &Endpoint, now: Duration) -> Duration {
         let parameters = &self.parameters;
         let share = self.baseline_rate(endpoint, now).max(MIN_DESTINATION_CAPACITY / parameters.forwarders);
@@ -96,7 +102,7 @@
         if trials >= 1.0 {
             return parameters.recovery_delay;
         }
-        let delay = seconds(parameters.overload_window.as_secs_f64() / trials);
+        let delay = duration_from_seconds(parameters.overload_window.as_secs_f64() / trials);
         parameters.recovery_delay.max(delay.min(2 * parameters.slow_start_duration))
     }
 }
--- a/src/policy/submission.rs
+++ b/src/policy/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: the class, the latency objective and the quota of a new message.
+//! Submission of new messages: class, latency objective and quota.
 
 use std::time::Duration;
 
@@ -6,11 +6,12 @@
 use crate::interface::{NewMessage, PolicyHost};
 use crate::state::{Message, MessageTimes};
 
-/// A tenant may submit so many seconds of its quota at once.
+/// Maximum burst of a tenant, in seconds of its quota.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
 
 impl DeliveryPolicy {
-    /// A message has been submitted; it gets one final answer from here on. One of an unknown class is failed.
+    /// Accepts a submitted message, which gets exactly one final answer. A message of an unknown class fails at
+    /// once.
     pub fn submit(&mut self, now: Duration, message: NewMessage, host: &mut dyn PolicyHost) {
         let NewMessage { id, class, tenant, ordering_key, deadline, destination } = message;
         let Some(class) = self.parameters.classes.iter().position(|known| known.name == class) else {
@@ -25,9 +26,9 @@
         self.accept(Message::new(id, class, ordering_key, destination, times, over_quota), now);
     }
 
-    /// Until when a message has its full weight. It is counted back from the deadline, and so from the first
-    /// submission where a client submits again. A message that has no more time left than its class's latency
-    /// objective has its full weight until its deadline.
+    /// Returns until when a message has its full priority weight. The time is counted back from the deadline,
+    /// so that a client's repeated submission does not extend it. A message with less time left than its
+    /// latency objective keeps its full weight until its deadline.
     fn objective_at(&self, class: usize, deadline: Duration, now: Duration) -> Duration {
         let class = &self.parameters.classes[class];
         let lifetime =
@@ -35,9 +36,8 @@
         deadline.saturating_sub(lifetime.saturating_sub(class.latency_objective))
     }
 
-    /// Counts a message against its tenant's quota; returns whether it is over the quota. A forwarder sees only its
-    /// own part of the traffic and does not know how that is spread, so it compares with the whole quota: what is
-    /// over that here is over it everywhere.
+    /// Counts a message against its tenant's quota, and returns whether the quota is exceeded. Each forwarder
+    /// applies the whole quota, because the spread of the traffic over forwarders is not known.
     fn spend_quota(&mut self, tenant: usize, now: Duration) -> bool {
         let quota = self.parameters.tenants[tenant].messages_per_second;
         !self.tenants.spend(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -1,26 +1,27 @@
-//! Until when an attempt may begin, and its response timeout.
+//! Response timeouts, and the latest time at which an attempt may begin.
 
 use std::time::Duration;
 
-use super::{seconds, DeliveryPolicy};
+use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::{CircuitScope, Idempotency};
 use crate::state::Message;
 
-/// The response timeout in mean response times of the circuit; measured at 8, 12 and 16.
-const TIMEOUT_MEANS: f64 = 12.0;
-/// The same for half-open trials, and the time that a non-idempotent message needs before a shutdown.
-const TRIAL_MEANS: f64 = 4.0;
-/// How many times as long the response to a non-idempotent message is awaited.
+/// Response timeout, in mean response times of the circuit.
+const RESPONSE_TIMEOUT_LATENCY_FACTOR: f64 = 12.0;
+/// Response timeout of half-open trials, in mean response times; also the time that a non-idempotent message
+/// needs before a shutdown.
+const TRIAL_TIMEOUT_LATENCY_FACTOR: f64 = 4.0;
+/// Factor by which the response timeout of a non-idempotent message is longer.
 const NON_IDEMPOTENT_TIMEOUT_FACTOR: f64 = 2.0;
-/// The timeout grows by this factor with each of the last timeouts in a row, so that a slow destination is not
-/// cut off.
+/// Factor by which the response timeout grows with each consecutive timeout, so that a slow destination can
+/// still respond.
 const TIMEOUT_GROWTH: f64 = 1.5;
-/// Timeouts in a row beyond which it grows no more.
-const MAX_TIMEOUT_GROWTHS: u32 = 2;
+/// Maximum number of consecutive timeouts that increase the response timeout.
+const MAX_COUNTED_TIMEOUTS: u32 = 2;
 
 impl DeliveryPolicy {
-    /// Until when a retry is safe: while the idempotency key of the first attempt that may have executed the
-    /// message is valid. Without end for what needs no key.
+    /// Returns until when a retry is safe: while the idempotency key of the first possibly executed attempt is
+    /// valid. `Duration::MAX` if no key limits the retry.
     pub(super) fn key_valid_until(&self, message: &Message) -> Duration {
         match (message.possibly_executed(), self.idempotency(message)) {
             (Some(first), Idempotency::WithKey { window, .. }) => first.started_at + window,
@@ -28,34 +29,45 @@
         }
     }
 
-    /// Until when an attempt may begin. A message in flight when the program stops may have been executed, and a
-    /// non-idempotent one could then not be retried.
-    pub(super) fn start_by(&self, message: &Message, scope: CircuitScope) -> Duration {
+    /// Returns the latest time at which an attempt may begin. Before a shutdown, time for the response to a
+    /// non-idempotent message is left: after a restart, such a message could not be retried.
+    pub(super) fn latest_start(&self, message: &Message, scope: CircuitScope) -> Duration {
         let own = self.circuits.get(scope).and_then(|circuit| circuit.mean_latency());
         let mean = own.or(self.response_times.mean_latency()).unwrap_or_default();
-        let means = if self.idempotency(message) == Idempotency::NonIdempotent { TRIAL_MEANS } else { 0.0 };
-        let shutdown =
-            self.shutdown_deadline.map_or(Duration::MAX, |by| by.saturating_sub(seconds(means * mean)));
+        let latency_factor = if self.idempotency(message) == Idempotency::NonIdempotent {
+            TRIAL_TIMEOUT_LATENCY_FACTOR
+        } else {
+            0.0
+        };
+        let shutdown = self
+            .shutdown_deadline
+            .map_or(Duration::MAX, |by| by.saturating_sub(duration_from_seconds(latency_factor * mean)));
         self.key_valid_until(message).min(shutdown)
     }
 
-    /// The response timeout of an attempt.
+    /// Returns the response timeout of an attempt.
     pub(super) fn response_timeout(&self, message: &Message, scope: CircuitScope, trial: bool) -> Duration {
         let class = &self.parameters.classes[message.class];
         let circuit = self.circuits.get(scope);
         let mean = circuit.and_then(|circuit| circuit.mean_latency()).unwrap_or(0.0);
-        let timeouts = circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_TIMEOUT_GROWTHS));
-        let growth = TIMEOUT_GROWTH.powi(timeouts as i32);
-        // No second trial is sent while one is in flight, so a long one would delay the recovery.
-        let ordinary = (TIMEOUT_MEANS, class.latency_objective);
-        let (means, floor) = if trial { (TRIAL_MEANS, self.parameters.recovery_delay) } else { ordinary };
-        seconds((means * mean).max(floor.as_secs_f64()) * timeout_factor(class.idempotency) * growth)
+        let consecutive_timeouts =
+            circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_COUNTED_TIMEOUTS));
+        let growth = TIMEOUT_GROWTH.powi(consecutive_timeouts as i32);
+        // Only one trial is in flight at a time, so a long timeout would delay the recovery.
+        let ordinary = (RESPONSE_TIMEOUT_LATENCY_FACTOR, class.latency_objective);
+        let (latency_factor, floor) =
+            if trial { (TRIAL_TIMEOUT_LATENCY_FACTOR, self.parameters.recovery_delay) } else { ordinary };
+        duration_from_seconds(
+            (latency_factor * mean).max(floor.as_secs_f64())
+                * response_timeout_factor(class.idempotency)
+                * growth,
+        )
     }
 }
 
-/// How many times as long a response is awaited by idempotency: a non-idempotent message whose attempt is cut off
-/// is lost.
-pub(super) fn timeout_factor(idempotency: Idempotency) -> f64 {
+/// Returns the factor by which the response timeout is longer for this idempotency. A non-idempotent message is
+/// lost if its attempt times out.
+pub(super) fn response_timeout_factor(idempotency: Idempotency) -> f64 {
     if idempotency == Idempotency::NonIdempotent {
         NON_IDEMPOTENT_TIMEOUT_FACTOR
     } else {
