--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -23,7 +23,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EndpointSelectionKey {
     consecutive_failures: u32,
-    /// Binary logarithm, rounded down, of its mean response time divided by that of all requests.
+    /// Binary logarithm, rounded down, of the circuit's mean response time divided by that of all requests.
     slowness: u64,
     /// In millionths of a price point.
     price: u64,
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -20,7 +20,7 @@
 /// because some slots stay unused.
 const TIME_SLOT_INTERVAL_FACTOR: f64 = 0.8;
 /// Share of a time slot in which its request may begin, and the minimum length of that part in seconds. A host
-/// that runs due work on a coarse grid would miss shorter ones.
+/// that runs due work at coarse intervals would miss shorter ones.
 const TIME_SLOT_OPEN_SHARE: f64 = 0.3;
 const TIME_SLOT_OPEN_MIN_SECONDS: f64 = 0.1;
 
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers of the policy. Its decisions depend on the draws and on their order.
+//! Random numbers of the policy. Decisions depend on the draws and on their order.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -8,8 +8,8 @@
 use crate::state::PossibleExecution;
 
 impl DeliveryPolicy {
-    /// Restores the attempts that a message had before this start of the program. The host submits the message
-    /// again first.
+    /// Restores the attempts that a message had before this start of the program. Called after the host has
+    /// submitted the message again.
     pub fn restore(
         &mut self,
         now: Duration,
@@ -30,7 +30,7 @@
             .min_by_key(|attempt| attempt.started_at);
         message.set_possibly_executed(earliest);
         if earliest.is_some() {
-            // An earlier attempt may still be being executed.
+            // An earlier attempt may still be in execution.
             let until = now + self.parameters.ordering_hold_off;
             self.ordering.hold_off(message.ordering_key, message.arrival, until);
         }
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -21,7 +21,7 @@
         self.endpoints.sharing_circuit(id)
     }
 
-    /// Records a Retry-After of a circuit. A request with several messages may receive one for each message or
+    /// Records a Retry-After for a circuit. A request with several messages may receive one for each message or
     /// one for all.
     pub(super) fn apply_retry_after(&mut self, now: Duration, scope: CircuitScope, wait: Duration) {
         if let Some(destination) = self.endpoints.destination_of(scope) {
--- a/tests/policy/circuit_breaker.rs
+++ b/tests/policy/circuit_breaker.rs
@@ -1,10 +1,11 @@
-//! When a circuit opens, how it is tried, and how traffic returns to it.
+//! Opening of circuits, half-open trials and recovery.
 
 use reeddock::*;
 
 use crate::support::*;
 
-/// A policy whose circuit of destination 9 was opened by refused connections. Messages a, b and c are queued.
+/// Creates a policy whose circuit of destination 9 was opened by refused connections. Messages a, b and c are
+/// queued.
 pub fn with_open_circuit() -> PolicyTest {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     for name in ["a", "b", "c"] {
@@ -18,11 +19,11 @@
 }
 
 #[test]
-fn open_circuit_is_tried_with_one_message_at_a_time() {
+fn open_circuit_sends_one_half_open_trial_at_a_time() {
     let mut test = with_open_circuit();
     assert!(test.started_after(ms(500)).is_empty(), "the circuit is open: all are queued");
     let trial = test.started_after(ms(600));
-    assert_eq!(trial.len(), 1, "one real message as the half-open trial");
+    assert_eq!(trial.len(), 1, "one queued message is the half-open trial");
     assert!(test.started_after(ms(3000)).is_empty(), "no further trial while one is in flight");
     test.finish_attempt(&trial[0], 1, AttemptOutcome::NoConnection);
     assert!(test.started_after(ms(900)).is_empty(), "a failed trial reopens the circuit");
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn circuit_that_opens_and_closes_is_reported_with_its_scope_and_the_outcome() {
+fn circuit_opening_and_closing_are_reported_with_scope_and_outcome() {
     let mut test = with_open_circuit();
     let scope = CircuitScope::Destination(DestinationId(9));
     let opened = PolicyEvent::CircuitOpened { scope, after: AttemptOutcome::NoConnection };
@@ -48,7 +49,7 @@
     let mut test = with_open_circuit();
     let trial = test.started_after(ms(1100));
     test.complete_attempt(&trial[0], 1);
-    assert_eq!(test.host.events.len(), 1, "that it opened");
+    assert_eq!(test.host.events.len(), 1, "only the opening is reported");
 }
 
 #[test]
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn request_that_hangs_from_before_the_recovery_does_not_hold_back_the_ramp() {
+fn hanging_request_sent_before_the_recovery_does_not_hold_back_the_ramp() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     for name in ["stuck", "a", "b", "c"] {
         test.submit(name, NON_IDEMPOTENT, 9);
@@ -73,11 +74,11 @@
     assert_eq!(trial.len(), 1);
     test.advance(ms(100));
     test.complete_attempt(&trial[0], 1);
-    assert_eq!(test.started_after(ms(300)).len(), 1, "though one is still in flight");
+    assert_eq!(test.started_after(ms(300)).len(), 1, "one older request is still in flight");
 }
 
 #[test]
-fn open_circuit_of_one_endpoint_is_tried_when_due_though_another_is_closed() {
+fn half_open_trial_is_sent_when_due_while_the_circuit_of_another_endpoint_is_closed() {
     let mut test = PolicyTest::with_endpoints(&[listed(1, 9, OWN_CIRCUIT), listed(2, 9, OWN_CIRCUIT)]);
     let (mut to_one, mut n) = (0, 0);
     while to_one < 3 {
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn circuit_that_was_not_used_for_ten_deadlines_is_forgotten() {
+fn circuit_unused_for_ten_deadlines_is_removed() {
     let endpoints: Vec<ListedEndpoint> = (0..500).map(|n| listed(n, u64::from(n), SHARED_CIRCUIT)).collect();
     let mut test = PolicyTest::with_large_capacity(&endpoints);
     for n in 0..500 {
@@ -129,7 +130,7 @@
     assert_eq!(test.started_after(ms(100_000)), ["kept"]);
     test.complete_attempt("kept", 0);
     test.run_after(ms(150_000));
-    assert_eq!(test.policy.state_size().circuits, 1, "that which was used since");
+    assert_eq!(test.policy.state_size().circuits, 1, "only the circuit that was used since then is kept");
     test.submit("again", IDEMPOTENT, 3);
     assert_eq!(test.started_after(ms(0)), ["again"]);
 }
--- a/tests/policy/discovery.rs
+++ b/tests/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: complete ones, changes, and failed polls.
+//! Complete endpoint lists, lists of changes, and failed polls.
 
 use reeddock::*;
 
@@ -18,11 +18,11 @@
     test.replace_endpoints(&[listed(2, 8, SHARED_CIRCUIT)]);
     test.submit("a", IDEMPOTENT, 9);
     assert!(test.started_after(ms(0)).is_empty());
-    assert_eq!(test.run_after(ms(20_000)), [fail("a")], "no usable endpoint until its deadline");
+    assert_eq!(test.run_after(ms(20_000)), [fail("a")], "no active endpoint until the deadline");
 }
 
 #[test]
-fn endpoint_that_returns_gets_what_was_queued_for_it() {
+fn endpoint_that_becomes_active_again_gets_its_queued_messages() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     test.update_endpoints(ONE_ENDPOINT, EndpointState::Removed);
     test.submit_many(40, 9);
@@ -32,14 +32,17 @@
 }
 
 #[test]
-fn endpoints_that_are_replaced_all_day_are_forgotten_but_not_at_once() {
+fn records_of_replaced_endpoints_are_removed_after_a_delay() {
     let mut test = PolicyTest::with_endpoints(&[listed(0, 9, OWN_CIRCUIT), listed(0, 8, SHARED_CIRCUIT)]);
     for n in 1..200 {
         let name = format!("e{n}");
         test.update_endpoints(&[listed(n - 1, 9, OWN_CIRCUIT)], EndpointState::Removed);
         let replacement = [listed(n, 9, OWN_CIRCUIT), listed(1000 + n, 100 + u64::from(n), SHARED_CIRCUIT)];
         test.apply_endpoint_list(n % 2 == 0, &replacement, EndpointState::Active);
-        assert!(test.policy.knows_destination(DestinationId(9)), "also between two of its endpoints");
+        assert!(
+            test.policy.knows_destination(DestinationId(9)),
+            "the destination is kept while its endpoint is replaced"
+        );
         test.submit(&name, IDEMPOTENT, 9);
         assert_eq!(test.started_after(ms(1000)), [name.as_str()]);
         test.complete_attempt(&name, 0);
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn complete_list_may_drop_ten_thousand_endpoints_at_once() {
+fn removal_of_ten_thousand_endpoints_is_spread_over_runs_of_due_work() {
     let endpoints: Vec<ListedEndpoint> =
         (0..10_000).map(|n| listed(n, u64::from(n), SHARED_CIRCUIT)).collect();
     let mut test = PolicyTest::with_large_capacity(&endpoints);
@@ -75,10 +78,10 @@
 }
 
 #[test]
-fn of_two_complete_lists_the_second_holds_and_an_aborted_one_removes_nothing() {
+fn second_complete_list_replaces_an_unfinished_one_and_aborted_list_removes_nothing() {
     let mut test =
         PolicyTest::with_large_capacity(&[listed(1, 9, SHARED_CIRCUIT), listed(2, 8, SHARED_CIRCUIT)]);
-    // The first is begun and never ends.
+    // The first list is begun and never finished.
     test.policy.begin_endpoint_list(true);
     test.update_endpoint(&listed(1, 9, SHARED_CIRCUIT).weight(None), EndpointState::Active);
     test.policy.begin_endpoint_list(true);
@@ -87,7 +90,7 @@
     test.submit("nine", IDEMPOTENT, 9);
     test.submit("eight", IDEMPOTENT, 8);
     assert_eq!(test.started_after(ms(0)), ["eight"]);
-    // One that is aborted removes nothing.
+    // An aborted list removes nothing.
     test.policy.begin_endpoint_list(true);
     test.policy.abort_endpoint_list();
     assert!(test.policy.finish_endpoint_list().is_empty());
@@ -108,8 +111,8 @@
             test.policy.discovery_failed(test.now);
         }
     }
-    assert!((5..=12).contains(&polled.len()), "{polled:?} tenths of a second");
-    assert!(polled[0] >= 4, "not at once");
+    assert!((5..=12).contains(&polled.len()), "polled after {polled:?} tenths of a second");
+    assert!(polled[0] >= 4, "the first poll is delayed");
     test.replace_endpoints(ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     assert_eq!(test.started_after(ms(0)), ["a"]);
--- a/tests/policy/endpoint_selection.rs
+++ b/tests/policy/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint of a destination gets a request.
+//! Selection of the endpoint for a request.
 
 use reeddock::*;
 
@@ -20,7 +20,10 @@
             test.finish_attempt(&attempt.message, 0, outcome);
         }
     }
-    assert!(lost <= 4 && served >= 10, "{lost} lost, {served} of the other class served there");
+    assert!(
+        lost <= 4 && served >= 10,
+        "{lost} attempts lost, {served} of the other class completed at endpoint 1"
+    );
 }
 
 #[test]
@@ -38,11 +41,11 @@
         to_small += u32::from(attempt.endpoint == EndpointId(2));
         test.complete_attempt(&name, 0);
     }
-    assert!((2..=30).contains(&to_small), "{to_small} of a hundred");
+    assert!((2..=30).contains(&to_small), "{to_small} of 100 at the endpoint with the lower rate");
 }
 
 #[test]
-fn endpoint_with_an_idle_connection_is_used_again() {
+fn endpoint_with_an_idle_connection_is_preferred() {
     let mut test = with_load_reports(&[
         listed(1, 9, SHARED_CIRCUIT),
         listed(2, 9, SHARED_CIRCUIT),
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn endpoint_in_the_zone_with_the_higher_fee_comes_second() {
+fn endpoint_in_the_zone_with_the_lower_fee_is_preferred() {
     let zone_fee = |zone: &str, fee| ZoneFee { zone: zone.to_owned(), fee };
     let zone_fees = vec![zone_fee("east", 0.01), zone_fee("west", 0.04)];
     let mut test = PolicyTest::without_endpoint_list(Settings { zone_fees, ..settings() });
@@ -73,11 +76,11 @@
         to_east += u32::from(attempt.endpoint == EndpointId(2));
         test.complete_attempt(&attempt.message, 0);
     }
-    assert!(to_east > 25, "{to_east} of 40: both drawn once in two");
+    assert!(to_east > 25, "{to_east} of 40: both endpoints are drawn together in one of two selections");
 }
 
 #[test]
-fn endpoint_that_is_twice_as_slow_comes_second() {
+fn endpoint_that_is_twice_as_slow_gets_fewer_requests() {
     let endpoints = [listed(1, 9, OWN_CIRCUIT), listed(2, 9, OWN_CIRCUIT), listed(3, 8, SHARED_CIRCUIT)];
     let mut test = PolicyTest::new(Settings { max_in_flight: Some(2), ..settings() }, &endpoints);
     let mut to_slow = 0;
@@ -89,5 +92,5 @@
         test.complete_attempt(&attempt.message, 0);
         to_slow += u32::from(n >= 20 && slow);
     }
-    assert!(to_slow < 75, "{to_slow} of 200: both drawn are it in a quarter");
+    assert!(to_slow < 75, "{to_slow} of 200: only the slow endpoint is drawn in a quarter of the selections");
 }
--- a/tests/policy/eviction.rs
+++ b/tests/policy/eviction.rs
@@ -1,4 +1,4 @@
-//! What is rejected where the capacity is used up.
+//! Rejection of messages when the capacity is used up.
 
 use reeddock::*;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn full_queue_gives_up_the_last_objective_of_the_longest_queue_and_of_late_messages_the_first() {
+fn full_queue_rejects_the_latest_objective_of_the_longest_queue_or_the_earliest_late_message() {
     let settings = Settings { capacity: Some(6), max_in_flight: Some(1), ..settings() };
     let endpoints = [listed(1, 9, SHARED_CIRCUIT), listed(2, 8, SHARED_CIRCUIT)];
     let mut test = PolicyTest::new(settings, &endpoints);
@@ -42,11 +42,11 @@
         test.submit(name, IDEMPOTENT, destination);
         test.advance(ms(10));
     }
-    assert!(test.run_after(ms(0)).is_empty(), "there is capacity for one more");
+    assert!(test.run_after(ms(0)).is_empty(), "capacity for one more message is left");
     test.submit("f", IDEMPOTENT, 8);
     let commands = test.run_after(ms(0));
-    assert_eq!(finished(&commands), ["f"], "of equally long queues the one with the later objective");
+    assert_eq!(finished(&commands), ["f"], "of equally long queues, the message with the latest objective");
     test.advance(ms(2_500));
     test.submit("g", IDEMPOTENT, 9);
-    assert_eq!(finished(&test.run_after(ms(0))), ["a"], "late by most");
+    assert_eq!(finished(&test.run_after(ms(0))), ["a"], "the message that is late by the longest time");
 }
--- a/tests/policy/fleet_pacing.rs
+++ b/tests/policy/fleet_pacing.rs
@@ -1,17 +1,17 @@
-//! How forwarders that share an endpoint with many others keep to their fair share of it.
+//! Pacing of forwarders that share an endpoint with many others.
 
 use reeddock::*;
 
 use crate::support::*;
 
-const OWN: &[ListedEndpoint] = &[listed(1, 9, OWN_CIRCUIT)];
+const OWN_CIRCUIT_ENDPOINT: &[ListedEndpoint] = &[listed(1, 9, OWN_CIRCUIT)];
 
-/// How many requests of a fleet return to an endpoint in each second, after each forwarder was rejected once at
-/// the same moment. The endpoint is listed with 6 requests a second.
+/// Returns how many requests a fleet sends to an endpoint in each second after each forwarder was rejected once
+/// at the same time. The endpoint is listed with 6 requests a second.
 fn started_after_common_rejection(outcome: AttemptOutcome) -> Vec<usize> {
-    let mut fleet = fleet(30, OWN);
+    let mut fleet = fleet(30, OWN_CIRCUIT_ENDPOINT);
     fleet.iter_mut().for_each(|member| member.submit("a", IDEMPOTENT, 9));
-    // Within a time slot of each.
+    // The span covers a time slot of each forwarder.
     let started: usize = (0..50)
         .flat_map(|_| fleet.iter_mut().map(|member| member.started_after(ms(80)).len()).collect::<Vec<_>>())
         .sum();
@@ -21,21 +21,24 @@
 }
 
 #[test]
-fn retries_of_a_fleet_after_a_common_rejection_or_retry_after_are_spread() {
+fn fleet_spreads_its_retries_after_a_common_rejection_or_retry_after() {
     for outcome in [
         AttemptOutcome::Rejected { retry_after: None },
         AttemptOutcome::Rejected { retry_after: Some(ms(1500)) },
     ] {
         let started = started_after_common_rejection(outcome);
         let most = started.windows(3).map(|span| span.iter().sum::<usize>()).max().unwrap();
-        assert!(most <= 18 + 4, "within 3 s {most} requests came to an endpoint that takes 18: {started:?}");
-        assert!(started.iter().sum::<usize>() >= 25, "most were retried while there was time: {started:?}");
+        assert!(most <= 18 + 4, "{most} requests within 3 s to an endpoint that accepts 18: {started:?}");
+        assert!(
+            started.iter().sum::<usize>() >= 25,
+            "most messages were retried before their deadline: {started:?}"
+        );
     }
 }
 
-/// The pacing interval, in seconds, after a rejection of one of so many messages that came together.
+/// Returns the pacing interval, in seconds, after a rejection of one of `messages` messages submitted together.
 fn pacing_interval_with_recent(messages: u64) -> f64 {
-    let mut test = small_share_of(OWN);
+    let mut test = fleet_member_of_60(OWN_CIRCUIT_ENDPOINT);
     test.submit("early", IDEMPOTENT, 9);
     assert!((0..100).any(|_| test.started_after(ms(100)).len() == 1));
     test.complete_attempt("early", 0);
@@ -48,15 +51,15 @@
 }
 
 #[test]
-fn forwarder_that_takes_over_the_traffic_of_others_has_their_share_of_an_endpoint() {
+fn fair_share_grows_with_traffic_taken_over_from_other_forwarders() {
     let (usual, busy) = (pacing_interval_with_recent(1), pacing_interval_with_recent(12));
-    assert!(usual >= 10.0 && busy < 2.0, "{usual} s and {busy} s between requests");
+    assert!(usual >= 10.0 && busy < 2.0, "pacing intervals of {usual} s and {busy} s");
 }
 
-/// How many requests a fleet of 60 sends in each second to an endpoint that is listed with 6 a second, after
-/// a message has come to all of them at once.
+/// Returns how many requests a fleet of 60 sends in each second to an endpoint that is listed with 6 requests a
+/// second, after each forwarder got a message at the same time.
 fn started_after_burst() -> Vec<usize> {
-    let mut fleet = fleet(60, OWN);
+    let mut fleet = fleet(60, OWN_CIRCUIT_ENDPOINT);
     for member in &mut fleet {
         member.advance(ms(30_000));
         member.submit("a", IDEMPOTENT, 9);
@@ -77,21 +80,26 @@
 }
 
 #[test]
-fn burst_to_a_whole_fleet_meets_the_listed_rate() {
+fn burst_to_a_whole_fleet_is_spread_to_the_listed_rate() {
     let started = started_after_burst();
-    // The time slots that are open, three in ten, are used at once; sixty would be ten seconds of the endpoint.
+    // About three in ten time slots are open at first and used at once. All 60 messages are ten seconds of the
+    // listed rate.
     let most = started[1..].iter().max().unwrap();
-    assert!(started[0] <= 18 + 12 && *most <= 12, "an endpoint that takes 6 a second: {started:?}");
+    assert!(
+        started[0] <= 18 + 12 && *most <= 12,
+        "requests to an endpoint that accepts 6 a second: {started:?}"
+    );
     assert_eq!(
         started[..10].iter().sum::<usize>(),
         60,
-        "nor does one wait longer than a time slot: {started:?}"
+        "no message waits longer than a time slot: {started:?}"
     );
 }
 
-/// How many of so many messages, evenly spread over a minute, a fleet's member starts in that minute.
+/// Returns how many of `messages` messages, spread evenly over a minute, one forwarder of a fleet starts in
+/// that minute.
 fn started_in_a_minute(messages: u64) -> usize {
-    let mut test = small_share_of(OWN);
+    let mut test = fleet_member_of_60(OWN_CIRCUIT_ENDPOINT);
     let mut started = 0;
     for n in 0..600 {
         test.advance(ms(50));
@@ -107,25 +115,28 @@
 }
 
 #[test]
-fn forwarder_with_several_times_the_mean_traffic_has_as_many_time_slots() {
+fn forwarder_with_several_times_the_mean_traffic_has_several_times_the_time_slots() {
     let (usual, busy) = (started_in_a_minute(3), started_in_a_minute(30));
-    assert!((2..=4).contains(&usual) && busy >= 20, "{usual} of 3 and {busy} of 30 in a minute");
+    assert!(
+        (2..=4).contains(&usual) && busy >= 20,
+        "{usual} of 3 and {busy} of 30 messages started in a minute"
+    );
 }
 
 #[test]
-fn fleet_delivers_also_where_the_listed_rate_is_nonsense() {
+fn message_is_sent_although_the_listed_rate_is_invalid() {
     for weight in [f64::MAX, 1e300, 1e-300, f64::MIN_POSITIVE, 0.0, -4.0, f64::NAN, f64::INFINITY] {
-        let mut test = small_share_of(&[]);
+        let mut test = fleet_member_of_60(&[]);
         test.replace_endpoints(&[listed(1, 9, OWN_CIRCUIT).weight(Some(weight))]);
         test.submit("a", IDEMPOTENT, 9);
         let started = (0..199).find_map(|_| test.started_after(ms(100)).pop());
-        assert_eq!(started.as_deref(), Some("a"), "listed with {weight}");
+        assert_eq!(started.as_deref(), Some("a"), "listed with weight {weight}");
     }
 }
 
 #[test]
-fn forwarder_sends_one_request_an_interval_after_a_rejection_also_while_one_is_in_flight() {
-    let mut test = small_share_of(OWN);
+fn forwarder_sends_one_request_per_interval_after_a_rejection_while_one_is_in_flight() {
+    let mut test = fleet_member_of_60(OWN_CIRCUIT_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     test.run_after(ms(0));
     test.reject_attempt("a", 0, None);
@@ -139,8 +150,8 @@
 }
 
 #[test]
-fn forwarder_does_not_wait_to_fill_batches_where_no_rate_applies() {
-    let mut test = small_share_of(&[listed(1, 9, BATCH_OF_4)]);
+fn message_does_not_wait_for_a_full_batch_if_no_rate_applies() {
+    let mut test = fleet_member_of_60(&[listed(1, 9, BATCH_OF_4)]);
     for n in 0..4 {
         let name = format!("e{n}");
         test.submit(&name, IDEMPOTENT, 9);
@@ -150,26 +161,26 @@
 }
 
 #[test]
-fn pacing_interval_is_at_most_half_the_time_that_a_message_has() {
-    let mut test = fleet_member(600, 0, OWN);
+fn pacing_interval_is_at_most_half_the_deadline_of_a_message() {
+    let mut test = fleet_member(600, 0, OWN_CIRCUIT_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     test.run_after(ms(0));
     test.reject_attempt("a", 0, None);
     assert!(
         (0..150).any(|_| !test.started_after(ms(100)).is_empty()),
-        "its fair share is a request in 100 s"
+        "the fair share is one request in 100 s"
     );
 }
 
 #[test]
-fn forwarder_fills_its_batches_where_a_rate_applies() {
-    let mut test = small_share_of(&[listed(1, 9, OWN_CIRCUIT_BATCH_OF_10)]);
+fn waiting_messages_are_sent_as_a_batch_if_a_rate_applies() {
+    let mut test = fleet_member_of_60(&[listed(1, 9, OWN_CIRCUIT_BATCH_OF_10)]);
     test.submit("first", IDEMPOTENT, 9);
     assert_eq!(test.started_after(ms(0)), ["first"]);
     test.complete_attempt("first", 0);
     for n in 0..4 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
-        assert!(test.started_after(ms(500)).is_empty(), "it has had its share of the requests");
+        assert!(test.started_after(ms(500)).is_empty(), "the share of requests is used up");
     }
     assert_eq!(test.started_after(ms(13_100)).len(), 4);
 }
--- a/tests/policy/load_reports.rs
+++ b/tests/policy/load_reports.rs
@@ -1,4 +1,4 @@
-//! Deployments whose answers report what is left of a limit.
+//! Pacing where responses report what is left of a limit.
 
 use reeddock::*;
 
@@ -13,7 +13,8 @@
     assert_eq!(test.started_after(ms(0)).len(), 4);
 }
 
-/// The pacing interval of a circuit, in seconds, after two rejections, perhaps with an answer between them.
+/// Returns the pacing interval of a circuit, in seconds, after two rejections, with a completion between them
+/// if `answered` is set.
 fn pacing_interval_after_two_rejections(left: f64, limit: f64, answered: bool) -> f64 {
     let mut test = with_load_reports(ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
@@ -27,7 +28,7 @@
         test.complete_attempt("b", 0);
     }
     let again = (0..40).any(|_| !test.started_after(ms(50)).is_empty());
-    assert!(again, "after a first rejection it goes again within the latency objective");
+    assert!(again, "the first retry is within the latency objective");
     test.report_load(1, left, limit);
     test.reject_attempt("a", 1, None);
     test.longest_pacing_interval()
@@ -41,18 +42,18 @@
 #[test]
 fn rejection_without_a_limit_is_retried_late() {
     let interval = pacing_interval_after_two_rejections(0.0, 0.0, true);
-    assert!(interval > 2.5, "it may be down and return without load");
+    assert!(interval > 2.5, "the destination may be down");
 }
 
 #[test]
-fn rejections_without_an_answer_between_are_retried_late_whatever_is_left_of_the_limit() {
+fn rejections_without_a_completion_between_them_are_retried_late_at_any_limit_left() {
     for (left, limit) in [(0.1, 6.0), (0.9, 6.0), (0.0, 0.0)] {
         assert!(pacing_interval_after_two_rejections(left, limit, false) > 3.0, "{left} of {limit}");
     }
 }
 
 #[test]
-fn answer_with_capacity_under_the_limit_ends_the_pacing() {
+fn response_that_reports_free_capacity_ends_the_pacing() {
     for (left, ends_pacing) in [(1.0, true), (0.0, false)] {
         let mut test = with_load_reports(ONE_ENDPOINT);
         test.submit("a", IDEMPOTENT, 9);
@@ -65,17 +66,18 @@
         test.complete_attempt("b", 0);
         assert!(
             ends_pacing || test.longest_pacing_interval() > 0.9 * before,
-            "rejected requests may use the limit up too"
+            "rejected requests may count against the limit"
         );
         test.run_after(ms(2000));
         for n in 0..3 {
             test.submit(&format!("e{n}"), IDEMPOTENT, 9);
         }
-        assert_eq!(test.started_after(ms(0)).len() > 1, ends_pacing, "{left} was left");
+        assert_eq!(test.started_after(ms(0)).len() > 1, ends_pacing, "share of the limit left: {left}");
     }
 }
 
-/// The pacing interval, in seconds, of one of four forwarders after three rejections at a used-up limit.
+/// Returns the pacing interval, in seconds, of one of four forwarders after three rejections at a used-up
+/// limit.
 fn pacing_interval_at_limit(limit: f64) -> f64 {
     let settings = Settings {
         forwarders: Some(4),
@@ -88,7 +90,7 @@
     test.submit("a", IDEMPOTENT, 9);
     for attempt in 0..3 {
         let again = (0..200).any(|_| !test.started_after(ms(50)).is_empty());
-        assert!(again, "within ten seconds");
+        assert!(again, "a retry within ten seconds");
         test.report_load(1, 0.0, limit);
         test.reject_attempt("a", attempt, None);
     }
@@ -98,5 +100,5 @@
 #[test]
 fn report_of_a_lower_limit_widens_the_pacing_interval() {
     let (low, high) = (pacing_interval_at_limit(0.5), pacing_interval_at_limit(6.0));
-    assert!(low > 1.5 * high, "{low} and {high}");
+    assert!(low > 1.5 * high, "intervals {low} s and {high} s");
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,6 +1,6 @@
-//! The delivery policy on a recording host: one module for each subject, one behaviour for each test.
+//! Tests of the delivery policy on a recording host: one module for each subject, one behaviour for each test.
 //!
-//! In debug builds the policy compares each of its indices with a full walk as it goes.
+//! In debug builds the policy checks each of its indices against a full scan.
 
 mod support;
 
--- a/tests/policy/ordering.rs
+++ b/tests/policy/ordering.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn messages_of_an_ordering_key_go_one_at_a_time_and_hold_off_after_a_possible_execution() {
+fn messages_of_an_ordering_key_are_sent_one_at_a_time_and_held_off_after_a_possible_execution() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     for name in ["a", "b"] {
         test.submit_ordered(name, 9, OrderingKey(5));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_thousand_messages_behind_the_first_of_their_ordering_key_follow_in_order() {
+fn messages_blocked_by_their_ordering_key_are_sent_in_order() {
     let mut test = PolicyTest::with_large_capacity(ONE_ENDPOINT);
     for n in 0..1000 {
         test.submit_ordered(&format!("e{n:04}"), 9, OrderingKey(7));
@@ -27,11 +27,11 @@
     let mut started = test.started_after(ms(0));
     started.sort();
     assert_eq!(started, ["e0000", "free"]);
-    // The first one ends with an answer, the second is withdrawn while it is blocked, the third goes.
+    // The first message is completed, the second is withdrawn while it is blocked, and the third is sent.
     test.withdraw("e0001");
     test.complete_attempt("e0000", 0);
     assert_eq!(test.started_after(ms(10)), ["e0002"]);
-    // After a possible execution the key holds off; the same message may go again.
+    // After a possible execution the ordering key holds off other messages; the same message may be retried.
     test.finish_attempt("e0002", 0, AttemptOutcome::TimedOut);
     assert_eq!(test.policy.message_progress(&id("e0002")).unwrap().attempts, 1);
     let next = test.started_after(ms(1500));
--- a/tests/policy/restore.rs
+++ b/tests/policy/restore.rs
@@ -1,10 +1,10 @@
-//! Messages from before a restart.
+//! Messages that were accepted before a restart.
 
 use reeddock::*;
 
 use crate::support::*;
 
-/// The commands after a message with one earlier attempt is restored.
+/// Returns the commands after a message with one earlier attempt is restored.
 fn restored_after_attempt(class: &str, proves_not_executed: bool, milliseconds_ago: u64) -> Vec<HostCommand> {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     test.now = ms(20_000);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn attempt_from_before_a_restart_was_possibly_executed() {
+fn attempt_before_a_restart_counts_as_possibly_executed() {
     assert_eq!(restored_after_attempt(NON_IDEMPOTENT, false, 100), [fail("a")]);
     assert!(starts_one_attempt(restored_after_attempt(NON_IDEMPOTENT, true, 100)));
     assert!(starts_one_attempt(restored_after_attempt(IDEMPOTENT, false, 100)));
@@ -30,11 +30,11 @@
 fn message_with_an_idempotency_key_is_retried_after_a_restart_while_the_key_is_valid() {
     assert!(starts_one_attempt(restored_after_attempt(WITH_KEY, false, 100)));
     let expired = restored_after_attempt(WITH_KEY, false, 5000);
-    assert_eq!(expired, [fail("a")], "its idempotency key has expired");
+    assert_eq!(expired, [fail("a")], "the idempotency key has expired");
 }
 
 #[test]
-fn restored_message_goes_before_new_ones() {
+fn restored_message_is_sent_before_new_ones() {
     let mut test = PolicyTest::new(Settings { max_in_flight: Some(1), ..settings() }, ONE_ENDPOINT);
     test.now = ms(60_000);
     test.submit("new", IDEMPOTENT, 9);
@@ -44,15 +44,15 @@
 }
 
 #[test]
-fn restored_message_is_tried_while_it_has_time() {
+fn restored_message_is_sent_in_about_the_first_half_of_its_remaining_time() {
     for seed in 0..20 {
-        // Its fair share of the endpoint is a request in 50 s.
+        // The forwarder's fair share of the endpoint is one request in 50 s.
         let mut test = fleet_member(300, seed, ONE_ENDPOINT);
         test.now = ms(60_000);
         test.submit_with_deadline("restored", NON_IDEMPOTENT, 9, test.now + ms(8000));
         test.restore("restored", &[]);
         let started = (0..41).any(|_| test.started_after(ms(100)) == ["restored"]);
-        assert!(started, "seed {seed}: not in the nearer half of its time");
+        assert!(started, "seed {seed}: not started in about half of the remaining time");
     }
 }
 
@@ -69,5 +69,5 @@
         |span| fleet.iter_mut().map(|member| member.started_after(span).len()).sum::<usize>();
     let first = started_in(ms(1000));
     let rest = (0..10).map(|_| started_in(ms(1000))).sum::<usize>();
-    assert!(first <= 12 && rest >= 30, "{first} of 180 in the first second, {rest} in ten more");
+    assert!(first <= 12 && rest >= 30, "{first} of 180 messages in the first second, {rest} in the next ten");
 }
--- a/tests/policy/retry_after.rs
+++ b/tests/policy/retry_after.rs
@@ -1,11 +1,11 @@
-//! Waits that an endpoint asks for, and waits that are guessed from those.
+//! Retry-After of endpoints, and its estimate where a rejection has none.
 
 use reeddock::*;
 
 use crate::support::*;
 
 #[test]
-fn retry_after_is_kept_to() {
+fn no_request_is_sent_before_the_retry_after_ends() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     test.run_after(ms(0));
@@ -31,14 +31,14 @@
     assert_eq!(test.started_after(ms(0)).len(), 8);
     test.policy.retry_after_received(test.now, EndpointId(1), ms(30_000));
     let commands = test.run_after(ms(0));
-    assert_eq!(finished(&commands).len(), 12, "their deadline of 20 s ends before the wait does");
-    // One that is submitted during the wait fares alike.
+    assert_eq!(finished(&commands).len(), 12, "the deadline of 20 s ends before the wait");
+    // A message submitted during the wait is finished as well.
     test.submit("late", IDEMPOTENT, 9);
     assert_eq!(finished(&test.run_after(ms(0))), ["late"]);
 }
 
 #[test]
-fn retry_after_of_the_first_message_of_a_request_holds_though_its_last_has_none() {
+fn retry_after_of_the_first_message_of_a_request_applies_if_its_last_has_none() {
     let mut test = PolicyTest::with_endpoints(&[listed(1, 9, BATCH_OF_4)]);
     for name in ["a", "b"] {
         test.submit(name, IDEMPOTENT, 9);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn rejection_without_retry_after_is_taken_to_have_the_last_one() {
+fn rejection_without_retry_after_uses_the_last_retry_after() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     test.run_after(ms(0));
@@ -73,7 +73,7 @@
     }
     assert!(
         test.started_after(ms(1990)).is_empty(),
-        "nor does the circuit's record expire before the wait has ended"
+        "the record of the circuit does not expire before the wait ends"
     );
     let trial = test.started_after(ms(10));
     assert_eq!(trial.len(), 1);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn retry_after_of_an_endpoint_with_its_own_circuit_leaves_the_other_open() {
+fn retry_after_of_an_endpoint_with_its_own_circuit_does_not_block_another_endpoint() {
     let mut test = PolicyTest::with_endpoints(&[listed(1, 9, OWN_CIRCUIT), listed(2, 9, OWN_CIRCUIT)]);
     test.submit("a", IDEMPOTENT, 9);
     let first = test.last_started_after(ms(0)).expect("an attempt");
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Unusual lists, clocks, identifiers and settings.
+//! Unusual endpoint lists, clocks, identifiers and settings.
 
 use reeddock::*;
 
@@ -14,13 +14,13 @@
     assert_eq!(test.started_after(ms(0)), ["a"]);
     test.update_endpoints(&[listed(1, 8, SHARED_CIRCUIT)], EndpointState::Active);
     test.finish_attempt("a", 0, AttemptOutcome::NoConnection);
-    assert!(test.started_after(ms(5000)).is_empty(), "its endpoint has gone to another destination");
+    assert!(test.started_after(ms(5000)).is_empty(), "the endpoint belongs to another destination now");
     test.update_endpoints(&[listed(1, 9, SHARED_CIRCUIT)], EndpointState::Active);
-    assert_eq!(test.started_after(ms(1000)), ["a"], "and has come back");
+    assert_eq!(test.started_after(ms(1000)), ["a"], "the endpoint belongs to the destination again");
     test.withdraw("never seen");
     test.complete_attempt("never seen", 3);
     let commands = test.run_after(ms(100_000_000));
-    assert_eq!(commands, [fail("nowhere")], "the clock jumped over its deadline");
+    assert_eq!(commands, [fail("nowhere")], "the clock jumped past the deadline");
     test.finish_attempt("a", 1, AttemptOutcome::TimedOut);
     assert_eq!(test.run_after(ms(0)), [fail("a")]);
     for n in 0..5000 {
@@ -29,11 +29,11 @@
     let commands = test.run_after(ms(0));
     let rejected = commands.iter().filter(|command| matches!(command, HostCommand::Reject { .. })).count();
     let kept = test.policy.state_size().messages;
-    assert_eq!(5000 - rejected, kept, "each is queued, sent or rejected");
+    assert_eq!(5000 - rejected, kept, "each message is queued, sent or rejected");
 }
 
 #[test]
-fn without_requests_in_flight_allowed_nothing_is_sent() {
+fn nothing_is_sent_if_no_request_may_be_in_flight() {
     for max_in_flight in [Some(0), None] {
         let mut test = PolicyTest::new(Settings { max_in_flight, ..settings() }, ONE_ENDPOINT);
         test.submit("a", IDEMPOTENT, 9);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn absurd_settings_do_not_stop_a_forwarder() {
+fn out_of_range_settings_do_not_stop_a_forwarder() {
     let zero = Some(ms(0));
     let absurd = Settings {
         classes: vec![MessageClass {
@@ -63,6 +63,6 @@
     let mut test = PolicyTest::new(absurd, ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     let commands = test.run_after(ms(100));
-    assert!(commands.is_empty(), "no request may be in flight: it is queued, {commands:?}");
+    assert!(commands.is_empty(), "no request may be in flight, so the message stays queued: {commands:?}");
     assert_eq!(test.run_after(ms(30_000)), [fail("a")]);
 }
--- a/tests/policy/scheduling.rs
+++ b/tests/policy/scheduling.rs
@@ -1,11 +1,11 @@
-//! Which destination and which message gets the next request.
+//! Selection of the destination and the message for the next request.
 
 use crate::support::*;
 
 const TWO_DESTINATIONS: &[ListedEndpoint] = &[listed(1, 9, SHARED_CIRCUIT), listed(2, 8, SHARED_CIRCUIT)];
 
 #[test]
-fn messages_for_one_endpoint_travel_as_a_batch() {
+fn messages_for_one_endpoint_are_sent_as_a_batch() {
     let mut test = PolicyTest::with_endpoints(&[listed(1, 9, BATCH_OF_4)]);
     for n in 0..40 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn silent_destination_does_not_take_all_requests_in_flight() {
+fn unresponsive_destination_does_not_use_up_the_limit_of_requests_in_flight() {
     let mut test = PolicyTest::with_endpoints(TWO_DESTINATIONS);
     for n in 0..30 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn where_requests_are_short_a_long_queue_gets_more_of_them_than_a_short_one() {
+fn long_queue_gets_more_requests_than_a_short_one_at_the_limit_of_requests_in_flight() {
     let mut test = PolicyTest::with_endpoints(TWO_DESTINATIONS);
     for n in 0..30 {
         test.submit(&format!("long{n}"), IDEMPOTENT, 9);
     }
     for n in 0..8 {
-        // One request to the other comes and ends while the long queue waits.
+        // One short request is sent and completed while the long queue waits.
         test.submit(&format!("short{n}"), IDEMPOTENT, 8);
         test.run_after(ms(100));
         test.complete_attempt(&format!("short{n}"), 0);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn straggler_that_may_run_again_is_cancelled_for_a_destination_that_answers() {
+fn repeatable_straggler_is_cancelled_for_a_destination_that_responds() {
     let mut test = PolicyTest::with_endpoints(&[
         listed(1, 9, OWN_CIRCUIT),
         listed(2, 9, OWN_CIRCUIT),
@@ -58,7 +58,7 @@
         test.submit(&format!("silent{n}"), class, 9);
     }
     test.submit("quick", IDEMPOTENT, 8);
-    assert_eq!(test.started_after(ms(0)).len(), 8, "as many as may be in flight");
+    assert_eq!(test.started_after(ms(0)).len(), 8, "the limit of requests in flight");
     test.run_after(ms(200));
     test.complete_attempt("quick", 0);
     for n in 0..4 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn at_a_destination_at_its_limit_a_class_of_low_priority_is_sent_now_and_then() {
+fn low_priority_class_is_not_starved_at_a_destination_at_its_limit() {
     let mut settings = settings();
     settings.max_in_flight = Some(1);
     settings.capacity = Some(500);
@@ -89,13 +89,13 @@
         low += usize::from(started[0].starts_with("low"));
         test.complete_attempt(&started[0], 0);
     }
-    assert!((8..40).contains(&low), "a tenth of the requests, by 1 against 3 x 3: {low} of 200");
+    assert!((8..40).contains(&low), "{low} of 200 requests; squared weights of 1 and 3 give a tenth");
 }
 
 #[test]
-fn message_submitted_with_little_time_is_not_late_and_is_tried_at_once() {
+fn message_submitted_shortly_before_its_deadline_is_not_late_and_is_sent_at_once() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
-    // Requests here take half a second.
+    // Requests to this destination take 0.5 s.
     test.submit("first", IDEMPOTENT, 9);
     test.run_after(ms(0));
     test.advance(ms(500));
@@ -103,6 +103,6 @@
     let deadline = test.now + ms(300);
     test.submit_with_deadline("short", IDEMPOTENT, 9, deadline);
     let progress = test.policy.message_progress(&id("short")).unwrap();
-    assert_eq!(progress.objective_at, deadline, "wanted until then");
-    assert_eq!(test.started_after(ms(0)), ["short"], "some answers come in less than the mean");
+    assert_eq!(progress.objective_at, deadline, "the objective ends at the deadline");
+    assert_eq!(test.started_after(ms(0)), ["short"], "some responses take less than the mean");
 }
--- a/tests/policy/shutdown.rs
+++ b/tests/policy/shutdown.rs
@@ -1,9 +1,9 @@
-//! What is still sent before a planned stop.
+//! Attempts that start before a planned shutdown.
 
 use crate::support::*;
 
 #[test]
-fn before_a_shutdown_no_non_idempotent_attempt_starts_that_would_outlast_it() {
+fn non_idempotent_attempt_that_would_outlast_a_shutdown_is_not_started() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     test.submit("first", IDEMPOTENT, 9);
     test.run_after(ms(0));
@@ -16,5 +16,5 @@
     test.submit("non-idempotent", NON_IDEMPOTENT, 9);
     test.submit("idempotent", IDEMPOTENT, 9);
     let started = test.started_after(ms(0));
-    assert_eq!(started, ["idempotent"], "the other is kept for the next start");
+    assert_eq!(started, ["idempotent"], "the non-idempotent message is kept for the next start");
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,10 +1,10 @@
-//! When an endpoint is taken to be warming up.
+//! Conditions for slow start of an endpoint.
 
 use reeddock::*;
 
 use crate::support::*;
 
-/// How many of eight messages are started at once after so many broken connections in a row.
+/// Returns how many of eight messages are started at once after `resets` consecutive connection resets.
 fn started_after_resets(resets: u32) -> usize {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     for n in 0..20 {
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn one_connection_reset_between_answers_starts_no_slow_start() {
+fn single_connection_reset_between_completions_starts_no_slow_start() {
     assert_eq!(started_after_resets(1), 8);
 }
 
 #[test]
-fn second_connection_reset_without_an_answer_starts_slow_start() {
-    assert!(started_after_resets(2) < 8, "it may be an outage");
+fn second_connection_reset_without_a_completion_starts_slow_start() {
+    assert!(started_after_resets(2) < 8, "two resets may indicate an outage");
 }
--- a/tests/policy/support/host.rs
+++ b/tests/policy/support/host.rs
@@ -5,7 +5,7 @@
 
 use reeddock::*;
 
-/// A command of the policy; messages by their names.
+/// A command of the policy, with messages given by name.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostCommand {
     StartAttempt(StartedAttempt),
@@ -15,14 +15,14 @@
     Subscribe,
 }
 
-/// An attempt that the policy has the host start.
+/// An attempt that the policy starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartedAttempt {
     pub message: String,
     pub endpoint: EndpointId,
 }
 
-/// The command that answers a message with a failure.
+/// The command that gives a message a failure as its final answer.
 pub fn fail(message: &str) -> HostCommand {
     HostCommand::Fail { message: message.to_owned() }
 }
@@ -32,7 +32,7 @@
     HostCommand::Reject { message: message.to_owned(), retry_after }
 }
 
-/// The messages that these commands give a final answer without delivery.
+/// Returns the messages to which these commands give a final answer without delivery.
 pub fn finished(commands: &[HostCommand]) -> Vec<&str> {
     let message = |command| match command {
         &HostCommand::Reject { ref message, .. } | &HostCommand::Fail { ref message } => {
@@ -43,16 +43,16 @@
     commands.iter().filter_map(message).collect()
 }
 
-/// Records what the policy commands and does none of it.
+/// Records the commands of the policy and carries out none.
 #[derive(Default)]
 pub struct RecordingHost {
-    /// Since a test last took them.
+    /// Commands since a test last took them.
     pub commands: Vec<HostCommand>,
-    /// All events that were reported.
+    /// All reported events.
     pub events: Vec<PolicyEvent>,
-    /// The spans of all timers that were set.
+    /// The durations of all timers that were set.
     pub timers: Vec<Duration>,
-    /// Those of the last attempt of each message.
+    /// Timeouts of the last attempt of each message.
     pub timeouts: BTreeMap<String, AttemptTimeouts>,
 }
 
--- a/tests/policy/support/mod.rs
+++ b/tests/policy/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the policy share: a host that records commands, settings, and a policy with a clock.
+//! Shared parts of the policy tests: a host that records commands, settings, and a policy with a clock.
 
 mod fleet;
 mod host;
@@ -10,17 +10,17 @@
 
 use reeddock::MessageId;
 
-pub use fleet::{fleet, fleet_member, small_share_of};
+pub use fleet::{fleet, fleet_member, fleet_member_of_60};
 pub use host::{fail, finished, reject, HostCommand, RecordingHost, StartedAttempt};
 pub use policy_test::{listed, ListedEndpoint, PolicyTest, ONE_ENDPOINT};
 pub use settings::*;
 
-/// The message of this name.
+/// Returns the message id for a name.
 pub fn id(name: &str) -> MessageId {
     MessageId(Arc::from(name))
 }
 
-/// So many milliseconds.
+/// Returns a duration of `milliseconds`.
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
--- a/tests/policy/support/policy_test.rs
+++ b/tests/policy/support/policy_test.rs
@@ -1,4 +1,4 @@
-//! A policy on a recording host, with a clock that the test moves.
+//! A policy on a recording host, with a clock that the test advances.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     id, ms, settings, HostCommand, RecordingHost, StartedAttempt, IDEMPOTENT, ORDERED, SHARED_CIRCUIT,
 };
 
-/// An endpoint as the endpoint list has it.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy)]
 pub struct ListedEndpoint {
     endpoint: u32,
@@ -18,7 +18,7 @@
     zone: &'static str,
 }
 
-/// An endpoint of a destination, listed in the zone `z` with the weight 6.
+/// Returns an endpoint in zone `z` with weight 6.
 pub const fn listed(endpoint: u32, destination: u64, kind: &'static str) -> ListedEndpoint {
     ListedEndpoint { endpoint, destination, kind, weight: Some(6.0), zone: "z" }
 }
@@ -33,48 +33,48 @@
     }
 }
 
-/// A list of one endpoint: number 1, of destination 9.
+/// An endpoint list with one entry: endpoint 1 of destination 9.
 pub const ONE_ENDPOINT: &[ListedEndpoint] = &[listed(1, 9, SHARED_CIRCUIT)];
 
-/// A policy, its host, and the time of both.
+/// A policy with its host and the current time of both.
 pub struct PolicyTest {
     pub policy: DeliveryPolicy,
     pub host: RecordingHost,
-    /// Since the start of the policy.
+    /// Time since the start of the policy.
     pub now: Duration,
 }
 
 impl PolicyTest {
-    /// A policy that has had no endpoint list yet.
+    /// Creates a policy that has received no endpoint list.
     pub fn without_endpoint_list(settings: Settings) -> PolicyTest {
         let mut host = RecordingHost::default();
         let policy = DeliveryPolicy::new(ms(0), settings, &mut host);
         PolicyTest { policy, host, now: ms(1000) }
     }
 
-    /// A policy that has had a complete list of these endpoints.
+    /// Creates a policy that has received a complete list of these endpoints.
     pub fn new(settings: Settings, endpoints: &[ListedEndpoint]) -> PolicyTest {
         let mut test = PolicyTest::without_endpoint_list(settings);
         test.replace_endpoints(endpoints);
         test
     }
 
-    /// The same with the usual [`settings`].
+    /// Creates a policy with the default test [`settings`] and a complete list of these endpoints.
     pub fn with_endpoints(endpoints: &[ListedEndpoint]) -> PolicyTest {
         PolicyTest::new(settings(), endpoints)
     }
 
-    /// The same with capacity for a hundred thousand messages.
+    /// Creates a policy with capacity for 100,000 messages and a complete list of these endpoints.
     pub fn with_large_capacity(endpoints: &[ListedEndpoint]) -> PolicyTest {
         PolicyTest::new(Settings { capacity: Some(100_000), ..settings() }, endpoints)
     }
 
-    /// A complete endpoint list, of active endpoints.
+    /// Applies a complete endpoint list of active endpoints.
     pub fn replace_endpoints(&mut self, endpoints: &[ListedEndpoint]) {
         self.apply_endpoint_list(true, endpoints, EndpointState::Active);
     }
 
-    /// A list of changes: these endpoints are in this state now.
+    /// Applies a list of changes that gives these endpoints this state.
     pub fn update_endpoints(&mut self, endpoints: &[ListedEndpoint], state: EndpointState) {
         self.apply_endpoint_list(false, endpoints, state);
     }
@@ -92,7 +92,7 @@
         self.policy.finish_endpoint_list();
     }
 
-    /// One line of an endpoint list that the test begins and finishes.
+    /// Applies one entry of an endpoint list that the test begins and finishes.
     pub fn update_endpoint(&mut self, listed: &ListedEndpoint, state: EndpointState) {
         self.policy.update_endpoint(EndpointUpdate {
             endpoint: EndpointId(listed.endpoint),
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Submits a message that is due in 20 s.
+    /// Submits a message with a deadline in 20 s.
     pub fn submit(&mut self, name: &str, class: &str, destination: u64) {
         self.submit_with_deadline(name, class, destination, self.now + ms(20_000));
     }
@@ -118,7 +118,7 @@
         self.submit_message(name, ORDERED, destination, self.now + ms(20_000), Some(key));
     }
 
-    /// Submits so many idempotent messages, named `e0000` and on.
+    /// Submits `count` idempotent messages, named `e0000`, `e0001` and so on.
     pub fn submit_many(&mut self, count: usize, destination: u64) {
         for n in 0..count {
             self.submit(&format!("e{n:04}"), IDEMPOTENT, destination);
@@ -138,7 +138,7 @@
         self.policy.submit(self.now, message, &mut self.host);
     }
 
-    /// Says that a submitted message is from before this start, and what attempts it had.
+    /// Restores a submitted message with its attempts before the restart.
     pub fn restore(&mut self, name: &str, attempts: &[PreviousAttempt]) {
         self.policy.restore(self.now, &id(name), attempts, &mut self.host);
     }
@@ -147,7 +147,7 @@
         self.policy.withdraw(&id(name), &mut self.host);
     }
 
-    /// An attempt ends; one that is completed finishes its message.
+    /// Finishes an attempt. A completed attempt finishes its message.
     pub fn finish_attempt(&mut self, name: &str, attempt: u32, outcome: AttemptOutcome) {
         let finished = outcome == AttemptOutcome::Completed;
         let attempt = AttemptNumber(attempt);
@@ -164,7 +164,7 @@
         self.finish_attempt(name, attempt, AttemptOutcome::Rejected { retry_after });
     }
 
-    /// An attempt at an endpoint is completed, and its answer asks that none follows for a time.
+    /// Completes an attempt at an endpoint with a Retry-After in its response.
     pub fn complete_with_retry_after(&mut self, endpoint: u32, destination: u64, retry_after: Duration) {
         let name = format!("answered {endpoint}");
         self.submit(&name, IDEMPOTENT, destination);
@@ -173,17 +173,17 @@
         self.complete_attempt(&name, 0);
     }
 
-    /// An answer of an endpoint reports what is left of its limit.
+    /// Reports what is left of an endpoint's limit, as its response would.
     pub fn report_load(&mut self, endpoint: u32, left: f64, limit: f64) {
         self.policy.load_reported(EndpointId(endpoint), LoadReport { left, limit });
     }
 
-    /// Lets time pass and nothing else happen.
+    /// Advances the clock without running due work.
     pub fn advance(&mut self, span: Duration) {
         self.now += span;
     }
 
-    /// Lets time pass, runs due work, and returns all commands since the last time.
+    /// Advances the clock, runs due work, and returns all commands since the last call.
     pub fn run_after(&mut self, span: Duration) -> Vec<HostCommand> {
         self.advance(span);
         self.policy.timer_fired(self.now);
@@ -191,7 +191,7 @@
         std::mem::take(&mut self.host.commands)
     }
 
-    /// The same; returns the messages of which attempts were started.
+    /// Advances the clock, runs due work, and returns the messages of started attempts.
     pub fn started_after(&mut self, span: Duration) -> Vec<String> {
         let message = |command| match command {
             HostCommand::StartAttempt(attempt) => Some(attempt.message),
@@ -200,7 +200,7 @@
         self.run_after(span).into_iter().filter_map(message).collect()
     }
 
-    /// The same; returns the last command if it started an attempt.
+    /// Advances the clock, runs due work, and returns the last command if it started an attempt.
     pub fn last_started_after(&mut self, span: Duration) -> Option<StartedAttempt> {
         match self.run_after(span).pop()? {
             HostCommand::StartAttempt(attempt) => Some(attempt),
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The longest time between two requests that is now kept to at any circuit, in seconds.
+    /// Returns the longest current pacing interval of all circuits, in seconds.
     pub fn longest_pacing_interval(&self) -> f64 {
         self.policy.pacing_intervals().fold(0.0, f64::max)
     }
--- a/tests/policy/support/settings.rs
+++ b/tests/policy/support/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that most tests start from.
+//! Default settings of the tests, with their message classes and endpoint kinds.
 
 use reeddock::*;
 
@@ -24,7 +24,8 @@
 /// Like [`OWN_CIRCUIT`], with up to 10 messages in a request.
 pub const OWN_CIRCUIT_BATCH_OF_10: &str = "own-circuit-batch-of-10";
 
-/// One forwarder with eight requests in flight; messages have a latency objective of 2 s and a deadline of 20 s.
+/// Settings of one forwarder with at most eight requests in flight. Messages have a latency objective of 2 s
+/// and a deadline of 20 s.
 pub fn settings() -> Settings {
     Settings {
         seed: 7,
@@ -66,8 +67,8 @@
     EndpointKind { name: name.into(), circuit_per_endpoint, max_batch: Some(max_batch) }
 }
 
-/// One of 200 forwarders of a deployment whose answers report what is left of a limit, whose endpoint list is
-/// exact and where connections have a price.
+/// Creates a policy that is one of 200 forwarders. Responses report what is left of a limit, listed rates are
+/// exact, and new connections have a price.
 pub fn with_load_reports(endpoints: &[ListedEndpoint]) -> PolicyTest {
     let settings = Settings {
         forwarders: Some(200),
