--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -8,7 +8,7 @@
 impl DeliveryPolicy {
     /// Begins an endpoint list: a complete one, or one with only the entries that changed.
     pub fn begin_endpoint_list(&mut self, complete: bool) {
-        self.polls.reset_backoff();
+        self.poll_schedule.reset_backoff();
         self.endpoints.begin_list(complete);
     }
 
@@ -46,8 +46,8 @@
     pub fn discovery_failed(&mut self, now: Duration) {
         let Some(max_backoff) = self.parameters.poll_interval_limit else { return };
         let min_backoff = self.parameters.recovery_delay.min(max_backoff);
-        let backoff = (2 * self.polls.backoff()).clamp(min_backoff, max_backoff);
+        let backoff = (2 * self.poll_schedule.backoff()).clamp(min_backoff, max_backoff);
         let jitter = self.random.draw_jitter();
-        self.polls.schedule(now + backoff.mul_f64(jitter), backoff);
+        self.poll_schedule.schedule(now + backoff.mul_f64(jitter), backoff);
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -72,16 +72,16 @@
     /// Circuit breakers in use.
     circuits: CircuitTable,
     /// Messages of ordered classes, by ordering key.
-    ordering: OrderingQueues,
+    ordering_queues: OrderingQueues,
     /// The remaining quota of each tenant.
-    tenants: TenantAccounts,
+    tenant_accounts: TenantAccounts,
     response_times: ResponseTimes,
     /// When the endpoint list is polled again after a failure.
-    polls: PollSchedule,
+    poll_schedule: PollSchedule,
     /// Numbers messages and requests in order of creation.
-    numbers: Sequence,
+    sequence_numbers: Sequence,
     /// Numbers the entries of the queue.
-    queue_entries: Sequence,
+    queue_entry_numbers: Sequence,
     timer: PolicyTimer,
     /// No event is reported before this time.
     next_report_at: Duration,
@@ -105,12 +105,12 @@
             in_flight: InFlight::default(),
             endpoints: EndpointDirectory::new(kinds.into_iter().map(KindParameters::from).collect()),
             circuits: CircuitTable::default(),
-            ordering: OrderingQueues::default(),
-            tenants: TenantAccounts::new(parameters.tenants.len(), now),
+            ordering_queues: OrderingQueues::default(),
+            tenant_accounts: TenantAccounts::new(parameters.tenants.len(), now),
             response_times: ResponseTimes::default(),
-            polls: PollSchedule::default(),
-            numbers: Sequence::default(),
-            queue_entries: Sequence::default(),
+            poll_schedule: PollSchedule::default(),
+            sequence_numbers: Sequence::default(),
+            queue_entry_numbers: Sequence::default(),
             timer: PolicyTimer::default(),
             next_report_at: Duration::ZERO,
             shutdown_deadline: None,
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -35,7 +35,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         ) {
             let until = now + self.parameters.ordering_hold_off;
-            self.ordering.hold_off(attempt.ordering_key, attempt.arrival, until);
+            self.ordering_queues.hold_off(attempt.ordering_key, attempt.arrival, until);
         }
         self.remove_from_ordering_queue(id, attempt.ordering_key, attempt.arrival);
         if message_finished {
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -18,12 +18,12 @@
         if self.messages.contains(&message.id) {
             return;
         }
-        message.set_arrival(self.numbers.next());
+        message.set_arrival(self.sequence_numbers.next());
         let (destination, ordering_key, arrival) =
             (message.destination, message.ordering_key, message.arrival);
         let key = self.messages.insert(message);
         if let Some(ordering_key) = ordering_key {
-            self.ordering.push(ordering_key, arrival, key);
+            self.ordering_queues.push(ordering_key, arrival, key);
         }
         let span = self.recent_span();
         self.endpoints.traffic_mut(destination).record_arrival(now, span);
@@ -32,7 +32,7 @@
 
     /// Queues a message for its destination, after all that were queued before.
     pub(super) fn enqueue(&mut self, key: MessageKey) {
-        let number = self.queue_entries.next();
+        let number = self.queue_entry_numbers.next();
         self.insert_into_queue(key, number);
     }
 
@@ -54,7 +54,7 @@
                 errors: message.errors(),
                 tried: message.attempts() > 0,
                 possibly_executed: message.possibly_executed().is_some(),
-                blocked: !self.ordering.is_first(message.ordering_key, message.arrival),
+                blocked: !self.ordering_queues.is_first(message.ordering_key, message.arrival),
             },
             objective_at: message.objective_at(),
             arrival: message.arrival,
@@ -95,7 +95,7 @@
         const MAX_MESSAGES_ALWAYS_CHECKED: usize = 64;
         const CHECK_ONE_IN: u64 = 64;
         if self.messages.len() > MAX_MESSAGES_ALWAYS_CHECKED
-            && !self.queue_entries.last().is_multiple_of(CHECK_ONE_IN)
+            && !self.queue_entry_numbers.last().is_multiple_of(CHECK_ONE_IN)
         {
             return;
         }
@@ -146,7 +146,7 @@
         if self.in_flight.has_attempt_of(id) || self.messages.contains(id) {
             return;
         }
-        if let Some(next) = self.ordering.remove(ordering_key, arrival) {
+        if let Some(next) = self.ordering_queues.remove(ordering_key, arrival) {
             self.requeue(next);
         }
     }
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -24,7 +24,7 @@
     pub(super) fn remove_expired(&mut self, now: Duration) {
         self.remove_expired_endpoints(now, self.parameters.longest_deadline + RECORD_EXPIRY_MARGIN);
         self.remove_idle_circuits(now, self.parameters.longest_deadline * IDLE_RETENTION_FACTOR);
-        self.ordering.remove_idle(now);
+        self.ordering_queues.remove_idle(now);
     }
 
     /// Removes the records of endpoints that left the list at least `retention` ago, with their circuits, and
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -184,7 +184,7 @@
         let ordered = self.parameters.classes[class].ordered;
         let may_send = move |key: &MessageKey| {
             let message = &self.messages[*key];
-            !ordered || self.ordering.may_send(message.ordering_key, message.arrival, now)
+            !ordered || self.ordering_queues.may_send(message.ordering_key, message.arrival, now)
         };
         let entries = segment.entries().filter(move |queued| may_send(&queued.key));
         entries.map(move |queued| RankedMessage {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -17,7 +17,7 @@
         now: Duration,
         host: &mut dyn PolicyHost,
     ) {
-        let request = RequestInFlight { id: RequestId(self.numbers.next()), started_at: now };
+        let request = RequestInFlight { id: RequestId(self.sequence_numbers.next()), started_at: now };
         self.in_flight.add_request(request.id, messages.len() as u32);
         let load = 1.0 + LOAD_PER_EXTRA_MESSAGE * (messages.len() - 1) as f64;
         let shared_timeout = self.shared_timeout(&messages, to);
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -31,10 +31,10 @@
     /// Makes all decisions that are due. Called once everything known at this time has been reported.
     pub fn run_due_work(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         let mut wake = NextWake::default();
-        if self.polls.take_due(now) {
+        if self.poll_schedule.take_due(now) {
             host.subscribe(true);
         }
-        wake.no_later_than(self.polls.next_poll());
+        wake.no_later_than(self.poll_schedule.next_poll());
         self.queue.wake_due(now);
         for destination in self.queue.awake().clone() {
             self.remove_stale_records(destination, now);
--- a/src/policy/submission.rs
+++ b/src/policy/submission.rs
@@ -40,6 +40,6 @@
     /// applies the whole quota, because the spread of the traffic over forwarders is not known.
     fn spend_quota(&mut self, tenant: usize, now: Duration) -> bool {
         let quota = self.parameters.tenants[tenant].messages_per_second;
-        !self.tenants.spend(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
+        !self.tenant_accounts.spend(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
     }
 }
