--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -98,7 +98,7 @@
         let options = ForwarderOptions {
             listen: reader.listen()?,
             discovery: watched_discovery,
-            state,
+            state_folder: state,
             resources: reader.resource_limits()?,
             settings: parse_policy_settings(reader.seed()?, settings),
             cached_list: cached_list(file, contents.endpoint_list, entries),
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -26,7 +26,7 @@
 
 use configuration::{list_entry, message_class};
 use process::{serve_command, KillOnDrop};
-use reeddock_forwarder::limits::{Limits, ResourceLimits, RESERVE};
+use reeddock_forwarder::limits::{Limits, ResourceLimits, DESCRIPTOR_RESERVE};
 use serde_json::{json, Value};
 use signal::send_signal;
 use stub_server::{start_stub, Connection, Request, NO_CONTENT_RESPONSE, OK_RESPONSE};
@@ -232,7 +232,7 @@
         result
     });
     let most_open = most_open.unwrap_or_else(|fault| resume_unwind(fault));
-    assert!(most_open <= DESCRIPTORS - RESERVE.margin, "{most_open} descriptors");
+    assert!(most_open <= DESCRIPTORS - DESCRIPTOR_RESERVE.margin, "{most_open} descriptors");
     let log = forwarder.log();
     assert!(!log.contains("no descriptor"), "{log}");
 }
--- a/crates/forwarder/examples/target_tables.rs
+++ b/crates/forwarder/examples/target_tables.rs
@@ -24,7 +24,7 @@
     let (before, start) = (resident()?, Instant::now());
     let (mut table, mut idle_permits) = (EndpointTable::default(), IdlePermits::default());
     for number in 0..endpoints {
-        let id = table.number(&format!("s-{number:08x}"));
+        let id = table.id_for_name(&format!("s-{number:08x}"));
         let address = SocketAddr::from((number.to_be_bytes(), 9000));
         table.set_location(id, EndpointLocation { address, max_batch: 1 });
         idle_permits.endpoint_listed(id, KINDS[number as usize % KINDS.len()]);
--- a/crates/forwarder/src/connections/observed_stream.rs
+++ b/crates/forwarder/src/connections/observed_stream.rs
@@ -37,12 +37,12 @@
 
     /// Whether any byte of the request was sent.
     pub(super) fn request_begun(&self) -> bool {
-        locked(&self.request).begun()
+        locked(&self.request).has_begun()
     }
 
     /// Whether the last byte of the request was sent.
     pub(super) fn request_complete(&self) -> bool {
-        locked(&self.request).complete()
+        locked(&self.request).is_complete()
     }
 
     /// Whether any byte of a response was received.
@@ -52,7 +52,7 @@
 
     /// Whether the status line of the response says 200.
     pub(super) fn status_is_ok(&self) -> bool {
-        locked(&self.status_line).says_ok()
+        locked(&self.status_line).is_ok()
     }
 
     /// Waits until the status line of the response says 200.
@@ -63,11 +63,11 @@
     }
 
     fn sent(&self, bytes: &[u8]) {
-        locked(&self.request).sent(bytes);
+        locked(&self.request).record_sent(bytes);
     }
 
     fn received(&self, bytes: &[u8]) {
-        let complete = locked(&self.status_line).received(bytes);
+        let complete = locked(&self.status_line).record_received(bytes);
         if complete {
             self.status_line_complete.notify_one();
         }
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -10,7 +10,7 @@
 use crate::events::Event;
 use crate::list_reader::{ListReader, WatchProgress};
 use crate::log_throttle::LogThrottle;
-use crate::watch_schedule::{BreakCause, Loss, Periods, Received, WatchSchedule};
+use crate::watch_schedule::{BreakCause, Loss, Received, WatchSchedule, WatchTimings};
 
 /// Completes when the address of discovery changes; never if it can't change any more.
 pub(crate) async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
@@ -23,7 +23,7 @@
 ///
 /// `generation` is the generation of the list that the event loop already has; the first watch requests the changes
 /// after it.
-pub async fn follow(
+pub async fn watch_endpoint_list(
     mut address: watch::Receiver<SocketAddr>,
     generation: u64,
     mut schedule: WatchSchedule,
@@ -71,7 +71,7 @@
     discovery: SocketAddr,
     /// The request is abandoned if it is not answered by then.
     response_deadline: Instant,
-    periods: Periods,
+    periods: WatchTimings,
 }
 
 impl WatchRequest {
@@ -95,6 +95,6 @@
         if head.status != http::StatusCode::OK {
             return Loss::Refused { status: head.status, retry_after: parse_retry_after(&head) };
         }
-        ListReader::new(progress, event_loop).read(connection, body, self.periods.silent_after).await
+        ListReader::new(progress, event_loop).read(connection, body, self.periods.idle_timeout).await
     }
 }
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -91,7 +91,7 @@
 impl EndpointTable {
     /// The number of an endpoint, which is assigned when its name is used for the first time. The endpoint keeps it
     /// until it is forgotten; the number is never assigned again.
-    pub fn number(&mut self, name: &str) -> EndpointId {
+    pub fn id_for_name(&mut self, name: &str) -> EndpointId {
         let EndpointTable { rows, names, hashes, next_number, .. } = self;
         let name_of = |id: &EndpointId| rows.get(&id.0).map_or("", |row| row.name.as_str());
         let hash = hashes.hash_one(name) as u32;
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -97,7 +97,7 @@
 
     /// Applies one entry of the list.
     fn update_endpoint(&mut self, entry: ListEntry) {
-        let endpoint = self.state.endpoints_mut().number(&entry.name);
+        let endpoint = self.state.endpoints_mut().id_for_name(&entry.name);
         self.policy.update_endpoint(EndpointUpdate {
             endpoint,
             destination: entry.destination,
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -76,7 +76,7 @@
         let mut attempts = Vec::new();
         for started in &pending.attempts {
             attempts.push(PreviousAttempt {
-                endpoint: self.state.endpoints_mut().number(&started.endpoint),
+                endpoint: self.state.endpoints_mut().id_for_name(&started.endpoint),
                 started_at: self.clock.from_unix_micros(started.started_at_unix_us),
                 proves_not_executed: started.state.proves_not_executed(),
             });
@@ -84,7 +84,7 @@
         if pending.records_lost {
             // One attempt for all whose records were lost; when they were sent is unknown.
             attempts.push(PreviousAttempt {
-                endpoint: self.state.endpoints_mut().number(""),
+                endpoint: self.state.endpoints_mut().id_for_name(""),
                 started_at: Duration::ZERO,
                 proves_not_executed: false,
             });
--- a/crates/forwarder/src/http_progress.rs
+++ b/crates/forwarder/src/http_progress.rs
@@ -55,18 +55,18 @@
     }
 
     /// Counts bytes that the operating system has accepted.
-    pub fn sent(&mut self, bytes: &[u8]) {
+    pub fn record_sent(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
         self.body_left = self.body_left.saturating_sub(self.head.skip(bytes).len());
     }
 
     /// Whether at least one byte of the request was sent.
-    pub fn begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.begun
     }
 
     /// Whether the last byte of the request was sent, so that it may have been executed.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.head.finished && self.body_left == 0
     }
 }
@@ -103,7 +103,7 @@
     const MIN_BYTES: usize = 12;
 
     /// Adds bytes that were received; returns whether they complete the status line.
-    pub fn received(&mut self, bytes: &[u8]) -> bool {
+    pub fn record_received(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
             if matches!(self.state, StatusLineState::Complete) || self.line.len() > Self::MAX_BYTES {
                 return false;
@@ -144,7 +144,7 @@
     }
 
     /// Whether the status line is complete and says 200.
-    pub fn says_ok(&self) -> bool {
+    pub fn is_ok(&self) -> bool {
         let after_code = self.line.strip_prefix(b"HTTP/1.1 200").or(self.line.strip_prefix(b"HTTP/1.0 200"));
         // A complete line ends in a line feed, so that at least one byte follows the code.
         matches!(self.state, StatusLineState::Complete)
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -55,7 +55,7 @@
 /// Descriptors that neither client connections nor requests may use, so that the endpoint list, notices and the
 /// write-ahead log always have descriptors.
 #[derive(Clone, Copy, Debug)]
-pub struct Reserve {
+pub struct DescriptorReserve {
     /// Standard input, output and error.
     pub standard_streams: usize,
     /// The runtime's event queue, wake-ups and signals.
@@ -75,7 +75,7 @@
 }
 
 /// The reserve that [`Limits::derive`] subtracts.
-pub const RESERVE: Reserve = Reserve {
+pub const DESCRIPTOR_RESERVE: DescriptorReserve = DescriptorReserve {
     standard_streams: 3,
     runtime: 8,
     listener: 1,
@@ -91,7 +91,7 @@
 /// Events that are queued for the event loop: a few of its steps, each of 256 events at most.
 const EVENT_QUEUE: usize = 1024;
 
-impl Reserve {
+impl DescriptorReserve {
     /// All descriptors of the reserve.
     pub const fn total(&self) -> usize {
         self.standard_streams
@@ -108,7 +108,7 @@
 impl Limits {
     /// Divides a machine's resources among the parts of a forwarder.
     pub fn derive(resources: ResourceLimits) -> Limits {
-        let free = resources.descriptors.saturating_sub(RESERVE.total()).max(MIN_FREE_DESCRIPTORS);
+        let free = resources.descriptors.saturating_sub(DESCRIPTOR_RESERVE.total()).max(MIN_FREE_DESCRIPTORS);
         // Clients that submit once and stay connected, or never submit, need more connections than requests do.
         let for_clients = free * 3 / 5;
         let lingering = for_clients / 8;
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Reads until the watch ends, and returns why it ended. A watch without any byte for `silent_after` has ended.
+    /// Reads until the watch ends, and returns why it ended. A watch without any byte for `idle_timeout` has ended.
     ///
     /// After a malformed list the connection is closed, and this returns only after a backoff.
     pub(crate) async fn read(
         mut self,
         connection: Connection,
         mut body: Incoming,
-        silent_after: Duration,
+        idle_timeout: Duration,
     ) -> Loss {
         loop {
-            let frame = match timeout(silent_after, body.frame()).await {
+            let frame = match timeout(idle_timeout, body.frame()).await {
                 Err(_) => return Loss::Silent,
                 Ok(None) => return BreakCause::Closed.into(),
                 Ok(Some(Err(error))) => return BreakCause::Body(error.to_string()).into(),
--- a/crates/forwarder/src/malformed_list.rs
+++ b/crates/forwarder/src/malformed_list.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// Malformed lists may cause this much traffic on average, in bytes per second.
-pub const BYTES_A_SECOND: u64 = 16 * 1024;
+pub const MAX_MEAN_BYTES_PER_SECOND: u64 = 16 * 1024;
 /// The longest mean backoff. With jitter it is up to one and a half times as long.
-pub const LONGEST_MEAN_BACKOFF: Duration = Duration::from_secs(1800);
+pub const MAX_MEAN_BACKOFF: Duration = Duration::from_secs(1800);
 
 /// A list that was received and can't be read.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,7 +21,7 @@
     /// about as long and most likely malformed as well. `jitter`, from 0 to 1, spreads forwarders that read the same
     /// list at the same time.
     pub fn backoff(&self, jitter: f64) -> Duration {
-        let mean = Duration::from_millis(self.bytes.saturating_mul(1000) / BYTES_A_SECOND);
-        mean.min(LONGEST_MEAN_BACKOFF).mul_f64(0.5 + jitter.clamp(0.0, 1.0))
+        let mean = Duration::from_millis(self.bytes.saturating_mul(1000) / MAX_MEAN_BYTES_PER_SECOND);
+        mean.min(MAX_MEAN_BACKOFF).mul_f64(0.5 + jitter.clamp(0.0, 1.0))
     }
 }
--- a/crates/forwarder/src/options.rs
+++ b/crates/forwarder/src/options.rs
@@ -17,7 +17,7 @@
     /// The address of discovery and of the platform, which are the same; it may change at any time.
     pub discovery: watch::Receiver<SocketAddr>,
     /// The state folder, which outlasts the process: the write-ahead log is there.
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     /// The resources of the machine that it may use.
     pub resources: ResourceLimits,
     /// The endpoint list as it was last known.
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -19,7 +19,7 @@
 use crate::limits::Limits;
 use crate::list_reader::QUEUED_LIST_PIECES;
 use crate::list_status::ListStatus;
-use crate::watch_schedule::{Periods, WatchSchedule};
+use crate::watch_schedule::{WatchSchedule, WatchTimings};
 use crate::{discovery, notices, ForwarderError, ForwarderOptions};
 
 /// Idle connections to endpoints are checked at this interval, which is far below the endpoints' idle timeouts.
@@ -52,7 +52,7 @@
     let connections =
         Connections::new(limits.endpoint_connections, options.connect_timeout, options.endpoint_idle_timeout);
     let list_status = ListStatus::default();
-    let schedule = WatchSchedule::new(Periods::default(), options.settings.seed);
+    let schedule = WatchSchedule::new(WatchTimings::default(), options.settings.seed);
     let cached_generation = options.cached_list.generation;
     let config = EventLoopConfig {
         settings: options.settings,
@@ -73,7 +73,12 @@
 
     let mut background = JoinSet::new();
     background.spawn(notices::deliver(options.discovery.clone(), notice_queue, events.clone()));
-    background.spawn(discovery::follow(options.discovery, cached_generation, schedule, list_events));
+    background.spawn(discovery::watch_endpoint_list(
+        options.discovery,
+        cached_generation,
+        schedule,
+        list_events,
+    ));
     background.spawn(sweep_connections(connections));
 
     let clients = Arc::new(ClientConnections::new(list_status));
@@ -96,8 +101,8 @@
 
 /// Opens the write-ahead log in the state folder.
 fn open_log(options: &ForwarderOptions) -> Result<WriteAheadLog, ForwarderError> {
-    let opened = WriteAheadLog::open(&options.state, options.resources.disk_bytes, options.sync);
-    opened.map_err(|source| ForwarderError::OpenLog { folder: options.state.clone(), source })
+    let opened = WriteAheadLog::open(&options.state_folder, options.resources.disk_bytes, options.sync);
+    opened.map_err(|source| ForwarderError::OpenLog { folder: options.state_folder.clone(), source })
 }
 
 /// Closes idle connections to endpoints at regular intervals; never returns.
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -10,7 +10,7 @@
 //!
 //! and from the one on a moved discovery: "After SIGHUP it counts 4 s later."
 //!
-//! So a request that is answered within [`Periods::answer_time`] must begin at the latest 6 s less that time after the
+//! So a request that is answered within [`WatchTimings::max_response_time`] must begin at the latest 6 s less that time after the
 //! last line that was received, and at the latest that long after the previous request, however that one ended. No
 //! `Retry-After` moves this: the call that may wait is one that is in flight, and a watch does not wait. Such a wait is
 //! therefore kept for half of a period at most, and the requests are spread over the rest of the period. What was
@@ -34,46 +34,46 @@
 
 /// The time spans of the schedule.
 #[derive(Clone, Copy, Debug)]
-pub struct Periods {
+pub struct WatchTimings {
     /// A change counts as known this long after discovery had it, so that it has to be received by then.
-    pub known_within: Duration,
+    pub max_staleness: Duration,
     /// The same after the address of discovery has changed.
-    pub known_within_after_move: Duration,
+    pub max_staleness_after_move: Duration,
     /// How much of these two the answer to a request may take. The agent that answers runs on the forwarder's own
-    /// machine. Discovery that can answer each forwarder once in [`Periods::known_within`] is overbooked by requests
+    /// machine. Discovery that can answer each forwarder once in [`WatchTimings::max_staleness`] is overbooked by requests
     /// that arrive much sooner.
-    pub answer_time: Duration,
+    pub max_response_time: Duration,
     /// A request without an answer is not abandoned before this has passed.
-    pub min_timeout: Duration,
+    pub min_response_timeout: Duration,
     /// An attempt to connect to discovery ends after this.
     pub connect_timeout: Duration,
     /// A watch on which nothing was received for this long is silent. Discovery sends an empty line every 2 s.
-    pub silent_after: Duration,
+    pub idle_timeout: Duration,
     /// The requests of forwarders whose watches fell silent together are spread over this.
-    pub silence_spread: Duration,
+    pub idle_retry_spread: Duration,
     /// The first request after a broken connection follows after this on average, the second after twice as long.
-    pub quick_retry: Duration,
+    pub quick_retry_delay: Duration,
 }
 
-impl Default for Periods {
-    fn default() -> Periods {
-        Periods {
-            known_within: Duration::from_secs(6),
-            known_within_after_move: Duration::from_secs(4),
-            answer_time: Duration::from_millis(250),
-            min_timeout: Duration::from_secs(1),
+impl Default for WatchTimings {
+    fn default() -> WatchTimings {
+        WatchTimings {
+            max_staleness: Duration::from_secs(6),
+            max_staleness_after_move: Duration::from_secs(4),
+            max_response_time: Duration::from_millis(250),
+            min_response_timeout: Duration::from_secs(1),
             connect_timeout: Duration::from_secs(1),
-            silent_after: Duration::from_secs(3),
-            silence_spread: Duration::from_secs(1),
-            quick_retry: Duration::from_millis(100),
+            idle_timeout: Duration::from_secs(3),
+            idle_retry_spread: Duration::from_secs(1),
+            quick_retry_delay: Duration::from_millis(100),
         }
     }
 }
 
-impl Periods {
+impl WatchTimings {
     /// The period: from the start of one request to the start of the next, while none succeeds.
     pub fn between_requests(&self) -> Duration {
-        self.known_within.saturating_sub(self.answer_time)
+        self.max_staleness.saturating_sub(self.max_response_time)
     }
 }
 
@@ -106,7 +106,7 @@
     /// There was no connection, it broke, or what was received is malformed.
     #[error(transparent)]
     Broken(#[from] BreakCause),
-    /// An open watch on which nothing was received for [`Periods::silent_after`].
+    /// An open watch on which nothing was received for [`WatchTimings::idle_timeout`].
     #[error("silent")]
     Silent,
     /// The request was abandoned without an answer.
@@ -142,7 +142,7 @@
 /// The schedule of one forwarder. All times are spans since the same arbitrary moment.
 #[derive(Clone, Debug)]
 pub struct WatchSchedule {
-    periods: Periods,
+    periods: WatchTimings,
     /// The point in the period at which this forwarder sends its request, from 0 to 1.
     phase: f64,
     /// The window of the second request that fits in before the deadline, counted from what was received last or from
@@ -155,7 +155,7 @@
 
 impl WatchSchedule {
     /// A schedule whose first request begins at once; the seed selects the forwarder's phase.
-    pub fn new(periods: Periods, seed: u64) -> WatchSchedule {
+    pub fn new(periods: WatchTimings, seed: u64) -> WatchSchedule {
         WatchSchedule {
             periods,
             phase: Pcg32::seed_from_u64(seed).random::<f64>(),
@@ -166,14 +166,14 @@
     }
 
     /// The spans that this schedule is made of.
-    pub fn periods(&self) -> Periods {
+    pub fn periods(&self) -> WatchTimings {
         self.periods
     }
 
     /// Records that a request begins; returns when it is abandoned if it has not been answered.
     pub fn request_begun(&mut self, now: Duration) -> Duration {
         self.request_began_at = now;
-        let earliest = now + self.periods.min_timeout;
+        let earliest = now + self.periods.min_response_timeout;
         let by = match self.second_request {
             Some(window) if window.by > now => window.by.max(earliest),
             _ => now + self.periods.between_requests(),
@@ -200,14 +200,14 @@
 
     /// Forwarders whose watches fell silent together ask soon, spread over a short time.
     fn after_silence(&self, now: Duration, window: Window) -> Duration {
-        self.moment(Window { from: now, by: window.by.min(now + self.periods.silence_spread) })
+        self.moment(Window { from: now, by: window.by.min(now + self.periods.idle_retry_spread) })
     }
 
     /// A connection that broke is most likely replaced at once.
     fn quick_retry(&mut self, now: Duration, window: Window) -> Duration {
         let retry = 1 + QUICK_RETRIES - self.quick_retries_left;
         self.quick_retries_left -= 1;
-        let pause = self.periods.quick_retry.mul_f64(0.5 + self.phase) * retry;
+        let pause = self.periods.quick_retry_delay.mul_f64(0.5 + self.phase) * retry;
         window.by.min(now + pause)
     }
 
@@ -227,7 +227,7 @@
     /// Records that the address of discovery has changed; the caller sends a request to the new one immediately.
     pub fn discovery_moved(&mut self, now: Duration) {
         self.quick_retries_left = QUICK_RETRIES;
-        let by = now + self.periods.known_within_after_move.saturating_sub(self.periods.answer_time);
+        let by = now + self.periods.max_staleness_after_move.saturating_sub(self.periods.max_response_time);
         self.second_request = Some(Window { from: now, by });
     }
 
@@ -235,7 +235,7 @@
     fn record_up_to_date(&mut self, now: Duration, loss: &Loss) {
         let (up_to_date_until, from) = match loss {
             Loss::Silent => {
-                (now.saturating_sub(self.periods.silent_after), now + self.periods.silence_spread)
+                (now.saturating_sub(self.periods.idle_timeout), now + self.periods.idle_retry_spread)
             }
             _ => (now, now),
         };
--- a/crates/forwarder/tests/loopback/streamed_lists.rs
+++ b/crates/forwarder/tests/loopback/streamed_lists.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use reeddock_forwarder::malformed_list::BYTES_A_SECOND;
+use reeddock_forwarder::malformed_list::MAX_MEAN_BYTES_PER_SECOND;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Instant};
@@ -219,7 +219,7 @@
         // Half of the mean rest at least, and one and a half of it at most.
         let mut watch = discovery.next_watch().await;
         let rest = start.elapsed();
-        let mean = ms(bytes * 1000 / BYTES_A_SECOND);
+        let mean = ms(bytes * 1000 / MAX_MEAN_BYTES_PER_SECOND);
         assert!(rest >= mean / 2 && rest <= mean * 3 / 2 + ms(5000), "{rest:?}, on average {mean:?}");
         assert_eq!(watch.after, 1);
         watch.write_line(&endpoint_list(8, true, &[test_bed.endpoint_entry("Ready")])).await;
--- a/crates/forwarder/tests/loopback/support/test_bed.rs
+++ b/crates/forwarder/tests/loopback/support/test_bed.rs
@@ -204,7 +204,7 @@
         ForwarderOptions {
             listen,
             discovery: self.platform_address.subscribe(),
-            state: self.state_folder.clone(),
+            state_folder: self.state_folder.clone(),
             resources: self.resources,
             cached_list: ListPart::decode(cached_list.as_bytes()).unwrap().into(),
             settings: self.settings(),
--- a/crates/forwarder/tests/loopback/watch.rs
+++ b/crates/forwarder/tests/loopback/watch.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use futures_util::future::join_all;
-use reeddock_forwarder::discovery::follow;
+use reeddock_forwarder::discovery::watch_endpoint_list;
 use reeddock_forwarder::events::Event;
-use reeddock_forwarder::watch_schedule::{Periods, WatchSchedule};
+use reeddock_forwarder::watch_schedule::{WatchSchedule, WatchTimings};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -23,16 +23,16 @@
 const SEEDS: u64 = 6;
 
 /// Two fifths of those in use, with an empty line sooner.
-const fn short_periods() -> Periods {
-    Periods {
-        known_within: ms(2400),
-        known_within_after_move: ms(1600),
-        answer_time: ms(400),
-        min_timeout: ms(400),
+const fn short_periods() -> WatchTimings {
+    WatchTimings {
+        max_staleness: ms(2400),
+        max_staleness_after_move: ms(1600),
+        max_response_time: ms(400),
+        min_response_timeout: ms(400),
         connect_timeout: ms(400),
-        silent_after: ms(1200),
-        silence_spread: ms(400),
-        quick_retry: ms(40),
+        idle_timeout: ms(1200),
+        idle_retry_spread: ms(400),
+        quick_retry_delay: ms(40),
     }
 }
 
@@ -153,7 +153,7 @@
     let (sender, mut events) = mpsc::channel(16);
     let address = watch::Sender::new(discovery.address);
     let schedule = WatchSchedule::new(short_periods(), seed);
-    let following = tokio::spawn(follow(address.subscribe(), 1, schedule, sender));
+    let following = tokio::spawn(watch_endpoint_list(address.subscribe(), 1, schedule, sender));
     while matches!(events.recv().await.expect("the watch goes on"), Event::WatchLost) {}
     following.abort();
 }
@@ -166,7 +166,7 @@
         let discovery = ScriptedDiscovery::start(script).await;
         wait_until_received(&discovery, seed).await;
         let late = discovery.up_to_date_until.elapsed();
-        assert!(late <= short_periods().known_within, "{script:?}, seed {seed}: received after {late:?}");
+        assert!(late <= short_periods().max_staleness, "{script:?}, seed {seed}: received after {late:?}");
         assert!(
             discovery.requests() <= script.len() + 1,
             "{script:?}, seed {seed}: {} requests",
@@ -219,7 +219,7 @@
         };
         let ((), recovered) = tokio::join!(wait_until_received(&discovery, seed), recovers);
         let late = recovered.elapsed();
-        assert!(late <= short_periods().known_within, "{failure:?}, seed {seed}: received after {late:?}");
+        assert!(late <= short_periods().max_staleness, "{failure:?}, seed {seed}: received after {late:?}");
     });
     run_test(async {
         join_all(plays).await;
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -8,8 +8,8 @@
 use reeddock_forwarder::endpoints::{EndpointLocation, EndpointTable, LocationChange};
 use reeddock_forwarder::http_progress::{RequestProgress, StatusLine};
 use reeddock_forwarder::idle_permits::IdlePermits;
-use reeddock_forwarder::limits::{Limits, ResourceLimits, RESERVE};
-use reeddock_forwarder::malformed_list::{MalformedList, BYTES_A_SECOND, LONGEST_MEAN_BACKOFF};
+use reeddock_forwarder::limits::{Limits, ResourceLimits, DESCRIPTOR_RESERVE};
+use reeddock_forwarder::malformed_list::{MalformedList, MAX_MEAN_BACKOFF, MAX_MEAN_BYTES_PER_SECOND};
 use tokio::time::Instant;
 
 #[test]
@@ -26,9 +26,9 @@
     ] {
         for split in 0..response.len() {
             let mut status_line = StatusLine::default();
-            status_line.received(&response.as_bytes()[..split]);
-            status_line.received(&response.as_bytes()[split..]);
-            assert_eq!(status_line.says_ok(), ok, "{response:?} {split}");
+            status_line.record_received(&response.as_bytes()[..split]);
+            status_line.record_received(&response.as_bytes()[split..]);
+            assert_eq!(status_line.is_ok(), ok, "{response:?} {split}");
         }
     }
 }
@@ -39,17 +39,17 @@
     for split in 0..request.len() {
         let mut progress = RequestProgress::default();
         progress.begin(9);
-        progress.sent(&request[..split]);
-        assert!(!progress.complete(), "{split}");
-        progress.sent(&request[split..]);
-        assert!(progress.complete());
+        progress.record_sent(&request[..split]);
+        assert!(!progress.is_complete(), "{split}");
+        progress.record_sent(&request[split..]);
+        assert!(progress.is_complete());
     }
     let mut empty = RequestProgress::default();
     empty.begin(0);
-    empty.sent(b"POST / HTTP/1.1\r\n\r");
-    assert!(!empty.complete());
-    empty.sent(b"\n");
-    assert!(empty.complete());
+    empty.record_sent(b"POST / HTTP/1.1\r\n\r");
+    assert!(!empty.is_complete());
+    empty.record_sent(b"\n");
+    assert!(empty.is_complete());
 }
 
 #[test]
@@ -57,7 +57,7 @@
     for descriptors in 64..=1024 {
         let limits =
             Limits::derive(ResourceLimits { memory_bytes: 32_000_000, descriptors, disk_bytes: 3_000_000 });
-        let planned = RESERVE.total()
+        let planned = DESCRIPTOR_RESERVE.total()
             + limits.accepted_clients
             + limits.lingering_clients
             + limits.endpoint_connections;
@@ -104,7 +104,9 @@
         // On average no more bytes a second than this, unless a corrected list would have to wait too long for it.
         let cost = bytes as f64 / list.backoff(0.5).as_secs_f64();
         assert!(
-            list.backoff(0.5) >= LONGEST_MEAN_BACKOFF || bytes < 2000 || cost <= BYTES_A_SECOND as f64 * 1.01,
+            list.backoff(0.5) >= MAX_MEAN_BACKOFF
+                || bytes < 2000
+                || cost <= MAX_MEAN_BYTES_PER_SECOND as f64 * 1.01,
             "{bytes}"
         );
     }
@@ -115,9 +117,9 @@
     let mut table = EndpointTable::default();
     let location = |port| EndpointLocation { address: SocketAddr::from(([10, 0, 0, 1], port)), max_batch: 4 };
     let long = "a name that does not fit into the row itself";
-    let ids: Vec<_> = (0..1000).map(|n| table.number(&format!("{long}-{n}"))).collect();
+    let ids: Vec<_> = (0..1000).map(|n| table.id_for_name(&format!("{long}-{n}"))).collect();
     for (n, id) in ids.iter().enumerate() {
-        assert_eq!(table.number(&format!("{long}-{n}")), *id);
+        assert_eq!(table.id_for_name(&format!("{long}-{n}")), *id);
         assert_eq!((table.location(*id), table.name(*id)), (None, Some(format!("{long}-{n}").as_str())));
         assert_eq!(table.set_location(*id, location(n as u16)), LocationChange::New);
     }
@@ -130,7 +132,7 @@
     }
     assert_eq!(table.located(), 500);
     for (n, id) in ids.iter().enumerate() {
-        let again = table.number(&format!("{long}-{n}"));
+        let again = table.id_for_name(&format!("{long}-{n}"));
         assert_eq!(again == *id, n % 2 == 1, "{n}");
         assert!(again == *id || !ids.contains(&again));
     }
--- a/crates/forwarder/tests/watch_schedule.rs
+++ b/crates/forwarder/tests/watch_schedule.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use reeddock_forwarder::watch_schedule::{BreakCause, Loss, Periods, Received, WatchSchedule};
+use reeddock_forwarder::watch_schedule::{BreakCause, Loss, Received, WatchSchedule, WatchTimings};
 
 /// How one request ends for the watch, in this simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -62,7 +62,7 @@
 
 impl SimulatedWatch {
     fn new(seed: u64, start: Duration) -> SimulatedWatch {
-        let schedule = WatchSchedule::new(Periods::default(), seed);
+        let schedule = WatchSchedule::new(WatchTimings::default(), seed);
         SimulatedWatch {
             schedule,
             now: start,
@@ -94,11 +94,11 @@
             RequestOutcome::NoResponse => (times_out_at, Loss::NoAnswer, None),
             RequestOutcome::BrokenWhileOpening => (began + SLOW_RESPONSE, broken(), None),
             RequestOutcome::SilentAfterSlowHead => {
-                (began + SLOW_RESPONSE + periods.silent_after, Loss::Silent, None)
+                (began + SLOW_RESPONSE + periods.idle_timeout, Loss::Silent, None)
             }
             RequestOutcome::BrokenAfter(stood) => (began + stood, broken(), Some(began + stood)),
             RequestOutcome::SilentAfter(stood) => {
-                (began + stood + periods.silent_after, Loss::Silent, Some(began + stood))
+                (began + stood + periods.idle_timeout, Loss::Silent, Some(began + stood))
             }
         };
         self.up_to_date_until = up_to_date_until.or(self.up_to_date_until);
@@ -275,7 +275,7 @@
     let lost = Duration::from_secs(20);
     let mut without_watch: Vec<(Duration, WatchSchedule)> = (0..fleet)
         .map(|seed| {
-            let mut schedule = WatchSchedule::new(Periods::default(), seed);
+            let mut schedule = WatchSchedule::new(WatchTimings::default(), seed);
             schedule.request_begun(Duration::ZERO);
             let reset = Loss::Broken(BreakCause::Body("reset".into()));
             (schedule.watch_lost(lost, &reset, Received::Lines), schedule)
