--- a/crates/forwarder/src/connections/mod.rs
+++ b/crates/forwarder/src/connections/mod.rs
@@ -18,9 +18,9 @@
 
 pub(crate) use connection::{out_of_descriptors, Connection};
 pub(crate) use observed_stream::read_observed;
-pub use pool::Connections;
+pub use pool::ConnectionPool;
 
 /// Locks a mutex whose value is consistent at any time, so that it can still be used after a holder panicked.
-pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/forwarder/src/connections/observed_stream.rs
+++ b/crates/forwarder/src/connections/observed_stream.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use super::locked;
+use super::lock;
 use crate::http_progress::{RequestProgress, StatusLine};
 
 /// Bytes read from the socket at a time, on the stack.
@@ -31,28 +31,28 @@
 impl ExchangeProgress {
     /// A request with a body of this many bytes is about to be sent.
     pub(super) fn begin(&self, body_bytes: usize) {
-        locked(&self.request).begin(body_bytes);
-        *locked(&self.status_line) = StatusLine::default();
+        lock(&self.request).begin(body_bytes);
+        *lock(&self.status_line) = StatusLine::default();
     }
 
     /// Whether any byte of the request was sent.
     pub(super) fn request_begun(&self) -> bool {
-        locked(&self.request).begun()
+        lock(&self.request).begun()
     }
 
     /// Whether the last byte of the request was sent.
     pub(super) fn request_complete(&self) -> bool {
-        locked(&self.request).complete()
+        lock(&self.request).complete()
     }
 
     /// Whether any byte of a response was received.
     pub(super) fn response_begun(&self) -> bool {
-        !locked(&self.status_line).is_empty()
+        !lock(&self.status_line).is_empty()
     }
 
     /// Whether the status line of the response says 200.
     pub(super) fn status_is_ok(&self) -> bool {
-        locked(&self.status_line).says_ok()
+        lock(&self.status_line).says_ok()
     }
 
     /// Waits until the status line of the response says 200.
@@ -63,11 +63,11 @@
     }
 
     fn sent(&self, bytes: &[u8]) {
-        locked(&self.request).sent(bytes);
+        lock(&self.request).sent(bytes);
     }
 
     fn received(&self, bytes: &[u8]) {
-        let complete = locked(&self.status_line).received(bytes);
+        let complete = lock(&self.status_line).received(bytes);
         if complete {
             self.status_line_complete.notify_one();
         }
--- a/crates/forwarder/src/event_loop/mod.rs
+++ b/crates/forwarder/src/event_loop/mod.rs
@@ -40,7 +40,7 @@
 use tokio::task::JoinSet;
 
 use crate::clock::Clock;
-use crate::connections::Connections;
+use crate::connections::ConnectionPool;
 use crate::events::Event;
 use crate::list_status::ListStatus;
 use crate::log_throttle::LogThrottle;
@@ -65,7 +65,7 @@
     /// Owned by the event loop from here on.
     pub log: WriteAheadLog,
     /// The pool of connections to endpoints.
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// The status of the endpoint list for the health check, which the event loop updates.
     pub list_status: ListStatus,
     /// The queue of notices for the platform.
@@ -83,7 +83,7 @@
     tick: Duration,
     max_message_bytes: u64,
     batch_limits: BatchLimits,
-    connections: Connections,
+    connections: ConnectionPool,
     request_sender: RequestSender,
     /// The tasks of the requests that are in flight; they end with the event loop.
     requests: JoinSet<()>,
--- a/crates/forwarder/src/ingress/client_connection.rs
+++ b/crates/forwarder/src/ingress/client_connection.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::connections::{locked, read_observed};
+use crate::connections::{lock, read_observed};
 use crate::http_progress::HeadScanner;
 
 /// How long the head of the first request may take. With the limit for bodies (`service`) less than three seconds
@@ -92,18 +92,18 @@
 
     /// The phase of the connection.
     pub(super) fn phase(&self) -> ConnectionPhase {
-        *locked(&self.phase)
+        *lock(&self.phase)
     }
 
     /// A complete request head was received.
     pub(super) fn request_started(&self) {
-        *locked(&self.phase) = ConnectionPhase::InRequest;
+        *lock(&self.phase) = ConnectionPhase::InRequest;
     }
 
     /// The response to the request is ready; bytes received from here on belong to the next request.
     pub(super) fn response_ready(&self) {
-        *locked(&self.request_bytes) = RequestBytes::default();
-        *locked(&self.phase) = ConnectionPhase::Idle { since: Instant::now() };
+        *lock(&self.request_bytes) = RequestBytes::default();
+        *lock(&self.phase) = ConnectionPhase::Idle { since: Instant::now() };
     }
 
     /// Whether any request was received on it.
@@ -113,12 +113,12 @@
 
     /// Whether it has answered a request and received a part of the next one's head.
     pub(super) fn next_request_begun(&self) -> bool {
-        matches!(self.phase(), ConnectionPhase::Idle { .. }) && locked(&self.request_bytes).begun
+        matches!(self.phase(), ConnectionPhase::Idle { .. }) && lock(&self.request_bytes).begun
     }
 
     /// How many bytes were received behind the head of the current request.
     pub(super) fn bytes_past_head(&self) -> usize {
-        locked(&self.request_bytes).past_head
+        lock(&self.request_bytes).past_head
     }
 
     /// Asks the task that serves the connection to close it in favour of another.
@@ -169,7 +169,7 @@
 impl Read for CountedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: ReadBufCursor) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        let count = |bytes: &[u8]| locked(&this.connection.request_bytes).received(bytes);
+        let count = |bytes: &[u8]| lock(&this.connection.request_bytes).received(bytes);
         read_observed(&mut this.stream, cx, buf, count)
     }
 }
--- a/crates/forwarder/src/ingress/clients.rs
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use super::client_connection::ClientConnection;
-use crate::connections::locked;
+use crate::connections::lock;
 use crate::list_status::ListStatus;
 
 /// All open client connections, each by its number, and whether the forwarder shuts down. Shared by the tasks that
@@ -86,6 +86,6 @@
     }
 
     fn open(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
-        locked(&self.open)
+        lock(&self.open)
     }
 }
--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use crate::connections::locked;
+use crate::connections::lock;
 
 /// The status of the endpoint list, shared by the event loop, which applies the list, and the responses to clients.
 #[derive(Clone, Default)]
@@ -18,23 +18,23 @@
 impl ListStatus {
     /// Records that the newest list was applied.
     pub fn applied(&self) {
-        *locked(&self.0) = Status { has_list: true, fault: None };
+        *lock(&self.0) = Status { has_list: true, fault: None };
     }
 
     /// Records that the newest list is malformed, and why, in one line.
     pub fn malformed(&self, fault: &str) {
-        locked(&self.0).fault = Some(fault.to_owned());
+        lock(&self.0).fault = Some(fault.to_owned());
     }
 
     /// Whether any list was applied.
     pub fn has_list(&self) -> bool {
-        locked(&self.0).has_list
+        lock(&self.0).has_list
     }
 
     /// What is wrong with the list, in one line, as the health check's body has it. None if the newest list was
     /// applied.
     pub fn fault(&self) -> Option<String> {
-        let status = locked(&self.0);
+        let status = lock(&self.0);
         match (status.has_list, &status.fault) {
             (true, None) => None,
             (true, Some(fault)) => Some(format!("the newest target list can't be read: {fault}")),
--- a/crates/forwarder/src/request_sender/departure.rs
+++ b/crates/forwarder/src/request_sender/departure.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use crate::connections::locked;
+use crate::connections::lock;
 
 /// Shared by the sender of a request and its supervisor, who must agree on what may have been executed.
 ///
@@ -55,13 +55,13 @@
 impl BatchDeparture {
     /// Sets the latest time for the first byte of each message, by position.
     pub(super) fn set_start_deadlines(&self, start_deadlines: Vec<Instant>) {
-        locked(&self.0).start_deadlines = start_deadlines;
+        lock(&self.0).start_deadlines = start_deadlines;
     }
 
     /// Must be called before the first byte is written. Of `messages` messages, returns the positions of those to send;
     /// from here on each of them may have been executed. A message past its start deadline is withheld.
     pub(super) fn start_sending(&self, messages: usize) -> Vec<usize> {
-        let mut state = locked(&self.0);
+        let mut state = lock(&self.0);
         let now = Instant::now();
         let late: Vec<usize> =
             (0..messages).filter(|position| state.start_deadline_passed(*position, now)).collect();
@@ -72,12 +72,12 @@
 
     /// Must be called if no byte was written after all: the request waits for a connection again, or is not sent.
     pub(super) fn revert_to_awaiting_connection(&self) {
-        locked(&self.0).phase = Phase::AwaitingConnection;
+        lock(&self.0).phase = Phase::AwaitingConnection;
     }
 
     /// Withdraws a message that is no longer waited for: if it was not sent, it never will be. Returns whether it was.
     pub(super) fn withdraw(&self, position: usize) -> MessageDeparture {
-        let mut state = locked(&self.0);
+        let mut state = lock(&self.0);
         if state.phase == Phase::AwaitingConnection {
             state.withheld.insert(position);
         }
@@ -90,6 +90,6 @@
 
     /// Whether the message was sent.
     pub(super) fn was_sent(&self, position: usize) -> bool {
-        locked(&self.0).was_sent(position)
+        lock(&self.0).was_sent(position)
     }
 }
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -20,7 +20,7 @@
 use tower::Service;
 
 use super::request::{BatchMessage, EndpointRequest, MessageResult, RequestResult};
-use crate::connections::{locked, Connection, Connections};
+use crate::connections::{lock, Connection, ConnectionPool};
 
 /// How long the rest of a response is read before a result that is already certain is returned. If the rest arrives by
 /// then, a request that follows immediately can reuse the connection.
@@ -36,18 +36,18 @@
 #[derive(Clone)]
 pub struct RequestSender {
     /// The pool of connections to endpoints.
-    connections: Connections,
+    connections: ConnectionPool,
     remainders: ResponseRemainders,
 }
 
 impl RequestSender {
     /// A sender that uses the connections of this pool.
-    pub fn new(connections: Connections) -> RequestSender {
+    pub fn new(connections: ConnectionPool) -> RequestSender {
         RequestSender { connections, remainders: ResponseRemainders::default() }
     }
 
     /// The pool of connections to endpoints.
-    pub fn connections(&self) -> &Connections {
+    pub fn connections(&self) -> &ConnectionPool {
         &self.connections
     }
 }
@@ -59,7 +59,7 @@
 impl ResponseRemainders {
     /// Starts a task that reads the rest of a response, and ends by its time limit at the latest.
     fn spawn(&self, remainder: impl Future<Output = ()> + Send + 'static) {
-        let mut tasks = locked(&self.0);
+        let mut tasks = lock(&self.0);
         while tasks.try_join_next().is_some() {}
         tasks.spawn(async {
             let _ = timeout(RESPONSE_REMAINDER_AFTER_RESULT, remainder).await;
@@ -129,7 +129,7 @@
 
 /// One request, from its connection to its results.
 struct RequestDelivery {
-    connections: Connections,
+    connections: ConnectionPool,
     remainders: ResponseRemainders,
     request: EndpointRequest,
 }
@@ -296,7 +296,7 @@
 
 /// Reads the rest of a response and returns its connection to the pool.
 async fn read_remainder(
-    connections: Connections,
+    connections: ConnectionPool,
     endpoint: EndpointId,
     mut connection: Connection,
     body: Incoming,
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -12,7 +12,7 @@
 use tokio::time::{interval, sleep, Instant};
 
 use crate::clock::Clock;
-use crate::connections::Connections;
+use crate::connections::ConnectionPool;
 use crate::event_loop::{EventLoop, EventLoopConfig, EventLoopParts};
 use crate::events::Event;
 use crate::ingress::{self, ClientConnections};
@@ -49,8 +49,11 @@
     let (events, event_queue) = mpsc::channel(limits.queued_events);
     let (list_events, list_queue) = mpsc::channel(QUEUED_LIST_PIECES);
     let (notices, notice_queue) = mpsc::unbounded_channel();
-    let connections =
-        Connections::new(limits.endpoint_connections, options.connect_timeout, options.endpoint_idle_timeout);
+    let connections = ConnectionPool::new(
+        limits.endpoint_connections,
+        options.connect_timeout,
+        options.endpoint_idle_timeout,
+    );
     let list_status = ListStatus::default();
     let schedule = WatchSchedule::new(Periods::default(), options.settings.seed);
     let cached_generation = options.cached_list.generation;
@@ -101,7 +104,7 @@
 }
 
 /// Closes idle connections to endpoints at regular intervals; never returns.
-async fn sweep_connections(connections: Connections) {
+async fn sweep_connections(connections: ConnectionPool) {
     let mut interval = interval(SWEEP_INTERVAL);
     loop {
         interval.tick().await;
--- a/crates/forwarder/tests/loopback/retry_after.rs
+++ b/crates/forwarder/tests/loopback/retry_after.rs
@@ -1,7 +1,7 @@
 //! An endpoint that asks to wait, or starts to drain, holds back the requests that are still on their way to it.
 
 use reeddock::EndpointState;
-use reeddock_forwarder::connections::Connections;
+use reeddock_forwarder::connections::ConnectionPool;
 use reeddock_forwarder::request_sender::{run_request, MessageResult};
 use reeddock_protocol::AttemptResult;
 use tokio::io::AsyncWriteExt;
@@ -48,7 +48,7 @@
 
 /// Sends two messages to an endpoint that becomes unavailable while their connection comes up: both end like this, and
 /// nothing is sent on the connection.
-async fn nothing_is_sent_after(become_unavailable: impl FnOnce(&Connections), expected: AttemptResult) {
+async fn nothing_is_sent_after(become_unavailable: impl FnOnce(&ConnectionPool), expected: AttemptResult) {
     let endpoint = SaturatedEndpoint::new();
     let (sender, mut events) = mpsc::channel(4);
     let request = request(endpoint.address, &[("a", NEVER_REACHED), ("b", NEVER_REACHED)]);
--- a/crates/forwarder/tests/loopback/support/requests.rs
+++ b/crates/forwarder/tests/loopback/support/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use reeddock::{AttemptNumber, EndpointId, MessageId};
-use reeddock_forwarder::connections::Connections;
+use reeddock_forwarder::connections::ConnectionPool;
 use reeddock_forwarder::events::Event;
 use reeddock_forwarder::request_sender::{BatchMessage, EndpointRequest, PendingAttempt, RequestSender};
 use reeddock_protocol::{AttemptResult, OutgoingMessage};
@@ -20,7 +20,7 @@
 
 /// A request sender with four connections to an endpoint at most, which waits for a new one so long.
 pub fn request_sender(connect_timeout: Duration) -> RequestSender {
-    RequestSender::new(Connections::new(4, connect_timeout, ms(5000)))
+    RequestSender::new(ConnectionPool::new(4, connect_timeout, ms(5000)))
 }
 
 /// A request sender that waits for connections for longer than the test lasts.
