--- a/crates/experiments/src/report_plots.rs
+++ b/crates/experiments/src/report_plots.rs
@@ -1,6 +1,6 @@
 //! The plots of each kind of result.
 
-use reeddock_simulation::account::{Load, Second};
+use reeddock_simulation::account::{DestinationLoad, SecondCounts};
 use reeddock_simulation::report::{LatencyStep, Watched};
 use reeddock_simulation::Report;
 
@@ -32,10 +32,10 @@
 }
 
 /// The share of credit that was earned in each window; 1 where none was asked for.
-fn credit_points(seconds: &[Second]) -> Vec<Point> {
+fn credit_points(seconds: &[SecondCounts]) -> Vec<Point> {
     let end = seconds.iter().rposition(|second| second.credit.asked > 0.0).map_or(0, |last| last + 1);
     let windows = seconds[..end].windows(CREDIT_WINDOW.min(end.max(1)));
-    let share = |window: &[Second]| {
+    let share = |window: &[SecondCounts]| {
         let asked: f64 = window.iter().map(|second| second.credit.asked).sum();
         let earned: f64 = window.iter().map(|second| second.credit.earned).sum();
         if asked > 0.0 {
@@ -77,7 +77,7 @@
 fn load_against_capacity(destination: &Watched) -> Result<String, ExperimentError> {
     let end = destination.seconds.iter().rposition(|load| load.capacity > 0.0).map_or(0, |last| last + 1);
     let seconds = &destination.seconds[..end];
-    let line = |name: &str, value: &dyn Fn(&Load) -> f64| Line {
+    let line = |name: &str, value: &dyn Fn(&DestinationLoad) -> f64| Line {
         name: name.to_owned(),
         points: (seconds.iter().enumerate())
             .map(|(second, load)| Point { x: second as f64, y: value(load) })
--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -37,7 +37,7 @@
 
 /// Counts of one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Second {
+pub struct SecondCounts {
     /// Credit of the messages that were first submitted in this second.
     pub credit: Credit,
     /// Attempts started.
@@ -58,7 +58,7 @@
 
 /// The requests at one destination in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct DestinationLoad {
     /// Requests that arrived.
     #[serde(rename = "calls")]
     pub requests: u32,
@@ -73,7 +73,7 @@
 
 /// How messages ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ends {
+pub struct MessageOutcomes {
     /// Completed within their latency objective.
     pub completed_in_time: u64,
     /// Completed after it.
--- a/crates/simulation/src/account/keeper.rs
+++ b/crates/simulation/src/account/keeper.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::counts::{AttemptCounts, Credit, Ends, LatencyStep, Load, Second};
+use super::counts::{AttemptCounts, Credit, DestinationLoad, LatencyStep, MessageOutcomes, SecondCounts};
 use super::quota::QuotaBucket;
 use crate::ids::{DestinationIndex, SubmissionIndex};
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
@@ -23,10 +23,10 @@
     classes: Vec<Credit>,
     programs: Vec<Credit>,
     destinations: Vec<Credit>,
-    pub(crate) seconds: Vec<Second>,
+    pub(crate) seconds: Vec<SecondCounts>,
     /// Seconds of each watched destination.
-    pub(crate) loads: Vec<Vec<Load>>,
-    pub(crate) ends: Ends,
+    pub(crate) loads: Vec<Vec<DestinationLoad>>,
+    pub(crate) ends: MessageOutcomes,
     pub(crate) attempts: AttemptCounts,
     /// Milliseconds from the first submission to the completion.
     latency: Histogram<u64>,
@@ -79,7 +79,7 @@
             destinations: vec![Credit::default(); destinations],
             seconds: Vec::new(),
             loads: vec![Vec::new(); destinations.min(WATCHED_DESTINATIONS)],
-            ends: Ends::default(),
+            ends: MessageOutcomes::default(),
             attempts: AttemptCounts::default(),
             latency: latency_histogram(),
             work_done: 0.0,
@@ -94,20 +94,24 @@
     }
 
     /// The counts of the second of a time.
-    pub(crate) fn second(&mut self, at: Duration) -> &mut Second {
+    pub(crate) fn second(&mut self, at: Duration) -> &mut SecondCounts {
         let index = at.as_secs() as usize;
         if self.seconds.len() <= index {
-            self.seconds.resize(index + 1, Second::default());
+            self.seconds.resize(index + 1, SecondCounts::default());
         }
         &mut self.seconds[index]
     }
 
     /// The load of a destination in the second of a time; absent where the destination is not watched.
-    pub(crate) fn load(&mut self, destination: DestinationIndex, at: Duration) -> Option<&mut Load> {
+    pub(crate) fn load(
+        &mut self,
+        destination: DestinationIndex,
+        at: Duration,
+    ) -> Option<&mut DestinationLoad> {
         let loads = self.loads.get_mut(destination.0)?;
         let index = at.as_secs() as usize;
         if loads.len() <= index {
-            loads.resize(index + 1, Load::default());
+            loads.resize(index + 1, DestinationLoad::default());
         }
         loads.get_mut(index)
     }
@@ -207,7 +211,7 @@
     pub(crate) fn worst_share_over(&self, seconds: usize) -> f64 {
         let last_asked = self.seconds.iter().rposition(|second| second.credit.asked > 0.0);
         let asked = last_asked.map_or(0, |index| index + 1);
-        let share = |window: &[Second]| {
+        let share = |window: &[SecondCounts]| {
             let mut sum = Credit::default();
             for second in window {
                 sum.add(second.credit);
--- a/crates/simulation/src/account/mod.rs
+++ b/crates/simulation/src/account/mod.rs
@@ -4,5 +4,5 @@
 mod keeper;
 mod quota;
 
-pub use counts::{AttemptCounts, Credit, Ends, LatencyStep, Load, Second};
+pub use counts::{AttemptCounts, Credit, DestinationLoad, LatencyStep, MessageOutcomes, SecondCounts};
 pub(crate) use keeper::{Account, NewSubmission, WATCHED_DESTINATIONS};
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -48,7 +48,7 @@
 
 /// Plays a scenario under a policy of the caller's own; the name is the one in the report.
 pub fn run_with(scenario: &Scenario, seed: u64, name: &str, factory: &policy::PolicyFactory) -> Report {
-    world::World::new(scenario, seed, name, factory).play()
+    world::World::new(scenario, seed, name, factory).run()
 }
 
 /// Plays a scenario and gives, beside its report, what only the simulation can see.
@@ -58,5 +58,5 @@
     name: &str,
     factory: &policy::PolicyFactory,
 ) -> observed::ObservedRun {
-    world::World::new(scenario, seed, name, factory).play_observed()
+    world::World::new(scenario, seed, name, factory).run_observed()
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use crate::account::LatencyStep;
-use crate::account::{AttemptCounts, Ends, Load, Second};
+use crate::account::{AttemptCounts, DestinationLoad, MessageOutcomes, SecondCounts};
 use crate::invariants::Violation;
 
 /// Seconds in the worst span that is reported.
@@ -50,7 +50,7 @@
     /// The destinations that lost most credit, the worst first.
     pub destinations: Vec<Part>,
     /// How messages ended.
-    pub ends: Ends,
+    pub ends: MessageOutcomes,
     /// How attempts ended.
     #[serde(rename = "dispatches")]
     pub attempts: AttemptCounts,
@@ -81,7 +81,7 @@
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
     /// Second by second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondCounts>,
     /// The destinations with most traffic, second by second.
     pub watched: Vec<Watched>,
     /// Histogram of the latencies, without its empty steps.
@@ -120,7 +120,7 @@
     /// Requests a second that pass its limit at most; absent where there is none but its capacity.
     pub limit: Option<f64>,
     /// Its load in each second.
-    pub seconds: Vec<Load>,
+    pub seconds: Vec<DestinationLoad>,
 }
 
 /// Rounds a result to six decimals: the digits after them mean nothing, and differ between platforms.
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -1,7 +1,7 @@
 //! The report of a run, made at its end.
 
 use super::state::World;
-use crate::account::{Account, Credit, Second, WATCHED_DESTINATIONS};
+use crate::account::{Account, Credit, SecondCounts, WATCHED_DESTINATIONS};
 use crate::ids::EndpointIndex;
 use crate::observed::Observed;
 use crate::report::{rounded, Latency, Part, Report, Watched, WORST_SPAN};
@@ -15,9 +15,9 @@
     Part { name, asked: rounded(credit.asked), share: rounded(credit.share()) }
 }
 
-fn rounded_second(second: &Second) -> Second {
+fn rounded_second(second: &SecondCounts) -> SecondCounts {
     let credit = Credit { asked: rounded(second.credit.asked), earned: rounded(second.credit.earned) };
-    Second { credit, ..*second }
+    SecondCounts { credit, ..*second }
 }
 
 fn latency_quantiles(account: &Account) -> Latency {
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -17,20 +17,20 @@
 
 impl World<'_> {
     /// Plays until every submission has its end.
-    pub(crate) fn play(mut self) -> Report {
-        self.play_events();
+    pub(crate) fn run(mut self) -> Report {
+        self.run_events();
         self.report()
     }
 
     /// Plays until every submission has its end, and gives what only the simulation can see, too.
-    pub(crate) fn play_observed(mut self) -> ObservedRun {
-        self.play_events();
+    pub(crate) fn run_observed(mut self) -> ObservedRun {
+        self.run_events();
         let observed = self.observed();
         ObservedRun { report: self.report(), observed }
     }
 
     /// Handles all events up to the end of the run.
-    fn play_events(&mut self) {
+    fn run_events(&mut self) {
         self.schedule_first_events();
         while let Some(ScheduledEvent { at, event }) = self.schedule.pop() {
             let all_arrived = self.programs_done == self.scenario.programs.len();
