--- a/crates/experiments/src/arguments.rs
+++ b/crates/experiments/src/arguments.rs
@@ -35,7 +35,7 @@
 
     fn from_str(names: &str) -> Result<PolicyList, ArgumentError> {
         let policy = |name: &str| {
-            BuiltInPolicy::named(name.trim())
+            BuiltInPolicy::from_name(name.trim())
                 .ok_or_else(|| ArgumentError::UnknownPolicy(name.trim().to_owned()))
         };
         names.split(',').map(policy).collect::<Result<_, _>>().map(PolicyList)
--- a/crates/experiments/src/random_scenario.rs
+++ b/crates/experiments/src/random_scenario.rs
@@ -169,7 +169,7 @@
         let latency_objective = self.number(1.0, 4.0);
         ClassSpec {
             name: format!("category-{number}"),
-            part: self.amount(0.5, 2.0),
+            traffic_weight: self.amount(0.5, 2.0),
             idempotency: self.idempotency(),
             latency_objective: Span::clamped(latency_objective),
             deadline: Span::clamped(two_decimals(latency_objective * self.number(2.0, 8.0))),
@@ -199,11 +199,11 @@
     fn program(&mut self, number: u32, baseline_per_s: f64) -> Program {
         Program {
             name: format!("program-{number}"),
-            part: self.amount(0.5, 3.0),
+            traffic_weight: self.amount(0.5, 3.0),
             quota_per_s: self.chance(0.3).then(|| Amount::clamped(baseline_per_s * 0.6)),
             max_resubmissions: self.count(0, 2),
             resubmission_delay_s: self.uniform(0.2, 2.0),
-            honors_retry_after: self.share(0.0, 1.0),
+            retry_after_honored_share: self.share(0.0, 1.0),
             withdraws_after_s: self.chance(0.15).then(|| self.uniform(2.0, 15.0)),
             arrival_size: Distribution::Constant(1.0),
         }
@@ -224,13 +224,13 @@
             rate_limit: self.request_limit(),
             headroom: self.uniform(0.9, 2.0),
             min_limit_per_s: self.amount(1.0, 4.0),
-            spare_capacity: self.uniform(1.1, 1.6),
+            capacity_factor: self.uniform(1.1, 1.6),
             queue_s: self.uniform(0.2, 1.0),
             work_factor: self.uniform(0.5, 2.0),
-            sends_retry_after: self.share(0.0, 1.0),
+            retry_after_share: self.share(0.0, 1.0),
             rejected_use_up_limit: self.chance(0.3),
             max_connections: self.chance(0.2).then(|| self.count(8, 40)),
-            serves_abandoned: self.share(0.3, 1.0),
+            abandoned_served_share: self.share(0.3, 1.0),
         }
     }
 
@@ -251,7 +251,7 @@
             forwarders: size.forwarders,
             zones: self.count(1, 3),
             max_in_flight: ((per_forwarder * mean_work_s * 1.3 * self.number(1.4, 3.0)).ceil() as u32).max(2),
-            capacity: ((per_forwarder * self.number(4.0, 14.0)).ceil() as u32).max(8),
+            max_pending_messages: ((per_forwarder * self.number(4.0, 14.0)).ceil() as u32).max(8),
             max_attempts: self.count(3, 12),
             tick: Span::millis(5),
             max_retry_after: self.chance(0.6).then(|| self.span(1.0, 5.0)),
@@ -268,8 +268,8 @@
             baseline_per_s: Amount::clamped(baseline_per_s),
             load: self.amount(0.4, 1.25),
             skew: self.number(0.0, 1.2),
-            clumped: if self.chance(0.5) { self.share(0.05, 0.25) } else { Share::NONE },
-            clump_size: self.uniform(3.0, 20.0),
+            grouped_share: if self.chance(0.5) { self.share(0.05, 0.25) } else { Share::NONE },
+            group_size: self.uniform(3.0, 20.0),
         }
     }
 
--- a/crates/experiments/src/recorded_policy.rs
+++ b/crates/experiments/src/recorded_policy.rs
@@ -24,7 +24,7 @@
     ) -> RecordedPolicy {
         writer.record(PolicyCall::Open { now, settings: &settings });
         let mut recording_host = RecordingHost::new(&writer, host);
-        let policy = BuiltInPolicy::DeliveryPolicy.open(now, settings, &mut recording_host);
+        let policy = BuiltInPolicy::DeliveryPolicy.create(now, settings, &mut recording_host);
         RecordedPolicy { policy, writer }
     }
 
--- a/crates/experiments/src/recovery_study.rs
+++ b/crates/experiments/src/recovery_study.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 use comfy_table::Table;
-use reeddock_simulation::observed::Ramp;
+use reeddock_simulation::observed::RecoveryLoad;
 use reeddock_simulation::report::rounded;
-use reeddock_simulation::{observe, BuiltInPolicy};
+use reeddock_simulation::{run_observed, BuiltInPolicy};
 use serde::Serialize;
 
 use crate::arguments::ScenarioOverride;
@@ -70,11 +70,11 @@
 }
 
 /// Plays a run, and gives the recoveries of which the outage was not itself an overload.
-fn play(run: &Run) -> Vec<Ramp> {
-    let observed = observe(run.scenario, run.seed, run.policy.name(), &|now, settings, host| {
-        run.policy.open(now, settings, host)
+fn play(run: &Run) -> Vec<RecoveryLoad> {
+    let observed = run_observed(run.scenario, run.seed, run.policy.name(), &|now, settings, host| {
+        run.policy.create(now, settings, host)
     });
-    observed.observed.ramps.into_iter().filter(|ramp| !ramp.after_overload).collect()
+    observed.observed.recovery_loads.into_iter().filter(|ramp| !ramp.after_overload).collect()
 }
 
 /// What the rows of one policy and combination of scenario values are made from.
@@ -82,7 +82,7 @@
     values: &'a [String],
     policy: BuiltInPolicy,
     /// The recoveries of each day.
-    days: &'a [Vec<Ramp>],
+    days: &'a [Vec<RecoveryLoad>],
 }
 
 impl ExperimentRunner {
@@ -130,10 +130,10 @@
     }
 
     fn row(&self, baseline_per_s: f64) -> RecoveryRow {
-        let of_this_size = |ramp: &&Ramp| rounded(ramp.baseline_per_s) == baseline_per_s;
-        let ramps: Vec<&Ramp> = self.days.iter().flatten().filter(of_this_size).collect();
-        let days_with = |condition: fn(&Ramp) -> bool| {
-            let shows = |day: &&Vec<Ramp>| day.iter().filter(of_this_size).any(condition);
+        let of_this_size = |ramp: &&RecoveryLoad| rounded(ramp.baseline_per_s) == baseline_per_s;
+        let ramps: Vec<&RecoveryLoad> = self.days.iter().flatten().filter(of_this_size).collect();
+        let days_with = |condition: fn(&RecoveryLoad) -> bool| {
+            let shows = |day: &&Vec<RecoveryLoad>| day.iter().filter(of_this_size).any(condition);
             self.days.iter().filter(shows).count()
         };
         RecoveryRow {
@@ -144,11 +144,13 @@
             recoveries: ramps.len(),
             load_ratio: Statistics::over(&ramps, |ramp| ramp.ratio()),
             load_ratio_median: median(ramps.iter().map(|ramp| ramp.ratio()).collect()),
-            allowed: Statistics::over(&ramps, |ramp| ramp.allowed),
-            requests: Statistics::over(&ramps, |ramp| ramp.sum),
+            allowed: Statistics::over(&ramps, |ramp| ramp.allowed_work),
+            requests: Statistics::over(&ramps, |ramp| ramp.received_work),
             informed_share: Statistics::over(&ramps, |ramp| informed_share(ramp)),
             seeds_with_overload: days_with(|ramp| ramp.overloaded),
-            seeds_with_violation: days_with(|ramp| ramp.overloaded && 3.0 * ramp.known > 2.0 * ramp.sum),
+            seeds_with_violation: days_with(|ramp| {
+                ramp.overloaded && 3.0 * ramp.informed_work > 2.0 * ramp.received_work
+            }),
         }
     }
 }
@@ -159,9 +161,9 @@
     values.get(values.len() / 2).copied().map_or(0.0, rounded)
 }
 
-fn informed_share(ramp: &Ramp) -> f64 {
-    if ramp.sum > 0.0 {
-        ramp.known / ramp.sum
+fn informed_share(ramp: &RecoveryLoad) -> f64 {
+    if ramp.received_work > 0.0 {
+        ramp.informed_work / ramp.received_work
     } else {
         0.0
     }
--- a/crates/experiments/src/report_plots.rs
+++ b/crates/experiments/src/report_plots.rs
@@ -1,7 +1,7 @@
 //! The plots of each kind of result.
 
 use reeddock_simulation::account::{Load, Second};
-use reeddock_simulation::report::{LatencyStep, Watched};
+use reeddock_simulation::report::{LatencyStep, WatchedDestination};
 use reeddock_simulation::Report;
 
 use crate::error::ExperimentError;
@@ -14,7 +14,7 @@
 /// Credit and latency under each policy, and the load of the first one's busiest destinations; as SVG.
 pub(crate) fn run_plots(reports: &[Report]) -> Result<Vec<String>, ExperimentError> {
     let mut plots = vec![credit_over_time(reports)?, latency_distribution(reports)?];
-    for destination in reports.iter().take(1).flat_map(|report| &report.watched) {
+    for destination in reports.iter().take(1).flat_map(|report| &report.watched_destinations) {
         plots.push(load_against_capacity(destination)?);
     }
     Ok(plots)
@@ -74,7 +74,7 @@
     steps.iter().map(point).collect()
 }
 
-fn load_against_capacity(destination: &Watched) -> Result<String, ExperimentError> {
+fn load_against_capacity(destination: &WatchedDestination) -> Result<String, ExperimentError> {
     let end = destination.seconds.iter().rposition(|load| load.capacity > 0.0).map_or(0, |last| last + 1);
     let seconds = &destination.seconds[..end];
     let line = |name: &str, value: &dyn Fn(&Load) -> f64| Line {
--- a/crates/experiments/src/sharing_study.rs
+++ b/crates/experiments/src/sharing_study.rs
@@ -14,10 +14,10 @@
 use rand_pcg::Pcg32;
 use reeddock_simulation::distribution::Span;
 use reeddock_simulation::fault::{EndpointSelector, Fault};
-use reeddock_simulation::observed::SentToDown;
+use reeddock_simulation::observed::OutageTraffic;
 use reeddock_simulation::policies::sharing::{open_sharing_policy, CircuitExchange};
 use reeddock_simulation::scenario::{ScheduledFault, ValueOverride};
-use reeddock_simulation::{observe, BuiltInPolicy, Scenario};
+use reeddock_simulation::{run_observed, BuiltInPolicy, Scenario};
 use serde::Serialize;
 
 use crate::error::{ExperimentError, FileAction};
@@ -100,27 +100,29 @@
     violations: usize,
     messages: u64,
     /// What went to destinations that were down.
-    sent_to_down: SentToDown,
+    sent_to_down: OutageTraffic,
 }
 
 impl Run<'_> {
     fn play(&self) -> Day {
         let run = match self.knowledge {
             Knowledge::DeliveryPolicy => {
-                observe(self.scenario, self.seed, "module", &|now, settings, host| {
-                    BuiltInPolicy::DeliveryPolicy.open(now, settings, host)
+                run_observed(self.scenario, self.seed, "module", &|now, settings, host| {
+                    BuiltInPolicy::DeliveryPolicy.create(now, settings, host)
                 })
             }
-            Knowledge::TrueState => observe(self.scenario, self.seed, "ideal", &|now, settings, host| {
-                BuiltInPolicy::UpperBound.open(now, settings, host)
-            }),
-            Knowledge::OwnCircuit => observe(self.scenario, self.seed, "alone", &|_, settings, _| {
+            Knowledge::TrueState => {
+                run_observed(self.scenario, self.seed, "ideal", &|now, settings, host| {
+                    BuiltInPolicy::UpperBound.create(now, settings, host)
+                })
+            }
+            Knowledge::OwnCircuit => run_observed(self.scenario, self.seed, "alone", &|_, settings, _| {
                 let exchange = CircuitExchange::new(Duration::ZERO);
                 open_sharing_policy(&Arc::new(Mutex::new(exchange)), settings)
             }),
             Knowledge::SharedCircuit(delay) => {
                 let exchange = Arc::new(Mutex::new(CircuitExchange::new(delay)));
-                observe(self.scenario, self.seed, "shared", &|_, settings, _| {
+                run_observed(self.scenario, self.seed, "shared", &|_, settings, _| {
                     open_sharing_policy(&exchange, settings)
                 })
             }
@@ -129,7 +131,7 @@
             credit: run.report.credit,
             violations: run.report.rules_broken,
             messages: run.report.submissions,
-            sent_to_down: run.observed.down,
+            sent_to_down: run.observed.outage_traffic,
         }
     }
 }
@@ -313,8 +315,10 @@
             attempts_per_message: statistics(&|day| {
                 share(day.sent_to_down.attempts, day.sent_to_down.submitted)
             }),
-            first_lost: statistics(&|day| share(day.sent_to_down.first_lost, day.messages)),
-            first_lost_to_known: statistics(&|day| share(day.sent_to_down.first_lost_to_known, day.messages)),
+            first_lost: statistics(&|day| share(day.sent_to_down.first_attempts_lost, day.messages)),
+            first_lost_to_known: statistics(&|day| {
+                share(day.sent_to_down.first_attempts_lost_to_known_outage, day.messages)
+            }),
             credit: statistics(&|day| day.credit),
             credit_down: statistics(&|day| {
                 day.sent_to_down.credit_earned / day.sent_to_down.credit_asked.max(MIN_CREDIT)
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -82,7 +82,7 @@
 
 /// Settings that make a scenario simpler where they are off, each as the change that turns it off.
 const SIMPLIFICATIONS: [fn(&mut Scenario); 11] = [
-    |scenario| scenario.traffic.clumped = Share::NONE,
+    |scenario| scenario.traffic.grouped_share = Share::NONE,
     |scenario| scenario.traffic.skew = 0.0,
     |scenario| scenario.fleet.unevenness = Share::NONE,
     |scenario| scenario.fleet.zones = 1,
--- a/crates/experiments/src/text_report.rs
+++ b/crates/experiments/src/text_report.rs
@@ -96,7 +96,8 @@
     let parts = [("category", &run.classes), ("program", &run.programs), ("destination", &run.destinations)];
     for (kind, parts) in parts {
         for part in parts.iter().take(LISTED_PARTS) {
-            text += &format!("  {kind} {}: {:.3} of {:.0}\n", part.name, part.share, part.asked);
+            text +=
+                &format!("  {kind} {}: {:.3} of {:.0}\n", part.name, part.earned_share, part.credit_asked);
         }
     }
     if run.rules_broken > 0 {
@@ -134,7 +135,7 @@
         run.latency_ms.p50,
         run.latency_ms.p90,
         run.latency_ms.p99,
-        run.latency_ms.worst,
+        run.latency_ms.max,
     )
 }
 
@@ -151,7 +152,7 @@
         run.in_flight_used,
         run.events,
         run.policy_runs,
-        run.ran_s,
+        run.simulated_s,
         run.overloads,
     )
 }
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -219,12 +219,12 @@
     }
 
     /// Draws a duration, in seconds.
-    pub fn span(&self, random: &mut RandomSource) -> Duration {
+    pub fn draw_seconds(&self, random: &mut RandomSource) -> Duration {
         duration_from_seconds(self.draw(random))
     }
 
     /// Draws a duration, in milliseconds.
-    pub fn millis(&self, random: &mut RandomSource) -> Duration {
+    pub fn draw_millis(&self, random: &mut RandomSource) -> Duration {
         duration_from_seconds(self.draw(random) / 1e3)
     }
 
--- a/crates/simulation/src/layout/draw.rs
+++ b/crates/simulation/src/layout/draw.rs
@@ -66,7 +66,7 @@
         let baseline_per_s = traffic_part * scenario.traffic.baseline_per_s.get();
         let work_factor = kind.work_factor.draw(random).max(MIN_WORK_FACTOR);
         let limit_per_s = draw_limit(kind, baseline_per_s, random);
-        let capacity_per_s = limit_per_s * kind.spare_capacity.draw(random).max(MIN_CAPACITY_FACTOR);
+        let capacity_per_s = limit_per_s * kind.capacity_factor.draw(random).max(MIN_CAPACITY_FACTOR);
         let endpoint_count = kind.endpoints.draw(random).round().clamp(1.0, MAX_ENDPOINTS) as usize;
         let weight_error = scenario.endpoint_list.weight_error.draw(random);
         let limits = DestinationLimits::of(kind, limit_per_s, endpoint_count);
@@ -152,8 +152,8 @@
 
 /// Mean work of a message over all classes, in seconds.
 fn mean_work_seconds(scenario: &Scenario) -> f64 {
-    let works = scenario.classes.iter().map(|class| class.part.get() * class.work_ms.mean() / 1e3);
-    let parts: f64 = scenario.classes.iter().map(|class| class.part.get()).sum();
+    let works = scenario.classes.iter().map(|class| class.traffic_weight.get() * class.work_ms.mean() / 1e3);
+    let parts: f64 = scenario.classes.iter().map(|class| class.traffic_weight.get()).sum();
     works.sum::<f64>() / parts
 }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -43,7 +43,7 @@
 
 /// Plays a scenario under one of the built-in policies.
 pub fn run(scenario: &Scenario, seed: u64, policy: BuiltInPolicy) -> Report {
-    run_with(scenario, seed, policy.name(), &|now, settings, host| policy.open(now, settings, host))
+    run_with(scenario, seed, policy.name(), &|now, settings, host| policy.create(now, settings, host))
 }
 
 /// Plays a scenario under a policy of the caller's own; the name is the one in the report.
@@ -52,7 +52,7 @@
 }
 
 /// Plays a scenario and gives, beside its report, what only the simulation can see.
-pub fn observe(
+pub fn run_observed(
     scenario: &Scenario,
     seed: u64,
     name: &str,
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -20,7 +20,7 @@
 /// What an endpoint was sent while it warmed up after an outage, in the worst window of the length that the
 /// settings name: the one whose sum was largest against what may be sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ramp {
+pub struct RecoveryLoad {
     /// Index of the endpoint.
     #[serde(rename = "target")]
     pub endpoint: usize,
@@ -35,23 +35,26 @@
     /// Seconds from the recovery to the end of the worst window.
     pub after_s: f64,
     /// Work that reached the endpoint in that window, in requests of one message.
-    pub sum: f64,
+    #[serde(rename = "sum")]
+    pub received_work: f64,
     /// What the settings allow in it, without what is left to chance: N.
-    pub allowed: f64,
+    #[serde(rename = "allowed")]
+    pub allowed_work: f64,
     /// What overloads it: N + 2 * sqrt(N) + 2.
     pub budget: f64,
     /// Part of the sum that came from forwarders that had seen the outage.
-    pub known: f64,
+    #[serde(rename = "known")]
+    pub informed_work: f64,
     /// The endpoint was overloaded.
     #[serde(rename = "fell")]
     pub overloaded: bool,
 }
 
-impl Ramp {
+impl RecoveryLoad {
     /// The worst window's sum against the budget; over 1 the endpoint is overloaded.
     pub fn ratio(&self) -> f64 {
         if self.budget > 0.0 {
-            self.sum / self.budget
+            self.received_work / self.budget
         } else {
             0.0
         }
@@ -60,7 +63,7 @@
 
 /// What was sent to endpoints while they were down, over the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SentToDown {
+pub struct OutageTraffic {
     /// Messages that were submitted while all endpoints of their destination were down.
     #[serde(rename = "handed_in")]
     pub submitted: u64,
@@ -74,9 +77,11 @@
     /// New connections that were asked for there.
     pub connections: u64,
     /// Messages whose first attempt was one of these.
-    pub first_lost: u64,
+    #[serde(rename = "first_lost")]
+    pub first_attempts_lost: u64,
     /// The same, where some forwarder had already seen a failure in that outage.
-    pub first_lost_to_known: u64,
+    #[serde(rename = "first_lost_to_known")]
+    pub first_attempts_lost_to_known_outage: u64,
     /// Seconds that an endpoint was down, summed over all endpoints.
     #[serde(rename = "target_seconds")]
     pub endpoint_seconds: f64,
@@ -86,9 +91,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Observed {
     /// One for each recovery of an endpoint.
-    pub ramps: Vec<Ramp>,
+    #[serde(rename = "ramps")]
+    pub recovery_loads: Vec<RecoveryLoad>,
     /// What was sent to endpoints that were down.
-    pub down: SentToDown,
+    #[serde(rename = "down")]
+    pub outage_traffic: OutageTraffic,
 }
 
 /// A run, with what only the simulation can see of it.
@@ -106,7 +113,7 @@
     /// End of the outage, since the start of the run.
     pub(crate) at: Duration,
     cause: OutageCause,
-    worst: Option<Ramp>,
+    worst: Option<RecoveryLoad>,
 }
 
 impl Recovery {
@@ -120,27 +127,27 @@
     }
 
     /// Keeps the worst window so far.
-    pub(crate) fn set_worst(&mut self, ramp: Ramp) {
+    pub(crate) fn set_worst_load(&mut self, ramp: RecoveryLoad) {
         self.worst = Some(ramp);
     }
 
     /// The worst window so far, or one in which nothing was sent.
-    pub(crate) fn ramp(
+    pub(crate) fn worst_load(
         &self,
         endpoint: EndpointIndex,
         destination: DestinationIndex,
         baseline_per_s: f64,
-    ) -> Ramp {
-        let nothing_sent = Ramp {
+    ) -> RecoveryLoad {
+        let nothing_sent = RecoveryLoad {
             endpoint: endpoint.0,
             destination: destination.0,
             baseline_per_s,
             after_overload: self.cause == OutageCause::Overload,
             after_s: 0.0,
-            sum: 0.0,
-            allowed: 0.0,
+            received_work: 0.0,
+            allowed_work: 0.0,
             budget: 0.0,
-            known: 0.0,
+            informed_work: 0.0,
             overloaded: false,
         };
         self.worst.clone().unwrap_or(nothing_sent)
--- a/crates/simulation/src/policies/built_in.rs
+++ b/crates/simulation/src/policies/built_in.rs
@@ -46,12 +46,12 @@
     }
 
     /// The policy of a name.
-    pub fn named(name: &str) -> Option<BuiltInPolicy> {
+    pub fn from_name(name: &str) -> Option<BuiltInPolicy> {
         BuiltInPolicy::ALL.into_iter().find(|policy| policy.name() == name)
     }
 
     /// Makes the instance of a forwarder that starts now.
-    pub fn open(self, now: Duration, settings: Settings, host: &mut dyn PolicyHost) -> Box<dyn Policy> {
+    pub fn create(self, now: Duration, settings: Settings, host: &mut dyn PolicyHost) -> Box<dyn Policy> {
         match self {
             BuiltInPolicy::DeliveryPolicy => Box::new(DeliveryPolicyAdapter::new(now, settings, host)),
             BuiltInPolicy::OneAttempt => Box::new(BaselineHost::new(settings, OneAttempt)),
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -7,17 +7,19 @@
 use crate::invariants::Violation;
 
 /// Seconds in the worst span that is reported.
-pub const WORST_SPAN: usize = 10;
+pub const WORST_SPAN_SECONDS: usize = 10;
 
 /// Credit of one class, program or destination.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct GroupCredit {
     /// Name of the class, program or destination.
     pub name: String,
     /// Credit asked for.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub credit_asked: f64,
     /// Part of it that was earned.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub earned_share: f64,
 }
 
 /// All results of a run.
@@ -31,7 +33,7 @@
     pub seed: u64,
     /// Part of the credit asked for that was earned.
     pub credit: f64,
-    /// The same in the worst [`WORST_SPAN`] seconds, by first submissions.
+    /// The same in the worst [`WORST_SPAN_SECONDS`] seconds, by first submissions.
     pub credit_worst_span: f64,
     /// The same for the worst message class.
     #[serde(rename = "credit_worst_category")]
@@ -44,11 +46,11 @@
     pub messages: u64,
     /// By message class.
     #[serde(rename = "categories")]
-    pub classes: Vec<Part>,
+    pub classes: Vec<GroupCredit>,
     /// By program.
-    pub programs: Vec<Part>,
+    pub programs: Vec<GroupCredit>,
     /// The destinations that lost most credit, the worst first.
-    pub destinations: Vec<Part>,
+    pub destinations: Vec<GroupCredit>,
     /// How messages ended.
     pub ends: Ends,
     /// How attempts ended.
@@ -83,13 +85,16 @@
     /// Second by second.
     pub seconds: Vec<Second>,
     /// The destinations with most traffic, second by second.
-    pub watched: Vec<Watched>,
+    #[serde(rename = "watched")]
+    pub watched_destinations: Vec<WatchedDestination>,
     /// Histogram of the latencies, without its empty steps.
     pub latency_steps: Vec<LatencyStep>,
     /// Submissions without an end; one would be a fault of the simulation.
-    pub unfinished: usize,
+    #[serde(rename = "unfinished")]
+    pub unfinished_submissions: usize,
     /// Simulated seconds that the run went on for.
-    pub ran_s: f64,
+    #[serde(rename = "ran_s")]
+    pub simulated_s: f64,
     /// Events that it took.
     pub events: u64,
     /// Times that a policy ran its due work.
@@ -107,12 +112,13 @@
     /// 99th percentile.
     pub p99: u64,
     /// Maximum.
-    pub worst: u64,
+    #[serde(rename = "worst")]
+    pub max: u64,
 }
 
 /// A destination with much traffic, second by second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchedDestination {
     /// Its rank by traffic.
     pub destination: usize,
     /// Name of its kind.
--- a/crates/simulation/src/scenario/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -36,7 +36,7 @@
     pub min_limit_per_s: Amount,
     /// Requests that it can serve against its limit.
     #[serde(rename = "spare", default = "defaults::spare")]
-    pub spare_capacity: Distribution,
+    pub capacity_factor: Distribution,
     /// Work that may queue at an endpoint, in seconds of what it can serve.
     #[serde(default = "defaults::queue")]
     pub queue_s: Distribution,
@@ -45,7 +45,7 @@
     pub work_factor: Distribution,
     /// Share of rejections that carry Retry-After.
     #[serde(rename = "told_waits", default)]
-    pub sends_retry_after: Share,
+    pub retry_after_share: Share,
     /// Requests that are rejected use up the limit too.
     #[serde(rename = "refused_use_up", default)]
     pub rejected_use_up_limit: bool,
@@ -54,7 +54,7 @@
     pub max_connections: Option<u32>,
     /// Share of queued requests that are still served after the forwarder has stopped waiting.
     #[serde(rename = "runs_on", default = "defaults::all")]
-    pub serves_abandoned: Share,
+    pub abandoned_served_share: Share,
 }
 
 /// How a destination limits requests.
--- a/crates/simulation/src/scenario/messages.rs
+++ b/crates/simulation/src/scenario/messages.rs
@@ -18,8 +18,8 @@
     /// Name in settings, reports and faults.
     pub name: String,
     /// Part of all messages, against the other classes' parts.
-    #[serde(default = "defaults::one_amount")]
-    pub part: Amount,
+    #[serde(rename = "part", default = "defaults::one_amount")]
+    pub traffic_weight: Amount,
     /// What a further attempt may do.
     #[serde(rename = "effect")]
     pub idempotency: ClassIdempotency,
@@ -114,8 +114,8 @@
     /// Name of the tenant.
     pub name: String,
     /// Part of all messages, against the other programs' parts.
-    #[serde(default = "defaults::one_amount")]
-    pub part: Amount,
+    #[serde(rename = "part", default = "defaults::one_amount")]
+    pub traffic_weight: Amount,
     /// Messages a second inside its quota; absent where it has none.
     #[serde(rename = "share_per_s", default, skip_serializing_if = "Option::is_none")]
     pub quota_per_s: Option<Amount>,
@@ -127,7 +127,7 @@
     pub resubmission_delay_s: Distribution,
     /// Share of its clients that honor Retry-After.
     #[serde(rename = "heeds", default = "defaults::all")]
-    pub honors_retry_after: Share,
+    pub retry_after_honored_share: Share,
     /// Seconds after which its clients withdraw a message; absent where they never do.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub withdraws_after_s: Option<Distribution>,
--- a/crates/simulation/src/scenario/settings.rs
+++ b/crates/simulation/src/scenario/settings.rs
@@ -30,7 +30,7 @@
             over_quota_weight: Some(OVER_QUOTA_WEIGHT),
             late_decay: self.late_decay(),
             max_in_flight: Some(fleet.max_in_flight.into()),
-            max_pending_messages: Some(fleet.capacity.into()),
+            max_pending_messages: Some(fleet.max_pending_messages.into()),
             max_attempts: Some(fleet.max_attempts.into()),
             hedging_allowed: true,
             max_retry_after: fleet.max_retry_after.map(|span| span.0),
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -178,7 +178,7 @@
     section.check_range("forwarders", fleet.forwarders.into(), 1.0..=10_000.0)?;
     section.check_range("zones", fleet.zones.into(), 1.0..=100.0)?;
     section.check_range("slots", fleet.max_in_flight.into(), 1.0..=100_000.0)?;
-    section.check_range("room", fleet.capacity.into(), 2.0..=1e7)?;
+    section.check_range("room", fleet.max_pending_messages.into(), 2.0..=1e7)?;
     section.check_range("dispatch_cap", fleet.max_attempts.into(), 1.0..=1000.0)?;
     section.check_range("tick_s", fleet.tick.seconds(), 0.0..=0.1)
 }
@@ -240,7 +240,7 @@
     section.check_range("targets in the mean", kind.endpoints.mean(), 1.0..=1000.0)?;
     section.check_range("batch", kind.max_batch.into(), 1.0..=1000.0)?;
     section.check_range("headroom in the mean", kind.headroom.mean(), 0.01..=1e4)?;
-    section.check_range("spare in the mean", kind.spare_capacity.mean(), 0.01..=1e4)?;
+    section.check_range("spare in the mean", kind.capacity_factor.mean(), 0.01..=1e4)?;
     section.check_range("pace in the mean", kind.work_factor.mean(), 0.001..=1e3)?;
     match kind.rate_limit {
         RateLimit::FixedWindow(window) => section.check_range("limit.span", window.seconds(), 0.01..=3600.0),
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -22,7 +22,7 @@
     pub max_in_flight: u32,
     /// Messages that one forwarder may hold, queued or in flight.
     #[serde(rename = "room")]
-    pub capacity: u32,
+    pub max_pending_messages: u32,
     /// Attempts for one message.
     #[serde(rename = "dispatch_cap", default = "defaults::max_attempts")]
     pub max_attempts: u32,
@@ -63,11 +63,11 @@
     #[serde(default)]
     pub skew: f64,
     /// Share of messages that come in clumps for one destination.
-    #[serde(default)]
-    pub clumped: Share,
+    #[serde(rename = "clumped", default)]
+    pub grouped_share: Share,
     /// Messages in a clump.
     #[serde(rename = "clump", default = "defaults::clump")]
-    pub clump_size: Distribution,
+    pub group_size: Distribution,
 }
 
 /// Delays and timeouts of connections.
@@ -104,9 +104,9 @@
 impl Network {
     /// Draws the one-way delay between a forwarder and an endpoint in these zones.
     pub fn one_way(&self, path: ZonePath, random: &mut RandomSource) -> Duration {
-        let same_zone = self.one_way_ms.millis(random);
+        let same_zone = self.one_way_ms.draw_millis(random);
         // Drawn in any case, so that the zone does not shift what is drawn later.
-        let added = self.cross_zone_ms.millis(random);
+        let added = self.cross_zone_ms.draw_millis(random);
         if path.crosses_zones() {
             same_zone + added
         } else {
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -129,8 +129,8 @@
         let is_first = attempt.number == 0;
         let is_known = self.invariants.is_outage_known(endpoint);
         self.sent_to_down.attempts += 1;
-        self.sent_to_down.first_lost += u64::from(is_first);
-        self.sent_to_down.first_lost_to_known += u64::from(is_first && is_known);
+        self.sent_to_down.first_attempts_lost += u64::from(is_first);
+        self.sent_to_down.first_attempts_lost_to_known_outage += u64::from(is_first && is_known);
     }
 
     /// Adds an attempt to a request that has not left, and schedules its timeout.
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -69,7 +69,7 @@
     /// How the messages of a program come together, by the scenario's settings.
     fn arrival_shape(&self, program: usize) -> ArrivalShape {
         let traffic = &self.scenario.traffic;
-        let (clumped, clump_size) = (traffic.clumped.get(), traffic.clump_size.mean().max(1.0));
+        let (clumped, clump_size) = (traffic.grouped_share.get(), traffic.group_size.mean().max(1.0));
         let clump_probability = clumped / (clump_size * (1.0 - clumped) + clumped).max(MIN_DIVISOR);
         let arrival_size = self.scenario.programs[program].arrival_size.mean().max(1.0);
         let mean_messages = arrival_size * (clump_probability * clump_size + 1.0 - clump_probability);
@@ -79,8 +79,8 @@
     /// Draws the time of a program's next arrival.
     pub(super) fn next_arrival(&mut self, program: usize) -> Duration {
         let traffic = &self.scenario.traffic;
-        let all_parts: f64 = self.scenario.programs.iter().map(|program| program.part.get()).sum();
-        let part = self.scenario.programs[program].part.get() / all_parts;
+        let all_parts: f64 = self.scenario.programs.iter().map(|program| program.traffic_weight.get()).sum();
+        let part = self.scenario.programs[program].traffic_weight.get() / all_parts;
         let messages_per_s =
             traffic.baseline_per_s.get() * traffic.load.get() * part * self.traffic_factor(program);
         let arrivals_per_s = messages_per_s / self.arrival_shape(program).mean_messages;
@@ -99,7 +99,7 @@
         let scenario = self.scenario;
         let random = &mut self.random.arrivals;
         let is_clump = random.random::<f64>() < shape.clump_probability;
-        let clump_size = scenario.traffic.clump_size.draw(random).round().clamp(1.0, MAX_CLUMP) as usize;
+        let clump_size = scenario.traffic.group_size.draw(random).round().clamp(1.0, MAX_CLUMP) as usize;
         let arrival_size = scenario.programs[program].arrival_size.draw(random);
         let arrival_size = arrival_size.round().clamp(1.0, MAX_ARRIVAL) as usize;
         let messages = arrival_size * if is_clump { clump_size } else { 1 };
@@ -150,7 +150,7 @@
     /// A client submits a message to the forwarder that it reaches.
     fn submit(&mut self, submission: SubmissionIndex) {
         let ordering_key = self.submissions[submission.0].ordering_key;
-        let capacity = self.scenario.fleet.capacity as usize;
+        let capacity = self.scenario.fleet.max_pending_messages as usize;
         let reached = self.choose_forwarder(ordering_key);
         let has_room = |forwarder: &ForwarderIndex| self.forwarders[forwarder.0].open_messages < capacity;
         match reached.filter(has_room) {
@@ -204,8 +204,8 @@
     /// A client learns that its message was rejected, or not accepted at all.
     pub(super) fn submission_rejected(&mut self, submission: SubmissionIndex, retry_after: Option<Duration>) {
         let program = &self.scenario.programs[self.submissions[submission.0].program];
-        let delay = program.resubmission_delay_s.span(&mut self.random.clients);
-        let honors = program.honors_retry_after.occurs(&mut self.random.clients);
+        let delay = program.resubmission_delay_s.draw_seconds(&mut self.random.clients);
+        let honors = program.retry_after_honored_share.occurs(&mut self.random.clients);
         let retry_after = retry_after.filter(|_| honors).unwrap_or_default();
         let record = &mut self.submissions[submission.0];
         if record.resubmissions_left == 0 || record.finished {
@@ -219,7 +219,7 @@
     /// Its forwarder was killed: the client submits the message to another one, which counts as no resubmission.
     pub(super) fn submission_orphaned(&mut self, submission: SubmissionIndex) {
         let program = &self.scenario.programs[self.submissions[submission.0].program];
-        let delay = program.resubmission_delay_s.span(&mut self.random.clients);
+        let delay = program.resubmission_delay_s.draw_seconds(&mut self.random.clients);
         let at = self.now() + delay.max(MIN_FAILOVER_DELAY);
         self.schedule.schedule(at, Event::Resubmission(submission));
     }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -133,7 +133,7 @@
     /// Schedules the arrival of the complete endpoint list at a forwarder.
     fn fetch_endpoint_list(&mut self, forwarder: ForwarderIndex) {
         let changes = self.complete_endpoint_list();
-        let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
+        let delay = self.scenario.endpoint_list.delay_s.draw_seconds(&mut self.random.endpoint_list);
         let at = self.now() + delay;
         let input = ForwarderInput::EndpointList { complete: true, changes };
         self.schedule.schedule(at, Event::Input { to: self.incarnation_of(forwarder), input });
@@ -160,7 +160,7 @@
             if !settings.allowed || to.is_some_and(|to| to.0 as usize != peer.0) {
                 continue;
             }
-            let delay = settings.delay_ms.millis(&mut self.random.network);
+            let delay = settings.delay_ms.draw_millis(&mut self.random.network);
             let is_lost = settings.loss.occurs(&mut self.random.network);
             let is_cut_off = partitions.iter().any(|side| side.contains(&from) != side.contains(&peer));
             if is_lost || is_cut_off {
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -177,7 +177,7 @@
         let delay = if is_silent {
             network.connect_timeout.0
         } else {
-            network.one_way_ms.millis(&mut self.random.network)
+            network.one_way_ms.draw_millis(&mut self.random.network)
         };
         let input = ForwarderInput::HealthChecked { endpoint, healthy: !is_silent && is_up };
         let at = self.now() + delay;
@@ -206,7 +206,7 @@
     fn reject_request(&mut self, request: RequestIndex, retry_after: Duration) {
         let now = self.now();
         let destination = self.destination_of(self.requests[request.0].endpoint);
-        let share = self.kind_of(destination).sends_retry_after;
+        let share = self.kind_of(destination).retry_after_share;
         let sends_retry_after = share.occurs(&mut self.random.service);
         if let Some(load) = self.account.load(destination, now) {
             load.rejected += 1;
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -48,7 +48,7 @@
             self.listed_states[index] = change.state;
         }
         for index in 0..self.forwarders.len() {
-            let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
+            let delay = self.scenario.endpoint_list.delay_s.draw_seconds(&mut self.random.endpoint_list);
             let at = (self.now() + delay).max(self.forwarders[index].last_list_change_at);
             self.forwarders[index].last_list_change_at = at;
             let (forwarder, changes) = (ForwarderIndex(index), changes.to_vec());
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -41,7 +41,7 @@
     /// Schedules the withdrawal of a message, where clients of its program withdraw.
     fn schedule_withdrawal(&mut self, message: MessageIndex, program: usize) {
         if let Some(delay) = self.scenario.programs[program].withdraws_after_s {
-            let at = self.now() + delay.span(&mut self.random.clients);
+            let at = self.now() + delay.draw_seconds(&mut self.random.clients);
             self.schedule.schedule(at, Event::Withdrawal(message));
         }
     }
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -3,7 +3,7 @@
 use super::event::Event;
 use super::state::World;
 use crate::ids::{DestinationIndex, EndpointIndex, ForwarderIndex};
-use crate::observed::Ramp;
+use crate::observed::RecoveryLoad;
 use crate::received_work::ReceivedWork;
 use crate::report::rounded;
 use crate::simulated_endpoint::{overload_budget, OutageCause, Overload};
@@ -74,13 +74,13 @@
     fn observe_warm_up(&mut self, endpoint: EndpointIndex, overload: Option<&Overload>) {
         if let Some(ramp) = self.worse_window(endpoint, overload) {
             if let Some(last) = self.endpoints[endpoint.0].recoveries.last_mut() {
-                last.set_worst(ramp);
+                last.set_worst_load(ramp);
             }
         }
     }
 
     /// The present window of an endpoint that warms up, if it is worse than all before.
-    fn worse_window(&self, endpoint: EndpointIndex, overload: Option<&Overload>) -> Option<Ramp> {
+    fn worse_window(&self, endpoint: EndpointIndex, overload: Option<&Overload>) -> Option<RecoveryLoad> {
         let now = self.now();
         let state = &self.endpoints[endpoint.0];
         let last = state.recoveries.last()?;
@@ -99,14 +99,14 @@
         }
         let destination = state.plan.destination;
         let baseline_per_s = self.layout.destinations[destination.0].baseline_per_s;
-        Some(Ramp {
+        Some(RecoveryLoad {
             after_s: rounded(now.saturating_sub(last.at).as_secs_f64()),
-            sum: rounded(sum),
-            allowed: rounded(window.allowed),
+            received_work: rounded(sum),
+            allowed_work: rounded(window.allowed),
             budget: rounded(budget),
-            known: rounded(known),
+            informed_work: rounded(known),
             overloaded: overload.is_some(),
-            ..last.ramp(endpoint, destination, baseline_per_s)
+            ..last.worst_load(endpoint, destination, baseline_per_s)
         })
     }
 }
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -34,7 +34,7 @@
         let one_way = self.one_way(forwarder, endpoint);
         let network = &self.scenario.network;
         // Drawn in any case, so that the kind of connection does not shift what is drawn later.
-        let handshake = network.handshake_ms.millis(&mut self.random.network);
+        let handshake = network.handshake_ms.draw_millis(&mut self.random.network);
         self.account.attempts.requests += 1;
         self.requests[request.0].endpoint_incarnation = self.endpoints[endpoint.0].incarnation;
         let now = self.now();
@@ -115,7 +115,7 @@
     /// is queued.
     pub(super) fn abandon_request(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
-        let serves_abandoned = self.kind_of(self.destination_of(endpoint)).serves_abandoned;
+        let serves_abandoned = self.kind_of(self.destination_of(endpoint)).abandoned_served_share;
         let is_served = serves_abandoned.occurs(&mut self.random.service);
         let record = &mut self.requests[request.0];
         if !record.serving_began && !is_served {
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -4,15 +4,15 @@
 use crate::account::{Account, Credit, Second, WATCHED_DESTINATIONS};
 use crate::ids::EndpointIndex;
 use crate::observed::Observed;
-use crate::report::{rounded, Latency, Part, Report, Watched, WORST_SPAN};
+use crate::report::{rounded, GroupCredit, Latency, Report, WatchedDestination, WORST_SPAN_SECONDS};
 
 /// Destinations that a report names, those that lost most credit first.
 const NAMED_DESTINATIONS: usize = 2 * WATCHED_DESTINATIONS;
 /// Guards the division by the work done, in seconds.
 const MIN_WORK: f64 = 1e-9;
 
-fn part(name: String, credit: Credit) -> Part {
-    Part { name, asked: rounded(credit.asked), share: rounded(credit.share()) }
+fn part(name: String, credit: Credit) -> GroupCredit {
+    GroupCredit { name, credit_asked: rounded(credit.asked), earned_share: rounded(credit.share()) }
 }
 
 fn rounded_second(second: &Second) -> Second {
@@ -26,20 +26,21 @@
         p50: latency.value_at_quantile(0.5),
         p90: latency.value_at_quantile(0.9),
         p99: latency.value_at_quantile(0.99),
-        worst: latency.max(),
+        max: latency.max(),
     }
 }
 
 impl World<'_> {
     /// What only the simulation can see.
     pub(super) fn observed(&self) -> Observed {
-        let mut ramps = Vec::new();
+        let mut recovery_loads = Vec::new();
         let mut down = self.sent_to_down;
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             let destination = endpoint.plan.destination;
             let baseline_per_s = self.layout.destinations[destination.0].baseline_per_s;
             let recoveries = endpoint.recoveries.iter();
-            ramps.extend(recoveries.map(|r| r.ramp(EndpointIndex(index), destination, baseline_per_s)));
+            recovery_loads
+                .extend(recoveries.map(|r| r.worst_load(EndpointIndex(index), destination, baseline_per_s)));
             let since = endpoint.down_since.unwrap_or(self.scenario.duration.0);
             down.endpoint_seconds += self.scenario.duration.0.saturating_sub(since).as_secs_f64();
         }
@@ -47,7 +48,7 @@
         down.credit_asked = rounded(credit.asked);
         down.credit_earned = rounded(credit.earned);
         down.endpoint_seconds = rounded(down.endpoint_seconds);
-        Observed { ramps, down }
+        Observed { recovery_loads, outage_traffic: down }
     }
 
     /// The report of the run.
@@ -64,8 +65,8 @@
             policy: self.policy_name.to_owned(),
             seed: self.seed,
             credit: rounded(account.total().share()),
-            credit_worst_span: rounded(account.worst_share_over(WORST_SPAN)),
-            credit_worst_class: classes.iter().map(|class| class.share).fold(1.0, f64::min),
+            credit_worst_span: rounded(account.worst_share_over(WORST_SPAN_SECONDS)),
+            credit_worst_class: classes.iter().map(|class| class.earned_share).fold(1.0, f64::min),
             submissions: submissions as u64,
             messages: self.messages.len() as u64,
             classes,
@@ -86,27 +87,27 @@
             rules_broken: violations.count,
             violations: violations.first,
             seconds: account.seconds.iter().map(rounded_second).collect(),
-            watched,
+            watched_destinations: watched,
             latency_steps: account.latency_steps(),
-            unfinished: self.open_submissions,
-            ran_s: rounded(self.schedule.now().as_secs_f64()),
+            unfinished_submissions: self.open_submissions,
+            simulated_s: rounded(self.schedule.now().as_secs_f64()),
             events: self.schedule.scheduled(),
             policy_runs: self.policy_runs,
         }
     }
 
-    fn class_parts(&self) -> Vec<Part> {
+    fn class_parts(&self) -> Vec<GroupCredit> {
         let classes = self.scenario.classes.iter().enumerate();
         classes.map(|(index, class)| part(class.name.clone(), self.account.class(index))).collect()
     }
 
-    fn program_parts(&self) -> Vec<Part> {
+    fn program_parts(&self) -> Vec<GroupCredit> {
         let programs = self.scenario.programs.iter().enumerate();
         programs.map(|(index, program)| part(program.name.clone(), self.account.program(index))).collect()
     }
 
     /// The destinations that lost most credit, the worst first.
-    fn worst_destinations(&self) -> Vec<Part> {
+    fn worst_destinations(&self) -> Vec<GroupCredit> {
         let lost = |rank: &usize| {
             let credit = self.account.destination(*rank);
             credit.asked - credit.earned
@@ -119,10 +120,10 @@
             .collect()
     }
 
-    fn watched_destinations(&self) -> Vec<Watched> {
+    fn watched_destinations(&self) -> Vec<WatchedDestination> {
         let loads = self.account.loads.iter().enumerate();
         loads
-            .map(|(rank, seconds)| Watched {
+            .map(|(rank, seconds)| WatchedDestination {
                 destination: rank,
                 kind: self.kind_name(rank).to_owned(),
                 limit: self.layout.destinations[rank].limit.per_s().map(rounded),
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -16,7 +16,7 @@
 };
 use crate::invariants::{ClassRules, FleetRules, InvariantChecker, RetryAfterScope};
 use crate::layout::FleetLayout;
-use crate::observed::SentToDown;
+use crate::observed::OutageTraffic;
 use crate::policy::PolicyFactory;
 use crate::random_streams::RandomStream;
 use crate::scenario::{ClassSpec, DestinationKind, Scenario, ZonePath};
@@ -75,7 +75,7 @@
     pub(super) frozen_list_changes: Vec<FrozenListChanges>,
     pub(super) invariants: InvariantChecker,
     pub(super) account: Account,
-    pub(super) sent_to_down: SentToDown,
+    pub(super) sent_to_down: OutageTraffic,
     /// Submissions to which something may still happen.
     pub(super) open_submissions: usize,
     /// Programs whose messages have all arrived.
@@ -145,12 +145,12 @@
             frozen_list_changes: Vec::new(),
             invariants: invariant_checker(scenario),
             account: Account::new(scenario, layout.destinations.len()),
-            sent_to_down: SentToDown::default(),
+            sent_to_down: OutageTraffic::default(),
             open_submissions: 0,
             programs_done: 0,
             policy_runs: 0,
             destination_sums: running_sums(layout.destinations.iter().map(|plan| plan.traffic_part)),
-            class_sums: running_sums(scenario.classes.iter().map(|class| class.part.get())),
+            class_sums: running_sums(scenario.classes.iter().map(|class| class.traffic_weight.get())),
             layout,
         }
     }
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -56,7 +56,7 @@
 /// Every submission has one end, every attempt one outcome, and no rule is broken.
 fn sound(report: &Report) {
     assert_eq!(report.violations, []);
-    assert_eq!(report.unfinished, 0);
+    assert_eq!(report.unfinished_submissions, 0);
     let d = &report.attempts;
     let ends = d.completed + d.errors + d.rejected + d.timed_out + d.no_connection + d.connection_reset;
     let all = ends + d.cancelled + d.not_sent;
@@ -126,7 +126,7 @@
     assert!(without.ends.lost > 0);
     let slow = [("category.0.work_ms", "800"), ("category.1.work_ms", "800"), ("fleet.ledger", "true")];
     let with = run(&exact(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
-    assert_eq!((with.violations.as_slice(), with.unfinished, with.ends.lost), (&[][..], 0, 0));
+    assert_eq!((with.violations.as_slice(), with.unfinished_submissions, with.ends.lost), (&[][..], 0, 0));
     assert!(with.ends.failed > 0, "with a write-ahead log the forwarder says so itself");
 }
 
