--- a/crates/daemon/examples/long_list.rs
+++ b/crates/daemon/examples/long_list.rs
@@ -1,10 +1,10 @@
-//! Measures a real forwarder under a long endpoint list: stand-ins for discovery and for one endpoint on loopback, and
-//! a client that submits messages all the while.
+//! Measures a forwarder process with a long endpoint list. Stubs of discovery and of one endpoint run on
+//! loopback, and a client submits messages during the measurement.
 //!
 //! `cargo run --release --example long_list -- target/release/reeddock 320000 [known]`
 //!
-//! With `known` the list stands in the configuration, and discovery sends changes only. Prints one JSON object a line.
-//! Ends the forwarder that it started.
+//! With `known` the list is part of the configuration, and discovery sends only changes. Results are printed
+//! as one JSON object per line. The forwarder is killed at the end.
 
 use std::error::Error;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,43 +16,48 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-type Fallible<T> = Result<T, Box<dyn Error>>;
+type BoxResult<T> = Result<T, Box<dyn Error>>;
 
-/// The client submits a message this often.
+/// Interval at which the client submits messages.
 const SUBMISSION_INTERVAL: Duration = Duration::from_millis(10);
-/// Changes of the list that are sent one by one, and the time between two.
+/// Number of list changes that are sent one by one, and the interval between them.
 const CHANGES: u64 = 200;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(20);
-/// The published rate of changes: 6,100 a day.
+/// Interval of list changes in the idle phase, which corresponds to the published rate of 6,100 changes a
+/// day.
 const IDLE_CHANGE_INTERVAL: Duration = Duration::from_secs(14);
 const IDLE_CHANGES: u32 = 1;
-/// Discovery sends an empty line this often.
+/// Interval at which discovery sends an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// No step takes longer, or the measurement fails.
+/// Maximum duration of a step; the measurement fails after it.
 const STEP_TIMEOUT: Duration = Duration::from_secs(120);
-/// The whole list has this generation, and the changes those after it.
+/// Generation of the full list. Changes have the generations that follow.
 const LIST_GENERATION: u64 = 41;
-/// The changes of the idle phase begin with this generation.
+/// Generation of the first change in the idle phase.
 const IDLE_GENERATION: u64 = 1000;
-/// A long list is written in pieces of about this many bytes.
+/// Approximate size of the pieces in which a list is written.
 const PIECE_BYTES: usize = 60_000;
 
-fn main() -> Fallible<()> {
+fn main() -> BoxResult<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let [program, endpoints, rest @ ..] = &arguments[..] else {
-        return Err("usage: long_list PROGRAM TARGETS [known]".into());
+        return Err("usage: long_list PROGRAM ENDPOINTS [known]".into());
     };
     let list = EndpointList { length: endpoints.parse()?, first: start_endpoint()? };
     let discovery = TcpListener::bind("127.0.0.1:0")?;
     let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-    let list_in_config = rest == ["known"];
+    let has_cached_list = rest == ["known"];
     let started = Instant::now();
-    let config = Config { listen, discovery: discovery.local_addr()?, list: list_in_config.then_some(&list) };
+    let config =
+        Config { listen, discovery: discovery.local_addr()?, list: has_cached_list.then_some(&list) };
     let forwarder = ForwarderProcess::start(Path::new(program), &config)?;
     let watch = accept_watch(&discovery)?;
-    wait_until("the forwarder never serves", started, Duration::from_millis(2), || {
-        Ok(health(listen).is_ok())
-    })?;
+    wait_until(
+        "the health check of the forwarder did not respond in time",
+        started,
+        Duration::from_millis(2),
+        || Ok(health(listen).is_ok()),
+    )?;
     println!(
         r#"{{"ready_ms":{},"rss_kb":{},"peak_kb":{},"processor_ms":{}}}"#,
         started.elapsed().as_millis(),
@@ -60,20 +65,20 @@
         forwarder.peak_kilobytes()?,
         forwarder.processor_time()?.as_millis()
     );
-    if !list_in_config {
-        measure_whole_list(&forwarder, &watch, &list, listen)?;
+    if !has_cached_list {
+        measure_full_list(&forwarder, &watch, &list, listen)?;
     }
     measure_changes(&forwarder, &watch)?;
     measure_idle(&forwarder, &watch)
 }
 
-/// Checks a condition at an interval until it holds; fails [`STEP_TIMEOUT`] after the step was started.
+/// Polls a condition until it is true. Fails [`STEP_TIMEOUT`] after the start of the step.
 fn wait_until(
     failure: &str,
     started: Instant,
     interval: Duration,
-    mut condition: impl FnMut() -> Fallible<bool>,
-) -> Fallible<()> {
+    mut condition: impl FnMut() -> BoxResult<bool>,
+) -> BoxResult<()> {
     while !condition()? {
         if started.elapsed() > STEP_TIMEOUT {
             return Err(failure.into());
@@ -83,11 +88,11 @@
     Ok(())
 }
 
-/// What the forwarder's configuration says.
+/// Configuration of the forwarder.
 struct Config<'l> {
     listen: SocketAddr,
     discovery: SocketAddr,
-    /// The list that stands in it, if one does.
+    /// Cached endpoint list; `None` if discovery sends the list.
     list: Option<&'l EndpointList>,
 }
 
@@ -111,7 +116,7 @@
     }
 }
 
-/// The forwarder that is measured. It is killed, and its folder removed, when this is dropped.
+/// The measured forwarder, which is killed when dropped. Its folder is removed as well.
 struct ForwarderProcess {
     child: Child,
     folder: PathBuf,
@@ -126,7 +131,7 @@
 }
 
 impl ForwarderProcess {
-    fn start(program: &Path, config: &Config) -> Fallible<ForwarderProcess> {
+    fn start(program: &Path, config: &Config) -> BoxResult<ForwarderProcess> {
         let folder = std::env::temp_dir().join(format!("reeddock-long-list-{}", std::process::id()));
         let (state, file) = (folder.join("state"), folder.join("config.json"));
         std::fs::create_dir_all(&state)?;
@@ -140,36 +145,39 @@
         Ok(ForwarderProcess { child, folder })
     }
 
-    fn resident_kilobytes(&self) -> Fallible<u64> {
+    fn resident_kilobytes(&self) -> BoxResult<u64> {
         self.status_kilobytes("VmRSS")
     }
 
-    fn peak_kilobytes(&self) -> Fallible<u64> {
+    fn peak_kilobytes(&self) -> BoxResult<u64> {
         self.status_kilobytes("VmHWM")
     }
 
-    fn status_kilobytes(&self, field: &str) -> Fallible<u64> {
+    fn status_kilobytes(&self, field: &str) -> BoxResult<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let line = status.lines().find_map(|line| line.strip_prefix(field)).ok_or("no such field")?;
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix(field))
+            .ok_or("/proc/PID/status lacks the field VmRSS or VmHWM")?;
         Ok(line.trim_matches([':', '\t', ' ', 'k', 'B']).parse()?)
     }
 
-    /// Processor time since the process began.
-    fn processor_time(&self) -> Fallible<Duration> {
+    /// Returns the processor time since the start of the process.
+    fn processor_time(&self) -> BoxResult<Duration> {
         let schedstat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))?;
-        let nanoseconds = schedstat.split(' ').next().ok_or("no schedstat")?;
+        let nanoseconds = schedstat.split(' ').next().ok_or("/proc/PID/schedstat is empty")?;
         Ok(Duration::from_nanos(nanoseconds.parse()?))
     }
 }
 
-/// A list of which only the first endpoint is ever sent to.
+/// An endpoint list in which only the first endpoint has a reachable address and receives messages.
 struct EndpointList {
     length: usize,
     first: SocketAddr,
 }
 
 impl EndpointList {
-    /// Writes the list in pieces, and says how many bytes it has.
+    /// Writes the list in pieces and returns its size in bytes.
     fn write(&self, out: &mut impl Write) -> std::io::Result<u64> {
         let mut bytes = 0;
         let mut piece = format!(r#"{{"generation":{LIST_GENERATION},"reset":true,"instances":["#);
@@ -196,12 +204,12 @@
     )
 }
 
-/// An address that nothing is sent to.
+/// Returns the address of an endpoint that receives no messages.
 fn unused_address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, (number >> 16) as u8, (number >> 8) as u8, number as u8], 9000))
 }
 
-/// The watch on the endpoint list, as discovery sees it: each write is one chunk of the response's body.
+/// Discovery's side of a watch on the endpoint list. Each write sends one chunk of the response body.
 struct Watch(TcpStream);
 
 impl Write for &Watch {
@@ -218,8 +226,8 @@
     }
 }
 
-/// Waits for the watch that the forwarder opens; its other requests stay unanswered.
-fn accept_watch(discovery: &TcpListener) -> Fallible<Arc<Watch>> {
+/// Waits for the forwarder to open a watch. Other requests are closed without a response.
+fn accept_watch(discovery: &TcpListener) -> BoxResult<Arc<Watch>> {
     loop {
         let (mut stream, _) = discovery.accept()?;
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -241,9 +249,9 @@
         out.write_all(line.as_bytes())
     }
 
-    /// Sends nothing but heartbeats for this long.
-    fn send_heartbeats(&self, span: Duration) -> Fallible<()> {
-        let until = Instant::now() + span;
+    /// Sends heartbeats for this duration.
+    fn send_heartbeats(&self, duration: Duration) -> BoxResult<()> {
+        let until = Instant::now() + duration;
         while Instant::now() < until {
             let mut out = self;
             out.write_all(b"\n")?;
@@ -253,7 +261,7 @@
     }
 }
 
-/// Reads one HTTP message, and returns its first line and its body; none at the end of the connection.
+/// Reads one HTTP message and returns its first line and body; `None` at the end of the connection.
 fn read_message(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let (mut first_line, mut length) = (String::new(), 0);
     if stream.read_line(&mut first_line).ok()? == 0 {
@@ -274,8 +282,8 @@
     Some(format!("{} {}", first_line.trim(), String::from_utf8_lossy(&body).trim()))
 }
 
-/// Starts an endpoint that answers every request with 200.
-fn start_endpoint() -> Fallible<SocketAddr> {
+/// Starts an endpoint that responds with 200 to every request.
+fn start_endpoint() -> BoxResult<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
@@ -295,22 +303,22 @@
     }
 }
 
-/// The response to the health check: status line and body.
-fn health(address: SocketAddr) -> Fallible<String> {
+/// Sends a health check and returns the status line and body of the response.
+fn health(address: SocketAddr) -> BoxResult<String> {
     let mut stream = TcpStream::connect(address)?;
     stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")?;
-    read_message(&mut BufReader::new(stream)).ok_or_else(|| "no answer".into())
+    read_message(&mut BufReader::new(stream)).ok_or_else(|| "no response to the health check".into())
 }
 
-/// How one submission was answered.
+/// Result of one submission.
 struct SubmissionResult {
     status: u16,
     latency: Duration,
-    /// When it was submitted, since the client began.
+    /// Time of the submission since the start of the client.
     submitted_at: Duration,
 }
 
-/// A client that submits a message each [`SUBMISSION_INTERVAL`] until it is stopped.
+/// A client thread that submits a message every [`SUBMISSION_INTERVAL`] until stopped.
 struct Client {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Vec<SubmissionResult>>,
@@ -323,14 +331,14 @@
         Client { stop, thread: thread::spawn(move || submit_until(forwarder, &stopped)) }
     }
 
-    fn stop(self) -> Fallible<Vec<SubmissionResult>> {
+    fn stop(self) -> BoxResult<Vec<SubmissionResult>> {
         self.stop.store(true, Ordering::Relaxed);
-        self.thread.join().map_err(|_| "the client failed".into())
+        self.thread.join().map_err(|_| "the client thread panicked".into())
     }
 }
 
 fn submit_until(forwarder: SocketAddr, stopped: &AtomicBool) -> Vec<SubmissionResult> {
-    let (mut results, began) = (Vec::new(), Instant::now());
+    let (mut results, started) = (Vec::new(), Instant::now());
     let Ok(stream) = TcpStream::connect(forwarder) else { return results };
     let _ = stream.set_nodelay(true);
     let Ok(mut writer) = stream.try_clone() else { return results };
@@ -349,17 +357,17 @@
         }
         let Some(response) = read_message(&mut reader) else { break };
         let status = response.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default();
-        results.push(SubmissionResult { status, latency: start.elapsed(), submitted_at: start - began });
+        results.push(SubmissionResult { status, latency: start.elapsed(), submitted_at: start - started });
         thread::sleep(SUBMISSION_INTERVAL.saturating_sub(start.elapsed()));
     }
     results
 }
 
-/// What the client saw while the list was applied.
+/// Summary of the submissions while the list was applied.
 struct SubmissionSummary {
     count: usize,
     not_accepted: usize,
-    /// Sorted.
+    /// Latencies in ascending order.
     latencies: Vec<Duration>,
     slowest_submitted_at: Duration,
 }
@@ -379,99 +387,102 @@
 }
 
 impl SubmissionSummary {
-    /// The latency in milliseconds that this part of the submissions stays under.
-    fn percentile_ms(&self, part: f64) -> f64 {
-        let place = (self.latencies.len() as f64 * part) as usize;
-        let latency = self.latencies.get(place).or(self.latencies.last()).copied();
+    /// Returns the latency quantile in milliseconds; `quantile` is in 0..=1.
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        let index = (self.latencies.len() as f64 * quantile) as usize;
+        let latency = self.latencies.get(index).or(self.latencies.last()).copied();
         latency.unwrap_or_default().as_secs_f64() * 1e3
     }
 }
 
-/// Sends the whole list over the watch, and measures how long it takes, what it costs, and what clients notice.
-fn measure_whole_list(
+/// Sends the full list over the watch, and measures duration, processor time, memory and the client's
+/// latencies.
+fn measure_full_list(
     forwarder: &ForwarderProcess,
     watch: &Arc<Watch>,
     list: &EndpointList,
     listen: SocketAddr,
-) -> Fallible<()> {
+) -> BoxResult<()> {
     let client = Client::start(listen);
     let (processor_before, start) = (forwarder.processor_time()?, Instant::now());
     let bytes = send_list(watch, list)?;
     let written = start.elapsed();
-    // The health check's body is a bare `ok` only once a list was applied.
-    wait_until("the list is never in force", start, Duration::from_millis(5), || {
+    // The body of the health check is exactly `ok` only after a list is applied.
+    wait_until("the list was not applied in time", start, Duration::from_millis(5), || {
         Ok(health(listen)?.ends_with(" ok"))
     })?;
-    let in_force = start.elapsed();
+    let applied = start.elapsed();
     let processor = forwarder.processor_time()? - processor_before;
     let submissions = SubmissionSummary::from(client.stop()?);
     println!(
         r#"{{"targets":{},"bytes":{bytes},"written_ms":{},"in_force_ms":{},"processor_ms":{},"rss_kb":{},"peak_kb":{},"hand_ins":{},"not_202":{},"p50_ms":{:.2},"p99_ms":{:.2},"worst_ms":{:.2},"worst_at_ms":{}}}"#,
         list.length,
         written.as_millis(),
-        in_force.as_millis(),
+        applied.as_millis(),
         processor.as_millis(),
         forwarder.resident_kilobytes()?,
         forwarder.peak_kilobytes()?,
         submissions.count,
         submissions.not_accepted,
-        submissions.percentile_ms(0.5),
-        submissions.percentile_ms(0.99),
-        submissions.percentile_ms(1.0),
+        submissions.quantile_ms(0.5),
+        submissions.quantile_ms(0.99),
+        submissions.quantile_ms(1.0),
         submissions.slowest_submitted_at.as_millis(),
     );
     Ok(())
 }
 
-/// Writes the whole list to the watch, in a thread so that it can't hang, and says how many bytes it has.
-fn send_list(watch: &Arc<Watch>, list: &EndpointList) -> Fallible<u64> {
+/// Writes the full list to the watch in a thread, so that a blocked write times out. Returns the size in
+/// bytes.
+fn send_list(watch: &Arc<Watch>, list: &EndpointList) -> BoxResult<u64> {
     let (result, written) = mpsc::channel();
     let watch = watch.clone();
     let list = EndpointList { ..*list };
     thread::spawn(move || {
         let mut out = &*watch;
         let bytes = list.write(&mut out);
-        // The end of the line says that the list is complete.
+        // The line break marks the end of the list.
         let ended = out.write_all(b"\n");
         let _ = result.send(bytes.and_then(|bytes| ended.map(|()| bytes)));
     });
     Ok(written.recv_timeout(STEP_TIMEOUT)??)
 }
 
-/// Measures what one change costs: changes one by one, less as long a time without any.
-fn measure_changes(forwarder: &ForwarderProcess, watch: &Watch) -> Fallible<()> {
+/// Measures the processor time per change, as the difference between a phase with changes and one of equal
+/// length without.
+fn measure_changes(forwarder: &ForwarderProcess, watch: &Watch) -> BoxResult<()> {
     let before = forwarder.processor_time()?;
     watch.send_heartbeats(CHANGE_INTERVAL * CHANGES as u32)?;
-    let quiet = forwarder.processor_time()? - before;
+    let without_changes = forwarder.processor_time()? - before;
     let before = forwarder.processor_time()?;
     for number in 0..CHANGES {
         watch.send_change(LIST_GENERATION + 1 + number)?;
         thread::sleep(CHANGE_INTERVAL);
     }
-    let busy = forwarder.processor_time()? - before;
-    let each_us = (busy.as_secs_f64() - quiet.as_secs_f64()) / CHANGES as f64 * 1e6;
+    let with_changes = forwarder.processor_time()? - before;
+    let each_us = (with_changes.as_secs_f64() - without_changes.as_secs_f64()) / CHANGES as f64 * 1e6;
     println!(
         r#"{{"changes":{CHANGES},"processor_ms":{},"quiet_ms":{},"each_us":{each_us:.1},"rss_kb":{}}}"#,
-        busy.as_millis(),
-        quiet.as_millis(),
+        with_changes.as_millis(),
+        without_changes.as_millis(),
         forwarder.resident_kilobytes()?
     );
     Ok(())
 }
 
-/// Measures what the forwarder costs with a change at the published rate and nothing else.
-fn measure_idle(forwarder: &ForwarderProcess, watch: &Watch) -> Fallible<()> {
+/// Measures the resources of a forwarder without messages, with list changes at the published rate.
+fn measure_idle(forwarder: &ForwarderProcess, watch: &Watch) -> BoxResult<()> {
     let (before, start) = (forwarder.processor_time()?, Instant::now());
     for number in 0..IDLE_CHANGES {
         watch.send_change(IDLE_GENERATION + u64::from(number))?;
         watch.send_heartbeats(IDLE_CHANGE_INTERVAL)?;
     }
-    let spent = forwarder.processor_time()? - before;
+    let processor_time = forwarder.processor_time()? - before;
     println!(
         r#"{{"idle_s":{:.1},"processor_ms":{:.1},"share_of_a_core_percent":{:.3},"rss_kb":{},"peak_kb":{}}}"#,
         start.elapsed().as_secs_f64(),
-        spent.as_secs_f64() * 1e3,
-        spent.as_secs_f64() / start.elapsed().as_secs_f64() * 100.0,
+        processor_time.as_secs_f64() * 1e3,
+        processor_time.as_secs_f64() / start.elapsed().as_secs_f64() * 100.0,
         forwarder.resident_kilobytes()?,
         forwarder.peak_kilobytes()?
     );
--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: arguments, and the environment variables that stand in for two of them.
+//! Parses the command line, with environment variables as defaults of `--config` and `--state`.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -12,9 +12,9 @@
 
 use crate::wal_command::{GroupBy, UnknownGroup, View};
 
-/// What `reeddock help` prints.
+/// Text of `reeddock help`.
 pub const HELP: &str = "\
-reeddock - delivers messages to other firms' systems
+reeddock - delivers messages to external systems
 
 usage: reeddock serve [--config FILE] [--state FOLDER] [--log LEVEL] [--sync WHEN]
        reeddock check [--config FILE]
@@ -23,90 +23,92 @@
        reeddock help
 
 serve     run one forwarder until SIGTERM; SIGHUP reloads FILE
-check     validate a configuration and print what follows from it
-wal       print the pending messages of a state folder; changes nothing (also: ledger, its old name)
+check     validate a configuration and print the values derived from it
+wal       print the pending messages of a state folder, read-only (alias: ledger)
 version   print the version
 
-FILE is the configuration, else $EDGE_CONFIG names it. FOLDER outlasts the process, else $EDGE_STATE names it.
-WHEN says when the write-ahead log is synced to the disk: never (the default: accepted messages outlast the
-process), each (they outlast the machine, before a client is answered), or a number of seconds (at least that
-often).
-KEY is category (or class), destination or age. --verify lists what is damaged, with exit code 1 if anything is.
-LEVEL is error, warn, info (the default) or debug; the log goes to standard error.
+FILE is the configuration file; default: $EDGE_CONFIG.
+FOLDER holds the write-ahead log and has to be kept between restarts; default: $EDGE_STATE.
+WHEN says when the write-ahead log is synced to the disk:
+  never    only by the operating system; accepted messages survive a crash of the process (default)
+  each     before a client is answered; accepted messages also survive a crash of the machine
+  SECONDS  at least once in this interval
+KEY is category (or class), destination or age.
+--verify lists damaged places of the log; the exit code is 1 if there are any.
+LEVEL is error, warn, info (default) or debug; the log is written to standard error.
 ";
 
-/// Names the configuration file if `--config` does not.
+/// Environment variable with the configuration file, used without `--config`.
 const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
-/// Names the state folder if `--state` does not.
+/// Environment variable with the state folder, used without `--state`.
 const STATE_VARIABLE: &str = "EDGE_STATE";
-/// The longest interval that `--sync` takes.
+/// Maximum interval of `--sync`.
 const MAX_SYNC_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// One command with all that it needs.
+/// A command with its arguments.
 #[derive(Debug)]
 pub enum CommandLine {
-    /// Run a forwarder.
+    /// Runs a forwarder.
     Serve(ServeArguments),
-    /// Validate a configuration and print what follows from it.
+    /// Validates a configuration and prints the values derived from it.
     Check { config: PathBuf },
-    /// Print what a write-ahead log holds.
+    /// Prints the contents of a write-ahead log.
     Wal { state: PathBuf, view: View },
-    /// Print the version.
+    /// Prints the version.
     Version,
-    /// Print [`HELP`].
+    /// Prints [`HELP`].
     Help,
 }
 
-/// What `reeddock serve` is given.
+/// Arguments of `reeddock serve`.
 #[derive(Debug)]
 pub struct ServeArguments {
-    /// The configuration file.
     pub config: PathBuf,
-    /// The state folder, which outlasts the process.
+    /// State folder, which has to be kept between restarts.
     pub state: PathBuf,
-    /// The least severe level that is logged.
+    /// Minimum severity of logged events.
     pub log_level: LevelFilter,
     /// When the write-ahead log is synced.
     pub sync: SyncPolicy,
 }
 
-/// What is wrong with the command line, and what was expected there.
+/// Errors of the command line.
 #[derive(Debug, Error)]
 pub enum CommandLineError {
-    /// An option is unknown, lacks its value, or has one that can't be parsed.
+    /// An option is unknown, has no value, or has a value that cannot be parsed.
     #[error(transparent)]
     Option(#[from] lexopt::Error),
-    /// No such command.
-    #[error("no command {0:?}; see reeddock help")]
+    /// The first argument is not the name of a command.
+    #[error("unknown command {0:?}; `reeddock help` lists the commands")]
     UnknownCommand(String),
-    /// No command at all.
-    #[error("no command; see reeddock help")]
+    /// The arguments have no command.
+    #[error("no command given; `reeddock help` lists the commands")]
     NoCommand,
-    /// Neither option nor environment names the configuration file.
-    #[error("no --config, and {CONFIG_VARIABLE} names no file")]
+    /// Neither `--config` nor the environment names the configuration file.
+    #[error("no configuration file: expected --config FILE or the environment variable {CONFIG_VARIABLE}")]
     NoConfig,
-    /// Neither option nor environment names the state folder.
-    #[error("no --state, and {STATE_VARIABLE} names no folder that lasts")]
+    /// Neither `--state` nor the environment names the state folder.
+    #[error("no state folder: expected --state FOLDER or the environment variable {STATE_VARIABLE}")]
     NoState,
-    /// `--sync` has none of the values that it takes.
-    #[error("--sync {value:?}: expected never, each, or seconds over 0 and {max} at most", max = MAX_SYNC_INTERVAL.as_secs())]
+    /// `--sync` has an invalid value.
+    #[error("--sync {value:?}: expected never, each, or seconds above 0 and at most {max}", max = MAX_SYNC_INTERVAL.as_secs())]
     Sync {
-        /// What it has.
+        /// The value as given.
         value: String,
     },
-    /// `--by` has none of the values that it takes.
+    /// `--by` has an invalid value.
     #[error("--by {0}")]
     GroupBy(#[from] UnknownGroup),
 }
 
 impl CommandLine {
-    /// Parses the arguments and the environment of this process.
+    /// Parses the arguments of this process, with defaults from its environment.
     pub fn from_env() -> Result<CommandLine, CommandLineError> {
         Arguments::parse(Parser::from_env())?.into_command()
     }
 }
 
-/// The arguments as given: every command takes every option, and uses those that concern it.
+/// The parsed arguments. Every command accepts all options and ignores those that it does not use.
 #[derive(Debug)]
 struct Arguments {
     command: Option<String>,
@@ -160,7 +162,7 @@
                 sync: self.sync,
             })),
             Some("check") => Ok(CommandLine::Check { config: self.config()? }),
-            // `ledger` is the name that the command had at first.
+            // `ledger` is an alias for scripts that use the former name of the command.
             Some("wal" | "ledger") => Ok(CommandLine::Wal { state: self.state()?, view: self.view }),
             Some("version") => Ok(CommandLine::Version),
             Some("help") => Ok(CommandLine::Help),
@@ -180,7 +182,7 @@
     }
 }
 
-/// The value of `--sync`: `never`, `each`, or an interval in seconds, with decimals if need be.
+/// Parses the value of `--sync`: `never`, `each`, or an interval in seconds, which may have decimals.
 fn parse_sync(value: String) -> Result<SyncPolicy, CommandLineError> {
     match value.as_str() {
         "never" => return Ok(SyncPolicy::Never),
--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -1,5 +1,5 @@
-//! Reads a configuration file. Its endpoint list, which may be most of the file, is passed on entry by entry and
-//! never in memory as a whole.
+//! Reads a configuration file. The endpoint list, which may be most of the file, is streamed entry by entry
+//! and never held in memory as a whole.
 
 use std::fmt;
 use std::fs::File;
@@ -13,39 +13,38 @@
 
 use crate::error::ConfigError;
 
-/// The file is read in pieces of this many bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The key of the cached endpoint list.
+/// Key of the cached endpoint list in the file.
 const ENDPOINT_LIST_KEY: &str = "known";
 
 /// A configuration file without the entries of its endpoint list.
 #[derive(Default)]
 pub struct Contents {
-    /// All other sections.
+    /// All sections except the endpoint list.
     pub sections: Sections,
-    /// A summary of the endpoint list, if the file has one.
+    /// Summary of the endpoint list; `None` if the file has no list.
     pub endpoint_list: Option<EndpointListSummary>,
 }
 
-/// The sections of a configuration as they are in the file; null if one is absent.
+/// The sections of a configuration as unvalidated JSON; null for an absent section.
 #[derive(Default)]
 pub struct Sections {
-    /// The address that clients connect to.
+    /// Address that clients connect to.
     pub listen: Value,
-    /// The address of discovery and of the platform.
+    /// Address of discovery, which also receives delivery notices.
     pub discovery: Value,
-    /// The seed of the policy's random numbers.
+    /// Seed of the policy's random numbers.
     pub seed: Value,
-    /// The resources of the machine that the forwarder may use.
+    /// Resources of the machine that the forwarder may use.
     pub limits: Value,
-    /// The settings of the delivery policy and of the network.
+    /// Settings of the delivery policy and of the network.
     pub settings: Value,
 }
 
 impl Sections {
-    /// The section with this key; None for an unknown key, whose value is ignored.
-    fn of_key(&mut self, key: &str) -> Option<&mut Value> {
+    /// Returns the section with this key, or `None` for an unknown key, whose value is ignored.
+    fn get_mut(&mut self, key: &str) -> Option<&mut Value> {
         match key {
             "listen" => Some(&mut self.listen),
             "discovery" => Some(&mut self.discovery),
@@ -57,16 +56,16 @@
     }
 }
 
-/// A summary of an endpoint list whose entries were passed on.
+/// Summary of an endpoint list whose entries were passed on.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointListSummary {
-    /// The generation of the list, from which a watch continues.
+    /// Generation of the list, from which a watch continues.
     pub generation: u64,
-    /// How many entries it has.
     pub entry_count: usize,
 }
 
-/// Reads a file and passes on each entry of its endpoint list; on an error some may have been passed on already.
+/// Reads a file and calls `on_entry` for each entry of its endpoint list. Entries before an error have been
+/// passed on when the error is returned.
 pub fn read(file: &Path, on_entry: &mut dyn FnMut(ListEntry)) -> Result<Contents, ConfigError> {
     let opened =
         File::open(file).map_err(|source| ConfigError::Unreadable { file: file.to_owned(), source })?;
@@ -90,7 +89,7 @@
     }
 }
 
-/// Deserializes the file.
+/// Deserializes a configuration file.
 struct ConfigurationSeed<'e> {
     on_entry: &'e mut dyn FnMut(ListEntry),
 }
@@ -107,7 +106,7 @@
     type Value = Contents;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a configuration")
+        f.write_str("a JSON object with the configuration")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Contents, A::Error> {
@@ -116,7 +115,7 @@
             if key == ENDPOINT_LIST_KEY {
                 let seed = EndpointListSeed { on_entry: &mut *self.on_entry };
                 contents.endpoint_list = map.next_value_seed(seed)?;
-            } else if let Some(section) = contents.sections.of_key(&key) {
+            } else if let Some(section) = contents.sections.get_mut(&key) {
                 *section = map.next_value()?;
             } else {
                 map.next_value::<IgnoredAny>()?;
@@ -126,7 +125,7 @@
     }
 }
 
-/// Deserializes the endpoint list, or null.
+/// Deserializes the endpoint list, which may be null.
 struct EndpointListSeed<'e> {
     on_entry: &'e mut dyn FnMut(ListEntry),
 }
@@ -144,7 +143,7 @@
     type Value = Option<EndpointListSummary>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a list of targets")
+        f.write_str("an endpoint list as a JSON object")
     }
 
     fn visit_unit<E>(self) -> Result<Self::Value, E> {
@@ -161,7 +160,7 @@
                     let count = map.next_value_seed(EntriesSeed { on_entry: &mut *self.on_entry })?;
                     set_once(&mut entry_count, count, "instances")?;
                 }
-                // Its type is checked; a list in a file is always a whole one.
+                // Only the type is checked, because a list in a file is always complete.
                 "reset" => drop(map.next_value::<bool>()?),
                 _ => drop(map.next_value::<IgnoredAny>()?),
             }
@@ -171,7 +170,7 @@
     }
 }
 
-/// Sets a field; fails if it was set before.
+/// Sets a field, or returns an error if the field is already set.
 fn set_once<T, E: Error>(field: &mut Option<T>, value: T, name: &'static str) -> Result<(), E> {
     match field.replace(value) {
         Some(_) => Err(E::duplicate_field(name)),
@@ -179,7 +178,7 @@
     }
 }
 
-/// Deserializes the entries of an endpoint list, and counts them.
+/// Deserializes and counts the entries of an endpoint list.
 struct EntriesSeed<'e> {
     on_entry: &'e mut dyn FnMut(ListEntry),
 }
@@ -196,7 +195,7 @@
     type Value = usize;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a list of targets in brackets")
+        f.write_str("a JSON array of endpoints")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<usize, A::Error> {
@@ -207,7 +206,7 @@
             let entry = entry.map_err(|error| A::Error::custom(format!("instances[{count}]: {error}")))?;
             let Some(entry) = entry else { return Ok(count) };
             if count == max_entries {
-                let error = format!("instances[{count}]: expected {max_entries} entries at most");
+                let error = format!("instances[{count}]: expected at most {max_entries} entries");
                 return Err(A::Error::custom(error));
             }
             count += 1;
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used, and why a forwarder does not start or go on.
+//! Errors of reading a configuration and of running a forwarder.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,45 +7,45 @@
 use reeddock_settings::SettingsError;
 use thiserror::Error;
 
-/// What is wrong with a configuration file: which file, the place in it, and what was expected there.
+/// Errors of a configuration file. The messages name the file, the place in the file, and what was expected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be opened or read.
+    /// The file cannot be opened or read.
     #[error("cannot read {}: {source}", file.display())]
     Unreadable { file: PathBuf, source: io::Error },
-    /// The text is not JSON; the source names line and column.
+    /// The file is not valid JSON; the source names line and column.
     #[error("{} is not JSON: {source}", file.display())]
     NotJson { file: PathBuf, source: serde_json::Error },
-    /// The text is JSON, but not a configuration; the source names key, line, column and what was expected.
+    /// The file is valid JSON, but not a configuration; the source names the place and what was expected.
     #[error("{}: {source}", file.display())]
     Malformed { file: PathBuf, source: serde_json::Error },
-    /// A key that every configuration has is absent, or its value is not of the expected type.
-    #[error("{}: {key} is missing or malformed", file.display())]
-    MissingKey { file: PathBuf, key: &'static str },
-    /// A value of the section `settings` has no meaning; the source names its key and what was expected.
+    /// A required key is absent, or its value is invalid. `expected` names the key and the expected value.
+    #[error("{}: missing or malformed key {expected}", file.display())]
+    InvalidKey { file: PathBuf, expected: &'static str },
+    /// A value of the section `settings` is invalid; the source names its key and what was expected.
     #[error("{}: settings.{source}", file.display())]
     Settings { file: PathBuf, source: SettingsError },
-    /// The thread that read the file ended without a result.
-    #[error(transparent)]
+    /// The thread that reads the file ended without a result.
+    #[error("cannot read the configuration, its thread failed: {0}")]
     ReaderThread(#[from] tokio::task::JoinError),
 }
 
-/// Why a forwarder does not start, or ended before it was asked to.
+/// Errors that prevent the start of a forwarder, or end it without a signal.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The configuration can't be used.
+    /// The configuration is invalid or cannot be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system refuses what the runtime needs.
-    #[error("cannot start: {0}")]
+    /// The asynchronous runtime cannot be created.
+    #[error("cannot start the runtime: {0}")]
     Runtime(io::Error),
-    /// The system refuses to deliver SIGTERM or SIGHUP.
-    #[error("cannot wait for signals: {0}")]
+    /// The handler of SIGTERM or SIGHUP cannot be installed.
+    #[error("cannot install a handler for SIGTERM or SIGHUP: {0}")]
     Signals(io::Error),
-    /// SIGHUP would no longer be noticed.
-    #[error("signals are no longer delivered")]
+    /// The handler of SIGHUP no longer receives signals, so that the configuration cannot be reloaded.
+    #[error("the SIGHUP handler ended; the configuration can no longer be reloaded")]
     SignalsEnded,
-    /// The forwarder itself failed; its error says what and where.
+    /// The running forwarder failed; the source names the failure and its place.
     #[error(transparent)]
     Forwarder(#[from] ForwarderError),
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,14 +1,14 @@
-//! The program `reeddock`: one forwarder on sockets, and the commands that its operators use.
+//! The program `reeddock`: runs one forwarder, and has commands for operators.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `command_line` | arguments and environment variables, as a typed command |
-//! | `config_file` | reads the sections of a configuration file, and streams its endpoint list |
+//! | `command_line` | parses arguments and environment variables into a typed command |
+//! | `config_file` | reads the sections of a configuration file and streams its endpoint list |
 //! | `startup` | turns a configuration into the options of a forwarder |
 //! | `serve` | runs the forwarder; handles SIGTERM and SIGHUP |
-//! | `check` | prints what follows from a configuration |
-//! | `wal_command` | prints what a write-ahead log holds |
-//! | `error` | why the configuration or the start failed |
+//! | `check` | prints the values derived from a configuration |
+//! | `wal_command` | prints the contents of a write-ahead log |
+//! | `error` | errors of the configuration and of running a forwarder |
 
 mod check;
 mod command_line;
@@ -26,7 +26,7 @@
 use error::{ConfigError, StartError};
 use wal_command::{View, WalCommandError};
 
-/// Why a command failed. Printed as one line on standard error, with exit code 1.
+/// The failure of a command, printed as one line on standard error with exit code 1.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,4 +1,4 @@
-//! The command `serve`: runs one forwarder until it is asked to stop, and reloads its configuration on SIGHUP.
+//! The command `serve`: runs one forwarder until SIGTERM or SIGINT, and reloads its configuration on SIGHUP.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,25 +11,25 @@
 use crate::error::StartError;
 use crate::startup::{self, ReloadableConfig, StartConfig};
 
-/// Runs a forwarder on this thread until SIGTERM or SIGINT, and through its graceful shutdown.
+/// Runs a forwarder on this thread until SIGTERM or SIGINT. Returns after the graceful shutdown.
 pub fn run(arguments: ServeArguments) -> Result<(), StartError> {
-    log_to_standard_error(arguments.log_level);
+    init_logging(arguments.log_level);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(StartError::Runtime)?.block_on(serve(arguments))
 }
 
-fn log_to_standard_error(level: LevelFilter) {
+fn init_logging(level: LevelFilter) {
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
 }
 
 async fn serve(arguments: ServeArguments) -> Result<(), StartError> {
-    // First of all, as a signal without a handler ends the process.
-    let terminate = handle(SignalKind::terminate())?;
-    let hangup = handle(SignalKind::hangup())?;
+    // Handlers are installed first, because a signal without a handler ends the process.
+    let terminate = install_handler(SignalKind::terminate())?;
+    let hangup = install_handler(SignalKind::hangup())?;
     let ServeArguments { config, state, sync, .. } = arguments;
     let start = StartConfig::read(&config, state, sync)?;
     tokio::select! {
-        served = reeddock_forwarder::serve(start.options, stop_requested(terminate)) => {
+        served = reeddock_forwarder::serve(start.options, wait_for_stop_signal(terminate)) => {
             served.map_err(StartError::Forwarder)
         }
         () = reload_on_hangup(hangup, &config, &start.reloadable, &start.discovery_updates) => {
@@ -38,31 +38,31 @@
     }
 }
 
-/// Installs a handler for a signal.
-fn handle(kind: SignalKind) -> Result<Signal, StartError> {
+fn install_handler(kind: SignalKind) -> Result<Signal, StartError> {
     signal(kind).map_err(StartError::Signals)
 }
 
 /// Waits for the first SIGTERM or SIGINT.
-async fn stop_requested(mut terminate: Signal) {
+async fn wait_for_stop_signal(mut terminate: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
     }
 }
 
-/// Reads the configuration again at each SIGHUP and applies the address of discovery, which alone can change
-/// without a restart. An invalid configuration changes nothing. Returns only if signals are no longer delivered.
+/// Reloads the configuration on each SIGHUP and applies the address of discovery, the only value that takes
+/// effect without a restart. An invalid configuration is ignored. Returns only if signals are no longer
+/// delivered.
 async fn reload_on_hangup(
     mut hangup: Signal,
     config: &Path,
-    started_with: &ReloadableConfig,
+    at_start: &ReloadableConfig,
     discovery_updates: &watch::Sender<SocketAddr>,
 ) {
     while hangup.recv().await.is_some() {
         match startup::reload(config).await {
             Ok(reloaded) => {
-                let needs_restart = reloaded.needs_restart(started_with);
+                let needs_restart = reloaded.needs_restart(at_start);
                 let discovery = reloaded.discovery();
                 tracing::info!(%discovery, ?needs_restart, "configuration reloaded");
                 discovery_updates.send_replace(discovery);
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -1,4 +1,5 @@
-//! Turns a configuration file into the options of a forwarder, at its start and when the file is reloaded.
+//! Converts a configuration file into the options of a forwarder, and reloads the file while the forwarder
+//! runs.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,45 +17,45 @@
 use crate::config_file::{self, EndpointListSummary, Sections};
 use crate::error::ConfigError;
 
-/// How long a graceful shutdown may take: a planned stop is followed by a kill 3.7 s later at the soonest.
+/// Maximum duration of a graceful shutdown; a planned stop is followed by a kill after at least 3.7 s.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(3500);
-/// How long new connections are accepted in a shutdown: clients still come for 0.4 s, and this is twice that.
+/// Duration for which new connections are accepted during a shutdown, while clients still connect.
 const ACCEPT_GRACE: Duration = Duration::from_millis(800);
-/// The connect timeout if the settings have none.
+/// Connect timeout if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The idle timeout of connections to endpoints if the settings have none.
+/// Idle timeout of connections to endpoints if the settings have none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A cached endpoint list with more entries than this is not kept in memory until it is applied, but read from the
-/// file once more.
+/// Maximum entries of a cached endpoint list that are buffered until the list is applied. A longer list is
+/// read from the file again.
 const MAX_ENTRIES_IN_MEMORY: usize = 10_000;
-/// A file of more bytes than this is reloaded in a thread of its own, as it would block the event loop.
+/// Maximum size of a file that is reloaded on the event loop. A larger file is read in a separate thread, so
+/// that the event loop is not blocked.
 const MAX_BYTES_ON_EVENT_LOOP: u64 = 1024 * 1024;
 
-/// Limits are capped where no machine has more, so that sums of them stay in range.
+/// Upper limits of the configured resources, which prevent overflow when limits are added up.
 const MAX_DESCRIPTORS: f64 = 1e6;
 const MAX_DISK_BYTES: f64 = 1e15;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// A forwarder as its configuration file describes it.
+/// A validated configuration, with the options of the forwarder.
 pub struct StartConfig {
-    /// The options of the forwarder.
     pub options: ForwarderOptions,
-    /// Changes the address of discovery that `options` began with.
+    /// Sender that replaces the address of discovery in `options`.
     pub discovery_updates: watch::Sender<SocketAddr>,
-    /// How the deployment is laid out.
+    /// Deployment shape derived from the settings.
     pub shape: DeploymentShape,
-    /// The values with which a reloaded file is compared.
+    /// Values with which a reloaded file is compared.
     pub reloadable: ReloadableConfig,
 }
 
-/// The parts of a configuration file that matter when it is reloaded while the forwarder runs.
+/// The parts of a configuration file that are evaluated by a reload.
 pub struct ReloadableConfig {
     discovery: SocketAddr,
     restart_only: [RestartOnlySection; 3],
 }
 
-/// A section that takes effect at a start only.
+/// A section whose changes take effect only after a restart.
 #[derive(PartialEq)]
 struct RestartOnlySection {
     name: &'static str,
@@ -72,20 +73,20 @@
         ReloadableConfig { discovery, restart_only }
     }
 
-    /// The address of discovery and of the platform, which takes effect at once.
+    /// Returns the address of discovery and delivery notices, whose change takes effect without a restart.
     pub fn discovery(&self) -> SocketAddr {
         self.discovery
     }
 
-    /// The sections that differ from those that this process started with, and so wait for a restart.
-    pub fn needs_restart(&self, started_with: &ReloadableConfig) -> Vec<&'static str> {
-        let pairs = self.restart_only.iter().zip(&started_with.restart_only);
-        pairs.filter(|(now, then)| now != then).map(|(now, _)| now.name).collect()
+    /// Returns the names of the sections that differ from the configuration at start and need a restart.
+    pub fn needs_restart(&self, at_start: &ReloadableConfig) -> Vec<&'static str> {
+        let pairs = self.restart_only.iter().zip(&at_start.restart_only);
+        pairs.filter(|(current, initial)| current != initial).map(|(current, _)| current.name).collect()
     }
 }
 
 impl StartConfig {
-    /// Reads a configuration file for a forwarder whose state is kept in `state`.
+    /// Reads and validates a configuration file for a forwarder with the state folder `state`.
     pub fn read(file: &Path, state: PathBuf, sync: SyncPolicy) -> Result<StartConfig, ConfigError> {
         let mut entries = EntryBuffer::default();
         let contents = config_file::read(file, &mut |entry| entries.push(entry))?;
@@ -94,10 +95,10 @@
         let shape = reader.shape(settings)?;
         let network = NetworkSettings::from_settings(settings);
         let discovery = reader.discovery()?;
-        let (discovery_updates, watched_discovery) = watch::channel(discovery);
+        let (discovery_updates, discovery_receiver) = watch::channel(discovery);
         let options = ForwarderOptions {
             listen: reader.listen()?,
-            discovery: watched_discovery,
+            discovery: discovery_receiver,
             state,
             resources: reader.resource_limits()?,
             settings: parse_policy_settings(reader.seed()?, settings),
@@ -114,10 +115,11 @@
     }
 }
 
-/// Reloads and validates the configuration file of a running forwarder; a long file is read in a thread of its own.
+/// Reads and validates the configuration file of a running forwarder, in a separate thread if the file is
+/// larger than [`MAX_BYTES_ON_EVENT_LOOP`].
 pub async fn reload(file: &Path) -> Result<ReloadableConfig, ConfigError> {
-    let is_long = std::fs::metadata(file).is_ok_and(|data| data.len() > MAX_BYTES_ON_EVENT_LOOP);
-    if !is_long {
+    let is_large = std::fs::metadata(file).is_ok_and(|data| data.len() > MAX_BYTES_ON_EVENT_LOOP);
+    if !is_large {
         return read_reloadable(file);
     }
     let file = file.to_owned();
@@ -128,11 +130,11 @@
     StartConfig::read(file, PathBuf::new(), SyncPolicy::Never).map(|config| config.reloadable)
 }
 
-/// The entries of the cached endpoint list as they are read, up to [`MAX_ENTRIES_IN_MEMORY`].
+/// Buffer of at most [`MAX_ENTRIES_IN_MEMORY`] entries of the cached endpoint list.
 enum EntryBuffer {
-    /// All entries so far.
+    /// All entries read so far.
     Complete(Vec<ListEntry>),
-    /// There were more, and none is kept.
+    /// The list has more entries than fit, and none is kept.
     Overflowed,
 }
 
@@ -152,7 +154,7 @@
     }
 }
 
-/// The endpoint list of a configuration file: from memory, or read from the file as it is applied.
+/// Returns the endpoint list of a configuration file, from the buffer or as a reader of the file.
 fn cached_list(
     file: &Path,
     summary: Option<EndpointListSummary>,
@@ -181,7 +183,7 @@
 
 impl<'c> SectionReader<'c> {
     fn settings(&self) -> Result<&'c Map<String, Value>, ConfigError> {
-        self.sections.settings.as_object().ok_or_else(|| self.missing("settings"))
+        self.sections.settings.as_object().ok_or_else(|| self.invalid_key("settings: expected an object"))
     }
 
     fn shape(&self, settings: &Map<String, Value>) -> Result<DeploymentShape, ConfigError> {
@@ -190,24 +192,27 @@
     }
 
     fn listen(&self) -> Result<SocketAddr, ConfigError> {
-        parse_address(&self.sections.listen).ok_or_else(|| self.missing("listen"))
+        parse_address(&self.sections.listen).ok_or_else(|| self.invalid_key("listen: expected IP:PORT"))
     }
 
     fn discovery(&self) -> Result<SocketAddr, ConfigError> {
-        parse_address(&self.sections.discovery).ok_or_else(|| self.missing("discovery"))
+        parse_address(&self.sections.discovery).ok_or_else(|| self.invalid_key("discovery: expected IP:PORT"))
     }
 
-    /// The seed of the policy's random numbers, in hexadecimal.
+    /// Parses the seed of the policy's random numbers, which is hexadecimal.
     fn seed(&self) -> Result<u64, ConfigError> {
         let text = self.sections.seed.as_str();
         let seed = text.and_then(|text| u64::from_str_radix(text, 16).ok());
-        seed.ok_or_else(|| self.missing("seed"))
+        seed.ok_or_else(|| self.invalid_key("seed: expected a string with a hexadecimal number of 64 bits"))
     }
 
     fn resource_limits(&self) -> Result<ResourceLimits, ConfigError> {
-        let memory_bytes = self.limit("memory_mb", "limits.memory_mb")? * BYTES_PER_MEGABYTE;
-        let descriptors = self.limit("sockets", "limits.sockets")?.min(MAX_DESCRIPTORS);
-        let disk_bytes = self.limit("disk_mb", "limits.disk_mb")? * BYTES_PER_MEGABYTE;
+        let memory_bytes = self.limit("memory_mb", "limits.memory_mb: expected a number of at least 0")?
+            * BYTES_PER_MEGABYTE;
+        let descriptors =
+            self.limit("sockets", "limits.sockets: expected a number of at least 0")?.min(MAX_DESCRIPTORS);
+        let disk_bytes =
+            self.limit("disk_mb", "limits.disk_mb: expected a number of at least 0")? * BYTES_PER_MEGABYTE;
         Ok(ResourceLimits {
             memory_bytes: memory_bytes as u64,
             descriptors: descriptors as usize,
@@ -215,15 +220,15 @@
         })
     }
 
-    /// A limit of 0 or more, possibly with decimals.
-    fn limit(&self, name: &str, key: &'static str) -> Result<f64, ConfigError> {
+    /// Parses a limit that is not negative and may have decimals.
+    fn limit(&self, name: &str, expected: &'static str) -> Result<f64, ConfigError> {
         let limit = self.sections.limits.get(name).and_then(Value::as_f64);
         let limit = limit.filter(|limit| limit.is_finite() && *limit >= 0.0);
-        limit.ok_or_else(|| self.missing(key))
+        limit.ok_or_else(|| self.invalid_key(expected))
     }
 
-    fn missing(&self, key: &'static str) -> ConfigError {
-        ConfigError::MissingKey { file: self.file.to_owned(), key }
+    fn invalid_key(&self, expected: &'static str) -> ConfigError {
+        ConfigError::InvalidKey { file: self.file.to_owned(), expected }
     }
 }
 
--- a/crates/daemon/src/wal_command/json.rs
+++ b/crates/daemon/src/wal_command/json.rs
@@ -1,5 +1,4 @@
-//! The write-ahead log as JSON lines. Keys are an interface that scripts rely on, and are printed in alphabetical
-//! order.
+//! Prints a write-ahead log as JSON lines. Scripts rely on the keys, which are printed in alphabetical order.
 
 use std::io::{self, Write};
 use std::time::Duration;
@@ -8,7 +7,7 @@
 use reeddock_wal::{Corruption, PendingMessage, RecordedAttempt};
 use serde::Serialize;
 
-use super::{possibly_executed, seconds_left, Snapshot};
+use super::{possibly_executed_count, seconds_left, Snapshot};
 
 #[derive(Serialize)]
 struct MessageLine<'a> {
@@ -24,9 +23,8 @@
     seconds_left: i64,
     #[serde(rename = "may_have_run")]
     possibly_executed: bool,
-    /// Microseconds of Unix time.
     #[serde(rename = "outer_limit_us")]
-    deadline: u64,
+    deadline_unix_us: u64,
     #[serde(rename = "owed")]
     id: &'a str,
     records_lost: bool,
@@ -35,9 +33,8 @@
 
 #[derive(Serialize)]
 struct AttemptLine<'a> {
-    /// Microseconds of Unix time.
     #[serde(rename = "at_us")]
-    started_at: u64,
+    started_at_unix_us: u64,
     #[serde(rename = "ended")]
     finished: bool,
     #[serde(rename = "never_ran")]
@@ -63,7 +60,7 @@
 }
 
 #[derive(Serialize)]
-struct DamageLine<'a> {
+struct CorruptionLine<'a> {
     bytes: u64,
     #[serde(rename = "damaged")]
     file: &'a str,
@@ -71,10 +68,11 @@
     offset: u64,
 }
 
-/// A line for each pending message, unacknowledged notice, message of which only the id is known, and damaged place.
+/// Prints a line for each pending message, unacknowledged notice, message of which only the id is known, and
+/// damaged place.
 pub fn write_lines(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
     for message in snapshot.index.pending() {
-        write_line(&MessageLine::new(message, snapshot.now), out)?;
+        write_line(&MessageLine::new(message, snapshot.now_unix_us), out)?;
     }
     for notice in snapshot.index.unacknowledged_notices() {
         write_line(&NoticeLine::from(&notice), out)?;
@@ -83,7 +81,7 @@
         write_line(&OrphanLine { id: &id.0 }, out)?;
     }
     for place in &snapshot.report.corruptions {
-        write_line(&DamageLine::from(place), out)?;
+        write_line(&CorruptionLine::from(place), out)?;
     }
     Ok(())
 }
@@ -94,16 +92,16 @@
 }
 
 impl MessageLine<'_> {
-    fn new(message: &PendingMessage, now: u64) -> MessageLine<'_> {
+    fn new(message: &PendingMessage, now_unix_us: u64) -> MessageLine<'_> {
         MessageLine {
             bytes: message.reserved_bytes,
             class: &message.class,
             destination: message.destination,
             attempts: message.attempts.iter().map(AttemptLine::from).collect(),
             ordering_key: message.ordering_key,
-            seconds_left: seconds_left(message, now),
-            possibly_executed: possibly_executed(message) > 0,
-            deadline: message.deadline_unix_us,
+            seconds_left: seconds_left(message, now_unix_us),
+            possibly_executed: possibly_executed_count(message) > 0,
+            deadline_unix_us: message.deadline_unix_us,
             id: &message.id.0,
             records_lost: message.records_lost,
             tenant: message.tenant.as_deref(),
@@ -114,7 +112,7 @@
 impl<'a> From<&'a RecordedAttempt> for AttemptLine<'a> {
     fn from(attempt: &'a RecordedAttempt) -> AttemptLine<'a> {
         AttemptLine {
-            started_at: attempt.started_at_unix_us,
+            started_at_unix_us: attempt.started_at_unix_us,
             finished: attempt.state.is_finished(),
             proven_not_executed: attempt.state.proves_not_executed(),
             endpoint: &attempt.endpoint,
@@ -132,12 +130,12 @@
     }
 }
 
-impl<'a> From<&'a Corruption> for DamageLine<'a> {
-    fn from(place: &'a Corruption) -> DamageLine<'a> {
-        DamageLine { bytes: place.bytes, file: &place.file, hint: &place.hint, offset: place.offset }
+impl<'a> From<&'a Corruption> for CorruptionLine<'a> {
+    fn from(place: &'a Corruption) -> CorruptionLine<'a> {
+        CorruptionLine { bytes: place.bytes, file: &place.file, hint: &place.hint, offset: place.offset }
     }
 }
 
-fn whole_milliseconds(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn whole_milliseconds(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/wal_command/mod.rs
+++ b/crates/daemon/src/wal_command/mod.rs
@@ -1,5 +1,5 @@
-//! The command `wal`: prints what the write-ahead log of a state folder holds. It only reads, and so may run beside
-//! the forwarder that writes the log.
+//! The command `wal`: prints the contents of a write-ahead log. The log is only read, so that the command can
+//! run while a forwarder writes to the log.
 
 mod json;
 mod text;
@@ -12,31 +12,29 @@
 use reeddock_wal::{Inspection, PendingIndex, PendingMessage, VerificationReport, WalError};
 use thiserror::Error;
 
-/// What is printed of a write-ahead log.
+/// Selects what the command prints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum View {
-    /// A line for each pending message and unacknowledged notice, counts by destination, then what is damaged.
+    /// A line for each pending message and unacknowledged notice, counts by destination, and damaged places.
     All,
-    /// What is damaged, then a summary.
+    /// Damaged places and a summary.
     Verify,
-    /// Counts of pending messages.
+    /// Counts of pending messages by a property.
     Counts(GroupBy),
-    /// A JSON object a line for each message, notice and damaged place.
+    /// One JSON object per line for each message, notice and damaged place.
     Json,
 }
 
 /// The property by which pending messages are counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GroupBy {
-    /// The message class.
     Class,
-    /// The number of the destination.
     Destination,
-    /// The time that is left until the deadline, in a few spans.
+    /// The time left until the deadline, in ranges.
     Age,
 }
 
-/// The value of `--by` is none of those that messages can be counted by.
+/// A value of `--by` by which messages cannot be counted.
 #[derive(Debug, Error)]
 #[error("{0:?}: expected category, destination or age")]
 pub struct UnknownGroup(String);
@@ -46,7 +44,7 @@
 
     fn from_str(name: &str) -> Result<GroupBy, UnknownGroup> {
         match name {
-            // `category` is what the operators' scripts say.
+            // `category` is the name used by scripts of operators.
             "category" | "class" => Ok(GroupBy::Class),
             "destination" => Ok(GroupBy::Destination),
             "age" => Ok(GroupBy::Age),
@@ -55,34 +53,33 @@
     }
 }
 
-/// Why a write-ahead log could not be printed.
+/// Errors of printing a write-ahead log.
 #[derive(Debug, Error)]
 pub enum WalCommandError {
-    /// The log can't be read. Corruption inside it is no error: it is printed.
+    /// The log cannot be read. Corruption inside the log is printed and is not an error.
     #[error("cannot read the write-ahead log in {}: {source}", folder.display())]
     Read { folder: PathBuf, source: WalError },
-    /// Standard output can't be written to.
-    #[error("cannot write: {0}")]
+    /// Standard output cannot be written to.
+    #[error("cannot write to standard output: {0}")]
     Write(io::Error),
 }
 
-/// What is printed: the log as it was read, at one moment.
+/// The contents of a log, with the time at which the log was read.
 struct Snapshot {
     index: PendingIndex,
     report: VerificationReport,
-    /// Microseconds of Unix time.
-    now: u64,
+    now_unix_us: u64,
 }
 
-/// Prints the write-ahead log of a state folder to standard output. Returns whether it is sound.
+/// Prints the write-ahead log of a state folder to standard output. Returns whether the log is sound.
 pub fn run(folder: &Path, view: View) -> Result<bool, WalCommandError> {
     let Inspection { index, verification: report } = reeddock_wal::inspect(folder)
         .map_err(|source| WalCommandError::Read { folder: folder.to_owned(), source })?;
-    let snapshot = Snapshot { index, report, now: unix_time_us() };
+    let snapshot = Snapshot { index, report, now_unix_us: unix_time_us() };
     let mut out = BufWriter::new(io::stdout().lock());
     let written = write_view(&snapshot, view, &mut out).and_then(|()| out.flush());
     match written {
-        // The reader has closed the pipe: it read as much as it wanted.
+        // A reader that closes the pipe early is not an error.
         Err(error) if error.kind() == ErrorKind::BrokenPipe => {}
         other => other.map_err(WalCommandError::Write)?,
     }
@@ -103,19 +100,19 @@
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Whole seconds until the deadline, rounded down; negative after it.
-fn seconds_left(message: &PendingMessage, now_us: u64) -> i64 {
-    let left_us = i128::from(message.deadline_unix_us) - i128::from(now_us);
+/// Returns the whole seconds until the deadline, rounded down; negative after the deadline.
+fn seconds_left(message: &PendingMessage, now_unix_us: u64) -> i64 {
+    let left_us = i128::from(message.deadline_unix_us) - i128::from(now_unix_us);
     left_us.div_euclid(1_000_000) as i64
 }
 
-/// All attempts of a message; those whose records are lost count as one.
+/// Returns the number of attempts of a message. Attempts whose records are lost count as one.
 fn attempt_count(message: &PendingMessage) -> usize {
     message.attempts.len() + usize::from(message.records_lost)
 }
 
-/// The attempts of a message that are not proven not to have been executed.
-fn possibly_executed(message: &PendingMessage) -> usize {
+/// Returns the number of attempts that may have been executed. Attempts whose records are lost count as one.
+fn possibly_executed_count(message: &PendingMessage) -> usize {
     let unproven = message.attempts.iter().filter(|attempt| !attempt.state.proves_not_executed()).count();
     unproven + usize::from(message.records_lost)
 }
--- a/crates/daemon/src/wal_command/text.rs
+++ b/crates/daemon/src/wal_command/text.rs
@@ -1,14 +1,15 @@
-//! The write-ahead log as text. Its words are those that operators' pages and scripts quote: a message that is
-//! *owed* is pending, a *dispatch* is an attempt, a notice that is *untold* is unacknowledged.
+//! Prints a write-ahead log as text. Scripts match the words of the output: *owed* is a pending message,
+//! *dispatch* an attempt, *untold* an unacknowledged notice.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 
 use reeddock_wal::{PendingCounts, PendingMessage};
 
-use super::{attempt_count, possibly_executed, seconds_left, GroupBy, Snapshot};
+use super::{attempt_count, possibly_executed_count, seconds_left, GroupBy, Snapshot};
 
-/// A line for each pending message and unacknowledged notice, counts by destination, then what is damaged.
+/// Prints a line for each pending message and unacknowledged notice, counts by destination, and damaged
+/// places.
 pub fn write_all(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
     for message in snapshot.index.pending() {
         writeln!(
@@ -17,9 +18,9 @@
             message.id.0,
             message.class,
             message.destination,
-            seconds_left(message, snapshot.now),
+            seconds_left(message, snapshot.now_unix_us),
             attempt_count(message),
-            possibly_executed(message)
+            possibly_executed_count(message)
         )?;
     }
     for notice in snapshot.index.unacknowledged_notices() {
@@ -33,7 +34,7 @@
     write_damage(snapshot, out)
 }
 
-/// What is damaged, then a summary.
+/// Prints damaged places and a summary.
 pub fn write_verification(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
     write_damage(snapshot, out)?;
     let report = &snapshot.report;
@@ -48,7 +49,7 @@
     )
 }
 
-/// A group of pending messages; groups are printed in the order of their ranks, then of their labels.
+/// A group of pending messages. Groups are printed ordered by rank, then by label.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Group {
     rank: u64,
@@ -56,13 +57,13 @@
 }
 
 impl Group {
-    fn of(message: &PendingMessage, group_by: GroupBy, now: u64) -> Group {
+    fn of(message: &PendingMessage, group_by: GroupBy, now_unix_us: u64) -> Group {
         match group_by {
             GroupBy::Class => Group { rank: 0, label: format!("category {}", message.class) },
             GroupBy::Destination => {
                 Group { rank: message.destination, label: format!("destination {}", message.destination) }
             }
-            GroupBy::Age => Group::of_seconds_left(seconds_left(message, now)),
+            GroupBy::Age => Group::of_seconds_left(seconds_left(message, now_unix_us)),
         }
     }
 
@@ -78,34 +79,34 @@
     }
 }
 
-/// Sums over a group of pending messages.
+/// Totals of a group of pending messages.
 #[derive(Default)]
 struct Totals {
     messages: usize,
     bytes: u64,
-    possibly_executed: usize,
+    possibly_executed_messages: usize,
 }
 
-/// A line for each group of pending messages.
+/// Prints a line with the totals of each group of pending messages.
 pub fn write_counts(snapshot: &Snapshot, group_by: GroupBy, out: &mut impl Write) -> io::Result<()> {
     let mut groups: BTreeMap<Group, Totals> = BTreeMap::new();
     for message in snapshot.index.pending() {
-        let totals = groups.entry(Group::of(message, group_by, snapshot.now)).or_default();
+        let totals = groups.entry(Group::of(message, group_by, snapshot.now_unix_us)).or_default();
         totals.messages += 1;
         totals.bytes += message.reserved_bytes;
-        totals.possibly_executed += usize::from(possibly_executed(message) > 0);
+        totals.possibly_executed_messages += usize::from(possibly_executed_count(message) > 0);
     }
     for (group, totals) in groups {
         writeln!(
             out,
             "{}: {} owed, {} bytes, {} may have run",
-            group.label, totals.messages, totals.bytes, totals.possibly_executed
+            group.label, totals.messages, totals.bytes, totals.possibly_executed_messages
         )?;
     }
     Ok(())
 }
 
-/// A torn write at the end, damaged places, and messages of which only the id is known.
+/// Prints a torn write at the end, damaged places, and messages of which only the id is known.
 fn write_damage(snapshot: &Snapshot, out: &mut impl Write) -> io::Result<()> {
     let report = &snapshot.report;
     if report.torn_bytes > 0 {
@@ -124,9 +125,9 @@
     for id in snapshot.index.orphans() {
         writeln!(out, "unknown: {} was accepted, and nothing else is known of it", id.0)?;
     }
-    let unnamed = snapshot.index.unlisted_orphans();
-    if unnamed > 0 {
-        writeln!(out, "unknown: {unnamed} more")?;
+    let unlisted = snapshot.index.unlisted_orphans();
+    if unlisted > 0 {
+        writeln!(out, "unknown: {unlisted} more")?;
     }
     Ok(())
 }
--- a/crates/daemon/tests/cached_list.rs
+++ b/crates/daemon/tests/cached_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in a configuration: short and long, well-formed and malformed.
+//! Endpoint lists in a configuration: lists of different lengths, and malformed lists.
 
 #[path = "support/check_command.rs"]
 mod check_command;
@@ -7,7 +7,7 @@
 
 use check_command::{check, CheckResult};
 
-/// Checks a configuration with this text between its other parts.
+/// Runs `reeddock check` on a configuration that contains this text between its other keys.
 fn check_with_list(list: &str) -> CheckResult {
     check(&format!(
         r#"{{"listen":"127.0.0.1:0","unheard":{{"of":[1]}},"discovery":"127.0.0.1:1","seed":"1f",
@@ -27,16 +27,16 @@
 }
 
 #[test]
-fn a_list_is_read_however_long_it_is_and_in_whatever_order() {
-    let mixed =
+fn list_of_any_length_and_key_order_is_read() {
+    let reordered =
         format!(r#""known":{{"instances":[{},{}],"more":{{"x":[]}},"generation":41}},"#, entry(1), entry(2));
     for (name, list, expected) in [
-        ("none", String::new(), "0 targets known, generation 0"),
-        ("null", r#""known":null,"#.to_owned(), "0 targets known, generation 0"),
-        ("empty", list_of(0), "0 targets known, generation 41"),
-        ("short", list_of(2), "2 targets known, generation 41"),
-        ("mixed", mixed, "2 targets known, generation 41"),
-        ("long", list_of(20_000), "20000 targets known, generation 41"),
+        ("none", String::new(), "cached endpoint list: 0 endpoints, generation 0\n"),
+        ("null", r#""known":null,"#.to_owned(), "cached endpoint list: 0 endpoints, generation 0\n"),
+        ("empty", list_of(0), "cached endpoint list: 0 endpoints, generation 41\n"),
+        ("short", list_of(2), "cached endpoint list: 2 endpoints, generation 41\n"),
+        ("reordered", reordered, "cached endpoint list: 2 endpoints, generation 41\n"),
+        ("long", list_of(20_000), "cached endpoint list: 20000 endpoints, generation 41\n"),
     ] {
         let output = check_with_list(&list).expect_success(name);
         assert!(output.contains(expected), "{name}: {output}");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_malformed_list_is_refused_in_one_line_with_its_place() {
+fn malformed_list_is_rejected_with_place_in_one_line() {
     let unknown_state =
         list_of(3).replace("\"cell\":2,\"lifecycle\":\"Ready\"", "\"cell\":2,\"lifecycle\":\"Sleeping\"");
     for (name, list, expected) in [
@@ -55,11 +55,15 @@
             r#""known":{"generation":1,"generation":2},"#.into(),
             "known: duplicate field `generation`",
         ),
-        ("number", r#""known":7,"#.into(), "known: invalid type: integer `7`, expected a list of targets"),
+        (
+            "number",
+            r#""known":7,"#.into(),
+            "known: invalid type: integer `7`, expected an endpoint list as a JSON object",
+        ),
         (
             "entries",
             r#""known":{"generation":1,"instances":null},"#.into(),
-            "expected a list of targets in brackets",
+            "expected a JSON array of endpoints",
         ),
         ("reset", r#""known":{"generation":1,"reset":1},"#.into(), "expected a boolean"),
         ("cut", r#""known":{"generation":1,"#.into(), "is not JSON"),
--- a/crates/daemon/tests/deployment_shape.rs
+++ b/crates/daemon/tests/deployment_shape.rs
@@ -1,4 +1,4 @@
-//! How the program describes the deployment that a configuration is for, part by part and in every mixture.
+//! The deployment shape that `reeddock check` prints, for every combination of its properties.
 
 #[path = "support/check_command.rs"]
 mod check_command;
@@ -28,15 +28,15 @@
     check(&config.to_string())
 }
 
-/// How the program describes the deployment of these settings.
+/// Returns the deployment shape that `reeddock check` prints for these settings.
 fn shape(settings: &Value) -> String {
     let output = check_settings(settings).expect_success("shape");
     output.lines().find_map(|line| line.strip_prefix("shape ")).unwrap_or_default().to_owned()
 }
 
 #[test]
-fn each_part_of_the_shape_follows_from_its_own_key_alone() {
-    let parts = [
+fn each_property_of_shape_depends_only_on_its_key() {
+    let properties = [
         (
             "/report",
             [json!({"how": "silent", "fields": []}), json!({"how": "piggyback", "fields": ["x0", "x1"]})],
@@ -55,20 +55,20 @@
         ),
         ("/familyInfo/zoneFee", [json!([]), json!([0.0, 0.04])], ["no zone fees", "zone fees"]),
     ];
-    for mixture in 0..1 << parts.len() {
+    for combination in 0..1 << properties.len() {
         let mut settings = reporting_settings();
         let mut expected = Vec::new();
-        for (place, (pointer, values, words)) in parts.iter().enumerate() {
-            let which = mixture >> place & 1;
-            *settings.pointer_mut(pointer).unwrap() = values[which].clone();
-            expected.push(words[which]);
+        for (index, (pointer, values, words)) in properties.iter().enumerate() {
+            let selected = combination >> index & 1;
+            *settings.pointer_mut(pointer).unwrap() = values[selected].clone();
+            expected.push(words[selected]);
         }
         assert_eq!(shape(&settings), expected.join(", "));
     }
 }
 
 #[test]
-fn what_is_left_out_or_null_has_the_default_shape() {
+fn absent_or_null_keys_give_default_shape() {
     let default_shape =
         "responses carry no load reports, no listed rates, endpoint list is pushed, one attempt in flight per message, no zone fees";
     assert_eq!(shape(&json!({})), default_shape);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_malformed_value_is_refused_in_one_line_with_its_key() {
+fn malformed_value_is_rejected_with_key_in_one_line() {
     let malformed = [
         ("/weights", json!("heavy"), "weights"),
         ("/weights", json!(7), "weights"),
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! Clients that use up their share of the descriptors while discovery is down.
+//! A forwarder whose clients use up their share of the descriptors while discovery is down.
 
 #[path = "support/configuration.rs"]
 mod configuration;
@@ -35,20 +35,20 @@
 
 const DESCRIPTORS: usize = 256;
 const IDLE_CLIENTS: usize = 400;
-/// Of those that connect at once; a listener holds no more than 128 that are not accepted.
-const AT_ONCE: usize = 100;
-/// Once discovery responds again, its list is received within this time.
-const LIST_WITHIN: Duration = Duration::from_secs(6);
-/// Each has an endpoint of its own, to which a connection stands idle.
+/// Clients that connect at the same time; fewer than the 128 connections of the listener's backlog.
+const SIMULTANEOUS_CLIENTS: usize = 100;
+/// Maximum time from the recovery of discovery until the list is sent.
+const LIST_TIMEOUT: Duration = Duration::from_secs(6);
+/// Destinations with one endpoint each, to which the forwarder keeps an idle connection.
 const DESTINATIONS: RangeInclusive<u64> = 3..=42;
-const LOG: &str = "log";
+const LOG_FILE: &str = "log";
 
-/// What the stubs of one test share.
+/// State shared by the stubs of one test.
 #[derive(Clone, Default)]
 struct StubState {
     discovery_responds: Arc<AtomicBool>,
     list: Arc<Mutex<String>>,
-    /// When the list was first sent.
+    /// Time at which the list was first sent; `None` until then.
     list_sent_at: Arc<Mutex<Option<Instant>>>,
     /// Ids of the messages that the endpoint received.
     received_ids: Arc<Mutex<Vec<String>>>,
@@ -61,7 +61,8 @@
     }
 }
 
-/// Acknowledges notices always, and responds to watches while discovery does. A watch without a response stays open.
+/// Acknowledges all notices. Responds to a watch if discovery is up, and keeps it open without a response
+/// otherwise.
 fn handle_as_platform(state: &StubState, request: &Request, stream: &mut TcpStream) -> Connection {
     if !request.line.starts_with("GET") {
         state.notices.lock().unwrap().push_str(&request.body);
@@ -80,7 +81,7 @@
     Connection::Close
 }
 
-/// Closes the connection under bookings, and completes the rest.
+/// Closes the connection on a booking, and responds with 200 to other messages.
 fn handle_as_endpoint(state: &StubState, request: &Request, stream: &mut TcpStream) -> Connection {
     state.received_ids.lock().unwrap().push(request.id.clone());
     if request.id.starts_with("booking") {
@@ -89,7 +90,7 @@
     Connection::keep_if_written(stream.write_all(OK_RESPONSE))
 }
 
-/// The configuration of a forwarder whose endpoints are all at one address.
+/// Returns the configuration of a forwarder whose endpoints all have the same address.
 fn config(listen: SocketAddr, discovery: SocketAddr, endpoint: SocketAddr) -> Value {
     let endpoints: Vec<_> = DESTINATIONS.map(|n| list_entry(&format!("t{n}"), endpoint, n)).collect();
     json!({
@@ -105,7 +106,7 @@
     })
 }
 
-/// This command under the system's limit of [`DESCRIPTORS`].
+/// Returns the command with an operating system limit of [`DESCRIPTORS`].
 fn with_descriptor_limit(command: &Command) -> Command {
     let mut limited = Command::new("sh");
     limited.args(["-c", &format!("ulimit -n {DESCRIPTORS} && exec \"$0\" \"$@\"")]);
@@ -120,20 +121,20 @@
 }
 
 impl ForwarderProcess {
-    /// With no more descriptors than its configuration says.
+    /// Starts a forwarder whose descriptors are limited to the number in its configuration.
     fn start(discovery: SocketAddr, endpoint: SocketAddr) -> ForwarderProcess {
         let folder = TempFolder::new("descriptors");
-        // Free a moment ago, and given to nobody else so soon.
+        // The port was just released, and is not assigned again immediately.
         let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let file = folder.path().join("configuration.json");
         std::fs::write(&file, config(address, discovery, endpoint).to_string()).unwrap();
-        let log = File::create(folder.path().join(LOG)).unwrap();
+        let log = File::create(folder.path().join(LOG_FILE)).unwrap();
         let spawned = with_descriptor_limit(&serve_command(&file, folder.path()))
             .stdout(Stdio::null())
             .stderr(log)
             .spawn();
         let forwarder = ForwarderProcess { process: KillOnDrop(spawned.unwrap()), folder, address };
-        wait_for("that it listens", || TcpStream::connect(address).ok());
+        wait_for("the forwarder to listen", || TcpStream::connect(address).ok());
         forwarder
     }
 
@@ -142,18 +143,19 @@
     }
 
     fn log(&self) -> String {
-        std::fs::read_to_string(self.folder.path().join(LOG)).unwrap()
+        std::fs::read_to_string(self.folder.path().join(LOG_FILE)).unwrap()
     }
 
-    /// Submits a message until it is accepted: in a crowd a connection may be closed unread.
+    /// Submits a message until it is accepted, because connections may be closed unread while clients fill
+    /// all slots.
     fn submit(&self, id: &str, class: &str, destination: u64) {
-        let mut tries = 0;
+        let mut attempts = 0;
         wait_for(id, || {
-            tries += 1;
+            attempts += 1;
             let mut stream = TcpStream::connect(self.address).ok()?;
             stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
             let request = format!(
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}-{tries}\r\nX-Call-Class: {class}\r\n\
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}-{attempts}\r\nX-Call-Class: {class}\r\n\
                  X-Budget: 15\r\nX-Route-To: dest={destination}\r\nContent-Length: 0\r\n\r\n"
             );
             stream.write_all(request.as_bytes()).ok()?;
@@ -164,22 +166,26 @@
     }
 }
 
-/// Clients of which each third sends nothing, a part of a request, and one request after which it stays.
-struct Crowd {
+/// Idle connections. A third of them sends nothing, a third part of a request, and a third one complete
+/// request.
+struct IdleClients {
     address: SocketAddr,
     clients: Vec<TcpStream>,
 }
 
-impl Crowd {
-    fn connect(address: SocketAddr) -> Crowd {
-        Crowd { address, clients: (0..IDLE_CLIENTS).map(|n| Crowd::client(address, n)).collect() }
+impl IdleClients {
+    fn connect(address: SocketAddr) -> IdleClients {
+        IdleClients { address, clients: (0..IDLE_CLIENTS).map(|n| IdleClients::client(address, n)).collect() }
     }
 
-    /// More of them, all connected before the first is accepted.
-    fn connect_more_at_once(&mut self, forwarder: &ForwarderProcess) {
+    /// Connects more clients while the forwarder is stopped, so that all connect before the first is
+    /// accepted.
+    fn connect_more_simultaneously(&mut self, forwarder: &ForwarderProcess) {
         send_signal(&forwarder.process.0, "-STOP");
         let first = self.clients.len();
-        self.clients.extend((first..first + AT_ONCE).map(|number| Crowd::client(self.address, number)));
+        self.clients.extend(
+            (first..first + SIMULTANEOUS_CLIENTS).map(|number| IdleClients::client(self.address, number)),
+        );
         send_signal(&forwarder.process.0, "-CONT");
     }
 
@@ -191,16 +197,16 @@
         stream
     }
 
-    /// Each client that is closed connects again at once.
-    fn stay(mut self, goes_on: &AtomicBool) {
-        while goes_on.load(Ordering::SeqCst) {
+    /// Reconnects each client that is disconnected, until `is_running` is false.
+    fn reconnect_while(mut self, is_running: &AtomicBool) {
+        while is_running.load(Ordering::SeqCst) {
             for (number, client) in self.clients.iter_mut().enumerate() {
                 let closed = match client.read(&mut [0; 1024]) {
                     Ok(read) => read == 0,
-                    Err(fault) => fault.kind() != ErrorKind::WouldBlock,
+                    Err(error) => error.kind() != ErrorKind::WouldBlock,
                 };
                 if closed {
-                    *client = Crowd::client(self.address, number);
+                    *client = IdleClients::client(self.address, number);
                 }
             }
             sleep(POLL_INTERVAL);
@@ -209,7 +215,7 @@
 }
 
 #[test]
-fn clients_that_use_up_the_descriptors_stop_neither_list_nor_notices_nor_requests() {
+fn list_notices_and_requests_continue_while_clients_exhaust_descriptors() {
     let state = StubState::default();
     let platform = start_stub(&state, handle_as_platform);
     let endpoint = start_stub(&state, handle_as_endpoint);
@@ -218,36 +224,42 @@
         forwarder.submit(&format!("update-{destination}"), "update", destination);
     }
     let all_received = || (state.received_ids.lock().unwrap().len() >= DESTINATIONS.count()).then_some(());
-    wait_for("a connection to each endpoint", all_received);
-    let mut crowd = Crowd::connect(forwarder.address);
-    // Those that connected before it have been accepted.
+    wait_for("a request to each endpoint", all_received);
+    let mut idle_clients = IdleClients::connect(forwarder.address);
+    // Connections are accepted in order, so that this response shows that all idle clients are accepted.
     forwarder.submit("update-last-in-line", "update", *DESTINATIONS.start());
-    crowd.connect_more_at_once(&forwarder);
-    let goes_on = AtomicBool::new(true);
-    let most_open = std::thread::scope(|scope| {
-        scope.spawn(|| crowd.stay(&goes_on));
-        // However this ends, the crowd disconnects.
-        let result = catch_unwind(AssertUnwindSafe(|| works_among_the_crowd(&forwarder, &state, endpoint)));
-        goes_on.store(false, Ordering::SeqCst);
+    idle_clients.connect_more_simultaneously(&forwarder);
+    let is_running = AtomicBool::new(true);
+    let max_open = std::thread::scope(|scope| {
+        scope.spawn(|| idle_clients.reconnect_while(&is_running));
+        // A panic is caught so that the client thread is stopped before the scope waits for it.
+        let result =
+            catch_unwind(AssertUnwindSafe(|| check_delivery_with_idle_clients(&forwarder, &state, endpoint)));
+        is_running.store(false, Ordering::SeqCst);
         result
     });
-    let most_open = most_open.unwrap_or_else(|fault| resume_unwind(fault));
-    assert!(most_open <= DESCRIPTORS - RESERVE.margin, "{most_open} descriptors");
+    let max_open = max_open.unwrap_or_else(|panic| resume_unwind(panic));
+    assert!(max_open <= DESCRIPTORS - RESERVE.margin, "{max_open} descriptors");
     let log = forwarder.log();
     assert!(!log.contains("no descriptor"), "{log}");
 }
 
-/// What has to go on among the crowd; returns how many descriptors were seen open at most.
-fn works_among_the_crowd(forwarder: &ForwarderProcess, state: &StubState, endpoint: SocketAddr) -> usize {
+/// Checks that messages, notices and the list are processed while clients use all their slots. Returns the
+/// maximum number of open descriptors observed.
+fn check_delivery_with_idle_clients(
+    forwarder: &ForwarderProcess,
+    state: &StubState,
+    endpoint: SocketAddr,
+) -> usize {
     let resources =
         ResourceLimits { memory_bytes: 48_000_000, descriptors: DESCRIPTORS, disk_bytes: 3_000_000 };
-    let filled = Limits::derive(resources).served_clients;
-    let is_filled = || (forwarder.open_descriptors() >= filled).then_some(());
-    wait_for("that the places for clients are filled", is_filled);
-    let mut most_open = forwarder.open_descriptors();
+    let expected_descriptors = Limits::derive(resources).served_clients;
+    let is_filled = || (forwarder.open_descriptors() >= expected_descriptors).then_some(());
+    wait_for("the client slots to be filled", is_filled);
+    let mut max_open = forwarder.open_descriptors();
     let mut wait_until_received = |id: &str| {
         wait_for(id, || {
-            most_open = most_open.max(forwarder.open_descriptors());
+            max_open = max_open.max(forwarder.open_descriptors());
             state.has_received(id).then_some(())
         });
     };
@@ -257,14 +269,15 @@
     wait_until_received("booking-while-down");
     let notified = || state.notices.lock().unwrap().contains("booking-while-down").then_some(());
     wait_for("a notice", notified);
-    assert!(state.list_sent_at.lock().unwrap().is_none(), "discovery is down until now");
-    let new = list_entry("new", endpoint, 99);
-    *state.list.lock().unwrap() = json!({"generation": 2, "reset": false, "instances": [new]}).to_string();
-    let recovered = Instant::now();
+    assert!(state.list_sent_at.lock().unwrap().is_none(), "discovery responded while down");
+    let new_entry = list_entry("new", endpoint, 99);
+    *state.list.lock().unwrap() =
+        json!({"generation": 2, "reset": false, "instances": [new_entry]}).to_string();
+    let recovered_at = Instant::now();
     state.discovery_responds.store(true, Ordering::SeqCst);
     let sent_at = wait_for("a watch", || *state.list_sent_at.lock().unwrap());
-    assert!(sent_at - recovered < LIST_WITHIN, "{:?}", sent_at - recovered);
+    assert!(sent_at - recovered_at < LIST_TIMEOUT, "{:?}", sent_at - recovered_at);
     forwarder.submit("update-after-it", "update", 99);
     wait_until_received("update-after-it");
-    most_open
+    max_open
 }
--- a/crates/daemon/tests/list_log.rs
+++ b/crates/daemon/tests/list_log.rs
@@ -1,4 +1,4 @@
-//! What the program's log and its health check say of the endpoint list.
+//! Log lines about the endpoint list, and the health check with and without a list.
 
 #[path = "support/health.rs"]
 mod health;
@@ -17,17 +17,17 @@
 use process::{serve_command, KillOnDrop};
 use temp_folder::TempFolder;
 
-/// The log lines that the tests look for.
+/// Log messages that the tests search for.
 const SERVING: &str = "serving";
 const ENDPOINT_LISTED: &str = "endpoint listed endpoint=EndpointId(";
 const LIST_APPLIED: &str = "endpoint list applied generation=4 whole=true entries=300 new_endpoints=300";
-const NO_LIST_AT_START: &str = "no cached endpoint list, messages wait for discovery";
-const NOTHING_DELIVERABLE: &str =
+const NO_CACHED_LIST: &str = "no cached endpoint list, messages wait for discovery";
+const NO_LIST_FOR_DELIVERY: &str =
     "no endpoint list, nothing can be delivered error=\"no target list yet: discovery has told none\"";
 
-const LOG_LINE_WITHIN: Duration = Duration::from_secs(20);
+const LOG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A program whose log is read.
+/// A forwarder process whose log is captured.
 struct LoggedForwarder {
     _process: KillOnDrop,
     _folder: TempFolder,
@@ -35,7 +35,7 @@
 }
 
 impl LoggedForwarder {
-    /// With a cached list of so many endpoints, and a discovery that refuses connections.
+    /// Starts a forwarder with a cached list of this many endpoints. Discovery refuses connections.
     fn start(name: &str, endpoints: usize) -> LoggedForwarder {
         let folder = TempFolder::new(name);
         let file = folder.path().join("config.json");
@@ -50,12 +50,12 @@
         LoggedForwarder { _process: process, _folder: folder, log }
     }
 
-    /// The lines up to one with this text.
-    fn log_until(&self, text: &str) -> Vec<String> {
+    /// Returns the log lines up to the first one with this text.
+    fn read_log_until(&self, text: &str) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
         while !lines.last().is_some_and(|line| line.contains(text)) {
-            let line = self.log.recv_timeout(LOG_LINE_WITHIN);
-            lines.push(line.unwrap_or_else(|_| panic!("never logged: {text}; but {lines:?}")));
+            let line = self.log.recv_timeout(LOG_TIMEOUT);
+            lines.push(line.unwrap_or_else(|_| panic!("not logged: {text}; logged: {lines:?}")));
         }
         lines
     }
@@ -74,32 +74,32 @@
     )
 }
 
-/// What the health check answers of the program that logs here where it listens.
-fn health(serving: &str) -> String {
+/// Returns the health check's response of the forwarder that logged this `serving` line.
+fn health_response(serving: &str) -> String {
     health_check(listening_address(serving).expect("an address"))
 }
 
-fn count(lines: &[String], text: &str) -> usize {
+fn count_lines(lines: &[String], text: &str) -> usize {
     lines.iter().filter(|line| line.contains(text)).count()
 }
 
 #[test]
-fn a_long_list_has_one_log_line_and_not_one_for_each_endpoint() {
+fn long_list_logs_one_summary_and_limited_number_of_endpoints() {
     let forwarder = LoggedForwarder::start("long-list", 300);
-    let lines = forwarder.log_until(SERVING);
-    assert_eq!(count(&lines, ENDPOINT_LISTED), 100);
-    assert_eq!(count(&lines, LIST_APPLIED), 1);
-    let response = health(lines.last().unwrap());
+    let lines = forwarder.read_log_until(SERVING);
+    assert_eq!(count_lines(&lines, ENDPOINT_LISTED), 100);
+    assert_eq!(count_lines(&lines, LIST_APPLIED), 1);
+    let response = health_response(lines.last().unwrap());
     assert!(response.starts_with("HTTP/1.1 200 ") && response.ends_with("\r\n\r\nok\n"), "{response}");
 }
 
 #[test]
-fn a_forwarder_without_any_list_says_so_and_is_healthy_all_the_same() {
+fn missing_endpoint_list_is_logged_and_forwarder_stays_healthy() {
     let forwarder = LoggedForwarder::start("no-list", 0);
-    let lines = forwarder.log_until(SERVING);
-    assert_eq!(count(&lines, NO_LIST_AT_START), 1);
-    let response = health(lines.last().unwrap());
+    let lines = forwarder.read_log_until(SERVING);
+    assert_eq!(count_lines(&lines, NO_CACHED_LIST), 1);
+    let response = health_response(lines.last().unwrap());
     assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
     assert!(response.ends_with("\r\n\r\nok; no target list yet: discovery has told none\n"), "{response}");
-    forwarder.log_until(NOTHING_DELIVERABLE);
+    forwarder.read_log_until(NO_LIST_FOR_DELIVERY);
 }
--- a/crates/daemon/tests/reload.rs
+++ b/crates/daemon/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the program reads its configuration again.
+//! Reload of the configuration on SIGHUP.
 
 #[path = "support/process.rs"]
 mod process;
@@ -18,7 +18,7 @@
 use signal::send_signal;
 use temp_folder::TempFolder;
 
-/// The start of the first request that a forwarder sends to this discovery.
+/// Accepts a connection at this discovery address, and returns the first bytes of the request.
 fn first_request(discovery: &TcpListener) -> String {
     discovery.set_nonblocking(true).unwrap();
     let start = Instant::now();
@@ -31,7 +31,7 @@
         }
         sleep(Duration::from_millis(10));
     }
-    panic!("no request came");
+    panic!("no request was received");
 }
 
 fn write_config(file: &Path, discovery: SocketAddr) {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn sighup_moves_the_watch_and_a_malformed_configuration_changes_nothing() {
+fn sighup_moves_watch_to_new_address_and_ignores_malformed_configuration() {
     let folder = TempFolder::new("reload");
     let file = folder.path().join("config.json");
     let listen = || TcpListener::bind("127.0.0.1:0").unwrap();
@@ -55,7 +55,7 @@
     std::fs::write(&file, "half a fi").unwrap();
     send_signal(&process.0, "-HUP");
     sleep(Duration::from_millis(200));
-    assert!(process.0.try_wait().unwrap().is_none(), "still there");
+    assert!(process.0.try_wait().unwrap().is_none(), "the process ended");
     write_config(&file, new.local_addr().unwrap());
     send_signal(&process.0, "-HUP");
     assert!(first_request(&new).starts_with("GET /v1/servers?"));
--- a/crates/daemon/tests/restarts.rs
+++ b/crates/daemon/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! The program killed with messages pending in its write-ahead log, and started again.
+//! Forwarders that are killed with pending messages in the write-ahead log and started again.
 
 #[path = "support/configuration.rs"]
 mod configuration;
@@ -33,29 +33,32 @@
 use temp_folder::TempFolder;
 use wait::{wait_for, POLL_INTERVAL};
 
-/// Each has an endpoint of its own at the one stub, so that a request to one does not keep those to others waiting.
+/// Number of destinations. Each has its own endpoint at the stub, so that requests to one do not delay the
+/// others.
 const DESTINATIONS: u64 = 3;
-/// From the start of a process until it may be used. It takes some hundredths; a busy machine is not to decide.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// The idempotency keys of a class with a short window are valid for so long: retries begin within it.
+/// Maximum time from the start of a process to the response of its health check, with margin for a busy
+/// machine.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Validity of an idempotency key in the classes with a short window. Retries start only within the window.
 const SHORT_WINDOW: Duration = Duration::from_secs(1);
 const LONG_WINDOW: Duration = Duration::from_secs(60);
-/// Every time limit on sockets is that much longer; and what the endpoint's thread may take to look at its clock
+/// Tolerance of measured times: the margin of time limits on sockets, plus the delay of the endpoint's thread
 /// on a busy machine.
 const TOLERANCE: Duration = Duration::from_millis(50 + 150);
 const FORWARDERS: usize = 10;
-const MESSAGES_OF_EACH: usize = 300;
-/// Some of them may have finished as their attempts timed out, on a busy machine.
-const PENDING_AT_LEAST: usize = MESSAGES_OF_EACH / 2;
-/// More than fit into a window.
-const MANY_KILLS: usize = 1000;
-
-/// What the endpoint does with a request, once it has recorded it.
+const MESSAGES_PER_FORWARDER: usize = 300;
+/// Minimum messages pending after the kill. On a busy machine some attempts time out before, which ends their
+/// messages.
+const MIN_PENDING: usize = MESSAGES_PER_FORWARDER / 2;
+/// More kills than are possible within a window.
+const UNLIMITED_KILLS: usize = 1000;
+
+/// Behaviour of the endpoint after it has recorded a request.
 #[derive(Clone, Copy)]
 enum EndpointBehaviour {
     NeverResponds,
     Completes,
-    /// Closes the connection, so that the attempt was possibly executed.
+    /// Closes the connection without a response, so that the attempt counts as possibly executed.
     ClosesConnection,
 }
 
@@ -66,7 +69,8 @@
     completed: bool,
 }
 
-/// What the stubs of the platform and of the one endpoint share. Both outlive the processes of a test.
+/// State shared by the stubs of the platform and of the endpoint, which outlive the forwarder processes of a
+/// test.
 #[derive(Clone, Default)]
 struct StubState {
     behaviour: Arc<AtomicU8>,
@@ -91,7 +95,7 @@
         self.attempts().into_iter().filter(|attempt| attempt.id == id).collect()
     }
 
-    /// Ids of the messages for which a notice came.
+    /// Returns the ids of messages for which a notice was received.
     fn notified_ids(&self) -> BTreeSet<String> {
         let notices = self.notices.lock().unwrap().clone();
         let id = |line: &str| {
@@ -102,7 +106,7 @@
     }
 }
 
-/// Acknowledges notices, and never responds to watches: the list in the configuration stays in force.
+/// Acknowledges notices and never responds to watches, so that the list in the configuration stays in effect.
 fn handle_as_platform(state: &StubState, request: &Request, stream: &mut TcpStream) -> Connection {
     if request.line.starts_with("GET") {
         return Connection::Keep;
@@ -124,7 +128,7 @@
     }
 }
 
-/// The platform and the endpoint, with the state that they share.
+/// Addresses of the running stubs, with their shared state.
 struct Stubs {
     state: StubState,
     platform: SocketAddr,
@@ -162,7 +166,7 @@
     })
 }
 
-/// The folder of one forwarder: its configuration and its write-ahead log. It outlasts the processes.
+/// Folder with the configuration and the write-ahead log of one forwarder, kept across its processes.
 struct ForwarderFolder(TempFolder);
 
 impl ForwarderFolder {
@@ -188,33 +192,33 @@
         self.0.path().join("configuration.json")
     }
 
-    /// Starts a process, and returns once its health check has answered 200.
+    /// Starts a process and waits until its health check responds with 200.
     fn start(&self) -> ForwarderProcess {
         let started = Instant::now();
         let spawned = serve_command(&self.config_file(), self.0.path()).stderr(Stdio::piped()).spawn();
         let mut process = KillOnDrop(spawned.unwrap());
         let address = logged_address(process.0.stderr.take().unwrap());
-        let address = address.recv_timeout(READY_WITHIN).expect("it logs where it listens");
+        let address = address.recv_timeout(READY_TIMEOUT).expect("the forwarder did not log its address");
         let response = health_check(address);
         let ready_after = started.elapsed();
         assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
-        assert!(ready_after < READY_WITHIN, "ready after {ready_after:?}");
+        assert!(ready_after < READY_TIMEOUT, "ready after {ready_after:?}");
         ForwarderProcess { process, address, ready_after }
     }
 
-    /// How many messages are pending in its write-ahead log.
-    fn pending(&self) -> usize {
+    /// Returns the number of messages that are pending in the write-ahead log.
+    fn pending_count(&self) -> usize {
         inspect(self.0.path()).unwrap().index.counts().messages
     }
 
-    /// Until no message is pending, and no notice unacknowledged.
+    /// Waits until no message is pending and all notices are acknowledged.
     fn wait_until_all_finished(&self) {
         let finished = || inspect(self.0.path()).unwrap().index.counts().is_empty().then_some(());
-        wait_for("that nothing is pending", finished);
+        wait_for("all messages to finish", finished);
     }
 }
 
-/// Reads a log to its end, and sends the address in it.
+/// Reads a log in a thread until its end, and sends the listening address found in it.
 fn logged_address(log: ChildStderr) -> Receiver<SocketAddr> {
     let (sender, address) = channel();
     spawn(move || {
@@ -225,24 +229,23 @@
     address
 }
 
-/// One process of a forwarder.
 struct ForwarderProcess {
     process: KillOnDrop,
     address: SocketAddr,
-    /// From its start until its health check answered.
+    /// Time from the start of the process to the response of the health check.
     ready_after: Duration,
 }
 
 impl ForwarderProcess {
-    /// With SIGKILL.
+    /// Kills the process with SIGKILL.
     fn kill(self) {
         drop(self.process);
     }
 
-    /// Submits messages on one connection, to each destination in turn; all are accepted.
+    /// Submits messages on one connection, with the destinations in turn, and checks that each is accepted.
     fn submit(&self, messages: &[(String, &str)]) {
         let mut stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(READY_WITHIN)).unwrap();
+        stream.set_read_timeout(Some(READY_TIMEOUT)).unwrap();
         let mut responses = BufReader::new(stream.try_clone().unwrap());
         for ((id, class), destination) in messages.iter().zip((0..DESTINATIONS).cycle()) {
             let request = format!(
@@ -259,16 +262,15 @@
     }
 }
 
-/// The messages that the forwarder of this number gets, each with its class.
+/// Returns id and class of each message that this forwarder receives.
 fn messages_of(forwarder: usize) -> Vec<(String, &'static str)> {
     let classes = ["update", "booking", "long"];
     let message = |n: usize| (format!("{}-{forwarder}-{n}", classes[n % 3]), classes[n % 3]);
-    (0..MESSAGES_OF_EACH).map(message).collect()
+    (0..MESSAGES_PER_FORWARDER).map(message).collect()
 }
 
-/// All of them killed right after the last 202, and started again at once.
 #[test]
-fn ten_killed_forwarders_are_ready_in_time_and_finish_their_pending_messages() {
+fn killed_forwarders_restart_in_time_and_finish_pending_messages() {
     let stubs = Stubs::start(EndpointBehaviour::NeverResponds);
     let folders: Vec<ForwarderFolder> = (0..FORWARDERS).map(|_| ForwarderFolder::new(&stubs)).collect();
     std::thread::scope(|scope| {
@@ -280,39 +282,39 @@
             });
         }
     });
-    let pending: Vec<usize> = folders.iter().map(ForwarderFolder::pending).collect();
-    assert!(pending.iter().all(|pending| *pending >= PENDING_AT_LEAST), "{pending:?}");
+    let pending: Vec<usize> = folders.iter().map(ForwarderFolder::pending_count).collect();
+    assert!(pending.iter().all(|pending| *pending >= MIN_PENDING), "{pending:?}");
     stubs.state.set(EndpointBehaviour::Completes);
     let restarted: Vec<ForwarderProcess> = std::thread::scope(|scope| {
         let starts: Vec<_> = folders.iter().map(|folder| scope.spawn(|| folder.start())).collect();
         starts.into_iter().map(|start| start.join().unwrap()).collect()
     });
-    let ready: Vec<Duration> = restarted.iter().map(|forwarder| forwarder.ready_after).collect();
-    println!("pending {pending:?}; ready after {ready:?}");
+    let ready_times: Vec<Duration> = restarted.iter().map(|forwarder| forwarder.ready_after).collect();
+    println!("pending {pending:?}; ready after {ready_times:?}");
     folders.iter().for_each(ForwarderFolder::wait_until_all_finished);
     let (attempts, notified) = (stubs.state.attempts(), stubs.state.notified_ids());
     let completed = attempts.iter().filter(|attempt| attempt.completed);
     let delivered: BTreeSet<&str> = completed.map(|attempt| attempt.id.as_str()).collect();
     let attempt_count = |id: &str| attempts.iter().filter(|attempt| attempt.id == id).count();
     for (id, class) in (0..FORWARDERS).flat_map(messages_of) {
-        assert!(delivered.contains(&*id) || notified.contains(&id), "{id} has no end");
+        assert!(delivered.contains(&*id) || notified.contains(&id), "{id} has no final answer");
         let count = attempt_count(&id);
         assert!(class != "booking" || count <= 1, "{id} was sent {count} times");
     }
 }
 
 #[test]
-fn an_attempt_in_flight_at_a_kill_is_not_retried_once_its_idempotency_key_has_expired() {
+fn attempt_in_flight_at_kill_is_not_retried_after_idempotency_key_expires() {
     let stubs = Stubs::start(EndpointBehaviour::NeverResponds);
     let folder = ForwarderFolder::new(&stubs);
     let forwarder = folder.start();
     let messages = ["short", "short-in-zone", "long"].map(|name| (name.to_owned(), name));
     forwarder.submit(&messages);
-    wait_for("all attempts", || (stubs.state.attempts().len() == messages.len()).then_some(()));
+    wait_for("an attempt of each message", || (stubs.state.attempts().len() == messages.len()).then_some(()));
     forwarder.kill();
-    // The window is over for what was sent last, too.
-    let last = stubs.state.attempts().iter().map(|attempt| attempt.at).max().unwrap();
-    sleep((last + SHORT_WINDOW).saturating_duration_since(Instant::now()));
+    // The window of the latest attempt has to end before the restart.
+    let last_attempt = stubs.state.attempts().iter().map(|attempt| attempt.at).max().unwrap();
+    sleep((last_attempt + SHORT_WINDOW).saturating_duration_since(Instant::now()));
     stubs.state.set(EndpointBehaviour::Completes);
     let _forwarder = folder.start();
     folder.wait_until_all_finished();
@@ -322,27 +324,27 @@
         assert_eq!(stubs.state.attempts_of(id).len(), 1, "{id}");
     }
     let long = stubs.state.attempts_of("long");
-    assert_eq!(long.len(), 2, "its window goes on, and it is retried");
+    assert_eq!(long.len(), 2, "a retry within the long window");
     assert!(long[1].completed);
 }
 
-/// Submits a message whose every attempt is reset, and kills the forwarder after the first attempt and after each retry,
-/// so many times at most. Returns how long after the first attempt each one came.
-fn attempt_times_under_kills(
+/// Submits a message whose attempts all fail by a closed connection, and kills the forwarder after the first
+/// attempt and after each retry, at most `max_kills` times. Returns the time of each attempt since the first.
+fn attempt_times_with_kills(
     folder: &ForwarderFolder,
     stubs: &Stubs,
     class: &str,
-    most: usize,
+    max_kills: usize,
 ) -> Vec<Duration> {
     let state = &stubs.state;
-    let id = format!("{class}-{most}");
+    let id = format!("{class}-{max_kills}");
     let mut forwarder = folder.start();
     forwarder.submit(&[(id.clone(), class)]);
-    let first = wait_for("the first attempt", || state.attempts_of(&id).first().cloned()).at;
-    // Were it retried after its window, it would be so until then.
-    let may_retry = || first.elapsed() < 3 * SHORT_WINDOW && !state.notified_ids().contains(&id);
+    let first_attempt = wait_for("the first attempt", || state.attempts_of(&id).first().cloned()).at;
+    // The observation lasts longer than the window, so that a late retry would be seen.
+    let may_retry = || first_attempt.elapsed() < 3 * SHORT_WINDOW && !state.notified_ids().contains(&id);
     let mut kills = 0;
-    while kills < most && may_retry() {
+    while kills < max_kills && may_retry() {
         forwarder.kill();
         kills += 1;
         let before = state.attempts_of(&id).len();
@@ -351,24 +353,24 @@
             sleep(POLL_INTERVAL);
         }
     }
-    wait_for("its end", || state.notified_ids().contains(&id).then_some(()));
+    wait_for("the notice", || state.notified_ids().contains(&id).then_some(()));
     folder.wait_until_all_finished();
-    let after: Vec<Duration> = state.attempts_of(&id).iter().map(|attempt| attempt.at - first).collect();
-    println!("{id}: {} attempts, {kills} kills, the last after {:?}", after.len(), after.iter().max());
+    let elapsed: Vec<Duration> =
+        state.attempts_of(&id).iter().map(|attempt| attempt.at - first_attempt).collect();
+    println!("{id}: {} attempts, {kills} kills, the last after {:?}", elapsed.len(), elapsed.iter().max());
     forwarder.kill();
-    after
+    elapsed
 }
 
-/// Killed after the first attempt only, or after each retry too. All attempts are reset, so that retries would go on;
-/// the window counts from the first of them.
+/// Guards against a restart that extends the window of an idempotency key, which starts at the first attempt.
 #[test]
-fn however_often_it_restarts_within_a_window_no_retry_comes_after_it() {
+fn no_retry_after_idempotency_key_expires_despite_repeated_restarts() {
     let stubs = Stubs::start(EndpointBehaviour::ClosesConnection);
     let folder = ForwarderFolder::new(&stubs);
-    for (class, most_kills) in
-        [("short", 1), ("short", MANY_KILLS), ("short-in-zone", 1), ("short-in-zone", MANY_KILLS)]
+    for (class, max_kills) in
+        [("short", 1), ("short", UNLIMITED_KILLS), ("short-in-zone", 1), ("short-in-zone", UNLIMITED_KILLS)]
     {
-        let after = attempt_times_under_kills(&folder, &stubs, class, most_kills);
-        assert!(after.iter().all(|after| *after <= SHORT_WINDOW + TOLERANCE), "{after:?}");
+        let attempt_times = attempt_times_with_kills(&folder, &stubs, class, max_kills);
+        assert!(attempt_times.iter().all(|time| *time <= SHORT_WINDOW + TOLERANCE), "{attempt_times:?}");
     }
 }
--- a/crates/daemon/tests/support/check_command.rs
+++ b/crates/daemon/tests/support/check_command.rs
@@ -1,16 +1,16 @@
-//! The command `reeddock check` on the text of a configuration.
+//! Runs the command `reeddock check` on a configuration text.
 
 use std::process::{Command, Output};
 
 use crate::temp_folder::TempFolder;
 
-/// The name of the file that is checked.
+/// Name of the checked file, which errors have to contain.
 const CONFIG_FILE: &str = "checked-config.json";
 
-/// What the program says of a configuration.
+/// Output of `reeddock check`.
 pub struct CheckResult(Output);
 
-/// Writes a configuration into a file, and has the program check it.
+/// Writes a configuration to a file and runs `reeddock check` on it.
 pub fn check(config: &str) -> CheckResult {
     let folder = TempFolder::new("check");
     let file = folder.path().join(CONFIG_FILE);
@@ -20,13 +20,13 @@
 }
 
 impl CheckResult {
-    /// Standard output, of a check that has to succeed.
+    /// Asserts that the check succeeded, and returns its standard output.
     pub fn expect_success(&self, what: &str) -> String {
         assert!(self.0.status.success(), "{what}: {}", String::from_utf8_lossy(&self.0.stderr));
         String::from_utf8_lossy(&self.0.stdout).into_owned()
     }
 
-    /// Standard error, of a check that has to fail with one line that names the file.
+    /// Asserts that the check failed with one line that names the file, and returns the line.
     pub fn expect_one_line_error(&self, what: &str) -> String {
         let error = String::from_utf8_lossy(&self.0.stderr).into_owned();
         assert_eq!(self.0.status.code(), Some(1), "{what}: {error}");
--- a/crates/daemon/tests/support/configuration.rs
+++ b/crates/daemon/tests/support/configuration.rs
@@ -1,16 +1,16 @@
-//! Parts of configurations, in the keys of the operators.
+//! Parts of configuration files.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-/// An endpoint in a list, in discovery's form.
+/// Returns an entry of an endpoint list in the format of discovery.
 pub fn list_entry(name: &str, address: SocketAddr, destination: u64) -> Value {
     json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": "partner",
            "cell": destination, "lifecycle": "Ready", "weight": 50.0, "startedAtMs": 0})
 }
 
-/// A message class with a latency objective of 2 s and a deadline of 20 s.
+/// Returns a message class with a latency objective of 2 s and a deadline of 20 s.
 pub fn message_class(name: &str, idempotency: &str) -> Value {
     json!({"name": name, "effect": idempotency, "onTimeUs": 2_000_000, "giveUpUs": 20_000_000})
 }
--- a/crates/daemon/tests/support/health.rs
+++ b/crates/daemon/tests/support/health.rs
@@ -1,20 +1,20 @@
-//! Where a forwarder listens, and its health check.
+//! Listening address and health check of a forwarder.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const RESPONSE_LIMIT: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The address in the log line that says where the forwarder listens.
+/// Returns the listening address in a log line; `None` if the line has none.
 pub fn listening_address(log_line: &str) -> Option<SocketAddr> {
     log_line.split_once("listen=").and_then(|(_, address)| address.trim().parse().ok())
 }
 
-/// The whole response to a health check.
+/// Sends a health check and returns the complete response.
 pub fn health_check(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(RESPONSE_LIMIT)).unwrap();
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
     stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
     let mut response = String::new();
     stream.read_to_string(&mut response).unwrap();
--- a/crates/daemon/tests/support/process.rs
+++ b/crates/daemon/tests/support/process.rs
@@ -1,9 +1,9 @@
-//! The program as a process of a test.
+//! Processes of the program under test.
 
 use std::path::Path;
 use std::process::{Child, Command};
 
-/// A process that is killed with the test, however that goes.
+/// A child process that is killed when dropped, also if the test panics.
 pub struct KillOnDrop(pub Child);
 
 impl Drop for KillOnDrop {
@@ -13,7 +13,7 @@
     }
 }
 
-/// The command that runs one forwarder.
+/// Returns the command that runs a forwarder.
 pub fn serve_command(config_file: &Path, state_folder: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_reeddock"));
     command.args(["serve".as_ref(), "--config".as_ref(), config_file.as_os_str()]);
--- a/crates/daemon/tests/support/stub_server.rs
+++ b/crates/daemon/tests/support/stub_server.rs
@@ -1,4 +1,4 @@
-//! Stubs of the platform and of endpoints, on loopback.
+//! HTTP stub servers of the platform and of endpoints on loopback.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,15 +7,14 @@
 pub const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 pub const NO_CONTENT_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A request that a stub received.
 pub struct Request {
     pub line: String,
-    /// The id of the message that it carries.
+    /// Value of the header `x-call-id`; empty if the request has none.
     pub id: String,
     pub body: String,
 }
 
-/// What becomes of a connection after a request.
+/// Whether a connection is kept open after a request.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Connection {
     Keep,
@@ -23,7 +22,7 @@
 }
 
 impl Connection {
-    /// Kept unless the response could not be written.
+    /// Returns `Keep` if the response was written, `Close` otherwise.
     pub fn keep_if_written(written: std::io::Result<()>) -> Connection {
         if written.is_ok() {
             Connection::Keep
@@ -33,7 +32,7 @@
     }
 }
 
-/// Listens at an address of its own, and has each request handled in the order of its connection.
+/// Starts a stub on a free port and returns its address. Requests of one connection are handled in order.
 pub fn start_stub<S: Clone + Send + 'static>(
     state: &S,
     handle: fn(&S, &Request, &mut TcpStream) -> Connection,
--- a/crates/daemon/tests/support/temp_folder.rs
+++ b/crates/daemon/tests/support/temp_folder.rs
@@ -1,9 +1,9 @@
-//! A folder of one test.
+//! Temporary folders of tests.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A new folder in the system's place for temporary files, removed with the test, however that goes.
+/// A new folder among the system's temporary files, removed when dropped, also if the test panics.
 pub struct TempFolder(PathBuf);
 
 impl TempFolder {
--- a/crates/daemon/tests/support/wait.rs
+++ b/crates/daemon/tests/support/wait.rs
@@ -1,19 +1,19 @@
-//! Waiting for an event of another thread or process.
+//! Waits for events of other threads or processes.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const WAIT_LIMIT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Looks again and again until `observe` returns something; fails the test after 20 s.
+/// Polls `observe` until it returns a value; panics after [`WAIT_TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut observe: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(observed) = observe() {
             return observed;
         }
-        assert!(start.elapsed() < WAIT_LIMIT, "never seen: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         sleep(POLL_INTERVAL);
     }
 }
--- a/crates/daemon/tests/wal_command_names.rs
+++ b/crates/daemon/tests/wal_command_names.rs
@@ -1,4 +1,4 @@
-//! The command `wal` under its present and its old name, with the present and the old name of a message class.
+//! The aliases `ledger` of the command `wal` and `category` of the group `class`.
 
 #[path = "support/temp_folder.rs"]
 mod temp_folder;
@@ -10,12 +10,12 @@
 use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 use temp_folder::TempFolder;
 
-fn reeddock(command: &str, folder: &Path, arguments: &[&str]) -> Output {
+fn run_reeddock(command: &str, folder: &Path, arguments: &[&str]) -> Output {
     let mut process = Command::new(env!("CARGO_BIN_EXE_reeddock"));
     process.args([command, "--state", folder.to_str().unwrap()]).args(arguments).output().unwrap()
 }
 
-/// Writes a log with one pending message, whose time is up.
+/// Writes a log with one pending message, whose deadline has passed.
 fn write_log(folder: &Path) {
     let message = AcceptedMessage {
         idempotency_key: None,
@@ -32,24 +32,24 @@
 }
 
 #[test]
-fn the_old_name_of_the_command_prints_the_same() {
+fn ledger_alias_prints_same_output_as_wal_command() {
     let folder = TempFolder::new("wal-command-names");
     write_log(folder.path());
-    // Not among them: views with the seconds that are left, which may change between the two.
+    // Views that print the seconds left are omitted, because the value can change between the two runs.
     for arguments in [&["--verify"][..], &["--by", "destination"], &["--by", "age"], &["--by", "colour"]] {
-        let present = reeddock("wal", folder.path(), arguments);
-        let old = reeddock("ledger", folder.path(), arguments);
-        assert!(!present.stdout.is_empty() || !present.stderr.is_empty(), "{arguments:?}");
-        assert_eq!(present, old, "{arguments:?}");
+        let by_wal = run_reeddock("wal", folder.path(), arguments);
+        let by_ledger = run_reeddock("ledger", folder.path(), arguments);
+        assert!(!by_wal.stdout.is_empty() || !by_wal.stderr.is_empty(), "{arguments:?}");
+        assert_eq!(by_wal, by_ledger, "{arguments:?}");
     }
 }
 
 #[test]
-fn messages_are_counted_by_class_under_either_name() {
+fn by_class_and_by_category_print_same_counts() {
     let folder = TempFolder::new("wal-command-names");
     write_log(folder.path());
-    let by_class = reeddock("wal", folder.path(), &["--by", "class"]);
+    let by_class = run_reeddock("wal", folder.path(), &["--by", "class"]);
     assert!(by_class.status.success());
     assert!(String::from_utf8_lossy(&by_class.stdout).starts_with("category order: 1 owed, "));
-    assert_eq!(by_class, reeddock("wal", folder.path(), &["--by", "category"]));
+    assert_eq!(by_class, run_reeddock("wal", folder.path(), &["--by", "category"]));
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,7 +1,7 @@
-//! A toy world for one forwarder: two endpoints of destination 3, and the platform, which serves the endpoint list and
-//! takes delivery notices. Its endpoints answer as is typed here, so that one can watch what the forwarder does.
+//! Stub servers for trying out one forwarder: two endpoints of destination 3, and the platform, which serves
+//! the endpoint list and receives delivery notices. Commands on standard input set how the endpoints respond.
 //!
-//! It stands for other firms' systems, and understands just enough HTTP for them.
+//! The servers support only the parts of HTTP that the forwarder uses.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -11,31 +11,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// An endpoint of the toy world.
+/// A stub endpoint with its name in the endpoint list.
 #[derive(Clone, Copy)]
-struct ToyEndpoint {
+struct StubEndpoint {
     name: &'static str,
     address: &'static str,
 }
 
-const ENDPOINTS: [ToyEndpoint; 2] = [
-    ToyEndpoint { name: "t-1", address: "127.0.0.1:9101" },
-    ToyEndpoint { name: "t-2", address: "127.0.0.1:9102" },
+const ENDPOINTS: [StubEndpoint; 2] = [
+    StubEndpoint { name: "t-1", address: "127.0.0.1:9101" },
+    StubEndpoint { name: "t-2", address: "127.0.0.1:9102" },
 ];
 const PLATFORM: &str = "127.0.0.1:8500";
-/// How long an endpoint takes for a request.
+/// Delay of an endpoint before each response.
 const RESPONSE_LATENCY: Duration = Duration::from_millis(100);
-/// How long an endpoint that hangs keeps a connection: longer than anyone tries it out.
-const HANG: Duration = Duration::from_secs(3600);
-/// The watch carries an empty line this often, as nothing changes here.
+/// Time for which an endpoint that hangs keeps a connection open without a response.
+const HANG_DURATION: Duration = Duration::from_secs(3600);
+/// Interval at which a watch sends an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-const HELP: &str = "type  up     answer 200 after a tenth of a second (as at the start)
-      fail   answer 500
-      full   answer 429 with Retry-After: 2
-      hang   accept requests and answer nothing
-      quit   end";
-
-/// How the endpoints answer.
+const HELP: &str = "commands:
+      up     respond with 200 after a tenth of a second (default)
+      fail   respond with 500
+      full   respond with 429 and Retry-After: 2
+      hang   accept requests without responding
+      quit   exit";
+
+/// Response behavior of the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behavior {
     Up,
@@ -47,8 +48,8 @@
 impl FromStr for Behavior {
     type Err = ();
 
-    fn from_str(word: &str) -> Result<Behavior, ()> {
-        match word {
+    fn from_str(command: &str) -> Result<Behavior, ()> {
+        match command {
             "up" => Ok(Behavior::Up),
             "fail" => Ok(Behavior::Fail),
             "full" => Ok(Behavior::Full),
@@ -59,8 +60,8 @@
 }
 
 impl Behavior {
-    /// As it is typed.
-    fn word(self) -> &'static str {
+    /// Returns the command that selects this behavior.
+    fn command(self) -> &'static str {
         match self {
             Behavior::Up => "up",
             Behavior::Fail => "fail",
@@ -70,7 +71,7 @@
     }
 }
 
-/// The behavior that was typed last, for all endpoints.
+/// Current behavior of all endpoints, shared between threads.
 #[derive(Clone)]
 struct SharedBehavior(Arc<Mutex<Behavior>>);
 
@@ -96,8 +97,8 @@
     for line in io::stdin().lock().lines() {
         match line?.trim() {
             "quit" => break,
-            word => match word.parse() {
-                Ok(typed) => behavior.set(typed),
+            command => match command.parse() {
+                Ok(selected) => behavior.set(selected),
                 Err(()) => println!("{HELP}"),
             },
         }
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-/// Serves each connection in a thread of its own.
+/// Listens on an address and serves each connection in a separate thread.
 fn listen(
     address: &str,
     serve: impl Fn(TcpStream) -> io::Result<()> + Send + Sync + 'static,
@@ -116,7 +117,7 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
-            // A connection that breaks ends its thread and nothing else.
+            // Errors of a connection are ignored and end only its thread.
             thread::spawn(move || serve(stream).unwrap_or_default());
         }
     });
@@ -128,19 +129,19 @@
     while let Some(request) = read_request(&mut reader)? {
         let behavior = behavior.get();
         let id = request.headers.get("x-call-id").map_or("a batch", String::as_str);
-        println!("{name}: {id} of {} bytes, {}", request.body.len(), behavior.word());
+        println!("{name}: {id} of {} bytes, {}", request.body.len(), behavior.command());
         thread::sleep(RESPONSE_LATENCY);
         match behavior {
             Behavior::Up => respond(&mut stream, "200 OK", "", &batch_results(&request))?,
             Behavior::Fail => respond(&mut stream, "500 Internal Server Error", "", "")?,
             Behavior::Full => respond(&mut stream, "429 Too Many Requests", "Retry-After: 2\r\n", "")?,
-            Behavior::Hang => thread::sleep(HANG),
+            Behavior::Hang => thread::sleep(HANG_DURATION),
         }
     }
     Ok(())
 }
 
-/// The body of the response to a batch: a line for each message in it. A request with one message needs none.
+/// Returns the response body of a batch, with one line per message; empty for a request with one message.
 fn batch_results(request: &HttpRequest) -> String {
     let mut results = String::new();
     if !request.line.contains("/bundle") {
@@ -154,8 +155,8 @@
     results
 }
 
-/// The id of the first message in the body of a batch, and what follows the message. Its line holds the id, the class
-/// and the length of what stands behind the line.
+/// Returns the id of the first message in the body of a batch, and the rest of the body. A message starts
+/// with a line of id, class and length of the data after the line.
 fn next_message(body: &[u8]) -> Option<(String, &[u8])> {
     let end = body.iter().position(|byte| *byte == b'\n')?;
     let line = String::from_utf8_lossy(&body[..end]).into_owned();
@@ -181,7 +182,7 @@
     Ok(())
 }
 
-/// Sends the list once, and then heartbeats until the connection ends.
+/// Sends the endpoint list once, then heartbeats until the connection ends.
 fn stream_endpoint_list(stream: &mut TcpStream) -> io::Result<()> {
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
     write_chunk(stream, &(endpoint_list() + "\n"))?;
@@ -192,7 +193,7 @@
 }
 
 fn endpoint_list() -> String {
-    let entries = ENDPOINTS.map(|ToyEndpoint { name, address }| {
+    let entries = ENDPOINTS.map(|StubEndpoint { name, address }| {
         format!(
             r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"here","machineType":"partner","cell":3,"lifecycle":"Ready","weight":10.0,"startedAtMs":0}}"#
         )
@@ -210,12 +211,12 @@
 
 struct HttpRequest {
     line: String,
-    /// By lower-case name.
+    /// Header values by lower-case name.
     headers: BTreeMap<String, String>,
     body: Vec<u8>,
 }
 
-/// The next request on a connection; none once it has ended.
+/// Reads the next request of a connection; `None` at the end of the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> io::Result<Option<HttpRequest>> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
