--- a/crates/forwarder/src/connections/connection.rs
+++ b/crates/forwarder/src/connections/connection.rs
@@ -1,4 +1,4 @@
-//! One open HTTP/1 connection and the requests on it.
+//! An open HTTP/1 connection and the requests sent on it.
 
 use std::future::Future;
 use std::io;
@@ -19,10 +19,10 @@
 
 use super::observed_stream::{ExchangeProgress, ObservedStream};
 
-/// Bytes of a response head at most: far more than any response of the protocol has. One without end fails here.
+/// Maximum length of a response head in bytes. A response with a longer or endless head fails.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// The task that drives a connection. Dropping this aborts the task, which closes the connection.
+/// The task that runs a connection. Dropping the value aborts the task, which closes the connection.
 struct Driver(AbortHandle);
 
 impl Drop for Driver {
@@ -31,13 +31,12 @@
     }
 }
 
-/// One open connection. Dropping it closes it, whatever is in flight on it.
+/// An open connection. Dropping it closes the connection, including any request in flight.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     progress: Arc<ExchangeProgress>,
-    /// The number of requests that were sent on it.
-    requests: u32,
-    /// How long it was idle before the last of them.
+    requests_sent: u32,
+    /// How long the connection was idle before its last request.
     idle_before_use: Duration,
     _driver: Driver,
 }
@@ -45,53 +44,54 @@
 impl Connection {
     /// Connects to an address.
     ///
-    /// The permit is released once the connection is closed. On an error nothing was sent: connecting timed out, was
-    /// refused, or this machine has no descriptor for the connection.
+    /// The permit is released when the connection closes. An error means that nothing was sent: connecting
+    /// timed out or was refused, or this machine has no descriptor left.
     pub(crate) async fn open(
         to: SocketAddr,
-        within: Duration,
+        connect_timeout: Duration,
         permit: Option<OwnedSemaphorePermit>,
     ) -> Result<Self, AttemptResult> {
-        let stream = connect(to, within).await?;
+        let stream = connect(to, connect_timeout).await?;
         let progress = Arc::<ExchangeProgress>::default();
         let observed = ObservedStream::new(stream, progress.clone());
         let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(observed).await;
         let (sender, connection) = handshake.map_err(|_| AttemptResult::ResetWhileSending)?;
         let driver = tokio::spawn(async move {
-            // A request on the connection gets its error from `send`.
+            // A request in flight receives the connection's error from `send`.
             let _ = connection.await;
             drop(permit);
         });
         Ok(Connection {
             sender,
             progress,
-            requests: 0,
+            requests_sent: 0,
             idle_before_use: Duration::ZERO,
             _driver: Driver(driver.abort_handle()),
         })
     }
 
-    /// Sends one request, once, and waits for the head of its response.
+    /// Sends a request once and waits for the head of its response.
     ///
-    /// The error depends on whether the last byte of the request had been sent: only then may it have been executed.
+    /// The error says whether the last byte of the request was sent. Only then may the request have been
+    /// executed.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, AttemptResult> {
         let body_bytes = request.body().size_hint().exact().unwrap_or(u64::MAX);
-        self.progress.begin(usize::try_from(body_bytes).unwrap_or(usize::MAX));
+        self.progress.begin_request(usize::try_from(body_bytes).unwrap_or(usize::MAX));
         let response = self.sender.send_request(request).await;
-        self.requests += 1;
+        self.requests_sent += 1;
         response.map_err(|error| self.send_error(&error))
     }
 
-    /// Logs why a request got no response, and returns the result that this proves.
+    /// Logs why a request got no response and returns the corresponding result.
     fn send_error(&self, error: &hyper::Error) -> AttemptResult {
         let fully_sent = self.progress.request_complete();
         tracing::debug!(
             %error,
             fully_sent,
-            earlier_requests = self.requests - 1,
+            earlier_requests = self.requests_sent - 1,
             idle_for = ?self.idle_before_use,
             "request got no response"
         );
@@ -102,75 +102,76 @@
         }
     }
 
-    /// Marks the connection as taken out of the pool, after it was idle for this long.
-    pub(super) fn reused_after(self, idle: Duration) -> Connection {
+    /// Records that the connection was taken from the pool after it was idle for `idle`.
+    pub(super) fn with_idle_before_use(self, idle: Duration) -> Connection {
         Connection { idle_before_use: idle, ..self }
     }
 
-    /// How long it was idle before its last request.
     pub(super) fn idle_before_use(&self) -> Duration {
         self.idle_before_use
     }
 
-    /// Whether exactly one request was sent on it.
-    pub(crate) fn is_new(&self) -> bool {
-        self.requests == 1
+    /// Returns whether the last request was the first one on the connection.
+    pub(crate) fn is_first_request(&self) -> bool {
+        self.requests_sent == 1
     }
 
-    /// Whether the connection had already ended between two requests: it has carried one, and nothing of the last
-    /// one was written. Such an end says nothing about the endpoint, and the request may go on another connection.
+    /// Returns whether a reused connection ended before any byte of the last request was sent.
+    ///
+    /// Such a failure gives no information about the endpoint, and the request may be sent on another
+    /// connection.
     pub(crate) fn ended_while_idle(&self) -> bool {
-        self.requests > 1 && !self.progress.request_begun()
+        self.requests_sent > 1 && !self.progress.request_begun()
     }
 
-    /// Whether any byte of a response to the last request was received.
+    /// Returns whether any byte of a response to the last request was received.
     pub(super) fn response_begun(&self) -> bool {
         self.progress.response_begun()
     }
 
-    /// Whether the status line of the response says that the request was completed.
+    /// Returns whether the status line of the response says 200.
     pub(crate) fn status_is_ok(&self) -> bool {
         self.progress.status_is_ok()
     }
 
-    /// Waits until the status line of the response says that the request was completed, whatever follows it.
+    /// Waits until a status line that says 200 is received, even if the rest of the response is invalid.
     pub(crate) fn wait_for_ok_status(&self) -> impl Future<Output = ()> {
         let progress = self.progress.clone();
         async move { progress.wait_for_ok_status().await }
     }
 
-    /// Waits until the last response was read completely; returns whether another request may be sent.
+    /// Waits until the last response was read completely. Returns whether another request may be sent.
     pub(crate) async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Whether another request may be sent at once.
+    /// Returns whether another request may be sent immediately.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether the other side has closed it.
+    /// Returns whether the other side has closed the connection.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 }
 
-/// Opens a TCP stream.
-async fn connect(to: SocketAddr, within: Duration) -> Result<TcpStream, AttemptResult> {
-    let stream = match timeout(within, TcpStream::connect(to)).await {
+/// Opens a TCP stream. An error means that no connection was established.
+async fn connect(to: SocketAddr, connect_timeout: Duration) -> Result<TcpStream, AttemptResult> {
+    let stream = match timeout(connect_timeout, TcpStream::connect(to)).await {
         Err(_) => return Err(AttemptResult::ConnectTimedOut),
-        Ok(Err(error)) if out_of_descriptors(&error) => return Err(AttemptResult::NotSent),
+        Ok(Err(error)) if is_resource_exhausted(&error) => return Err(AttemptResult::NotSent),
         Ok(Err(_)) => return Err(AttemptResult::ConnectionRefused),
         Ok(Ok(stream)) => stream,
     };
-    // With Nagle's algorithm a small request would wait for the acknowledgement of the one before.
+    // Disables Nagle's algorithm, which delays a small request until the previous one is acknowledged.
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
 
-/// Whether this machine, and not the other side, lacks the resources for one more connection.
-pub(crate) fn out_of_descriptors(error: &io::Error) -> bool {
-    // Linux error numbers that have no `io::ErrorKind` of their own.
+/// Returns whether this machine, and not the other side, lacks the resources for another connection.
+pub(crate) fn is_resource_exhausted(error: &io::Error) -> bool {
+    // Linux error numbers without an `io::ErrorKind` of their own.
     const ENOMEM: i32 = 12;
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
--- a/crates/forwarder/src/connections/mod.rs
+++ b/crates/forwarder/src/connections/mod.rs
@@ -1,12 +1,12 @@
-//! HTTP/1 connections to other machines: opened, observed byte by byte, and kept idle for the next request.
+//! HTTP/1 connections to other machines.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `connection` | one open connection and the requests on it |
-//! | `observed_stream` | the socket of a connection, which records how far the exchange on it has got |
-//! | `pool` | idle connections to endpoints, and the limit of all connections to them |
-//! | `reuse_history` | for how long idle connections can be trusted, learned from their reuse |
-//! | `send_restrictions` | endpoints to which no request may be sent at the moment |
+//! | `connection` | an open connection and the requests sent on it |
+//! | `observed_stream` | the socket of a connection, which records the progress of the exchange on it |
+//! | `pool` | idle connections to endpoints, and the limit on all connections to endpoints |
+//! | `reuse_history` | the idle time after which connections are not reused |
+//! | `send_restrictions` | endpoints to which no request may currently be sent |
 
 mod connection;
 mod observed_stream;
@@ -16,11 +16,11 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-pub(crate) use connection::{out_of_descriptors, Connection};
+pub(crate) use connection::{is_resource_exhausted, Connection};
 pub(crate) use observed_stream::read_observed;
 pub use pool::ConnectionPool;
 
-/// Locks a mutex whose value is consistent at any time, so that it can still be used after a holder panicked.
+/// Locks a mutex even if it is poisoned. The value must be consistent whenever a holder can panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/forwarder/src/connections/observed_stream.rs
+++ b/crates/forwarder/src/connections/observed_stream.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection to another machine, which records how far the exchange on it has got.
+//! The socket of a connection to another machine, which records the progress of the exchange on it.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -15,42 +15,42 @@
 use super::lock;
 use crate::http_progress::{RequestProgress, StatusLine};
 
-/// Bytes read from the socket at a time, on the stack.
-const READ_BYTES: usize = 4096;
+/// Size in bytes of the read buffer, which is on the stack.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// The progress of the current request on a connection and of its response. Written by the stream, read by the sender
-/// of the request.
+/// The progress of the current request on a connection and of its response. The stream writes it, and the
+/// sender of the request reads it.
 #[derive(Default)]
 pub(super) struct ExchangeProgress {
     request: Mutex<RequestProgress>,
     status_line: Mutex<StatusLine>,
-    /// Notified when the status line has been received completely.
+    /// Notified when the status line was received completely.
     status_line_complete: Notify,
 }
 
 impl ExchangeProgress {
-    /// A request with a body of this many bytes is about to be sent.
-    pub(super) fn begin(&self, body_bytes: usize) {
+    /// Records that a request with a body of `body_bytes` bytes is about to be sent.
+    pub(super) fn begin_request(&self, body_bytes: usize) {
         lock(&self.request).begin(body_bytes);
         *lock(&self.status_line) = StatusLine::default();
     }
 
-    /// Whether any byte of the request was sent.
+    /// Returns whether any byte of the request was sent.
     pub(super) fn request_begun(&self) -> bool {
         lock(&self.request).begun()
     }
 
-    /// Whether the last byte of the request was sent.
+    /// Returns whether the last byte of the request was sent.
     pub(super) fn request_complete(&self) -> bool {
         lock(&self.request).complete()
     }
 
-    /// Whether any byte of a response was received.
+    /// Returns whether any byte of a response was received.
     pub(super) fn response_begun(&self) -> bool {
         !lock(&self.status_line).is_empty()
     }
 
-    /// Whether the status line of the response says 200.
+    /// Returns whether the status line of the response says 200.
     pub(super) fn status_is_ok(&self) -> bool {
         lock(&self.status_line).says_ok()
     }
@@ -62,11 +62,11 @@
         }
     }
 
-    fn sent(&self, bytes: &[u8]) {
+    fn record_sent(&self, bytes: &[u8]) {
         lock(&self.request).sent(bytes);
     }
 
-    fn received(&self, bytes: &[u8]) {
+    fn record_received(&self, bytes: &[u8]) {
         let complete = lock(&self.status_line).received(bytes);
         if complete {
             self.status_line_complete.notify_one();
@@ -74,7 +74,7 @@
     }
 }
 
-/// A TCP stream that records what passes on it.
+/// A TCP stream that records the bytes sent and received on it.
 pub(super) struct ObservedStream {
     stream: TokioIo<TcpStream>,
     progress: Arc<ExchangeProgress>,
@@ -85,31 +85,31 @@
         ObservedStream { stream: TokioIo::new(stream), progress }
     }
 
-    /// Whether nothing waits to be read.
+    /// Returns whether the socket has no data to read.
     ///
-    /// Bytes that arrived before the request was sent are no response to it but would be taken for one. The
-    /// operating system is asked, as it may have bytes that this program has not seen yet.
-    fn nothing_to_read(&self) -> bool {
-        let waiting = SockRef::from(self.stream.inner()).peek(&mut [MaybeUninit::uninit()]);
-        waiting.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    /// Bytes that arrive before a request is sent would be parsed as its response. The check asks the
+    /// operating system, whose receive buffer may hold bytes that this process has not read.
+    fn receive_buffer_is_empty(&self) -> bool {
+        let peeked = SockRef::from(self.stream.inner()).peek(&mut [MaybeUninit::uninit()]);
+        peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
 impl Read for ObservedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: ReadBufCursor) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        read_observed(&mut this.stream, cx, buf, |bytes| this.progress.received(bytes))
+        read_observed(&mut this.stream, cx, buf, |bytes| this.progress.record_received(bytes))
     }
 }
 
 impl Write for ObservedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        if !this.progress.request_begun() && !this.nothing_to_read() {
+        if !this.progress.request_begun() && !this.receive_buffer_is_empty() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let written = ready!(Pin::new(&mut this.stream).poll_write(cx, bytes))?;
-        this.progress.sent(&bytes[..written]);
+        this.progress.record_sent(&bytes[..written]);
         Poll::Ready(Ok(written))
     }
 
@@ -122,16 +122,17 @@
     }
 }
 
-/// Reads from a stream into a buffer and shows the bytes to an observer.
+/// Reads from a stream into a buffer and passes the bytes to an observer.
 ///
-/// They go through a buffer on the stack, as the library's own buffer may be uninitialised and can only be written.
+/// The bytes go through a buffer on the stack because the library's buffer is write-only and may be
+/// uninitialised.
 pub(crate) fn read_observed(
     stream: &mut TokioIo<TcpStream>,
     cx: &mut Context,
     mut buf: ReadBufCursor,
     observe: impl FnOnce(&[u8]),
 ) -> Poll<io::Result<()>> {
-    let mut bytes = [MaybeUninit::uninit(); READ_BYTES];
+    let mut bytes = [MaybeUninit::uninit(); READ_BUFFER_BYTES];
     let capacity = buf.remaining().min(bytes.len());
     let mut read = ReadBuf::uninit(&mut bytes[..capacity]);
     ready!(Pin::new(stream).poll_read(cx, read.unfilled()))?;
--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to endpoints, and the limit of all connections to them.
+//! Idle connections to endpoints, and the limit on all connections to endpoints.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,53 +15,56 @@
 use super::{lock, Connection};
 use crate::idle_permits::IdlePermits;
 
-/// An open connection without a request, kept for the next one.
+/// An open connection that is kept for the next request to its endpoint.
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// The idle connections of each endpoint, those used last at the back.
+/// The idle connections of each endpoint, most recently used last.
 type IdleByEndpoint = BTreeMap<EndpointId, VecDeque<IdleConnection>>;
 
-/// Connections to endpoints. Clones share one pool.
+/// A pool of connections to endpoints. Clones share one pool.
 ///
-/// Idle ones are kept for the next request, for less time than the endpoint keeps them, and for that endpoint alone:
-/// its address may pass to another. Each lock guards one step and none is kept over an await; where two are locked,
-/// `idle_permits` is locked before `idle`.
+/// An idle connection is closed before its endpoint would close it, and is reused only for the same endpoint
+/// because an address may pass to another one.
+///
+/// No lock is held across an await. Code that takes both locks takes `idle_permits` before
+/// `idle_connections`.
 #[derive(Clone)]
 pub struct ConnectionPool {
-    idle: Arc<Mutex<IdleByEndpoint>>,
+    idle_connections: Arc<Mutex<IdleByEndpoint>>,
     reuse_history: Arc<Mutex<ReuseHistory>>,
     send_restrictions: Arc<Mutex<SendRestrictions>>,
     idle_permits: Arc<Mutex<IdlePermits>>,
-    /// One permit for each connection that is open, idle ones counted.
+    /// One permit for each open connection, idle ones included.
     permits: Arc<Semaphore>,
     connect_timeout: Duration,
-    max_idle: Duration,
+    max_idle_time: Duration,
 }
 
 impl ConnectionPool {
-    /// An empty pool with a limit of open connections. Endpoints close connections that were idle for
-    /// `endpoint_idle_timeout`.
+    /// Creates an empty pool with a limit on open connections.
+    ///
+    /// `endpoint_idle_timeout` is the time after which endpoints close an idle connection.
     pub fn new(
         max_connections: usize,
         connect_timeout: Duration,
         endpoint_idle_timeout: Duration,
     ) -> ConnectionPool {
         ConnectionPool {
-            idle: Arc::default(),
+            idle_connections: Arc::default(),
             reuse_history: Arc::default(),
             send_restrictions: Arc::default(),
             idle_permits: Arc::default(),
             permits: Arc::new(Semaphore::new(max_connections)),
             connect_timeout,
-            // A request must arrive before the endpoint closes, which counts from when it wrote its response.
-            max_idle: endpoint_idle_timeout - endpoint_idle_timeout / 8,
+            // The margin covers the time between the endpoint's response and the arrival of the next request.
+            max_idle_time: endpoint_idle_timeout - endpoint_idle_timeout / 8,
         }
     }
 
-    /// A connection to this endpoint: the idle one that was used last, or else a new one to its address.
+    /// Returns the endpoint's most recently used idle connection, or opens a new one to `to`.
     pub(crate) async fn acquire(
         &self,
         endpoint: EndpointId,
@@ -74,113 +77,121 @@
         Connection::open(to, self.connect_timeout, Some(permit)).await
     }
 
-    /// The idle connection that was used last, if it can be trusted; closes those that can't.
+    /// Returns the most recently used idle connection that is still reusable, and closes the others that it
+    /// checks.
     fn take_idle(&self, endpoint: EndpointId) -> Option<Connection> {
-        let trusted_idle = lock(&self.reuse_history).trusted_idle().min(self.max_idle);
-        let mut idle = lock(&self.idle);
+        let reusable_idle_time = lock(&self.reuse_history).reusable_idle_time().min(self.max_idle_time);
+        let mut idle = lock(&self.idle_connections);
         let connections = idle.get_mut(&endpoint)?;
-        while let Some(IdleConnection { connection, since }) = connections.pop_back() {
-            let idle_for = since.elapsed();
-            if idle_for < trusted_idle && connection.is_ready() {
-                return Some(connection.reused_after(idle_for));
+        while let Some(IdleConnection { connection, idle_since }) = connections.pop_back() {
+            let idle_for = idle_since.elapsed();
+            if idle_for < reusable_idle_time && connection.is_ready() {
+                return Some(connection.with_idle_before_use(idle_for));
             }
         }
         None
     }
 
-    /// Acquires the permit for a new connection; if none is left, the connection that was idle for longest is closed.
+    /// Acquires the permit for a new connection. At the limit, the connection that was idle longest is
+    /// closed.
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
         let mut permit = self.permits.clone().try_acquire_owned();
         if permit.is_err() && self.close_oldest_idle() {
-            // The permit is released once the connection's task has seen that it is aborted.
+            // The permit is released when the connection's task has processed its abort.
             tokio::task::yield_now().await;
             permit = self.permits.clone().try_acquire_owned();
         }
         permit.map_err(|_| AttemptResult::NotSent)
     }
 
-    /// Closes the connection that was idle for longest; returns whether there was one.
+    /// Closes the connection that was idle longest. Returns whether there was one.
     fn close_oldest_idle(&self) -> bool {
-        let mut idle = lock(&self.idle);
-        let oldest = idle.values_mut().filter(|idle| !idle.is_empty()).min_by_key(|idle| idle[0].since);
+        let mut idle = lock(&self.idle_connections);
+        let oldest = idle.values_mut().filter(|idle| !idle.is_empty()).min_by_key(|idle| idle[0].idle_since);
         oldest.and_then(VecDeque::pop_front).is_some()
     }
 
-    /// Returns a connection whose last response was read completely. It is kept idle if its endpoint has capacity for
-    /// that, else closed.
+    /// Returns a connection to the pool after its last response was read completely.
+    ///
+    /// The connection is closed if its endpoint has no capacity for idle connections.
     pub(crate) fn release(&self, endpoint: EndpointId, connection: Connection) {
-        let permitted = lock(&self.idle_permits).allows_idle(endpoint, Instant::now());
-        if permitted && connection.is_ready() {
-            let idle = IdleConnection { connection, since: Instant::now() };
-            lock(&self.idle).entry(endpoint).or_default().push_back(idle);
+        let idle_allowed = lock(&self.idle_permits).allows_idle(endpoint, Instant::now());
+        if idle_allowed && connection.is_ready() {
+            let idle = IdleConnection { connection, idle_since: Instant::now() };
+            lock(&self.idle_connections).entry(endpoint).or_default().push_back(idle);
         }
     }
 
-    /// Records that the last request on this connection was answered.
-    pub(crate) fn record_answer(&self, connection: &Connection) {
-        lock(&self.reuse_history).record(connection.idle_before_use(), ReuseOutcome::Answered);
+    /// Records that the last request on this connection received a response.
+    pub(crate) fn record_response(&self, connection: &Connection) {
+        lock(&self.reuse_history).record(connection.idle_before_use(), ReuseOutcome::ResponseReceived);
     }
 
-    /// Records that the connection broke under its last request, perhaps in the middle of the response.
-    pub(crate) fn record_break(&self, connection: &Connection) {
-        let outcome = if connection.response_begun() { ReuseOutcome::Answered } else { ReuseOutcome::Failed };
+    /// Records that the connection broke during its last request, before or within the response.
+    pub(crate) fn record_broken_connection(&self, connection: &Connection) {
+        let outcome =
+            if connection.response_begun() { ReuseOutcome::ResponseReceived } else { ReuseOutcome::Broken };
         lock(&self.reuse_history).record(connection.idle_before_use(), outcome);
     }
 
-    /// The endpoint rejected this connection as it has too many: idle ones to its kind are closed for others.
+    /// Records that the endpoint rejected a connection because it has too many, and closes the idle
+    /// connections to endpoints of its kind.
     pub(crate) fn connection_rejected(&self, endpoint: EndpointId) {
         let now = Instant::now();
         let mut idle_permits = lock(&self.idle_permits);
         idle_permits.connection_rejected(endpoint, now);
-        lock(&self.idle).retain(|endpoint, _| idle_permits.allows_idle(*endpoint, now));
+        lock(&self.idle_connections).retain(|endpoint, _| idle_permits.allows_idle(*endpoint, now));
     }
 
-    /// The endpoint asked for no request before `until` (`Retry-After`).
+    /// Records that the endpoint accepts no request before `until` (`Retry-After`).
     ///
-    /// A request that was decided on before may still wait for its connection, for up to a second if the endpoint
-    /// accepts few or can't be reached, and must not be sent when the connection is open.
+    /// The restriction also applies to requests that are still waiting for their connection.
     pub fn set_retry_after(&self, endpoint: EndpointId, until: Instant) {
-        lock(&self.send_restrictions).retry_after(endpoint, until);
+        lock(&self.send_restrictions).set_retry_after(endpoint, until);
     }
 
-    /// The endpoint list has an entry for this endpoint. To one that is not active no request is sent any more, not
-    /// even one that already waits for its connection.
+    /// Records the endpoint list's entry for this endpoint.
+    ///
+    /// No request is sent to an endpoint that is not active, not even one that already waits for its
+    /// connection.
     pub fn endpoint_listed(&self, endpoint: EndpointId, kind: &str, state: EndpointState) {
         lock(&self.idle_permits).endpoint_listed(endpoint, kind);
         lock(&self.send_restrictions).set_state(endpoint, state);
     }
 
-    /// The endpoint is removed, or a complete list does not name it any more.
+    /// Records that the endpoint is removed or missing from a complete list, and closes its idle connections.
     pub(crate) fn endpoint_removed(&self, endpoint: EndpointId) {
         lock(&self.send_restrictions).set_state(endpoint, EndpointState::Removed);
         self.close_idle(endpoint);
     }
 
-    /// Forgets endpoints that are not known any more.
+    /// Deletes the records of endpoints that are no longer known.
     pub(crate) fn forget(&self, endpoints: &[EndpointId]) {
         let mut send_restrictions = lock(&self.send_restrictions);
-        endpoints.iter().for_each(|endpoint| send_restrictions.forget(*endpoint));
+        endpoints.iter().for_each(|endpoint| send_restrictions.remove_state(*endpoint));
         drop(send_restrictions);
         let mut idle_permits = lock(&self.idle_permits);
         endpoints.iter().for_each(|endpoint| idle_permits.forget(*endpoint));
     }
 
-    /// Whether a request that has waited for its connection may still be sent; if not, the result for its messages.
+    /// Checks whether a request that waited for its connection may still be sent. The error is the result of
+    /// its messages.
     pub fn check_may_send(&self, endpoint: EndpointId) -> Result<(), AttemptResult> {
         lock(&self.send_restrictions).check(endpoint, Instant::now())
     }
 
-    /// Closes the idle connections to an endpoint.
     pub(crate) fn close_idle(&self, endpoint: EndpointId) {
-        lock(&self.idle).remove(&endpoint);
+        lock(&self.idle_connections).remove(&endpoint);
     }
 
-    /// Closes connections that were idle for too long or that the other side has closed. Must be called regularly.
+    /// Closes connections that were idle too long or that the other side closed. Must be called regularly.
     pub(crate) fn sweep(&self) {
-        lock(&self.idle).retain(|_, connections| {
-            connections.retain(|idle| idle.since.elapsed() < self.max_idle && !idle.connection.is_closed());
+        lock(&self.idle_connections).retain(|_, connections| {
+            connections.retain(|idle| {
+                idle.idle_since.elapsed() < self.max_idle_time && !idle.connection.is_closed()
+            });
             !connections.is_empty()
         });
-        lock(&self.send_restrictions).expire(Instant::now());
+        lock(&self.send_restrictions).remove_expired(Instant::now());
     }
 }
--- a/crates/forwarder/src/connections/send_restrictions.rs
+++ b/crates/forwarder/src/connections/send_restrictions.rs
@@ -1,4 +1,4 @@
-//! Endpoints to which no request may be sent at the moment.
+//! Endpoints to which no request may currently be sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,46 +6,48 @@
 use reeddock_protocol::AttemptResult;
 use tokio::time::Instant;
 
-/// The restrictions that the endpoint list and the endpoints' own Retry-After impose.
+/// The restrictions set by the endpoint list and by `Retry-After` headers of endpoints.
 #[derive(Default)]
 pub(super) struct SendRestrictions {
-    /// Until when each endpoint has asked for no request (`Retry-After`).
-    retry_after: BTreeMap<EndpointId, Instant>,
-    /// Endpoints that the list calls draining or removed.
-    draining: BTreeSet<EndpointId>,
+    /// The time before which each endpoint accepts no request (`Retry-After`).
+    retry_after_until: BTreeMap<EndpointId, Instant>,
+    /// Endpoints that the endpoint list marks as draining or removed.
+    inactive: BTreeSet<EndpointId>,
 }
 
 impl SendRestrictions {
-    /// The endpoint asked for no request before `until`. A longer pause that it asked for earlier stays in force.
-    pub(super) fn retry_after(&mut self, endpoint: EndpointId, until: Instant) {
-        let current = self.retry_after.entry(endpoint).or_insert(until);
+    /// Records that the endpoint accepts no request before `until`. A later time from an earlier call remains
+    /// in effect.
+    pub(super) fn set_retry_after(&mut self, endpoint: EndpointId, until: Instant) {
+        let current = self.retry_after_until.entry(endpoint).or_insert(until);
         *current = until.max(*current);
     }
 
-    /// The endpoint list says that the endpoint is in this state.
+    /// Records the endpoint's state in the endpoint list.
     pub(super) fn set_state(&mut self, endpoint: EndpointId, state: EndpointState) {
         match state {
-            EndpointState::Active => self.draining.remove(&endpoint),
-            EndpointState::Draining | EndpointState::Removed => self.draining.insert(endpoint),
+            EndpointState::Active => self.inactive.remove(&endpoint),
+            EndpointState::Draining | EndpointState::Removed => self.inactive.insert(endpoint),
         };
     }
 
-    /// Forgets the listed state of an endpoint.
-    pub(super) fn forget(&mut self, endpoint: EndpointId) {
-        self.draining.remove(&endpoint);
+    /// Deletes the listed state of an endpoint.
+    pub(super) fn remove_state(&mut self, endpoint: EndpointId) {
+        self.inactive.remove(&endpoint);
     }
 
-    /// Forgets pauses that have passed.
-    pub(super) fn expire(&mut self, now: Instant) {
-        self.retry_after.retain(|_, until| *until > now);
+    /// Removes `Retry-After` restrictions that have expired.
+    pub(super) fn remove_expired(&mut self, now: Instant) {
+        self.retry_after_until.retain(|_, until| *until > now);
     }
 
-    /// Whether a request may be sent now; if not, the result for its messages, none of which was sent.
+    /// Checks whether a request may be sent now. The error is the result of its messages, none of which was
+    /// sent.
     pub(super) fn check(&self, endpoint: EndpointId, now: Instant) -> Result<(), AttemptResult> {
-        if self.draining.contains(&endpoint) {
+        if self.inactive.contains(&endpoint) {
             return Err(AttemptResult::EndpointDraining);
         }
-        if self.retry_after.get(&endpoint).is_some_and(|until| *until > now) {
+        if self.retry_after_until.get(&endpoint).is_some_and(|until| *until > now) {
             return Err(AttemptResult::RetryAfterActive);
         }
         Ok(())
--- a/crates/forwarder/src/ingress/client_connection.rs
+++ b/crates/forwarder/src/ingress/client_connection.rs
@@ -1,4 +1,4 @@
-//! The phase of one client connection, and the bytes of its current request.
+//! The phase of a client connection, and the byte count of its current request.
 
 use std::io;
 use std::pin::Pin;
@@ -15,57 +15,57 @@
 use crate::connections::{lock, read_observed};
 use crate::http_progress::HeadScanner;
 
-/// How long the head of the first request may take. With the limit for bodies (`service`) less than three seconds
-/// together, and far more than a client waits for its response.
-const FIRST_HEAD_WITHIN: Duration = Duration::from_millis(2100);
-/// How long a connection may stand idle after a response before it is closed.
-const IDLE_WITHIN: Duration = Duration::from_millis(2100);
-/// How long a new connection is protected from eviction: a usual client sends its request right away.
-const EVICTION_PROTECTED: Duration = Duration::from_millis(100);
+/// The time limit for the head of the first request.
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2100);
+/// The time for which a connection may be idle after a response.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+/// The time for which a new connection is not evicted, so that its client can send a request.
+const EVICTION_PROTECTION: Duration = Duration::from_millis(100);
 
 /// The phase of a client connection.
 ///
 /// `AwaitingFirstRequest` → `InRequest` ⇄ `Idle`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionPhase {
-    /// Accepted; no complete request head was received yet.
+    /// The connection is accepted, and no complete request head was received.
     AwaitingFirstRequest {
-        /// When it was accepted.
+        /// When the connection was accepted.
         since: Instant,
     },
-    /// A request is being answered.
+    /// A request is being processed.
     InRequest,
-    /// The last request was answered; no complete head of the next was received yet.
+    /// The last request was answered, and no complete head of the next one was received.
     Idle {
-        /// When the response was ready.
+        /// When the last response was ready.
         since: Instant,
     },
 }
 
-/// The order in which connections are evicted for new ones: the smallest value first.
+/// The eviction order of connections. The smallest value is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
-    /// Its client has connected and sent no request; the oldest first.
-    Silent(Instant),
-    /// Its client can use another connection for its next request; the one idle for longest first.
+    /// The client sent no complete request head. The oldest connection is evicted first.
+    NoRequest(Instant),
+    /// The client can use another connection for its next request. The connection idle longest is evicted
+    /// first.
     Idle(Instant),
 }
 
 impl ConnectionPhase {
-    /// When the connection is closed if nothing more is received; None while a request is being answered.
+    /// Returns when the connection is closed unless a request is received. `None` during a request.
     pub(super) fn idle_deadline(self) -> Option<Instant> {
         match self {
-            ConnectionPhase::AwaitingFirstRequest { since } => Some(since + FIRST_HEAD_WITHIN),
-            ConnectionPhase::Idle { since } => Some(since + IDLE_WITHIN),
+            ConnectionPhase::AwaitingFirstRequest { since } => Some(since + FIRST_HEAD_TIMEOUT),
+            ConnectionPhase::Idle { since } => Some(since + IDLE_TIMEOUT),
             ConnectionPhase::InRequest => None,
         }
     }
 
-    /// Its rank in the order of eviction; None if it must not be evicted.
+    /// Returns the connection's position in the eviction order. `None` if it must not be evicted.
     pub(super) fn eviction_priority(self) -> Option<EvictionPriority> {
         match self {
             ConnectionPhase::AwaitingFirstRequest { since } => {
-                (since.elapsed() >= EVICTION_PROTECTED).then_some(EvictionPriority::Silent(since))
+                (since.elapsed() >= EVICTION_PROTECTION).then_some(EvictionPriority::NoRequest(since))
             }
             ConnectionPhase::Idle { since } => Some(EvictionPriority::Idle(since)),
             ConnectionPhase::InRequest => None,
@@ -73,15 +73,15 @@
     }
 }
 
-/// One client's connection, shared by the task that serves it and the task that evicts.
+/// A client connection, shared by the task that serves it and the task that evicts connections.
 pub(super) struct ClientConnection {
     phase: Mutex<ConnectionPhase>,
-    request_bytes: Mutex<RequestBytes>,
+    request_bytes: Mutex<RequestByteCounter>,
     evicted: Notify,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted just now.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn accepted() -> ClientConnection {
         ClientConnection {
             phase: Mutex::new(ConnectionPhase::AwaitingFirstRequest { since: Instant::now() }),
@@ -90,66 +90,65 @@
         }
     }
 
-    /// The phase of the connection.
     pub(super) fn phase(&self) -> ConnectionPhase {
         *lock(&self.phase)
     }
 
-    /// A complete request head was received.
-    pub(super) fn request_started(&self) {
+    /// Records that a complete request head was received.
+    pub(super) fn record_request_start(&self) {
         *lock(&self.phase) = ConnectionPhase::InRequest;
     }
 
-    /// The response to the request is ready; bytes received from here on belong to the next request.
-    pub(super) fn response_ready(&self) {
-        *lock(&self.request_bytes) = RequestBytes::default();
+    /// Records that the response is ready. Bytes received from now on belong to the next request.
+    pub(super) fn record_response_ready(&self) {
+        *lock(&self.request_bytes) = RequestByteCounter::default();
         *lock(&self.phase) = ConnectionPhase::Idle { since: Instant::now() };
     }
 
-    /// Whether any request was received on it.
-    pub(super) fn had_request(&self) -> bool {
+    /// Returns whether a complete request head was received on the connection.
+    pub(super) fn has_received_request(&self) -> bool {
         !matches!(self.phase(), ConnectionPhase::AwaitingFirstRequest { .. })
     }
 
-    /// Whether it has answered a request and received a part of the next one's head.
+    /// Returns whether a request was answered and part of the next request was received.
     pub(super) fn next_request_begun(&self) -> bool {
         matches!(self.phase(), ConnectionPhase::Idle { .. }) && lock(&self.request_bytes).begun
     }
 
-    /// How many bytes were received behind the head of the current request.
-    pub(super) fn bytes_past_head(&self) -> usize {
-        lock(&self.request_bytes).past_head
+    /// Returns the number of bytes received after the head of the current request.
+    pub(super) fn bytes_after_head(&self) -> usize {
+        lock(&self.request_bytes).after_head
     }
 
-    /// Asks the task that serves the connection to close it in favour of another.
+    /// Asks the task that serves the connection to close it.
     pub(super) fn evict(&self) {
         self.evicted.notify_one();
     }
 
-    /// Waits until the connection is evicted.
-    pub(super) async fn evicted(&self) {
+    pub(super) async fn wait_for_eviction(&self) {
         self.evicted.notified().await;
     }
 }
 
-/// How much of the current request was received, counted from the bytes on the connection. More bytes than its length
-/// says are a wrong length or another request hidden in the body, as clients of the protocol send one request at a
-/// time.
+/// Counts the bytes received for the current request.
+///
+/// More bytes than the request's length indicate a wrong length or a request hidden in the body, because
+/// clients send one request at a time.
 #[derive(Default)]
-struct RequestBytes {
+struct RequestByteCounter {
     begun: bool,
     head: HeadScanner,
-    past_head: usize,
+    after_head: usize,
 }
 
-impl RequestBytes {
-    fn received(&mut self, bytes: &[u8]) {
+impl RequestByteCounter {
+    fn record_received(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
-        self.past_head += self.head.skip(bytes).len();
+        self.after_head += self.head.skip(bytes).len();
     }
 }
 
-/// A client's stream that counts the bytes of each request.
+/// A client's TCP stream that counts the bytes of each request.
 pub(super) struct CountedStream {
     stream: TokioIo<TcpStream>,
     connection: Arc<ClientConnection>,
@@ -160,7 +159,6 @@
         CountedStream { stream: TokioIo::new(stream), connection }
     }
 
-    /// Returns the inner stream.
     pub(super) fn into_inner(self) -> TcpStream {
         self.stream.into_inner()
     }
@@ -169,7 +167,7 @@
 impl Read for CountedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: ReadBufCursor) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        let count = |bytes: &[u8]| lock(&this.connection.request_bytes).received(bytes);
+        let count = |bytes: &[u8]| lock(&this.connection.request_bytes).record_received(bytes);
         read_observed(&mut this.stream, cx, buf, count)
     }
 }
--- a/crates/forwarder/src/ingress/clients.rs
+++ b/crates/forwarder/src/ingress/clients.rs
@@ -1,4 +1,4 @@
-//! All open client connections, and which one is evicted at the limit.
+//! The open client connections, and the choice of the connection to evict at the limit.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,7 +10,7 @@
 use crate::connections::lock;
 use crate::list_status::ListStatus;
 
-/// All open client connections, each by its number, and whether the forwarder shuts down. Shared by the tasks that
+/// The open client connections by number, and whether the forwarder shuts down. Shared by the tasks that
 /// accept and serve connections and by the shutdown.
 #[derive(Default)]
 pub struct ClientConnections {
@@ -21,47 +21,45 @@
 }
 
 impl ClientConnections {
-    /// A set without connections; health checks report this status of the endpoint list.
+    /// Creates an empty set. Health checks report `list_status`.
     pub fn new(list_status: ListStatus) -> ClientConnections {
         ClientConnections { list_status, ..ClientConnections::default() }
     }
 
-    /// Begins a shutdown: each response asks its client to use another forwarder.
+    /// Begins a shutdown. From now on responses close their connections and health checks fail, so that
+    /// clients use another forwarder.
     pub fn begin_shutdown(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
 
-    /// Stops accepting. Idle connections are closed now, the others once their request is answered.
+    /// Stops accepting connections. Idle connections are closed now, the others after their current request.
     pub fn close_all(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Whether no connection is open.
+    /// Returns whether no connection is open. Evicted connections are not counted.
     pub fn is_empty(&self) -> bool {
-        self.open().is_empty()
+        self.lock_open().is_empty()
     }
 
-    /// How many connections are open.
     pub(super) fn count(&self) -> usize {
-        self.open().len()
+        self.lock_open().len()
     }
 
-    /// Adds a connection, by a number that no other has.
+    /// Adds a connection. No other connection may have the same number.
     pub(super) fn insert(&self, number: u64, connection: Arc<ClientConnection>) {
-        self.open().insert(number, connection);
+        self.lock_open().insert(number, connection);
     }
 
-    /// Removes a connection that has ended.
     pub(super) fn remove(&self, number: u64) {
-        self.open().remove(&number);
+        self.lock_open().remove(&number);
     }
 
-    /// Closes the connection whose loss matters least; returns whether there was one.
+    /// Evicts the first connection in the order of `EvictionPriority`. Returns whether there was one.
     ///
-    /// This is the oldest of those that never had a request, so that silent clients do not displace others; if there is
-    /// none, the one that was idle for longest, whose client can use another connection for its next request.
+    /// Connections without a request come first, so that they can't displace connections of active clients.
     pub(super) fn evict_one(&self) -> bool {
-        let mut open = self.open();
+        let mut open = self.lock_open();
         let candidates = open.iter().filter_map(|(number, connection)| {
             let priority = connection.phase().eviction_priority()?;
             Some((priority, *number))
@@ -70,22 +68,22 @@
         evicted.inspect(|connection| connection.evict()).is_some()
     }
 
-    /// Whether clients are asked to use another forwarder.
-    pub(super) fn shutting_down(&self) -> bool {
+    /// Returns whether a shutdown has begun.
+    pub(super) fn is_shutting_down(&self) -> bool {
         self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// A channel that becomes true when connections are to be closed.
+    /// Returns a channel whose value becomes true when connections must be closed.
     pub(super) fn closing(&self) -> watch::Receiver<bool> {
         self.closing.subscribe()
     }
 
-    /// What is wrong with the endpoint list, in one line; None if nothing is.
+    /// Returns a one-line description of a fault of the endpoint list. `None` without a fault.
     pub(super) fn list_fault(&self) -> Option<String> {
         self.list_status.fault()
     }
 
-    fn open(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
+    fn lock_open(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientConnection>>> {
         lock(&self.open)
     }
 }
--- a/crates/forwarder/src/ingress/mod.rs
+++ b/crates/forwarder/src/ingress/mod.rs
@@ -1,12 +1,12 @@
-//! Where clients submit messages: an HTTP/1 server that stays available to others while some clients are silent, slow
-//! or too many.
+//! The HTTP/1 server to which clients submit messages. Clients that are idle, slow or too many don't block
+//! others.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `accept` | accepts connections, within the limits of the machine |
-//! | `clients` | all open connections, and which one is evicted at the limit |
-//! | `client_connection` | the phase of one connection, and the bytes of its current request |
-//! | `serving` | serves one connection to its end and closes it without losing a response |
+//! | `accept` | accepts connections within the limits of the machine |
+//! | `clients` | the open connections, and the choice of the one to evict at the limit |
+//! | `client_connection` | the phase of a connection, and the byte count of its current request |
+//! | `serving` | serves a connection until it ends, and closes it without losing a response |
 //! | `service` | answers requests |
 
 mod accept;
--- a/crates/forwarder/src/ingress/service.rs
+++ b/crates/forwarder/src/ingress/service.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of clients: submissions and health checks.
+//! Answers client requests: submissions and health checks.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -21,26 +21,26 @@
 use super::clients::ClientConnections;
 use crate::events::Event;
 
-/// The time limit for receiving a body, from the end of its head.
-const BODY_WITHIN: Duration = Duration::from_millis(600);
+/// The time limit for receiving a body, counted from the end of the request head.
+const BODY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Whether a new connection is within the limit of served connections.
+/// Whether a connection is within the limit of served connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionCapacity {
-    /// Its submissions are accepted.
+    /// Submissions on the connection are accepted.
     Available,
-    /// It is beyond the limit: its submission is answered with [`ClientResponse::NoCapacity`], and then it is closed.
+    /// The connection is beyond the limit. A submission is answered with [`ClientResponse::NoCapacity`], and
+    /// the connection is closed after its first response.
     Exceeded,
 }
 
-/// The service of one client connection.
 #[derive(Clone)]
 pub(super) struct IngressService {
     pub(super) clients: Arc<ClientConnections>,
     pub(super) connection: Arc<ClientConnection>,
     pub(super) event_loop: mpsc::Sender<Event>,
     pub(super) capacity: ConnectionCapacity,
-    /// While more connections than these are open, each is closed after its response.
+    /// While more connections than this are open, each connection is closed after its response.
     pub(super) keep_alive_limit: usize,
 }
 
@@ -55,18 +55,17 @@
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
         let service = self.clone();
-        service.connection.request_started();
+        service.connection.record_request_start();
         Box::pin(async move {
             let response = service.respond(request).await;
-            service.connection.response_ready();
-            let connection = service.connection_after(&response);
+            service.connection.record_response_ready();
+            let connection = service.connection_option(&response);
             Ok(response.encode(connection))
         })
     }
 }
 
 impl IngressService {
-    /// Routes a request by its method and path.
     async fn respond(&self, request: Request<Incoming>) -> ClientResponse {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => self.health(),
@@ -75,22 +74,21 @@
         }
     }
 
-    /// Answers a health check.
     fn health(&self) -> ClientResponse {
-        if self.clients.shutting_down() {
+        if self.clients.is_shutting_down() {
             ClientResponse::ShuttingDown
         } else {
             ClientResponse::Healthy { list_fault: self.clients.list_fault() }
         }
     }
 
-    /// Whether the client may use the connection again after this response.
-    fn connection_after(&self, response: &ClientResponse) -> ConnectionOption {
+    /// Returns whether the connection stays open after this response.
+    fn connection_option(&self, response: &ClientResponse) -> ConnectionOption {
         let above_keep_alive_limit = self.clients.count() > self.keep_alive_limit;
         let closes = self.capacity == ConnectionCapacity::Exceeded
             || leaves_bytes_unread(response)
             || above_keep_alive_limit
-            || self.clients.shutting_down();
+            || self.clients.is_shutting_down();
         if closes {
             ConnectionOption::Close
         } else {
@@ -98,16 +96,17 @@
         }
     }
 
-    /// Passes a submission to the event loop and returns its response; an error is the response to a submission that
-    /// did not reach the event loop.
+    /// Passes a submission to the event loop and returns its response. The error is the response to a
+    /// submission that the event loop did not receive or did not answer.
     async fn submit(&self, request: Request<Incoming>) -> Result<ClientResponse, ClientResponse> {
         let (parts, body) = request.into_parts();
-        // Two sides may disagree on where a chunked body ends, so that a request could be hidden in it.
+        // Rejects chunked bodies because they allow request smuggling: servers may disagree on where such a
+        // body ends.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             return Err(ClientResponse::LengthRequired);
         }
         let body = read_body(body).await?;
-        if self.connection.bytes_past_head() > body.len() {
+        if self.connection.bytes_after_head() > body.len() {
             return Err(ClientResponse::LengthMismatch);
         }
         let received_at = Instant::now();
@@ -123,13 +122,13 @@
     }
 }
 
-/// Reads a body completely, within the limits of size and time.
+/// Reads a whole body within the limits of size and time. The error is the response to the request.
 async fn read_body(body: Incoming) -> Result<Bytes, ClientResponse> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(ClientResponse::TooLarge);
     }
     let limited = Limited::new(body, MAX_BODY_BYTES);
-    match timeout(BODY_WITHIN, limited.collect()).await {
+    match timeout(BODY_TIMEOUT, limited.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ClientResponse::TooLarge),
         Ok(Err(error)) => {
@@ -140,7 +139,7 @@
     }
 }
 
-/// Whether bytes of the request may still be in flight, or may be parsed as the next request.
+/// Returns whether bytes of the request may be unread, which could be parsed as the next request.
 fn leaves_bytes_unread(response: &ClientResponse) -> bool {
     matches!(
         response,
--- a/crates/forwarder/src/ingress/serving.rs
+++ b/crates/forwarder/src/ingress/serving.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection to its end, and closes it so that no response is lost.
+//! Serves a client connection until it ends, and closes it without losing a response.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -15,43 +15,42 @@
 use super::client_connection::{ClientConnection, ConnectionPhase, CountedStream};
 use super::service::IngressService;
 
-/// The time limit for the rest of a request's head if the connection is about to be closed.
-const LAST_REQUEST_WITHIN: Duration = Duration::from_millis(100);
-/// How often a connection with a request in progress is checked for whether it has become idle.
-const IN_REQUEST_RECHECK: Duration = Duration::from_millis(100);
-/// How long bytes of a closed connection are still read and discarded: the system resets a connection that is dropped
-/// with unread bytes, and a response that is still in flight would be lost with it.
-const LINGER: Duration = Duration::from_millis(300);
-/// The most bytes that the HTTP library buffers for a connection, and so the longest head.
+/// The time limit for the rest of a request head on a connection that is about to be closed.
+const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// The interval at which a connection with a request in progress is checked for being idle.
+const IN_REQUEST_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long data on a closed connection is read and discarded. The operating system resets a connection that
+/// is dropped with unread data, and a response in flight would be lost.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// The maximum number of bytes that the HTTP library buffers for a connection, and thus the maximum length of
+/// a request head.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
 type HttpConnection = http1::Connection<CountedStream, TowerToHyperService<IngressService>>;
 
-/// Why the server closes a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CloseReason {
-    /// The forwarder shuts down: every connection is closed.
+    /// The forwarder shuts down and closes all connections.
     ShuttingDown,
-    /// Evicted for another connection, or no request was received in time.
+    /// The connection was evicted, or no request was received in time.
     EvictedOrIdle,
 }
 
-/// One client connection that is served.
 pub(super) struct ServedConnection {
     pub(super) stream: TcpStream,
     pub(super) client: SocketAddr,
     pub(super) service: IngressService,
-    /// Counts the connection; free once its descriptor is closed or lingers.
+    /// The permit of the connection. Released when its descriptor is closed or when it starts to linger.
     pub(super) slot: Option<OwnedSemaphorePermit>,
-    /// How many closed connections may linger; beyond that they are dropped.
-    pub(super) lingering: Arc<Semaphore>,
+    /// One permit for each closed connection that may linger. Without a permit, a connection is dropped
+    /// immediately.
+    pub(super) linger_permits: Arc<Semaphore>,
 }
 
 impl ServedConnection {
-    /// Serves the connection to its end.
     pub(super) async fn run(self) {
         let connection = self.service.connection.clone();
-        let close_reason = close_reason(self.service.clients.closing(), &connection);
+        let close_reason = wait_for_close_reason(self.service.clients.closing(), &connection);
         let stream = CountedStream::new(self.stream, connection.clone());
         let service = TowerToHyperService::new(self.service);
         let mut http: HttpConnection =
@@ -64,9 +63,9 @@
         if let Err(error) = ended {
             tracing::debug!(client = %self.client, %error, "client connection failed");
         }
-        // A connection that never had a request has no response in flight.
-        let linger_permit = self.lingering.try_acquire_owned();
-        if linger_permit.is_ok() && connection.had_request() {
+        // A connection without a request has no response in flight.
+        let linger_permit = self.linger_permits.try_acquire_owned();
+        if linger_permit.is_ok() && connection.has_received_request() {
             drop(self.slot);
             linger(http.into_parts().io.into_inner()).await;
         } else {
@@ -76,66 +75,69 @@
     }
 }
 
-/// Waits until the connection is to be closed by this side.
-async fn close_reason(mut closing: watch::Receiver<bool>, connection: &ClientConnection) -> CloseReason {
+/// Waits until this side must close the connection. Returns the reason.
+async fn wait_for_close_reason(
+    mut closing: watch::Receiver<bool>,
+    connection: &ClientConnection,
+) -> CloseReason {
     tokio::select! {
         _ = closing.wait_for(|closing| *closing) => CloseReason::ShuttingDown,
-        () = connection.evicted() => CloseReason::EvictedOrIdle,
-        () = idle_too_long(connection) => CloseReason::EvictedOrIdle,
+        () = connection.wait_for_eviction() => CloseReason::EvictedOrIdle,
+        () = wait_for_idle_deadline(connection) => CloseReason::EvictedOrIdle,
     }
 }
 
-/// Waits until the connection was idle for as long as it may be.
-async fn idle_too_long(connection: &ClientConnection) {
+async fn wait_for_idle_deadline(connection: &ClientConnection) {
     loop {
         match connection.phase().idle_deadline() {
             Some(deadline) if deadline <= Instant::now() => return,
             Some(deadline) => sleep_until(deadline).await,
-            None => sleep(IN_REQUEST_RECHECK).await,
+            None => sleep(IN_REQUEST_CHECK_INTERVAL).await,
         }
     }
 }
 
-/// Closes a connection, after a request that has begun.
+/// Closes a connection after a request that has begun.
 async fn close(
     http: &mut HttpConnection,
     connection: &ClientConnection,
     reason: CloseReason,
 ) -> hyper::Result<()> {
-    // Part of a head may have been received, and a client that connected just before the shutdown may have sent one.
-    let first_request_expected = reason == CloseReason::ShuttingDown && !connection.had_request();
+    // Part of a request head may have been received, or a request may be on its way from a client that
+    // connected just before the shutdown.
+    let first_request_expected = reason == CloseReason::ShuttingDown && !connection.has_received_request();
     if first_request_expected || connection.next_request_begun() {
-        if let Ok(ended) = timeout(LAST_REQUEST_WITHIN, &mut *http).await {
+        if let Ok(ended) = timeout(LAST_REQUEST_TIMEOUT, &mut *http).await {
             return ended;
         }
     }
     shut_down_gracefully(http, connection, reason).await
 }
 
-/// Lets the HTTP library close the connection, and waits for a request that is in progress.
+/// Lets the HTTP library close the connection, and waits for a request in progress.
 async fn shut_down_gracefully(
     http: &mut HttpConnection,
     connection: &ClientConnection,
     reason: CloseReason,
 ) -> hyper::Result<()> {
-    let all_close = reason == CloseReason::ShuttingDown;
+    let shutting_down = reason == CloseReason::ShuttingDown;
     Pin::new(&mut *http).graceful_shutdown();
     loop {
-        let silent = !all_close && !connection.had_request();
-        let wait = if silent { Duration::ZERO } else { LAST_REQUEST_WITHIN };
+        let without_request = !shutting_down && !connection.has_received_request();
+        let wait = if without_request { Duration::ZERO } else { LAST_REQUEST_TIMEOUT };
         match timeout(wait, &mut *http).await {
             Ok(ended) => return ended,
-            Err(_) if !all_close && connection.phase() != ConnectionPhase::InRequest => return Ok(()),
+            Err(_) if !shutting_down && connection.phase() != ConnectionPhase::InRequest => return Ok(()),
             Err(_) => {}
         }
     }
 }
 
-/// Ends the writing side and discards what is still received: none of it was accepted.
+/// Shuts down the writing side and discards data that is still received, none of which was accepted.
 async fn linger(mut stream: TcpStream) {
     let drained = async {
         stream.shutdown().await?;
         tokio::io::copy(&mut stream, &mut tokio::io::sink()).await
     };
-    let _ = timeout(LINGER, drained).await;
+    let _ = timeout(LINGER_TIMEOUT, drained).await;
 }
--- a/crates/forwarder/src/request_sender/mod.rs
+++ b/crates/forwarder/src/request_sender/mod.rs
@@ -1,18 +1,18 @@
-//! Requests to endpoints: each carries one message or a batch, and every message of it ends with a result of its own.
+//! Requests to endpoints. A request carries one message or a batch, and each message has its own result.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `request` | the parts of a request and its results |
-//! | `departure` | which messages of a batch are still sent once its connection is open |
-//! | `sender` | sends one request on a connection and reads its response |
-//! | `supervisor` | waits for one request with the time limits and cancellations of its messages, and reports results |
+//! | `request` | requests and their results |
+//! | `send_state` | tracks which messages of a batch are sent when its connection is open |
+//! | `sender` | sends a request on a connection and reads its response |
+//! | `supervisor` | applies time limits and cancellations to a request in flight, and reports results |
 
-mod departure;
 mod request;
+mod send_state;
 mod sender;
 mod supervisor;
 
-use departure::BatchDeparture;
 pub use request::{BatchMessage, EndpointRequest, MessageResult, PendingAttempt, RequestResult};
+use send_state::BatchSendState;
 pub use sender::RequestSender;
 pub use supervisor::run_request;
--- a/crates/forwarder/src/request_sender/request.rs
+++ b/crates/forwarder/src/request_sender/request.rs
@@ -1,4 +1,4 @@
-//! The parts of a request to an endpoint, and its results.
+//! Requests to endpoints and their results.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,65 +8,67 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-use super::BatchDeparture;
+use super::BatchSendState;
 
-/// One HTTP request to one endpoint, with one message or several. Messages are identified by their position.
+/// An HTTP request to an endpoint with one or more messages, each identified by its position.
 pub struct EndpointRequest {
-    /// The endpoint, by its number.
+    /// The endpoint that receives the request.
     pub endpoint: EndpointId,
-    /// The endpoint's address at the time when the request was decided.
+    /// The endpoint's address when the request was scheduled.
     pub address: SocketAddr,
-    /// The messages that the request delivers.
+    /// The messages of the request, in the order in which they are sent.
     pub messages: Vec<BatchMessage>,
-    /// Which of the messages are still sent, shared with the supervisor.
-    pub(super) departure: BatchDeparture,
-    /// Set to the `Retry-After` of a response whose body is late: the pause counts from the head.
+    /// Which of the messages are sent, shared with the supervisor.
+    pub(super) send_state: BatchSendState,
+    /// The `Retry-After` of a response whose body is late. Set early because the wait counts from the
+    /// response head.
     pub(super) early_retry_after: watch::Sender<Option<Duration>>,
 }
 
-/// One message of a request.
+/// A message of a request, with its response deadline.
 #[derive(Clone, Debug)]
 pub struct BatchMessage {
-    /// The message.
+    /// The message as it is sent to the endpoint.
     pub message: OutgoingMessage,
-    /// The time until which its result is waited for.
+    /// The time until which the result of the message is awaited.
     pub response_deadline: Instant,
 }
 
 impl EndpointRequest {
-    /// A request with these messages, none of which was sent or cancelled yet.
+    /// Creates a request with these messages, none of which is sent or cancelled.
     pub fn new(endpoint: EndpointId, address: SocketAddr, messages: Vec<BatchMessage>) -> EndpointRequest {
-        let (departure, early_retry_after) = (BatchDeparture::default(), watch::Sender::default());
-        EndpointRequest { endpoint, address, messages, departure, early_retry_after }
+        let (send_state, early_retry_after) = (BatchSendState::default(), watch::Sender::default());
+        EndpointRequest { endpoint, address, messages, send_state, early_retry_after }
     }
 }
 
-/// How one message of a request ended.
+/// The result of one message of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageResult {
     /// The message's position in its request.
     pub position: usize,
-    /// How its attempt ended.
+    /// The result of the delivery attempt for the message.
     pub result: AttemptResult,
 }
 
-/// The results of a request.
+/// The results of a request and the endpoint's state from its response.
 pub struct RequestResult {
-    /// How each message that was sent ended.
+    /// The result of each message. Withheld messages may be missing.
     pub results: Vec<MessageResult>,
-    /// The `Retry-After` of a response to a batch, which holds beside the results of its messages.
+    /// The `Retry-After` of a response, valid in addition to the results of the messages. `None` without one,
+    /// and for a response to a single message whose result carries it.
     pub retry_after: Option<Duration>,
-    /// The load report of the response.
+    /// The load report of the response. `None` if the response has none or is missing.
     pub load_report: Option<LoadReport>,
 }
 
 impl RequestResult {
-    /// Results without `Retry-After` and load report.
+    /// Creates results without a `Retry-After` and a load report.
     pub fn new(results: Vec<MessageResult>) -> RequestResult {
         RequestResult { results, retry_after: None, load_report: None }
     }
 
-    /// The same result for all of these positions.
+    /// Creates the same result for all of these positions.
     pub(super) fn same_for_all(
         positions: impl IntoIterator<Item = usize>,
         result: AttemptResult,
@@ -78,12 +80,12 @@
 
 /// The delivery attempt that a request makes for one of its messages.
 pub struct PendingAttempt {
-    /// The message.
+    /// The id of the message.
     pub message: MessageId,
-    /// Which of the message's attempts it is.
+    /// The number of the attempt among those of its message.
     pub number: AttemptNumber,
-    /// The latest time for its first byte; after that it is not sent.
+    /// The latest time for the first byte of the message. A message that is later is not sent.
     pub start_deadline: Instant,
-    /// Resolves when the attempt is cancelled. Dropping the sender cancels nothing.
+    /// Resolves when the attempt is cancelled. Dropping its sender does not cancel the attempt.
     pub cancelled: oneshot::Receiver<()>,
 }
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -1,4 +1,4 @@
-//! Sends one request on a connection and reads from its response how each message ended.
+//! Sends a request on a connection and reads the result of each message from the response.
 
 use std::convert::Infallible;
 use std::error::Error;
@@ -22,47 +22,48 @@
 use super::request::{BatchMessage, EndpointRequest, MessageResult, RequestResult};
 use crate::connections::{lock, Connection, ConnectionPool};
 
-/// How long the rest of a response is read before a result that is already certain is returned. If the rest arrives by
-/// then, a request that follows immediately can reuse the connection.
-const RESPONSE_REMAINDER_BEFORE_RESULT: Duration = Duration::from_millis(20);
-/// How long the rest is read in the background after that; then the connection is closed.
-const RESPONSE_REMAINDER_AFTER_RESULT: Duration = Duration::from_secs(2);
-/// The most bytes of a response body that are read. No response of the protocol is longer, and some never end.
+/// How long the rest of a response is read before a known result is returned. A connection whose response
+/// ends within this time is available to the next request.
+const REMAINDER_WAIT_BEFORE_RESULT: Duration = Duration::from_millis(20);
+/// How long the rest of a response is read in the background before the connection is closed.
+const REMAINDER_READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum number of bytes read from a response body, in case the body has no end.
 const MAX_RESPONSE_BYTES: usize = 2 * protocol::MAX_BODY_BYTES;
 
-/// Sends requests to endpoints. Dropping the future of one closes its connection and so cancels the request.
+/// Sends requests to endpoints. Dropping the future of a request closes its connection and cancels the
+/// request.
 ///
-/// Clones share one pool of connections and one set of background tasks; these are aborted with the last clone.
+/// Clones share one pool of connections and one set of background tasks. The tasks are aborted with the last
+/// clone.
 #[derive(Clone)]
 pub struct RequestSender {
-    /// The pool of connections to endpoints.
     connections: ConnectionPool,
     remainders: ResponseRemainders,
 }
 
 impl RequestSender {
-    /// A sender that uses the connections of this pool.
+    /// Creates a sender that uses the connections of this pool.
     pub fn new(connections: ConnectionPool) -> RequestSender {
         RequestSender { connections, remainders: ResponseRemainders::default() }
     }
 
-    /// The pool of connections to endpoints.
+    /// Returns the pool of connections to endpoints.
     pub fn connections(&self) -> &ConnectionPool {
         &self.connections
     }
 }
 
-/// Owns the tasks that read the rest of responses whose results are known. None of them holds a clone of this.
+/// The tasks that read the rest of responses whose results are known. No task holds a clone of this value.
 #[derive(Clone, Default)]
 struct ResponseRemainders(Arc<Mutex<JoinSet<()>>>);
 
 impl ResponseRemainders {
-    /// Starts a task that reads the rest of a response, and ends by its time limit at the latest.
+    /// Starts a task that reads the rest of a response within `REMAINDER_READ_TIMEOUT`.
     fn spawn(&self, remainder: impl Future<Output = ()> + Send + 'static) {
         let mut tasks = lock(&self.0);
         while tasks.try_join_next().is_some() {}
         tasks.spawn(async {
-            let _ = timeout(RESPONSE_REMAINDER_AFTER_RESULT, remainder).await;
+            let _ = timeout(REMAINDER_READ_TIMEOUT, remainder).await;
         });
     }
 }
@@ -87,27 +88,27 @@
     }
 }
 
-/// The messages of a request that are sent, by their positions in it. Never empty.
+/// The messages of a request that are sent, and their positions in the request. Never empty.
 struct SentBatch {
     positions: Vec<usize>,
     messages: Vec<OutgoingMessage>,
-    /// The latest time until which a response is waited for; sent to the endpoint as a time limit.
+    /// The latest response deadline of the messages, sent to the endpoint as a time limit.
     response_deadline: Instant,
 }
 
 impl SentBatch {
-    /// The message of a request with one message; None for a batch.
-    fn single(&self) -> Option<&OutgoingMessage> {
+    /// Returns the message of a request that carries only one. `None` for a batch.
+    fn single_message(&self) -> Option<&OutgoingMessage> {
         match &self.messages[..] {
             [message] => Some(message),
             _ => None,
         }
     }
 
-    /// The HTTP request that carries them, with the longest of their time limits.
+    /// Builds the HTTP request that carries the messages, with the longest of their time limits.
     fn http_request(&self, address: SocketAddr) -> Result<Request<Full<Bytes>>, AttemptResult> {
         let response_timeout = self.response_deadline.saturating_duration_since(Instant::now());
-        let request = match self.single() {
+        let request = match self.single_message() {
             Some(message) => protocol::single_request(address, message, response_timeout),
             None => protocol::batch_request(address, &self.messages, response_timeout),
         };
@@ -119,15 +120,15 @@
     }
 }
 
-/// The outcome of sending a request on one connection, up to the head of its response.
-enum Exchange {
-    /// The head was received, or the request failed.
+/// The outcome of sending a request on a connection, up to the head of its response.
+enum ExchangeOutcome {
+    /// The response head was received, or the request failed.
     Finished(Result<Response<Incoming>, AttemptResult>),
-    /// The status line says that the only message is completed; the rest of the head was not received in time.
+    /// The status line says 200 for a single message, but the rest of the head was not received in time.
     CompletedByStatusLine,
 }
 
-/// One request, from its connection to its results.
+/// A request in progress, from acquiring its connection to its results.
 struct RequestDelivery {
     connections: ConnectionPool,
     remainders: ResponseRemainders,
@@ -135,7 +136,7 @@
 }
 
 impl RequestDelivery {
-    /// Sends the request. An error is the result of every message, none of which was sent.
+    /// Sends the request. The error is the result of every message, none of which was sent.
     async fn run(self) -> Result<RequestResult, AttemptResult> {
         loop {
             let mut connection =
@@ -149,29 +150,31 @@
             };
             let http_request = batch
                 .http_request(self.request.address)
-                .inspect_err(|_| self.request.departure.revert_to_awaiting_connection())?;
+                .inspect_err(|_| self.request.send_state.revert_to_awaiting_connection())?;
             let response = match exchange(&mut connection, &batch, http_request).await {
-                Exchange::Finished(response) => response,
-                Exchange::CompletedByStatusLine => return Ok(batch.same_for_all(AttemptResult::Completed)),
+                ExchangeOutcome::Finished(response) => response,
+                ExchangeOutcome::CompletedByStatusLine => {
+                    return Ok(batch.same_for_all(AttemptResult::Completed))
+                }
             };
             if response.is_err() && connection.ended_while_idle() {
-                // No byte of it was sent, so that it may be sent on another connection.
-                self.request.departure.revert_to_awaiting_connection();
+                // No byte was sent, so the request may be sent on another connection.
+                self.request.send_state.revert_to_awaiting_connection();
                 continue;
             }
             match &response {
-                Ok(_) => self.connections.record_answer(&connection),
-                Err(_) => self.connections.record_break(&connection),
+                Ok(_) => self.connections.record_response(&connection),
+                Err(_) => self.connections.record_broken_connection(&connection),
             }
             return Ok(self.read_results(connection, response, &batch).await);
         }
     }
 
-    /// Decides which messages are sent, now that the connection is open: conditions may have changed since the request
-    /// was decided on. An error is the result of every message.
+    /// Selects the messages to send after the connection is open, because messages may have expired or been
+    /// cancelled meanwhile. The error is the result of every message.
     fn start_sending(&self) -> Result<SentBatch, AttemptResult> {
         self.connections.check_may_send(self.request.endpoint)?;
-        let positions = self.request.departure.start_sending(self.request.messages.len());
+        let positions = self.request.send_state.start_sending(self.request.messages.len());
         let batch: Vec<&BatchMessage> =
             positions.iter().map(|position| &self.request.messages[*position]).collect();
         let response_deadline =
@@ -180,31 +183,31 @@
         Ok(SentBatch { positions, messages, response_deadline })
     }
 
-    /// Returns a connection to the pool on which nothing was sent.
+    /// Returns a connection on which nothing was sent to the pool.
     async fn return_unused(&self, mut connection: Connection) {
-        self.request.departure.revert_to_awaiting_connection();
+        self.request.send_state.revert_to_awaiting_connection();
         if connection.ready().await {
             self.connections.release(self.request.endpoint, connection);
         }
     }
 
-    /// Reads how each message ended.
+    /// Reads the result of each message from the response.
     async fn read_results(
         &self,
         connection: Connection,
         response: Result<Response<Incoming>, AttemptResult>,
         batch: &SentBatch,
     ) -> RequestResult {
-        let single = batch.single().is_some();
+        let single = batch.single_message().is_some();
         let (head, body) = match response {
             Ok(response) => response.into_parts(),
-            // The library could not read the head, but its first line is known.
+            // The HTTP library could not parse the head, but the status line says 200.
             Err(_) if single && connection.status_is_ok() => {
                 return batch.same_for_all(AttemptResult::Completed)
             }
             Err(result) => return batch.same_for_all(result),
         };
-        if connection.is_new() && protocol::rejects_connection(&head) {
+        if connection.is_first_request() && protocol::rejects_connection(&head) {
             self.connections.connection_rejected(self.request.endpoint);
         }
         let load_report = protocol::parse_load_report(&head);
@@ -217,25 +220,27 @@
         RequestResult { load_report, ..result }
     }
 
-    /// Reads the rest of a response whose result is known, so that the connection can be reused. Waits only shortly for
-    /// it; then the rest is read in the background.
+    /// Reads the rest of a response whose result is known, so that the connection can be reused. After a
+    /// short wait the rest is read in the background.
     async fn finish_in_background(&self, connection: Connection, body: Incoming) {
         let remainder = read_remainder(self.connections.clone(), self.request.endpoint, connection, body);
         let mut remainder = Box::pin(remainder);
-        if timeout(RESPONSE_REMAINDER_BEFORE_RESULT, &mut remainder).await.is_err() {
+        if timeout(REMAINDER_WAIT_BEFORE_RESULT, &mut remainder).await.is_err() {
             self.remainders.spawn(remainder);
         }
     }
 
-    /// Reads the body of a response. Where it is late, the `Retry-After` in the head is reported meanwhile: the pause
-    /// has begun, and no other request may be sent to the endpoint while the body is outstanding.
+    /// Reads the body of a response.
+    ///
+    /// If the body is late, the `Retry-After` of the head is reported first, because the wait counts from the
+    /// head and no other request may be sent to the endpoint meanwhile.
     async fn read_body(
         &self,
         head: &response::Parts,
         body: Incoming,
     ) -> Result<Collected<Bytes>, Box<dyn Error + Send + Sync>> {
         let mut whole_body = pin!(Limited::new(body, MAX_RESPONSE_BYTES).collect());
-        if let Ok(body) = timeout(RESPONSE_REMAINDER_BEFORE_RESULT, &mut whole_body).await {
+        if let Ok(body) = timeout(REMAINDER_WAIT_BEFORE_RESULT, &mut whole_body).await {
             return body;
         }
         if let Some(retry_after) = protocol::parse_retry_after(head) {
@@ -244,7 +249,7 @@
         whole_body.await
     }
 
-    /// Reads a response whose results are in the body, or are proven only by a complete response.
+    /// Reads a response whose results are in the body, or that is valid only if it is complete.
     async fn read_whole_response(
         &self,
         mut connection: Connection,
@@ -253,7 +258,7 @@
         batch: &SentBatch,
     ) -> RequestResult {
         let Ok(body) = self.read_body(head, body).await else {
-            // The `Retry-After` is in the head, and is valid even if the body is not.
+            // The `Retry-After` is in the head and is valid even if the body is incomplete.
             let retry_after = protocol::parse_retry_after(head);
             return RequestResult { retry_after, ..batch.same_for_all(AttemptResult::MalformedResponse) };
         };
@@ -263,34 +268,38 @@
         } else {
             BodyEnd::Unconfirmed
         };
-        if batch.single().is_some() {
+        if batch.single_message().is_some() {
             return batch.same_for_all(protocol::parse_attempt_result(head));
         }
         let body = BatchResponseBody { bytes: &body.to_bytes(), end };
         let results = protocol::parse_batch_results(head, body, &batch.messages);
-        let members = batch.positions.iter().zip(results);
+        let sent_results = batch.positions.iter().zip(results);
         let results =
-            members.map(|(position, result)| MessageResult { position: *position, result }).collect();
+            sent_results.map(|(position, result)| MessageResult { position: *position, result }).collect();
         RequestResult { retry_after: protocol::parse_retry_after(head), ..RequestResult::new(results) }
     }
 }
 
-/// Sends a request and waits for the head of its response; for a single message no longer than shortly after a
-/// status line that says 200, as the rest of the head may have no end, or can't be read.
+/// Sends a request and waits for the head of its response.
+///
+/// For a single message, waits only a short time after a status line that says 200, because the rest of the
+/// head may be endless or invalid.
 async fn exchange(
     connection: &mut Connection,
     batch: &SentBatch,
     http_request: Request<Full<Bytes>>,
-) -> Exchange {
+) -> ExchangeOutcome {
     let ok_status = connection.wait_for_ok_status();
     let completed_by_status_line = async {
         ok_status.await;
-        sleep(RESPONSE_REMAINDER_BEFORE_RESULT).await;
+        sleep(REMAINDER_WAIT_BEFORE_RESULT).await;
     };
     tokio::select! {
         biased;
-        response = connection.send(http_request) => Exchange::Finished(response),
-        () = completed_by_status_line, if batch.single().is_some() => Exchange::CompletedByStatusLine,
+        response = connection.send(http_request) => ExchangeOutcome::Finished(response),
+        () = completed_by_status_line, if batch.single_message().is_some() => {
+            ExchangeOutcome::CompletedByStatusLine
+        }
     }
 }
 
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -1,4 +1,4 @@
-//! Waits for one request with the time limits and cancellations of its messages, and reports each message's result.
+//! Waits for a request, applies the time limits and cancellations of its messages, and reports their results.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -12,20 +12,20 @@
 use tokio::time::{sleep_until, Instant};
 use tower::{Service, ServiceExt};
 
-use super::departure::{BatchDeparture, MessageDeparture};
 use super::request::{BatchMessage, EndpointRequest, MessageResult, PendingAttempt, RequestResult};
+use super::send_state::{BatchSendState, MessageSendStatus};
 use crate::events::Event;
 
-/// Sends a request and reports to the event loop how each message ended. Once no message is waited for any more, the
-/// connection is closed.
+/// Sends a request and reports the result of each message to the event loop. When every message has its
+/// result, the connection is closed.
 pub async fn run_request(
     request_sender: impl Service<EndpointRequest, Response = RequestResult, Error = Infallible>,
     request: EndpointRequest,
     attempts: Vec<PendingAttempt>,
     event_loop: mpsc::Sender<Event>,
 ) {
-    let departure = request.departure.clone();
-    departure.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_deadline).collect());
+    let send_state = request.send_state.clone();
+    send_state.set_start_deadlines(attempts.iter().map(|attempt| attempt.start_deadline).collect());
     let mut supervisor = Supervisor::new(&request, &attempts, event_loop);
     let mut interruptions = watch_interruptions(&request, attempts);
     let mut early_retry_after = request.early_retry_after.subscribe();
@@ -35,7 +35,7 @@
             biased;
             Ok(result) = running => {
                 exchange = None;
-                supervisor.request_finished(result).await
+                supervisor.handle_request_result(result).await
             }
             Ok(()) = early_retry_after.changed() => {
                 let retry_after = *early_retry_after.borrow_and_update();
@@ -45,16 +45,16 @@
                 continue;
             }
             Some(first) = interruptions.next() => {
-                // What is interrupted in the same instant is reported together, so that no message of it is sent
-                // anew while the request is still in flight for the others.
+                // Interruptions at the same time are reported together. Otherwise a message could be retried
+                // while the request is still in flight for the others.
                 let mut interrupted = vec![first];
                 while let Some(Some(next)) = interruptions.next().now_or_never() {
                     interrupted.push(next);
                 }
-                interrupted.into_iter().map(|interruption| interruption.withdraw(&departure)).collect()
+                interrupted.into_iter().map(|interruption| interruption.withdraw(&send_state)).collect()
             }
         };
-        let reports = supervisor.finish(finished);
+        let reports = supervisor.record_results(finished);
         if !supervisor.any_unfinished() {
             // The connection is closed before the results are reported.
             exchange = None;
@@ -63,36 +63,36 @@
     }
 }
 
-/// Why a message is not waited for any longer while its request is still in flight.
+/// Why the result of a message is no longer awaited while its request is in flight.
 #[derive(Clone, Copy)]
 enum InterruptionCause {
-    /// Its time is up, for the result or for the first byte.
+    /// The deadline for the result or for the first byte has passed.
     TimedOut,
     /// The attempt was cancelled.
     Cancelled,
 }
 
-/// A message that is not waited for any longer.
+/// A message whose result is no longer awaited.
 struct Interruption {
     position: usize,
     cause: InterruptionCause,
 }
 
 impl Interruption {
-    /// Withdraws the message, and returns its result, which says whether it was sent before.
-    fn withdraw(self, departure: &BatchDeparture) -> MessageResult {
-        let result = match (departure.withdraw(self.position), self.cause) {
-            // No connection was open by then.
-            (MessageDeparture::Withheld, InterruptionCause::TimedOut) => AttemptResult::ConnectTimedOut,
-            (MessageDeparture::Withheld, InterruptionCause::Cancelled) => AttemptResult::NotSent,
-            (MessageDeparture::Sent, InterruptionCause::TimedOut) => AttemptResult::TimedOut,
-            (MessageDeparture::Sent, InterruptionCause::Cancelled) => AttemptResult::Cancelled,
+    /// Withdraws the message and returns its result, which depends on whether the message was sent.
+    fn withdraw(self, send_state: &BatchSendState) -> MessageResult {
+        let result = match (send_state.withdraw(self.position), self.cause) {
+            // The connection was not open in time.
+            (MessageSendStatus::Withheld, InterruptionCause::TimedOut) => AttemptResult::ConnectTimedOut,
+            (MessageSendStatus::Withheld, InterruptionCause::Cancelled) => AttemptResult::NotSent,
+            (MessageSendStatus::Sent, InterruptionCause::TimedOut) => AttemptResult::TimedOut,
+            (MessageSendStatus::Sent, InterruptionCause::Cancelled) => AttemptResult::Cancelled,
         };
         MessageResult { position: self.position, result }
     }
 }
 
-/// Waits for the interruption of each message of a request.
+/// Returns a stream of the interruptions of a request's messages.
 fn watch_interruptions(
     request: &EndpointRequest,
     attempts: Vec<PendingAttempt>,
@@ -100,28 +100,28 @@
     let members = attempts.into_iter().zip(&request.messages).enumerate();
     let interruptions = members.map(|(position, (attempt, message))| {
         let PendingAttempt { start_deadline, cancelled, .. } = attempt;
-        interruption(
+        wait_for_interruption(
             position,
             start_deadline,
             message.response_deadline,
             cancelled,
-            request.departure.clone(),
+            request.send_state.clone(),
         )
     });
     interruptions.collect()
 }
 
-/// Waits until the message at a position is not waited for any longer.
-async fn interruption(
+/// Waits until the message at a position times out or is cancelled.
+async fn wait_for_interruption(
     position: usize,
     start_deadline: Instant,
     response_deadline: Instant,
     cancelled: oneshot::Receiver<()>,
-    departure: BatchDeparture,
+    send_state: BatchSendState,
 ) -> Interruption {
     let not_sent_in_time = async {
         sleep_until(start_deadline).await;
-        if departure.was_sent(position) {
+        if send_state.was_sent(position) {
             std::future::pending().await
         }
     };
@@ -133,7 +133,7 @@
     Interruption { position, cause }
 }
 
-/// Which attempt of which message a result is reported for.
+/// The attempt that a result is reported for.
 struct AttemptId {
     message: MessageId,
     number: AttemptNumber,
@@ -145,18 +145,18 @@
     result: AttemptResult,
 }
 
-/// One message of a request, until its result is known.
+/// A message of a request, tracked until its result is known.
 struct SupervisedMessage {
-    /// None once its result is known.
+    /// The attempt for the message. `None` once its result is known.
     unfinished: Option<AttemptId>,
-    /// Until when its result is waited for.
+    /// The time until which the result is awaited.
     response_deadline: Instant,
 }
 
-/// Which messages of a request have no result yet.
+/// Tracks which messages of a request have no result yet.
 struct Supervisor {
     endpoint: EndpointId,
-    /// By position in the request.
+    /// The messages, by position in the request.
     messages: Vec<SupervisedMessage>,
     event_loop: mpsc::Sender<Event>,
 }
@@ -175,19 +175,18 @@
         Supervisor { endpoint: request.endpoint, messages, event_loop }
     }
 
-    /// Whether any message has no result yet.
+    /// Returns whether any message has no result yet.
     fn any_unfinished(&self) -> bool {
         self.messages.iter().any(|message| message.unfinished.is_some())
     }
 
-    /// Handles the end of the request: reports what its response says about the endpoint, and returns each message's
-    /// result.
-    async fn request_finished(&self, request: RequestResult) -> Vec<MessageResult> {
-        self.report_endpoint(&request).await;
+    /// Reports the endpoint's state from the response, and returns the result of each message.
+    async fn handle_request_result(&self, request: RequestResult) -> Vec<MessageResult> {
+        self.report_endpoint_state(&request).await;
         let now = Instant::now();
-        let results = request.results.into_iter().map(|result| self.in_time(result, now));
+        let results = request.results.into_iter().map(|result| self.apply_response_deadline(result, now));
         let mut results: Vec<MessageResult> = results.collect();
-        // A message that was withheld may have no interruption yet, though its start deadline has passed.
+        // A withheld message may not have been interrupted yet, even though its start deadline has passed.
         let withheld = |position: &usize| !results.iter().any(|result| result.position == *position);
         let withheld: Vec<usize> = (0..self.messages.len()).filter(withheld).collect();
         let not_sent = |position| MessageResult { position, result: AttemptResult::NotSent };
@@ -195,8 +194,9 @@
         results
     }
 
-    /// Sends the load report and the `Retry-After` of a response to the event loop, before its results.
-    async fn report_endpoint(&self, request: &RequestResult) {
+    /// Sends the load report and the `Retry-After` of a response to the event loop. Must be called before the
+    /// results are reported.
+    async fn report_endpoint_state(&self, request: &RequestResult) {
         let endpoint = self.endpoint;
         if let Some(report) = request.load_report {
             let _ = self.event_loop.send(Event::LoadReported { endpoint, report }).await;
@@ -210,9 +210,11 @@
         let _ = self.event_loop.send(Event::RetryAfter { endpoint: self.endpoint, retry_after }).await;
     }
 
-    /// Turns a completion after the time limit into a timeout: the endpoint knows the limit, so that a later completion
-    /// is no delivery. A result that proves that the message was not executed stays valid.
-    fn in_time(&self, finished: MessageResult, now: Instant) -> MessageResult {
+    /// Replaces a completion after the response deadline with a timeout, because the endpoint knows the
+    /// deadline.
+    ///
+    /// A late result that proves that the message was not executed remains valid.
+    fn apply_response_deadline(&self, finished: MessageResult, now: Instant) -> MessageResult {
         let late =
             self.messages.get(finished.position).is_some_and(|message| message.response_deadline <= now);
         match finished.result {
@@ -221,8 +223,8 @@
         }
     }
 
-    /// Records results; returns those of messages that had none before.
-    fn finish(&mut self, finished: Vec<MessageResult>) -> Vec<AttemptReport> {
+    /// Records results and returns reports for the messages that had none before.
+    fn record_results(&mut self, finished: Vec<MessageResult>) -> Vec<AttemptReport> {
         let take = |MessageResult { position, result }| {
             let attempt = self.messages.get_mut(position)?.unfinished.take()?;
             Some(AttemptReport { attempt, result })
@@ -230,10 +232,9 @@
         finished.into_iter().filter_map(take).collect()
     }
 
-    /// Sends results to the event loop.
     async fn report(&self, reports: Vec<AttemptReport>) {
         for AttemptReport { attempt: AttemptId { message, number }, result } in reports {
-            // The event loop ends with the program only.
+            // The event loop runs until the process ends.
             let _ = self.event_loop.send(Event::AttemptFinished { message, number, result }).await;
         }
     }
