--- a/crates/forwarder/tests/loopback/batches.rs
+++ b/crates/forwarder/tests/loopback/batches.rs
@@ -1,4 +1,4 @@
-//! Several messages in one request: which travel together, in which order, and how each of them ends.
+//! Batch requests: which messages they carry, in which order, and the result of each message.
 
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -10,7 +10,7 @@
 use crate::support::*;
 
 #[test]
-fn messages_for_one_endpoint_travel_as_a_batch_and_each_has_its_own_result() {
+fn batch_carries_messages_for_one_endpoint_with_a_result_for_each() {
     run_test(async {
         let test_bed = TestBed::new(|m| match m.start_line.contains("/events/bundle") {
             true => ScriptedResponse::ok_with_body("o1 accepted\r\no2 fault\r\no3 deferred\r\n"),
@@ -27,7 +27,9 @@
         let frames = ["o1", "o2", "o3"].map(|id| format!("{id} - 10\r\nbody of it\r\n"));
         assert_eq!(batch.body, frames.concat());
         test_bed.wait_for_notice(r#"{"id":"o2","status":"undeliverable"}"#).await;
-        let retry = wait_for("the deferred one", || test_bed.endpoint.received().get(1).cloned()).await;
+        let retry =
+            wait_for("the retry of the deferred message", || test_bed.endpoint.received().get(1).cloned())
+                .await;
         assert_eq!(retry.id(), "o3");
         assert!(!test_bed.notices().contains("o1") && !test_bed.notices().contains("o3"));
         forwarder.kill();
@@ -35,7 +37,7 @@
 }
 
 #[test]
-fn the_largest_bodies_travel_each_in_a_request_of_its_own() {
+fn largest_bodies_are_sent_in_separate_requests() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
@@ -52,11 +54,12 @@
 }
 
 #[test]
-fn the_message_with_the_longest_attempt_timeout_leads_its_batch() {
+fn message_with_longest_attempt_timeout_is_first_in_its_batch() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
         let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
-        // Attempts of non-idempotent messages may take twice as long; by age this one would come last.
+        // Attempts of non-idempotent messages have twice the timeout. In order of age this message would be
+        // last.
         for (id, class) in [("first", "note"), ("second", "note"), ("third", "order")] {
             assert_eq!(forwarder.submit(id, class).await, 202);
         }
@@ -65,7 +68,7 @@
         let frames = request.body.lines().filter_map(|line| line.split_once(" - "));
         let ids: Vec<_> = frames.map(|(id, _)| id).collect();
         assert_eq!(ids, ["third", "first", "second"]);
-        // What is left of its second as the request begins, and not the half second of the notes.
+        // The remaining part of its attempt timeout of 1 s, not the 500 ms of the notes.
         let budget: f64 = request.headers["x-budget"].parse().unwrap();
         assert!(budget > 0.5 && budget <= 1.0, "{budget}");
         forwarder.kill();
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn an_idempotency_key_travels_with_its_message_in_batches_alone_and_after_a_restart() {
+fn idempotency_key_is_sent_in_batches_in_single_requests_and_after_a_restart() {
     run_test(async {
         let test_bed = TestBed::new(|m| match m.start_line.contains("/events/bundle") {
             true => ScriptedResponse::CloseConnection,
@@ -90,7 +93,7 @@
         }
         forwarder.kill();
         let forwarder = test_bed.start_forwarder().await;
-        // Messages of a batch that was reset are retried, in the end each alone.
+        // Messages of a batch that was reset are retried, finally in single requests.
         test_bed.wait_until_all_finished().await;
         let (batches, singles): (Vec<_>, Vec<_>) =
             test_bed.endpoint.received().into_iter().partition(|m| m.start_line.contains("/events/bundle"));
@@ -110,30 +113,31 @@
     });
 }
 
-/// Ids of all messages that a request carries.
+/// Returns the ids of all messages in a request.
 fn ids_in(request: &HttpMessage) -> BTreeSet<String> {
     let single = request.headers.get("x-call-id").cloned();
     let frames = request.body.lines().filter(|line| line.ends_with(" - 10"));
     single.into_iter().chain(frames.map(|line| line[..2].into())).collect()
 }
 
-/// Whether the other side still holds this connection open.
+/// Returns whether the other side keeps this connection open.
 fn is_open(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock)
 }
 
-/// Two requests that are scheduled together do not travel as one: else the messages of the first could be retried while
-/// the request that carries them is still in flight for those of the second.
+/// Guards against merging two requests that are scheduled together. The messages of one could then be retried
+/// while the merged request is still in flight for the messages of the other.
 #[test]
-fn no_message_is_retried_while_the_request_that_carried_it_is_in_flight() {
+fn message_is_not_retried_while_its_request_is_in_flight() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::CloseConnection).await.without_hedging();
         let endpoint = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = endpoint.local_addr().unwrap();
         let draining = list_entry("t", address, 3, "Terminating");
         let forwarder = test_bed.start_forwarder_with_list(endpoint_list(1, true, &[draining])).await;
-        // Queued until the endpoint takes requests: four notes fill one, and attempts of orders may take longer.
+        // The messages are queued until the endpoint is active. Four notes fill one request, and orders have
+        // a longer attempt timeout.
         for id in ["n1", "n2", "n3", "n4"] {
             assert_eq!(forwarder.submit(id, "note").await, 202);
         }
--- a/crates/forwarder/tests/loopback/deadlines.rs
+++ b/crates/forwarder/tests/loopback/deadlines.rs
@@ -1,5 +1,4 @@
-//! Attempts that end before their request has left, or in the instant in which its response arrives. Each test forces
-//! the two to cross.
+//! Attempts that end before their request is sent or at the time when its response arrives.
 
 use std::collections::BTreeMap;
 
@@ -12,50 +11,51 @@
 
 use crate::support::*;
 
-/// Sends one message to an endpoint on which no connection comes up, and returns how its attempt ends.
-async fn result_without_a_connection(attempt_limit_ms: u64, cancelled: bool) -> AttemptResult {
+/// Sends a message to an endpoint that accepts no connection, and returns the result of its attempt.
+async fn result_without_connection(attempt_limit_ms: u64, cancelled: bool) -> AttemptResult {
     let endpoint = SaturatedEndpoint::new();
     let (sender, mut events) = mpsc::channel(4);
     let request = request(endpoint.address, &[("a", ms(attempt_limit_ms))]);
-    let (attempts, mut cancels) = pending_attempts(&request, NEVER_REACHED);
-    let sending = tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
+    let (attempts, mut cancels) = pending_attempts(&request, LONG_TIMEOUT);
+    let sending =
+        tokio::spawn(run_request(request_sender_with_long_connect_timeout(), request, attempts, sender));
     if cancelled {
         cancels.remove(0).send(()).unwrap();
     }
     let Some(Event::AttemptFinished { result, .. }) = events.recv().await else {
-        panic!("expected its result")
+        panic!("expected the result of the attempt")
     };
     sending.await.unwrap();
     result
 }
 
 #[test]
-fn an_attempt_that_times_out_before_its_connection_came_up_never_ran() {
+fn attempt_that_times_out_before_connecting_is_proven_not_executed() {
     run_test(async {
-        let result = result_without_a_connection(100, false).await;
+        let result = result_without_connection(100, false).await;
         assert_eq!(result, AttemptResult::ConnectTimedOut);
         assert!(result.outcome().proves_not_executed());
     });
 }
 
 #[test]
-fn an_attempt_that_is_cancelled_before_its_connection_came_up_never_ran() {
+fn attempt_cancelled_before_connecting_is_proven_not_executed() {
     run_test(async {
-        let result = result_without_a_connection(20_000, true).await;
+        let result = result_without_connection(20_000, true).await;
         assert_eq!(result, AttemptResult::NotSent);
         assert!(result.outcome().proves_not_executed());
     });
 }
 
 #[test]
-fn an_attempt_that_ended_while_its_connection_came_up_is_not_sent_with_the_others() {
+fn attempt_that_ends_while_connecting_is_left_out_of_its_batch() {
     run_test(async {
         let endpoint = SaturatedEndpoint::new();
         let (sender, mut events) = mpsc::channel(4);
-        let messages = [("stays", NEVER_REACHED), ("late", ms(100)), ("cancelled", NEVER_REACHED)];
+        let messages = [("stays", LONG_TIMEOUT), ("late", ms(100)), ("cancelled", LONG_TIMEOUT)];
         let request = request(endpoint.address, &messages);
-        let (attempts, mut cancels) = pending_attempts(&request, NEVER_REACHED);
-        tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
+        let (attempts, mut cancels) = pending_attempts(&request, LONG_TIMEOUT);
+        tokio::spawn(run_request(request_sender_with_long_connect_timeout(), request, attempts, sender));
         cancels.remove(2).send(()).unwrap();
         assert_eq!(next_result(&mut events).await, ("cancelled".into(), AttemptResult::NotSent));
         assert_eq!(next_result(&mut events).await, ("late".into(), AttemptResult::ConnectTimedOut));
@@ -68,15 +68,15 @@
 }
 
 #[test]
-fn an_attempt_past_its_start_limit_as_its_connection_comes_up_never_ran() {
+fn attempt_past_its_start_deadline_when_connected_is_proven_not_executed() {
     run_test(async {
         let endpoint = SaturatedEndpoint::new();
         let (sender, mut events) = mpsc::channel(4);
-        let request = request(endpoint.address, &[("a", NEVER_REACHED), ("b", NEVER_REACHED)]);
-        let (mut attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
-        // Its idempotency key runs out, say, long before the response would time out.
+        let request = request(endpoint.address, &[("a", LONG_TIMEOUT), ("b", LONG_TIMEOUT)]);
+        let (mut attempts, _cancels) = pending_attempts(&request, LONG_TIMEOUT);
+        // For example, the idempotency key expires long before the response deadline.
         attempts[0].start_deadline = Instant::now() + ms(100);
-        tokio::spawn(run_request(patient_request_sender(), request, attempts, sender));
+        tokio::spawn(run_request(request_sender_with_long_connect_timeout(), request, attempts, sender));
         let (id, result) = next_result(&mut events).await;
         assert_eq!(
             (id.as_str(), result, result.outcome().proves_not_executed()),
@@ -88,18 +88,18 @@
 }
 
 #[test]
-fn an_attempt_past_its_start_limit_is_not_sent_on_a_kept_connection_either() {
+fn attempt_past_its_start_deadline_is_not_sent_on_an_idle_connection() {
     run_test(async {
         let endpoint = StubServer::start(|_| ScriptedResponse::ok()).await;
         let (sender, mut events) = mpsc::channel(4);
-        let request_sender = patient_request_sender();
+        let request_sender = request_sender_with_long_connect_timeout();
         let first = request_to(&endpoint, "first");
-        let (attempts, _cancels) = pending_attempts(&first, NEVER_REACHED);
+        let (attempts, _cancels) = pending_attempts(&first, LONG_TIMEOUT);
         run_request(request_sender.clone(), first, attempts, sender.clone()).await;
         assert_eq!(next_result(&mut events).await, ("first".into(), AttemptResult::Completed));
-        let both = request(endpoint.address, &[("late", NEVER_REACHED), ("in-time", NEVER_REACHED)]);
-        let (mut attempts, _cancels) = pending_attempts(&both, NEVER_REACHED);
-        // Its idempotency key has run out, say, while the write-ahead log was written.
+        let both = request(endpoint.address, &[("late", LONG_TIMEOUT), ("in-time", LONG_TIMEOUT)]);
+        let (mut attempts, _cancels) = pending_attempts(&both, LONG_TIMEOUT);
+        // For example, the idempotency key expired while the write-ahead log was written.
         attempts[0].start_deadline = Instant::now();
         run_request(request_sender, both, attempts, sender).await;
         let mut results = BTreeMap::from([next_result(&mut events).await, next_result(&mut events).await]);
@@ -112,14 +112,14 @@
 }
 
 #[test]
-fn a_response_in_the_instant_of_the_timeout_does_not_complete_its_attempt() {
+fn response_at_the_time_of_the_timeout_does_not_complete_its_attempt() {
     run_test(async {
         let nowhere = "127.0.0.1:9".parse().unwrap();
         for result in [AttemptResult::Completed, AttemptResult::Rejected { retry_after: None }] {
             let (sender, mut events) = mpsc::channel(4);
-            let request = request(nowhere, &[("late", ms(20)), ("longer", NEVER_REACHED)]);
-            let (attempts, _cancels) = pending_attempts(&request, NEVER_REACHED);
-            // Blocks this thread until the first has timed out, and has the response ready then.
+            let request = request(nowhere, &[("late", ms(20)), ("longer", LONG_TIMEOUT)]);
+            let (attempts, _cancels) = pending_attempts(&request, LONG_TIMEOUT);
+            // Blocks the thread until the first message has timed out, and returns the response at that time.
             let responds_late = tower::service_fn(move |request: EndpointRequest| async move {
                 while Instant::now() < request.messages[0].response_deadline {
                     std::hint::spin_loop();
--- a/crates/forwarder/tests/loopback/endpoint_connections.rs
+++ b/crates/forwarder/tests/loopback/endpoint_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints between two requests: which are kept idle, and which are closed or left unused.
+//! Connections to endpoints between requests: which are kept idle, closed or not reused.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -15,7 +15,7 @@
 const UNAVAILABLE_AND_CLOSE: &str =
     "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// Sends one message to the endpoint of this number, and returns how its attempt ends.
+/// Sends a message to the endpoint with this number, and returns the result of its attempt.
 async fn send_to(request_sender: &mut RequestSender, endpoint: u32, server: &StubServer) -> AttemptResult {
     let mut request = request_to(server, "a");
     request.endpoint = EndpointId(endpoint);
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_endpoint_would_close_it() {
+fn idle_connection_is_closed_before_the_endpoint_closes_it() {
     run_test(async {
-        let test_bed = TestBed::with_working_endpoint().await.with_idle_limit(ms(600));
+        let test_bed = TestBed::with_working_endpoint().await.with_endpoint_idle_timeout(ms(600));
         let forwarder = test_bed.start_forwarder().await;
         assert_eq!(forwarder.submit("a", "note").await, 202);
         test_bed.endpoint.wait_for_closed_connections(1).await;
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn once_kept_connections_were_found_dead_those_as_long_idle_are_not_used() {
+fn connections_idle_as_long_as_broken_ones_are_not_reused() {
     run_test(async {
         let last_used = Mutex::new(BTreeMap::<usize, Instant>::new());
         let test_bed = TestBed::new(move |m| {
-            // A middlebox that drops connections after a tenth of a second, and notifies neither side.
+            // Acts like a middlebox that drops connections idle for 100 ms without notifying either side.
             let before = last_used.lock().unwrap().insert(m.connection, Instant::now());
             match before.is_some_and(|before| before.elapsed() > ms(100)) {
                 true => ScriptedResponse::CloseConnection,
@@ -51,25 +51,26 @@
         .await;
         let forwarder = test_bed.start_forwarder().await;
         for n in 0..10 {
-            // The first finds none kept, six find theirs dead, and after them come those that must not be sent twice.
+            // The first request opens a connection, the next six reuse a dead one, and the last three carry
+            // messages that must not be sent twice.
             let class = if n < 7 { "note" } else { "order" };
             assert_eq!(forwarder.submit(&format!("e{n}"), class).await, 202);
             test_bed.wait_until_all_finished().await;
             sleep(ms(200)).await;
         }
         assert_eq!(test_bed.notices(), "");
-        assert_eq!(test_bed.endpoint.received().len(), 16, "six were sent twice");
+        assert_eq!(test_bed.endpoint.received().len(), 16, "expected six messages to be sent twice");
         forwarder.kill();
     });
 }
 
 #[test]
-fn after_a_refused_connection_none_of_that_endpoint_kind_is_kept_idle() {
+fn rejected_connection_stops_idle_connections_to_its_endpoint_kind() {
     run_test(async {
         let open = StubServer::start(|_| ScriptedResponse::ok()).await;
         let other = StubServer::start(|_| ScriptedResponse::ok()).await;
         let full = StubServer::start(|_| ScriptedResponse::SendAndClose(UNAVAILABLE_AND_CLOSE.into())).await;
-        let mut request_sender = patient_request_sender();
+        let mut request_sender = request_sender_with_long_connect_timeout();
         for (endpoint, kind) in [(1, "small"), (2, "small"), (3, "large")] {
             request_sender.connections().endpoint_listed(EndpointId(endpoint), kind, EndpointState::Active);
         }
@@ -79,8 +80,12 @@
                 (AttemptResult::Completed, AttemptResult::Completed)
             );
         }
-        assert!(open.received().iter().all(|m| m.connection == 0), "kept while nothing is known");
-        // The refusal closes the other's idle connection too: one of the same kind may be what is in the way.
+        assert!(
+            open.received().iter().all(|m| m.connection == 0),
+            "expected the connection to be kept before any rejection"
+        );
+        // The rejection also closes the idle connection to the other endpoint of the kind, which may count
+        // against its limit.
         assert_eq!(
             send_to(&mut request_sender, 2, &full).await,
             AttemptResult::Rejected { retry_after: None }
@@ -91,16 +96,19 @@
             open.wait_for_closed_connections(n + 1).await;
             assert_eq!(send_to(&mut request_sender, 3, &other).await, AttemptResult::Completed);
         }
-        assert!(other.received().iter().all(|m| m.connection == 0), "a kind that takes connections");
+        assert!(
+            other.received().iter().all(|m| m.connection == 0),
+            "expected connections to the other kind to be kept"
+        );
     });
 }
 
 #[test]
-fn a_rejection_on_a_kept_connection_does_not_stop_its_kind_from_being_kept_idle() {
+fn rejection_on_a_reused_connection_does_not_stop_idle_connections_to_its_kind() {
     run_test(async {
         let leaving = StubServer::start(|_| ScriptedResponse::ok()).await;
         let open = StubServer::start(|_| ScriptedResponse::ok()).await;
-        let mut request_sender = patient_request_sender();
+        let mut request_sender = request_sender_with_long_connect_timeout();
         for endpoint in [1, 2] {
             request_sender.connections().endpoint_listed(
                 EndpointId(endpoint),
@@ -122,14 +130,14 @@
 }
 
 #[test]
-fn an_address_that_passes_to_a_new_endpoint_gets_a_new_connection() {
+fn new_endpoint_at_a_known_address_gets_a_new_connection() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
         assert_eq!(forwarder.submit("a", "note").await, 202);
         test_bed.wait_until_all_finished().await;
         let address = test_bed.endpoint.address;
-        // The old endpoint goes on serving those that are connected to it.
+        // The old endpoint still serves its open connections.
         let successor = list_entry("u", address, 4, "Ready");
         let change = endpoint_list(2, false, &[test_bed.endpoint_entry("Terminating"), successor]);
         test_bed.publish_list_update(change);
@@ -141,7 +149,7 @@
         assert_eq!((second.id(), second.connection), ("b", 1));
         test_bed.wait_until_all_finished().await;
         test_bed.publish_list_update(endpoint_list(3, false, &[test_bed.endpoint_entry("Gone")]));
-        // That of the old endpoint.
+        // The idle connection of the old endpoint is closed.
         test_bed.endpoint.wait_for_closed_connections(1).await;
         forwarder.kill();
     });
--- a/crates/forwarder/tests/loopback/endpoint_list.rs
+++ b/crates/forwarder/tests/loopback/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! Changes of the endpoint list while messages wait for them.
+//! Changes of the endpoint list while messages are pending.
 
 use tokio::time::sleep;
 
 use crate::support::*;
 
 #[test]
-fn a_message_that_found_no_connection_goes_to_the_address_of_the_next_list() {
+fn message_without_a_connection_is_sent_to_the_address_in_the_next_list() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let unreachable = list_entry("t", "127.0.0.1:1".parse().unwrap(), 3, "Ready");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_again() {
+fn watch_without_a_response_is_reopened() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         test_bed.platform.set_script(|_| ScriptedResponse::NeverRespond);
@@ -32,13 +32,13 @@
         test_bed.platform.set_script(|_| ScriptedResponse::StreamListUpdates);
         test_bed.publish_endpoint(2);
         test_bed.endpoint.wait_for_request().await;
-        assert_eq!(test_bed.platform.received().len(), 2, "and not more often than needed");
+        assert_eq!(test_bed.platform.received().len(), 2, "expected no unnecessary request");
         forwarder.kill();
     });
 }
 
 #[test]
-fn an_endpoint_that_is_active_again_gets_requests_again() {
+fn reactivated_endpoint_receives_requests() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
--- a/crates/forwarder/tests/loopback/main.rs
+++ b/crates/forwarder/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! One forwarder on loopback sockets, among stubs of its endpoints, its platform and its clients.
+//! Tests of a forwarder on loopback sockets with stubs of its endpoints, platform and clients.
 
 mod batches;
 mod client_connections;
--- a/crates/forwarder/tests/loopback/notices.rs
+++ b/crates/forwarder/tests/loopback/notices.rs
@@ -1,4 +1,4 @@
-//! Delivery notices: retried until the platform acknowledges them, also after a restart, and none blocks another.
+//! Delivery notices: retried until acknowledged, kept across restarts, and independent of each other.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
@@ -9,7 +9,7 @@
 
 use crate::support::*;
 
-/// A platform whose first notices meet `first`, so many of them, and all others `then`.
+/// Returns a platform script that answers the first `count` notices with `first` and later ones with `then`.
 fn notice_script(
     count: usize,
     first: fn() -> ScriptedResponse,
@@ -27,13 +27,13 @@
     ScriptedResponse::Send(NO_CONTENT_RESPONSE.into())
 }
 
-/// How many notices of the message "a" the platform has received.
+/// Returns the number of notices about message "a" that the platform received.
 fn notices_of_a(test_bed: &TestBed) -> usize {
     test_bed.notices().matches("\"a\"").count()
 }
 
 #[test]
-fn a_notice_without_a_response_is_soon_retried_on_another_connection() {
+fn unanswered_notice_is_soon_retried_on_another_connection() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::CloseConnection).await;
         test_bed.platform.set_script(notice_script(1, || ScriptedResponse::NeverRespond, acknowledge));
@@ -41,14 +41,14 @@
         assert_eq!(forwarder.submit("a", "order").await, 202);
         test_bed.wait_for_notice("\"a\"").await;
         let first = Instant::now();
-        wait_for("the second", || (notices_of_a(&test_bed) == 2).then_some(())).await;
+        wait_for("the second notice", || (notices_of_a(&test_bed) == 2).then_some(())).await;
         assert!(first.elapsed() < ms(900), "{:?}", first.elapsed());
         forwarder.kill();
     });
 }
 
 #[test]
-fn a_notice_is_retried_also_after_a_restart_until_the_platform_acknowledges_it() {
+fn notice_is_retried_across_restarts_until_acknowledged() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::CloseConnection).await;
         let script =
@@ -60,26 +60,26 @@
         forwarder.kill();
         test_bed.platform.set_script(notice_script(0, acknowledge, acknowledge));
         let forwarder = test_bed.start_forwarder().await;
-        wait_for("one more", || (notices_of_a(&test_bed) >= 4).then_some(())).await;
+        wait_for("another notice", || (notices_of_a(&test_bed) >= 4).then_some(())).await;
         test_bed.wait_until_all_finished().await;
         let sent = notices_of_a(&test_bed);
         forwarder.kill();
         let forwarder = test_bed.start_forwarder().await;
         sleep(ms(300)).await;
-        assert_eq!(notices_of_a(&test_bed), sent, "none is unacknowledged any more");
+        assert_eq!(notices_of_a(&test_bed), sent, "expected no unacknowledged notice");
         forwarder.kill();
     });
 }
 
 #[test]
-fn a_notice_that_the_platform_cannot_read_keeps_none_of_the_others_from_it() {
+fn malformed_notice_does_not_block_other_notices() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
         test_bed.platform.set_script(|m| match m.body.contains("\"bad\"") {
             true => ScriptedResponse::Send("HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n".into()),
             false => platform_script(m),
         });
-        // Six notices are unacknowledged: at the start they go in one request.
+        // The forwarder sends all six unacknowledged notices in one request when it starts.
         let ids = ["a", "b", "bad", "c", "d", "e"];
         let finished = |id: &str| Record::Finished { id: id.into(), notice: Some(FinalAnswer::Failed) };
         test_bed.write_records(&ids.map(finished));
--- a/crates/forwarder/tests/loopback/platform_address.rs
+++ b/crates/forwarder/tests/loopback/platform_address.rs
@@ -1,12 +1,12 @@
-//! A platform that moves to another address, for both the watch on the endpoint list and the notices.
+//! A change of the platform's address, for the watch on the endpoint list and for notices.
 
 use crate::support::*;
 
 #[test]
-fn watch_and_notices_follow_the_platform_and_no_notice_is_lost() {
+fn watch_and_notices_use_the_new_platform_address_and_no_notice_is_lost() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::CloseConnection).await;
-        // The old platform acknowledges no notice any more, and its watch sends nothing new.
+        // The old platform acknowledges no notice and sends no list update.
         test_bed.platform.set_script(|m| match m.start_line.contains("finals") {
             true => ScriptedResponse::NeverRespond,
             false => ScriptedResponse::StreamListUpdates,
@@ -19,7 +19,7 @@
         test_bed.move_platform(new_platform.address);
         let watch = |m: &HttpMessage| m.start_line.contains("index=5");
         let watched = || new_platform.received().iter().any(watch).then_some(());
-        wait_for("a watch from the list in force on", watched).await;
+        wait_for("a watch for changes after the applied list", watched).await;
         wait_for("the notice", || new_platform.notices().contains("\"a\"").then_some(())).await;
         let new_endpoint = StubServer::start(|_| ScriptedResponse::ok()).await;
         let moved = list_entry("t", new_endpoint.address, 3, "Ready");
--- a/crates/forwarder/tests/loopback/resource_limits.rs
+++ b/crates/forwarder/tests/loopback/resource_limits.rs
@@ -1,4 +1,4 @@
-//! A forwarder at the limits of its disk and its descriptors.
+//! A forwarder at its disk and descriptor limits.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::support::*;
 
 #[test]
-fn submissions_are_refused_once_the_disk_limit_is_reached() {
+fn submissions_are_rejected_at_the_disk_limit() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await.with_disk_bytes(12_000);
         let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn silent_connections_at_the_descriptor_limit_do_not_keep_a_submission_out() {
+fn inactive_connections_at_the_descriptor_limit_do_not_block_submissions() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await.with_descriptors(64);
         let forwarder = test_bed.start_forwarder().await;
@@ -34,7 +34,7 @@
         }
         let start = Instant::now();
         while forwarder.submit("fits", "note").await != 202 {
-            assert!(start.elapsed() < ms(1000), "kept out by clients that send nothing");
+            assert!(start.elapsed() < ms(1000), "submission blocked by clients that send nothing");
         }
         forwarder.kill();
     });
--- a/crates/forwarder/tests/loopback/responses.rs
+++ b/crates/forwarder/tests/loopback/responses.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's response says of the attempt: completed, rejected, possibly executed, or proven not to have run.
+//! How an endpoint's response is classified: completed, rejected, possibly executed or proven not executed.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -7,8 +7,8 @@
 
 use crate::support::*;
 
-/// Responses by message id: the first four count as executed, the others do not.
-fn flawed_response(id: &str, noise_sent_before: usize) -> String {
+/// Returns a malformed response for a message id. The first four say 200 and complete their attempts.
+fn malformed_response(id: &str, noise_sent_before: usize) -> String {
     match id {
         "bad-length" => "HTTP/1.1 200 OK\r\ncontent-length: -7\r\n\r\n".into(),
         "no-end" => format!("HTTP/1.1 200 OK\r\nx-pad: {}", "x".repeat(5000)),
@@ -24,19 +24,19 @@
     }
 }
 
-async fn test_bed_with_flawed_responses() -> TestBed {
+async fn test_bed_with_malformed_responses() -> TestBed {
     let noise_sent = AtomicUsize::new(0);
     TestBed::new(move |m| {
         let before = if m.id() == "noise-once" { noise_sent.fetch_add(1, Ordering::Relaxed) } else { 0 };
-        ScriptedResponse::Send(flawed_response(m.id(), before))
+        ScriptedResponse::Send(malformed_response(m.id(), before))
     })
     .await
 }
 
 #[test]
-fn a_flawed_response_whose_status_line_says_ok_completes_its_attempt() {
+fn malformed_response_with_status_200_completes_its_attempt() {
     run_test(async {
-        let test_bed = test_bed_with_flawed_responses().await;
+        let test_bed = test_bed_with_malformed_responses().await;
         let forwarder = test_bed.start_forwarder().await;
         for (n, id) in ["bad-length", "no-end", "huge", "behind-1xx"].into_iter().enumerate() {
             assert_eq!(forwarder.submit(id, "order").await, 202);
@@ -47,16 +47,16 @@
                 "{id}"
             );
         }
-        // All but the one whose response was good.
+        // Every connection is closed except the one whose response was valid.
         test_bed.endpoint.wait_for_closed_connections(3).await;
         forwarder.kill();
     });
 }
 
 #[test]
-fn a_malformed_response_is_retried_for_idempotent_messages_only() {
+fn malformed_response_is_retried_only_for_idempotent_messages() {
     run_test(async {
-        let test_bed = test_bed_with_flawed_responses().await;
+        let test_bed = test_bed_with_malformed_responses().await;
         let forwarder = test_bed.start_forwarder().await;
         assert_eq!(forwarder.submit("noise-once", "note").await, 202);
         test_bed.wait_until_all_finished().await;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_message_that_an_endpoint_calls_malformed_fails_and_opens_no_circuit() {
+fn message_rejected_as_malformed_fails_without_opening_the_circuit() {
     run_test(async {
         let test_bed = TestBed::new(|m| match m.id() {
             "odd" => ScriptedResponse::Send("HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n".into()),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_follows_a_response_is_not_taken_for_the_next_response() {
+fn data_after_a_response_is_not_parsed_as_the_next_response() {
     run_test(async {
         let test_bed = TestBed::new(|m| match m.id() {
             "a" => ScriptedResponse::Send(OK_RESPONSE.repeat(2)),
@@ -102,14 +102,14 @@
         test_bed.wait_until_all_finished().await;
         assert_eq!(forwarder.submit("b", "order").await, 202);
         let second = wait_for("the next request", || test_bed.endpoint.received().get(1).cloned()).await;
-        assert_eq!(second.connection, 1, "on a connection of its own");
+        assert_eq!(second.connection, 1, "expected a new connection");
         test_bed.wait_for_notice(r#"{"id":"b","status":"undeliverable"}"#).await;
         forwarder.kill();
     });
 }
 
 #[test]
-fn a_connection_reset_after_the_last_byte_is_retried_for_idempotent_messages_only() {
+fn connection_reset_after_the_last_byte_is_retried_only_for_idempotent_messages() {
     run_test(async {
         let requests = AtomicUsize::new(0);
         let test_bed = TestBed::new(move |_| match requests.fetch_add(1, Ordering::Relaxed) < 2 {
@@ -122,14 +122,14 @@
         test_bed.wait_for_notice(r#"{"id":"once","status":"undeliverable"}"#).await;
         assert_eq!(forwarder.submit("often", "note").await, 202);
         let retried = || test_bed.endpoint.received().into_iter().filter(|m| m.id() == "often").nth(1);
-        wait_for("the retry of the other", retried).await;
+        wait_for("the retry of the idempotent message", retried).await;
         assert_eq!(test_bed.endpoint.count_of("once"), 1);
         forwarder.kill();
     });
 }
 
 #[test]
-fn an_attempt_without_a_response_in_time_fails_and_its_connection_is_closed() {
+fn attempt_without_a_response_in_time_fails_and_its_connection_is_closed() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
         let forwarder = test_bed.start_forwarder().await;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_message_refused_with_a_load_report_is_delivered_under_the_reported_limit() {
+fn message_rejected_with_a_load_report_is_delivered_under_the_reported_limit() {
     run_test(async {
         let response = |status: &str, left: &str| {
             ScriptedResponse::Send(format!(
@@ -161,7 +161,7 @@
         assert_eq!(
             (test_bed.endpoint.received().len(), test_bed.notices().as_str()),
             (2, ""),
-            "refused, then delivered"
+            "expected a rejection and then a delivery"
         );
         let request = request_to(&test_bed.endpoint, "b");
         let result = request_sender(ms(1000)).call(request).await.unwrap();
--- a/crates/forwarder/tests/loopback/restarts.rs
+++ b/crates/forwarder/tests/loopback/restarts.rs
@@ -1,4 +1,4 @@
-//! Forwarders that are killed or shut down with messages pending, and started again on the same state folder.
+//! Forwarders that are killed or shut down with pending messages and restarted on the same state folder.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -10,7 +10,7 @@
 use crate::support::*;
 
 #[test]
-fn after_a_kill_an_attempt_in_flight_is_retried_only_if_its_message_is_idempotent() {
+fn attempt_in_flight_at_a_kill_is_retried_only_if_its_message_is_idempotent() {
     run_test(async {
         let test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
         let forwarder = test_bed.start_forwarder().await;
@@ -21,7 +21,8 @@
         test_bed.endpoint.set_script(|_| ScriptedResponse::ok());
         let forwarder = test_bed.start_forwarder().await;
         test_bed.wait_for_notice(r#"{"id":"non-idempotent","status":"undeliverable"}"#).await;
-        wait_for("the retry of the other", || test_bed.endpoint.received().get(2).cloned()).await;
+        wait_for("the retry of the idempotent message", || test_bed.endpoint.received().get(2).cloned())
+            .await;
         sleep(ms(200)).await;
         assert_eq!(test_bed.endpoint.count_of("non-idempotent"), 1);
         assert!(!test_bed.notices().contains("repeatable"));
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn a_message_without_any_attempt_at_a_kill_is_delivered_after_it_even_if_not_idempotent() {
+fn non_idempotent_message_without_an_attempt_is_delivered_after_a_kill() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder_with_list(empty_list()).await;
@@ -43,7 +44,7 @@
     });
 }
 
-/// The forwarders of a mass restart, each with its test bed, at one endpoint that all of them share.
+/// The forwarders of a mass restart, each with its own test bed. All send to the same endpoint.
 struct Fleet {
     test_beds: Vec<TestBed>,
     forwarders: Vec<RunningForwarder>,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Submits so many messages of all classes to each; the ids, each with the number of its forwarder.
+    /// Submits messages of all classes to each forwarder. Returns each id with the number of its forwarder.
     async fn submit_to_each(&self, messages: usize) -> Vec<(String, usize)> {
         let mut submitted = Vec::new();
         for n in 0..messages {
@@ -82,7 +83,7 @@
         submitted
     }
 
-    /// Kills this many, asks the others to shut down, all at once, and waits until all have ended.
+    /// Kills the first `killed` forwarders, asks the others to shut down, and waits until all have ended.
     fn stop_all(&mut self, killed: usize) {
         for (number, forwarder) in self.forwarders.iter_mut().enumerate() {
             match number < killed {
@@ -94,15 +95,15 @@
     }
 }
 
-/// Seven in ten killed and the rest shut down, all at once, each with requests in flight and more messages queued; what
-/// the endpoint received is the witness.
+/// Guards against losing or repeating messages when seven of ten forwarders are killed and three shut down,
+/// each with requests in flight and messages queued.
 #[test]
-fn a_mass_restart_repeats_no_non_idempotent_message_and_finishes_all_that_were_accepted() {
+fn mass_restart_finishes_all_messages_and_repeats_no_non_idempotent_message() {
     run_test(async {
         let endpoint = StubServer::start(|_| ScriptedResponse::NeverRespond).await;
         let mut fleet = Fleet::start(10, &endpoint).await;
         let submitted = fleet.submit_to_each(12).await;
-        wait_for("requests of each", || (endpoint.received().len() >= 20).then_some(())).await;
+        wait_for("requests of all forwarders", || (endpoint.received().len() >= 20).then_some(())).await;
         fleet.stop_all(7);
         let before = endpoint.received().len();
         endpoint.set_script(|_| ScriptedResponse::ok());
@@ -113,23 +114,23 @@
         let received = endpoint.received();
         for (id, number) in &submitted {
             let runs = received.iter().filter(|request| request.id() == id).count();
-            assert!(runs <= 1 || !id.starts_with("order"), "{id} had its effect {runs} times");
+            assert!(runs <= 1 || !id.starts_with("order"), "{id} was sent {runs} times");
             let delivered = received[before..].iter().any(|request| request.id() == id);
             let notified = fleet.test_beds[*number].notices().contains(id.as_str());
-            assert!(delivered || notified, "{id} has no end");
+            assert!(delivered || notified, "{id} was neither delivered nor reported");
         }
         let in_flight = received[..before].iter().any(|request| request.id().starts_with("order"));
-        assert!(in_flight, "some were in flight");
+        assert!(in_flight, "expected non-idempotent messages in flight");
         fleet.forwarders.into_iter().for_each(RunningForwarder::kill);
     });
 }
 
 #[test]
-fn after_a_restart_with_other_settings_pending_messages_are_subject_to_these() {
+fn changed_settings_apply_to_pending_messages_after_a_restart() {
     run_test(async {
         let mut test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
         let forwarder = test_bed.start_forwarder().await;
-        // In flight at the kill, under settings by which it may be retried.
+        // In flight at the kill, with settings that allow a retry.
         assert_eq!(forwarder.submit("in-flight", "note").await, 202);
         test_bed.endpoint.wait_for_request().await;
         forwarder.kill();
@@ -143,8 +144,8 @@
         test_bed.endpoint.set_script(|_| ScriptedResponse::ok());
         let forwarder = test_bed.start_forwarder().await;
         test_bed.wait_until_all_finished().await;
-        // The class of the one is non-idempotent now, and it was possibly executed; the settings have no class of
-        // the other any more.
+        // "in-flight" was possibly executed and its class is non-idempotent now. The class of "unknown" is no
+        // longer configured.
         for id in ["in-flight", "unknown"] {
             let notice = format!(r#"{{"id":"{id}","status":"undeliverable"}}"#);
             assert!(test_bed.notices().contains(&notice), "{id}");
@@ -154,7 +155,7 @@
     });
 }
 
-/// What the write-ahead log says of a message's first attempt.
+/// The state of a message's first attempt in the write-ahead log.
 #[derive(Clone, Copy, PartialEq)]
 enum FirstAttempt {
     None,
@@ -162,7 +163,7 @@
     PossiblyExecuted,
 }
 
-/// The records of one message that was accepted by an earlier process.
+/// Returns the records of a message that an earlier process accepted.
 fn records_of(id: &str, class: &str, first_attempt: FirstAttempt) -> Vec<Record> {
     let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let micros = |time: Duration| time.as_micros() as u64;
@@ -191,7 +192,7 @@
     records
 }
 
-/// A message of each class with each kind of first attempt: the ids and all records.
+/// Returns the ids and records of a message for each class and state of the first attempt.
 fn messages_of_each_kind() -> (Vec<String>, Vec<Record>) {
     let first_attempts = [
         ("untried", FirstAttempt::None),
@@ -209,20 +210,20 @@
     (ids, records)
 }
 
-/// Accepts every message of a batch, and a single one too.
+/// Accepts every message of a batch or a single message.
 fn accept_each(request: &HttpMessage) -> ScriptedResponse {
     let ids = request.body.lines().filter_map(|line| line.strip_suffix(" - 1"));
     ScriptedResponse::ok_with_body(&ids.map(|id| format!("{id} accepted\r\n")).collect::<String>())
 }
 
 #[test]
-fn a_restart_under_a_stale_list_delivers_all_but_possibly_executed_non_idempotent_messages() {
+fn restart_with_a_stale_list_delivers_all_but_possibly_executed_non_idempotent_messages() {
     run_test(async {
         let test_bed = TestBed::new(accept_each).await;
         let unused = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let (ids, records) = messages_of_each_kind();
         test_bed.write_records(&records);
-        // The list that it starts with has the endpoint at an address where nobody listens any more.
+        // In the list at the start, the endpoint has an address without a listener.
         let stale = endpoint_list(1, true, &[list_entry("t", unused, 3, "Ready")]);
         let forwarder = test_bed.start_forwarder_with_list(stale).await;
         test_bed.publish_list_update(endpoint_list(2, false, &[test_bed.endpoint_entry("Ready")]));
--- a/crates/forwarder/tests/loopback/shutdown.rs
+++ b/crates/forwarder/tests/loopback/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown: what is still accepted, what is answered, and what is finished before the process ends.
+//! Graceful shutdown: which requests are accepted and answered, and which messages are finished.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -6,7 +6,7 @@
 use crate::support::*;
 
 #[test]
-fn a_forwarder_that_shuts_down_says_so_goes_on_accepting_and_finishes_what_it_can() {
+fn shutdown_fails_health_checks_and_still_accepts_and_delivers_messages() {
     run_test(async {
         let test_bed =
             TestBed::new(|_| ScriptedResponse::ok_with_body("queued accepted\r\nlate accepted\r\n")).await;
@@ -19,17 +19,17 @@
         assert_eq!(response.headers["connection"], "close");
         test_bed.publish_endpoint(2);
         forwarder.wait_until_stopped().await;
-        // Both, in one request.
+        // Both messages are sent in one request.
         let batch = |m: &HttpMessage| m.body.contains("queued") && m.body.contains("late");
         assert!(test_bed.endpoint.received().iter().any(batch));
         assert_eq!(test_bed.notices(), "");
     });
 }
 
-/// Waits until responses ask clients to close their connections; the connection of the first such response.
+/// Waits until responses ask clients to close their connections. Returns the connection of the first one.
 async fn first_closing_connection(forwarder: &RunningForwarder) -> TcpStream {
     loop {
-        // Until the shutdown request is noticed, responses do not ask to close.
+        // Responses ask to close only after the shutdown request is processed.
         let mut stream = forwarder.connect_and_send(HEALTH_CHECK).await;
         let response = read_message(&mut stream).await.unwrap();
         if response.headers.get("connection").is_some_and(|value| value.starts_with("close")) {
@@ -39,20 +39,20 @@
 }
 
 #[test]
-fn what_a_client_writes_between_the_last_response_and_the_close_is_not_accepted() {
+fn data_after_the_last_response_is_discarded_without_a_reset() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await.with_accept_grace(ms(10_000));
         let mut forwarder = test_bed.start_forwarder().await;
         forwarder.request_shutdown();
         let mut stream = first_closing_connection(&forwarder).await;
-        // The forwarder has ended its writing side, and the connection is not closed yet.
+        // The forwarder has shut down its writing side, and the connection is not closed yet.
         assert_eq!(stream.read(&mut [0; 1]).await.unwrap(), 0);
         let late = submission("late", "note", 5.0, "x");
-        // A reset by the first half would refuse the second.
+        // If the first half caused a reset, writing the second half would fail.
         for half in [&late[..20], &late[20..]] {
-            stream.write_all(half.as_bytes()).await.expect("read and thrown away");
+            stream.write_all(half.as_bytes()).await.expect("expected late data to be discarded");
         }
-        assert_eq!(read_to_end(&mut stream).await.expect("no reset"), "");
+        assert_eq!(read_to_end(&mut stream).await.expect("connection was reset"), "");
         assert_eq!(forwarder.submit("good", "note").await, 202);
         test_bed.endpoint.wait_for_request().await;
         test_bed.wait_until_all_finished().await;
@@ -62,20 +62,20 @@
 }
 
 #[test]
-fn a_connection_that_waits_to_be_accepted_as_the_listener_closes_is_answered() {
+fn connection_waiting_to_be_accepted_when_the_listener_closes_is_answered() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await.with_descriptors(40).with_accept_grace(ms(0));
         let mut forwarder = test_bed.start_forwarder().await;
-        // Every connection is taken by a request that lacks the end of its body.
+        // Requests with incomplete bodies take every connection.
         let mut occupants = Vec::new();
         for _ in 0..4 {
-            occupants.push(forwarder.connect_and_send(&submission_without_its_last_byte()).await);
+            occupants.push(forwarder.connect_and_send(&submission_without_last_byte()).await);
         }
         let mut waiting = forwarder.connect_and_send(&submission("a", "note", 5.0, "x")).await;
         forwarder.request_shutdown();
-        let response = read_message(&mut waiting).await.expect("a whole response");
+        let response = read_message(&mut waiting).await.expect("expected a complete response");
         assert_eq!(response.status(), 202);
-        // Delivered before the end.
+        // The message is delivered before the forwarder stops.
         test_bed.endpoint.wait_for_request().await;
         forwarder.wait_until_stopped().await;
         test_bed.wait_until_all_finished().await;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_request_begun_on_a_kept_connection_as_the_listener_closes_is_answered() {
+fn request_begun_on_an_idle_connection_when_the_listener_closes_is_answered() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await.with_accept_grace(ms(0));
         let mut forwarder = test_bed.start_forwarder().await;
@@ -91,13 +91,14 @@
         assert_eq!(read_message(&mut kept).await.unwrap().status(), 202);
         let last = submission("last", "note", 15.0, "x");
         kept.write_all(&last.as_bytes()[..40]).await.unwrap();
-        // Answered after those bytes were there; and idle, so that its end shows that the listener has closed.
+        // The response proves that the partial request was received. The end of this idle connection shows
+        // that the listener is closed.
         let mut idle = forwarder.connect_and_send(HEALTH_CHECK).await;
         assert_eq!(read_message(&mut idle).await.unwrap().status(), 200);
         forwarder.request_shutdown();
         assert_eq!(read_to_end(&mut idle).await.unwrap(), "");
         kept.write_all(&last.as_bytes()[40..]).await.unwrap();
-        assert_eq!(read_message(&mut kept).await.expect("a whole response").status(), 202);
+        assert_eq!(read_message(&mut kept).await.expect("expected a complete response").status(), 202);
         test_bed.endpoint.wait_for_request_count(2).await;
         forwarder.wait_until_stopped().await;
         test_bed.wait_until_all_finished().await;
--- a/crates/forwarder/tests/loopback/streamed_lists.rs
+++ b/crates/forwarder/tests/loopback/streamed_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists that come piece by piece: long ones, ones that are cut short, and malformed ones.
+//! Endpoint lists that are received in pieces: long, incomplete and malformed ones.
 
 use std::net::SocketAddr;
 
@@ -9,21 +9,21 @@
 
 use crate::support::*;
 
-/// How long an event that the endpoint list causes is waited for.
+/// How long a test waits for an effect of the endpoint list.
 const LIST_WAIT_LIMIT: std::time::Duration = ms(10_000);
-/// The body of a health check while no endpoint list was received yet.
+/// The body of a health check before any endpoint list is received.
 const NO_LIST_YET: &str = "ok; no target list yet: discovery has told none\n";
 
-/// A discovery service whose watches send what a test writes, byte by byte if need be.
+/// A discovery service whose watches send the bytes that a test writes.
 struct ManualDiscovery {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-/// One watch on it.
+/// A watch on [`ManualDiscovery`].
 struct ManualWatch {
     stream: TcpStream,
-    /// The generation from which on it was asked for.
+    /// The generation after which the watch requested changes.
     after: u64,
 }
 
@@ -34,14 +34,14 @@
         ManualDiscovery { listener, address }
     }
 
-    /// In the place of the test bed's platform.
+    /// Starts a discovery service and moves the test bed's platform address to it.
     async fn start_for(test_bed: &TestBed) -> ManualDiscovery {
         let discovery = ManualDiscovery::start().await;
         test_bed.move_platform(discovery.address);
         discovery
     }
 
-    /// The next watch; notices that come before it are acknowledged.
+    /// Returns the next watch. Acknowledges notices that arrive before it.
     async fn next_watch(&self) -> ManualWatch {
         loop {
             let (mut stream, _) = self.listener.accept().await.unwrap();
@@ -67,7 +67,7 @@
     }
 }
 
-/// Entries of endpoints to which nothing is sent.
+/// Returns entries of endpoints that receive no messages.
 fn other_entries(count: usize) -> String {
     let address = "127.0.0.1:9".parse().unwrap();
     let entry = |n: usize| list_entry(&format!("other-{n}"), address, 100 + n as u64, "Ready");
@@ -82,12 +82,16 @@
 async fn wait_for_health(forwarder: &RunningForwarder, expected: &str) {
     let start = Instant::now();
     while health(forwarder).await != (200, expected.into()) {
-        assert!(start.elapsed() < LIST_WAIT_LIMIT, "{:?}, and never {expected:?}", health(forwarder).await);
+        assert!(
+            start.elapsed() < LIST_WAIT_LIMIT,
+            "health check is {:?}, expected {expected:?}",
+            health(forwarder).await
+        );
         sleep(ms(5)).await;
     }
 }
 
-/// What the health check says of a malformed list, once it does.
+/// Waits until the health check reports a malformed list, and returns its body.
 async fn wait_for_malformed_list(forwarder: &RunningForwarder) -> String {
     let start = Instant::now();
     loop {
@@ -96,19 +100,19 @@
         if body.contains("can't be read") {
             return body;
         }
-        assert!(start.elapsed() < LIST_WAIT_LIMIT, "never reported");
+        assert!(start.elapsed() < LIST_WAIT_LIMIT, "malformed list was not reported in time");
         sleep(ms(5)).await;
     }
 }
 
-/// Submits a message for destination 3, which has to reach this endpoint.
+/// Submits a message for destination 3 and waits until this endpoint receives it.
 async fn deliver(forwarder: &RunningForwarder, endpoint: &StubServer, id: &str) {
     assert_eq!(forwarder.submit(id, "note").await, 202);
     endpoint.wait_for_message(id).await;
 }
 
-/// Until messages for destination 3 reach this endpoint.
-async fn wait_until_in_force(forwarder: &RunningForwarder, endpoint: &StubServer) {
+/// Waits until messages for destination 3 reach this endpoint.
+async fn wait_until_applied(forwarder: &RunningForwarder, endpoint: &StubServer) {
     let start = Instant::now();
     for n in 0.. {
         let id = format!("reaches-{n}-{}", endpoint.address.port());
@@ -116,12 +120,12 @@
         if timeout(ms(50), endpoint.wait_for_message(&id)).await.is_ok() {
             return;
         }
-        assert!(start.elapsed() < LIST_WAIT_LIMIT, "the list is never in force");
+        assert!(start.elapsed() < LIST_WAIT_LIMIT, "list was not applied in time");
     }
 }
 
 #[test]
-fn a_long_list_is_applied_in_pieces_while_messages_are_delivered() {
+fn long_list_is_applied_in_pieces_while_messages_are_delivered() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let elsewhere = StubServer::start(|_| ScriptedResponse::ok()).await;
@@ -133,7 +137,7 @@
         let others = other_entries(5000);
         let (head, tail) = others.split_at(others.len() / 2);
         watch.write(&format!("{{\"generation\":7,\"reset\":true,\"instances\":[{entry},{head}")).await;
-        // What was received of it is in force, though it has not come to its end.
+        // The received part of the list is applied, although the list is incomplete.
         for n in 0..3 {
             deliver(&forwarder, &test_bed.endpoint, &format!("meanwhile-{n}")).await;
         }
@@ -141,13 +145,13 @@
         watch.write(tail).await;
         watch.write_line("]}").await;
         wait_for_health(&forwarder, "ok\n").await;
-        // A change comes after it in the same watch, and a second whole list.
+        // A change and a second whole list follow in the same watch.
         let change = endpoint_list(8, false, &[list_entry("t", elsewhere.address, 3, "Ready")]);
         watch.write_line(&change).await;
-        wait_until_in_force(&forwarder, &elsewhere).await;
+        wait_until_applied(&forwarder, &elsewhere).await;
         let second = endpoint_list(9, true, std::slice::from_ref(&entry));
         watch.write(&format!("{second}\n{}\n", endpoint_list(10, true, &[entry]))).await;
-        wait_until_in_force(&forwarder, &test_bed.endpoint).await;
+        wait_until_applied(&forwarder, &test_bed.endpoint).await;
         drop(watch);
         assert_eq!(discovery.next_watch().await.after, 10);
         forwarder.kill();
@@ -155,7 +159,7 @@
 }
 
 #[test]
-fn a_list_that_is_cut_short_removes_no_endpoint_and_is_asked_for_again() {
+fn incomplete_list_removes_no_endpoint_and_is_requested_again() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let elsewhere = StubServer::start(|_| ScriptedResponse::ok()).await;
@@ -166,27 +170,27 @@
         let others = other_entries(1000);
         watch.write(&format!("{{\"generation\":7,\"reset\":true,\"instances\":[{others}")).await;
         drop(watch);
-        // Asked for again, as if nothing of it had been received.
+        // The forwarder requests the list again as if nothing of it was received.
         let mut watch = discovery.next_watch().await;
         assert_eq!(watch.after, 1);
         deliver(&forwarder, &test_bed.endpoint, "after-the-cut").await;
         let whole = endpoint_list(8, true, &[list_entry("u", elsewhere.address, 3, "Ready")]);
         let (head, tail) = whole.split_at(whole.len() / 2);
         watch.write(head).await;
-        // Discovery moves in the middle of the next.
+        // Discovery moves in the middle of the next list.
         let moved = ManualDiscovery::start_for(&test_bed).await;
         let mut watch = moved.next_watch().await;
         assert_eq!(watch.after, 1);
         deliver(&forwarder, &test_bed.endpoint, "after-the-move").await;
         watch.write(head).await;
         watch.write_line(tail).await;
-        wait_until_in_force(&forwarder, &elsewhere).await;
+        wait_until_applied(&forwarder, &elsewhere).await;
         forwarder.kill();
     });
 }
 
 #[test]
-fn a_forwarder_that_is_shut_down_in_the_middle_of_a_list_stops() {
+fn forwarder_stops_when_shut_down_in_the_middle_of_a_list() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let discovery = ManualDiscovery::start_for(&test_bed).await;
@@ -201,7 +205,7 @@
 }
 
 #[test]
-fn a_malformed_list_is_reported_and_not_asked_for_again_before_a_rest_by_its_size() {
+fn malformed_list_is_reported_and_requested_again_after_a_delay_by_its_size() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let discovery = ManualDiscovery::start_for(&test_bed).await;
@@ -216,16 +220,16 @@
         let reported = wait_for_malformed_list(&forwarder).await;
         assert!(reported.starts_with("ok; no target list yet: it can't be read: byte "), "{reported}");
         assert!(reported.contains("instances[100]: missing field `instanceId`"), "{reported}");
-        // Half of the mean rest at least, and one and a half of it at most.
+        // The delay is between half and one and a half times its mean.
         let mut watch = discovery.next_watch().await;
-        let rest = start.elapsed();
+        let delay = start.elapsed();
         let mean = ms(bytes * 1000 / BYTES_A_SECOND);
-        assert!(rest >= mean / 2 && rest <= mean * 3 / 2 + ms(5000), "{rest:?}, on average {mean:?}");
+        assert!(delay >= mean / 2 && delay <= mean * 3 / 2 + ms(5000), "delay {delay:?}, mean {mean:?}");
         assert_eq!(watch.after, 1);
         watch.write_line(&endpoint_list(8, true, &[test_bed.endpoint_entry("Ready")])).await;
         wait_for_health(&forwarder, "ok\n").await;
         deliver(&forwarder, &test_bed.endpoint, "then").await;
-        // The list that is in force stays in force under a malformed one.
+        // The applied list stays in effect after a malformed one.
         watch.write_line("{\"generation\":9,\"instances\":7}").await;
         let reported = wait_for_malformed_list(&forwarder).await;
         assert!(reported.starts_with("ok; the newest target list can't be read: byte "), "{reported}");
--- a/crates/forwarder/tests/loopback/submissions.rs
+++ b/crates/forwarder/tests/loopback/submissions.rs
@@ -1,4 +1,4 @@
-//! What a client submits: which requests are accepted and delivered, and which are refused and leave nothing behind.
+//! Client submissions: which are accepted and delivered, and which are rejected without an effect.
 
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -7,7 +7,7 @@
 use crate::support::*;
 
 #[test]
-fn an_accepted_message_is_delivered_once_and_without_a_notice() {
+fn accepted_message_is_delivered_once_and_without_a_notice() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn malformed_submissions_are_refused_with_their_status_and_not_delivered() {
+fn malformed_submissions_are_rejected_with_their_status_and_not_delivered() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
@@ -55,17 +55,17 @@
             assert_eq!(forwarder.request(&request).await.status(), expected, "{request}");
         }
         test_bed.endpoint.wait_for_request().await;
-        assert_eq!(test_bed.endpoint.received().len(), 1, "only the accepted one");
+        assert_eq!(test_bed.endpoint.received().len(), 1, "expected only the accepted message");
         forwarder.kill();
     });
 }
 
 #[test]
-fn a_client_that_disconnects_before_its_response_has_its_message_dropped() {
+fn message_is_dropped_if_its_client_disconnects_before_the_response() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await.with_tick(ms(1500));
         let forwarder = test_bed.start_forwarder().await;
-        // Accepted on a tick, so that what comes next has to wait for another.
+        // The first message is accepted on a tick, so that the next ones have to wait for another tick.
         assert_eq!(forwarder.submit("first", "order").await, 202);
         let stream = forwarder.connect_and_send(&submission("disconnects", "order", 9.0, "")).await;
         sleep(ms(50)).await;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_id_in_use_and_an_unknown_destination_are_refused() {
+fn duplicate_id_and_unknown_destination_are_rejected() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_body_of_doubtful_length_is_refused_and_what_follows_it_is_not_a_request() {
+fn body_of_ambiguous_length_is_rejected_and_data_after_it_is_not_a_request() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
@@ -108,13 +108,14 @@
         test_bed.wait_until_all_finished().await;
         let longer = submission("d", "order", 9.0, "more than it says").replace("Length: 17", "Length: 4");
         assert_eq!(forwarder.request(&longer).await.status(), 400);
-        // Two framings of one body (request smuggling): what follows the first end may be a request of its own.
+        // Request smuggling: a body with two framings, where data after the first end could be parsed as a
+        // request.
         let inner = submission("hidden", "order", 9.0, "");
         let both = submission("c", "order", 9.0, &format!("0\r\n\r\n{inner}"));
         let both = both.replace("X-Budget", "Transfer-Encoding: chunked\r\nX-Budget");
         let mut stream = forwarder.connect_and_send(&both).await;
         assert_eq!(read_message(&mut stream).await.unwrap().status(), 411);
-        assert!(read_message(&mut stream).await.is_none(), "and closed");
+        assert!(read_message(&mut stream).await.is_none(), "expected the connection to be closed");
         assert_eq!(forwarder.submit("last", "order").await, 202);
         test_bed.endpoint.wait_for_message("last").await;
         assert_eq!(test_bed.endpoint.received_ids(), ["a", "last"]);
@@ -123,15 +124,16 @@
 }
 
 #[test]
-fn a_refusal_is_not_reset_by_what_its_client_still_sends() {
+fn rejection_is_not_reset_while_its_client_still_sends() {
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
         let mut stream = TcpStream::connect(forwarder.address).await.unwrap();
-        // Refused by its head, while far more of its body comes than the system buffers for either side.
+        // Rejected because of its head, while the rest of its body exceeds the buffers of the operating
+        // system.
         let request = submission("a", "note", 5.0, &"x".repeat(2_000_000));
-        stream.write_all(request.as_bytes()).await.expect("all of it is read");
-        let response = read_to_end(&mut stream).await.expect("an end, not a reset");
+        stream.write_all(request.as_bytes()).await.expect("expected the whole body to be read");
+        let response = read_to_end(&mut stream).await.expect("connection was reset");
         assert!(response.starts_with("HTTP/1.1 413"), "{response}");
         forwarder.kill();
     });
--- a/crates/forwarder/tests/loopback/support/http.rs
+++ b/crates/forwarder/tests/loopback/support/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages as the stub servers and test clients write and read them.
+//! Reading and writing of HTTP/1.1 messages for stub servers and test clients.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,36 @@
 
 pub const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 pub const NO_CONTENT_RESPONSE: &str = "HTTP/1.1 204 No Content\r\n\r\n";
-/// The head of a response whose body comes in chunks.
+/// The head of a response with a chunked body.
 pub const CHUNKED_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-/// The forwarder's health check, as a client asks for it.
+/// A request for the forwarder's health check.
 pub const HEALTH_CHECK: &str = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// One request or response that was read from a connection.
+/// A request or response that was read from a connection.
 #[derive(Clone, Debug)]
 pub struct HttpMessage {
     /// The request line or the status line.
     pub start_line: String,
-    /// By name in lower case.
+    /// The headers by lower-case name.
     pub headers: BTreeMap<String, String>,
     pub body: String,
-    /// The connection on which a stub server received it, counted from 0.
+    /// The number of the connection on which a stub server received the message, counted from 0.
     pub connection: usize,
 }
 
 impl HttpMessage {
-    /// The id of the one message that a request carries; empty for a batch.
+    /// Returns the id of the message in a single request, or an empty text for a batch.
     pub fn id(&self) -> &str {
         self.headers.get("x-call-id").map_or("", String::as_str)
     }
 
-    /// The status code of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 }
 
-/// Reads one request or response; `None` where the connection ends before its end.
+/// Reads one request or response. `None` if the connection ends before the message is complete.
 pub async fn read_message(stream: &mut TcpStream) -> Option<HttpMessage> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -54,13 +54,13 @@
     Some(HttpMessage { start_line: start_line.into(), headers, body, connection: 0 })
 }
 
-/// All that still comes on a connection until its end; an error where it is reset.
+/// Reads a connection until it ends. An error means that the connection was reset.
 pub async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut rest = String::new();
     stream.read_to_string(&mut rest).await.map(|_| rest)
 }
 
-/// A client's request to deliver a message to destination 3 within so many seconds.
+/// Returns a client's request to deliver a message to destination 3 within `budget_seconds`.
 pub fn submission(id: &str, class: &str, budget_seconds: f64, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
@@ -69,7 +69,7 @@
     )
 }
 
-/// A submission whose body lacks its last byte, so that it stays open.
-pub fn submission_without_its_last_byte() -> String {
+/// Returns a submission without the last byte of its body, so that the request stays open.
+pub fn submission_without_last_byte() -> String {
     submission("cut", "note", 5.0, "xx").replace("\r\n\r\nxx", "\r\n\r\nx")
 }
--- a/crates/forwarder/tests/loopback/support/requests.rs
+++ b/crates/forwarder/tests/loopback/support/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to endpoints as the event loop would send them, for tests of the request sender by itself.
+//! Requests to endpoints as the event loop creates them, for tests of the request sender alone.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,25 +15,25 @@
 
 /// The endpoint to which [`request`] is addressed.
 pub const ENDPOINT: EndpointId = EndpointId(1);
-/// Longer than any of these tests takes: a limit that is never reached.
-pub const NEVER_REACHED: Duration = ms(20_000);
+/// A time limit that is longer than any test.
+pub const LONG_TIMEOUT: Duration = ms(20_000);
 
-/// A request sender with four connections to an endpoint at most, which waits for a new one so long.
+/// Returns a request sender with at most four connections and this connect timeout.
 pub fn request_sender(connect_timeout: Duration) -> RequestSender {
     RequestSender::new(ConnectionPool::new(4, connect_timeout, ms(5000)))
 }
 
-/// A request sender that waits for connections for longer than the test lasts.
-pub fn patient_request_sender() -> RequestSender {
+/// Returns a request sender whose connect timeout is longer than any test.
+pub fn request_sender_with_long_connect_timeout() -> RequestSender {
     request_sender(ms(30_000))
 }
 
-/// A request with one message, whose response is waited for up to 5 s.
+/// Returns a request with one message and a response deadline in 5 s.
 pub fn request_to(endpoint: &StubServer, id: &str) -> EndpointRequest {
     request(endpoint.address, &[(id, ms(5000))])
 }
 
-/// One request with these messages, each of which may take so long.
+/// Returns a request with these messages and their response timeouts.
 pub fn request(address: SocketAddr, messages: &[(&str, Duration)]) -> EndpointRequest {
     let message = |id: &str| OutgoingMessage {
         id: MessageId(id.into()),
@@ -47,7 +47,7 @@
     EndpointRequest::new(ENDPOINT, address, members.collect())
 }
 
-/// One attempt for each message of a request, with what cancels it.
+/// Returns an attempt for each message of a request and the senders that cancel the attempts.
 pub fn pending_attempts(
     request: &EndpointRequest,
     start_within: Duration,
@@ -61,7 +61,7 @@
     request.messages.iter().map(attempt).unzip()
 }
 
-/// The next result that the event loop receives: the message of the attempt, and how it ended.
+/// Returns the message id and the result of the next finished attempt.
 pub async fn next_result(events: &mut mpsc::Receiver<Event>) -> (String, AttemptResult) {
     match events.recv().await {
         Some(Event::AttemptFinished { message, result, .. }) => (message.0.to_string(), result),
--- a/crates/forwarder/tests/loopback/support/stub_server.rs
+++ b/crates/forwarder/tests/loopback/support/stub_server.rs
@@ -1,4 +1,4 @@
-//! Servers on loopback that record what they receive and respond by a script.
+//! Loopback servers that record requests and respond as scripted.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,24 +12,24 @@
     ms, read_message, wait_for, HttpMessage, CHUNKED_RESPONSE_HEAD, NO_CONTENT_RESPONSE, OK_RESPONSE,
 };
 
-/// What a stub server does with one request.
+/// How a stub server handles a request.
 pub enum ScriptedResponse {
     Send(String),
     SendAndClose(String),
     CloseConnection,
     /// Keeps the connection open and sends nothing.
     NeverRespond,
-    /// A watch: the newest list update, and each further one as it is published.
+    /// Opens a watch and sends the newest list update and each later one.
     StreamListUpdates,
 }
 
 impl ScriptedResponse {
-    /// 200 without a body.
+    /// Returns a 200 response without a body.
     pub fn ok() -> ScriptedResponse {
         ScriptedResponse::Send(OK_RESPONSE.into())
     }
 
-    /// 200 with this body.
+    /// Returns a 200 response with this body.
     pub fn ok_with_body(body: &str) -> ScriptedResponse {
         ScriptedResponse::Send(format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()))
     }
@@ -37,7 +37,7 @@
 
 type Script = dyn Fn(&HttpMessage) -> ScriptedResponse + Send + Sync;
 
-/// The platform as it usually is: a watch on the endpoint list, and every notice acknowledged.
+/// The script of a working platform: serves watches on the endpoint list and acknowledges notices.
 pub fn platform_script(request: &HttpMessage) -> ScriptedResponse {
     match request.start_line.starts_with("GET /v1/servers?stream=1&index=") {
         true => ScriptedResponse::StreamListUpdates,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A server that records what it receives and responds by its script: an endpoint, or the platform.
+/// A server that records requests and responds as scripted, used as an endpoint or as the platform.
 #[derive(Clone)]
 pub struct StubServer {
     pub address: SocketAddr,
@@ -71,55 +71,55 @@
         server
     }
 
-    /// Responds by this script from the next request on.
+    /// Sets the script for the following requests.
     pub fn set_script(&self, script: impl Fn(&HttpMessage) -> ScriptedResponse + Send + Sync + 'static) {
         *self.script.lock().unwrap() = Arc::new(script);
     }
 
-    /// Sends this line on all watches.
+    /// Sends a line on all watches.
     pub fn publish_list_update(&self, line: String) {
         self.list_updates.lock().unwrap().push(line);
     }
 
-    /// All requests so far, in the order in which they were read.
+    /// Returns all requests so far, in the order in which they were read.
     pub fn received(&self) -> Vec<HttpMessage> {
         self.received.lock().unwrap().clone()
     }
 
-    /// Message ids of all requests so far; an empty one for each batch.
+    /// Returns the message ids of all requests so far. The id of a batch is empty.
     pub fn received_ids(&self) -> Vec<String> {
         self.received().iter().map(|request| request.id().to_owned()).collect()
     }
 
-    /// How many requests carried this message by itself.
+    /// Returns the number of single requests with this message.
     pub fn count_of(&self, id: &str) -> usize {
         self.received().iter().filter(|request| request.id() == id).count()
     }
 
-    /// The bodies of all delivery notices so far.
+    /// Returns the bodies of all delivery notices so far.
     pub fn notices(&self) -> String {
         self.received().into_iter().filter(|m| m.start_line.contains("/v2/finals")).map(|m| m.body).collect()
     }
 
-    /// The newest request, once there is one.
+    /// Waits for a request and returns the newest one.
     pub async fn wait_for_request(&self) -> HttpMessage {
         wait_for("a request", || self.received().pop()).await
     }
 
-    /// The first request that carries this message by itself.
+    /// Waits for a single request with this message and returns the first one.
     pub async fn wait_for_message(&self, id: &str) -> HttpMessage {
         wait_for(id, || self.received().into_iter().find(|request| request.id() == id)).await
     }
 
-    /// Until exactly so many requests were received.
+    /// Waits until exactly `count` requests were received.
     pub async fn wait_for_request_count(&self, count: usize) {
-        wait_for("that many requests", || (self.received().len() == count).then_some(())).await
+        wait_for("the expected number of requests", || (self.received().len() == count).then_some(())).await
     }
 
-    /// Until exactly so many connections have ended, from either side.
+    /// Waits until exactly `count` connections have ended, from either side.
     pub async fn wait_for_closed_connections(&self, count: usize) {
         let closed = || self.closed_connections.load(Ordering::Relaxed);
-        wait_for("that many closed connections", || (closed() == count).then_some(())).await
+        wait_for("the expected number of closed connections", || (closed() == count).then_some(())).await
     }
 
     async fn accept_connections(self, listener: TcpListener) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Writes the list updates, and empty lines between them, until the other side closes the connection.
+    /// Sends the list updates and empty lines between them until the other side closes the connection.
     async fn stream_list_updates(&self, mut stream: TcpStream) {
         let mut next = self.list_updates.lock().unwrap().len().saturating_sub(1);
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).await.unwrap_or_default();
@@ -166,16 +166,16 @@
     }
 }
 
-/// One chunk of a chunked body.
+/// Returns one chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// An endpoint whose accept queue is full: connections to it come up only once it accepts one.
+/// An endpoint with a full accept queue: connections are established only when it accepts one.
 pub struct SaturatedEndpoint {
     pub address: SocketAddr,
     listener: std::net::TcpListener,
-    /// Fills the accept queue.
+    /// The connection that fills the accept queue.
     _occupant: std::net::TcpStream,
 }
 
@@ -189,7 +189,7 @@
         SaturatedEndpoint { address, listener: socket.into(), _occupant: occupant }
     }
 
-    /// Empties the accept queue, and returns the next connection once it has come up.
+    /// Accepts the connection that fills the accept queue, and returns the next one.
     pub async fn accept_next(&self) -> TcpStream {
         self.listener.accept().unwrap();
         self.listener.set_nonblocking(true).unwrap();
--- a/crates/forwarder/tests/loopback/support/test_bed.rs
+++ b/crates/forwarder/tests/loopback/support/test_bed.rs
@@ -1,4 +1,4 @@
-//! The forwarder under test, and all that outlives one of its processes.
+//! The forwarder under test, and the parts that outlive one of its processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,38 +20,39 @@
     HEALTH_CHECK,
 };
 
-/// The message classes of a forwarder under test: idempotent, non-idempotent, and with an idempotency key.
+/// The default message classes: idempotent, non-idempotent and with an idempotency key.
 const CLASSES: [(&str, Idempotency); 3] = [
     ("note", Idempotency::Idempotent),
     ("order", Idempotency::NonIdempotent),
     ("mark", Idempotency::WithKey { window: ms(5000), scope: IdempotencyKeyScope::Region }),
 ];
 
-/// One entry of an endpoint list, in discovery's form.
+/// Returns an entry of an endpoint list in the format of discovery.
 pub fn list_entry(name: &str, address: SocketAddr, destination: u64, state: &str) -> String {
     format!(
         r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"a","machineType":"many","cell":{destination},"lifecycle":"{state}","weight":50.0,"startedAtMs":0}}"#
     )
 }
 
-/// An endpoint list, whole or of changes, in discovery's form.
+/// Returns a whole endpoint list or a list of changes in the format of discovery.
 pub fn endpoint_list(generation: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"generation":{generation},"reset":{whole},"instances":[{}]}}"#, entries.join(","))
 }
 
-/// A whole list without any endpoint, older than all others: messages queue until discovery sends more.
+/// Returns a whole list without endpoints that is older than all others. Messages are queued until discovery
+/// sends a newer list.
 pub fn empty_list() -> String {
     endpoint_list(1, true, &[])
 }
 
-/// All that outlives a forwarder: its state folder, the platform and one endpoint; and how it is configured.
+/// The parts that outlive a forwarder: its state folder, the platform, an endpoint and its configuration.
 pub struct TestBed {
     pub platform: StubServer,
     pub endpoint: StubServer,
     state_folder: PathBuf,
     platform_address: watch::Sender<SocketAddr>,
     resources: ResourceLimits,
-    idle_limit: Duration,
+    endpoint_idle_timeout: Duration,
     tick: Duration,
     load_reports: bool,
     hedging_allowed: bool,
@@ -66,7 +67,7 @@
 }
 
 impl TestBed {
-    /// With an endpoint that responds by this script, and a platform that works.
+    /// Creates a test bed with an endpoint that responds by this script and a working platform.
     pub async fn new(
         endpoint_script: impl Fn(&HttpMessage) -> ScriptedResponse + Send + Sync + 'static,
     ) -> TestBed {
@@ -82,7 +83,7 @@
             platform_address: watch::Sender::new(platform.address),
             platform,
             resources: ResourceLimits { memory_bytes: 192_000_000, descriptors: 1024, disk_bytes: 3_000_000 },
-            idle_limit: ms(5000),
+            endpoint_idle_timeout: ms(5000),
             tick: ms(5),
             load_reports: false,
             hedging_allowed: true,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// With an endpoint that completes every attempt.
+    /// Creates a test bed with an endpoint that completes every attempt.
     pub async fn with_working_endpoint() -> TestBed {
         TestBed::new(|_| ScriptedResponse::ok()).await
     }
@@ -106,37 +107,37 @@
         self
     }
 
-    /// Connections that stand idle so long are closed by endpoints.
-    pub fn with_idle_limit(mut self, idle_limit: Duration) -> TestBed {
-        self.idle_limit = idle_limit;
+    /// Sets the time after which endpoints close idle connections.
+    pub fn with_endpoint_idle_timeout(mut self, endpoint_idle_timeout: Duration) -> TestBed {
+        self.endpoint_idle_timeout = endpoint_idle_timeout;
         self
     }
 
-    /// Due work runs on a grid of this width.
+    /// Sets the tick of the event loop, to whose multiples due work is postponed.
     pub fn with_tick(mut self, tick: Duration) -> TestBed {
         self.tick = tick;
         self
     }
 
-    /// Endpoint lists are polled for and have exact rates, and responses carry load reports.
+    /// Configures polled endpoint lists with exact rates and responses with load reports.
     pub fn with_load_reports(mut self) -> TestBed {
         self.load_reports = true;
         self
     }
 
-    /// A message has one attempt in flight at most.
+    /// Limits each message to one attempt in flight.
     pub fn without_hedging(mut self) -> TestBed {
         self.hedging_allowed = false;
         self
     }
 
-    /// Clients are accepted for so long after a shutdown was requested.
+    /// Sets how long clients are accepted after a shutdown request.
     pub fn with_accept_grace(mut self, accept_grace: Duration) -> TestBed {
         self.accept_grace = accept_grace;
         self
     }
 
-    /// The message classes of forwarders that start from now on.
+    /// Sets the message classes of forwarders that start afterwards.
     pub fn set_classes(&mut self, classes: &[(&'static str, Idempotency)]) {
         self.classes = classes.into();
     }
@@ -145,54 +146,54 @@
         &self.state_folder
     }
 
-    /// Writes these records into the write-ahead log, before a forwarder starts on it.
+    /// Writes records into the write-ahead log. Must be called before a forwarder starts on it.
     pub fn write_records(&self, records: &[Record]) {
         let mut log = WriteAheadLog::open(&self.state_folder, 3_000_000, Default::default()).unwrap();
         log.append(records, ms(0)).unwrap();
     }
 
-    /// The endpoint's entry in a list: for destination 3, in this state.
+    /// Returns the endpoint's list entry for destination 3 in this state.
     pub fn endpoint_entry(&self, state: &str) -> String {
         list_entry("t", self.endpoint.address, 3, state)
     }
 
-    /// Sends this line on the platform's watches.
+    /// Sends a line on the platform's watches.
     pub fn publish_list_update(&self, line: String) {
         self.platform.publish_list_update(line);
     }
 
-    /// Sends a whole list that has the endpoint only.
+    /// Sends a whole list with the endpoint as its only entry.
     pub fn publish_endpoint(&self, generation: u64) {
         self.publish_list_update(endpoint_list(generation, true, &[self.endpoint_entry("Ready")]));
     }
 
-    /// The platform is at another address from now on.
+    /// Changes the platform's address.
     pub fn move_platform(&self, address: SocketAddr) {
         self.platform_address.send_replace(address);
     }
 
-    /// The bodies of all delivery notices so far.
+    /// Returns the bodies of all delivery notices so far.
     pub fn notices(&self) -> String {
         self.platform.notices()
     }
 
-    /// Until the notices contain this text.
+    /// Waits until the notices contain this text.
     pub async fn wait_for_notice(&self, text: &str) {
         wait_for("a notice", || self.notices().contains(text).then_some(())).await
     }
 
-    /// Until the write-ahead log has neither a pending message nor an unacknowledged notice.
+    /// Waits until the write-ahead log has neither a pending message nor an unacknowledged notice.
     pub async fn wait_until_all_finished(&self) {
         let none_pending = || inspect(&self.state_folder).unwrap().index.counts().is_empty().then_some(());
-        wait_for("that nothing is pending", none_pending).await;
+        wait_for("the end of all pending messages", none_pending).await;
     }
 
-    /// A forwarder whose cached list has the endpoint for destination 3.
+    /// Starts a forwarder whose cached list has the endpoint for destination 3.
     pub async fn start_forwarder(&self) -> RunningForwarder {
         self.start_forwarder_with_list(endpoint_list(1, true, &[self.endpoint_entry("Ready")])).await
     }
 
-    /// A forwarder that has this list cached from the start.
+    /// Starts a forwarder with this cached list.
     pub async fn start_forwarder_with_list(&self, cached_list: String) -> RunningForwarder {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -211,7 +212,7 @@
             tick: self.tick,
             sync: Default::default(),
             connect_timeout: ms(1000),
-            endpoint_idle_timeout: self.idle_limit,
+            endpoint_idle_timeout: self.endpoint_idle_timeout,
             shutdown_grace: ms(3000),
             accept_grace: self.accept_grace,
         }
@@ -247,7 +248,7 @@
     }
 }
 
-/// A forwarder in a thread of its own, which ends as a process that is killed: nothing of it goes on.
+/// A forwarder in its own thread. A kill drops all of its tasks, as the end of a process would.
 pub struct RunningForwarder {
     pub address: SocketAddr,
     kill: Option<oneshot::Sender<()>>,
@@ -276,52 +277,52 @@
         RunningForwarder { address, kill: Some(kill), shutdown: Some(shutdown), thread }
     }
 
-    /// Ends it as SIGKILL would, without waiting for its end.
+    /// Ends the forwarder like SIGKILL, without waiting for its end.
     pub fn request_kill(&mut self) {
         self.kill.take();
     }
 
-    /// Asks it to shut down gracefully, as SIGTERM would, without waiting for its end.
+    /// Requests a graceful shutdown like SIGTERM, without waiting for its end.
     pub fn request_shutdown(&mut self) {
         self.shutdown.take();
     }
 
-    /// Waits for its end on this thread.
+    /// Blocks this thread until the forwarder has ended.
     pub fn join(self) {
         self.thread.join().unwrap();
     }
 
-    /// Ends it as SIGKILL would, and waits for its end.
+    /// Ends the forwarder like SIGKILL and blocks until it has ended.
     pub fn kill(mut self) {
         self.request_kill();
         self.join();
     }
 
-    /// Until it has ended by itself.
+    /// Waits until the forwarder has stopped.
     pub async fn wait_until_stopped(self) {
         wait_for("the forwarder's end", || self.thread.is_finished().then_some(())).await;
         self.join();
     }
 
-    /// A connection of a client that has sent this.
+    /// Opens a client connection and sends this text.
     pub async fn connect_and_send(&self, text: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         stream.write_all(text.as_bytes()).await.unwrap();
         stream
     }
 
-    /// The response to a request on a connection of its own.
+    /// Returns the response to a request on a new connection.
     pub async fn request(&self, text: &str) -> HttpMessage {
         let mut stream = self.connect_and_send(text).await;
-        read_message(&mut stream).await.expect("a response")
+        read_message(&mut stream).await.expect("expected a response")
     }
 
-    /// Submits a message with a body of ten bytes and a budget of 15 s; the status of the response.
+    /// Submits a message with a ten-byte body and a budget of 15 s. Returns the status of the response.
     pub async fn submit(&self, id: &str, class: &str) -> u16 {
         self.request(&submission(id, class, 15.0, "body of it")).await.status()
     }
 
-    /// The response to a health check.
+    /// Returns the response to a health check.
     pub async fn health(&self) -> HttpMessage {
         self.request(HEALTH_CHECK).await
     }
--- a/crates/forwarder/tests/loopback/watch.rs
+++ b/crates/forwarder/tests/loopback/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list, on sockets, with shorter periods than in use.
+//! The watch on the endpoint list, on loopback sockets with shorter periods than the defaults.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,12 +17,12 @@
 use crate::support::{chunk, endpoint_list, ms, read_message, run_test, CHUNKED_RESPONSE_HEAD};
 
 const BETWEEN_EMPTY_LINES: Duration = ms(50);
-/// The generation of the change that the first watch misses.
+/// The generation of the change that the first watch does not receive.
 const MISSED_GENERATION: u64 = 2;
-/// Each script runs with so many phases of the forwarder's period.
+/// The number of phases of the forwarder's period with which each script runs.
 const SEEDS: u64 = 6;
 
-/// Two fifths of those in use, with an empty line sooner.
+/// Returns two fifths of the default periods, and a shorter interval between empty lines.
 const fn short_periods() -> Periods {
     Periods {
         known_within: ms(2400),
@@ -36,25 +36,25 @@
     }
 }
 
-/// What discovery does with one request for the watch.
+/// How discovery handles one request for the watch.
 #[derive(Clone, Copy, Debug)]
 enum Behaviour {
-    /// Opens the watch, sends empty lines for this time, and then nothing more.
-    FallsSilentAfter(Duration),
-    /// The same, but closes it.
+    /// Opens the watch, sends empty lines for this time, and then sends nothing more.
+    StopsSendingAfter(Duration),
+    /// Opens the watch, sends empty lines for this time, and then closes the connection.
     ClosesAfter(Duration),
     Refuses,
-    /// Refuses, with a long Retry-After.
-    RefusesForLong,
+    /// Refuses the request with a `Retry-After` of 40 s.
+    RefusesWithRetryAfter,
     Closes,
     DoesNotRespond,
-    /// Opens the watch, and sends no line.
+    /// Opens the watch and sends no line.
     SendsHeadOnly,
-    /// Sends the change, the head of the response coming after this time.
+    /// Waits for this time, then sends the response head and the change.
     SendsChangeAfter(Duration),
 }
 
-/// When a list was last known to be up to date: as the last line of a watch was sent, as a watch was closed, or as
+/// The time when the list was last known to be up to date: when the last line was sent, a watch was closed or
 /// discovery began to respond.
 #[derive(Clone, Default)]
 struct UpToDateUntil(Arc<Mutex<Option<Instant>>>);
@@ -65,11 +65,12 @@
     }
 
     fn elapsed(&self) -> Duration {
-        self.0.lock().unwrap().expect("a watch that was lost").elapsed()
+        self.0.lock().unwrap().expect("expected a lost watch").elapsed()
     }
 }
 
-/// Discovery, which treats each request by its position in a script, and all after these as the last.
+/// A discovery service that handles each request by its position in a script. Later requests repeat the last
+/// behaviour.
 struct ScriptedDiscovery {
     address: SocketAddr,
     up_to_date_until: UpToDateUntil,
@@ -114,7 +115,7 @@
     let refusal = |header: &str| format!("HTTP/1.1 503 Busy\r\n{header}content-length: 0\r\n\r\n");
     let response = match behaviour {
         Behaviour::Refuses => refusal(""),
-        Behaviour::RefusesForLong => refusal("retry-after: 40\r\n"),
+        Behaviour::RefusesWithRetryAfter => refusal("retry-after: 40\r\n"),
         Behaviour::Closes => return,
         Behaviour::DoesNotRespond => String::new(),
         Behaviour::SendsHeadOnly => CHUNKED_RESPONSE_HEAD.into(),
@@ -123,7 +124,7 @@
             let line = endpoint_list(MISSED_GENERATION, true, &[]) + "\n";
             format!("{CHUNKED_RESPONSE_HEAD}{}", chunk(&line))
         }
-        Behaviour::FallsSilentAfter(span) => {
+        Behaviour::StopsSendingAfter(span) => {
             send_empty_lines(&mut stream, span, &up_to_date_until).await;
             String::new()
         }
@@ -133,11 +134,11 @@
         }
     };
     let _ = stream.write_all(response.as_bytes()).await;
-    // Until the other side closes it.
+    // Waits until the other side closes the connection.
     while stream.read_u8().await.is_ok() {}
 }
 
-/// Opens the watch, and sends empty lines for this time.
+/// Opens the watch and sends empty lines for this time.
 async fn send_empty_lines(stream: &mut TcpStream, span: Duration, up_to_date_until: &UpToDateUntil) {
     let _ = stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).await;
     let start = Instant::now();
@@ -148,19 +149,19 @@
     }
 }
 
-/// Watches the list of this discovery; returns when a part of the list is received.
+/// Watches the list of this discovery service until a part of the list is received.
 async fn wait_until_received(discovery: &ScriptedDiscovery, seed: u64) {
     let (sender, mut events) = mpsc::channel(16);
     let address = watch::Sender::new(discovery.address);
     let schedule = WatchSchedule::new(short_periods(), seed);
     let following = tokio::spawn(follow(address.subscribe(), 1, schedule, sender));
-    while matches!(events.recv().await.expect("the watch goes on"), Event::WatchLost) {}
+    while matches!(events.recv().await.expect("expected the watch to continue"), Event::WatchLost) {}
     following.abort();
 }
 
-/// Plays each of these scripts with several phases, all at once: the change is received in time, without needless
-/// requests.
-async fn change_is_received_in_time(scripts: &[&[Behaviour]]) {
+/// Runs each script with several phases concurrently. Checks that the change is received in time and without
+/// unnecessary requests.
+async fn check_change_is_received_in_time(scripts: &[&[Behaviour]]) {
     let plays = scripts.iter().flat_map(|script| (0..SEEDS).map(move |seed| (*script, seed)));
     let plays = plays.map(|(script, seed)| async move {
         let discovery = ScriptedDiscovery::start(script).await;
@@ -179,25 +180,25 @@
 const SENDS_CHANGE: Behaviour = Behaviour::SendsChangeAfter(ms(200));
 
 #[test]
-fn after_a_silent_watch_and_failed_requests_a_change_is_received_in_time() {
-    const SILENT: Behaviour = Behaviour::FallsSilentAfter(ms(300));
-    run_test(change_is_received_in_time(&[
-        &[SILENT, SENDS_CHANGE],
-        &[SILENT, Behaviour::Refuses, SENDS_CHANGE],
-        &[SILENT, Behaviour::RefusesForLong, SENDS_CHANGE],
-        &[SILENT, Behaviour::DoesNotRespond, SENDS_CHANGE],
-        &[SILENT, Behaviour::Closes, SENDS_CHANGE],
-        &[SILENT, Behaviour::Closes, Behaviour::Closes, SENDS_CHANGE],
+fn change_is_received_in_time_after_an_inactive_watch_and_failed_requests() {
+    const INACTIVE: Behaviour = Behaviour::StopsSendingAfter(ms(300));
+    run_test(check_change_is_received_in_time(&[
+        &[INACTIVE, SENDS_CHANGE],
+        &[INACTIVE, Behaviour::Refuses, SENDS_CHANGE],
+        &[INACTIVE, Behaviour::RefusesWithRetryAfter, SENDS_CHANGE],
+        &[INACTIVE, Behaviour::DoesNotRespond, SENDS_CHANGE],
+        &[INACTIVE, Behaviour::Closes, SENDS_CHANGE],
+        &[INACTIVE, Behaviour::Closes, Behaviour::Closes, SENDS_CHANGE],
     ]));
 }
 
 #[test]
-fn after_a_closed_watch_and_failed_requests_a_change_is_received_in_time() {
+fn change_is_received_in_time_after_a_closed_watch_and_failed_requests() {
     const CLOSES: Behaviour = Behaviour::ClosesAfter(ms(300));
-    run_test(change_is_received_in_time(&[
+    run_test(check_change_is_received_in_time(&[
         &[CLOSES, SENDS_CHANGE],
         &[CLOSES, Behaviour::Refuses, SENDS_CHANGE],
-        &[CLOSES, Behaviour::RefusesForLong, SENDS_CHANGE],
+        &[CLOSES, Behaviour::RefusesWithRetryAfter, SENDS_CHANGE],
         &[CLOSES, Behaviour::DoesNotRespond, SENDS_CHANGE],
         &[CLOSES, Behaviour::SendsHeadOnly, SENDS_CHANGE],
         &[CLOSES, Behaviour::Closes, Behaviour::Closes, SENDS_CHANGE],
@@ -205,14 +206,14 @@
 }
 
 #[test]
-fn once_discovery_responds_again_a_change_is_received_in_time() {
+fn change_is_received_in_time_after_discovery_recovers() {
     let failures =
-        [Behaviour::Refuses, Behaviour::RefusesForLong, Behaviour::DoesNotRespond, Behaviour::Closes];
+        [Behaviour::Refuses, Behaviour::RefusesWithRetryAfter, Behaviour::DoesNotRespond, Behaviour::Closes];
     let plays = failures.into_iter().flat_map(|failure| (0..SEEDS).map(move |seed| (failure, seed)));
     let plays = plays.map(|(failure, seed)| async move {
         let discovery = ScriptedDiscovery::start(&[failure]).await;
         let recovers = async {
-            // Any moment in the forwarder's period.
+            // Varies the phase of the forwarder's period.
             sleep(ms(1500 + 331 * seed)).await;
             discovery.script.send_replace(vec![SENDS_CHANGE]);
             Instant::now()
