--- a/crates/simulation/src/account/keeper.rs
+++ b/crates/simulation/src/account/accounting.rs
@@ -31,9 +31,9 @@
     /// Milliseconds from the first submission to the completion.
     latency: Histogram<u64>,
     /// Seconds of work that endpoints have done.
-    pub(crate) work_done: f64,
+    pub(crate) work_done_seconds: f64,
     /// Seconds of it for requests that a forwarder still waited for.
-    pub(crate) work_useful: f64,
+    pub(crate) useful_work_seconds: f64,
     /// Seconds that requests were in flight, summed over all.
     pub(crate) in_flight_seconds: f64,
     pub(crate) new_connections: u64,
@@ -42,7 +42,7 @@
     /// Endpoints that were overloaded while cold.
     pub(crate) overloads: u64,
     /// Credit of messages that were submitted while their destination was down.
-    credit_while_down: Credit,
+    credit_during_outage: Credit,
     /// By program.
     quotas: Vec<QuotaBucket>,
 }
@@ -66,7 +66,7 @@
     submitted_at: Duration,
     weight: f64,
     completed: bool,
-    met_outage: bool,
+    submitted_during_outage: bool,
 }
 
 impl Account {
@@ -82,19 +82,19 @@
             ends: MessageOutcomes::default(),
             attempts: AttemptCounts::default(),
             latency: latency_histogram(),
-            work_done: 0.0,
-            work_useful: 0.0,
+            work_done_seconds: 0.0,
+            useful_work_seconds: 0.0,
             in_flight_seconds: 0.0,
             new_connections: 0,
             repeats_applied: 0,
             overloads: 0,
-            credit_while_down: Credit::default(),
+            credit_during_outage: Credit::default(),
             quotas: vec![QuotaBucket::default(); scenario.programs.len()],
         }
     }
 
     /// The counts of the second of a time.
-    pub(crate) fn second(&mut self, at: Duration) -> &mut SecondCounts {
+    pub(crate) fn counts_at(&mut self, at: Duration) -> &mut SecondCounts {
         let index = at.as_secs() as usize;
         if self.seconds.len() <= index {
             self.seconds.resize(index + 1, SecondCounts::default());
@@ -103,7 +103,7 @@
     }
 
     /// The load of a destination in the second of a time; absent where the destination is not watched.
-    pub(crate) fn load(
+    pub(crate) fn load_at(
         &mut self,
         destination: DestinationIndex,
         at: Duration,
@@ -117,7 +117,7 @@
     }
 
     /// A client wants a message delivered; submissions are numbered in this order.
-    pub(crate) fn submitted(&mut self, scenario: &Scenario, submission: NewSubmission) {
+    pub(crate) fn record_submission(&mut self, scenario: &Scenario, submission: NewSubmission) {
         let NewSubmission { submitted_at, class, program, destination } = submission;
         let mut weight = scenario.classes[class].priority_weight.get();
         if let Some(quota) = scenario.programs[program].quota_per_s {
@@ -125,10 +125,10 @@
                 weight *= OVER_QUOTA_WEIGHT;
             }
         }
-        self.classes[class].ask(weight);
-        self.programs[program].ask(weight);
-        self.destinations[destination.0].ask(weight);
-        self.second(submitted_at).credit.ask(weight);
+        self.classes[class].add_asked(weight);
+        self.programs[program].add_asked(weight);
+        self.destinations[destination.0].add_asked(weight);
+        self.counts_at(submitted_at).credit.add_asked(weight);
         self.submissions.push(AccountedSubmission {
             class,
             program,
@@ -136,40 +136,46 @@
             submitted_at,
             weight,
             completed: false,
-            met_outage: false,
+            submitted_during_outage: false,
         });
     }
 
     /// A message was submitted while its destination was down.
-    pub(crate) fn met_outage(&mut self, submission: SubmissionIndex) {
-        let accounted = self.submissions.get_mut(submission.0).filter(|accounted| !accounted.met_outage);
+    pub(crate) fn record_submission_during_outage(&mut self, submission: SubmissionIndex) {
+        let accounted =
+            self.submissions.get_mut(submission.0).filter(|accounted| !accounted.submitted_during_outage);
         let Some(accounted) = accounted else { return };
-        accounted.met_outage = true;
-        self.credit_while_down.ask(accounted.weight);
+        accounted.submitted_during_outage = true;
+        self.credit_during_outage.add_asked(accounted.weight);
     }
 
     /// Credit of the messages that were submitted while their destination was down.
-    pub(crate) fn credit_while_down(&self) -> Credit {
-        self.credit_while_down
+    pub(crate) fn credit_during_outage(&self) -> Credit {
+        self.credit_during_outage
     }
 
     /// A message completed; only the first completion of a submission counts.
-    pub(crate) fn completed(&mut self, scenario: &Scenario, now: Duration, submission: SubmissionIndex) {
+    pub(crate) fn record_completion(
+        &mut self,
+        scenario: &Scenario,
+        now: Duration,
+        submission: SubmissionIndex,
+    ) {
         let accounted = self.submissions.get_mut(submission.0).filter(|accounted| !accounted.completed);
         let Some(accounted) = accounted else { return };
         accounted.completed = true;
         let latency = now.saturating_sub(accounted.submitted_at);
         let class = &scenario.classes[accounted.class];
         let earned = accounted.weight * class.earned_part(latency);
-        self.classes[accounted.class].earn(earned);
-        self.programs[accounted.program].earn(earned);
-        self.destinations[accounted.destination.0].earn(earned);
-        if accounted.met_outage {
-            self.credit_while_down.earn(earned);
+        self.classes[accounted.class].add_earned(earned);
+        self.programs[accounted.program].add_earned(earned);
+        self.destinations[accounted.destination.0].add_earned(earned);
+        if accounted.submitted_during_outage {
+            self.credit_during_outage.add_earned(earned);
         }
         let submitted_at = accounted.submitted_at;
-        self.second(submitted_at).credit.earn(earned);
-        self.second(now).completed += 1;
+        self.counts_at(submitted_at).credit.add_earned(earned);
+        self.counts_at(now).completed += 1;
         self.latency.saturating_record(u64::try_from(latency.as_millis()).unwrap_or(u64::MAX));
         if latency <= class.latency_objective.0 {
             self.ends.completed_in_time += 1;
@@ -208,7 +214,7 @@
     }
 
     /// Least share of credit in any window of this many seconds.
-    pub(crate) fn worst_share_over(&self, seconds: usize) -> f64 {
+    pub(crate) fn min_share_over_window(&self, seconds: usize) -> f64 {
         let last_asked = self.seconds.iter().rposition(|second| second.credit.asked > 0.0);
         let asked = last_asked.map_or(0, |index| index + 1);
         let share = |window: &[SecondCounts]| {
--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -21,17 +21,17 @@
         }
     }
 
-    pub(super) fn ask(&mut self, weight: f64) {
+    pub(super) fn add_asked(&mut self, weight: f64) {
         self.asked += weight;
     }
 
-    pub(super) fn earn(&mut self, weight: f64) {
+    pub(super) fn add_earned(&mut self, weight: f64) {
         self.earned += weight;
     }
 
     pub(super) fn add(&mut self, other: Credit) {
-        self.ask(other.asked);
-        self.earn(other.earned);
+        self.add_asked(other.asked);
+        self.add_earned(other.earned);
     }
 }
 
--- a/crates/simulation/src/invariants/answers.rs
+++ b/crates/simulation/src/invariants/answers.rs
@@ -11,19 +11,19 @@
 
 impl InvariantChecker {
     /// A message got a final answer.
-    pub(crate) fn message_answered(&mut self, now: Duration, message: MessageIndex, answer: FinalAnswer) {
+    pub(crate) fn record_answer(&mut self, now: Duration, message: MessageIndex, answer: FinalAnswer) {
         if let Some(before) = self.histories[message.0].answer {
             self.check_second_answer(now, message, answer, before);
             return;
         }
         let answer_due = self.histories[message.0].answer_due;
         if now > answer_due && answer != FinalAnswer::Withdrawn {
-            let what = format!("{answer}, due by {:.6}", answer_due.as_secs_f64());
-            self.record_violation(Rule::OneAnswer, now, Some(message), what);
+            let description = format!("{answer}, due by {:.6}", answer_due.as_secs_f64());
+            self.record_violation(Rule::OneAnswer, now, Some(message), description);
         }
         if answer == FinalAnswer::Rejected {
-            if let Some(what) = self.harm_of_rejection(now, &self.histories[message.0]) {
-                self.record_violation(Rule::NoDoubleEffect, now, Some(message), what.to_owned());
+            if let Some(description) = self.find_rejection_hazard(now, &self.histories[message.0]) {
+                self.record_violation(Rule::NoDoubleEffect, now, Some(message), description.to_owned());
             }
         }
         self.histories[message.0].answer = Some(GivenAnswer { answer, at: now });
@@ -38,13 +38,13 @@
         before: GivenAnswer,
     ) {
         if answer != FinalAnswer::Withdrawn && before.answer != FinalAnswer::Withdrawn {
-            let what = format!("{answer} after {} at {:.6}", before.answer, before.at.as_secs_f64());
-            self.record_violation(Rule::OneAnswer, now, Some(message), what);
+            let description = format!("{answer} after {} at {:.6}", before.answer, before.at.as_secs_f64());
+            self.record_violation(Rule::OneAnswer, now, Some(message), description);
         }
     }
 
     /// Why a message must not be rejected: its client may submit it again, and it may have been executed.
-    fn harm_of_rejection(&self, now: Duration, history: &MessageHistory) -> Option<&'static str> {
+    fn find_rejection_hazard(&self, now: Duration, history: &MessageHistory) -> Option<&'static str> {
         let first = history.first_possible_execution()?;
         match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
@@ -57,18 +57,18 @@
 
     /// The time for a final answer is past. Says whether one is missing.
     #[must_use = "the client no longer waits for a message whose answer is missing"]
-    pub(crate) fn is_answer_missing(&mut self, now: Duration, message: MessageIndex) -> bool {
+    pub(crate) fn check_answer_missing(&mut self, now: Duration, message: MessageIndex) -> bool {
         let history = &self.histories[message.0];
-        if history.answer.is_some() || history.void || now < history.answer_due {
+        if history.answer.is_some() || history.exempt || now < history.answer_due {
             return false;
         }
-        let what = format!("no final answer by {:.6}", history.answer_due.as_secs_f64());
-        self.record_violation(Rule::OneAnswer, now, Some(message), what);
+        let description = format!("no final answer by {:.6}", history.answer_due.as_secs_f64());
+        self.record_violation(Rule::OneAnswer, now, Some(message), description);
         true
     }
 
     /// A message had its effect at a destination.
-    pub(crate) fn effect_applied(&mut self, now: Duration, message: MessageIndex) {
+    pub(crate) fn record_effect(&mut self, now: Duration, message: MessageIndex) {
         let accepted = self.histories[message.0].message;
         if self.fleet.classes[accepted.class].idempotency != Idempotency::NonIdempotent {
             return;
@@ -76,8 +76,9 @@
         let times = self.effects.entry(accepted.submission).or_default();
         *times += 1;
         if *times > 1 {
-            let what = format!("the destination applied first try {} a second time", accepted.submission.0);
-            self.record_violation(Rule::NoDoubleEffect, now, Some(message), what);
+            let description =
+                format!("the destination applied first try {} a second time", accepted.submission.0);
+            self.record_violation(Rule::NoDoubleEffect, now, Some(message), description);
         }
     }
 }
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -24,18 +24,18 @@
 /// A rule that an attempt breaks, and how.
 struct BrokenRule {
     rule: Rule,
-    what: String,
+    description: String,
 }
 
 impl BrokenRule {
-    fn new(rule: Rule, what: impl Into<String>) -> BrokenRule {
-        BrokenRule { rule, what: what.into() }
+    fn new(rule: Rule, description: impl Into<String>) -> BrokenRule {
+        BrokenRule { rule, description: description.into() }
     }
 }
 
 impl InvariantChecker {
     /// A forwarder starts an attempt; the scopes are those whose Retry-After it must honor.
-    pub(crate) fn attempt_started(
+    pub(crate) fn record_attempt_start(
         &mut self,
         now: Duration,
         message: MessageIndex,
@@ -45,68 +45,68 @@
         let history = &self.histories[message.0];
         let (forwarder, ordering_key) = (history.message.forwarder, history.message.ordering_key);
         let mut broken: Vec<BrokenRule> = Vec::new();
-        broken.extend(after_answer(history, endpoint));
-        broken.extend(self.repeats_effect(now, history));
-        broken.extend(self.ignores_list(now, forwarder, endpoint));
-        broken.extend(scopes.iter().filter_map(|scope| self.ignores_retry_after(now, forwarder, *scope)));
-        let blocker = ordering_key.and_then(|key| self.blocked_by_order(now, forwarder, key, message));
-        broken.extend(blocker.map(|what| BrokenRule::new(Rule::Order, what)));
-        for BrokenRule { rule, what } in broken {
-            self.record_violation(rule, now, Some(message), what);
+        broken.extend(check_not_answered(history, endpoint));
+        broken.extend(self.check_repeated_effect(now, history));
+        broken.extend(self.check_endpoint_list(now, forwarder, endpoint));
+        broken.extend(scopes.iter().filter_map(|scope| self.check_retry_after(now, forwarder, *scope)));
+        let blocker = ordering_key.and_then(|key| self.find_order_blocker(now, forwarder, key, message));
+        broken.extend(blocker.map(|description| BrokenRule::new(Rule::Order, description)));
+        for BrokenRule { rule, description } in broken {
+            self.record_violation(rule, now, Some(message), description);
         }
         self.histories[message.0].attempts.push(AttemptHistory { started_at: now, endpoint, ended: None });
     }
 
     /// An attempt that may have its effect a second time.
-    fn repeats_effect(&self, now: Duration, history: &MessageHistory) -> Option<BrokenRule> {
+    fn check_repeated_effect(&self, now: Duration, history: &MessageHistory) -> Option<BrokenRule> {
         let first = history.first_possible_execution()?;
         match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => {
-                let what = "effectful, sent again though it may have run";
-                Some(BrokenRule::new(Rule::NoDoubleEffect, what))
+                let description = "effectful, sent again though it may have run";
+                Some(BrokenRule::new(Rule::NoDoubleEffect, description))
             }
             Idempotency::WithKey { window, .. } if now >= first + window => {
-                let what = "receipted, sent again after its window";
-                Some(BrokenRule::new(Rule::NoDoubleEffect, what))
+                let description = "receipted, sent again after its window";
+                Some(BrokenRule::new(Rule::NoDoubleEffect, description))
             }
             Idempotency::WithKey { .. } => None,
         }
     }
 
     /// An attempt to an endpoint that is not listed, or has been draining for longer than the grace period.
-    fn ignores_list(
+    fn check_endpoint_list(
         &self,
         now: Duration,
         forwarder: ForwarderIndex,
         endpoint: EndpointIndex,
     ) -> Option<BrokenRule> {
         let Some(listed) = self.endpoint_lists[forwarder.0].get(&endpoint) else {
-            let what = format!("target {} was in none of its lists", endpoint.0);
-            return Some(BrokenRule::new(Rule::Drains, what));
+            let description = format!("target {} was in none of its lists", endpoint.0);
+            return Some(BrokenRule::new(Rule::Drains, description));
         };
         if listed.state == EndpointState::Active || now <= listed.since + self.fleet.drain_grace {
             return None;
         }
         let since = listed.since.as_secs_f64();
-        let what = format!("target {} is {}, told at {since:.6}", endpoint.0, StateText(listed.state));
-        Some(BrokenRule::new(Rule::Drains, what))
+        let description = format!("target {} is {}, told at {since:.6}", endpoint.0, StateText(listed.state));
+        Some(BrokenRule::new(Rule::Drains, description))
     }
 
     /// An attempt before a Retry-After has passed.
-    fn ignores_retry_after(
+    fn check_retry_after(
         &self,
         now: Duration,
         forwarder: ForwarderIndex,
         scope: RetryAfterScope,
     ) -> Option<BrokenRule> {
         let until = self.retry_after.get(&RetryAfterId { forwarder, scope }).filter(|until| now < **until)?;
-        let what = format!("{scope} asked it to wait until {:.6}", until.as_secs_f64());
-        Some(BrokenRule::new(Rule::RetryAfterHonored, what))
+        let description = format!("{scope} asked it to wait until {:.6}", until.as_secs_f64());
+        Some(BrokenRule::new(Rule::RetryAfterHonored, description))
     }
 
     /// An attempt has ended, and its forwarder learns of it now.
-    pub(crate) fn attempt_finished(&mut self, now: Duration, ended: EndedAttempt) {
+    pub(crate) fn record_attempt_end(&mut self, now: Duration, ended: EndedAttempt) {
         let EndedAttempt { message, number, outcome, scope } = ended;
         let history = &mut self.histories[message.0];
         if let Some(attempt) = history.attempts.get_mut(number) {
@@ -121,9 +121,9 @@
 }
 
 /// An attempt for a message that has its final answer.
-fn after_answer(history: &MessageHistory, endpoint: EndpointIndex) -> Option<BrokenRule> {
+fn check_not_answered(history: &MessageHistory, endpoint: EndpointIndex) -> Option<BrokenRule> {
     let given = history.answer?;
     let at = given.at.as_secs_f64();
-    let what = format!("sent to target {} after {} at {at:.6}", endpoint.0, given.answer);
-    Some(BrokenRule::new(Rule::OneAnswer, what))
+    let description = format!("sent to target {} after {} at {at:.6}", endpoint.0, given.answer);
+    Some(BrokenRule::new(Rule::OneAnswer, description))
 }
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -77,7 +77,7 @@
     /// Messages of each ordering key that still matter, in the order in which they were accepted.
     pub(super) ordering_queues: BTreeMap<OrderingQueueId, Vec<MessageIndex>>,
     /// Forwarders that saw a failure during the present outage of an endpoint, or its last one.
-    pub(super) aware_of_outage: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
+    pub(super) forwarders_aware_of_outage: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
     /// How often what is not idempotent had its effect.
     pub(super) effects: BTreeMap<SubmissionIndex, u32>,
     violations: Vec<Violation>,
@@ -93,7 +93,7 @@
             fleet,
             retry_after: BTreeMap::new(),
             ordering_queues: BTreeMap::new(),
-            aware_of_outage: BTreeMap::new(),
+            forwarders_aware_of_outage: BTreeMap::new(),
             effects: BTreeMap::new(),
             violations: Vec::new(),
             violation_count: 0,
@@ -111,7 +111,7 @@
         rule: Rule,
         at: Duration,
         message: Option<MessageIndex>,
-        what: String,
+        description: String,
     ) {
         let history = message.and_then(|message| self.histories.get(message.0));
         let violation = Violation {
@@ -119,14 +119,14 @@
             at_s: at.as_secs_f64(),
             forwarder: history.map(|history| history.message.forwarder.0),
             message: message.map(|message| message.0),
-            what,
-            led_by: history.map(MessageHistory::lines).unwrap_or_default(),
+            description,
+            history: history.map(MessageHistory::describe_events).unwrap_or_default(),
         };
-        self.keep(violation);
+        self.store_violation(violation);
     }
 
     /// Counts a violation, and keeps it where it is one of the first.
-    pub(super) fn keep(&mut self, violation: Violation) {
+    pub(super) fn store_violation(&mut self, violation: Violation) {
         self.violation_count += 1;
         if self.violations.len() < MAX_KEPT_VIOLATIONS {
             self.violations.push(violation);
@@ -134,7 +134,7 @@
     }
 
     /// A forwarder accepted a message; messages are numbered in this order.
-    pub(crate) fn message_accepted(&mut self, now: Duration, accepted: AcceptedMessage) {
+    pub(crate) fn record_acceptance(&mut self, now: Duration, accepted: AcceptedMessage) {
         let ordered = self.fleet.classes[accepted.class].ordered;
         let ordering_key = accepted.ordering_key.filter(|_| ordered);
         if let Some(key) = ordering_key {
@@ -148,23 +148,23 @@
     }
 
     /// A forwarder was killed. What it held is void, or waits in its write-ahead log for the next start.
-    pub(crate) fn forwarder_killed(&mut self, forwarder: ForwarderIndex, write_ahead_log: bool) {
+    pub(crate) fn record_forwarder_kill(&mut self, forwarder: ForwarderIndex, write_ahead_log: bool) {
         self.endpoint_lists[forwarder.0].clear();
         self.retry_after.retain(|received, _| received.forwarder != forwarder);
         let histories = &mut self.histories;
         for history in histories.iter_mut().filter(|history| history.message.forwarder == forwarder) {
-            history.void |= !write_ahead_log || history.answer.is_some();
+            history.exempt |= !write_ahead_log || history.answer.is_some();
         }
         // The rules bind a start to what it accepted, and to what its write-ahead log still holds.
         for (id, queue) in &mut self.ordering_queues {
             if id.forwarder == forwarder {
-                queue.retain(|message| !histories[message.0].void);
+                queue.retain(|message| !histories[message.0].exempt);
             }
         }
     }
 
     /// A forwarder found a message in its write-ahead log when it started; its time ran on meanwhile.
-    pub(crate) fn message_restored(&mut self, now: Duration, message: MessageIndex) {
+    pub(crate) fn record_restoration(&mut self, now: Duration, message: MessageIndex) {
         let answer_slack = self.fleet.answer_slack;
         self.histories[message.0].restore(now, answer_slack);
     }
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -16,7 +16,7 @@
 
 impl InvariantChecker {
     /// A forwarder read an endpoint's state in its endpoint list.
-    pub(crate) fn endpoint_listed(
+    pub(crate) fn record_listed_state(
         &mut self,
         now: Duration,
         forwarder: ForwarderIndex,
@@ -35,28 +35,28 @@
     }
 
     /// An endpoint goes down: forwarders that saw an earlier outage do not know of this one yet.
-    pub(crate) fn outage_started(&mut self, endpoint: EndpointIndex) {
-        self.aware_of_outage.remove(&endpoint);
+    pub(crate) fn record_outage_start(&mut self, endpoint: EndpointIndex) {
+        self.forwarders_aware_of_outage.remove(&endpoint);
     }
 
     /// A forwarder saw a failed or rejected request to an endpoint during its outage.
-    pub fn failure_reported(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) {
-        self.aware_of_outage.entry(endpoint).or_default().insert(forwarder);
+    pub fn record_failure(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) {
+        self.forwarders_aware_of_outage.entry(endpoint).or_default().insert(forwarder);
     }
 
     /// Whether a forwarder saw a failure in an endpoint's present outage, or its last one.
     pub(crate) fn knows_of_outage(&self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> bool {
-        self.aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
+        self.forwarders_aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
     }
 
     /// Whether any forwarder saw a failure in an endpoint's present outage, or its last one.
     pub(crate) fn is_outage_known(&self, endpoint: EndpointIndex) -> bool {
-        self.aware_of_outage.get(&endpoint).is_some_and(|aware| !aware.is_empty())
+        self.forwarders_aware_of_outage.get(&endpoint).is_some_and(|aware| !aware.is_empty())
     }
 
     /// A cold endpoint was overloaded by what it was sent in the overload window. The rule is broken where over two
     /// thirds of it came from forwarders that had seen the outage.
-    pub fn endpoint_overloaded(
+    pub fn check_overload(
         &mut self,
         now: Duration,
         endpoint: EndpointIndex,
@@ -74,13 +74,13 @@
             at_s: now.as_secs_f64(),
             forwarder: None,
             message: None,
-            what: format!(
+            description: format!(
                 "target {} fell over: sent {total:.2} against {budget:.2}, {from_knowing:.2} of it by forwarders that knew",
                 endpoint.0
             ),
-            led_by: self.describe_senders(endpoint, received),
+            history: self.describe_senders(endpoint, received),
         };
-        self.keep(violation);
+        self.store_violation(violation);
     }
 
     /// What each sender sent, those that sent most first.
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -99,12 +99,12 @@
 /// One event of a message's history, in words.
 struct HistoryEvent {
     at: Duration,
-    what: String,
+    text: String,
 }
 
 impl fmt::Display for HistoryEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        write!(formatter, "{:.6} s: {}", self.at.as_secs_f64(), self.what)
+        write!(formatter, "{:.6} s: {}", self.at.as_secs_f64(), self.text)
     }
 }
 
@@ -115,7 +115,7 @@
     pub(super) answer_due: Duration,
     pub(super) answer: Option<GivenAnswer>,
     /// Its forwarder was killed and has no write-ahead log, or had answered.
-    pub(super) void: bool,
+    pub(super) exempt: bool,
     pub(super) attempts: Vec<AttemptHistory>,
 }
 
@@ -125,7 +125,7 @@
         accepted_at: Duration,
         answer_due: Duration,
     ) -> MessageHistory {
-        MessageHistory { message, accepted_at, answer_due, answer: None, void: false, attempts: Vec::new() }
+        MessageHistory { message, accepted_at, answer_due, answer: None, exempt: false, attempts: Vec::new() }
     }
 
     /// Start of the first attempt that may have been executed.
@@ -136,11 +136,11 @@
 
     /// It has its final answer, and no attempt for it is in flight.
     pub(super) fn is_finished(&self) -> bool {
-        (self.answer.is_some() || self.void) && self.attempts.iter().all(|attempt| attempt.ended.is_some())
+        (self.answer.is_some() || self.exempt) && self.attempts.iter().all(|attempt| attempt.ended.is_some())
     }
 
     /// Until when its ordering key is held after attempts that may still run; zero where none may.
-    pub(super) fn held_until(&self, hold_off: Duration) -> Duration {
+    pub(super) fn key_held_until(&self, hold_off: Duration) -> Duration {
         let ended = self.attempts.iter().filter_map(|attempt| attempt.ended);
         let uncertain = ended.filter(|ended| may_still_run(ended.outcome));
         uncertain.map(|ended| ended.at + hold_off).max().unwrap_or_default()
@@ -155,23 +155,23 @@
     }
 
     /// All that happened, oldest first, in the operators' words.
-    pub(super) fn lines(&self) -> Vec<String> {
+    pub(super) fn describe_events(&self) -> Vec<String> {
         let accepted = format!(
             "taken by forwarder {}, due by {:.6}",
             self.message.forwarder.0,
             self.answer_due.as_secs_f64()
         );
-        let mut events = vec![HistoryEvent { at: self.accepted_at, what: accepted }];
+        let mut events = vec![HistoryEvent { at: self.accepted_at, text: accepted }];
         for (number, attempt) in self.attempts.iter().enumerate() {
             let started = format!("dispatch {number} to target {}", attempt.endpoint.0);
-            events.push(HistoryEvent { at: attempt.started_at, what: started });
+            events.push(HistoryEvent { at: attempt.started_at, text: started });
             if let Some(ended) = attempt.ended {
-                let what = format!("dispatch {number} ended: {}", OutcomeText(ended.outcome));
-                events.push(HistoryEvent { at: ended.at, what });
+                let text = format!("dispatch {number} ended: {}", OutcomeText(ended.outcome));
+                events.push(HistoryEvent { at: ended.at, text });
             }
         }
         if let Some(given) = self.answer {
-            events.push(HistoryEvent { at: given.at, what: format!("answered: {}", given.answer) });
+            events.push(HistoryEvent { at: given.at, text: format!("answered: {}", given.answer) });
         }
         events.sort_by_key(|event| event.at);
         events.iter().map(ToString::to_string).collect()
--- a/crates/simulation/src/invariants/ordering.rs
+++ b/crates/simulation/src/invariants/ordering.rs
@@ -9,7 +9,7 @@
 impl InvariantChecker {
     /// What stands in the way of an attempt for a message in the queue of its ordering key. Drops from the queue what
     /// no longer matters.
-    pub(super) fn blocked_by_order(
+    pub(super) fn find_order_blocker(
         &mut self,
         now: Duration,
         forwarder: ForwarderIndex,
@@ -18,16 +18,18 @@
     ) -> Option<String> {
         let (histories, hold_off) = (&self.histories, self.fleet.ordering_hold_off);
         let history = |message: &MessageIndex| -> &MessageHistory { &histories[message.0] };
-        let held_until = |message: &MessageIndex| history(message).held_until(hold_off);
+        let key_held_until = |message: &MessageIndex| history(message).key_held_until(hold_off);
         let queue = self.ordering_queues.get_mut(&OrderingQueueId { forwarder, key })?;
-        queue.retain(|other| *other == message || !history(other).is_finished() || now < held_until(other));
+        queue.retain(|other| {
+            *other == message || !history(other).is_finished() || now < key_held_until(other)
+        });
         let mut earlier = queue.iter().take_while(|other| **other != message);
         if let Some(open) = earlier.find(|other| !history(other).is_finished()) {
             return Some(format!("envelope {} of key {key} was taken before and is not over", open.0));
         }
         let mut others = queue.iter().filter(|other| **other != message);
-        let holding = others.find(|other| now < held_until(other))?;
-        let until = held_until(holding).as_secs_f64();
+        let holding = others.find(|other| now < key_held_until(other))?;
+        let until = key_held_until(holding).as_secs_f64();
         Some(format!("key {key} rests until {until:.6} after an unsure end of envelope {}", holding.0))
     }
 }
--- a/crates/simulation/src/invariants/violation.rs
+++ b/crates/simulation/src/invariants/violation.rs
@@ -20,9 +20,11 @@
     #[serde(rename = "envelope")]
     pub message: Option<usize>,
     /// How it was broken.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// What led to it, oldest first.
-    pub led_by: Vec<String>,
+    #[serde(rename = "led_by")]
+    pub history: Vec<String>,
 }
 
 impl fmt::Display for Violation {
@@ -34,8 +36,8 @@
         if let Some(message) = self.message {
             write!(formatter, ", envelope {message}")?;
         }
-        write!(formatter, ": {}", self.what)?;
-        self.led_by.iter().try_for_each(|line| write!(formatter, "\n    {line}"))
+        write!(formatter, ": {}", self.description)?;
+        self.history.iter().try_for_each(|line| write!(formatter, "\n    {line}"))
     }
 }
 
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -44,28 +44,28 @@
         let now = self.now();
         let destination = self.destination_of(endpoint);
         let scopes = [RetryAfterScope::Destination(destination.0), RetryAfterScope::Endpoint(endpoint)];
-        self.invariants.attempt_started(now, message, endpoint, scopes);
+        self.invariants.record_attempt_start(now, message, endpoint, scopes);
         self.account.attempts.all += 1;
-        self.account.second(now).started += 1;
+        self.account.counts_at(now).started += 1;
         let attempt = AttemptRef { message, number: self.messages[message.0].attempts.len() };
         let joined = self.batch_with_room(endpoint, batches);
-        if !self.may_send(attempt, joined) {
-            return self.attempt_not_sent(attempt, endpoint);
+        if !self.can_send(attempt, joined) {
+            return self.finish_unsent_attempt(attempt, endpoint);
         }
         let request = joined.unwrap_or_else(|| self.open_request(attempt, endpoint, batches));
         self.count_sent_to_down(attempt, endpoint);
-        self.join_request(attempt, endpoint, request, timeout);
+        self.add_to_request(attempt, endpoint, request, timeout);
     }
 
     /// The endpoint of an attempt, if it is one of the message's destination.
     fn valid_endpoint(&mut self, message: MessageIndex, id: EndpointId) -> Option<EndpointIndex> {
         let destination = self.submissions[self.messages[message.0].submission.0].destination;
-        let what = match self.known_endpoint(id) {
+        let description = match self.known_endpoint(id) {
             Some(endpoint) if self.destination_of(endpoint) == destination => return Some(endpoint),
             Some(endpoint) => format!("sent to target {} of another destination", endpoint.0),
             None => format!("sent to target {}, which no list has named", id.0),
         };
-        self.invariants.record_violation(Rule::Interface, self.schedule.now(), Some(message), what);
+        self.invariants.record_violation(Rule::Interface, self.schedule.now(), Some(message), description);
         None
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Whether the message is pending, has attempts left, and a request may leave.
-    fn may_send(&self, attempt: AttemptRef, joined: Option<RequestIndex>) -> bool {
+    fn can_send(&self, attempt: AttemptRef, joined: Option<RequestIndex>) -> bool {
         let fleet = &self.scenario.fleet;
         let message = &self.messages[attempt.message.0];
         let in_flight = self.forwarders[message.owner.forwarder.0].requests_in_flight;
@@ -86,7 +86,7 @@
     }
 
     /// An attempt that cannot be sent; the forwarder learns so at the next tick.
-    fn attempt_not_sent(&mut self, attempt: AttemptRef, endpoint: EndpointIndex) {
+    fn finish_unsent_attempt(&mut self, attempt: AttemptRef, endpoint: EndpointIndex) {
         let now = self.now();
         let outcome = AttemptOutcome::NotSent;
         let scope = self.retry_after_scope(endpoint);
@@ -134,7 +134,7 @@
     }
 
     /// Adds an attempt to a request that has not left, and schedules its timeout.
-    fn join_request(
+    fn add_to_request(
         &mut self,
         attempt: AttemptRef,
         endpoint: EndpointIndex,
@@ -162,8 +162,13 @@
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptRef) {
         let message = attempt.message;
         let Some(record) = self.messages[message.0].attempts.get(attempt.number) else {
-            let what = format!("called off dispatch {} that was never made", attempt.number);
-            self.invariants.record_violation(Rule::Interface, self.schedule.now(), Some(message), what);
+            let description = format!("called off dispatch {} that was never made", attempt.number);
+            self.invariants.record_violation(
+                Rule::Interface,
+                self.schedule.now(),
+                Some(message),
+                description,
+            );
             return;
         };
         if let Some(position) = record.position {
@@ -194,7 +199,7 @@
         self.messages[message.0].attempts[attempt.number].outcome = Some(outcome);
         self.count_outcome(outcome);
         if outcome == AttemptOutcome::Completed && !self.messages[message.0].finished {
-            self.message_completed(message);
+            self.complete_message(message);
         }
         let finished = self.messages[message.0].finished;
         if !self.requests[position.request.0].is_awaited() {
@@ -220,7 +225,7 @@
         }
         if matches!(outcome, AttemptOutcome::Rejected { .. }) {
             let now = self.now();
-            self.account.second(now).rejected_attempts += 1;
+            self.account.counts_at(now).rejected_attempts += 1;
         }
     }
 }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -17,17 +17,17 @@
 /// Least delay from the kill of a forwarder to the next submission of its messages.
 const MIN_FAILOVER_DELAY: Duration = Duration::from_millis(1);
 /// Messages in one clump at most.
-const MAX_CLUMP: f64 = 1e4;
+const MAX_CLUMP_MESSAGES: f64 = 1e4;
 /// Messages in one arrival at most, clumps aside.
-const MAX_ARRIVAL: f64 = 1e5;
+const MAX_ARRIVAL_MESSAGES: f64 = 1e5;
 /// Guards logarithms and divisions against zero.
-const TINY: f64 = 1e-12;
+const MIN_LOG_ARGUMENT: f64 = 1e-12;
 /// Guards divisions by rates and sizes against zero.
 const MIN_DIVISOR: f64 = 1e-9;
 /// Multiplier that spreads ordering keys over forwarders: 2^64 divided by the golden ratio.
-const KEY_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Bits of a spread key that are dropped, as the low ones vary least.
-const KEY_SHIFT: u32 = 33;
+const KEY_HASH_SHIFT: u32 = 33;
 /// Ordering keys of one destination; those of the next one lie above.
 const DESTINATION_KEY_SHIFT: u32 = 24;
 
@@ -47,7 +47,7 @@
 }
 
 /// The index of the part that a draw from 0 to 1 selects, by the running sums of all parts.
-fn part_at(sums: &[f64], drawn: f64) -> usize {
+fn weighted_index(sums: &[f64], drawn: f64) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
     sums.partition_point(|sum| *sum <= drawn * total).min(sums.len().saturating_sub(1))
 }
@@ -85,30 +85,34 @@
             traffic.baseline_per_s.get() * traffic.load.get() * part * self.traffic_factor(program);
         let arrivals_per_s = messages_per_s / self.arrival_shape(program).mean_messages;
         let drawn: f64 = self.random.arrivals.random();
-        let gap = -(1.0 - drawn).max(TINY).ln() / arrivals_per_s.max(MIN_DIVISOR);
+        let gap = -(1.0 - drawn).max(MIN_LOG_ARGUMENT).ln() / arrivals_per_s.max(MIN_DIVISOR);
         self.now() + duration_from_seconds(gap).max(MIN_DELAY)
     }
 
     /// Messages of a program arrive, and the next arrival is scheduled.
-    pub(super) fn messages_arrive(&mut self, program: usize) {
+    pub(super) fn handle_arrival(&mut self, program: usize) {
         if self.now() >= self.scenario.duration.0 {
-            self.programs_done += 1;
+            self.finished_programs += 1;
             return;
         }
         let shape = self.arrival_shape(program);
         let scenario = self.scenario;
         let random = &mut self.random.arrivals;
         let is_clump = random.random::<f64>() < shape.clump_probability;
-        let clump_size = scenario.traffic.clump_size.draw(random).round().clamp(1.0, MAX_CLUMP) as usize;
+        let clump_size =
+            scenario.traffic.clump_size.draw(random).round().clamp(1.0, MAX_CLUMP_MESSAGES) as usize;
         let arrival_size = scenario.programs[program].arrival_size.draw(random);
-        let arrival_size = arrival_size.round().clamp(1.0, MAX_ARRIVAL) as usize;
+        let arrival_size = arrival_size.round().clamp(1.0, MAX_ARRIVAL_MESSAGES) as usize;
         let messages = arrival_size * if is_clump { clump_size } else { 1 };
         let mut clump_destination = None;
         for _ in 0..messages {
             // Drawn in any case, so that clumps do not shift what is drawn later.
-            let drawn = DestinationIndex(part_at(&self.destination_sums, self.random.arrivals.random()));
+            let drawn = DestinationIndex(weighted_index(
+                &self.cumulative_destination_weights,
+                self.random.arrivals.random(),
+            ));
             let destination = *clump_destination.get_or_insert(drawn);
-            self.message_arrives(program, destination);
+            self.submit_new_message(program, destination);
             if !is_clump {
                 clump_destination = None;
             }
@@ -118,10 +122,10 @@
     }
 
     /// Draws a message for a destination, and submits it.
-    fn message_arrives(&mut self, program: usize, destination: DestinationIndex) {
+    fn submit_new_message(&mut self, program: usize, destination: DestinationIndex) {
         let now = self.now();
         let random = &mut self.random.arrivals;
-        let class_index = part_at(&self.class_sums, random.random());
+        let class_index = weighted_index(&self.cumulative_class_weights, random.random());
         let class = &self.scenario.classes[class_index];
         let key = random.random::<u64>();
         let work = class.work_ms.draw(random) / 1e3;
@@ -129,19 +133,19 @@
         let key_of = |keys: u32| ((destination.0 as u64) << DESTINATION_KEY_SHIFT) | (key % u64::from(keys));
         let submission = SubmissionIndex(self.submissions.len());
         let accounted = NewSubmission { submitted_at: now, class: class_index, program, destination };
-        self.account.submitted(self.scenario, accounted);
+        self.account.record_submission(self.scenario, accounted);
         self.submissions.push(ClientSubmission {
             class: class_index,
             program,
             ordering_key: class.ordered_keys.map(key_of),
             destination,
             submitted_at: now,
-            work,
+            work_seconds: work,
             resubmissions_left: self.scenario.programs[program].max_resubmissions,
-            applied: 0,
+            times_applied: 0,
             finished: false,
         });
-        self.open_submissions += 1;
+        self.unfinished_submissions += 1;
         self.submit(submission);
     }
 
@@ -152,12 +156,12 @@
         let ordering_key = self.submissions[submission.0].ordering_key;
         let capacity = self.scenario.fleet.capacity as usize;
         let reached = self.choose_forwarder(ordering_key);
-        let has_room = |forwarder: &ForwarderIndex| self.forwarders[forwarder.0].open_messages < capacity;
+        let has_room = |forwarder: &ForwarderIndex| self.forwarders[forwarder.0].pending_count < capacity;
         match reached.filter(has_room) {
             Some(forwarder) => self.accept(submission, forwarder),
             None => {
                 self.account.ends.not_accepted += 1;
-                self.submission_rejected(submission, None);
+                self.handle_submission_rejection(submission, None);
             }
         }
     }
@@ -168,7 +172,7 @@
         let shift_draw: f64 = self.random.clients.random();
         let spread_draw: f64 = self.random.clients.random();
         let first = match (ordering_key, self.traffic_shift()) {
-            (Some(key), _) => (key.wrapping_mul(KEY_SPREAD) >> KEY_SHIFT) as usize % count,
+            (Some(key), _) => (key.wrapping_mul(KEY_HASH_MULTIPLIER) >> KEY_HASH_SHIFT) as usize % count,
             (None, Some(shift)) if shift_draw < shift.share && !shift.forwarders.is_empty() => {
                 let position = (spread_draw * shift.forwarders.len() as f64) as usize;
                 shift.forwarders[position.min(shift.forwarders.len() - 1)].0
@@ -202,7 +206,11 @@
     }
 
     /// A client learns that its message was rejected, or not accepted at all.
-    pub(super) fn submission_rejected(&mut self, submission: SubmissionIndex, retry_after: Option<Duration>) {
+    pub(super) fn handle_submission_rejection(
+        &mut self,
+        submission: SubmissionIndex,
+        retry_after: Option<Duration>,
+    ) {
         let program = &self.scenario.programs[self.submissions[submission.0].program];
         let delay = program.resubmission_delay_s.span(&mut self.random.clients);
         let honors = program.honors_retry_after.occurs(&mut self.random.clients);
@@ -217,7 +225,7 @@
     }
 
     /// Its forwarder was killed: the client submits the message to another one, which counts as no resubmission.
-    pub(super) fn submission_orphaned(&mut self, submission: SubmissionIndex) {
+    pub(super) fn schedule_failover(&mut self, submission: SubmissionIndex) {
         let program = &self.scenario.programs[self.submissions[submission.0].program];
         let delay = program.resubmission_delay_s.span(&mut self.random.clients);
         let at = self.now() + delay.max(MIN_FAILOVER_DELAY);
@@ -239,7 +247,7 @@
         let record = &mut self.submissions[submission.0];
         if !record.finished {
             record.finished = true;
-            self.open_submissions -= 1;
+            self.unfinished_submissions -= 1;
         }
     }
 }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -90,22 +90,22 @@
     ) {
         match command {
             HostCommand::StartAttempt { message, endpoint, timeout } => {
-                if let Some(message) = self.held_message(forwarder, &message) {
+                if let Some(message) = self.owned_message(forwarder, &message) {
                     self.start_attempt(message, endpoint, timeout, batches);
                 }
             }
             HostCommand::Cancel { message, attempt } => {
-                if let Some(message) = self.held_message(forwarder, &message) {
+                if let Some(message) = self.owned_message(forwarder, &message) {
                     self.cancel_attempt(AttemptRef { message, number: attempt.0 as usize });
                 }
             }
             HostCommand::Reject { message, retry_after } => {
-                if let Some(message) = self.held_message(forwarder, &message) {
+                if let Some(message) = self.owned_message(forwarder, &message) {
                     self.reject_message(message, retry_after);
                 }
             }
             HostCommand::Fail { message } => {
-                if let Some(message) = self.held_message(forwarder, &message) {
+                if let Some(message) = self.owned_message(forwarder, &message) {
                     self.fail_message(message);
                 }
             }
@@ -117,17 +117,17 @@
     }
 
     /// A message that this incarnation of the forwarder holds; naming another one is a violation.
-    fn held_message(&mut self, forwarder: ForwarderIndex, id: &MessageId) -> Option<MessageIndex> {
+    fn owned_message(&mut self, forwarder: ForwarderIndex, id: &MessageId) -> Option<MessageIndex> {
         let incarnation = self.incarnation_of(forwarder);
-        let is_held = |message: &MessageIndex| {
+        let is_owned = |message: &MessageIndex| {
             self.messages.get(message.0).is_some_and(|record| record.owner == incarnation)
         };
-        let held = message_index(id).filter(is_held);
-        if held.is_none() {
-            let what = format!("forwarder {} names {:?}, which it was not given", forwarder.0, id.0);
-            self.invariants.record_violation(Rule::Interface, self.schedule.now(), None, what);
+        let owned = message_index(id).filter(is_owned);
+        if owned.is_none() {
+            let description = format!("forwarder {} names {:?}, which it was not given", forwarder.0, id.0);
+            self.invariants.record_violation(Rule::Interface, self.schedule.now(), None, description);
         }
-        held
+        owned
     }
 
     /// Schedules the arrival of the complete endpoint list at a forwarder.
@@ -142,7 +142,7 @@
     /// Sends a health check to an endpoint.
     fn start_health_check(&mut self, forwarder: ForwarderIndex, endpoint: EndpointId) {
         let Some(endpoint) = self.known_endpoint(endpoint) else { return };
-        let at = self.now() + self.one_way(forwarder, endpoint);
+        let at = self.now() + self.draw_one_way_delay(forwarder, endpoint);
         let from = self.incarnation_of(forwarder);
         self.schedule.schedule(at, Event::HealthCheckArrives { from, endpoint });
     }
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -16,7 +16,7 @@
 /// Work of a health check, in requests of one message.
 const HEALTH_CHECK_WORK: f64 = 1.0;
 /// Guards the division by an endpoint's capacity, in requests a second.
-const MIN_CAPACITY: f64 = 1e-6;
+const MIN_CAPACITY_PER_S: f64 = 1e-6;
 
 impl World<'_> {
     // # The endpoint's state.
@@ -57,7 +57,7 @@
     }
 
     /// Requests a second that a destination's endpoints can serve now.
-    pub(super) fn capacity_now(&self, destination: DestinationIndex) -> f64 {
+    pub(super) fn current_capacity_per_s(&self, destination: DestinationIndex) -> f64 {
         let work_factor = self.layout.destinations[destination.0].work_factor;
         let capacity_of = |endpoint: &EndpointIndex| {
             let state = &self.endpoints[endpoint.0];
@@ -72,7 +72,7 @@
     // # Arrivals.
 
     /// A request arrives at its endpoint, which accepts, rejects or loses it.
-    pub(super) fn request_arrives(&mut self, request: RequestIndex) {
+    pub(super) fn handle_request_arrival(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
         let (endpoint, sender) = (record.endpoint, record.sender.forwarder);
@@ -82,25 +82,25 @@
         state.in_transit = state.in_transit.saturating_sub(1);
         if self.refuses_connections(endpoint) || is_connection_gone {
             // The connection was reset while the request was in transit.
-            return self.return_reset(request);
+            return self.schedule_connection_reset(request);
         }
         if self.is_unreachable(endpoint) {
             return;
         }
         let extra_messages = self.requests[request.0].batch.len() - 1;
-        if let Some(load) = self.account.load(destination, now) {
+        if let Some(load) = self.account.load_at(destination, now) {
             load.requests += 1;
         }
         let work = 1.0 + WORK_PER_EXTRA_MESSAGE * extra_messages as f64;
         self.receive_work(endpoint, work, sender);
         if self.refuses_connections(endpoint) {
             // This request has overloaded the endpoint, and its connection was reset with all others.
-            return self.return_reset(request);
+            return self.schedule_connection_reset(request);
         }
-        if let Some(until) = self.rejects_until(endpoint) {
+        if let Some(until) = self.rejection_end(endpoint) {
             return self.reject_request(request, until - now);
         }
-        if self.fails_at_once(request, endpoint) {
+        if self.draw_immediate_failure(request, endpoint) {
             return self.respond(request, AttemptOutcome::Error);
         }
         if let Err(retry_after) = self.admit(endpoint) {
@@ -122,7 +122,7 @@
     }
 
     /// End of the fault by which an endpoint rejects all requests.
-    fn rejects_until(&self, endpoint: EndpointIndex) -> Option<Duration> {
+    fn rejection_end(&self, endpoint: EndpointIndex) -> Option<Duration> {
         let active = self.endpoints[endpoint.0].active_faults.iter();
         let scheduled = active.map(|index| &self.scenario.faults[*index]);
         let rejecting = scheduled.filter(|scheduled| matches!(scheduled.fault, Fault::RejectsAll { .. }));
@@ -130,7 +130,7 @@
     }
 
     /// Draws whether a fault has the endpoint answer a request with an error, without executing it.
-    fn fails_at_once(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> bool {
+    fn draw_immediate_failure(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> bool {
         let batch = &self.requests[request.0].batch;
         let class_name = |class: usize| &self.scenario.classes[class].name;
         let classes: Vec<usize> = batch.iter().map(|entry| self.class_of(entry.attempt.message)).collect();
@@ -163,13 +163,17 @@
         } else if state.queue.len() < state.plan.max_queued {
             state.queue.push_back(request);
         } else {
-            let retry_after = duration_from_seconds(1.0 / state.plan.capacity_per_s.max(MIN_CAPACITY));
+            let retry_after = duration_from_seconds(1.0 / state.plan.capacity_per_s.max(MIN_CAPACITY_PER_S));
             self.reject_request(request, retry_after);
         }
     }
 
     /// A health check arrives at its endpoint; its result is sent back to the forwarder.
-    pub(super) fn health_check_arrives(&mut self, from: ForwarderIncarnation, endpoint: EndpointIndex) {
+    pub(super) fn handle_health_check_arrival(
+        &mut self,
+        from: ForwarderIncarnation,
+        endpoint: EndpointIndex,
+    ) {
         self.receive_work(endpoint, HEALTH_CHECK_WORK, from.forwarder);
         let is_silent = self.is_unreachable(endpoint) || self.hangs(endpoint);
         let is_up = !self.endpoints[endpoint.0].is_down() && !self.refuses_connections(endpoint);
@@ -191,13 +195,13 @@
         if self.is_unreachable(self.requests[request.0].endpoint) {
             return;
         }
-        let at = self.now() + self.one_way_of(request);
+        let at = self.now() + self.draw_request_one_way_delay(request);
         self.schedule.schedule(at, Event::ResponseArrives { request, outcome });
     }
 
     /// The sender of a request sees its connection reset.
-    pub(super) fn return_reset(&mut self, request: RequestIndex) {
-        let at = self.now() + self.one_way_of(request);
+    pub(super) fn schedule_connection_reset(&mut self, request: RequestIndex) {
+        let at = self.now() + self.draw_request_one_way_delay(request);
         let outcome = AttemptOutcome::ConnectionReset;
         self.schedule.schedule(at, Event::ResponseArrives { request, outcome });
     }
@@ -208,7 +212,7 @@
         let destination = self.destination_of(self.requests[request.0].endpoint);
         let share = self.kind_of(destination).sends_retry_after;
         let sends_retry_after = share.occurs(&mut self.random.service);
-        if let Some(load) = self.account.load(destination, now) {
+        if let Some(load) = self.account.load_at(destination, now) {
             load.rejected += 1;
         }
         // Counted from when the forwarder learns of it.
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -16,9 +16,9 @@
         // A stream of its own: one fault more or less does not change what the others affect.
         let mut random = RandomStream::Fault(index).open(self.seed);
         let selector = fault.endpoint_selector();
-        let struck =
+        let affected =
             selector.map(|selector| self.layout.select_endpoints(selector, &mut random)).unwrap_or_default();
-        for endpoint in &struck {
+        for endpoint in &affected {
             self.endpoints[endpoint.0].active_faults.push(index);
             if fault.is_outage() {
                 self.start_outage(*endpoint);
@@ -26,10 +26,10 @@
         }
         match fault {
             Fault::ConnectionsRefused { .. } => {
-                struck.iter().for_each(|endpoint| self.reset_connections(*endpoint));
+                affected.iter().for_each(|endpoint| self.reset_connections(*endpoint));
             }
-            Fault::Replaced { .. } => self.replace_endpoints(&struck),
-            Fault::Drains { .. } => self.list_endpoints_as(&struck, EndpointState::Draining),
+            Fault::Replaced { .. } => self.replace_endpoints(&affected),
+            Fault::Drains { .. } => self.list_endpoints_as(&affected, EndpointState::Draining),
             Fault::ForwardersKilled { forwarders } => {
                 for forwarder in self.layout.select_forwarders(forwarders) {
                     self.kill_forwarder(forwarder);
@@ -37,24 +37,24 @@
             }
             _ => {}
         }
-        self.active_faults.insert(index, struck);
+        self.active_faults.insert(index, affected);
     }
 
     /// A fault ends, by its place in the scenario.
     pub(super) fn end_fault(&mut self, index: usize) {
-        let Some(struck) = self.active_faults.remove(&index) else { return };
+        let Some(affected) = self.active_faults.remove(&index) else { return };
         let fault = self.fault(index);
-        for endpoint in &struck {
+        for endpoint in &affected {
             self.endpoints[endpoint.0].active_faults.retain(|active| *active != index);
             if fault.is_outage() {
                 self.end_outage(*endpoint, OutageCause::Fault);
             }
         }
         match fault {
-            Fault::Hang { .. } => struck.iter().for_each(|endpoint| self.resume_after_hang(*endpoint)),
+            Fault::Hang { .. } => affected.iter().for_each(|endpoint| self.resume_after_hang(*endpoint)),
             Fault::Drains { .. } => {
-                struck.iter().for_each(|endpoint| self.remove_endpoint(*endpoint));
-                self.list_endpoints_as(&struck, EndpointState::Removed);
+                affected.iter().for_each(|endpoint| self.remove_endpoint(*endpoint));
+                self.list_endpoints_as(&affected, EndpointState::Removed);
             }
             Fault::ListFrozen {} => {
                 for frozen in std::mem::take(&mut self.frozen_list_changes) {
--- a/crates/simulation/src/world/forwarder.rs
+++ b/crates/simulation/src/world/forwarder.rs
@@ -19,7 +19,7 @@
     pub(super) run_scheduled: bool,
     pub(super) requests_in_flight: usize,
     /// Messages accepted without a final answer.
-    pub(super) open_messages: usize,
+    pub(super) pending_count: usize,
     /// The same, in the order in which they were accepted: what a write-ahead log would hold.
     pub(super) pending: BTreeMap<usize, MessageIndex>,
     /// When it learns of the last change of the endpoint list so far: changes arrive in order.
@@ -36,7 +36,7 @@
             inbox: VecDeque::new(),
             run_scheduled: false,
             requests_in_flight: 0,
-            open_messages: 0,
+            pending_count: 0,
             pending: BTreeMap::new(),
             last_list_change_at: Duration::ZERO,
         }
@@ -53,14 +53,14 @@
     }
 
     /// Adds a message that the forwarder has accepted.
-    pub(super) fn message_accepted(&mut self, message: MessageIndex) {
-        self.open_messages += 1;
+    pub(super) fn add_pending(&mut self, message: MessageIndex) {
+        self.pending_count += 1;
         self.pending.insert(message.0, message);
     }
 
     /// Removes a message that needs nothing more.
-    pub(super) fn message_finished(&mut self, message: MessageIndex) {
-        self.open_messages = self.open_messages.saturating_sub(1);
+    pub(super) fn remove_pending(&mut self, message: MessageIndex) {
+        self.pending_count = self.pending_count.saturating_sub(1);
         self.pending.remove(&message.0);
     }
 }
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -129,7 +129,7 @@
             }
             ForwarderInput::HealthChecked { endpoint, healthy } => {
                 if !healthy && self.endpoints[endpoint.0].is_down() {
-                    self.invariants.failure_reported(forwarder, endpoint);
+                    self.invariants.record_failure(forwarder, endpoint);
                 }
                 policy.health_checked(now, endpoint_id(endpoint), healthy);
             }
@@ -149,11 +149,11 @@
             let named: Vec<EndpointIndex> = changes.iter().map(|change| change.endpoint).collect();
             let all = (0..self.listed_states.len()).map(EndpointIndex);
             for endpoint in all.filter(|endpoint| !named.contains(endpoint)) {
-                self.invariants.endpoint_listed(now, forwarder, endpoint, EndpointState::Removed);
+                self.invariants.record_listed_state(now, forwarder, endpoint, EndpointState::Removed);
             }
         }
         for change in changes {
-            self.invariants.endpoint_listed(now, forwarder, change.endpoint, change.state);
+            self.invariants.record_listed_state(now, forwarder, change.endpoint, change.state);
         }
         let endpoints = changes.iter().map(|change| self.listed_endpoint(*change)).collect();
         EndpointListUpdate { complete, endpoints }
@@ -202,13 +202,13 @@
         let AttemptEnd { attempt, outcome, scope, .. } = end;
         let now = self.now();
         let ended = EndedAttempt { message: attempt.message, number: attempt.number, outcome, scope };
-        self.invariants.attempt_finished(now, ended);
+        self.invariants.record_attempt_end(now, ended);
         let attempts = &mut self.messages[attempt.message.0].attempts;
         let Some(record) = attempts.get_mut(attempt.number) else { return };
         record.reported = true;
         let endpoint = record.endpoint;
         if shows_failure(outcome) && self.endpoints[endpoint.0].is_down() {
-            self.invariants.failure_reported(forwarder, endpoint);
+            self.invariants.record_failure(forwarder, endpoint);
         }
     }
 }
--- a/crates/simulation/src/world/lifecycle.rs
+++ b/crates/simulation/src/world/lifecycle.rs
@@ -30,7 +30,7 @@
         self.deliver(incarnation, ForwarderInput::EndpointList { complete: true, changes });
         for message in pending {
             self.messages[message.0].owner = incarnation;
-            self.invariants.message_restored(now, message);
+            self.invariants.record_restoration(now, message);
             self.schedule_answer_check(message);
             self.deliver(incarnation, ForwarderInput::Restored(message));
         }
@@ -56,9 +56,9 @@
         let pending = forwarder.pending_messages();
         if !write_ahead_log {
             forwarder.pending.clear();
-            forwarder.open_messages = 0;
+            forwarder.pending_count = 0;
         }
-        self.invariants.forwarder_killed(index, write_ahead_log);
+        self.invariants.record_forwarder_kill(index, write_ahead_log);
         self.abandon_requests_of(index);
         self.forwarders[index.0].requests_in_flight = 0;
         for endpoint in &mut self.endpoints {
@@ -98,7 +98,7 @@
             self.account.ends.lost += 1;
             self.finish_submission(submission);
         } else {
-            self.submission_orphaned(submission);
+            self.schedule_failover(submission);
         }
     }
 }
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -18,11 +18,11 @@
         let deadline = record.submitted_at + self.scenario.classes[class].deadline.0;
         let ordering_key = record.ordering_key;
         let accepted = AcceptedMessage { submission, forwarder, class, ordering_key, deadline };
-        self.invariants.message_accepted(self.schedule.now(), accepted);
+        self.invariants.record_acceptance(self.schedule.now(), accepted);
         self.schedule_withdrawal(message, program);
         if self.is_destination_down(destination) {
             self.sent_to_down.submitted += 1;
-            self.account.met_outage(submission);
+            self.account.record_submission_during_outage(submission);
         }
         let owner = self.incarnation_of(forwarder);
         self.messages.push(MessageRecord {
@@ -33,7 +33,7 @@
             finished: false,
             attempts: Vec::new(),
         });
-        self.forwarders[forwarder.0].message_accepted(message);
+        self.forwarders[forwarder.0].add_pending(message);
         self.schedule_answer_check(message);
         self.deliver(owner, ForwarderInput::Submitted(message));
     }
@@ -58,8 +58,9 @@
     pub(super) fn check_answer(&mut self, message: MessageIndex) {
         // A forwarder that is down answers for what its write-ahead log holds once it runs again.
         let now = self.now();
-        if self.is_pending_at_running_forwarder(message) && self.invariants.is_answer_missing(now, message) {
-            self.abandoned_by_client(message);
+        if self.is_pending_at_running_forwarder(message) && self.invariants.check_answer_missing(now, message)
+        {
+            self.abandon_message(message);
         }
     }
 
@@ -67,9 +68,9 @@
     pub(super) fn withdraw(&mut self, message: MessageIndex) {
         // A forwarder that is down learns nothing, and goes on with what its write-ahead log holds.
         if self.is_pending_at_running_forwarder(message) {
-            self.invariants.message_answered(self.schedule.now(), message, FinalAnswer::Withdrawn);
+            self.invariants.record_answer(self.schedule.now(), message, FinalAnswer::Withdrawn);
             self.account.ends.withdrawn += 1;
-            self.abandoned_by_client(message);
+            self.abandon_message(message);
         }
     }
 
@@ -79,7 +80,7 @@
     }
 
     /// The client has withdrawn a message, or got no answer in time.
-    fn abandoned_by_client(&mut self, message: MessageIndex) {
+    fn abandon_message(&mut self, message: MessageIndex) {
         self.finish_message(message);
         let record = &self.messages[message.0];
         let (owner, submission) = (record.owner, record.submission);
@@ -93,15 +94,15 @@
         if std::mem::replace(&mut record.finished, true) {
             return;
         }
-        self.forwarders[record.owner.forwarder.0].message_finished(message);
+        self.forwarders[record.owner.forwarder.0].remove_pending(message);
     }
 
     /// A message completed, by the first attempt that did.
-    pub(super) fn message_completed(&mut self, message: MessageIndex) {
+    pub(super) fn complete_message(&mut self, message: MessageIndex) {
         let now = self.now();
         let submission = self.messages[message.0].submission;
-        self.invariants.message_answered(now, message, FinalAnswer::Completed);
-        self.account.completed(self.scenario, now, submission);
+        self.invariants.record_answer(now, message, FinalAnswer::Completed);
+        self.account.record_completion(self.scenario, now, submission);
         self.finish_message(message);
         self.finish_submission(submission);
     }
@@ -113,8 +114,8 @@
         }
         let now = self.now();
         self.account.ends.rejected += 1;
-        self.account.second(now).rejected_messages += 1;
-        self.submission_rejected(self.messages[message.0].submission, retry_after);
+        self.account.counts_at(now).rejected_messages += 1;
+        self.handle_submission_rejection(self.messages[message.0].submission, retry_after);
     }
 
     /// A forwarder fails a message.
@@ -124,13 +125,13 @@
         }
         let now = self.now();
         self.account.ends.failed += 1;
-        self.account.second(now).failed += 1;
+        self.account.counts_at(now).failed += 1;
         self.finish_submission(self.messages[message.0].submission);
     }
 
     /// A forwarder gives a final answer without delivery. Returns whether the message was still pending.
     fn answer_undelivered(&mut self, message: MessageIndex, answer: FinalAnswer) -> bool {
-        self.invariants.message_answered(self.schedule.now(), message, answer);
+        self.invariants.record_answer(self.schedule.now(), message, answer);
         let was_pending = !self.messages[message.0].finished;
         self.finish_message(message);
         was_pending
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -25,7 +25,7 @@
         state.active_outages += 1;
         if state.active_outages == 1 {
             state.down_since = Some(now);
-            self.invariants.outage_started(endpoint);
+            self.invariants.record_outage_start(endpoint);
         }
     }
 
@@ -49,7 +49,7 @@
         self.observe_warm_up(endpoint, overload.as_ref());
         let Some(overload) = overload else { return };
         self.account.overloads += 1;
-        self.invariants.endpoint_overloaded(now, endpoint, &overload.received, overload.budget);
+        self.invariants.check_overload(now, endpoint, &overload.received, overload.budget);
         let until = now + settings.overload_outage.0;
         self.endpoints[endpoint.0].overloaded_until = Some(until);
         self.schedule.schedule(until, Event::OverloadEnds(endpoint));
@@ -66,7 +66,7 @@
     /// Resets all connections to an endpoint: their senders learn of it, and their requests are lost.
     pub(super) fn reset_connections(&mut self, endpoint: EndpointIndex) {
         for request in self.endpoints[endpoint.0].reset_connections() {
-            self.return_reset(request);
+            self.schedule_connection_reset(request);
         }
     }
 
--- a/crates/simulation/src/world/records.rs
+++ b/crates/simulation/src/world/records.rs
@@ -19,10 +19,10 @@
     /// Time of the first submission.
     pub(super) submitted_at: Duration,
     /// Seconds of work at a destination of usual speed.
-    pub(super) work: f64,
+    pub(super) work_seconds: f64,
     pub(super) resubmissions_left: u32,
     /// How often its effect was applied.
-    pub(super) applied: u32,
+    pub(super) times_applied: u32,
     /// Nothing more happens to it.
     pub(super) finished: bool,
 }
@@ -92,13 +92,13 @@
     pub(super) batch: Vec<BatchEntry>,
     pub(super) started_at: Duration,
     /// Nobody waits for it any more, and the endpoint knows so before it begins to serve it.
-    pub(super) void: bool,
+    pub(super) dropped: bool,
     /// It has a connection, which counts at the endpoint.
     pub(super) connected: bool,
     /// Work that serving it takes, in seconds; 0 until it is served.
-    pub(super) work: f64,
+    pub(super) work_seconds: f64,
     /// The endpoint has begun to serve it.
-    pub(super) serving_began: bool,
+    pub(super) serving_started: bool,
 }
 
 impl RequestRecord {
@@ -115,10 +115,10 @@
             endpoint_incarnation,
             batch: Vec::new(),
             started_at,
-            void: false,
+            dropped: false,
             connected: false,
-            work: 0.0,
-            serving_began: false,
+            work_seconds: 0.0,
+            serving_started: false,
         }
     }
 
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -10,9 +10,9 @@
 use crate::ids::{EndpointIndex, ForwarderIndex, RequestIndex};
 
 /// Ways between forwarder and endpoint until a refused connection is known: there and back.
-const REFUSAL_WAYS: u32 = 2;
+const REFUSAL_ONE_WAY_DELAYS: u32 = 2;
 /// Ways until a request arrives on a new connection: the handshake there and back, and the request.
-const NEW_CONNECTION_WAYS: u32 = 3;
+const NEW_CONNECTION_ONE_WAY_DELAYS: u32 = 3;
 
 /// What a request goes through before it reaches its endpoint.
 enum Connection {
@@ -31,7 +31,7 @@
     pub(super) fn send_request(&mut self, request: RequestIndex) {
         let record = &self.requests[request.0];
         let (forwarder, endpoint) = (record.sender.forwarder, record.endpoint);
-        let one_way = self.one_way(forwarder, endpoint);
+        let one_way = self.draw_one_way_delay(forwarder, endpoint);
         let network = &self.scenario.network;
         // Drawn in any case, so that the kind of connection does not shift what is drawn later.
         let handshake = network.handshake_ms.millis(&mut self.random.network);
@@ -39,10 +39,12 @@
         self.requests[request.0].endpoint_incarnation = self.endpoints[endpoint.0].incarnation;
         let now = self.now();
         match self.connect(forwarder, endpoint) {
-            Connection::Reused => self.leave(request, now + one_way),
-            Connection::New => self.leave(request, now + NEW_CONNECTION_WAYS * one_way + handshake),
+            Connection::Reused => self.send_on_connection(request, now + one_way),
+            Connection::New => {
+                self.send_on_connection(request, now + NEW_CONNECTION_ONE_WAY_DELAYS * one_way + handshake)
+            }
             Connection::Refused => {
-                self.schedule.schedule(now + REFUSAL_WAYS * one_way, Event::NotConnected(request));
+                self.schedule.schedule(now + REFUSAL_ONE_WAY_DELAYS * one_way, Event::NotConnected(request));
             }
             Connection::TimedOut => {
                 self.schedule.schedule(now + network.connect_timeout.0, Event::NotConnected(request));
@@ -74,7 +76,7 @@
     }
 
     /// A request is in transit on its connection.
-    fn leave(&mut self, request: RequestIndex, arrives_at: Duration) {
+    fn send_on_connection(&mut self, request: RequestIndex, arrives_at: Duration) {
         let record = &mut self.requests[request.0];
         record.connected = true;
         self.endpoints[record.endpoint.0].in_transit += 1;
@@ -118,8 +120,8 @@
         let serves_abandoned = self.kind_of(self.destination_of(endpoint)).serves_abandoned;
         let is_served = serves_abandoned.occurs(&mut self.random.service);
         let record = &mut self.requests[request.0];
-        if !record.serving_began && !is_served {
-            record.void = true;
+        if !record.serving_started && !is_served {
+            record.dropped = true;
         }
         if self.take_connection(request) {
             self.endpoints[endpoint.0].release_connections(1);
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -9,9 +9,9 @@
 /// Destinations that a report names, those that lost most credit first.
 const NAMED_DESTINATIONS: usize = 2 * WATCHED_DESTINATIONS;
 /// Guards the division by the work done, in seconds.
-const MIN_WORK: f64 = 1e-9;
+const MIN_WORK_SECONDS: f64 = 1e-9;
 
-fn part(name: String, credit: Credit) -> Part {
+fn credit_part(name: String, credit: Credit) -> Part {
     Part { name, asked: rounded(credit.asked), share: rounded(credit.share()) }
 }
 
@@ -43,7 +43,7 @@
             let since = endpoint.down_since.unwrap_or(self.scenario.duration.0);
             down.endpoint_seconds += self.scenario.duration.0.saturating_sub(since).as_secs_f64();
         }
-        let credit = self.account.credit_while_down();
+        let credit = self.account.credit_during_outage();
         down.credit_asked = rounded(credit.asked);
         down.credit_earned = rounded(credit.earned);
         down.endpoint_seconds = rounded(down.endpoint_seconds);
@@ -64,7 +64,7 @@
             policy: self.policy_name.to_owned(),
             seed: self.seed,
             credit: rounded(account.total().share()),
-            credit_worst_span: rounded(account.worst_share_over(WORST_SPAN)),
+            credit_worst_span: rounded(account.min_share_over_window(WORST_SPAN)),
             credit_worst_class: classes.iter().map(|class| class.share).fold(1.0, f64::min),
             submissions: submissions as u64,
             messages: self.messages.len() as u64,
@@ -76,7 +76,9 @@
             latency_ms: latency_quantiles(account),
             attempts_per_submission: per_submission(account.attempts.all),
             rejections_per_submission: per_submission(account.attempts.rejected),
-            work_wasted: rounded(1.0 - account.work_useful / account.work_done.max(MIN_WORK)),
+            work_wasted: rounded(
+                1.0 - account.useful_work_seconds / account.work_done_seconds.max(MIN_WORK_SECONDS),
+            ),
             in_flight_used: rounded(
                 account.in_flight_seconds / (max_in_flight * scenario.duration.seconds()),
             ),
@@ -88,7 +90,7 @@
             seconds: account.seconds.iter().map(rounded_second).collect(),
             watched,
             latency_steps: account.latency_steps(),
-            unfinished: self.open_submissions,
+            unfinished: self.unfinished_submissions,
             ran_s: rounded(self.schedule.now().as_secs_f64()),
             events: self.schedule.scheduled(),
             policy_runs: self.policy_runs,
@@ -97,12 +99,14 @@
 
     fn class_parts(&self) -> Vec<Part> {
         let classes = self.scenario.classes.iter().enumerate();
-        classes.map(|(index, class)| part(class.name.clone(), self.account.class(index))).collect()
+        classes.map(|(index, class)| credit_part(class.name.clone(), self.account.class(index))).collect()
     }
 
     fn program_parts(&self) -> Vec<Part> {
         let programs = self.scenario.programs.iter().enumerate();
-        programs.map(|(index, program)| part(program.name.clone(), self.account.program(index))).collect()
+        programs
+            .map(|(index, program)| credit_part(program.name.clone(), self.account.program(index)))
+            .collect()
     }
 
     /// The destinations that lost most credit, the worst first.
@@ -115,7 +119,9 @@
         ranks.sort_by(|a, b| lost(b).total_cmp(&lost(a)).then(a.cmp(b)));
         let named = ranks.into_iter().take(NAMED_DESTINATIONS);
         named
-            .map(|rank| part(format!("{rank} ({})", self.kind_name(rank)), self.account.destination(rank)))
+            .map(|rank| {
+                credit_part(format!("{rank} ({})", self.kind_name(rank)), self.account.destination(rank))
+            })
             .collect()
     }
 
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -31,18 +31,18 @@
 
     /// Handles all events up to the end of the run.
     fn run_events(&mut self) {
-        self.schedule_first_events();
+        self.schedule_initial_events();
         while let Some(ScheduledEvent { at, event }) = self.schedule.pop() {
-            let all_arrived = self.programs_done == self.scenario.programs.len();
-            if all_arrived && self.open_submissions == 0 && at >= self.scenario.duration.0 {
+            let all_arrived = self.finished_programs == self.scenario.programs.len();
+            if all_arrived && self.unfinished_submissions == 0 && at >= self.scenario.duration.0 {
                 break;
             }
-            self.handle(event);
+            self.handle_event(event);
         }
     }
 
     /// Starts all forwarders, and schedules arrivals, faults and samples.
-    fn schedule_first_events(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for forwarder in 0..self.forwarders.len() {
             self.start_forwarder(ForwarderIndex(forwarder));
         }
@@ -58,23 +58,23 @@
     }
 
     /// Handles one event.
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrival { program } => self.messages_arrive(program),
+            Event::Arrival { program } => self.handle_arrival(program),
             Event::Resubmission(submission) => self.resubmit(submission),
             Event::Withdrawal(message) => self.withdraw(message),
             Event::AnswerDue(message) => self.check_answer(message),
             Event::PolicyRun(forwarder) => self.run_policy(forwarder),
             Event::Input { to, input } => self.deliver(to, input),
             Event::ListChanged { forwarder, changes } => self.deliver_list_changes(forwarder, changes),
-            Event::RequestArrives(request) => self.request_arrives(request),
+            Event::RequestArrives(request) => self.handle_request_arrival(request),
             Event::NotConnected(request) => self.finish_request(request, AttemptOutcome::NoConnection),
             Event::Served { endpoint, incarnation, request } => {
-                self.request_served(endpoint, incarnation, request);
+                self.finish_serving(endpoint, incarnation, request);
             }
             Event::ResponseArrives { request, outcome } => self.finish_request(request, outcome),
             Event::TimedOut(position) => self.stop_waiting(position, AttemptOutcome::TimedOut),
-            Event::HealthCheckArrives { from, endpoint } => self.health_check_arrives(from, endpoint),
+            Event::HealthCheckArrives { from, endpoint } => self.handle_health_check_arrival(from, endpoint),
             Event::FaultStarts(index) => self.start_fault(index),
             Event::FaultEnds(index) => self.end_fault(index),
             Event::OverloadEnds(endpoint) => self.end_overload(endpoint),
@@ -87,8 +87,8 @@
         let now = self.now();
         let destinations = self.layout.destinations.len();
         for destination in (0..destinations).take(WATCHED_DESTINATIONS).map(DestinationIndex) {
-            let capacity = self.capacity_now(destination);
-            if let Some(load) = self.account.load(destination, now) {
+            let capacity = self.current_capacity_per_s(destination);
+            if let Some(load) = self.account.load_at(destination, now) {
                 load.capacity = capacity;
             }
         }
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -23,16 +23,17 @@
         state.busy_workers += 1;
         state.serving.push(request);
         let incarnation = state.incarnation;
-        self.requests[request.0].work = work;
-        self.requests[request.0].serving_began = true;
-        let served_at = self.with_pauses(endpoint, now, duration_from_seconds(work));
+        self.requests[request.0].work_seconds = work;
+        self.requests[request.0].serving_started = true;
+        let served_at = self.completion_time(endpoint, now, duration_from_seconds(work));
         self.schedule.schedule(served_at, Event::Served { endpoint, incarnation, request });
     }
 
     /// Draws how much work a request takes at its endpoint now, in seconds.
     fn draw_work(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> f64 {
         let batch = &self.requests[request.0].batch;
-        let work_of = |message: MessageIndex| self.submissions[self.messages[message.0].submission.0].work;
+        let work_of =
+            |message: MessageIndex| self.submissions[self.messages[message.0].submission.0].work_seconds;
         let works: Vec<f64> = batch.iter().map(|entry| work_of(entry.attempt.message)).collect();
         let longest = works.iter().copied().fold(0.0, f64::max);
         let mut work = longest + WORK_PER_EXTRA_MESSAGE * (works.iter().sum::<f64>() - longest);
@@ -51,7 +52,7 @@
     }
 
     /// When work that begins now is done, with the pauses of the endpoint's faults.
-    fn with_pauses(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
+    fn completion_time(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
         let mut done = now + work;
         for index in &self.endpoints[endpoint.0].active_faults {
             let scheduled = &self.scenario.faults[*index];
@@ -69,7 +70,7 @@
     }
 
     /// A worker is done with a request.
-    pub(super) fn request_served(
+    pub(super) fn finish_serving(
         &mut self,
         endpoint: EndpointIndex,
         incarnation: u32,
@@ -84,7 +85,7 @@
         state.serving.retain(|serving| *serving != request);
         self.apply_effects(request);
         let destination = self.destination_of(endpoint);
-        if let Some(load) = self.account.load(destination, now) {
+        if let Some(load) = self.account.load_at(destination, now) {
             load.served += 1;
         }
         if self.hangs(endpoint) {
@@ -99,19 +100,19 @@
     fn apply_effects(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
-        self.account.work_done += record.work;
+        self.account.work_done_seconds += record.work_seconds;
         if record.is_awaited() {
-            self.account.work_useful += record.work;
+            self.account.useful_work_seconds += record.work_seconds;
         }
         for entry in &record.batch {
             let message = entry.attempt.message;
             let submission = &mut self.submissions[self.messages[message.0].submission.0];
-            submission.applied += 1;
+            submission.times_applied += 1;
             let idempotency = Idempotency::from(self.scenario.classes[submission.class].idempotency);
-            if submission.applied > 1 && idempotency != Idempotency::NonIdempotent {
+            if submission.times_applied > 1 && idempotency != Idempotency::NonIdempotent {
                 self.account.repeats_applied += 1;
             }
-            self.invariants.effect_applied(now, message);
+            self.invariants.record_effect(now, message);
         }
     }
 
@@ -132,7 +133,7 @@
     fn serve_queue(&mut self, endpoint: EndpointIndex) {
         while self.endpoints[endpoint.0].busy_workers < self.endpoints[endpoint.0].plan.workers {
             let Some(next) = self.endpoints[endpoint.0].queue.pop_front() else { return };
-            if !self.requests[next.0].void {
+            if !self.requests[next.0].dropped {
                 self.begin_serving(next, endpoint);
             }
         }
@@ -147,7 +148,7 @@
             self.send_response(request);
         }
         for request in std::mem::take(&mut self.endpoints[endpoint.0].hung_requests) {
-            if !self.requests[request.0].void {
+            if !self.requests[request.0].dropped {
                 self.enqueue(request, endpoint);
             }
         }
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -77,18 +77,18 @@
     pub(super) account: Account,
     pub(super) sent_to_down: SentToDown,
     /// Submissions to which something may still happen.
-    pub(super) open_submissions: usize,
+    pub(super) unfinished_submissions: usize,
     /// Programs whose messages have all arrived.
-    pub(super) programs_done: usize,
+    pub(super) finished_programs: usize,
     pub(super) policy_runs: u64,
     /// Running sums of the destinations' parts of the traffic, for drawing.
-    pub(super) destination_sums: Vec<f64>,
+    pub(super) cumulative_destination_weights: Vec<f64>,
     /// Running sums of the classes' parts of the traffic, for drawing.
-    pub(super) class_sums: Vec<f64>,
+    pub(super) cumulative_class_weights: Vec<f64>,
 }
 
 /// The sum of all parts up to each of them.
-fn running_sums(parts: impl Iterator<Item = f64>) -> Vec<f64> {
+fn cumulative_sums(parts: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     parts
         .map(|part| {
@@ -146,11 +146,13 @@
             invariants: invariant_checker(scenario),
             account: Account::new(scenario, layout.destinations.len()),
             sent_to_down: SentToDown::default(),
-            open_submissions: 0,
-            programs_done: 0,
+            unfinished_submissions: 0,
+            finished_programs: 0,
             policy_runs: 0,
-            destination_sums: running_sums(layout.destinations.iter().map(|plan| plan.traffic_part)),
-            class_sums: running_sums(scenario.classes.iter().map(|class| class.part.get())),
+            cumulative_destination_weights: cumulative_sums(
+                layout.destinations.iter().map(|plan| plan.traffic_part),
+            ),
+            cumulative_class_weights: cumulative_sums(scenario.classes.iter().map(|class| class.part.get())),
             layout,
         }
     }
@@ -196,16 +198,20 @@
     }
 
     /// Draws the one-way delay between a forwarder and an endpoint.
-    pub(super) fn one_way(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> Duration {
+    pub(super) fn draw_one_way_delay(
+        &mut self,
+        forwarder: ForwarderIndex,
+        endpoint: EndpointIndex,
+    ) -> Duration {
         let path =
             ZonePath { from: self.forwarders[forwarder.0].zone, to: self.endpoints[endpoint.0].plan.zone };
         self.scenario.network.one_way(path, &mut self.random.network)
     }
 
     /// Draws the one-way delay of a request or its response.
-    pub(super) fn one_way_of(&mut self, request: RequestIndex) -> Duration {
+    pub(super) fn draw_request_one_way_delay(&mut self, request: RequestIndex) -> Duration {
         let record = &self.requests[request.0];
         let (forwarder, endpoint) = (record.sender.forwarder, record.endpoint);
-        self.one_way(forwarder, endpoint)
+        self.draw_one_way_delay(forwarder, endpoint)
     }
 }
--- a/crates/simulation/src/world/true_state.rs
+++ b/crates/simulation/src/world/true_state.rs
@@ -10,7 +10,7 @@
 use crate::policy::WorldView;
 
 /// Share of an endpoint's queue that the upper bound lets fill.
-const USED_QUEUE_SHARE: f64 = 0.5;
+const MAX_QUEUE_SHARE: f64 = 0.5;
 
 /// The whole world, as the policy of one forwarder may see it.
 pub(super) struct TrueState<'w, 'a> {
@@ -81,6 +81,6 @@
         let working = (state.plan.workers as f64 * state.warmth(now, recovery)).max(1.0);
         shared - f64::from(in_transit + sent_before) >= 1.0
             && own - f64::from(state.in_transit + sent_before) >= 1.0
-            && (load as f64) < working + USED_QUEUE_SHARE * state.plan.max_queued as f64
+            && (load as f64) < working + MAX_QUEUE_SHARE * state.plan.max_queued as f64
     }
 }
--- a/crates/simulation/tests/simulation/recovery.rs
+++ b/crates/simulation/tests/simulation/recovery.rs
@@ -9,7 +9,7 @@
 use reeddock_simulation::simulated_endpoint::{overload_budget, OutageCause, SimulatedEndpoint};
 use reeddock_simulation::Scenario;
 
-const WORLD: &str = r#"
+const SCENARIO: &str = r#"
 version = 1
 name = "returning"
 lasts_s = 10
@@ -47,12 +47,12 @@
 
 #[test]
 fn a_cold_endpoint_bears_n_and_twice_its_root_and_two_requests_summed_over_all_forwarders() {
-    let scenario = Scenario::parse("returning.toml", WORLD, &[]).unwrap();
+    let scenario = Scenario::parse("returning.toml", SCENARIO, &[]).unwrap();
     for forwarders in [1, 3, 30] {
         let (mut endpoint, allowed) = recovered(&scenario);
-        let borne = (allowed + 2.0 * allowed.sqrt() + 2.0).floor() as usize;
-        assert!(borne as f64 > allowed + 2.0, "the root counts here: {allowed}");
-        for request in 0..borne {
+        let tolerated = (allowed + 2.0 * allowed.sqrt() + 2.0).floor() as usize;
+        assert!(tolerated as f64 > allowed + 2.0, "the root counts here: {allowed}");
+        for request in 0..tolerated {
             let sender = ForwarderIndex(request % forwarders);
             assert!(
                 endpoint.receive_work(Duration::ZERO, 1.0, sender, &scenario.recovery).is_none(),
@@ -61,20 +61,20 @@
         }
         let overload =
             endpoint.receive_work(Duration::ZERO, 1.0, ForwarderIndex(0), &scenario.recovery).unwrap();
-        assert_eq!(overload.received.len(), borne + 1);
+        assert_eq!(overload.received.len(), tolerated + 1);
         assert!((overload.budget - overload_budget(allowed)).abs() < 1e-9);
     }
 }
 
 #[test]
 fn requests_older_than_the_window_do_not_count() {
-    let scenario = Scenario::parse("returning.toml", WORLD, &[]).unwrap();
+    let scenario = Scenario::parse("returning.toml", SCENARIO, &[]).unwrap();
     let (mut endpoint, allowed) = recovered(&scenario);
     let window = scenario.recovery.overload_window.0;
-    let borne = overload_budget(allowed).floor() as usize;
+    let tolerated = overload_budget(allowed).floor() as usize;
     for round in 0..3u32 {
         let at = round * (window + Duration::from_millis(1));
-        for _ in 0..borne {
+        for _ in 0..tolerated {
             assert!(endpoint.receive_work(at, 1.0, ForwarderIndex(0), &scenario.recovery).is_none());
         }
     }
@@ -84,10 +84,10 @@
 fn the_rule_is_broken_where_over_two_thirds_came_from_forwarders_that_knew() {
     let broken = |known: usize, all: usize| {
         let mut invariants = InvariantChecker::new(FleetRules { forwarders: all, ..FleetRules::default() });
-        (0..known).for_each(|n| invariants.failure_reported(ForwarderIndex(n), EndpointIndex(0)));
+        (0..known).for_each(|n| invariants.record_failure(ForwarderIndex(n), EndpointIndex(0)));
         let work = |n| ReceivedWork { at: Duration::ZERO, amount: 1.0, sender: ForwarderIndex(n) };
         let received: Vec<ReceivedWork> = (0..all).map(work).collect();
-        invariants.endpoint_overloaded(Duration::ZERO, EndpointIndex(0), &received, 1.0);
+        invariants.check_overload(Duration::ZERO, EndpointIndex(0), &received, 1.0);
         invariants.into_violations().count
     };
     assert_eq!(broken(20, 30), 0, "two thirds are not over two thirds");
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -5,7 +5,7 @@
 use reeddock_simulation::{run_with, Report, Scenario};
 
 /// Three forwarders, destinations that send Retry-After, and capacity for each fault.
-const WORLD: &str = r#"
+const SCENARIO: &str = r#"
 version = 1
 name = "spoilt"
 lasts_s = 40
@@ -49,15 +49,15 @@
 told_waits = 0.8
 "#;
 
-fn play(faults: &str, defect: Defect, seed: u64) -> Report {
-    let scenario = Scenario::parse("spoilt.toml", &format!("{WORLD}{faults}"), &[]).unwrap();
+fn run_scenario(faults: &str, defect: Defect, seed: u64) -> Report {
+    let scenario = Scenario::parse("spoilt.toml", &format!("{SCENARIO}{faults}"), &[]).unwrap();
     run_with(&scenario, seed, "spoilt", &|now, settings, host| {
         DefectivePolicy::open(defect, now, settings, host)
     })
 }
 
 /// The text of a violation shows nothing as the code writes it: no names of types or variants, no braces.
-fn in_plain_words(violation: &Violation) {
+fn assert_no_code_names(violation: &Violation) {
     let text = violation.to_string();
     let is_type_name = |word: &str| {
         let letters: Vec<char> = word.chars().collect();
@@ -69,18 +69,18 @@
 }
 
 /// The defective policy breaks the rule in some of these runs, the delivery policy as it is breaks none in any.
-fn finds(faults: &str, defect: Defect, rule: Rule) -> Report {
+fn run_defective(faults: &str, defect: Defect, rule: Rule) -> Report {
     let mut found = None;
     for seed in 1..=3 {
-        let sound = play(faults, Defect::None, seed);
+        let sound = run_scenario(faults, Defect::None, seed);
         assert_eq!(sound.violations, [], "the policy as it is, seed {seed}");
-        let defective = play(faults, defect, seed);
+        let defective = run_scenario(faults, defect, seed);
         if defective.violations.iter().any(|violation| violation.rule == rule) {
             found.get_or_insert(defective);
         }
     }
     if let Some(report) = &found {
-        report.violations.iter().for_each(in_plain_words);
+        report.violations.iter().for_each(assert_no_code_names);
     }
     found.unwrap_or_else(|| panic!("no check of {rule:?} has found {defect:?}"))
 }
@@ -110,26 +110,26 @@
 
 #[test]
 fn one_final_answer_each() {
-    let report = finds(RESPONSES_LOST, Defect::AnswersTwice, Rule::OneAnswer);
+    let report = run_defective(RESPONSES_LOST, Defect::AnswersTwice, Rule::OneAnswer);
     let broken = report.violations.iter().find(|b| b.rule == Rule::OneAnswer).unwrap();
     // It names the message, the instant and what led to it.
     assert!(broken.message.is_some() && broken.forwarder.is_some() && broken.at_s > 0.0);
-    assert!(broken.led_by.first().unwrap().contains("taken by forwarder"), "{:?}", broken.led_by);
-    assert!(broken.led_by.iter().any(|l| l.contains("answered")), "{:?}", broken.led_by);
+    assert!(broken.history.first().unwrap().contains("taken by forwarder"), "{:?}", broken.history);
+    assert!(broken.history.iter().any(|l| l.contains("answered")), "{:?}", broken.history);
 }
 
 #[test]
 fn an_answer_for_every_message() {
-    let report = finds("", Defect::IgnoresSome, Rule::OneAnswer);
-    assert!(report.violations.iter().any(|b| b.what.contains("no final answer")));
+    let report = run_defective("", Defect::IgnoresSome, Rule::OneAnswer);
+    assert!(report.violations.iter().any(|b| b.description.contains("no final answer")));
 }
 
 #[test]
 fn no_effect_twice() {
-    let report = finds(RESPONSES_LOST, Defect::RepeatsNonIdempotent, Rule::NoDoubleEffect);
+    let report = run_defective(RESPONSES_LOST, Defect::RepeatsNonIdempotent, Rule::NoDoubleEffect);
     // The effects at the destination show it too, apart from what the forwarder was told.
     assert!(
-        report.violations.iter().any(|b| b.what.contains("applied first try")),
+        report.violations.iter().any(|b| b.description.contains("applied first try")),
         "{:?}",
         report.violations
     );
@@ -137,22 +137,22 @@
 
 #[test]
 fn draining_endpoints_get_nothing_new() {
-    finds(DRAINS, Defect::IgnoresDraining, Rule::Drains);
+    run_defective(DRAINS, Defect::IgnoresDraining, Rule::Drains);
 }
 
 #[test]
 fn a_recovering_destination_is_not_overloaded() {
-    let report = finds(DOWN, Defect::OverloadsRecovering, Rule::NoOverload);
+    let report = run_defective(DOWN, Defect::OverloadsRecovering, Rule::NoOverload);
     let broken = report.violations.iter().find(|b| b.rule == Rule::NoOverload).unwrap();
-    assert!(broken.led_by.iter().any(|l| l.contains("had seen a failure")), "{:?}", broken.led_by);
+    assert!(broken.history.iter().any(|l| l.contains("had seen a failure")), "{:?}", broken.history);
 }
 
 #[test]
 fn order_is_kept_within_a_key() {
-    finds("", Defect::IgnoresOrder, Rule::Order);
+    run_defective("", Defect::IgnoresOrder, Rule::Order);
 }
 
 #[test]
 fn retry_after_is_honored() {
-    finds("", Defect::IgnoresRetryAfter, Rule::RetryAfterHonored);
+    run_defective("", Defect::IgnoresRetryAfter, Rule::RetryAfterHonored);
 }
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -9,7 +9,7 @@
 
 /// Every number is constant but the arrivals: a response comes 108 ms after its attempt where a connection is made
 /// for it, and 102 ms after it where one was idle.
-const EXACT: &str = r#"
+const SCENARIO: &str = r#"
 version = 1
 name = "exact"
 lasts_s = 20
@@ -48,13 +48,13 @@
 queue_s = 2
 "#;
 
-fn exact(further: &str, instead: &[(&str, &str)]) -> Scenario {
-    let instead: Vec<_> = instead.iter().map(|(path, value)| ValueOverride::new(*path, *value)).collect();
-    Scenario::parse("exact.toml", &format!("{EXACT}{further}"), &instead).unwrap()
+fn exact_scenario(extra: &str, overrides: &[(&str, &str)]) -> Scenario {
+    let overrides: Vec<_> = overrides.iter().map(|(path, value)| ValueOverride::new(*path, *value)).collect();
+    Scenario::parse("exact.toml", &format!("{SCENARIO}{extra}"), &overrides).unwrap()
 }
 
 /// Every submission has one end, every attempt one outcome, and no rule is broken.
-fn sound(report: &Report) {
+fn assert_consistent(report: &Report) {
     assert_eq!(report.violations, []);
     assert_eq!(report.unfinished, 0);
     let d = &report.attempts;
@@ -65,9 +65,9 @@
     assert!(report.ends.lost > 0 || all == d.all, "{d:?}");
 }
 
-fn module(scenario: &Scenario) -> Report {
+fn run_delivery_policy(scenario: &Scenario) -> Report {
     let report = run(scenario, 1, BuiltInPolicy::DeliveryPolicy);
-    sound(&report);
+    assert_consistent(&report);
     report
 }
 
@@ -87,7 +87,8 @@
 
 #[test]
 fn the_same_scenario_and_seed_give_the_same_bytes() {
-    let scenario = exact("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
+    let scenario =
+        exact_scenario("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
     let bytes = |seed, policy| serde_json::to_string(&run(&scenario, seed, policy)).unwrap();
     let alone = bytes(1, BuiltInPolicy::DeliveryPolicy);
     // Beside each other on threads, too.
@@ -103,14 +104,15 @@
 #[test]
 fn bytes_do_not_depend_on_the_machine() {
     // Of a policy that no change of the delivery policy touches. A change of the simulation may move this figure.
-    let scenario = exact("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
+    let scenario =
+        exact_scenario("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
     let bytes = serde_json::to_string(&run(&scenario, 1, BuiltInPolicy::OneAttempt)).unwrap();
     assert_eq!(crc32fast::hash(bytes.as_bytes()), 4_076_750_070);
 }
 
 #[test]
 fn two_policies_meet_the_same_day() {
-    let scenario = exact("", &[]);
+    let scenario = exact_scenario("", &[]);
     let [a, b] = [BuiltInPolicy::OneAttempt, BuiltInPolicy::UpperBound].map(|p| run(&scenario, 3, p));
     assert_eq!(a.submissions, b.submissions);
     let asked = |r: &Report| r.seconds.iter().map(|s| s.credit.asked).collect::<Vec<_>>();
@@ -121,11 +123,14 @@
 #[test]
 fn a_forwarder_is_killed_with_requests_in_flight() {
     let killed = "[[trouble]]\nat_s = 8\nfor_s = 3\nwhat = { killed = { which = { forwarders = [0] } } }\n";
-    let without = module(&exact(killed, &[("category.0.work_ms", "800"), ("category.1.work_ms", "800")]));
+    let without = run_delivery_policy(&exact_scenario(
+        killed,
+        &[("category.0.work_ms", "800"), ("category.1.work_ms", "800")],
+    ));
     // A message that is not idempotent and was in flight may have been executed, and is submitted to nobody again.
     assert!(without.ends.lost > 0);
     let slow = [("category.0.work_ms", "800"), ("category.1.work_ms", "800"), ("fleet.ledger", "true")];
-    let with = run(&exact(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
+    let with = run(&exact_scenario(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
     assert_eq!((with.violations.as_slice(), with.unfinished, with.ends.lost), (&[][..], 0, 0));
     assert!(with.ends.failed > 0, "with a write-ahead log the forwarder says so itself");
 }
@@ -133,9 +138,9 @@
 #[test]
 fn a_request_that_nobody_waits_for_is_still_served() {
     let slow = "[[trouble]]\nat_s = 5\nfor_s = 6\nwhat = { slow = { whom = { share = 1 }, times = 40 } }\n";
-    let on = module(&exact(slow, &[]));
+    let on = run_delivery_policy(&exact_scenario(slow, &[]));
     assert!(on.attempts.timed_out > 0 && on.repeats_applied > 0 && on.work_wasted > 0.0);
-    let off = module(&exact(slow, &[("kind.0.runs_on", "0")]));
+    let off = run_delivery_policy(&exact_scenario(slow, &[("kind.0.runs_on", "0")]));
     assert!(off.work_wasted < on.work_wasted, "{} against {}", off.work_wasted, on.work_wasted);
 }
 
@@ -143,7 +148,7 @@
 fn an_endpoint_is_replaced_while_it_serves() {
     let replaced = "[[trouble]]\nat_s = 8\nfor_s = 1\nwhat = { replaced = { whom = { share = 1 } } }\n";
     let long = [("category.0.work_ms", "600"), ("category.1.work_ms", "600")];
-    let report = module(&exact(replaced, &long));
+    let report = run_delivery_policy(&exact_scenario(replaced, &long));
     assert!(report.attempts.connection_reset > 0, "{:?}", report.attempts);
     // The list is late: until then the old address answers nobody.
     assert!(report.attempts.no_connection > 0);
@@ -154,11 +159,11 @@
 #[test]
 fn a_retry_crosses_the_response_to_the_first_attempt() {
     // Each request times out in the very instant of its response, which comes second and is ignored.
-    let scenario = exact("", &[("fleet.tick_s", "0"), ("kind.0.spare", "30")]);
+    let scenario = exact_scenario("", &[("fleet.tick_s", "0"), ("kind.0.spare", "30")]);
     let cut = Defect::ShortTimeout(Duration::from_millis(108));
     let report =
         run_with(&scenario, 1, "cut", &|now, settings, host| DefectivePolicy::open(cut, now, settings, host));
-    sound(&report);
+    assert_consistent(&report);
     assert_eq!(report.attempts.completed, 0);
     assert!(report.attempts.timed_out > 0 && report.repeats_applied > 0);
     // One microsecond more, and the response counts.
@@ -166,7 +171,7 @@
     let report = run_with(&scenario, 1, "heard", &|now, settings, host| {
         DefectivePolicy::open(heard, now, settings, host)
     });
-    sound(&report);
+    assert_consistent(&report);
     assert_eq!(report.attempts.timed_out, 0);
 }
 
@@ -177,7 +182,7 @@
         .flat_map(|c| [(format!("{c}.promised_s"), "0.1"), (format!("{c}.outer_limit_s"), "0.1105")])
         .collect();
     let limits: Vec<(&str, &str)> = limits.iter().map(|(k, v)| (k.as_str(), *v)).collect();
-    let report = module(&exact("", &limits));
+    let report = run_delivery_policy(&exact_scenario("", &limits));
     assert!(report.ends.completed_late > 0 && report.ends.failed > 0, "{:?}", report.ends);
 }
 
@@ -199,8 +204,8 @@
 #[test]
 fn an_error_in_a_scenario_names_its_line() {
     let fault = |from: &str, to: &str| {
-        let text = EXACT.replacen(from, to, 1);
-        assert_ne!(text, EXACT, "{from} stands in the scenario");
+        let text = SCENARIO.replacen(from, to, 1);
+        assert_ne!(text, SCENARIO, "{from} stands in the scenario");
         Scenario::parse("exact.toml", &text, &[]).expect_err(to).to_string()
     };
     for (from, to, line, told) in [
@@ -223,7 +228,7 @@
         assert!(fault.contains(told) && !fault.contains('\n'), "{to}: {fault}");
     }
     let trouble = "[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = { surge = { program = \"none\", times = 2 } }\n";
-    let fault = Scenario::parse("exact.toml", &format!("{EXACT}{trouble}"), &[]).unwrap_err().to_string();
+    let fault = Scenario::parse("exact.toml", &format!("{SCENARIO}{trouble}"), &[]).unwrap_err().to_string();
     assert!(fault.starts_with("exact.toml:38: ") && fault.contains("\"none\""), "{fault}");
     for (what, told) in [
         ("{ refused = { whom = 3 } }", "expected a table with destinations"),
@@ -231,7 +236,8 @@
         ("{ slow = 3 }", "expected a table of the fault's values"),
     ] {
         let trouble = format!("[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = {what}\n");
-        let fault = Scenario::parse("exact.toml", &format!("{EXACT}{trouble}"), &[]).unwrap_err().to_string();
+        let fault =
+            Scenario::parse("exact.toml", &format!("{SCENARIO}{trouble}"), &[]).unwrap_err().to_string();
         assert!(fault.starts_with("exact.toml:41: ") && fault.contains(told), "{fault}");
     }
 }
