--- a/crates/simulation/src/account/accounting.rs
+++ b/crates/simulation/src/account/accounting.rs
@@ -1,4 +1,4 @@
-//! The account of a run: credit by class, program, destination and second, latencies, and the work of endpoints.
+//! Accounting during a run: credit, latencies, and the work of endpoints.
 
 use std::time::Duration;
 
@@ -9,56 +9,55 @@
 use crate::ids::{DestinationIndex, SubmissionIndex};
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
 
-/// Destinations whose seconds are kept: the ones with most traffic.
+/// Number of destinations whose load is recorded for each second, those with most traffic first.
 pub(crate) const WATCHED_DESTINATIONS: usize = 6;
 
-/// Longest latency that the histogram distinguishes, in milliseconds: a day.
+/// Maximum latency in the histogram, in milliseconds: one day. Longer latencies are recorded as this value.
 const MAX_LATENCY_MS: u64 = 86_400_000;
-/// Significant digits of latencies.
+/// Number of significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 2;
 
-/// What a run has earned so far, and what it took.
+/// The counters of a run.
 pub(crate) struct Account {
     submissions: Vec<AccountedSubmission>,
     classes: Vec<Credit>,
     programs: Vec<Credit>,
     destinations: Vec<Credit>,
     pub(crate) seconds: Vec<SecondCounts>,
-    /// Seconds of each watched destination.
+    /// Load of each watched destination, by second.
     pub(crate) loads: Vec<Vec<DestinationLoad>>,
     pub(crate) ends: MessageOutcomes,
     pub(crate) attempts: AttemptCounts,
-    /// Milliseconds from the first submission to the completion.
+    /// Latencies from the first submission to the completion, in milliseconds.
     latency: Histogram<u64>,
-    /// Seconds of work that endpoints have done.
+    /// Work done by endpoints, in seconds.
     pub(crate) work_done_seconds: f64,
-    /// Seconds of it for requests that a forwarder still waited for.
+    /// Work for requests that a forwarder still awaited when they were served, in seconds.
     pub(crate) useful_work_seconds: f64,
-    /// Seconds that requests were in flight, summed over all.
+    /// Sum over all requests of the time in flight, in seconds.
     pub(crate) in_flight_seconds: f64,
     pub(crate) new_connections: u64,
-    /// Times that the effect of an idempotent message was applied again.
+    /// Number of repeated effects of messages that are idempotent or have an idempotency key.
     pub(crate) repeats_applied: u64,
-    /// Endpoints that were overloaded while cold.
+    /// Number of overloads of endpoints during slow start.
     pub(crate) overloads: u64,
-    /// Credit of messages that were submitted while their destination was down.
+    /// Credit of messages that were accepted while their destination was down.
     credit_during_outage: Credit,
-    /// By program.
+    /// Remaining quotas, by program index.
     quotas: Vec<QuotaBucket>,
 }
 
-/// A message that a client wants delivered, as the account needs to know it.
+/// The first submission of a message.
 pub(crate) struct NewSubmission {
-    /// Time of its first submission.
+    /// Time since the start of the run.
     pub(crate) submitted_at: Duration,
-    /// Index of its class in the scenario.
+    /// Index of the message class in the scenario.
     pub(crate) class: usize,
-    /// Index of its program in the scenario.
+    /// Index of the client program in the scenario.
     pub(crate) program: usize,
     pub(crate) destination: DestinationIndex,
 }
 
-/// The credit of one submission.
 struct AccountedSubmission {
     class: usize,
     program: usize,
@@ -70,7 +69,7 @@
 }
 
 impl Account {
-    /// An empty account.
+    /// Creates an account without submissions.
     pub(crate) fn new(scenario: &Scenario, destinations: usize) -> Account {
         Account {
             submissions: Vec::new(),
@@ -93,7 +92,7 @@
         }
     }
 
-    /// The counts of the second of a time.
+    /// Returns the counters of the second that contains `at`.
     pub(crate) fn counts_at(&mut self, at: Duration) -> &mut SecondCounts {
         let index = at.as_secs() as usize;
         if self.seconds.len() <= index {
@@ -102,7 +101,8 @@
         &mut self.seconds[index]
     }
 
-    /// The load of a destination in the second of a time; absent where the destination is not watched.
+    /// Returns the load of a destination in the second that contains `at`, or `None` if the destination is
+    /// not watched.
     pub(crate) fn load_at(
         &mut self,
         destination: DestinationIndex,
@@ -116,7 +116,7 @@
         loads.get_mut(index)
     }
 
-    /// A client wants a message delivered; submissions are numbered in this order.
+    /// Records a new submission. Submission indices follow the order of these calls.
     pub(crate) fn record_submission(&mut self, scenario: &Scenario, submission: NewSubmission) {
         let NewSubmission { submitted_at, class, program, destination } = submission;
         let mut weight = scenario.classes[class].priority_weight.get();
@@ -140,7 +140,7 @@
         });
     }
 
-    /// A message was submitted while its destination was down.
+    /// Records that a message was accepted while its destination was down.
     pub(crate) fn record_submission_during_outage(&mut self, submission: SubmissionIndex) {
         let accounted =
             self.submissions.get_mut(submission.0).filter(|accounted| !accounted.submitted_during_outage);
@@ -149,12 +149,12 @@
         self.credit_during_outage.add_asked(accounted.weight);
     }
 
-    /// Credit of the messages that were submitted while their destination was down.
+    /// Returns the credit of messages that were accepted while their destination was down.
     pub(crate) fn credit_during_outage(&self) -> Credit {
         self.credit_during_outage
     }
 
-    /// A message completed; only the first completion of a submission counts.
+    /// Records a completed message. Only the first completion of a submission counts.
     pub(crate) fn record_completion(
         &mut self,
         scenario: &Scenario,
@@ -184,27 +184,26 @@
         }
     }
 
-    /// Number of submissions.
     pub(crate) fn submission_count(&self) -> usize {
         self.submissions.len()
     }
 
-    /// Credit of a class, by its index in the scenario.
+    /// Returns the credit of the message class with this index in the scenario.
     pub(crate) fn class(&self, index: usize) -> Credit {
         self.classes[index]
     }
 
-    /// Credit of a program, by its index in the scenario.
+    /// Returns the credit of the client program with this index in the scenario.
     pub(crate) fn program(&self, index: usize) -> Credit {
         self.programs[index]
     }
 
-    /// Credit of a destination, by its rank.
+    /// Returns the credit of the destination with this rank.
     pub(crate) fn destination(&self, index: usize) -> Credit {
         self.destinations[index]
     }
 
-    /// Credit of all messages.
+    /// Returns the credit of all messages.
     pub(crate) fn total(&self) -> Credit {
         let mut total = Credit::default();
         for credit in &self.classes {
@@ -213,7 +212,7 @@
         total
     }
 
-    /// Least share of credit in any window of this many seconds.
+    /// Returns the minimum earned share of any window of `seconds` seconds.
     pub(crate) fn min_share_over_window(&self, seconds: usize) -> f64 {
         let last_asked = self.seconds.iter().rposition(|second| second.credit.asked > 0.0);
         let asked = last_asked.map_or(0, |index| index + 1);
@@ -228,12 +227,12 @@
         windows.map(share).fold(1.0, f64::min)
     }
 
-    /// Latencies in milliseconds, from the first submission to the completion.
+    /// Returns the latencies from the first submission to the completion, in milliseconds.
     pub(crate) fn latency(&self) -> &Histogram<u64> {
         &self.latency
     }
 
-    /// The latencies as a histogram, without its empty steps.
+    /// Returns the non-empty buckets of the latency histogram.
     pub(crate) fn latency_steps(&self) -> Vec<LatencyStep> {
         let recorded = self.latency.iter_recorded();
         recorded
@@ -242,9 +241,9 @@
     }
 }
 
-/// An empty histogram of latencies in milliseconds.
+/// Creates an empty histogram of latencies in milliseconds.
 fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_DIGITS).unwrap_or_else(|_| {
-        Histogram::new(LATENCY_DIGITS).expect("two digits are within what the histogram keeps")
+        Histogram::new(LATENCY_DIGITS).expect("two significant digits are a valid histogram precision")
     })
 }
--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -1,18 +1,18 @@
-//! Counts that a report shows as they are.
+//! Counters that are part of the report.
 
 use serde::{Deserialize, Serialize};
 
-/// Priority weight asked for and earned: what the operators call credit.
+/// Priority weight of submitted messages, and the part of it earned by completing them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Credit {
-    /// Priority weight of all messages.
+    /// Sum of the priority weights of all submitted messages.
     pub asked: f64,
-    /// Priority weight that was earned by completing them.
+    /// Priority weight earned by completions; late completions may earn less than the weight.
     pub earned: f64,
 }
 
 impl Credit {
-    /// Part of what was asked for that was earned; all of it where nothing was asked for.
+    /// Returns the earned share, from 0 to 1; 1 if no message was submitted.
     pub fn share(self) -> f64 {
         if self.asked > 0.0 {
             self.earned / self.asked
@@ -35,101 +35,101 @@
     }
 }
 
-/// Counts of one second.
+/// Counters of one second of simulated time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SecondCounts {
-    /// Credit of the messages that were first submitted in this second.
+    /// Credit of messages whose first submission was in this second.
     pub credit: Credit,
-    /// Attempts started.
+    /// Number of attempts started.
     #[serde(rename = "dispatched")]
     pub started: u32,
-    /// Messages completed.
+    /// Number of messages completed.
     pub completed: u32,
-    /// Attempts that endpoints rejected.
+    /// Number of attempts that endpoints rejected.
     #[serde(rename = "refused")]
     pub rejected_attempts: u32,
-    /// Messages that forwarders rejected.
+    /// Number of messages that forwarders rejected.
     #[serde(rename = "shed")]
     pub rejected_messages: u32,
-    /// Messages that failed.
+    /// Number of messages that failed.
     #[serde(rename = "broken_off")]
     pub failed: u32,
 }
 
-/// The requests at one destination in one second.
+/// Requests at one destination during one second of simulated time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DestinationLoad {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     #[serde(rename = "calls")]
     pub requests: u32,
-    /// Requests that it rejected.
+    /// Number of requests that the destination rejected.
     #[serde(rename = "refused")]
     pub rejected: u32,
-    /// Requests that it served.
+    /// Number of requests that the destination served.
     pub served: u32,
-    /// Requests a second that it could serve when that second began.
+    /// Capacity at the start of the second, in requests per second.
     pub capacity: f64,
 }
 
-/// How messages ended.
+/// Numbers of messages by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MessageOutcomes {
-    /// Completed within their latency objective.
+    /// Submissions completed within the latency objective.
     pub completed_in_time: u64,
-    /// Completed after it.
+    /// Submissions completed after the latency objective.
     pub completed_late: u64,
-    /// Rejected by a forwarder that had accepted them.
+    /// Messages rejected by a forwarder that had accepted them.
     #[serde(rename = "shed")]
     pub rejected: u64,
-    /// Failed.
+    /// Messages failed by their forwarder.
     #[serde(rename = "broken_off")]
     pub failed: u64,
-    /// Withdrawn by their clients.
+    /// Messages withdrawn by their clients.
     pub withdrawn: u64,
-    /// Not accepted: the forwarder's capacity was used up, or none was running.
+    /// Submissions not accepted because the forwarder had no capacity left or no forwarder was running.
     #[serde(rename = "turned_away")]
     pub not_accepted: u64,
-    /// With a forwarder that was killed.
+    /// Messages lost with a killed forwarder and not submitted again.
     pub lost: u64,
 }
 
-/// How attempts ended, as reported to the forwarders.
+/// Numbers of attempts by outcome, as reported to the forwarders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AttemptCounts {
-    /// Attempts in all.
+    /// All attempts started.
     pub all: u64,
-    /// Requests that carried them.
+    /// Requests that contained the attempts.
     #[serde(rename = "calls")]
     pub requests: u64,
-    /// Completed.
+    /// Attempts that completed their message.
     pub completed: u64,
-    /// Answered with an error.
+    /// Attempts to which the endpoint responded with an error.
     pub errors: u64,
-    /// Rejected by the endpoint.
+    /// Attempts that the endpoint rejected.
     #[serde(rename = "full")]
     pub rejected: u64,
-    /// Not answered in time.
+    /// Attempts without a response within the timeout.
     pub timed_out: u64,
-    /// No connection was made.
+    /// Attempts for which no connection could be made.
     pub no_connection: u64,
-    /// The connection was reset.
+    /// Attempts whose connection was reset.
     #[serde(rename = "broken")]
     pub connection_reset: u64,
-    /// Cancelled by the forwarder.
+    /// Attempts that the forwarder cancelled.
     #[serde(rename = "called_off")]
     pub cancelled: u64,
-    /// Never sent.
+    /// Attempts that were not sent.
     #[serde(rename = "unsent")]
     pub not_sent: u64,
 }
 
-/// One step of a histogram of latencies; in JSON a pair of its end and its count.
+/// One bucket of a latency histogram. The JSON form is a pair of upper bound and count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct LatencyStep {
-    /// Upper end of the step, in milliseconds.
+    /// Inclusive upper bound of the bucket, in milliseconds.
     pub up_to_ms: u64,
-    /// Messages that completed with a latency in this step.
+    /// Number of completed messages with a latency in this bucket.
     pub count: u64,
 }
 
--- a/crates/simulation/src/account/mod.rs
+++ b/crates/simulation/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! Credit as the operators count it, and what it cost: counted during a run, and read at its end.
+//! Counters of a run: credit, message outcomes, attempts and load.
 
 mod accounting;
 mod counts;
--- a/crates/simulation/src/account/quota.rs
+++ b/crates/simulation/src/account/quota.rs
@@ -1,11 +1,11 @@
-//! Whether a tenant's message is within its quota, as the operators count it; written apart from the delivery policy.
+//! Quotas of tenants, independent of the delivery policy's implementation.
 
 use std::time::Duration;
 
-/// Seconds of its quota that a tenant may use at once.
+/// Quota burst, in seconds of the quota.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
 
-/// A token bucket that holds what is left of a tenant's quota.
+/// The remaining quota of a tenant as a token bucket.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct QuotaBucket {
     tokens: f64,
@@ -13,7 +13,8 @@
 }
 
 impl QuotaBucket {
-    /// Takes a token for a message from a quota in messages a second. Returns whether the message is within the quota.
+    /// Takes a token for a message; `quota_per_s` is in messages per second. Returns whether the message is
+    /// within the quota.
     pub(super) fn take(&mut self, now: Duration, quota_per_s: f64) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         let filled = self.tokens + quota_per_s * elapsed;
--- a/crates/simulation/src/invariants/answers.rs
+++ b/crates/simulation/src/invariants/answers.rs
@@ -1,4 +1,4 @@
-//! Checks of final answers, and of the effects that destinations applied.
+//! Checks of final answers and of effects at destinations.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::rule::Rule;
 
 impl InvariantChecker {
-    /// A message got a final answer.
+    /// Records the final answer of a message, and checks that it is allowed.
     pub(crate) fn record_answer(&mut self, now: Duration, message: MessageIndex, answer: FinalAnswer) {
         if let Some(before) = self.histories[message.0].answer {
             self.check_second_answer(now, message, answer, before);
@@ -29,7 +29,7 @@
         self.histories[message.0].answer = Some(GivenAnswer { answer, at: now });
     }
 
-    /// A withdrawal ends what is pending, and crosses an answer without harm.
+    /// Records a violation if a message has a second final answer. A withdrawal next to an answer is allowed.
     fn check_second_answer(
         &mut self,
         now: Duration,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Why a message must not be rejected: its client may submit it again, and it may have been executed.
+    /// Returns why a message must not be rejected, if it may have been executed: the client may submit it
+    /// again.
     fn find_rejection_hazard(&self, now: Duration, history: &MessageHistory) -> Option<&'static str> {
         let first = history.first_possible_execution()?;
         match self.fleet.classes[history.message.class].idempotency {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The time for a final answer is past. Says whether one is missing.
+    /// Records a violation if the final answer of a message is overdue. Returns whether it is.
     #[must_use = "the client no longer waits for a message whose answer is missing"]
     pub(crate) fn check_answer_missing(&mut self, now: Duration, message: MessageIndex) -> bool {
         let history = &self.histories[message.0];
@@ -67,7 +68,7 @@
         true
     }
 
-    /// A message had its effect at a destination.
+    /// Records an effect at a destination, and checks that a non-idempotent message has only one.
     pub(crate) fn record_effect(&mut self, now: Duration, message: MessageIndex) {
         let accepted = self.histories[message.0].message;
         if self.fleet.classes[accepted.class].idempotency != Idempotency::NonIdempotent {
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -1,4 +1,4 @@
-//! Checks at the start and the end of an attempt.
+//! Checks at the start of an attempt, and the record of its end.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
 use crate::rule::Rule;
 
-/// An attempt and how it ended.
+/// The end of an attempt as its forwarder learns of it.
 pub(crate) struct EndedAttempt {
     pub(crate) message: MessageIndex,
     /// Number of the attempt within its message.
     pub(crate) number: usize,
     pub(crate) outcome: AttemptOutcome,
-    /// What a Retry-After in the outcome holds for.
+    /// Scope of a Retry-After in the outcome.
     pub(crate) scope: RetryAfterScope,
 }
 
-/// A rule that an attempt breaks, and how.
+/// A rule that an attempt breaks, with a description.
 struct BrokenRule {
     rule: Rule,
     description: String,
@@ -34,7 +34,7 @@
 }
 
 impl InvariantChecker {
-    /// A forwarder starts an attempt; the scopes are those whose Retry-After it must honor.
+    /// Records the start of an attempt, and checks all rules. `scopes` are those whose Retry-After applies.
     pub(crate) fn record_attempt_start(
         &mut self,
         now: Duration,
@@ -57,7 +57,7 @@
         self.histories[message.0].attempts.push(AttemptHistory { started_at: now, endpoint, ended: None });
     }
 
-    /// An attempt that may have its effect a second time.
+    /// Checks that a new attempt cannot repeat an effect.
     fn check_repeated_effect(&self, now: Duration, history: &MessageHistory) -> Option<BrokenRule> {
         let first = history.first_possible_execution()?;
         match self.fleet.classes[history.message.class].idempotency {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// An attempt to an endpoint that is not listed, or has been draining for longer than the grace period.
+    /// Checks that an endpoint is listed as active, or that its grace period has not ended.
     fn check_endpoint_list(
         &self,
         now: Duration,
@@ -93,7 +93,7 @@
         Some(BrokenRule::new(Rule::Drains, description))
     }
 
-    /// An attempt before a Retry-After has passed.
+    /// Checks that no Retry-After applies to a scope.
     fn check_retry_after(
         &self,
         now: Duration,
@@ -105,7 +105,7 @@
         Some(BrokenRule::new(Rule::RetryAfterHonored, description))
     }
 
-    /// An attempt has ended, and its forwarder learns of it now.
+    /// Records the end of an attempt, of which the forwarder learns at `now`.
     pub(crate) fn record_attempt_end(&mut self, now: Duration, ended: EndedAttempt) {
         let EndedAttempt { message, number, outcome, scope } = ended;
         let history = &mut self.histories[message.0];
@@ -120,7 +120,7 @@
     }
 }
 
-/// An attempt for a message that has its final answer.
+/// Checks that a message has no final answer.
 fn check_not_answered(history: &MessageHistory, endpoint: EndpointIndex) -> Option<BrokenRule> {
     let given = history.answer?;
     let at = given.at.as_secs_f64();
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -1,4 +1,4 @@
-//! What the checks have in common: the history of each message, and the violations found.
+//! The state that the checks share: histories of messages, and violations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,82 +10,82 @@
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex, SubmissionIndex};
 use crate::rule::Rule;
 
-/// So many violations are kept in full; the others are counted.
+/// Maximum number of violations that are stored. Further ones are only counted.
 const MAX_KEPT_VIOLATIONS: usize = 20;
 
-/// What the rules need to know of a fleet.
+/// Settings of a fleet that the rules depend on.
 #[derive(Default)]
 pub struct FleetRules {
     /// The message classes, in the order of the scenario.
     pub classes: Vec<ClassRules>,
     /// Number of forwarders.
     pub forwarders: usize,
-    /// Time in which attempts to a draining endpoint may still start.
+    /// Duration for which attempts to a draining or removed endpoint may still start.
     pub drain_grace: Duration,
-    /// Time for which an ordering key is held after an attempt that may still be running.
+    /// Duration for which an ordering key is held after an attempt that may still be running.
     pub ordering_hold_off: Duration,
-    /// Time past a deadline in which a final answer still counts.
+    /// Duration after a deadline in which a final answer is still in time.
     pub answer_slack: Duration,
 }
 
-/// What the rules need to know of a message class.
+/// Settings of a message class that the rules depend on.
 pub struct ClassRules {
-    /// What a further attempt may do.
+    /// Whether a further attempt may repeat the effect of a message.
     pub idempotency: Idempotency,
-    /// Whether messages of one key go one after the other.
+    /// Whether messages with the same ordering key are delivered one after the other.
     pub ordered: bool,
 }
 
-/// The queue of an ordering key at one forwarder.
+/// Identifies the queue of an ordering key at one forwarder.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct OrderingQueueId {
     pub(super) forwarder: ForwarderIndex,
     pub(super) key: u64,
 }
 
-/// A Retry-After that one forwarder has received, by what it holds for.
+/// Identifies a Retry-After that one forwarder has received.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RetryAfterId {
     pub(super) forwarder: ForwarderIndex,
     pub(super) scope: RetryAfterScope,
 }
 
-/// A state on an endpoint list, and when the forwarder learned of it.
+/// The state of an endpoint on a forwarder's list, and the start of its grace period.
 #[derive(Clone, Copy)]
 pub(super) struct ListedState {
     pub(super) state: EndpointState,
     pub(super) since: Duration,
 }
 
-/// What broke a rule in a run.
+/// Violations of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violations {
-    /// How often rules were broken.
+    /// Total number of violations.
     pub count: usize,
-    /// The first violations.
+    /// The first violations, limited by the checker's maximum.
     pub first: Vec<Violation>,
 }
 
-/// Watches a run and keeps what breaks a rule. Times are since the start of the run.
+/// Checks the events of a run against the rules, and stores violations. Times are since the start of the run.
 pub struct InvariantChecker {
     pub(super) fleet: FleetRules,
     pub(super) histories: Vec<MessageHistory>,
-    /// By forwarder: the endpoint list as it was read.
+    /// The endpoint list that each forwarder received, by forwarder index.
     pub(super) endpoint_lists: Vec<BTreeMap<EndpointIndex, ListedState>>,
-    /// End of each Retry-After.
+    /// End of each received Retry-After.
     pub(super) retry_after: BTreeMap<RetryAfterId, Duration>,
-    /// Messages of each ordering key that still matter, in the order in which they were accepted.
+    /// Messages of each ordering key that may block others, in the order of their acceptance.
     pub(super) ordering_queues: BTreeMap<OrderingQueueId, Vec<MessageIndex>>,
-    /// Forwarders that saw a failure during the present outage of an endpoint, or its last one.
+    /// Forwarders that saw a failure during the current or latest outage of an endpoint.
     pub(super) forwarders_aware_of_outage: BTreeMap<EndpointIndex, BTreeSet<ForwarderIndex>>,
-    /// How often what is not idempotent had its effect.
+    /// Number of effects of each submission with a non-idempotent message.
     pub(super) effects: BTreeMap<SubmissionIndex, u32>,
     violations: Vec<Violation>,
     violation_count: usize,
 }
 
 impl InvariantChecker {
-    /// A checker of a fleet before its first event.
+    /// Creates a checker for a fleet before its first event.
     pub fn new(fleet: FleetRules) -> InvariantChecker {
         InvariantChecker {
             histories: Vec::new(),
@@ -100,12 +100,12 @@
         }
     }
 
-    /// All that broke a rule.
+    /// Returns the number of violations, and the first of them.
     pub fn into_violations(self) -> Violations {
         Violations { count: self.violation_count, first: self.violations }
     }
 
-    /// A rule was broken, by what happened to a message where one is named.
+    /// Records a violation, with the history of its message if there is one.
     pub(crate) fn record_violation(
         &mut self,
         rule: Rule,
@@ -125,7 +125,7 @@
         self.store_violation(violation);
     }
 
-    /// Counts a violation, and keeps it where it is one of the first.
+    /// Counts a violation, and stores it unless the maximum is reached.
     pub(super) fn store_violation(&mut self, violation: Violation) {
         self.violation_count += 1;
         if self.violations.len() < MAX_KEPT_VIOLATIONS {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A forwarder accepted a message; messages are numbered in this order.
+    /// Records an accepted message. Message indices follow the order of these calls.
     pub(crate) fn record_acceptance(&mut self, now: Duration, accepted: AcceptedMessage) {
         let ordered = self.fleet.classes[accepted.class].ordered;
         let ordering_key = accepted.ordering_key.filter(|_| ordered);
@@ -147,7 +147,8 @@
         self.histories.push(MessageHistory::new(accepted, now, answer_due));
     }
 
-    /// A forwarder was killed. What it held is void, or waits in its write-ahead log for the next start.
+    /// Records the kill of a forwarder. Its messages are exempt from checks unless they are pending in its
+    /// write-ahead log.
     pub(crate) fn record_forwarder_kill(&mut self, forwarder: ForwarderIndex, write_ahead_log: bool) {
         self.endpoint_lists[forwarder.0].clear();
         self.retry_after.retain(|received, _| received.forwarder != forwarder);
@@ -155,7 +156,7 @@
         for history in histories.iter_mut().filter(|history| history.message.forwarder == forwarder) {
             history.exempt |= !write_ahead_log || history.answer.is_some();
         }
-        // The rules bind a start to what it accepted, and to what its write-ahead log still holds.
+        // A restarted forwarder knows only the messages in its write-ahead log.
         for (id, queue) in &mut self.ordering_queues {
             if id.forwarder == forwarder {
                 queue.retain(|message| !histories[message.0].exempt);
@@ -163,7 +164,7 @@
         }
     }
 
-    /// A forwarder found a message in its write-ahead log when it started; its time ran on meanwhile.
+    /// Records that a restarted forwarder read a message from its write-ahead log.
     pub(crate) fn record_restoration(&mut self, now: Duration, message: MessageIndex) {
         let answer_slack = self.fleet.answer_slack;
         self.histories[message.0].restore(now, answer_slack);
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -1,4 +1,4 @@
-//! What forwarders know of endpoints, and whether they overloaded one that had just recovered.
+//! What forwarders know of endpoints, and checks of the overload of recovering endpoints.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::received_work::ReceivedWork;
 use crate::rule::Rule;
 
-/// Senders named in a violation, those that sent most first.
+/// Maximum number of senders in a violation.
 const MAX_NAMED_SENDERS: usize = 8;
 
 impl InvariantChecker {
-    /// A forwarder read an endpoint's state in its endpoint list.
+    /// Records the state of an endpoint that a forwarder read from its endpoint list.
     pub(crate) fn record_listed_state(
         &mut self,
         now: Duration,
@@ -25,8 +25,8 @@
     ) {
         let read = ListedState { state, since: now };
         let listed = self.endpoint_lists[forwarder.0].entry(endpoint).or_insert(read);
-        // The grace period runs from the first time that the endpoint was not active in the list: reading the same again,
-        // or that a draining endpoint is removed, does not start it anew.
+        // The grace period starts when the endpoint is first listed as not active. Repeated entries and the
+        // removal of a draining endpoint do not restart the grace period.
         let to_or_from_active = state == EndpointState::Active || listed.state == EndpointState::Active;
         if listed.state != state && to_or_from_active {
             *listed = read;
@@ -34,12 +34,12 @@
         listed.state = state;
     }
 
-    /// An endpoint goes down: forwarders that saw an earlier outage do not know of this one yet.
+    /// Records the start of an outage, of which no forwarder has seen a failure yet.
     pub(crate) fn record_outage_start(&mut self, endpoint: EndpointIndex) {
         self.forwarders_aware_of_outage.remove(&endpoint);
     }
 
-    /// A forwarder saw a failed or rejected request to an endpoint during its outage.
+    /// Records that a forwarder saw a failed or rejected request to an endpoint during its outage.
     pub fn record_failure(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) {
         self.forwarders_aware_of_outage.entry(endpoint).or_default().insert(forwarder);
     }
@@ -49,13 +49,13 @@
         self.forwarders_aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
     }
 
-    /// Whether any forwarder saw a failure in an endpoint's present outage, or its last one.
+    /// Returns whether any forwarder saw a failure in the current or latest outage of an endpoint.
     pub(crate) fn is_outage_known(&self, endpoint: EndpointIndex) -> bool {
         self.forwarders_aware_of_outage.get(&endpoint).is_some_and(|aware| !aware.is_empty())
     }
 
-    /// A cold endpoint was overloaded by what it was sent in the overload window. The rule is broken where over two
-    /// thirds of it came from forwarders that had seen the outage.
+    /// Checks the work that overloaded a recovering endpoint. Records a violation if more than two thirds of
+    /// the work came from forwarders that had seen the outage.
     pub fn check_overload(
         &mut self,
         now: Duration,
@@ -83,7 +83,7 @@
         self.store_violation(violation);
     }
 
-    /// What each sender sent, those that sent most first.
+    /// Returns a line about the work of each sender, largest first.
     fn describe_senders(&self, endpoint: EndpointIndex, received: &[ReceivedWork]) -> Vec<String> {
         let sent_by = |sender: &ForwarderIndex| {
             ReceivedWork::total(received.iter().filter(|work| work.sender == *sender))
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -1,4 +1,4 @@
-//! What happened to one message.
+//! The history of a message.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 /// The final answer that a message got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Delivered.
+    /// The message was delivered.
     Completed,
-    /// Rejected without delivery: the client may submit it again.
+    /// The message was rejected, so that the client may submit it again.
     Rejected,
-    /// Failed without delivery: it may have been executed.
+    /// The message was not delivered, but may have been executed.
     Failed,
-    /// The client withdrew it, or got no answer in time; it is pending no longer.
+    /// The client withdrew the message, or no longer waits for its overdue answer.
     Withdrawn,
 }
 
@@ -32,23 +32,23 @@
     }
 }
 
-/// A message that a forwarder accepted.
+/// A message that a forwarder has accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedMessage {
-    /// What the client wants delivered.
+    /// The client's submission, which may be accepted as several messages.
     pub submission: SubmissionIndex,
-    /// The forwarder that accepted it.
+    /// The forwarder that accepted the message.
     pub forwarder: ForwarderIndex,
-    /// Index of its class.
+    /// Index of the message class in [`FleetRules::classes`](super::FleetRules::classes).
     pub class: usize,
-    /// Its ordering key, if it has one.
+    /// Ordering key, `None` if the message is not ordered.
     pub ordering_key: Option<u64>,
-    /// Deadline of its final answer, since the start of the run.
+    /// Deadline of the final answer, since the start of the run.
     pub deadline: Duration,
 }
 
-/// Whether an outcome proves that nothing was executed, as the rules have it; kept apart from the delivery policy's
-/// own list.
+/// Returns whether an outcome proves that the message was not executed. Independent of the delivery policy's
+/// own function, so that a defect there is found.
 pub fn proves_not_executed(outcome: AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::Rejected { .. }
@@ -63,19 +63,18 @@
     }
 }
 
-/// Whether the endpoint may still be executing an attempt that ended so.
+/// Returns whether the endpoint may still be executing an attempt with this outcome.
 fn may_still_run(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled)
 }
 
-/// An outcome, and when it was reported to the forwarder.
+/// An outcome, and the time at which it was reported to the forwarder.
 #[derive(Clone, Copy)]
 pub(super) struct ReportedOutcome {
     pub(super) outcome: AttemptOutcome,
     pub(super) at: Duration,
 }
 
-/// One attempt for a message.
 pub(super) struct AttemptHistory {
     pub(super) started_at: Duration,
     pub(super) endpoint: EndpointIndex,
@@ -83,20 +82,20 @@
 }
 
 impl AttemptHistory {
-    /// Known by now to have had no effect.
+    /// Returns whether the forwarder knows that the attempt was not executed.
     fn is_proven_not_executed(&self) -> bool {
         self.ended.is_some_and(|ended| proves_not_executed(ended.outcome))
     }
 }
 
-/// A final answer, and when it was given.
+/// A final answer, and the time at which it was given.
 #[derive(Clone, Copy)]
 pub(super) struct GivenAnswer {
     pub(super) answer: FinalAnswer,
     pub(super) at: Duration,
 }
 
-/// One event of a message's history, in words.
+/// One event of a message's history as text.
 struct HistoryEvent {
     at: Duration,
     text: String,
@@ -108,13 +107,13 @@
     }
 }
 
-/// What happened to one message.
 pub(super) struct MessageHistory {
     pub(super) message: AcceptedMessage,
     pub(super) accepted_at: Duration,
     pub(super) answer_due: Duration,
     pub(super) answer: Option<GivenAnswer>,
-    /// Its forwarder was killed and has no write-ahead log, or had answered.
+    /// Whether checks no longer apply, because the message was lost or answered before its forwarder was
+    /// killed.
     pub(super) exempt: bool,
     pub(super) attempts: Vec<AttemptHistory>,
 }
@@ -128,25 +127,27 @@
         MessageHistory { message, accepted_at, answer_due, answer: None, exempt: false, attempts: Vec::new() }
     }
 
-    /// Start of the first attempt that may have been executed.
+    /// Returns the start of the first attempt that may have been executed.
     pub(super) fn first_possible_execution(&self) -> Option<Duration> {
         let possibly_executed = self.attempts.iter().filter(|attempt| !attempt.is_proven_not_executed());
         possibly_executed.map(|attempt| attempt.started_at).min()
     }
 
-    /// It has its final answer, and no attempt for it is in flight.
+    /// Returns whether the message is answered or exempt, and has no attempt in flight.
     pub(super) fn is_finished(&self) -> bool {
         (self.answer.is_some() || self.exempt) && self.attempts.iter().all(|attempt| attempt.ended.is_some())
     }
 
-    /// Until when its ordering key is held after attempts that may still run; zero where none may.
+    /// Returns the end of the hold-off of the ordering key after attempts that may still run; zero without
+    /// any.
     pub(super) fn key_held_until(&self, hold_off: Duration) -> Duration {
         let ended = self.attempts.iter().filter_map(|attempt| attempt.ended);
         let uncertain = ended.filter(|ended| may_still_run(ended.outcome));
         uncertain.map(|ended| ended.at + hold_off).max().unwrap_or_default()
     }
 
-    /// Its forwarder has started again: attempts that were in flight are over, and an answer is not due at once.
+    /// Ends the attempts that were in flight before a restart of the forwarder, and postpones the due time of
+    /// the answer.
     pub(super) fn restore(&mut self, now: Duration, answer_slack: Duration) {
         self.answer_due = self.answer_due.max(now + answer_slack);
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.ended.is_none()) {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// All that happened, oldest first, in the operators' words.
+    /// Returns a line for each event of the history, oldest first.
     pub(super) fn describe_events(&self) -> Vec<String> {
         let accepted = format!(
             "taken by forwarder {}, due by {:.6}",
--- a/crates/simulation/src/invariants/mod.rs
+++ b/crates/simulation/src/invariants/mod.rs
@@ -1,6 +1,5 @@
-//! The six rules, each checked by itself and written from the rules: nothing here asks the delivery policy, and what
-//! the delivery policy believes of a message is not read. A violation names the message, the time and what led to
-//! it.
+//! Checks of the six delivery rules, independent of the delivery policy's code and state. A violation
+//! contains the message, the time and the events that preceded it.
 
 mod answers;
 mod attempts;
--- a/crates/simulation/src/invariants/ordering.rs
+++ b/crates/simulation/src/invariants/ordering.rs
@@ -1,4 +1,4 @@
-//! Messages of one ordering key go one after the other.
+//! Checks that messages with the same ordering key are delivered one after the other.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use crate::ids::{ForwarderIndex, MessageIndex};
 
 impl InvariantChecker {
-    /// What stands in the way of an attempt for a message in the queue of its ordering key. Drops from the queue what
-    /// no longer matters.
+    /// Returns why the order of a key forbids an attempt for a message, or `None` if the attempt is allowed.
+    /// Removes messages that block no others from the queue.
     pub(super) fn find_order_blocker(
         &mut self,
         now: Duration,
--- a/crates/simulation/src/invariants/text.rs
+++ b/crates/simulation/src/invariants/text.rs
@@ -1,10 +1,10 @@
-//! Values of the policy's interface in plain words, for the texts of violations.
+//! Display forms of policy types in descriptions of violations.
 
 use std::fmt;
 
 use reeddock::{AttemptOutcome, EndpointState};
 
-/// The outcome of an attempt in plain words.
+/// Displays the outcome of an attempt.
 pub(super) struct OutcomeText(pub(super) AttemptOutcome);
 
 impl fmt::Display for OutcomeText {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The state of an endpoint on the endpoint list in plain words.
+/// Displays the state of an endpoint on the endpoint list.
 pub(super) struct StateText(pub(super) EndpointState);
 
 impl fmt::Display for StateText {
--- a/crates/simulation/src/invariants/violation.rs
+++ b/crates/simulation/src/invariants/violation.rs
@@ -1,4 +1,4 @@
-//! What is said of a rule that was broken. Results hold these lines, in the operators' words.
+//! Violations of rules as they are written to results.
 
 use std::fmt;
 
@@ -7,22 +7,22 @@
 use crate::ids::EndpointIndex;
 use crate::rule::Rule;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// Seconds since the start of the run.
+    /// Time of the violation, in seconds since the start of the run.
     pub at_s: f64,
-    /// Index of the forwarder that broke it, where it was one.
+    /// Index of the forwarder that owned the message, `None` without a message.
     pub forwarder: Option<usize>,
-    /// Index of the message, where it was about one.
+    /// Index of the message, `None` if the violation is not about one message.
     #[serde(rename = "envelope")]
     pub message: Option<usize>,
-    /// How it was broken.
+    /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
-    /// What led to it, oldest first.
+    /// Events of the message before the violation, oldest first. For an overload, the senders, largest first.
     #[serde(rename = "led_by")]
     pub history: Vec<String>,
 }
@@ -41,12 +41,12 @@
     }
 }
 
-/// What a Retry-After holds for: a destination, or an endpoint where each endpoint has a circuit of its own.
+/// The scope of a Retry-After: a destination, or an endpoint if each endpoint has its own circuit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryAfterScope {
     /// All endpoints of the destination with this rank.
     Destination(usize),
-    /// One endpoint.
+    /// The endpoint that sent the Retry-After.
     Endpoint(EndpointIndex),
 }
 
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they start, and how each ends.
+//! Start and end of attempts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::ids::{EndpointIndex, MessageIndex, RequestIndex};
 use crate::invariants::{RetryAfterScope, Rule};
 
-/// Requests that one run of a policy has opened.
+/// Requests opened during one policy run.
 #[derive(Default)]
 pub(super) struct OpenBatches {
-    /// The request that is being filled for each endpoint.
+    /// The request to which attempts are added, by endpoint.
     by_endpoint: BTreeMap<EndpointIndex, RequestIndex>,
-    /// All of them, in the order in which they were opened.
+    /// All opened requests, in order.
     requests: Vec<RequestIndex>,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl World<'_> {
-    /// A policy starts an attempt. It joins the request that is being filled for the endpoint, or opens one.
+    /// Starts an attempt. The attempt is added to the open request for the endpoint, or to a new request.
     pub(super) fn start_attempt(
         &mut self,
         message: MessageIndex,
@@ -57,7 +57,8 @@
         self.add_to_request(attempt, endpoint, request, timeout);
     }
 
-    /// The endpoint of an attempt, if it is one of the message's destination.
+    /// Returns the endpoint with this id if it belongs to the message's destination. Records a violation
+    /// otherwise.
     fn valid_endpoint(&mut self, message: MessageIndex, id: EndpointId) -> Option<EndpointIndex> {
         let destination = self.submissions[self.messages[message.0].submission.0].destination;
         let description = match self.known_endpoint(id) {
@@ -69,14 +70,14 @@
         None
     }
 
-    /// The request that is being filled for an endpoint, if another message fits in.
+    /// Returns the open request for an endpoint if its batch is not full.
     fn batch_with_room(&self, endpoint: EndpointIndex, batches: &OpenBatches) -> Option<RequestIndex> {
         let max_batch = self.kind_of(self.destination_of(endpoint)).max_batch as usize;
         let open = batches.by_endpoint.get(&endpoint).copied();
         open.filter(|request| self.requests[request.0].batch.len() < max_batch)
     }
 
-    /// Whether the message is pending, has attempts left, and a request may leave.
+    /// Returns whether the message is pending, has attempts left, and a request is open or allowed.
     fn can_send(&self, attempt: AttemptRef, joined: Option<RequestIndex>) -> bool {
         let fleet = &self.scenario.fleet;
         let message = &self.messages[attempt.message.0];
@@ -85,7 +86,7 @@
         !message.finished && attempt.number < fleet.max_attempts as usize && is_request_free
     }
 
-    /// An attempt that cannot be sent; the forwarder learns so at the next tick.
+    /// Records an attempt that cannot be sent, and reports this to the forwarder one tick later.
     fn finish_unsent_attempt(&mut self, attempt: AttemptRef, endpoint: EndpointIndex) {
         let now = self.now();
         let outcome = AttemptOutcome::NotSent;
@@ -105,7 +106,7 @@
         self.schedule.schedule(now + self.scenario.fleet.tick.0, Event::Input { to: owner, input });
     }
 
-    /// Opens a request with an attempt as its first one.
+    /// Opens an empty request for an attempt.
     fn open_request(
         &mut self,
         attempt: AttemptRef,
@@ -121,7 +122,7 @@
         request
     }
 
-    /// Counts an attempt that is sent to an endpoint which is down.
+    /// Counts an attempt if it is sent to an endpoint that is down.
     fn count_sent_to_down(&mut self, attempt: AttemptRef, endpoint: EndpointIndex) {
         if !self.endpoints[endpoint.0].is_down() {
             return;
@@ -133,7 +134,7 @@
         self.sent_to_down.first_lost_to_known += u64::from(is_first && is_known);
     }
 
-    /// Adds an attempt to a request that has not left, and schedules its timeout.
+    /// Adds an attempt to a request that has not been sent, and schedules the attempt's timeout.
     fn add_to_request(
         &mut self,
         attempt: AttemptRef,
@@ -153,12 +154,12 @@
             outcome: None,
             reported: false,
         });
-        // No attempt lasts beyond the deadline of its message.
+        // An attempt ends at the deadline of its message at the latest.
         let timeout = timeout.min(message.deadline.saturating_sub(now));
         self.schedule.schedule(now + timeout, Event::TimedOut(position));
     }
 
-    /// A policy cancels an attempt.
+    /// Cancels an attempt. Records a violation if the attempt was never started.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptRef) {
         let message = attempt.message;
         let Some(record) = self.messages[message.0].attempts.get(attempt.number) else {
@@ -176,7 +177,8 @@
         }
     }
 
-    /// The forwarder stops waiting for one attempt of a request, if it still does.
+    /// Ends an attempt for which the forwarder still waits. Abandons the request if it was the last one
+    /// awaited.
     pub(super) fn stop_waiting(&mut self, position: BatchPosition, outcome: AttemptOutcome) {
         let request = position.request;
         if !self.requests[request.0].batch[position.index].awaited {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// An attempt has its outcome: records it, and reports it to the forwarder.
+    /// Records the outcome of an attempt and reports it to the forwarder.
     pub(super) fn finish_attempt(&mut self, position: BatchPosition, outcome: AttemptOutcome) {
         let request = &mut self.requests[position.request.0];
         let entry = &mut request.batch[position.index];
@@ -210,7 +212,6 @@
         self.deliver(sender, ForwarderInput::AttemptFinished(end));
     }
 
-    /// Counts the outcome of an attempt.
     fn count_outcome(&mut self, outcome: AttemptOutcome) {
         let counts = &mut self.account.attempts;
         match outcome {
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Client programs: arrivals of messages, and the forwarder that a client reaches.
+//! Client programs: arrivals of messages, choice of the forwarder, and repeated submissions.
 
 use std::time::Duration;
 
@@ -12,50 +12,50 @@
 use crate::fault::Fault;
 use crate::ids::{DestinationIndex, ForwarderIndex, SubmissionIndex};
 
-/// Least delay between two events that must not happen at the same time.
+/// Minimum delay between two events that must not happen at the same time.
 const MIN_DELAY: Duration = Duration::from_micros(1);
-/// Least delay from the kill of a forwarder to the next submission of its messages.
+/// Minimum delay from the kill of a forwarder to the next submission of its messages.
 const MIN_FAILOVER_DELAY: Duration = Duration::from_millis(1);
-/// Messages in one clump at most.
+/// Maximum clump size: the factor by which a clump increases the messages of an arrival.
 const MAX_CLUMP_MESSAGES: f64 = 1e4;
-/// Messages in one arrival at most, clumps aside.
+/// Maximum number of messages in one arrival, before the clump size is applied.
 const MAX_ARRIVAL_MESSAGES: f64 = 1e5;
-/// Guards logarithms and divisions against zero.
+/// Prevents the logarithm of zero.
 const MIN_LOG_ARGUMENT: f64 = 1e-12;
-/// Guards divisions by rates and sizes against zero.
+/// Prevents division by a rate or size of zero.
 const MIN_DIVISOR: f64 = 1e-9;
-/// Multiplier that spreads ordering keys over forwarders: 2^64 divided by the golden ratio.
+/// Multiplier of a Fibonacci hash: 2^64 divided by the golden ratio.
 const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bits of a spread key that are dropped, as the low ones vary least.
+/// Number of low bits of a hashed key that are discarded because they vary least.
 const KEY_HASH_SHIFT: u32 = 33;
-/// Ordering keys of one destination; those of the next one lie above.
+/// Number of bits of an ordering key below the destination index.
 const DESTINATION_KEY_SHIFT: u32 = 24;
 
-/// How messages come together.
+/// How messages of a program are grouped into arrivals.
 struct ArrivalShape {
-    /// Probability that an arrival is a clump for one destination.
+    /// Probability that an arrival is a clump, which has more messages, all for one destination.
     clump_probability: f64,
-    /// Messages of an arrival, in the mean.
+    /// Mean number of messages in an arrival.
     mean_messages: f64,
 }
 
-/// Forwarders that get a share of all traffic by a fault.
+/// A fault that moves a share of the traffic to some forwarders.
 struct TrafficShift {
     forwarders: Vec<ForwarderIndex>,
-    /// Share of the traffic, from 0 to 1.
+    /// Share of the submissions without ordering key that is moved, from 0 to 1.
     share: f64,
 }
 
-/// The index of the part that a draw from 0 to 1 selects, by the running sums of all parts.
+/// Returns the index selected by `drawn`, from 0 to 1, in cumulative weights.
 fn weighted_index(sums: &[f64], drawn: f64) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
     sums.partition_point(|sum| *sum <= drawn * total).min(sums.len().saturating_sub(1))
 }
 
 impl World<'_> {
-    // # Arrivals.
+    // # Arrivals
 
-    /// How many times its usual traffic a program sends now.
+    /// Returns the factor on a program's baseline traffic from active faults.
     fn traffic_factor(&self, program: usize) -> f64 {
         let name = &self.scenario.programs[program].name;
         let factors = self.active_faults.keys().map(|index| match self.fault(*index) {
@@ -66,7 +66,7 @@
         factors.product()
     }
 
-    /// How the messages of a program come together, by the scenario's settings.
+    /// Returns the grouping of a program's messages by the scenario's settings.
     fn arrival_shape(&self, program: usize) -> ArrivalShape {
         let traffic = &self.scenario.traffic;
         let (clumped, clump_size) = (traffic.clumped.get(), traffic.clump_size.mean().max(1.0));
@@ -89,7 +89,7 @@
         self.now() + duration_from_seconds(gap).max(MIN_DELAY)
     }
 
-    /// Messages of a program arrive, and the next arrival is scheduled.
+    /// Submits the messages of an arrival, and schedules the next arrival of the program.
     pub(super) fn handle_arrival(&mut self, program: usize) {
         if self.now() >= self.scenario.duration.0 {
             self.finished_programs += 1;
@@ -106,7 +106,7 @@
         let messages = arrival_size * if is_clump { clump_size } else { 1 };
         let mut clump_destination = None;
         for _ in 0..messages {
-            // Drawn in any case, so that clumps do not shift what is drawn later.
+            // Always drawn, so that clumps do not shift later draws.
             let drawn = DestinationIndex(weighted_index(
                 &self.cumulative_destination_weights,
                 self.random.arrivals.random(),
@@ -121,7 +121,7 @@
         self.schedule.schedule(next, Event::Arrival { program });
     }
 
-    /// Draws a message for a destination, and submits it.
+    /// Draws a message for a destination and submits it.
     fn submit_new_message(&mut self, program: usize, destination: DestinationIndex) {
         let now = self.now();
         let random = &mut self.random.arrivals;
@@ -129,7 +129,7 @@
         let class = &self.scenario.classes[class_index];
         let key = random.random::<u64>();
         let work = class.work_ms.draw(random) / 1e3;
-        // Keys are of one destination: an order across destinations means nothing.
+        // Ordering keys contain the destination because messages are ordered only within a destination.
         let key_of = |keys: u32| ((destination.0 as u64) << DESTINATION_KEY_SHIFT) | (key % u64::from(keys));
         let submission = SubmissionIndex(self.submissions.len());
         let accounted = NewSubmission { submitted_at: now, class: class_index, program, destination };
@@ -149,9 +149,9 @@
         self.submit(submission);
     }
 
-    // # Submissions.
+    // # Submissions
 
-    /// A client submits a message to the forwarder that it reaches.
+    /// Submits a message to a running forwarder, which accepts it if it has capacity.
     fn submit(&mut self, submission: SubmissionIndex) {
         let ordering_key = self.submissions[submission.0].ordering_key;
         let capacity = self.scenario.fleet.capacity as usize;
@@ -166,7 +166,8 @@
         }
     }
 
-    /// The running forwarder that a client reaches: messages of one key come to one while it runs.
+    /// Draws the running forwarder for a submission, or `None` if all are down. An ordering key selects the
+    /// same forwarder while that forwarder runs.
     fn choose_forwarder(&mut self, ordering_key: Option<u64>) -> Option<ForwarderIndex> {
         let count = self.forwarders.len();
         let shift_draw: f64 = self.random.clients.random();
@@ -183,7 +184,7 @@
         (0..count).map(|step| (first + step) % count).find(is_running).map(ForwarderIndex)
     }
 
-    /// The traffic shift in force; the last such fault of the scenario wins.
+    /// Returns the active traffic shift. The last one in the scenario takes precedence.
     fn traffic_shift(&self) -> Option<TrafficShift> {
         self.active_faults.keys().rev().find_map(|index| match self.fault(*index) {
             Fault::TrafficShift { forwarders, share } => {
@@ -194,7 +195,7 @@
         })
     }
 
-    /// The forwarder that a draw from 0 to 1 selects, by the forwarders' parts of the traffic.
+    /// Returns the index of the forwarder selected by `drawn`, from 0 to 1, weighted by traffic.
     fn forwarder_at(&self, drawn: f64) -> usize {
         let plans = &self.layout.forwarders;
         let mut left = drawn * plans.iter().map(|plan| plan.traffic_part).sum::<f64>();
@@ -205,7 +206,8 @@
         position.unwrap_or(plans.len() - 1)
     }
 
-    /// A client learns that its message was rejected, or not accepted at all.
+    /// Schedules the resubmission of a message that was rejected or not accepted. Ends the submission if it
+    /// has no resubmissions left.
     pub(super) fn handle_submission_rejection(
         &mut self,
         submission: SubmissionIndex,
@@ -224,7 +226,7 @@
         self.schedule.schedule(at, Event::Resubmission(submission));
     }
 
-    /// Its forwarder was killed: the client submits the message to another one, which counts as no resubmission.
+    /// Schedules another submission after the kill of a forwarder, which is not counted as a resubmission.
     pub(super) fn schedule_failover(&mut self, submission: SubmissionIndex) {
         let program = &self.scenario.programs[self.submissions[submission.0].program];
         let delay = program.resubmission_delay_s.span(&mut self.random.clients);
@@ -232,7 +234,7 @@
         self.schedule.schedule(at, Event::Resubmission(submission));
     }
 
-    /// A client submits a message again, unless its deadline has passed.
+    /// Submits a message again unless its deadline has passed.
     pub(super) fn resubmit(&mut self, submission: SubmissionIndex) {
         let record = &self.submissions[submission.0];
         let deadline = record.submitted_at + self.scenario.classes[record.class].deadline.0;
@@ -242,7 +244,7 @@
         self.submit(submission);
     }
 
-    /// Nothing more happens to a submission.
+    /// Ends a submission, after which no event changes its result.
     pub(super) fn finish_submission(&mut self, submission: SubmissionIndex) {
         let record = &mut self.submissions[submission.0];
         if !record.finished {
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of a policy, and how the simulated host executes them.
+//! Commands of policies, and their execution by the simulated host.
 
 use std::time::Duration;
 
@@ -13,7 +13,6 @@
 use crate::ids::{EndpointIndex, ForwarderIndex, MessageIndex};
 use crate::invariants::Rule;
 
-/// One command of a policy.
 enum HostCommand {
     StartAttempt { message: MessageId, endpoint: EndpointId, timeout: Duration },
     Cancel { message: MessageId, attempt: AttemptNumber },
@@ -25,7 +24,7 @@
     FetchEndpointList,
 }
 
-/// The commands of one run of a policy, in the order in which it gave them.
+/// The commands of one policy run, in order.
 #[derive(Default)]
 pub(super) struct CommandBuffer(Vec<HostCommand>);
 
@@ -59,7 +58,7 @@
         self.0.push(HostCommand::SendGossip { to: peer, content: gossip.to_vec() });
     }
 
-    /// Forwarders of a simulation always learn of changes.
+    /// Does nothing: simulated forwarders always receive endpoint list changes.
     fn watch_endpoint_list(&mut self, _on: bool) {}
 
     fn fetch_endpoint_list(&mut self) {
@@ -70,7 +69,7 @@
 }
 
 impl World<'_> {
-    /// Executes commands; requests leave last, with all attempts that they carry.
+    /// Executes commands in order, then sends the requests that contain the started attempts.
     pub(super) fn execute(&mut self, forwarder: ForwarderIndex, commands: CommandBuffer) {
         let mut batches = OpenBatches::default();
         for command in commands.0 {
@@ -81,7 +80,7 @@
         }
     }
 
-    /// Executes one command; attempts join the requests that are being filled.
+    /// Executes one command. A started attempt is added to a request in `batches`.
     fn execute_command(
         &mut self,
         forwarder: ForwarderIndex,
@@ -116,7 +115,8 @@
         }
     }
 
-    /// A message that this incarnation of the forwarder holds; naming another one is a violation.
+    /// Returns the message with this id if the forwarder's current incarnation owns it. Records a violation
+    /// otherwise.
     fn owned_message(&mut self, forwarder: ForwarderIndex, id: &MessageId) -> Option<MessageIndex> {
         let incarnation = self.incarnation_of(forwarder);
         let is_owned = |message: &MessageIndex| {
@@ -130,7 +130,7 @@
         owned
     }
 
-    /// Schedules the arrival of the complete endpoint list at a forwarder.
+    /// Schedules the delivery of the complete endpoint list to a forwarder.
     fn fetch_endpoint_list(&mut self, forwarder: ForwarderIndex) {
         let changes = self.complete_endpoint_list();
         let delay = self.scenario.endpoint_list.delay_s.span(&mut self.random.endpoint_list);
@@ -139,7 +139,7 @@
         self.schedule.schedule(at, Event::Input { to: self.incarnation_of(forwarder), input });
     }
 
-    /// Sends a health check to an endpoint.
+    /// Schedules the arrival of a health check at an endpoint. Unknown endpoints are ignored.
     fn start_health_check(&mut self, forwarder: ForwarderIndex, endpoint: EndpointId) {
         let Some(endpoint) = self.known_endpoint(endpoint) else { return };
         let at = self.now() + self.draw_one_way_delay(forwarder, endpoint);
@@ -147,12 +147,12 @@
         self.schedule.schedule(at, Event::HealthCheckArrives { from, endpoint });
     }
 
-    /// An endpoint that some list has named.
+    /// Returns the index of an endpoint, or `None` if no endpoint has this id.
     pub(super) fn known_endpoint(&self, id: EndpointId) -> Option<EndpointIndex> {
         endpoint_index(id).filter(|endpoint| endpoint.0 < self.endpoints.len())
     }
 
-    /// Sends gossip to one forwarder, or to all others where none is named.
+    /// Sends gossip to one forwarder, or to all others if `to` is `None`.
     fn send_gossip(&mut self, from: ForwarderIndex, to: Option<PeerId>, content: &[u8]) {
         let settings = &self.scenario.gossip;
         let partitions = self.gossip_partitions();
@@ -172,7 +172,7 @@
         }
     }
 
-    /// One side of each partition between forwarders.
+    /// Returns the forwarders on one side of each active gossip partition.
     fn gossip_partitions(&self) -> Vec<Vec<ForwarderIndex>> {
         let sides = self.active_faults.keys().filter_map(|index| match self.fault(*index) {
             Fault::GossipPartition { forwarders } => Some(self.layout.select_forwarders(forwarders)),
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -1,4 +1,4 @@
-//! What happens to a request when it arrives at its endpoint: accepted, rejected, or lost.
+//! Requests on the endpoint's side: arrival, admission, queueing and responses.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 use crate::ids::{DestinationIndex, EndpointIndex, ForwarderIncarnation, RequestIndex};
 use crate::report::rounded;
 
-/// Work of one more message within a request, against the request itself.
+/// Work of each further message in a request, relative to a request with one message.
 pub(super) const WORK_PER_EXTRA_MESSAGE: f64 = 0.25;
-/// Work of a health check, in requests of one message.
+/// Work of a health check, relative to a request with one message.
 const HEALTH_CHECK_WORK: f64 = 1.0;
-/// Guards the division by an endpoint's capacity, in requests a second.
+/// Prevents division by an endpoint capacity of zero; in requests per second.
 const MIN_CAPACITY_PER_S: f64 = 1e-6;
 
 impl World<'_> {
-    // # The endpoint's state.
+    // # State of the endpoint
 
-    /// Whether a fault of some kind affects an endpoint.
+    /// Returns whether an active fault that matches `is_kind` affects an endpoint.
     pub(super) fn has_fault(&self, endpoint: EndpointIndex, is_kind: impl Fn(&Fault) -> bool) -> bool {
         let active = &self.endpoints[endpoint.0].active_faults;
         active.iter().any(|index| is_kind(self.fault(*index)))
     }
 
-    /// Whether packets to and from the endpoint are lost.
+    /// Returns whether packets to and from an endpoint are lost.
     pub(super) fn is_unreachable(&self, endpoint: EndpointIndex) -> bool {
         self.has_fault(endpoint, |fault| matches!(fault, Fault::Unreachable { .. }))
     }
 
-    /// Whether the endpoint accepts requests and does not respond.
+    /// Returns whether an endpoint accepts requests without responding.
     pub(super) fn hangs(&self, endpoint: EndpointIndex) -> bool {
         self.has_fault(endpoint, |fault| matches!(fault, Fault::Hang { .. }))
     }
 
-    /// Whether the endpoint refuses connections at once.
+    /// Returns whether an endpoint refuses connections immediately.
     pub(super) fn refuses_connections(&self, endpoint: EndpointIndex) -> bool {
         let state = &self.endpoints[endpoint.0];
         state.removed
@@ -45,7 +45,7 @@
             || self.has_fault(endpoint, |fault| matches!(fault, Fault::ConnectionsRefused { .. }))
     }
 
-    /// Factor of the time that work takes at an endpoint now.
+    /// Returns the current factor on the duration of work at an endpoint.
     pub(super) fn slowdown(&self, endpoint: EndpointIndex) -> f64 {
         let state = &self.endpoints[endpoint.0];
         let factors = state.active_faults.iter().map(|index| match self.fault(*index) {
@@ -56,7 +56,7 @@
         work_factor * factors.product::<f64>() / state.warmth(self.now(), &self.scenario.recovery)
     }
 
-    /// Requests a second that a destination's endpoints can serve now.
+    /// Returns the current capacity of a destination's endpoints in requests per second.
     pub(super) fn current_capacity_per_s(&self, destination: DestinationIndex) -> f64 {
         let work_factor = self.layout.destinations[destination.0].work_factor;
         let capacity_of = |endpoint: &EndpointIndex| {
@@ -69,9 +69,9 @@
         rounded(self.destinations[destination.0].endpoints.iter().map(capacity_of).sum())
     }
 
-    // # Arrivals.
+    // # Arrivals
 
-    /// A request arrives at its endpoint, which accepts, rejects or loses it.
+    /// Handles a request that arrives at its endpoint: queues, rejects, fails or loses it.
     pub(super) fn handle_request_arrival(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
@@ -94,7 +94,7 @@
         let work = 1.0 + WORK_PER_EXTRA_MESSAGE * extra_messages as f64;
         self.receive_work(endpoint, work, sender);
         if self.refuses_connections(endpoint) {
-            // This request has overloaded the endpoint, and its connection was reset with all others.
+            // The work of this request overloaded the endpoint, which reset all its connections.
             return self.schedule_connection_reset(request);
         }
         if let Some(until) = self.rejection_end(endpoint) {
@@ -112,7 +112,7 @@
         self.enqueue(request, endpoint);
     }
 
-    /// Counts a request against the endpoint's own limit and the destination's.
+    /// Takes a request from the limits of the endpoint and the destination. The error is the Retry-After.
     fn admit(&mut self, endpoint: EndpointIndex) -> Result<(), Duration> {
         let now = self.now();
         let destination = self.destination_of(endpoint);
@@ -121,7 +121,8 @@
         self.destinations[destination.0].limit.admit(now, rejected_use_up_limit)
     }
 
-    /// End of the fault by which an endpoint rejects all requests.
+    /// Returns the end of the active fault by which an endpoint rejects all requests, `None` without such a
+    /// fault.
     fn rejection_end(&self, endpoint: EndpointIndex) -> Option<Duration> {
         let active = self.endpoints[endpoint.0].active_faults.iter();
         let scheduled = active.map(|index| &self.scenario.faults[*index]);
@@ -129,7 +130,7 @@
         rejecting.map(|scheduled| scheduled.end()).max()
     }
 
-    /// Draws whether a fault has the endpoint answer a request with an error, without executing it.
+    /// Draws whether a fault makes the endpoint respond with an error without executing the request.
     fn draw_immediate_failure(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> bool {
         let batch = &self.requests[request.0].batch;
         let class_name = |class: usize| &self.scenario.classes[class].name;
@@ -147,7 +148,8 @@
         fails
     }
 
-    /// A hanging endpoint accepts as many requests as its queue and its workers can hold; others are never answered.
+    /// Stores a request at a hanging endpoint, limited by its queue and workers. Further requests get no
+    /// response.
     fn hold_while_hanging(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
         let state = &mut self.endpoints[endpoint.0];
         if state.hung_requests.len() < state.plan.max_queued + state.plan.workers {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// A request is served, waits in the queue, or is rejected as that is full.
+    /// Serves a request if a worker is free, queues it otherwise, and rejects it if the queue is full.
     pub(super) fn enqueue(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
         let state = &mut self.endpoints[endpoint.0];
         if state.busy_workers < state.plan.workers {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// A health check arrives at its endpoint; its result is sent back to the forwarder.
+    /// Handles a health check that arrives at an endpoint, and schedules its result for the forwarder.
     pub(super) fn handle_health_check_arrival(
         &mut self,
         from: ForwarderIncarnation,
@@ -188,9 +190,9 @@
         self.schedule.schedule(at, Event::Input { to: from, input });
     }
 
-    // # Responses.
+    // # Responses
 
-    /// A response leaves the endpoint now.
+    /// Schedules a response to a request unless the endpoint is unreachable.
     pub(super) fn respond(&mut self, request: RequestIndex, outcome: AttemptOutcome) {
         if self.is_unreachable(self.requests[request.0].endpoint) {
             return;
@@ -199,14 +201,14 @@
         self.schedule.schedule(at, Event::ResponseArrives { request, outcome });
     }
 
-    /// The sender of a request sees its connection reset.
+    /// Schedules a connection reset for the sender of a request.
     pub(super) fn schedule_connection_reset(&mut self, request: RequestIndex) {
         let at = self.now() + self.draw_request_one_way_delay(request);
         let outcome = AttemptOutcome::ConnectionReset;
         self.schedule.schedule(at, Event::ResponseArrives { request, outcome });
     }
 
-    /// Rejects a request, some with the time until there is capacity again.
+    /// Rejects a request. The share of rejections with a Retry-After comes from the scenario.
     fn reject_request(&mut self, request: RequestIndex, retry_after: Duration) {
         let now = self.now();
         let destination = self.destination_of(self.requests[request.0].endpoint);
@@ -215,7 +217,7 @@
         if let Some(load) = self.account.load_at(destination, now) {
             load.rejected += 1;
         }
-        // Counted from when the forwarder learns of it.
+        // The wait starts when the forwarder receives the response.
         let retry_after = Some(retry_after).filter(|wait| sends_retry_after && !wait.is_zero());
         self.respond(request, AttemptOutcome::Rejected { retry_after });
     }
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -1,4 +1,4 @@
-//! What is still to happen in a world.
+//! Scheduled events, and inputs to forwarders.
 
 use reeddock::{AttemptOutcome, EndpointState};
 
@@ -7,67 +7,67 @@
     EndpointIndex, ForwarderIncarnation, ForwarderIndex, MessageIndex, RequestIndex, SubmissionIndex,
 };
 
-/// A change of one endpoint on the endpoint list.
+/// A change of one endpoint's state on the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListChange {
     pub(super) endpoint: EndpointIndex,
     pub(super) state: EndpointState,
 }
 
-/// What a forwarder passes to its policy when that next runs.
+/// An input that a forwarder passes to its policy in the next policy run.
 pub(super) enum ForwarderInput {
-    /// The whole endpoint list, or changes of it.
+    /// The complete endpoint list, or changes to the list.
     EndpointList { complete: bool, changes: Vec<ListChange> },
     /// A client has submitted a message.
     Submitted(MessageIndex),
-    /// After a restart: a pending message from the write-ahead log.
+    /// A pending message that a restarted forwarder read from its write-ahead log.
     Restored(MessageIndex),
-    /// An attempt has ended.
+    /// The outcome of an attempt.
     AttemptFinished(AttemptEnd),
-    /// The client has withdrawn a message.
+    /// A message that its client has withdrawn, or no longer waits for.
     Withdrawn(MessageIndex),
-    /// The policy's timer.
+    /// The expiry of the policy's timer.
     TimerFired,
     /// Gossip from another forwarder.
     Gossip { from: ForwarderIndex, content: Vec<u8> },
-    /// A health check has ended.
+    /// The result of a health check.
     HealthChecked { endpoint: EndpointIndex, healthy: bool },
 }
 
-/// What happens at a time.
+/// A scheduled event.
 pub(super) enum Event {
-    /// Messages of a program arrive.
+    /// Clients of a program submit new messages.
     Arrival { program: usize },
     /// A client submits a message again.
     Resubmission(SubmissionIndex),
     /// A client withdraws a message.
     Withdrawal(MessageIndex),
-    /// A message must have its final answer by now.
+    /// The final answer of a message is due.
     AnswerDue(MessageIndex),
-    /// A forwarder handles its inbox and runs its policy.
+    /// A forwarder passes its inbox to its policy and runs the policy.
     PolicyRun(ForwarderIncarnation),
-    /// Something is put into a forwarder's inbox.
+    /// An input reaches a forwarder's inbox.
     Input { to: ForwarderIncarnation, input: ForwarderInput },
-    /// A forwarder learns of changes of the endpoint list, also where it was restarted since they were made.
+    /// A forwarder receives endpoint list changes, even if it has been restarted since the changes.
     ListChanged { forwarder: ForwarderIndex, changes: Vec<ListChange> },
     /// A request arrives at its endpoint.
     RequestArrives(RequestIndex),
-    /// The sender learns that no connection was made.
+    /// The sender of a request learns that no connection could be made.
     NotConnected(RequestIndex),
-    /// A worker of that incarnation of an endpoint has served a request.
+    /// A worker finishes a request. Ignored if the endpoint has a new incarnation.
     Served { endpoint: EndpointIndex, incarnation: u32, request: RequestIndex },
-    /// A response, or the end of the connection, arrives at the sender.
+    /// A response or a connection reset arrives at the sender of a request.
     ResponseArrives { request: RequestIndex, outcome: AttemptOutcome },
-    /// The timeout of one attempt of a request.
+    /// The timeout of one attempt in a request expires.
     TimedOut(BatchPosition),
     /// A health check arrives at its endpoint.
     HealthCheckArrives { from: ForwarderIncarnation, endpoint: EndpointIndex },
-    /// A fault starts, by its place in the scenario.
+    /// The fault with this index in the scenario starts.
     FaultStarts(usize),
-    /// A fault ends, by its place in the scenario.
+    /// The fault with this index in the scenario ends.
     FaultEnds(usize),
-    /// An endpoint that was overloaded is up again.
+    /// The outage of an overloaded endpoint ends.
     OverloadEnds(EndpointIndex),
-    /// Once a second: what the watched destinations could serve.
+    /// The capacity of the watched destinations is recorded; repeated every second.
     CapacitySample,
 }
--- a/crates/simulation/src/world/external_ids.rs
+++ b/crates/simulation/src/world/external_ids.rs
@@ -1,4 +1,5 @@
-//! The numbers by which policies know endpoints, destinations and messages. 0 is left free, as hosts may.
+//! Conversions between the simulation's indices and the ids that policies see. Ids of endpoints and
+//! destinations start at 1.
 
 use std::sync::Arc;
 
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults start and end.
+//! Start and end of faults.
 
 use reeddock::EndpointState;
 
@@ -10,10 +10,10 @@
 use crate::simulated_endpoint::{OutageCause, SimulatedEndpoint};
 
 impl World<'_> {
-    /// A fault starts, by its place in the scenario.
+    /// Starts the fault with this index in the scenario.
     pub(super) fn start_fault(&mut self, index: usize) {
         let fault = self.fault(index);
-        // A stream of its own: one fault more or less does not change what the others affect.
+        // Each fault has a random stream, so that adding or removing a fault does not change the others.
         let mut random = RandomStream::Fault(index).open(self.seed);
         let selector = fault.endpoint_selector();
         let affected =
@@ -40,7 +40,7 @@
         self.active_faults.insert(index, affected);
     }
 
-    /// A fault ends, by its place in the scenario.
+    /// Ends the fault with this index in the scenario.
     pub(super) fn end_fault(&mut self, index: usize) {
         let Some(affected) = self.active_faults.remove(&index) else { return };
         let fault = self.fault(index);
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Gives endpoints a state on the endpoint list.
+    /// Sets the state of endpoints on the endpoint list.
     fn list_endpoints_as(&mut self, endpoints: &[EndpointIndex], state: EndpointState) {
         let changes: Vec<ListChange> =
             endpoints.iter().map(|endpoint| ListChange { endpoint: *endpoint, state }).collect();
         self.change_endpoint_list(&changes);
     }
 
-    /// An endpoint is gone for good.
+    /// Removes an endpoint permanently and resets its connections.
     fn remove_endpoint(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].removed = true;
         self.reset_connections(endpoint);
     }
 
-    /// Other machines answer at these addresses from now on; requests to the old ones are not served.
+    /// Replaces endpoints by new ones with the same plan. Requests to the old endpoints are not served.
     fn replace_endpoints(&mut self, replaced: &[EndpointIndex]) {
         let mut changes = Vec::new();
         for old in replaced {
--- a/crates/simulation/src/world/forwarder.rs
+++ b/crates/simulation/src/world/forwarder.rs
@@ -1,4 +1,4 @@
-//! One forwarder, over all its incarnations.
+//! The state of one forwarder across its incarnations.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,27 +7,26 @@
 use crate::ids::MessageIndex;
 use crate::policy::Policy;
 
-/// The state of one forwarder.
 pub(super) struct SimulatedForwarder {
     pub(super) zone: u32,
-    /// Raised at each start and each kill.
+    /// Increased by each start and each kill.
     pub(super) incarnation: u32,
-    /// Absent while the forwarder is down, and taken out while the policy runs.
+    /// `None` while the forwarder is down, and during a policy run.
     pub(super) policy: Option<Box<dyn Policy>>,
     pub(super) inbox: VecDeque<ForwarderInput>,
-    /// A run of the policy is scheduled.
+    /// Whether a policy run is scheduled.
     pub(super) run_scheduled: bool,
     pub(super) requests_in_flight: usize,
-    /// Messages accepted without a final answer.
+    /// Number of accepted messages without a final answer.
     pub(super) pending_count: usize,
-    /// The same, in the order in which they were accepted: what a write-ahead log would hold.
+    /// Accepted messages without a final answer, by message index, which is the order of acceptance.
     pub(super) pending: BTreeMap<usize, MessageIndex>,
-    /// When it learns of the last change of the endpoint list so far: changes arrive in order.
+    /// Scheduled time of the latest endpoint list change, so that changes are received in order.
     pub(super) last_list_change_at: Duration,
 }
 
 impl SimulatedForwarder {
-    /// A forwarder that was never started.
+    /// Creates a forwarder that has not been started.
     pub(super) fn new(zone: u32) -> SimulatedForwarder {
         SimulatedForwarder {
             zone,
@@ -42,23 +41,22 @@
         }
     }
 
-    /// Whether the forwarder is up.
     pub(super) fn is_running(&self) -> bool {
         self.policy.is_some()
     }
 
-    /// The pending messages, in the order in which they were accepted.
+    /// Returns the pending messages in the order of their acceptance.
     pub(super) fn pending_messages(&self) -> Vec<MessageIndex> {
         self.pending.values().copied().collect()
     }
 
-    /// Adds a message that the forwarder has accepted.
+    /// Adds an accepted message to the pending ones.
     pub(super) fn add_pending(&mut self, message: MessageIndex) {
         self.pending_count += 1;
         self.pending.insert(message.0, message);
     }
 
-    /// Removes a message that needs nothing more.
+    /// Removes a message that is no longer pending.
     pub(super) fn remove_pending(&mut self, message: MessageIndex) {
         self.pending_count = self.pending_count.saturating_sub(1);
         self.pending.remove(&message.0);
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -1,4 +1,4 @@
-//! Inputs of forwarders, and the runs of their policies in which they handle them.
+//! Inputs to forwarders, and the policy runs that handle them.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 use crate::scenario::{zone_name, ListWeights};
 
 impl World<'_> {
-    /// Puts an input into the inbox of a forwarder, and has its policy run at the next tick. What is meant for an
-    /// earlier incarnation is dropped.
+    /// Adds an input to the inbox of a forwarder and schedules a policy run at the next tick. Inputs for an
+    /// earlier incarnation are dropped.
     pub(super) fn deliver(&mut self, to: ForwarderIncarnation, input: ForwarderInput) {
         let now = self.now();
         let tick = self.scenario.fleet.tick.0;
@@ -36,9 +36,9 @@
         }
     }
 
-    // # The endpoint list.
+    // # Endpoint list
 
-    /// The endpoint list has changed; each forwarder learns of it after a delay of its own, in order.
+    /// Applies changes to the endpoint list. Each forwarder receives them after its own delay, in order.
     pub(super) fn change_endpoint_list(&mut self, changes: &[ListChange]) {
         for change in changes {
             let index = change.endpoint.0;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A forwarder learns of changes of the endpoint list, unless the list is frozen.
+    /// Delivers endpoint list changes to a forwarder, or postpones them while the list is frozen.
     pub(super) fn deliver_list_changes(&mut self, forwarder: ForwarderIndex, changes: Vec<ListChange>) {
         let freezes = |index: &usize| matches!(self.fault(*index), Fault::ListFrozen {});
         if self.active_faults.keys().any(freezes) {
@@ -67,9 +67,9 @@
         self.deliver(incarnation, ForwarderInput::EndpointList { complete: false, changes });
     }
 
-    // # Runs of the policy.
+    // # Policy runs
 
-    /// A forwarder handles its inbox, lets its policy run, and executes what it asks for.
+    /// Passes a forwarder's inbox to its policy, runs the policy, and executes its commands.
     pub(super) fn run_policy(&mut self, incarnation: ForwarderIncarnation) {
         let now = self.now();
         let index = incarnation.forwarder;
@@ -90,7 +90,7 @@
         self.execute(index, commands);
     }
 
-    /// Passes one input to the policy.
+    /// Passes one input to the policy, and records in the invariant checker what the forwarder learns.
     fn handle_input(
         &mut self,
         forwarder: ForwarderIndex,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Reports to the invariants what a forwarder reads of the endpoint list, and gives it as the policy gets it.
+    /// Records endpoint list changes in the invariant checker, and returns the update for the policy.
     fn read_endpoint_list(
         &mut self,
         forwarder: ForwarderIndex,
@@ -145,7 +145,7 @@
     ) -> EndpointListUpdate {
         let now = self.now();
         if complete {
-            // What a complete list does not name is removed.
+            // Endpoints that are not in a complete list are removed.
             let named: Vec<EndpointIndex> = changes.iter().map(|change| change.endpoint).collect();
             let all = (0..self.listed_states.len()).map(EndpointIndex);
             for endpoint in all.filter(|endpoint| !named.contains(endpoint)) {
@@ -159,7 +159,7 @@
         EndpointListUpdate { complete, endpoints }
     }
 
-    /// An entry of the endpoint list as forwarders read it.
+    /// Returns the endpoint list entry for the policy.
     fn listed_endpoint(&self, change: ListChange) -> ListedEndpoint {
         let plan = &self.endpoints[change.endpoint.0].plan;
         let lists_rates = self.scenario.endpoint_list.weights == ListWeights::Rates;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A message as its forwarder passes it to the policy.
+    /// Returns a message in the form that the policy receives.
     fn submission_of(&self, message: MessageIndex) -> Submission {
         let record = &self.messages[message.0];
         let submission = &self.submissions[record.submission.0];
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The attempts before a restart, as the write-ahead log holds them.
+    /// Returns the attempts for a message before a restart, as recorded in the write-ahead log.
     fn previous_attempts(&self, message: MessageIndex) -> Vec<PreviousAttempt> {
         let previous = |attempt: &AttemptRecord| PreviousAttempt {
             endpoint: endpoint_id(attempt.endpoint),
@@ -197,7 +197,7 @@
         self.messages[message.0].attempts.iter().map(previous).collect()
     }
 
-    /// The end of an attempt is reported to its forwarder.
+    /// Records that a forwarder learns of the end of an attempt.
     fn report_attempt_end(&mut self, forwarder: ForwarderIndex, end: AttemptEnd) {
         let AttemptEnd { attempt, outcome, scope, .. } = end;
         let now = self.now();
@@ -213,7 +213,7 @@
     }
 }
 
-/// The first tick that is not before a time; the time itself where there are no ticks.
+/// Returns the first tick at or after `now`, or `now` if `tick` is zero.
 fn next_tick(now: Duration, tick: Duration) -> Duration {
     if tick.is_zero() {
         return now;
@@ -222,7 +222,7 @@
     tick * u32::try_from(ticks).unwrap_or(u32::MAX)
 }
 
-/// Whether an outcome shows a forwarder that something is wrong with the endpoint.
+/// Returns whether an outcome indicates to the forwarder a failure of the endpoint.
 fn shows_failure(outcome: AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::Error
--- a/crates/simulation/src/world/lifecycle.rs
+++ b/crates/simulation/src/world/lifecycle.rs
@@ -11,14 +11,14 @@
 use crate::invariants::proves_not_executed;
 
 impl World<'_> {
-    /// A forwarder starts: it reads the endpoint list, and restores what its write-ahead log holds.
+    /// Starts a forwarder with the complete endpoint list and the pending messages of its write-ahead log.
     pub(super) fn start_forwarder(&mut self, index: ForwarderIndex) {
         let now = self.now();
         let forwarder = &mut self.forwarders[index.0];
         forwarder.incarnation += 1;
         forwarder.requests_in_flight = 0;
         forwarder.run_scheduled = false;
-        // Seeds of settings are below 2^63, as configuration files have signed numbers.
+        // Seeds in settings are below 2^63 because numbers in configuration files are signed.
         let seed = self.random.forwarders.random::<u64>() >> 1;
         let settings = self.scenario.settings(seed, forwarder.zone);
         let mut commands = CommandBuffer::default();
@@ -36,14 +36,14 @@
         }
     }
 
-    /// All endpoints that are listed now.
+    /// Returns the state of all endpoints that are currently listed.
     pub(super) fn complete_endpoint_list(&self) -> Vec<ListChange> {
         let states = self.listed_states.iter().enumerate();
         let listed = states.filter(|(_, state)| **state != EndpointState::Removed);
         listed.map(|(index, state)| ListChange { endpoint: EndpointIndex(index), state: *state }).collect()
     }
 
-    /// A forwarder is killed, with all that is not in its write-ahead log.
+    /// Kills a forwarder. Messages that are not in its write-ahead log are lost.
     pub(super) fn kill_forwarder(&mut self, index: ForwarderIndex) {
         let write_ahead_log = self.scenario.fleet.write_ahead_log;
         let forwarder = &mut self.forwarders[index.0];
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Nobody waits any more for the requests that a forwarder has in flight.
+    /// Abandons all requests that a forwarder has in flight.
     fn abandon_requests_of(&mut self, forwarder: ForwarderIndex) {
         let is_awaited = |request: &RequestIndex| {
             let record = &self.requests[request.0];
@@ -85,7 +85,8 @@
         }
     }
 
-    /// A message is lost with its forwarder. Its client submits it again, unless that may have its effect twice.
+    /// Ends a message that was lost with its forwarder. The client submits the message again unless that may
+    /// repeat its effect.
     fn lose_message(&mut self, message: MessageIndex) {
         let record = &mut self.messages[message.0];
         record.finished = true;
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -1,4 +1,4 @@
-//! Messages from their acceptance by a forwarder to their final answer.
+//! Messages, from acceptance by a forwarder to the final answer.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::invariants::{AcceptedMessage, FinalAnswer};
 
 impl World<'_> {
-    /// A forwarder accepts a message.
+    /// Accepts a submission as a new message of a forwarder.
     pub(super) fn accept(&mut self, submission: SubmissionIndex, forwarder: ForwarderIndex) {
         let message = MessageIndex(self.messages.len());
         let record = &self.submissions[submission.0];
@@ -38,7 +38,7 @@
         self.deliver(owner, ForwarderInput::Submitted(message));
     }
 
-    /// Schedules the withdrawal of a message, where clients of its program withdraw.
+    /// Schedules the withdrawal of a message if clients of its program withdraw messages.
     fn schedule_withdrawal(&mut self, message: MessageIndex, program: usize) {
         if let Some(delay) = self.scenario.programs[program].withdraws_after_s {
             let at = self.now() + delay.span(&mut self.random.clients);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Schedules the check that a message has its final answer.
+    /// Schedules the check that a message has a final answer.
     pub(super) fn schedule_answer_check(&mut self, message: MessageIndex) {
         let fleet = &self.scenario.fleet;
         let slack = fleet.answer_slack.0 + 2 * fleet.tick.0;
@@ -54,9 +54,9 @@
         self.schedule.schedule(at, Event::AnswerDue(message));
     }
 
-    /// Checks that a message has its final answer, now that the time for it has passed.
+    /// Abandons a message whose final answer is overdue, and records the violation.
     pub(super) fn check_answer(&mut self, message: MessageIndex) {
-        // A forwarder that is down answers for what its write-ahead log holds once it runs again.
+        // Messages in the write-ahead log of a forwarder that is down are checked again after its restart.
         let now = self.now();
         if self.is_pending_at_running_forwarder(message) && self.invariants.check_answer_missing(now, message)
         {
@@ -64,9 +64,10 @@
         }
     }
 
-    /// A client withdraws a message.
+    /// Withdraws a pending message for its client.
     pub(super) fn withdraw(&mut self, message: MessageIndex) {
-        // A forwarder that is down learns nothing, and goes on with what its write-ahead log holds.
+        // A forwarder that is down cannot receive a withdrawal. After its restart it continues with the
+        // message.
         if self.is_pending_at_running_forwarder(message) {
             self.invariants.record_answer(self.schedule.now(), message, FinalAnswer::Withdrawn);
             self.account.ends.withdrawn += 1;
@@ -79,7 +80,7 @@
         !record.finished && self.forwarders[record.owner.forwarder.0].is_running()
     }
 
-    /// The client has withdrawn a message, or got no answer in time.
+    /// Ends a message for which the client no longer waits, and notifies its forwarder.
     fn abandon_message(&mut self, message: MessageIndex) {
         self.finish_message(message);
         let record = &self.messages[message.0];
@@ -88,7 +89,7 @@
         self.finish_submission(submission);
     }
 
-    /// A message needs nothing more of its forwarder.
+    /// Marks a message as finished, so that it is no longer pending at its forwarder.
     pub(super) fn finish_message(&mut self, message: MessageIndex) {
         let record = &mut self.messages[message.0];
         if std::mem::replace(&mut record.finished, true) {
@@ -97,7 +98,7 @@
         self.forwarders[record.owner.forwarder.0].remove_pending(message);
     }
 
-    /// A message completed, by the first attempt that did.
+    /// Completes a message after its first completed attempt.
     pub(super) fn complete_message(&mut self, message: MessageIndex) {
         let now = self.now();
         let submission = self.messages[message.0].submission;
@@ -107,7 +108,7 @@
         self.finish_submission(submission);
     }
 
-    /// A forwarder rejects a message, with a Retry-After for the client where it gives one.
+    /// Rejects a pending message. The client honors `retry_after` depending on its program.
     pub(super) fn reject_message(&mut self, message: MessageIndex, retry_after: Option<Duration>) {
         if !self.answer_undelivered(message, FinalAnswer::Rejected) {
             return;
@@ -118,7 +119,7 @@
         self.handle_submission_rejection(self.messages[message.0].submission, retry_after);
     }
 
-    /// A forwarder fails a message.
+    /// Fails a pending message.
     pub(super) fn fail_message(&mut self, message: MessageIndex) {
         if !self.answer_undelivered(message, FinalAnswer::Failed) {
             return;
@@ -129,7 +130,7 @@
         self.finish_submission(self.messages[message.0].submission);
     }
 
-    /// A forwarder gives a final answer without delivery. Returns whether the message was still pending.
+    /// Records a final answer other than completion. Returns whether the message was still pending.
     fn answer_undelivered(&mut self, message: MessageIndex, answer: FinalAnswer) -> bool {
         self.invariants.record_answer(self.schedule.now(), message, answer);
         let was_pending = !self.messages[message.0].finished;
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,9 +1,7 @@
-//! The run itself: events in order of time, each handled by the part that it belongs to.
+//! The event loop of a simulation run.
 //!
-//! [`state`] holds the world. All other modules add to it what they do: [`clients`] submit messages, [`messages`]
-//! follow them to their final answer, [`inbox`] passes events on to forwarders, [`commands`] are what their policies
-//! ask for, [`attempts`] travel in [`requests`], [`endpoints`] accept or reject these and [`service`] executes them,
-//! [`outages`] and [`faults`] come and go, and [`results`] are read at the end.
+//! [`state`] defines [`World`], and the other modules implement its event handlers by topic: clients,
+//! messages, forwarders, requests, endpoints and faults. [`results`] builds the report at the end of the run.
 
 mod attempts;
 mod clients;
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -1,4 +1,4 @@
-//! Outages of endpoints, their recovery, and the overload of endpoints that are still cold.
+//! Outages and recovery of endpoints, and overload of endpoints that are still in slow start.
 
 use super::event::Event;
 use super::state::World;
@@ -9,7 +9,7 @@
 use crate::simulated_endpoint::{overload_budget, OutageCause, Overload};
 
 impl World<'_> {
-    /// Whether no endpoint of a destination is up now.
+    /// Returns whether all endpoints of a destination are down or removed.
     pub(super) fn is_destination_down(&self, destination: DestinationIndex) -> bool {
         let endpoints = &self.destinations[destination.0].endpoints;
         endpoints.iter().all(|endpoint| {
@@ -18,7 +18,7 @@
         })
     }
 
-    /// An outage starts; outages of one endpoint may overlap.
+    /// Starts an outage of an endpoint. Outages of one endpoint may overlap.
     pub(super) fn start_outage(&mut self, endpoint: EndpointIndex) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
@@ -29,7 +29,7 @@
         }
     }
 
-    /// An outage ends; the endpoint recovers with its last one.
+    /// Ends an outage of an endpoint. The endpoint recovers when its last outage ends.
     pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, cause: OutageCause) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Work arrives at an endpoint; where it is cold, that may overload it.
+    /// Adds received work to an endpoint. If this overloads a recovering endpoint, an outage starts.
     pub(super) fn receive_work(&mut self, endpoint: EndpointIndex, amount: f64, sender: ForwarderIndex) {
         let now = self.now();
         let settings = &self.scenario.recovery;
@@ -57,20 +57,20 @@
         self.reset_connections(endpoint);
     }
 
-    /// An endpoint that was overloaded is up again.
+    /// Ends the outage that an overload caused.
     pub(super) fn end_overload(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].overloaded_until = None;
         self.end_outage(endpoint, OutageCause::Overload);
     }
 
-    /// Resets all connections to an endpoint: their senders learn of it, and their requests are lost.
+    /// Resets all connections to an endpoint. The requests on them are lost, and their senders see the reset.
     pub(super) fn reset_connections(&mut self, endpoint: EndpointIndex) {
         for request in self.endpoints[endpoint.0].reset_connections() {
             self.schedule_connection_reset(request);
         }
     }
 
-    /// Keeps the worst window of an endpoint that warms up.
+    /// Records the overload window of a recovering endpoint if it is the worst of the recovery.
     fn observe_warm_up(&mut self, endpoint: EndpointIndex, overload: Option<&Overload>) {
         if let Some(ramp) = self.worse_window(endpoint, overload) {
             if let Some(last) = self.endpoints[endpoint.0].recoveries.last_mut() {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The present window of an endpoint that warms up, if it is worse than all before.
+    /// Returns the current overload window of a recovering endpoint if it is worse than all windows before.
     fn worse_window(&self, endpoint: EndpointIndex, overload: Option<&Overload>) -> Option<Ramp> {
         let now = self.now();
         let state = &self.endpoints[endpoint.0];
--- a/crates/simulation/src/world/records.rs
+++ b/crates/simulation/src/world/records.rs
@@ -1,4 +1,4 @@
-//! What a world keeps of submissions, messages, attempts and requests.
+//! Records of submissions, messages, attempts and requests.
 
 use std::time::Duration;
 
@@ -9,69 +9,68 @@
 };
 use crate::invariants::RetryAfterScope;
 
-/// What a client wants delivered, over all its submissions.
+/// A message of a client, across all its submissions.
 pub(super) struct ClientSubmission {
-    /// Index of its message class.
+    /// Index of the message class in the scenario.
     pub(super) class: usize,
     pub(super) program: usize,
     pub(super) ordering_key: Option<u64>,
     pub(super) destination: DestinationIndex,
     /// Time of the first submission.
     pub(super) submitted_at: Duration,
-    /// Seconds of work at a destination of usual speed.
+    /// Work in seconds at an endpoint without slowdown.
     pub(super) work_seconds: f64,
     pub(super) resubmissions_left: u32,
-    /// How often its effect was applied.
+    /// Number of times that a destination applied the effect of the message.
     pub(super) times_applied: u32,
-    /// Nothing more happens to it.
+    /// Whether the submission has its end.
     pub(super) finished: bool,
 }
 
-/// One submission to one forwarder.
+/// A message that one forwarder accepted; a client's next submission is a new record.
 pub(super) struct MessageRecord {
     pub(super) id: MessageId,
     pub(super) submission: SubmissionIndex,
-    /// The forwarder that accepted it; its present incarnation where the message was restored.
+    /// Incarnation of the forwarder that accepted the message, or the latest that restored it.
     pub(super) owner: ForwarderIncarnation,
     pub(super) deadline: Duration,
-    /// It has its final answer.
+    /// Whether the message has a final answer or was lost with its forwarder.
     pub(super) finished: bool,
     pub(super) attempts: Vec<AttemptRecord>,
 }
 
-/// One attempt for a message.
 pub(super) struct AttemptRecord {
     pub(super) endpoint: EndpointIndex,
     pub(super) started_at: Duration,
-    /// Where it travels; absent where it was never sent.
+    /// Position in the batch of a request, `None` if the attempt was not sent.
     pub(super) position: Option<BatchPosition>,
     pub(super) outcome: Option<AttemptOutcome>,
-    /// The outcome was reported to the forwarder, and its write-ahead log holds it.
+    /// Whether the outcome was reported to the forwarder and is in its write-ahead log.
     pub(super) reported: bool,
 }
 
-/// A place in the batch of a request.
+/// A position in the batch of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BatchPosition {
     pub(super) request: RequestIndex,
     pub(super) index: usize,
 }
 
-/// An attempt, named by its message and its number.
+/// Identifies an attempt by its message and its number within the message.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRef {
     pub(super) message: MessageIndex,
     pub(super) number: usize,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt as it is reported to the forwarder.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptEnd {
     pub(super) attempt: AttemptRef,
     pub(super) outcome: AttemptOutcome,
-    /// The message has its final answer by now.
+    /// Whether the message was finished when the attempt ended.
     pub(super) finished: bool,
-    /// What a Retry-After in the outcome holds for.
+    /// Scope of a Retry-After in the outcome.
     pub(super) scope: RetryAfterScope,
 }
 
@@ -79,30 +78,30 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BatchEntry {
     pub(super) attempt: AttemptRef,
-    /// The forwarder still waits for its outcome.
+    /// Whether the forwarder still waits for the outcome of the attempt.
     pub(super) awaited: bool,
 }
 
-/// One request, with all that travels in it.
+/// A request with its batch of attempts.
 pub(super) struct RequestRecord {
     pub(super) sender: ForwarderIncarnation,
     pub(super) endpoint: EndpointIndex,
-    /// The endpoint's incarnation that its connection belongs to.
+    /// Incarnation of the endpoint to which the request was sent.
     pub(super) endpoint_incarnation: u32,
     pub(super) batch: Vec<BatchEntry>,
     pub(super) started_at: Duration,
-    /// Nobody waits for it any more, and the endpoint knows so before it begins to serve it.
+    /// Whether the endpoint discards the request instead of serving it, because no outcome is awaited.
     pub(super) dropped: bool,
-    /// It has a connection, which counts at the endpoint.
+    /// Whether the request has a connection, which counts at the endpoint.
     pub(super) connected: bool,
-    /// Work that serving it takes, in seconds; 0 until it is served.
+    /// Service time in seconds without pauses; 0 until serving starts.
     pub(super) work_seconds: f64,
-    /// The endpoint has begun to serve it.
+    /// Whether the endpoint has started to serve the request.
     pub(super) serving_started: bool,
 }
 
 impl RequestRecord {
-    /// An empty request that has not left.
+    /// Creates a request without attempts that has not been sent.
     pub(super) fn new(
         sender: ForwarderIncarnation,
         endpoint: EndpointIndex,
@@ -122,7 +121,7 @@
         }
     }
 
-    /// Whether the forwarder waits for the outcome of any of its attempts.
+    /// Returns whether the forwarder still waits for the outcome of an attempt in the request.
     pub(super) fn is_awaited(&self) -> bool {
         self.batch.iter().any(|entry| entry.awaited)
     }
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on the forwarder's side: how they leave, and how they end.
+//! Requests on the forwarder's side: connections, sending, and the end of a request.
 
 use std::time::Duration;
 
@@ -9,31 +9,32 @@
 use super::state::World;
 use crate::ids::{EndpointIndex, ForwarderIndex, RequestIndex};
 
-/// Ways between forwarder and endpoint until a refused connection is known: there and back.
+/// Number of one-way delays until a forwarder learns that a connection was refused: one round trip.
 const REFUSAL_ONE_WAY_DELAYS: u32 = 2;
-/// Ways until a request arrives on a new connection: the handshake there and back, and the request.
+/// Number of one-way delays until a request arrives on a new connection: a handshake round trip and the
+/// request.
 const NEW_CONNECTION_ONE_WAY_DELAYS: u32 = 3;
 
-/// What a request goes through before it reaches its endpoint.
+/// The result of getting a connection for a request.
 enum Connection {
-    /// It takes an idle connection.
+    /// An idle connection was available.
     Reused,
-    /// It makes a new connection.
+    /// A new connection is made.
     New,
-    /// The endpoint refuses it, or has no connection left.
+    /// The endpoint refuses the connection, or has reached its maximum number of connections.
     Refused,
-    /// The endpoint never responds.
+    /// The endpoint does not respond, so that the connection attempt times out.
     TimedOut,
 }
 
 impl World<'_> {
-    /// A request leaves, on an idle connection or a new one.
+    /// Sends a request on an idle connection or a new one.
     pub(super) fn send_request(&mut self, request: RequestIndex) {
         let record = &self.requests[request.0];
         let (forwarder, endpoint) = (record.sender.forwarder, record.endpoint);
         let one_way = self.draw_one_way_delay(forwarder, endpoint);
         let network = &self.scenario.network;
-        // Drawn in any case, so that the kind of connection does not shift what is drawn later.
+        // Always drawn, so that the kind of connection does not shift later draws.
         let handshake = network.handshake_ms.millis(&mut self.random.network);
         self.account.attempts.requests += 1;
         self.requests[request.0].endpoint_incarnation = self.endpoints[endpoint.0].incarnation;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Takes an idle connection of a forwarder to an endpoint, or tries to make a new one.
+    /// Takes an idle connection of a forwarder to an endpoint, or makes a new one if possible.
     fn connect(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> Connection {
         let idle_since = self.now().saturating_sub(self.scenario.network.idle_timeout.0);
         let is_refused = self.refuses_connections(endpoint);
@@ -75,7 +76,7 @@
         Connection::New
     }
 
-    /// A request is in transit on its connection.
+    /// Marks a request as connected and schedules its arrival at the endpoint.
     fn send_on_connection(&mut self, request: RequestIndex, arrives_at: Duration) {
         let record = &mut self.requests[request.0];
         record.connected = true;
@@ -83,7 +84,7 @@
         self.schedule.schedule(arrives_at, Event::RequestArrives(request));
     }
 
-    /// A response, or the end of its connection, has come back to the forwarder.
+    /// Finishes all attempts of a request whose outcome the forwarder still awaits.
     pub(super) fn finish_request(&mut self, request: RequestIndex, outcome: AttemptOutcome) {
         for index in 0..self.requests[request.0].batch.len() {
             if self.requests[request.0].batch[index].awaited {
@@ -92,8 +93,8 @@
         }
     }
 
-    /// A request has all its outcomes: another one may leave, and its connection is kept where the last outcome was
-    /// a response.
+    /// Releases the in-flight slot of a request whose attempts all have outcomes. The connection stays open
+    /// if the last outcome was a response.
     pub(super) fn release_request(&mut self, request: RequestIndex, outcome: AttemptOutcome) {
         let now = self.now();
         let record = &self.requests[request.0];
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Nobody waits for a request any more. The endpoint still serves it once it has begun to, and by chance while it
-    /// is queued.
+    /// Abandons a request of which no outcome is awaited. A request that is not being served yet is dropped
+    /// with the probability from the scenario.
     pub(super) fn abandon_request(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
         let serves_abandoned = self.kind_of(self.destination_of(endpoint)).serves_abandoned;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Takes its connection from a request. Returns whether it had one that the endpoint has not reset.
+    /// Removes the connection from a request. Returns whether there was one that the endpoint has not reset.
     fn take_connection(&mut self, request: RequestIndex) -> bool {
         let record = &mut self.requests[request.0];
         let was_connected = std::mem::take(&mut record.connected);
@@ -136,7 +137,7 @@
     }
 }
 
-/// Whether an endpoint has answered, so that its connection can be used again.
+/// Returns whether an outcome is a response of the endpoint, so that the connection can be reused.
 fn is_response(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. })
 }
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -1,4 +1,4 @@
-//! The report of a run, made at its end.
+//! The report and the observations at the end of a run.
 
 use super::state::World;
 use crate::account::{Account, Credit, SecondCounts, WATCHED_DESTINATIONS};
@@ -6,9 +6,9 @@
 use crate::observed::Observed;
 use crate::report::{rounded, Latency, Part, Report, Watched, WORST_SPAN};
 
-/// Destinations that a report names, those that lost most credit first.
+/// Maximum number of destinations in a report.
 const NAMED_DESTINATIONS: usize = 2 * WATCHED_DESTINATIONS;
-/// Guards the division by the work done, in seconds.
+/// Prevents division by zero work.
 const MIN_WORK_SECONDS: f64 = 1e-9;
 
 fn credit_part(name: String, credit: Credit) -> Part {
@@ -31,7 +31,7 @@
 }
 
 impl World<'_> {
-    /// What only the simulation can see.
+    /// Returns observations of the true state, which no forwarder can make.
     pub(super) fn observed(&self) -> Observed {
         let mut ramps = Vec::new();
         let mut down = self.sent_to_down;
@@ -50,7 +50,7 @@
         Observed { ramps, down }
     }
 
-    /// The report of the run.
+    /// Builds the report of the run.
     pub(super) fn report(self) -> Report {
         let (classes, programs) = (self.class_parts(), self.program_parts());
         let (destinations, watched) = (self.worst_destinations(), self.watched_destinations());
@@ -109,7 +109,7 @@
             .collect()
     }
 
-    /// The destinations that lost most credit, the worst first.
+    /// Returns the credit of the destinations that lost most of it, largest loss first.
     fn worst_destinations(&self) -> Vec<Part> {
         let lost = |rank: &usize| {
             let credit = self.account.destination(*rank);
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -1,4 +1,4 @@
-//! Plays a world from its first event to its last.
+//! The event loop from the first event to the last.
 
 use std::time::Duration;
 
@@ -12,24 +12,25 @@
 use crate::report::Report;
 use crate::schedule::ScheduledEvent;
 
-/// From one sample of the capacity to the next.
+/// Interval between two samples of the destinations' capacity.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl World<'_> {
-    /// Plays until every submission has its end.
+    /// Runs the simulation until every submission has an end, and returns its report.
     pub(crate) fn run(mut self) -> Report {
         self.run_events();
         self.report()
     }
 
-    /// Plays until every submission has its end, and gives what only the simulation can see, too.
+    /// Runs the simulation until every submission has an end. Returns its report and observations of the true
+    /// state.
     pub(crate) fn run_observed(mut self) -> ObservedRun {
         self.run_events();
         let observed = self.observed();
         ObservedRun { report: self.report(), observed }
     }
 
-    /// Handles all events up to the end of the run.
+    /// Handles events until the scenario's duration has passed and every submission has an end.
     fn run_events(&mut self) {
         self.schedule_initial_events();
         while let Some(ScheduledEvent { at, event }) = self.schedule.pop() {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Starts all forwarders, and schedules arrivals, faults and samples.
+    /// Starts all forwarders, and schedules the first arrivals, the faults and the first capacity sample.
     fn schedule_initial_events(&mut self) {
         for forwarder in 0..self.forwarders.len() {
             self.start_forwarder(ForwarderIndex(forwarder));
@@ -57,7 +58,6 @@
         self.schedule.schedule(Duration::ZERO, Event::CapacitySample);
     }
 
-    /// Handles one event.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival { program } => self.handle_arrival(program),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Records what the watched destinations could serve now.
+    /// Records the current capacity of the watched destinations, and schedules the next sample.
     fn sample_capacity(&mut self) {
         let now = self.now();
         let destinations = self.layout.destinations.len();
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Schedules the timer of a forwarder's policy, for its present incarnation only.
+    /// Schedules the policy timer for a forwarder's current incarnation.
     pub(super) fn schedule_timer(&mut self, forwarder: ForwarderIndex, after: Duration) {
         let to = self.incarnation_of(forwarder);
         let at = self.now() + after;
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -1,4 +1,4 @@
-//! How an endpoint executes the requests that it has accepted.
+//! Execution of accepted requests at an endpoint.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::fault::Fault;
 use crate::ids::{EndpointIndex, MessageIndex, RequestIndex};
 
-/// Least interval of pauses, so that a loop over them ends.
+/// Minimum interval between pauses; prevents an endless loop.
 const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl World<'_> {
-    /// A free worker begins to serve a request.
+    /// Starts serving a request with a free worker.
     pub(super) fn begin_serving(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
         let work = self.draw_work(request, endpoint);
         let now = self.now();
@@ -29,7 +29,7 @@
         self.schedule.schedule(served_at, Event::Served { endpoint, incarnation, request });
     }
 
-    /// Draws how much work a request takes at its endpoint now, in seconds.
+    /// Draws the service time of a request at its endpoint, in seconds without pauses.
     fn draw_work(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> f64 {
         let batch = &self.requests[request.0].batch;
         let work_of =
@@ -41,7 +41,7 @@
         for index in &self.endpoints[endpoint.0].active_faults {
             if let Fault::HeavyTail { share, factor, .. } = self.fault(*index) {
                 let is_long = share.occurs(&mut self.random.service);
-                // Drawn in any case, so that the outcome does not shift what is drawn later.
+                // Always drawn, so that the outcome does not shift later draws.
                 let drawn = factor.draw(&mut self.random.service);
                 if is_long {
                     work *= drawn.max(1.0);
@@ -51,7 +51,7 @@
         work
     }
 
-    /// When work that begins now is done, with the pauses of the endpoint's faults.
+    /// Returns the time at which work that starts now is done, including pauses from faults.
     fn completion_time(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
         let mut done = now + work;
         for index in &self.endpoints[endpoint.0].active_faults {
@@ -69,7 +69,7 @@
         done
     }
 
-    /// A worker is done with a request.
+    /// Finishes a request: applies its effects, sends the response, and serves queued requests.
     pub(super) fn finish_serving(
         &mut self,
         endpoint: EndpointIndex,
@@ -96,7 +96,7 @@
         self.serve_queue(endpoint);
     }
 
-    /// Applies and counts the effects of a request's messages.
+    /// Applies and counts the effects of all messages in a request.
     fn apply_effects(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Responds to a request that was served; a fault may reset its connection instead.
+    /// Responds to a served request. A fault may reset the connection instead.
     fn send_response(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
         let mut is_lost = false;
@@ -129,7 +129,7 @@
         self.respond(request, outcome);
     }
 
-    /// Free workers take requests from the endpoint's queue.
+    /// Starts serving queued requests while workers are free. Dropped requests are discarded.
     fn serve_queue(&mut self, endpoint: EndpointIndex) {
         while self.endpoints[endpoint.0].busy_workers < self.endpoints[endpoint.0].plan.workers {
             let Some(next) = self.endpoints[endpoint.0].queue.pop_front() else { return };
@@ -139,7 +139,8 @@
         }
     }
 
-    /// An endpoint no longer hangs: responses leave first, then the requests that it held are served.
+    /// Sends the delayed responses of an endpoint that no longer hangs, then serves the requests that it
+    /// stored.
     pub(super) fn resume_after_hang(&mut self, endpoint: EndpointIndex) {
         if self.hangs(endpoint) {
             return;
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -1,4 +1,4 @@
-//! The state of a world.
+//! The state of a simulation run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 use crate::schedule::EventSchedule;
 use crate::simulated_endpoint::{SimulatedDestination, SimulatedEndpoint};
 
-/// A random stream for each purpose, so that draws for one do not shift those for another.
+/// Random streams by purpose, so that draws for one purpose do not shift the draws for another.
 pub(super) struct RandomStreams {
     pub(super) arrivals: RandomSource,
     pub(super) service: RandomSource,
@@ -46,13 +46,13 @@
     }
 }
 
-/// Changes of the endpoint list that a forwarder was to learn of while the list was frozen.
+/// Endpoint list changes for a forwarder that were postponed because the list was frozen.
 pub(super) struct FrozenListChanges {
     pub(super) forwarder: ForwarderIndex,
     pub(super) changes: Vec<ListChange>,
 }
 
-/// A world that is being played.
+/// The state of a simulation run.
 pub(crate) struct World<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) seed: u64,
@@ -67,27 +67,27 @@
     pub(super) forwarders: Vec<SimulatedForwarder>,
     pub(super) endpoints: Vec<SimulatedEndpoint>,
     pub(super) destinations: Vec<SimulatedDestination>,
-    /// State of each endpoint on the endpoint list now; forwarders learn of it later.
+    /// Current endpoint list states by endpoint index. Forwarders learn of changes after a delay.
     pub(super) listed_states: Vec<EndpointState>,
-    /// Endpoints that each active fault affects, by the fault's place in the scenario.
+    /// Endpoints affected by each active fault, by index of the fault in the scenario.
     pub(super) active_faults: BTreeMap<usize, Vec<EndpointIndex>>,
-    /// Changes of the endpoint list that wait for the end of a freeze.
+    /// Endpoint list changes postponed until the list is no longer frozen.
     pub(super) frozen_list_changes: Vec<FrozenListChanges>,
     pub(super) invariants: InvariantChecker,
     pub(super) account: Account,
     pub(super) sent_to_down: SentToDown,
-    /// Submissions to which something may still happen.
+    /// Number of submissions without an end.
     pub(super) unfinished_submissions: usize,
-    /// Programs whose messages have all arrived.
+    /// Number of programs that submit no more messages.
     pub(super) finished_programs: usize,
     pub(super) policy_runs: u64,
-    /// Running sums of the destinations' parts of the traffic, for drawing.
+    /// Cumulative traffic weights of the destinations, for weighted draws.
     pub(super) cumulative_destination_weights: Vec<f64>,
-    /// Running sums of the classes' parts of the traffic, for drawing.
+    /// Cumulative traffic weights of the message classes, for weighted draws.
     pub(super) cumulative_class_weights: Vec<f64>,
 }
 
-/// The sum of all parts up to each of them.
+/// Returns the cumulative sums of `parts`.
 fn cumulative_sums(parts: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     parts
@@ -98,7 +98,7 @@
         .collect()
 }
 
-/// A checker of the rules that the scenario's settings state.
+/// Returns an invariant checker with the scenario's settings.
 fn invariant_checker(scenario: &Scenario) -> InvariantChecker {
     let fleet = &scenario.fleet;
     let rules = |class: &ClassSpec| ClassRules {
@@ -115,7 +115,7 @@
 }
 
 impl<'a> World<'a> {
-    /// A world before its first event.
+    /// Creates the state of a run before its first event.
     pub(crate) fn new(
         scenario: &'a Scenario,
         seed: u64,
@@ -157,32 +157,30 @@
         }
     }
 
-    /// The simulated time.
+    /// Returns the simulated time since the start of the run.
     pub(super) fn now(&self) -> Duration {
         self.schedule.now()
     }
 
-    /// A fault, by its place in the scenario.
+    /// Returns the fault with this index in the scenario.
     pub(super) fn fault(&self, index: usize) -> &'a Fault {
         &self.scenario.faults[index].fault
     }
 
-    /// The kind of a destination.
     pub(super) fn kind_of(&self, destination: DestinationIndex) -> &'a DestinationKind {
         &self.scenario.kinds[self.layout.destinations[destination.0].kind]
     }
 
-    /// The destination of an endpoint.
     pub(super) fn destination_of(&self, endpoint: EndpointIndex) -> DestinationIndex {
         self.endpoints[endpoint.0].plan.destination
     }
 
-    /// The class of a message, by its index.
+    /// Returns the index of a message's class in the scenario.
     pub(super) fn class_of(&self, message: MessageIndex) -> usize {
         self.submissions[self.messages[message.0].submission.0].class
     }
 
-    /// What a Retry-After of an endpoint holds for.
+    /// Returns the scope to which a Retry-After from an endpoint applies.
     pub(super) fn retry_after_scope(&self, endpoint: EndpointIndex) -> RetryAfterScope {
         let destination = self.destination_of(endpoint);
         if self.kind_of(destination).circuit_per_endpoint {
@@ -192,12 +190,12 @@
         }
     }
 
-    /// The present incarnation of a forwarder.
+    /// Returns the current incarnation of a forwarder.
     pub(super) fn incarnation_of(&self, forwarder: ForwarderIndex) -> ForwarderIncarnation {
         ForwarderIncarnation { forwarder, number: self.forwarders[forwarder.0].incarnation }
     }
 
-    /// Draws the one-way delay between a forwarder and an endpoint.
+    /// Draws the one-way network delay between a forwarder and an endpoint.
     pub(super) fn draw_one_way_delay(
         &mut self,
         forwarder: ForwarderIndex,
@@ -208,7 +206,7 @@
         self.scenario.network.one_way(path, &mut self.random.network)
     }
 
-    /// Draws the one-way delay of a request or its response.
+    /// Draws the one-way network delay of a request or of its response.
     pub(super) fn draw_request_one_way_delay(&mut self, request: RequestIndex) -> Duration {
         let record = &self.requests[request.0];
         let (forwarder, endpoint) = (record.sender.forwarder, record.endpoint);
--- a/crates/simulation/src/world/true_state.rs
+++ b/crates/simulation/src/world/true_state.rs
@@ -1,4 +1,4 @@
-//! The true state of the world, for the policy that may see it.
+//! The true state of the simulation, for the upper-bound policy.
 
 use reeddock::EndpointId;
 
@@ -9,10 +9,10 @@
 use crate::ids::{EndpointIndex, ForwarderIndex};
 use crate::policy::WorldView;
 
-/// Share of an endpoint's queue that the upper bound lets fill.
+/// Maximum share of an endpoint's queue that the upper-bound policy fills.
 const MAX_QUEUE_SHARE: f64 = 0.5;
 
-/// The whole world, as the policy of one forwarder may see it.
+/// A view of the true state for the policy of one forwarder.
 pub(super) struct TrueState<'w, 'a> {
     world: &'w World<'a>,
     forwarder: ForwarderIndex,
@@ -44,7 +44,7 @@
 }
 
 impl World<'_> {
-    /// Whether an endpoint is up and would execute messages of a class.
+    /// Returns whether an endpoint is up and executes messages of a class.
     fn is_usable(&self, endpoint: EndpointIndex, class: usize) -> bool {
         let name = &self.scenario.classes[class].name;
         let fails = self.has_fault(endpoint, |fault| match fault {
@@ -54,7 +54,7 @@
         !fails && !self.refuses_connections(endpoint)
     }
 
-    /// Whether a forwarder has an idle connection, or may make one.
+    /// Returns whether a forwarder has an idle connection to an endpoint or can make a new one.
     fn has_connection(&self, endpoint: EndpointIndex, forwarder: ForwarderIndex) -> bool {
         let state = &self.endpoints[endpoint.0];
         let max_connections = self.kind_of(state.plan.destination).max_connections;
@@ -62,7 +62,8 @@
             || state.idle_connections.contains_key(&forwarder)
     }
 
-    /// Whether one more full request fits into all limits, after those in transit and `sent_before` more.
+    /// Returns whether all limits allow one more full request in addition to those in transit and
+    /// `sent_before`.
     fn has_capacity(&self, endpoint: EndpointIndex, sent_before: u32) -> bool {
         let now = self.now();
         let state = &self.endpoints[endpoint.0];
--- a/crates/simulation/tests/simulation/defective_policy.rs
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -1,5 +1,5 @@
-//! The delivery policy with a defect put in on purpose: what it is told or what it asks for is altered on the way to
-//! or from its host, as a defect in either would.
+//! A delivery policy with an injected defect: its inputs or its commands are altered on the way from or to
+//! its host.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use reeddock_simulation::policies::DeliveryPolicyAdapter;
 use reeddock_simulation::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 
-/// Every so many messages one is ignored by [`Defect::IgnoresSome`].
+/// One of this many messages is ignored by [`Defect::IgnoresSomeMessages`].
 const IGNORED_INTERVAL: u32 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
     None,
-    /// Retry-After is not read.
+    /// The policy receives rejections without their Retry-After.
     IgnoresRetryAfter,
-    /// What may have been executed counts as proven not to have been.
+    /// Outcomes that leave an execution possible are reported as proof of none.
     RepeatsNonIdempotent,
     AnswersTwice,
-    /// Every fiftieth message is never looked at.
-    IgnoresSome,
-    /// Draining endpoints count as active.
+    /// One of every fifty messages is not passed to the policy.
+    IgnoresSomeMessages,
+    /// All listed endpoints are reported as active.
     IgnoresDraining,
-    /// Knows nothing of cold destinations, and learns nothing from requests that fail.
-    OverloadsRecovering,
-    /// Ordering keys are not read.
-    IgnoresOrder,
-    /// No defect, but each attempt has this timeout.
+    /// Slow start is disabled, and the policy receives failed connections and timeouts as cancellations.
+    OverloadsRecoveringEndpoints,
+    /// The policy receives messages without their ordering keys.
+    IgnoresOrderingKeys,
+    /// Each attempt has this timeout; otherwise no defect.
     ShortTimeout(Duration),
 }
 
@@ -46,7 +46,7 @@
         mut settings: Settings,
         host: &mut dyn PolicyHost,
     ) -> Box<dyn Policy> {
-        if defect == Defect::OverloadsRecovering {
+        if defect == Defect::OverloadsRecoveringEndpoints {
             settings.slow_start_floor = Some(1.0);
             settings.overload_multiple = Some(1000.0);
             settings.slow_start_duration = Some(Duration::from_millis(1));
@@ -56,7 +56,7 @@
     }
 }
 
-/// The host as the policy sees it.
+/// A host that alters the commands of the policy by its defect.
 struct AlteredHost<'h> {
     host: &'h mut dyn PolicyHost,
     defect: Defect,
@@ -119,7 +119,7 @@
     }
 }
 
-/// The outcome that a defect makes of another.
+/// Returns the outcome that the policy receives instead of `outcome`.
 fn altered_outcome(defect: Defect, outcome: AttemptOutcome) -> AttemptOutcome {
     match (defect, outcome) {
         (Defect::IgnoresRetryAfter, AttemptOutcome::Rejected { .. }) => {
@@ -130,7 +130,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Error,
         ) => AttemptOutcome::NoConnection,
         (
-            Defect::OverloadsRecovering,
+            Defect::OverloadsRecoveringEndpoints,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::NoConnection,
         ) => AttemptOutcome::Cancelled,
         _ => outcome,
@@ -154,11 +154,12 @@
 
     fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost) {
         self.submitted += 1;
-        if self.defect == Defect::IgnoresSome && self.submitted.is_multiple_of(IGNORED_INTERVAL) {
+        if self.defect == Defect::IgnoresSomeMessages && self.submitted.is_multiple_of(IGNORED_INTERVAL) {
             return;
         }
         let mut submission = submission.clone();
-        submission.ordering_key = submission.ordering_key.filter(|_| self.defect != Defect::IgnoresOrder);
+        submission.ordering_key =
+            submission.ordering_key.filter(|_| self.defect != Defect::IgnoresOrderingKeys);
         self.policy.submit(now, &submission, &mut AlteredHost::new(host, self.defect));
     }
 
--- a/crates/simulation/tests/simulation/main.rs
+++ b/crates/simulation/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! The simulation and its invariant checks.
+//! Tests of the simulation and its invariant checks.
 
 mod defective_policy;
 mod recovery;
--- a/crates/simulation/tests/simulation/recovery.rs
+++ b/crates/simulation/tests/simulation/recovery.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are cold after an outage: what they bear, and who is held to have overloaded them.
+//! Overload of endpoints in slow start after an outage, and its attribution to forwarders.
 
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
 destinations = 1
 "#;
 
-/// A cold endpoint, with the requests that the settings allow it in the overload window, at its recovery.
-fn recovered(scenario: &Scenario) -> (SimulatedEndpoint, f64) {
+/// Returns a recovering endpoint, and the work that the settings allow it in one overload window.
+fn recovering_endpoint(scenario: &Scenario) -> (SimulatedEndpoint, f64) {
     let plan = FleetLayout::draw(scenario, 1).endpoints.remove(0);
     let settings = &scenario.recovery;
     let allowed = settings.overload_multiple.get()
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn a_cold_endpoint_bears_n_and_twice_its_root_and_two_requests_summed_over_all_forwarders() {
+fn overload_budget_is_allowance_plus_twice_its_square_root_plus_two_across_forwarders() {
     let scenario = Scenario::parse("returning.toml", SCENARIO, &[]).unwrap();
     for forwarders in [1, 3, 30] {
-        let (mut endpoint, allowed) = recovered(&scenario);
+        let (mut endpoint, allowed) = recovering_endpoint(&scenario);
         let tolerated = (allowed + 2.0 * allowed.sqrt() + 2.0).floor() as usize;
-        assert!(tolerated as f64 > allowed + 2.0, "the root counts here: {allowed}");
+        assert!(tolerated as f64 > allowed + 2.0, "the square root increases the budget: {allowed}");
         for request in 0..tolerated {
             let sender = ForwarderIndex(request % forwarders);
             assert!(
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn requests_older_than_the_window_do_not_count() {
+fn requests_older_than_overload_window_do_not_count() {
     let scenario = Scenario::parse("returning.toml", SCENARIO, &[]).unwrap();
-    let (mut endpoint, allowed) = recovered(&scenario);
+    let (mut endpoint, allowed) = recovering_endpoint(&scenario);
     let window = scenario.recovery.overload_window.0;
     let tolerated = overload_budget(allowed).floor() as usize;
     for round in 0..3u32 {
@@ -81,16 +81,16 @@
 }
 
 #[test]
-fn the_rule_is_broken_where_over_two_thirds_came_from_forwarders_that_knew() {
-    let broken = |known: usize, all: usize| {
+fn overload_is_violation_if_over_two_thirds_came_from_forwarders_aware_of_outage() {
+    let violation_count = |aware: usize, all: usize| {
         let mut invariants = InvariantChecker::new(FleetRules { forwarders: all, ..FleetRules::default() });
-        (0..known).for_each(|n| invariants.record_failure(ForwarderIndex(n), EndpointIndex(0)));
+        (0..aware).for_each(|n| invariants.record_failure(ForwarderIndex(n), EndpointIndex(0)));
         let work = |n| ReceivedWork { at: Duration::ZERO, amount: 1.0, sender: ForwarderIndex(n) };
         let received: Vec<ReceivedWork> = (0..all).map(work).collect();
         invariants.check_overload(Duration::ZERO, EndpointIndex(0), &received, 1.0);
         invariants.into_violations().count
     };
-    assert_eq!(broken(20, 30), 0, "two thirds are not over two thirds");
-    assert_eq!(broken(21, 30), 1);
-    assert_eq!(broken(0, 30), 0);
+    assert_eq!(violation_count(20, 30), 0, "exactly two thirds are allowed");
+    assert_eq!(violation_count(21, 30), 1);
+    assert_eq!(violation_count(0, 30), 0);
 }
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -1,10 +1,11 @@
-//! Each of the six rules has a check that finds a delivery policy with a defect, and no check finds one without.
+//! Each rule check detects a delivery policy with a defect, and reports no violation for the policy without
+//! one.
 
 use crate::defective_policy::{Defect, DefectivePolicy};
 use reeddock_simulation::invariants::{Rule, Violation};
 use reeddock_simulation::{run_with, Report, Scenario};
 
-/// Three forwarders, destinations that send Retry-After, and capacity for each fault.
+/// Scenario with three forwarders, and rate-limited destinations that send Retry-After.
 const SCENARIO: &str = r#"
 version = 1
 name = "spoilt"
@@ -56,7 +57,7 @@
     })
 }
 
-/// The text of a violation shows nothing as the code writes it: no names of types or variants, no braces.
+/// Asserts that the text of a violation contains no `Debug` output: no type or variant names and no braces.
 fn assert_no_code_names(violation: &Violation) {
     let text = violation.to_string();
     let is_type_name = |word: &str| {
@@ -68,12 +69,13 @@
     assert!(!text.contains("Some("), "{text}");
 }
 
-/// The defective policy breaks the rule in some of these runs, the delivery policy as it is breaks none in any.
+/// Asserts that the defect breaks the rule with some seed, and that the unaltered policy breaks none with any
+/// seed.
 fn run_defective(faults: &str, defect: Defect, rule: Rule) -> Report {
     let mut found = None;
     for seed in 1..=3 {
-        let sound = run_scenario(faults, Defect::None, seed);
-        assert_eq!(sound.violations, [], "the policy as it is, seed {seed}");
+        let unaltered = run_scenario(faults, Defect::None, seed);
+        assert_eq!(unaltered.violations, [], "unaltered policy, seed {seed}");
         let defective = run_scenario(faults, defect, seed);
         if defective.violations.iter().any(|violation| violation.rule == rule) {
             found.get_or_insert(defective);
@@ -82,7 +84,7 @@
     if let Some(report) = &found {
         report.violations.iter().for_each(assert_no_code_names);
     }
-    found.unwrap_or_else(|| panic!("no check of {rule:?} has found {defect:?}"))
+    found.unwrap_or_else(|| panic!("no violation of {rule:?} was reported for {defect:?}"))
 }
 
 const RESPONSES_LOST: &str = r#"
@@ -97,7 +99,7 @@
 for_s = 12
 what = { leaves = { whom = { share = 1, targets = 0.5 } } }
 "#;
-/// Recovering destinations bear little, so that whoever overloads them is found with every seed.
+/// Outage of destinations with a small slow-start limit, so that a policy without slow start overloads them.
 const DOWN: &str = r#"
 [returning]
 cold_from = 0.1
@@ -109,25 +111,25 @@
 "#;
 
 #[test]
-fn one_final_answer_each() {
+fn second_final_answer_is_reported_with_history() {
     let report = run_defective(RESPONSES_LOST, Defect::AnswersTwice, Rule::OneAnswer);
     let broken = report.violations.iter().find(|b| b.rule == Rule::OneAnswer).unwrap();
-    // It names the message, the instant and what led to it.
+    // The violation contains the message, the time and the history of the message.
     assert!(broken.message.is_some() && broken.forwarder.is_some() && broken.at_s > 0.0);
     assert!(broken.history.first().unwrap().contains("taken by forwarder"), "{:?}", broken.history);
     assert!(broken.history.iter().any(|l| l.contains("answered")), "{:?}", broken.history);
 }
 
 #[test]
-fn an_answer_for_every_message() {
-    let report = run_defective("", Defect::IgnoresSome, Rule::OneAnswer);
+fn missing_final_answer_is_reported() {
+    let report = run_defective("", Defect::IgnoresSomeMessages, Rule::OneAnswer);
     assert!(report.violations.iter().any(|b| b.description.contains("no final answer")));
 }
 
 #[test]
-fn no_effect_twice() {
+fn repeated_effect_of_non_idempotent_message_is_reported() {
     let report = run_defective(RESPONSES_LOST, Defect::RepeatsNonIdempotent, Rule::NoDoubleEffect);
-    // The effects at the destination show it too, apart from what the forwarder was told.
+    // The effects at the destination are checked independently of the outcomes at the forwarder.
     assert!(
         report.violations.iter().any(|b| b.description.contains("applied first try")),
         "{:?}",
@@ -136,23 +138,23 @@
 }
 
 #[test]
-fn draining_endpoints_get_nothing_new() {
+fn attempt_to_draining_endpoint_is_reported() {
     run_defective(DRAINS, Defect::IgnoresDraining, Rule::Drains);
 }
 
 #[test]
-fn a_recovering_destination_is_not_overloaded() {
-    let report = run_defective(DOWN, Defect::OverloadsRecovering, Rule::NoOverload);
+fn overload_of_recovering_destination_is_reported() {
+    let report = run_defective(DOWN, Defect::OverloadsRecoveringEndpoints, Rule::NoOverload);
     let broken = report.violations.iter().find(|b| b.rule == Rule::NoOverload).unwrap();
     assert!(broken.history.iter().any(|l| l.contains("had seen a failure")), "{:?}", broken.history);
 }
 
 #[test]
-fn order_is_kept_within_a_key() {
-    run_defective("", Defect::IgnoresOrder, Rule::Order);
+fn broken_order_of_ordering_key_is_reported() {
+    run_defective("", Defect::IgnoresOrderingKeys, Rule::Order);
 }
 
 #[test]
-fn retry_after_is_honored() {
+fn ignored_retry_after_is_reported() {
     run_defective("", Defect::IgnoresRetryAfter, Rule::RetryAfterHonored);
 }
--- a/crates/simulation/tests/simulation/sharing.rs
+++ b/crates/simulation/tests/simulation/sharing.rs
@@ -1,4 +1,4 @@
-//! What the exchange between forwarders says of a circuit at each of them.
+//! Circuit breakers shared between forwarders.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn failures_at_several_forwarders_open_a_circuit_for_all_once_they_are_reported() {
+fn reported_failures_of_several_forwarders_open_circuit_for_all() {
     let mut exchange = CircuitExchange::new(at(1.0));
     let members: Vec<MemberId> = (0..4).map(|_| exchange.join()).collect();
     for member in &members[..3] {
@@ -21,11 +21,11 @@
     assert_eq!(
         exchange.admission(ENDPOINT, at(10.5), members[3]),
         CircuitAdmission::Admit,
-        "the reports are on their way"
+        "the reports have not arrived yet"
     );
     assert_eq!(exchange.admission(ENDPOINT, at(11.0), members[3]), CircuitAdmission::Wait);
     assert_eq!(exchange.admission(ENDPOINT, at(15.0), members[3]), CircuitAdmission::HalfOpenTrial);
-    // The member that starts the trial knows of it at once; the others a second later.
+    // The member that starts the trial learns of it immediately, the others one second later.
     exchange.trial_started(ENDPOINT, at(15.0), members[3]);
     assert_eq!(exchange.admission(ENDPOINT, at(15.5), members[3]), CircuitAdmission::Wait);
     assert_eq!(exchange.admission(ENDPOINT, at(15.5), members[0]), CircuitAdmission::HalfOpenTrial);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_circuit_is_dropped_once_it_can_no_longer_matter() {
+fn circuit_is_removed_after_it_no_longer_affects_admission() {
     let mut exchange = CircuitExchange::new(Duration::ZERO);
     let member = exchange.join();
     for second in 1..=3 {
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The simulation itself: the same in, the same out; and the moments at which events cross.
+//! Determinism of the simulation, its scenario files, and events that coincide.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use reeddock_simulation::schedule::{EventSchedule, ScheduledEvent};
 use reeddock_simulation::{run, run_with, BuiltInPolicy, Report, Scenario};
 
-/// Every number is constant but the arrivals: a response comes 108 ms after its attempt where a connection is made
-/// for it, and 102 ms after it where one was idle.
+/// Scenario in which only the arrivals are random. A response arrives 108 ms after its attempt on a new
+/// connection, and 102 ms after it on an idle one.
 const SCENARIO: &str = r#"
 version = 1
 name = "exact"
@@ -53,7 +53,7 @@
     Scenario::parse("exact.toml", &format!("{SCENARIO}{extra}"), &overrides).unwrap()
 }
 
-/// Every submission has one end, every attempt one outcome, and no rule is broken.
+/// Asserts that each submission has an end, each attempt one outcome, and no rule was violated.
 fn assert_consistent(report: &Report) {
     assert_eq!(report.violations, []);
     assert_eq!(report.unfinished, 0);
@@ -61,7 +61,7 @@
     let ends = d.completed + d.errors + d.rejected + d.timed_out + d.no_connection + d.connection_reset;
     let all = ends + d.cancelled + d.not_sent;
     assert!(all <= d.all, "{d:?}");
-    // What a killed forwarder had in flight has no outcome.
+    // Attempts that a killed forwarder had in flight have no outcome.
     assert!(report.ends.lost > 0 || all == d.all, "{d:?}");
 }
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn events_of_one_instant_come_in_the_order_in_which_they_were_scheduled() {
+fn events_with_equal_times_occur_in_order_of_scheduling() {
     let mut schedule = EventSchedule::default();
     let at = Duration::from_secs;
     for (n, s) in [(0, 2), (1, 1), (2, 2), (3, 1), (4, 2)] {
@@ -80,30 +80,31 @@
     }
     let order: Vec<i32> = std::iter::from_fn(|| schedule.pop().map(|scheduled| scheduled.event)).collect();
     assert_eq!(order, [1, 3, 0, 2, 4]);
-    // What would lie in the past comes now, after what is here already.
+    // An event in the past is moved to the current time, after the events already scheduled for it.
     schedule.schedule(at(1), 5);
     assert_eq!(schedule.pop(), Some(ScheduledEvent { at: at(2), event: 5 }));
 }
 
 #[test]
-fn the_same_scenario_and_seed_give_the_same_bytes() {
+fn same_scenario_and_seed_give_same_report_bytes_on_any_thread() {
     let scenario =
         exact_scenario("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
     let bytes = |seed, policy| serde_json::to_string(&run(&scenario, seed, policy)).unwrap();
-    let alone = bytes(1, BuiltInPolicy::DeliveryPolicy);
-    // Beside each other on threads, too.
-    let beside: Vec<String> = std::thread::scope(|scope| {
+    let single = bytes(1, BuiltInPolicy::DeliveryPolicy);
+    // Runs on parallel threads give the same report.
+    let parallel: Vec<String> = std::thread::scope(|scope| {
         let threads: Vec<_> =
             (0..4).map(|_| scope.spawn(|| bytes(1, BuiltInPolicy::DeliveryPolicy))).collect();
         threads.into_iter().map(|t| t.join().unwrap()).collect()
     });
-    assert!(beside.iter().all(|b| *b == alone));
-    assert_ne!(alone, bytes(2, BuiltInPolicy::DeliveryPolicy));
+    assert!(parallel.iter().all(|b| *b == single));
+    assert_ne!(single, bytes(2, BuiltInPolicy::DeliveryPolicy));
 }
 
 #[test]
-fn bytes_do_not_depend_on_the_machine() {
-    // Of a policy that no change of the delivery policy touches. A change of the simulation may move this figure.
+fn report_bytes_do_not_depend_on_machine() {
+    // This policy is independent of the delivery policy, so that only changes of the simulation change the
+    // checksum.
     let scenario =
         exact_scenario("", &[("category.0.work_ms", "{ log_normal = { median = 90, sigma = 0.6 } }")]);
     let bytes = serde_json::to_string(&run(&scenario, 1, BuiltInPolicy::OneAttempt)).unwrap();
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn two_policies_meet_the_same_day() {
+fn arrivals_do_not_depend_on_policy() {
     let scenario = exact_scenario("", &[]);
     let [a, b] = [BuiltInPolicy::OneAttempt, BuiltInPolicy::UpperBound].map(|p| run(&scenario, 3, p));
     assert_eq!(a.submissions, b.submissions);
@@ -121,22 +122,25 @@
 }
 
 #[test]
-fn a_forwarder_is_killed_with_requests_in_flight() {
+fn killed_forwarder_loses_or_fails_messages_in_flight() {
     let killed = "[[trouble]]\nat_s = 8\nfor_s = 3\nwhat = { killed = { which = { forwarders = [0] } } }\n";
     let without = run_delivery_policy(&exact_scenario(
         killed,
         &[("category.0.work_ms", "800"), ("category.1.work_ms", "800")],
     ));
-    // A message that is not idempotent and was in flight may have been executed, and is submitted to nobody again.
+    // A non-idempotent message that was in flight may have been executed, and is not submitted again.
     assert!(without.ends.lost > 0);
     let slow = [("category.0.work_ms", "800"), ("category.1.work_ms", "800"), ("fleet.ledger", "true")];
     let with = run(&exact_scenario(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
     assert_eq!((with.violations.as_slice(), with.unfinished, with.ends.lost), (&[][..], 0, 0));
-    assert!(with.ends.failed > 0, "with a write-ahead log the forwarder says so itself");
+    assert!(
+        with.ends.failed > 0,
+        "a forwarder with a write-ahead log fails these messages after its restart"
+    );
 }
 
 #[test]
-fn a_request_that_nobody_waits_for_is_still_served() {
+fn abandoned_request_is_still_served() {
     let slow = "[[trouble]]\nat_s = 5\nfor_s = 6\nwhat = { slow = { whom = { share = 1 }, times = 40 } }\n";
     let on = run_delivery_policy(&exact_scenario(slow, &[]));
     assert!(on.attempts.timed_out > 0 && on.repeats_applied > 0 && on.work_wasted > 0.0);
@@ -145,20 +149,20 @@
 }
 
 #[test]
-fn an_endpoint_is_replaced_while_it_serves() {
+fn replaced_endpoint_resets_connections_until_new_one_is_listed() {
     let replaced = "[[trouble]]\nat_s = 8\nfor_s = 1\nwhat = { replaced = { whom = { share = 1 } } }\n";
     let long = [("category.0.work_ms", "600"), ("category.1.work_ms", "600")];
     let report = run_delivery_policy(&exact_scenario(replaced, &long));
     assert!(report.attempts.connection_reset > 0, "{:?}", report.attempts);
-    // The list is late: until then the old address answers nobody.
+    // Until the endpoint list is updated, connections to the old address fail.
     assert!(report.attempts.no_connection > 0);
     let second = |n: usize| report.seconds[n].credit;
-    assert_eq!(second(15).share(), 1.0, "the new ones serve once they are listed");
+    assert_eq!(second(15).share(), 1.0, "the new endpoints serve after they are listed");
 }
 
 #[test]
-fn a_retry_crosses_the_response_to_the_first_attempt() {
-    // Each request times out in the very instant of its response, which comes second and is ignored.
+fn response_at_timeout_is_ignored_and_message_is_retried() {
+    // Each request times out at the time of its response, which is handled second and ignored.
     let scenario = exact_scenario("", &[("fleet.tick_s", "0"), ("kind.0.spare", "30")]);
     let cut = Defect::ShortTimeout(Duration::from_millis(108));
     let report =
@@ -166,7 +170,7 @@
     assert_consistent(&report);
     assert_eq!(report.attempts.completed, 0);
     assert!(report.attempts.timed_out > 0 && report.repeats_applied > 0);
-    // One microsecond more, and the response counts.
+    // With one microsecond more, the response is in time.
     let heard = Defect::ShortTimeout(Duration::from_micros(108_001));
     let report = run_with(&scenario, 1, "heard", &|now, settings, host| {
         DefectivePolicy::open(heard, now, settings, host)
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn a_deadline_falls_in_the_tick_of_a_response() {
+fn deadline_in_tick_of_response_completes_or_fails_message() {
     let limits: Vec<_> = ["category.0", "category.1"]
         .iter()
         .flat_map(|c| [(format!("{c}.promised_s"), "0.1"), (format!("{c}.outer_limit_s"), "0.1105")])
@@ -187,7 +191,7 @@
 }
 
 #[test]
-fn the_scenarios_of_this_repository_read_and_write_alike() {
+fn scenarios_of_repository_are_unchanged_by_write_and_read() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
     let mut read = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -202,10 +206,10 @@
 }
 
 #[test]
-fn an_error_in_a_scenario_names_its_line() {
+fn scenario_error_contains_line_and_expected_value() {
     let fault = |from: &str, to: &str| {
         let text = SCENARIO.replacen(from, to, 1);
-        assert_ne!(text, SCENARIO, "{from} stands in the scenario");
+        assert_ne!(text, SCENARIO, "{from} is in the scenario");
         Scenario::parse("exact.toml", &text, &[]).expect_err(to).to_string()
     };
     for (from, to, line, told) in [
