--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -11,7 +11,7 @@
 use crate::rule::Rule;
 
 /// Maximum number of violations that are stored. Further ones are only counted.
-const MAX_KEPT_VIOLATIONS: usize = 20;
+const MAX_STORED_VIOLATIONS: usize = 20;
 
 /// Settings of a fleet that the rules depend on.
 #[derive(Default)]
@@ -128,7 +128,7 @@
     /// Counts a violation, and stores it unless the maximum is reached.
     pub(super) fn store_violation(&mut self, violation: Violation) {
         self.violation_count += 1;
-        if self.violations.len() < MAX_KEPT_VIOLATIONS {
+        if self.violations.len() < MAX_STORED_VIOLATIONS {
             self.violations.push(violation);
         }
     }
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -1,4 +1,4 @@
-//! What forwarders know of endpoints, and checks of the overload of recovering endpoints.
+//! Knowledge of forwarders about endpoints, and checks of the overload of recovering endpoints.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -44,7 +44,7 @@
         self.forwarders_aware_of_outage.entry(endpoint).or_default().insert(forwarder);
     }
 
-    /// Whether a forwarder saw a failure in an endpoint's present outage, or its last one.
+    /// Returns whether a forwarder saw a failure in the current or latest outage of an endpoint.
     pub(crate) fn knows_of_outage(&self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> bool {
         self.forwarders_aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
     }
@@ -63,10 +63,10 @@
         received: &[ReceivedWork],
         budget: f64,
     ) {
-        let knew = |work: &&ReceivedWork| self.knows_of_outage(work.sender, endpoint);
+        let sender_is_aware = |work: &&ReceivedWork| self.knows_of_outage(work.sender, endpoint);
         let total = ReceivedWork::total(received);
-        let from_knowing = ReceivedWork::total(received.iter().filter(knew));
-        if from_knowing * 3.0 <= total * 2.0 {
+        let from_aware = ReceivedWork::total(received.iter().filter(sender_is_aware));
+        if from_aware * 3.0 <= total * 2.0 {
             return;
         }
         let violation = Violation {
@@ -75,7 +75,7 @@
             forwarder: None,
             message: None,
             description: format!(
-                "target {} fell over: sent {total:.2} against {budget:.2}, {from_knowing:.2} of it by forwarders that knew",
+                "target {} fell over: sent {total:.2} against {budget:.2}, {from_aware:.2} of it by forwarders that knew",
                 endpoint.0
             ),
             history: self.describe_senders(endpoint, received),
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -16,8 +16,8 @@
 const MIN_DELAY: Duration = Duration::from_micros(1);
 /// Minimum delay from the kill of a forwarder to the next submission of its messages.
 const MIN_FAILOVER_DELAY: Duration = Duration::from_millis(1);
-/// Maximum clump size: the factor by which a clump increases the messages of an arrival.
-const MAX_CLUMP_MESSAGES: f64 = 1e4;
+/// Maximum factor by which a clump increases the messages of an arrival.
+const MAX_CLUMP_SIZE: f64 = 1e4;
 /// Maximum number of messages in one arrival, before the clump size is applied.
 const MAX_ARRIVAL_MESSAGES: f64 = 1e5;
 /// Prevents the logarithm of zero.
@@ -26,7 +26,7 @@
 const MIN_DIVISOR: f64 = 1e-9;
 /// Multiplier of a Fibonacci hash: 2^64 divided by the golden ratio.
 const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Number of low bits of a hashed key that are discarded because they vary least.
+/// Number of low bits of a hashed key that are discarded, as they vary least.
 const KEY_HASH_SHIFT: u32 = 33;
 /// Number of bits of an ordering key below the destination index.
 const DESTINATION_KEY_SHIFT: u32 = 24;
@@ -99,8 +99,7 @@
         let scenario = self.scenario;
         let random = &mut self.random.arrivals;
         let is_clump = random.random::<f64>() < shape.clump_probability;
-        let clump_size =
-            scenario.traffic.clump_size.draw(random).round().clamp(1.0, MAX_CLUMP_MESSAGES) as usize;
+        let clump_size = scenario.traffic.clump_size.draw(random).round().clamp(1.0, MAX_CLUMP_SIZE) as usize;
         let arrival_size = scenario.programs[program].arrival_size.draw(random);
         let arrival_size = arrival_size.round().clamp(1.0, MAX_ARRIVAL_MESSAGES) as usize;
         let messages = arrival_size * if is_clump { clump_size } else { 1 };
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -110,7 +110,7 @@
 
     /// Rejects a pending message. The client honors `retry_after` depending on its program.
     pub(super) fn reject_message(&mut self, message: MessageIndex, retry_after: Option<Duration>) {
-        if !self.answer_undelivered(message, FinalAnswer::Rejected) {
+        if !self.record_undelivered_answer(message, FinalAnswer::Rejected) {
             return;
         }
         let now = self.now();
@@ -121,7 +121,7 @@
 
     /// Fails a pending message.
     pub(super) fn fail_message(&mut self, message: MessageIndex) {
-        if !self.answer_undelivered(message, FinalAnswer::Failed) {
+        if !self.record_undelivered_answer(message, FinalAnswer::Failed) {
             return;
         }
         let now = self.now();
@@ -131,7 +131,7 @@
     }
 
     /// Records a final answer other than completion. Returns whether the message was still pending.
-    fn answer_undelivered(&mut self, message: MessageIndex, answer: FinalAnswer) -> bool {
+    fn record_undelivered_answer(&mut self, message: MessageIndex, answer: FinalAnswer) -> bool {
         self.invariants.record_answer(self.schedule.now(), message, answer);
         let was_pending = !self.messages[message.0].finished;
         self.finish_message(message);
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -85,13 +85,13 @@
         let state = &self.endpoints[endpoint.0];
         let last = state.recoveries.last()?;
         let window = state.warm_up_window(now, &self.scenario.recovery)?;
-        let knew = |work: &&ReceivedWork| self.invariants.knows_of_outage(work.sender, endpoint);
+        let sender_is_aware = |work: &&ReceivedWork| self.invariants.knows_of_outage(work.sender, endpoint);
         let (sum, known) = match overload {
             Some(overload) => {
                 let received = &overload.received;
-                (ReceivedWork::total(received), ReceivedWork::total(received.iter().filter(knew)))
+                (ReceivedWork::total(received), ReceivedWork::total(received.iter().filter(sender_is_aware)))
             }
-            None => (window.total, ReceivedWork::total(window.received.iter().filter(knew))),
+            None => (window.total, ReceivedWork::total(window.received.iter().filter(sender_is_aware))),
         };
         let budget = overload_budget(window.allowed);
         if !last.is_worse(sum, budget) {
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -113,17 +113,17 @@
 #[test]
 fn second_final_answer_is_reported_with_history() {
     let report = run_defective(RESPONSES_LOST, Defect::AnswersTwice, Rule::OneAnswer);
-    let broken = report.violations.iter().find(|b| b.rule == Rule::OneAnswer).unwrap();
+    let violation = report.violations.iter().find(|violation| violation.rule == Rule::OneAnswer).unwrap();
     // The violation contains the message, the time and the history of the message.
-    assert!(broken.message.is_some() && broken.forwarder.is_some() && broken.at_s > 0.0);
-    assert!(broken.history.first().unwrap().contains("taken by forwarder"), "{:?}", broken.history);
-    assert!(broken.history.iter().any(|l| l.contains("answered")), "{:?}", broken.history);
+    assert!(violation.message.is_some() && violation.forwarder.is_some() && violation.at_s > 0.0);
+    assert!(violation.history.first().unwrap().contains("taken by forwarder"), "{:?}", violation.history);
+    assert!(violation.history.iter().any(|line| line.contains("answered")), "{:?}", violation.history);
 }
 
 #[test]
 fn missing_final_answer_is_reported() {
     let report = run_defective("", Defect::IgnoresSomeMessages, Rule::OneAnswer);
-    assert!(report.violations.iter().any(|b| b.description.contains("no final answer")));
+    assert!(report.violations.iter().any(|violation| violation.description.contains("no final answer")));
 }
 
 #[test]
@@ -131,7 +131,7 @@
     let report = run_defective(RESPONSES_LOST, Defect::RepeatsNonIdempotent, Rule::NoDoubleEffect);
     // The effects at the destination are checked independently of the outcomes at the forwarder.
     assert!(
-        report.violations.iter().any(|b| b.description.contains("applied first try")),
+        report.violations.iter().any(|violation| violation.description.contains("applied first try")),
         "{:?}",
         report.violations
     );
@@ -145,8 +145,12 @@
 #[test]
 fn overload_of_recovering_destination_is_reported() {
     let report = run_defective(DOWN, Defect::OverloadsRecoveringEndpoints, Rule::NoOverload);
-    let broken = report.violations.iter().find(|b| b.rule == Rule::NoOverload).unwrap();
-    assert!(broken.history.iter().any(|l| l.contains("had seen a failure")), "{:?}", broken.history);
+    let violation = report.violations.iter().find(|violation| violation.rule == Rule::NoOverload).unwrap();
+    assert!(
+        violation.history.iter().any(|line| line.contains("had seen a failure")),
+        "{:?}",
+        violation.history
+    );
 }
 
 #[test]
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -57,12 +57,17 @@
 fn assert_consistent(report: &Report) {
     assert_eq!(report.violations, []);
     assert_eq!(report.unfinished, 0);
-    let d = &report.attempts;
-    let ends = d.completed + d.errors + d.rejected + d.timed_out + d.no_connection + d.connection_reset;
-    let all = ends + d.cancelled + d.not_sent;
-    assert!(all <= d.all, "{d:?}");
+    let counts = &report.attempts;
+    let ends = counts.completed
+        + counts.errors
+        + counts.rejected
+        + counts.timed_out
+        + counts.no_connection
+        + counts.connection_reset;
+    let all = ends + counts.cancelled + counts.not_sent;
+    assert!(all <= counts.all, "{counts:?}");
     // Attempts that a killed forwarder had in flight have no outcome.
-    assert!(report.ends.lost > 0 || all == d.all, "{d:?}");
+    assert!(report.ends.lost > 0 || all == counts.all, "{counts:?}");
 }
 
 fn run_delivery_policy(scenario: &Scenario) -> Report {
@@ -124,17 +129,17 @@
 #[test]
 fn killed_forwarder_loses_or_fails_messages_in_flight() {
     let killed = "[[trouble]]\nat_s = 8\nfor_s = 3\nwhat = { killed = { which = { forwarders = [0] } } }\n";
-    let without = run_delivery_policy(&exact_scenario(
+    let without_log = run_delivery_policy(&exact_scenario(
         killed,
         &[("category.0.work_ms", "800"), ("category.1.work_ms", "800")],
     ));
     // A non-idempotent message that was in flight may have been executed, and is not submitted again.
-    assert!(without.ends.lost > 0);
+    assert!(without_log.ends.lost > 0);
     let slow = [("category.0.work_ms", "800"), ("category.1.work_ms", "800"), ("fleet.ledger", "true")];
-    let with = run(&exact_scenario(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
-    assert_eq!((with.violations.as_slice(), with.unfinished, with.ends.lost), (&[][..], 0, 0));
+    let with_log = run(&exact_scenario(killed, &slow), 1, BuiltInPolicy::DeliveryPolicy);
+    assert_eq!((with_log.violations.as_slice(), with_log.unfinished, with_log.ends.lost), (&[][..], 0, 0));
     assert!(
-        with.ends.failed > 0,
+        with_log.ends.failed > 0,
         "a forwarder with a write-ahead log fails these messages after its restart"
     );
 }
@@ -142,10 +147,15 @@
 #[test]
 fn abandoned_request_is_still_served() {
     let slow = "[[trouble]]\nat_s = 5\nfor_s = 6\nwhat = { slow = { whom = { share = 1 }, times = 40 } }\n";
-    let on = run_delivery_policy(&exact_scenario(slow, &[]));
-    assert!(on.attempts.timed_out > 0 && on.repeats_applied > 0 && on.work_wasted > 0.0);
-    let off = run_delivery_policy(&exact_scenario(slow, &[("kind.0.runs_on", "0")]));
-    assert!(off.work_wasted < on.work_wasted, "{} against {}", off.work_wasted, on.work_wasted);
+    let served = run_delivery_policy(&exact_scenario(slow, &[]));
+    assert!(served.attempts.timed_out > 0 && served.repeats_applied > 0 && served.work_wasted > 0.0);
+    let dropped = run_delivery_policy(&exact_scenario(slow, &[("kind.0.runs_on", "0")]));
+    assert!(
+        dropped.work_wasted < served.work_wasted,
+        "{} against {}",
+        dropped.work_wasted,
+        served.work_wasted
+    );
 }
 
 #[test]
@@ -164,16 +174,17 @@
 fn response_at_timeout_is_ignored_and_message_is_retried() {
     // Each request times out at the time of its response, which is handled second and ignored.
     let scenario = exact_scenario("", &[("fleet.tick_s", "0"), ("kind.0.spare", "30")]);
-    let cut = Defect::ShortTimeout(Duration::from_millis(108));
-    let report =
-        run_with(&scenario, 1, "cut", &|now, settings, host| DefectivePolicy::open(cut, now, settings, host));
+    let at_response = Defect::ShortTimeout(Duration::from_millis(108));
+    let report = run_with(&scenario, 1, "cut", &|now, settings, host| {
+        DefectivePolicy::open(at_response, now, settings, host)
+    });
     assert_consistent(&report);
     assert_eq!(report.attempts.completed, 0);
     assert!(report.attempts.timed_out > 0 && report.repeats_applied > 0);
     // With one microsecond more, the response is in time.
-    let heard = Defect::ShortTimeout(Duration::from_micros(108_001));
+    let after_response = Defect::ShortTimeout(Duration::from_micros(108_001));
     let report = run_with(&scenario, 1, "heard", &|now, settings, host| {
-        DefectivePolicy::open(heard, now, settings, host)
+        DefectivePolicy::open(after_response, now, settings, host)
     });
     assert_consistent(&report);
     assert_eq!(report.attempts.timed_out, 0);
@@ -207,12 +218,12 @@
 
 #[test]
 fn scenario_error_contains_line_and_expected_value() {
-    let fault = |from: &str, to: &str| {
+    let error_of = |from: &str, to: &str| {
         let text = SCENARIO.replacen(from, to, 1);
         assert_ne!(text, SCENARIO, "{from} is in the scenario");
         Scenario::parse("exact.toml", &text, &[]).expect_err(to).to_string()
     };
-    for (from, to, line, told) in [
+    for (from, to, line, expected) in [
         ("lasts_s = 20", "lasts_s = 20\nlast = 1", 5, "last"),
         ("lasts_s = 20", "lasts_s = -1", 4, "expected seconds"),
         ("lasts_s = 20", "lasts_s = \"long\"", 4, "string \"long\", expected a number"),
@@ -227,21 +238,21 @@
         ("promised_s = 2", "promised_s = 9", 17, "outer_limit_s 8 at most"),
         ("name = \"order\"", "name = \"note\"", 23, "name that stands once"),
     ] {
-        let fault = fault(from, to);
-        assert!(fault.starts_with(&format!("exact.toml:{line}: ")), "{to}: {fault}");
-        assert!(fault.contains(told) && !fault.contains('\n'), "{to}: {fault}");
+        let error = error_of(from, to);
+        assert!(error.starts_with(&format!("exact.toml:{line}: ")), "{to}: {error}");
+        assert!(error.contains(expected) && !error.contains('\n'), "{to}: {error}");
     }
     let trouble = "[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = { surge = { program = \"none\", times = 2 } }\n";
-    let fault = Scenario::parse("exact.toml", &format!("{SCENARIO}{trouble}"), &[]).unwrap_err().to_string();
-    assert!(fault.starts_with("exact.toml:38: ") && fault.contains("\"none\""), "{fault}");
-    for (what, told) in [
+    let error = Scenario::parse("exact.toml", &format!("{SCENARIO}{trouble}"), &[]).unwrap_err().to_string();
+    assert!(error.starts_with("exact.toml:38: ") && error.contains("\"none\""), "{error}");
+    for (what, expected) in [
         ("{ refused = { whom = 3 } }", "expected a table with destinations"),
         ("{ killed = { which = 3 } }", "expected a table with forwarders"),
         ("{ slow = 3 }", "expected a table of the fault's values"),
     ] {
         let trouble = format!("[[trouble]]\nat_s = 1\nfor_s = 1\nwhat = {what}\n");
-        let fault =
+        let error =
             Scenario::parse("exact.toml", &format!("{SCENARIO}{trouble}"), &[]).unwrap_err().to_string();
-        assert!(fault.starts_with("exact.toml:41: ") && fault.contains(told), "{fault}");
+        assert!(error.starts_with("exact.toml:41: ") && error.contains(expected), "{error}");
     }
 }
