--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -101,7 +101,7 @@
     /// Requests that contained the attempts.
     #[serde(rename = "calls")]
     pub requests: u64,
-    /// Attempts that completed their message.
+    /// Attempts with the outcome `completed`.
     pub completed: u64,
     /// Attempts to which the endpoint responded with an error.
     pub errors: u64,
