--- a/crates/simulation/src/invariants/answers.rs
+++ b/crates/simulation/src/invariants/answers.rs
@@ -1,4 +1,4 @@
-//! Checks of final answers, and of the effects that destinations applied.
+//! Checks of final answers and of effects at destinations.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use crate::rule::Rule;
 
 impl InvariantChecker {
-    /// A message got a final answer.
-    pub(crate) fn message_answered(&mut self, now: Duration, message: MessageIndex, answer: FinalAnswer) {
+    /// Records the final answer of a message, and checks that it is allowed.
+    pub(crate) fn record_answer(&mut self, now: Duration, message: MessageIndex, answer: FinalAnswer) {
         if let Some(before) = self.histories[message.0].answer {
             self.check_second_answer(now, message, answer, before);
             return;
         }
         let answer_due = self.histories[message.0].answer_due;
         if now > answer_due && answer != FinalAnswer::Withdrawn {
-            let what = format!("{answer}, due by {:.6}", answer_due.as_secs_f64());
-            self.record_violation(Rule::OneAnswer, now, Some(message), what);
+            let description = format!("{answer}, due by {:.6}", answer_due.as_secs_f64());
+            self.record_violation(Rule::OneAnswer, now, Some(message), description);
         }
         if answer == FinalAnswer::Rejected {
-            if let Some(what) = self.harm_of_rejection(now, &self.histories[message.0]) {
-                self.record_violation(Rule::NoDoubleEffect, now, Some(message), what.to_owned());
+            if let Some(description) = self.find_rejection_hazard(now, &self.histories[message.0]) {
+                self.record_violation(Rule::NoDoubleEffect, now, Some(message), description.to_owned());
             }
         }
         self.histories[message.0].answer = Some(GivenAnswer { answer, at: now });
     }
 
-    /// A withdrawal ends what is pending, and crosses an answer without harm.
+    /// Records a violation if a message has a second final answer. A withdrawal next to an answer is allowed.
     fn check_second_answer(
         &mut self,
         now: Duration,
@@ -38,13 +38,14 @@
         before: GivenAnswer,
     ) {
         if answer != FinalAnswer::Withdrawn && before.answer != FinalAnswer::Withdrawn {
-            let what = format!("{answer} after {} at {:.6}", before.answer, before.at.as_secs_f64());
-            self.record_violation(Rule::OneAnswer, now, Some(message), what);
+            let description = format!("{answer} after {} at {:.6}", before.answer, before.at.as_secs_f64());
+            self.record_violation(Rule::OneAnswer, now, Some(message), description);
         }
     }
 
-    /// Why a message must not be rejected: its client may submit it again, and it may have been executed.
-    fn harm_of_rejection(&self, now: Duration, history: &MessageHistory) -> Option<&'static str> {
+    /// Returns why a message must not be rejected, if it may have been executed: the client may submit it
+    /// again.
+    fn find_rejection_hazard(&self, now: Duration, history: &MessageHistory) -> Option<&'static str> {
         let first = history.first_possible_execution()?;
         match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
@@ -55,20 +56,20 @@
         }
     }
 
-    /// The time for a final answer is past. Says whether one is missing.
+    /// Records a violation if the final answer of a message is overdue. Returns whether it is.
     #[must_use = "the client no longer waits for a message whose answer is missing"]
-    pub(crate) fn is_answer_missing(&mut self, now: Duration, message: MessageIndex) -> bool {
+    pub(crate) fn check_answer_missing(&mut self, now: Duration, message: MessageIndex) -> bool {
         let history = &self.histories[message.0];
-        if history.answer.is_some() || history.void || now < history.answer_due {
+        if history.answer.is_some() || history.exempt || now < history.answer_due {
             return false;
         }
-        let what = format!("no final answer by {:.6}", history.answer_due.as_secs_f64());
-        self.record_violation(Rule::OneAnswer, now, Some(message), what);
+        let description = format!("no final answer by {:.6}", history.answer_due.as_secs_f64());
+        self.record_violation(Rule::OneAnswer, now, Some(message), description);
         true
     }
 
-    /// A message had its effect at a destination.
-    pub(crate) fn effect_applied(&mut self, now: Duration, message: MessageIndex) {
+    /// Records an effect at a destination, and checks that a non-idempotent message has only one.
+    pub(crate) fn record_effect(&mut self, now: Duration, message: MessageIndex) {
         let accepted = self.histories[message.0].message;
         if self.fleet.classes[accepted.class].idempotency != Idempotency::NonIdempotent {
             return;
@@ -76,8 +77,9 @@
         let times = self.effects.entry(accepted.submission).or_default();
         *times += 1;
         if *times > 1 {
-            let what = format!("the destination applied first try {} a second time", accepted.submission.0);
-            self.record_violation(Rule::NoDoubleEffect, now, Some(message), what);
+            let description =
+                format!("the destination applied first try {} a second time", accepted.submission.0);
+            self.record_violation(Rule::NoDoubleEffect, now, Some(message), description);
         }
     }
 }
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -1,4 +1,4 @@
-//! What forwarders know of endpoints, and whether they overloaded one that had just recovered.
+//! Knowledge of forwarders about endpoints, and checks of the overload of recovering endpoints.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::received_work::ReceivedWork;
 use crate::rule::Rule;
 
-/// Senders named in a violation, those that sent most first.
+/// Maximum number of senders in a violation.
 const MAX_NAMED_SENDERS: usize = 8;
 
 impl InvariantChecker {
-    /// A forwarder read an endpoint's state in its endpoint list.
-    pub(crate) fn endpoint_listed(
+    /// Records the state of an endpoint that a forwarder read from its endpoint list.
+    pub(crate) fn record_listed_state(
         &mut self,
         now: Duration,
         forwarder: ForwarderIndex,
@@ -25,8 +25,8 @@
     ) {
         let read = ListedState { state, since: now };
         let listed = self.endpoint_lists[forwarder.0].entry(endpoint).or_insert(read);
-        // The grace period runs from the first time that the endpoint was not active in the list: reading the same again,
-        // or that a draining endpoint is removed, does not start it anew.
+        // The grace period starts when the endpoint is first listed as not active. Repeated entries and the
+        // removal of a draining endpoint do not restart the grace period.
         let to_or_from_active = state == EndpointState::Active || listed.state == EndpointState::Active;
         if listed.state != state && to_or_from_active {
             *listed = read;
@@ -34,39 +34,39 @@
         listed.state = state;
     }
 
-    /// An endpoint goes down: forwarders that saw an earlier outage do not know of this one yet.
-    pub(crate) fn outage_started(&mut self, endpoint: EndpointIndex) {
-        self.aware_of_outage.remove(&endpoint);
+    /// Records the start of an outage, of which no forwarder has seen a failure yet.
+    pub(crate) fn record_outage_start(&mut self, endpoint: EndpointIndex) {
+        self.forwarders_aware_of_outage.remove(&endpoint);
     }
 
-    /// A forwarder saw a failed or rejected request to an endpoint during its outage.
-    pub fn failure_reported(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) {
-        self.aware_of_outage.entry(endpoint).or_default().insert(forwarder);
+    /// Records that a forwarder saw a failed or rejected request to an endpoint during its outage.
+    pub fn record_failure(&mut self, forwarder: ForwarderIndex, endpoint: EndpointIndex) {
+        self.forwarders_aware_of_outage.entry(endpoint).or_default().insert(forwarder);
     }
 
-    /// Whether a forwarder saw a failure in an endpoint's present outage, or its last one.
+    /// Returns whether a forwarder saw a failure in the current or latest outage of an endpoint.
     pub(crate) fn knows_of_outage(&self, forwarder: ForwarderIndex, endpoint: EndpointIndex) -> bool {
-        self.aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
+        self.forwarders_aware_of_outage.get(&endpoint).is_some_and(|aware| aware.contains(&forwarder))
     }
 
-    /// Whether any forwarder saw a failure in an endpoint's present outage, or its last one.
+    /// Returns whether any forwarder saw a failure in the current or latest outage of an endpoint.
     pub(crate) fn is_outage_known(&self, endpoint: EndpointIndex) -> bool {
-        self.aware_of_outage.get(&endpoint).is_some_and(|aware| !aware.is_empty())
+        self.forwarders_aware_of_outage.get(&endpoint).is_some_and(|aware| !aware.is_empty())
     }
 
-    /// A cold endpoint was overloaded by what it was sent in the overload window. The rule is broken where over two
-    /// thirds of it came from forwarders that had seen the outage.
-    pub fn endpoint_overloaded(
+    /// Checks the work that overloaded a recovering endpoint. Records a violation if more than two thirds of
+    /// the work came from forwarders that had seen the outage.
+    pub fn check_overload(
         &mut self,
         now: Duration,
         endpoint: EndpointIndex,
         received: &[ReceivedWork],
         budget: f64,
     ) {
-        let knew = |work: &&ReceivedWork| self.knows_of_outage(work.sender, endpoint);
+        let sender_is_aware = |work: &&ReceivedWork| self.knows_of_outage(work.sender, endpoint);
         let total = ReceivedWork::total(received);
-        let from_knowing = ReceivedWork::total(received.iter().filter(knew));
-        if from_knowing * 3.0 <= total * 2.0 {
+        let from_aware = ReceivedWork::total(received.iter().filter(sender_is_aware));
+        if from_aware * 3.0 <= total * 2.0 {
             return;
         }
         let violation = Violation {
@@ -74,16 +74,16 @@
             at_s: now.as_secs_f64(),
             forwarder: None,
             message: None,
-            what: format!(
-                "target {} fell over: sent {total:.2} against {budget:.2}, {from_knowing:.2} of it by forwarders that knew",
+            description: format!(
+                "target {} fell over: sent {total:.2} against {budget:.2}, {from_aware:.2} of it by forwarders that knew",
                 endpoint.0
             ),
-            led_by: self.describe_senders(endpoint, received),
+            history: self.describe_senders(endpoint, received),
         };
-        self.keep(violation);
+        self.store_violation(violation);
     }
 
-    /// What each sender sent, those that sent most first.
+    /// Returns a line about the work of each sender, largest first.
     fn describe_senders(&self, endpoint: EndpointIndex, received: &[ReceivedWork]) -> Vec<String> {
         let sent_by = |sender: &ForwarderIndex| {
             ReceivedWork::total(received.iter().filter(|work| work.sender == *sender))
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults start and end.
+//! Start and end of faults.
 
 use reeddock::EndpointState;
 
@@ -10,15 +10,15 @@
 use crate::simulated_endpoint::{OutageCause, SimulatedEndpoint};
 
 impl World<'_> {
-    /// A fault starts, by its place in the scenario.
+    /// Starts the fault with this index in the scenario.
     pub(super) fn start_fault(&mut self, index: usize) {
         let fault = self.fault(index);
-        // A stream of its own: one fault more or less does not change what the others affect.
+        // Each fault has a random stream, so that adding or removing a fault does not change the others.
         let mut random = RandomStream::Fault(index).open(self.seed);
         let selector = fault.endpoint_selector();
-        let struck =
+        let affected =
             selector.map(|selector| self.layout.select_endpoints(selector, &mut random)).unwrap_or_default();
-        for endpoint in &struck {
+        for endpoint in &affected {
             self.endpoints[endpoint.0].active_faults.push(index);
             if fault.is_outage() {
                 self.start_outage(*endpoint);
@@ -26,10 +26,10 @@
         }
         match fault {
             Fault::ConnectionsRefused { .. } => {
-                struck.iter().for_each(|endpoint| self.reset_connections(*endpoint));
+                affected.iter().for_each(|endpoint| self.reset_connections(*endpoint));
             }
-            Fault::Replaced { .. } => self.replace_endpoints(&struck),
-            Fault::Drains { .. } => self.list_endpoints_as(&struck, EndpointState::Draining),
+            Fault::Replaced { .. } => self.replace_endpoints(&affected),
+            Fault::Drains { .. } => self.list_endpoints_as(&affected, EndpointState::Draining),
             Fault::ForwardersKilled { forwarders } => {
                 for forwarder in self.layout.select_forwarders(forwarders) {
                     self.kill_forwarder(forwarder);
@@ -37,24 +37,24 @@
             }
             _ => {}
         }
-        self.active_faults.insert(index, struck);
+        self.active_faults.insert(index, affected);
     }
 
-    /// A fault ends, by its place in the scenario.
+    /// Ends the fault with this index in the scenario.
     pub(super) fn end_fault(&mut self, index: usize) {
-        let Some(struck) = self.active_faults.remove(&index) else { return };
+        let Some(affected) = self.active_faults.remove(&index) else { return };
         let fault = self.fault(index);
-        for endpoint in &struck {
+        for endpoint in &affected {
             self.endpoints[endpoint.0].active_faults.retain(|active| *active != index);
             if fault.is_outage() {
                 self.end_outage(*endpoint, OutageCause::Fault);
             }
         }
         match fault {
-            Fault::Hang { .. } => struck.iter().for_each(|endpoint| self.resume_after_hang(*endpoint)),
+            Fault::Hang { .. } => affected.iter().for_each(|endpoint| self.resume_after_hang(*endpoint)),
             Fault::Drains { .. } => {
-                struck.iter().for_each(|endpoint| self.remove_endpoint(*endpoint));
-                self.list_endpoints_as(&struck, EndpointState::Removed);
+                affected.iter().for_each(|endpoint| self.remove_endpoint(*endpoint));
+                self.list_endpoints_as(&affected, EndpointState::Removed);
             }
             Fault::ListFrozen {} => {
                 for frozen in std::mem::take(&mut self.frozen_list_changes) {
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Gives endpoints a state on the endpoint list.
+    /// Sets the state of endpoints on the endpoint list.
     fn list_endpoints_as(&mut self, endpoints: &[EndpointIndex], state: EndpointState) {
         let changes: Vec<ListChange> =
             endpoints.iter().map(|endpoint| ListChange { endpoint: *endpoint, state }).collect();
         self.change_endpoint_list(&changes);
     }
 
-    /// An endpoint is gone for good.
+    /// Removes an endpoint permanently and resets its connections.
     fn remove_endpoint(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].removed = true;
         self.reset_connections(endpoint);
     }
 
-    /// Other machines answer at these addresses from now on; requests to the old ones are not served.
+    /// Replaces endpoints by new ones with the same plan. Requests to the old endpoints are not served.
     fn replace_endpoints(&mut self, replaced: &[EndpointIndex]) {
         let mut changes = Vec::new();
         for old in replaced {
--- a/crates/simulation/src/world/lifecycle.rs
+++ b/crates/simulation/src/world/lifecycle.rs
@@ -11,14 +11,14 @@
 use crate::invariants::proves_not_executed;
 
 impl World<'_> {
-    /// A forwarder starts: it reads the endpoint list, and restores what its write-ahead log holds.
+    /// Starts a forwarder with the complete endpoint list and the pending messages of its write-ahead log.
     pub(super) fn start_forwarder(&mut self, index: ForwarderIndex) {
         let now = self.now();
         let forwarder = &mut self.forwarders[index.0];
         forwarder.incarnation += 1;
         forwarder.requests_in_flight = 0;
         forwarder.run_scheduled = false;
-        // Seeds of settings are below 2^63, as configuration files have signed numbers.
+        // Seeds in settings are below 2^63 because numbers in configuration files are signed.
         let seed = self.random.forwarders.random::<u64>() >> 1;
         let settings = self.scenario.settings(seed, forwarder.zone);
         let mut commands = CommandBuffer::default();
@@ -30,20 +30,20 @@
         self.deliver(incarnation, ForwarderInput::EndpointList { complete: true, changes });
         for message in pending {
             self.messages[message.0].owner = incarnation;
-            self.invariants.message_restored(now, message);
+            self.invariants.record_restoration(now, message);
             self.schedule_answer_check(message);
             self.deliver(incarnation, ForwarderInput::Restored(message));
         }
     }
 
-    /// All endpoints that are listed now.
+    /// Returns the state of all endpoints that are currently listed.
     pub(super) fn complete_endpoint_list(&self) -> Vec<ListChange> {
         let states = self.listed_states.iter().enumerate();
         let listed = states.filter(|(_, state)| **state != EndpointState::Removed);
         listed.map(|(index, state)| ListChange { endpoint: EndpointIndex(index), state: *state }).collect()
     }
 
-    /// A forwarder is killed, with all that is not in its write-ahead log.
+    /// Kills a forwarder. Messages that are not in its write-ahead log are lost.
     pub(super) fn kill_forwarder(&mut self, index: ForwarderIndex) {
         let write_ahead_log = self.scenario.fleet.write_ahead_log;
         let forwarder = &mut self.forwarders[index.0];
@@ -56,9 +56,9 @@
         let pending = forwarder.pending_messages();
         if !write_ahead_log {
             forwarder.pending.clear();
-            forwarder.open_messages = 0;
+            forwarder.pending_count = 0;
         }
-        self.invariants.forwarder_killed(index, write_ahead_log);
+        self.invariants.record_forwarder_kill(index, write_ahead_log);
         self.abandon_requests_of(index);
         self.forwarders[index.0].requests_in_flight = 0;
         for endpoint in &mut self.endpoints {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Nobody waits any more for the requests that a forwarder has in flight.
+    /// Abandons all requests that a forwarder has in flight.
     fn abandon_requests_of(&mut self, forwarder: ForwarderIndex) {
         let is_awaited = |request: &RequestIndex| {
             let record = &self.requests[request.0];
@@ -85,7 +85,8 @@
         }
     }
 
-    /// A message is lost with its forwarder. Its client submits it again, unless that may have its effect twice.
+    /// Ends a message that was lost with its forwarder. The client submits the message again unless that may
+    /// repeat its effect.
     fn lose_message(&mut self, message: MessageIndex) {
         let record = &mut self.messages[message.0];
         record.finished = true;
@@ -98,7 +99,7 @@
             self.account.ends.lost += 1;
             self.finish_submission(submission);
         } else {
-            self.submission_orphaned(submission);
+            self.schedule_failover(submission);
         }
     }
 }
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -1,4 +1,4 @@
-//! Outages of endpoints, their recovery, and the overload of endpoints that are still cold.
+//! Outages and recovery of endpoints, and overload of endpoints that are still in slow start.
 
 use super::event::Event;
 use super::state::World;
@@ -9,7 +9,7 @@
 use crate::simulated_endpoint::{overload_budget, OutageCause, Overload};
 
 impl World<'_> {
-    /// Whether no endpoint of a destination is up now.
+    /// Returns whether all endpoints of a destination are down or removed.
     pub(super) fn is_destination_down(&self, destination: DestinationIndex) -> bool {
         let endpoints = &self.destinations[destination.0].endpoints;
         endpoints.iter().all(|endpoint| {
@@ -18,18 +18,18 @@
         })
     }
 
-    /// An outage starts; outages of one endpoint may overlap.
+    /// Starts an outage of an endpoint. Outages of one endpoint may overlap.
     pub(super) fn start_outage(&mut self, endpoint: EndpointIndex) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
         state.active_outages += 1;
         if state.active_outages == 1 {
             state.down_since = Some(now);
-            self.invariants.outage_started(endpoint);
+            self.invariants.record_outage_start(endpoint);
         }
     }
 
-    /// An outage ends; the endpoint recovers with its last one.
+    /// Ends an outage of an endpoint. The endpoint recovers when its last outage ends.
     pub(super) fn end_outage(&mut self, endpoint: EndpointIndex, cause: OutageCause) {
         let now = self.now();
         let state = &mut self.endpoints[endpoint.0];
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Work arrives at an endpoint; where it is cold, that may overload it.
+    /// Adds received work to an endpoint. If this overloads a recovering endpoint, an outage starts.
     pub(super) fn receive_work(&mut self, endpoint: EndpointIndex, amount: f64, sender: ForwarderIndex) {
         let now = self.now();
         let settings = &self.scenario.recovery;
@@ -49,7 +49,7 @@
         self.observe_warm_up(endpoint, overload.as_ref());
         let Some(overload) = overload else { return };
         self.account.overloads += 1;
-        self.invariants.endpoint_overloaded(now, endpoint, &overload.received, overload.budget);
+        self.invariants.check_overload(now, endpoint, &overload.received, overload.budget);
         let until = now + settings.overload_outage.0;
         self.endpoints[endpoint.0].overloaded_until = Some(until);
         self.schedule.schedule(until, Event::OverloadEnds(endpoint));
@@ -57,20 +57,20 @@
         self.reset_connections(endpoint);
     }
 
-    /// An endpoint that was overloaded is up again.
+    /// Ends the outage that an overload caused.
     pub(super) fn end_overload(&mut self, endpoint: EndpointIndex) {
         self.endpoints[endpoint.0].overloaded_until = None;
         self.end_outage(endpoint, OutageCause::Overload);
     }
 
-    /// Resets all connections to an endpoint: their senders learn of it, and their requests are lost.
+    /// Resets all connections to an endpoint. The requests on them are lost, and their senders see the reset.
     pub(super) fn reset_connections(&mut self, endpoint: EndpointIndex) {
         for request in self.endpoints[endpoint.0].reset_connections() {
-            self.return_reset(request);
+            self.schedule_connection_reset(request);
         }
     }
 
-    /// Keeps the worst window of an endpoint that warms up.
+    /// Records the overload window of a recovering endpoint if it is the worst of the recovery.
     fn observe_warm_up(&mut self, endpoint: EndpointIndex, overload: Option<&Overload>) {
         if let Some(ramp) = self.worse_window(endpoint, overload) {
             if let Some(last) = self.endpoints[endpoint.0].recoveries.last_mut() {
@@ -79,19 +79,19 @@
         }
     }
 
-    /// The present window of an endpoint that warms up, if it is worse than all before.
+    /// Returns the current overload window of a recovering endpoint if it is worse than all windows before.
     fn worse_window(&self, endpoint: EndpointIndex, overload: Option<&Overload>) -> Option<RecoveryLoad> {
         let now = self.now();
         let state = &self.endpoints[endpoint.0];
         let last = state.recoveries.last()?;
         let window = state.warm_up_window(now, &self.scenario.recovery)?;
-        let knew = |work: &&ReceivedWork| self.invariants.knows_of_outage(work.sender, endpoint);
+        let sender_is_aware = |work: &&ReceivedWork| self.invariants.knows_of_outage(work.sender, endpoint);
         let (sum, known) = match overload {
             Some(overload) => {
                 let received = &overload.received;
-                (ReceivedWork::total(received), ReceivedWork::total(received.iter().filter(knew)))
+                (ReceivedWork::total(received), ReceivedWork::total(received.iter().filter(sender_is_aware)))
             }
-            None => (window.total, ReceivedWork::total(window.received.iter().filter(knew))),
+            None => (window.total, ReceivedWork::total(window.received.iter().filter(sender_is_aware))),
         };
         let budget = overload_budget(window.allowed);
         if !last.is_worse(sum, budget) {
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -1,4 +1,4 @@
-//! The report of a run, made at its end.
+//! The report and the observations at the end of a run.
 
 use super::state::World;
 use crate::account::{Account, Credit, SecondCounts, WATCHED_DESTINATIONS};
@@ -6,12 +6,12 @@
 use crate::observed::Observed;
 use crate::report::{rounded, GroupCredit, Latency, Report, WatchedDestination, WORST_SPAN_SECONDS};
 
-/// Destinations that a report names, those that lost most credit first.
+/// Maximum number of destinations in a report.
 const NAMED_DESTINATIONS: usize = 2 * WATCHED_DESTINATIONS;
-/// Guards the division by the work done, in seconds.
-const MIN_WORK: f64 = 1e-9;
+/// Prevents division by zero work.
+const MIN_WORK_SECONDS: f64 = 1e-9;
 
-fn part(name: String, credit: Credit) -> GroupCredit {
+fn credit_part(name: String, credit: Credit) -> GroupCredit {
     GroupCredit { name, credit_asked: rounded(credit.asked), earned_share: rounded(credit.share()) }
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl World<'_> {
-    /// What only the simulation can see.
+    /// Returns observations of the true state, which no forwarder can make.
     pub(super) fn observed(&self) -> Observed {
         let mut recovery_loads = Vec::new();
         let mut down = self.sent_to_down;
@@ -44,14 +44,14 @@
             let since = endpoint.down_since.unwrap_or(self.scenario.duration.0);
             down.endpoint_seconds += self.scenario.duration.0.saturating_sub(since).as_secs_f64();
         }
-        let credit = self.account.credit_while_down();
+        let credit = self.account.credit_during_outage();
         down.credit_asked = rounded(credit.asked);
         down.credit_earned = rounded(credit.earned);
         down.endpoint_seconds = rounded(down.endpoint_seconds);
         Observed { recovery_loads, outage_traffic: down }
     }
 
-    /// The report of the run.
+    /// Builds the report of the run.
     pub(super) fn report(self) -> Report {
         let (classes, programs) = (self.class_parts(), self.program_parts());
         let (destinations, watched) = (self.worst_destinations(), self.watched_destinations());
@@ -65,7 +65,7 @@
             policy: self.policy_name.to_owned(),
             seed: self.seed,
             credit: rounded(account.total().share()),
-            credit_worst_span: rounded(account.worst_share_over(WORST_SPAN_SECONDS)),
+            credit_worst_span: rounded(account.min_share_over_window(WORST_SPAN_SECONDS)),
             credit_worst_class: classes.iter().map(|class| class.earned_share).fold(1.0, f64::min),
             submissions: submissions as u64,
             messages: self.messages.len() as u64,
@@ -77,7 +77,9 @@
             latency_ms: latency_quantiles(account),
             attempts_per_submission: per_submission(account.attempts.all),
             rejections_per_submission: per_submission(account.attempts.rejected),
-            work_wasted: rounded(1.0 - account.work_useful / account.work_done.max(MIN_WORK)),
+            work_wasted: rounded(
+                1.0 - account.useful_work_seconds / account.work_done_seconds.max(MIN_WORK_SECONDS),
+            ),
             in_flight_used: rounded(
                 account.in_flight_seconds / (max_in_flight * scenario.duration.seconds()),
             ),
@@ -89,7 +91,7 @@
             seconds: account.seconds.iter().map(rounded_second).collect(),
             watched_destinations: watched,
             latency_steps: account.latency_steps(),
-            unfinished_submissions: self.open_submissions,
+            unfinished_submissions: self.unfinished_submissions,
             simulated_s: rounded(self.schedule.now().as_secs_f64()),
             events: self.schedule.scheduled(),
             policy_runs: self.policy_runs,
@@ -98,15 +100,17 @@
 
     fn class_parts(&self) -> Vec<GroupCredit> {
         let classes = self.scenario.classes.iter().enumerate();
-        classes.map(|(index, class)| part(class.name.clone(), self.account.class(index))).collect()
+        classes.map(|(index, class)| credit_part(class.name.clone(), self.account.class(index))).collect()
     }
 
     fn program_parts(&self) -> Vec<GroupCredit> {
         let programs = self.scenario.programs.iter().enumerate();
-        programs.map(|(index, program)| part(program.name.clone(), self.account.program(index))).collect()
+        programs
+            .map(|(index, program)| credit_part(program.name.clone(), self.account.program(index)))
+            .collect()
     }
 
-    /// The destinations that lost most credit, the worst first.
+    /// Returns the credit of the destinations that lost most of it, largest loss first.
     fn worst_destinations(&self) -> Vec<GroupCredit> {
         let lost = |rank: &usize| {
             let credit = self.account.destination(*rank);
@@ -116,7 +120,9 @@
         ranks.sort_by(|a, b| lost(b).total_cmp(&lost(a)).then(a.cmp(b)));
         let named = ranks.into_iter().take(NAMED_DESTINATIONS);
         named
-            .map(|rank| part(format!("{rank} ({})", self.kind_name(rank)), self.account.destination(rank)))
+            .map(|rank| {
+                credit_part(format!("{rank} ({})", self.kind_name(rank)), self.account.destination(rank))
+            })
             .collect()
     }
 
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -1,4 +1,4 @@
-//! Plays a world from its first event to its last.
+//! The event loop from the first event to the last.
 
 use std::time::Duration;
 
@@ -12,37 +12,38 @@
 use crate::report::Report;
 use crate::schedule::ScheduledEvent;
 
-/// From one sample of the capacity to the next.
+/// Interval between two samples of the destinations' capacity.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl World<'_> {
-    /// Plays until every submission has its end.
+    /// Runs the simulation until every submission has an end, and returns its report.
     pub(crate) fn run(mut self) -> Report {
         self.run_events();
         self.report()
     }
 
-    /// Plays until every submission has its end, and gives what only the simulation can see, too.
+    /// Runs the simulation until every submission has an end. Returns its report and observations of the true
+    /// state.
     pub(crate) fn run_observed(mut self) -> ObservedRun {
         self.run_events();
         let observed = self.observed();
         ObservedRun { report: self.report(), observed }
     }
 
-    /// Handles all events up to the end of the run.
+    /// Handles events until the scenario's duration has passed and every submission has an end.
     fn run_events(&mut self) {
-        self.schedule_first_events();
+        self.schedule_initial_events();
         while let Some(ScheduledEvent { at, event }) = self.schedule.pop() {
-            let all_arrived = self.programs_done == self.scenario.programs.len();
-            if all_arrived && self.open_submissions == 0 && at >= self.scenario.duration.0 {
+            let all_arrived = self.finished_programs == self.scenario.programs.len();
+            if all_arrived && self.unfinished_submissions == 0 && at >= self.scenario.duration.0 {
                 break;
             }
-            self.handle(event);
+            self.handle_event(event);
         }
     }
 
-    /// Starts all forwarders, and schedules arrivals, faults and samples.
-    fn schedule_first_events(&mut self) {
+    /// Starts all forwarders, and schedules the first arrivals, the faults and the first capacity sample.
+    fn schedule_initial_events(&mut self) {
         for forwarder in 0..self.forwarders.len() {
             self.start_forwarder(ForwarderIndex(forwarder));
         }
@@ -57,24 +58,23 @@
         self.schedule.schedule(Duration::ZERO, Event::CapacitySample);
     }
 
-    /// Handles one event.
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrival { program } => self.messages_arrive(program),
+            Event::Arrival { program } => self.handle_arrival(program),
             Event::Resubmission(submission) => self.resubmit(submission),
             Event::Withdrawal(message) => self.withdraw(message),
             Event::AnswerDue(message) => self.check_answer(message),
             Event::PolicyRun(forwarder) => self.run_policy(forwarder),
             Event::Input { to, input } => self.deliver(to, input),
             Event::ListChanged { forwarder, changes } => self.deliver_list_changes(forwarder, changes),
-            Event::RequestArrives(request) => self.request_arrives(request),
+            Event::RequestArrives(request) => self.handle_request_arrival(request),
             Event::NotConnected(request) => self.finish_request(request, AttemptOutcome::NoConnection),
             Event::Served { endpoint, incarnation, request } => {
-                self.request_served(endpoint, incarnation, request);
+                self.finish_serving(endpoint, incarnation, request);
             }
             Event::ResponseArrives { request, outcome } => self.finish_request(request, outcome),
             Event::TimedOut(position) => self.stop_waiting(position, AttemptOutcome::TimedOut),
-            Event::HealthCheckArrives { from, endpoint } => self.health_check_arrives(from, endpoint),
+            Event::HealthCheckArrives { from, endpoint } => self.handle_health_check_arrival(from, endpoint),
             Event::FaultStarts(index) => self.start_fault(index),
             Event::FaultEnds(index) => self.end_fault(index),
             Event::OverloadEnds(endpoint) => self.end_overload(endpoint),
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Records what the watched destinations could serve now.
+    /// Records the current capacity of the watched destinations, and schedules the next sample.
     fn sample_capacity(&mut self) {
         let now = self.now();
         let destinations = self.layout.destinations.len();
         for destination in (0..destinations).take(WATCHED_DESTINATIONS).map(DestinationIndex) {
-            let capacity = self.capacity_now(destination);
-            if let Some(load) = self.account.load(destination, now) {
+            let capacity = self.current_capacity_per_s(destination);
+            if let Some(load) = self.account.load_at(destination, now) {
                 load.capacity = capacity;
             }
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Schedules the timer of a forwarder's policy, for its present incarnation only.
+    /// Schedules the policy timer for a forwarder's current incarnation.
     pub(super) fn schedule_timer(&mut self, forwarder: ForwarderIndex, after: Duration) {
         let to = self.incarnation_of(forwarder);
         let at = self.now() + after;
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -1,4 +1,4 @@
-//! How an endpoint executes the requests that it has accepted.
+//! Execution of accepted requests at an endpoint.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::fault::Fault;
 use crate::ids::{EndpointIndex, MessageIndex, RequestIndex};
 
-/// Least interval of pauses, so that a loop over them ends.
+/// Minimum interval between pauses; prevents an endless loop.
 const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl World<'_> {
-    /// A free worker begins to serve a request.
+    /// Starts serving a request with a free worker.
     pub(super) fn begin_serving(&mut self, request: RequestIndex, endpoint: EndpointIndex) {
         let work = self.draw_work(request, endpoint);
         let now = self.now();
@@ -23,16 +23,17 @@
         state.busy_workers += 1;
         state.serving.push(request);
         let incarnation = state.incarnation;
-        self.requests[request.0].work = work;
-        self.requests[request.0].serving_began = true;
-        let served_at = self.with_pauses(endpoint, now, duration_from_seconds(work));
+        self.requests[request.0].work_seconds = work;
+        self.requests[request.0].serving_started = true;
+        let served_at = self.completion_time(endpoint, now, duration_from_seconds(work));
         self.schedule.schedule(served_at, Event::Served { endpoint, incarnation, request });
     }
 
-    /// Draws how much work a request takes at its endpoint now, in seconds.
+    /// Draws the service time of a request at its endpoint, in seconds without pauses.
     fn draw_work(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> f64 {
         let batch = &self.requests[request.0].batch;
-        let work_of = |message: MessageIndex| self.submissions[self.messages[message.0].submission.0].work;
+        let work_of =
+            |message: MessageIndex| self.submissions[self.messages[message.0].submission.0].work_seconds;
         let works: Vec<f64> = batch.iter().map(|entry| work_of(entry.attempt.message)).collect();
         let longest = works.iter().copied().fold(0.0, f64::max);
         let mut work = longest + WORK_PER_EXTRA_MESSAGE * (works.iter().sum::<f64>() - longest);
@@ -40,7 +41,7 @@
         for index in &self.endpoints[endpoint.0].active_faults {
             if let Fault::HeavyTail { share, factor, .. } = self.fault(*index) {
                 let is_long = share.occurs(&mut self.random.service);
-                // Drawn in any case, so that the outcome does not shift what is drawn later.
+                // Always drawn, so that the outcome does not shift later draws.
                 let drawn = factor.draw(&mut self.random.service);
                 if is_long {
                     work *= drawn.max(1.0);
@@ -50,8 +51,8 @@
         work
     }
 
-    /// When work that begins now is done, with the pauses of the endpoint's faults.
-    fn with_pauses(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
+    /// Returns the time at which work that starts now is done, including pauses from faults.
+    fn completion_time(&self, endpoint: EndpointIndex, now: Duration, work: Duration) -> Duration {
         let mut done = now + work;
         for index in &self.endpoints[endpoint.0].active_faults {
             let scheduled = &self.scenario.faults[*index];
@@ -68,8 +69,8 @@
         done
     }
 
-    /// A worker is done with a request.
-    pub(super) fn request_served(
+    /// Finishes a request: applies its effects, sends the response, and serves queued requests.
+    pub(super) fn finish_serving(
         &mut self,
         endpoint: EndpointIndex,
         incarnation: u32,
@@ -84,7 +85,7 @@
         state.serving.retain(|serving| *serving != request);
         self.apply_effects(request);
         let destination = self.destination_of(endpoint);
-        if let Some(load) = self.account.load(destination, now) {
+        if let Some(load) = self.account.load_at(destination, now) {
             load.served += 1;
         }
         if self.hangs(endpoint) {
@@ -95,27 +96,27 @@
         self.serve_queue(endpoint);
     }
 
-    /// Applies and counts the effects of a request's messages.
+    /// Applies and counts the effects of all messages in a request.
     fn apply_effects(&mut self, request: RequestIndex) {
         let now = self.now();
         let record = &self.requests[request.0];
-        self.account.work_done += record.work;
+        self.account.work_done_seconds += record.work_seconds;
         if record.is_awaited() {
-            self.account.work_useful += record.work;
+            self.account.useful_work_seconds += record.work_seconds;
         }
         for entry in &record.batch {
             let message = entry.attempt.message;
             let submission = &mut self.submissions[self.messages[message.0].submission.0];
-            submission.applied += 1;
+            submission.times_applied += 1;
             let idempotency = Idempotency::from(self.scenario.classes[submission.class].idempotency);
-            if submission.applied > 1 && idempotency != Idempotency::NonIdempotent {
+            if submission.times_applied > 1 && idempotency != Idempotency::NonIdempotent {
                 self.account.repeats_applied += 1;
             }
-            self.invariants.effect_applied(now, message);
+            self.invariants.record_effect(now, message);
         }
     }
 
-    /// Responds to a request that was served; a fault may reset its connection instead.
+    /// Responds to a served request. A fault may reset the connection instead.
     fn send_response(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
         let mut is_lost = false;
@@ -128,17 +129,18 @@
         self.respond(request, outcome);
     }
 
-    /// Free workers take requests from the endpoint's queue.
+    /// Starts serving queued requests while workers are free. Dropped requests are discarded.
     fn serve_queue(&mut self, endpoint: EndpointIndex) {
         while self.endpoints[endpoint.0].busy_workers < self.endpoints[endpoint.0].plan.workers {
             let Some(next) = self.endpoints[endpoint.0].queue.pop_front() else { return };
-            if !self.requests[next.0].void {
+            if !self.requests[next.0].dropped {
                 self.begin_serving(next, endpoint);
             }
         }
     }
 
-    /// An endpoint no longer hangs: responses leave first, then the requests that it held are served.
+    /// Sends the delayed responses of an endpoint that no longer hangs, then serves the requests that it
+    /// stored.
     pub(super) fn resume_after_hang(&mut self, endpoint: EndpointIndex) {
         if self.hangs(endpoint) {
             return;
@@ -147,7 +149,7 @@
             self.send_response(request);
         }
         for request in std::mem::take(&mut self.endpoints[endpoint.0].hung_requests) {
-            if !self.requests[request.0].void {
+            if !self.requests[request.0].dropped {
                 self.enqueue(request, endpoint);
             }
         }
