--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -133,7 +133,8 @@
         for n in 0..waiting {
             let endpoint = endpoint_of(self.served + n);
             // The load report, which has no limit, creates the circuit breaker.
-            self.policy.load_reported(endpoint, LoadReport { remaining_share: 1.0, limit_per_second: 0.0 });
+            self.policy
+                .load_reported(endpoint, LoadReport { remaining_limit_share: 1.0, limit_per_second: 0.0 });
             self.policy.retry_after_received(self.now, endpoint, RETRY_AFTER);
         }
         for n in 0..self.size.queued as u64 {
--- a/crates/forwarder/tests/loopback/responses.rs
+++ b/crates/forwarder/tests/loopback/responses.rs
@@ -165,7 +165,10 @@
         );
         let request = request_to(&test_bed.endpoint, "b");
         let result = request_sender(ms(1000)).call(request).await.unwrap();
-        assert_eq!(result.load_report, Some(LoadReport { remaining_share: 0.8, limit_per_second: 50.0 }));
+        assert_eq!(
+            result.load_report,
+            Some(LoadReport { remaining_limit_share: 0.8, limit_per_second: 50.0 })
+        );
         forwarder.kill();
     });
 }
--- a/crates/protocol/tests/responses.rs
+++ b/crates/protocol/tests/responses.rs
@@ -78,14 +78,17 @@
 
 #[test]
 fn load_report_is_parsed_whatever_the_order_of_its_fields_and_with_unknown_fields() {
-    let expected = Some(LoadReport { remaining_share: 0.4, limit_per_second: 25.0 });
+    let expected = Some(LoadReport { remaining_limit_share: 0.4, limit_per_second: 25.0 });
     assert_eq!(load_report("x0=0.4,x1=25"), expected);
     assert_eq!(load_report("other=3, x1=25 ,x0=0.4"), expected);
 }
 
 #[test]
 fn load_report_with_more_left_than_the_limit_is_reduced_to_the_limit() {
-    assert_eq!(load_report("x0=1.5,x1=0"), Some(LoadReport { remaining_share: 1.0, limit_per_second: 0.0 }));
+    assert_eq!(
+        load_report("x0=1.5,x1=0"),
+        Some(LoadReport { remaining_limit_share: 1.0, limit_per_second: 0.0 })
+    );
 }
 
 #[test]
--- a/crates/recorder/src/line/text.rs
+++ b/crates/recorder/src/line/text.rs
@@ -225,7 +225,7 @@
                 write!(
                     to,
                     "reported target={} left={} limit={}",
-                    endpoint.0, report.remaining_share, report.limit_per_second
+                    endpoint.0, report.remaining_limit_share, report.limit_per_second
                 )
             }
             PolicyCall::RetryAfterReceived { now, endpoint, retry_after } => {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -110,7 +110,7 @@
     let values = [json!(25.0), json!(3), json!(0.4)];
     assert_eq!(
         fields.parse_report(&values),
-        Some(LoadReport { remaining_share: 0.4, limit_per_second: 25.0 })
+        Some(LoadReport { remaining_limit_share: 0.4, limit_per_second: 25.0 })
     );
     assert_eq!(fields.parse_report(&values[..2]), None);
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
     /// Unused share of the rate limit, 0 to 1.
-    pub remaining_share: f64,
+    pub remaining_limit_share: f64,
     /// Rate limit in requests per second; 0 if the endpoint has no limit.
     pub limit_per_second: f64,
 }
@@ -16,10 +16,10 @@
     /// Returns a report of the received values, or `None` if one is missing, negative or not finite. A share
     /// above 1 is reduced to 1.
     #[must_use]
-    pub fn new(remaining_share: Option<f64>, limit_per_second: Option<f64>) -> Option<LoadReport> {
+    pub fn new(remaining_limit_share: Option<f64>, limit_per_second: Option<f64>) -> Option<LoadReport> {
         let valid = |value: &f64| value.is_finite() && *value >= 0.0;
         Some(LoadReport {
-            remaining_share: remaining_share.filter(valid)?.min(1.0),
+            remaining_limit_share: remaining_limit_share.filter(valid)?.min(1.0),
             limit_per_second: limit_per_second.filter(valid)?,
         })
     }
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -24,7 +24,7 @@
         let limit = Some(report.limit_per_second).filter(|limit| *limit > 0.0);
         self.endpoints
             .update_usage(&self.endpoints.endpoints_in_scope(scope), |usage| usage.set_limit(limit));
-        self.circuit_mut(scope).set_remaining_limit_share(limit.map(|_| report.remaining_share));
+        self.circuit_mut(scope).set_remaining_limit_share(limit.map(|_| report.remaining_limit_share));
     }
 
     /// Returns this forwarder's long-term rate for an endpoint, in messages a second.
--- a/tests/policy/support/policy_test.rs
+++ b/tests/policy/support/policy_test.rs
@@ -177,7 +177,7 @@
     pub fn report_load(&mut self, endpoint: u32, left: f64, limit: f64) {
         self.policy.load_reported(
             EndpointId(endpoint),
-            LoadReport { remaining_share: left, limit_per_second: limit },
+            LoadReport { remaining_limit_share: left, limit_per_second: limit },
         );
     }
 
