--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -46,13 +46,15 @@
         Some(MessageProgress { attempts: message.attempts(), objective_at: message.objective_at() })
     }
 
-    /// Returns whether the policy keeps a record of an endpoint, which may be removed from the endpoint list.
+    /// Returns whether the policy keeps a record of an endpoint. Records are kept for some time after the
+    /// endpoint is removed from the list.
     #[must_use]
     pub fn keeps_endpoint(&self, endpoint: EndpointId) -> bool {
         self.endpoints().get(endpoint).is_some()
     }
 
-    /// Returns the minimum time between two requests, in seconds, of each circuit breaker in the order of scopes.
+    /// Returns the minimum time between two requests, in seconds, of each circuit breaker in use, in the
+    /// order of their scopes; 0 if requests are not paced.
     pub fn pacing_intervals_seconds(&self) -> impl Iterator<Item = f64> + '_ {
         self.circuits().iter().map(|(_, circuit)| circuit.pacing().interval_seconds())
     }
--- a/src/interface/commands.rs
+++ b/src/interface/commands.rs
@@ -26,17 +26,18 @@
     /// Cancels an attempt; the host stops waiting for its response.
     fn cancel_attempt(&mut self, message: &MessageId, attempt: AttemptNumber);
     /// Gives the final answer that the message was not delivered and can be submitted again safely.
-    /// `retry_after` is the delay that the client is asked for, if any.
+    /// `retry_after` is the Retry-After for the client; `None` if the client is given none.
     fn reject_message(&mut self, message: &MessageId, retry_after: Option<Duration>);
     /// Gives the final answer that the message was not delivered, although it may have been executed.
     fn fail_message(&mut self, message: &MessageId);
-    /// Schedules a call of [`DeliveryPolicy::timer_fired`](crate::DeliveryPolicy::timer_fired) after this span.
+    /// Schedules a call of [`DeliveryPolicy::timer_fired`](crate::DeliveryPolicy::timer_fired) after the
+    /// given time.
     fn set_timer(&mut self, after: Duration);
     /// Starts a health check of an endpoint.
     fn start_health_check(&mut self, endpoint: EndpointId);
     /// Sends gossip to another forwarder, or to all other forwarders if `peer` is `None`.
     fn send_gossip(&mut self, peer: Option<PeerId>, gossip: &[u8]);
-    /// Starts or stops watching the endpoint list.
+    /// Starts watching the endpoint list if `on` is set, and stops watching it otherwise.
     fn watch_endpoint_list(&mut self, on: bool);
     /// Requests the full endpoint list once.
     fn fetch_endpoint_list(&mut self);
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -2,8 +2,8 @@
 
 use super::ids::{DestinationId, EndpointId};
 
-/// Load report of an endpoint, received with a response or a health check. Values are approximate and up to one
-/// second old.
+/// Load report of an endpoint, received with a response or a health check. Values are approximate and up to
+/// one second old.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
     /// Unused share of the rate limit, 0 to 1.
@@ -28,12 +28,13 @@
 /// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedWeights {
-    /// Weights without a defined meaning.
+    /// The weights have no defined meaning and are ignored.
     #[default]
     Unspecified,
-    /// Requests per second that an endpoint accepts, up to 50% too high or too low.
+    /// Each weight is the number of requests per second that the endpoint accepts, up to 50% too high or too
+    /// low.
     ApproximateRates,
-    /// Requests per second that an endpoint accepts in normal operation.
+    /// Each weight is the number of requests per second that the endpoint accepts in normal operation.
     Rates,
 }
 
@@ -56,8 +57,8 @@
     pub destination: DestinationId,
     /// Whether the endpoint accepts new requests.
     pub state: EndpointState,
-    /// Weight with the meaning set by [`Settings::listed_weights`](crate::Settings::listed_weights); `None` if
-    /// not listed.
+    /// Weight with the meaning set by [`Settings::listed_weights`](crate::Settings::listed_weights); `None`
+    /// if not listed.
     pub weight: Option<f64>,
     /// Zone of the endpoint; empty if unknown.
     pub zone: &'a str,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! Events that the policy reports for the operators' log. The host needs no action for them.
+//! Events that the policy reports for the operators' log. No action by the host is required.
 
 use std::fmt::{self, Display, Formatter};
 
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DestinationId(pub u64);
 
-/// Key of messages that are delivered one at a time, in the order of their arrival. Only ordered message classes
-/// use ordering keys.
+/// Key of messages that are delivered one at a time, in the order of their arrival. Only ordered message
+/// classes use ordering keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderingKey(pub u64);
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u32);
 
-/// Number of an HTTP request to an endpoint, which carries one attempt or a batch of attempts. Numbers ascend in
-/// the order in which the policy starts requests.
+/// Number of an HTTP request to an endpoint, which carries one attempt or a batch of attempts. Numbers ascend
+/// in the order in which the policy starts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -2,7 +2,7 @@
 //! commands to the host, and events for the log.
 //!
 //! The policy performs no input or output. The host implements [`PolicyHost`], which carries out the policy's
-//! commands, and reports each occurrence to a [`DeliveryPolicy`](crate::DeliveryPolicy). All times are durations
+//! commands, and reports each event to a [`DeliveryPolicy`](crate::DeliveryPolicy). All times are durations
 //! since a start time that the host chooses.
 
 mod commands;
--- a/src/interface/outcomes.rs
+++ b/src/interface/outcomes.rs
@@ -9,7 +9,8 @@
     Completed,
     /// The endpoint answered with an error; the message may have been executed.
     Error,
-    /// The endpoint rejected the request before execution, for example because of a rate limit or a full queue.
+    /// The endpoint rejected the request before execution, for example because of a rate limit or a full
+    /// queue.
     Rejected {
         /// Retry-After of the response; `None` if the response has none.
         retry_after: Option<Duration>,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of the policy, from which its parameters are derived once at start. Values that the operators do not
-//! set are `None`.
+//! Settings of the policy, from which its parameters are derived once at start. Values that the operators do
+//! not set are `None`.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 /// Decrease of a message's priority weight after its latency objective has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LateDecay {
-    /// Linear decrease from the latency objective to the deadline.
+    /// The weight decreases linearly from the latency objective to the deadline.
     #[default]
     Linear,
     /// The weight halves each time that another latency objective passes.
@@ -47,9 +47,10 @@
     pub name: String,
     /// Whether messages may be executed more than once; treated as non-idempotent if `None`.
     pub idempotency: Option<Idempotency>,
-    /// Time from submission within which a delivery has the full priority weight.
+    /// Time from submission within which a delivery has the full priority weight; the whole time to the
+    /// deadline if `None`.
     pub latency_objective: Option<Duration>,
-    /// Time from submission to the deadline.
+    /// Time from submission to the deadline; 10 s if `None`.
     pub deadline: Option<Duration>,
     /// Weight of a delivery within the latency objective, relative to other classes; 1 if `None`.
     pub priority_weight: Option<f64>,
@@ -64,7 +65,8 @@
 pub struct EndpointKind {
     /// Name of the kind in the endpoint list.
     pub name: String,
-    /// Whether each endpoint has a circuit breaker of its own; otherwise the endpoints of a destination share one.
+    /// Whether each endpoint has a circuit breaker of its own; otherwise the endpoints of a destination share
+    /// one.
     pub circuit_per_endpoint: bool,
     /// Maximum number of messages in one request; 1 if `None`.
     pub max_batch: Option<u64>,
@@ -93,7 +95,7 @@
 pub struct Settings {
     /// Seed of the policy's random numbers; equal seeds give equal numbers.
     pub seed: u64,
-    /// Number of forwarders in the fleet.
+    /// Number of forwarders in the fleet; 1 if `None`.
     pub forwarders: Option<u64>,
     /// Zone of this forwarder.
     pub zone: String,
@@ -107,25 +109,27 @@
     pub over_quota_weight: Option<f64>,
     /// Decrease of the priority weight after the latency objective.
     pub late_decay: LateDecay,
-    /// Maximum number of requests in flight.
+    /// Maximum number of requests that this forwarder has in flight to all destinations together; 2^20 if
+    /// `None`.
     pub max_in_flight: Option<u64>,
-    /// Maximum number of messages without a final answer.
+    /// Maximum number of messages without a final answer at this forwarder; 2^30 if `None`.
     pub max_pending_messages: Option<u64>,
-    /// Maximum number of attempts per message.
+    /// Maximum number of attempts per message; 2^20 if `None`.
     pub max_attempts: Option<u64>,
     /// Whether a message may have two attempts in flight at once.
     pub hedging_allowed: bool,
     /// Maximum Retry-After that clients honor; `None` if rejections carry no Retry-After.
     pub max_retry_after: Option<Duration>,
-    /// Share of its capacity, 0 to 1, that a destination has directly after an outage.
+    /// Share of its capacity, 0 to 1, that a destination has directly after an outage; 0.2 if `None`.
     pub slow_start_floor: Option<f64>,
-    /// Time from the end of an outage until a destination has its full capacity.
+    /// Time from the end of an outage until a destination has its full capacity; 10 s if `None`.
     pub slow_start_duration: Option<Duration>,
-    /// Multiple of its current capacity above which load makes a destination fail during its slow start.
+    /// Multiple of a destination's current capacity above which load makes it fail during its slow start; 2
+    /// if `None`.
     pub overload_multiple: Option<f64>,
-    /// Duration of overload, as defined by `overload_multiple`, after which a destination fails.
+    /// Duration of a load above `overload_multiple` after which a destination fails; 2 s if `None`.
     pub overload_window: Option<Duration>,
-    /// Delay of the next message of an ordering key after an attempt with an unknown outcome.
+    /// Delay of the next message of an ordering key after an attempt with an unknown outcome; zero if `None`.
     pub ordering_hold_off: Option<Duration>,
     /// Maximum time between two polls of the endpoint list; `None` if discovery pushes the list.
     pub max_poll_interval: Option<Duration>,
@@ -133,11 +137,11 @@
     pub listed_weights: ListedWeights,
     /// Whether endpoints with a rate limit send load reports with their responses.
     pub responses_carry_load_reports: bool,
-    /// Time after which an idle connection is closed.
+    /// Time after which an idle connection is closed; zero if `None`.
     pub connection_idle_timeout: Option<Duration>,
-    /// Price of a request to another zone, in price points.
+    /// Additional price of a request to another zone, in price points; 0 if `None`.
     pub cross_zone_price: Option<f64>,
-    /// Price of a new connection, in price points.
+    /// Price of a new connection, in price points; 0 if `None`.
     pub connection_price: Option<f64>,
     /// Prices of requests to endpoints with circuit breakers of their own, by zone.
     pub zone_fees: Vec<ZoneFee>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decides how a forwarder delivers outbound messages to other companies' systems.
 //!
-//! The modules of `src/policy/` make all decisions; `src/state/` and `src/queue/` hold the state. A host program
-//! implements [`PolicyHost`], which carries out the commands of the policy, and reports each occurrence to a
-//! [`DeliveryPolicy`]. Each call passes the current time, as a duration since the start; the policy reads no
-//! clock and no other input.
+//! The modules of `src/policy/` make all decisions; `src/state/` and `src/queue/` hold the state. A host
+//! program implements [`PolicyHost`], which carries out the commands of the policy, and reports each event to
+//! a [`DeliveryPolicy`]. Each call passes the current time, as a duration since the start; the policy reads
+//! no clock and no other input.
 //!
 //! # Hosting the policy
 //!
@@ -11,7 +11,7 @@
 //! use std::time::Duration;
 //! use reeddock::*;
 //!
-//! /// Prints its commands. A production host sends requests and reports their outcomes.
+//! /// Prints the commands of the policy. A production host sends requests and reports their outcomes.
 //! #[derive(Default)]
 //! struct PrintingHost {
 //!     started: Vec<MessageId>,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -14,9 +14,11 @@
     Admit,
     /// A request may be sent, as the trial of a half-open circuit.
     HalfOpenTrial,
-    /// No request before this time or an event of the circuit; with `None`, only an event ends the wait.
+    /// No request may be sent before the given time or an event of the circuit. With `None`, only an event
+    /// ends the wait.
     Wait(Option<Duration>),
-    /// No request before this time at the current rates, which change over time. `None` if the time is unknown.
+    /// No request may be sent before the given time at the current rates, which change over time. `None` if
+    /// the time is unknown.
     Paced(Option<Duration>),
 }
 
@@ -79,13 +81,14 @@
         }
     }
 
-    /// Applies the circuit's own record: Retry-After, pacing, circuit state and recovery ramp.
+    /// Decides whether the circuit admits a request by its Retry-After, pacing, state and recovery ramp,
+    /// without regard to its endpoints.
     fn admit_by_circuit(&self, circuit: &CircuitBreaker, now: Duration) -> Admission {
         if now < circuit.retry_after_until() {
             return Admission::Wait(Some(circuit.retry_after_until()));
         }
-        // Pacing limits the requests to a destination that rejects them. Rejected requests and half-open trials
-        // may count against its rate limit too.
+        // Pacing limits the requests to a destination that rejects them. Rejected requests and half-open
+        // trials may count against its rate limit too.
         let after_last = circuit.last_sent() + duration_from_seconds(circuit.pacing().interval_seconds());
         let paced_until =
             if self.parameters.has_sparse_traffic { circuit.pacing().postponed_until() } else { after_last };
@@ -93,8 +96,8 @@
         if !matches!(admission, Admission::Wait(_)) && now < paced_until {
             return Admission::Wait(Some(paced_until));
         }
-        // Requests sent before the last completion do not count, so that one that hangs cannot hold back the
-        // recovery.
+        // Requests sent before the last completion do not count, so that a request without a response cannot
+        // delay the recovery.
         let unanswered = || circuit.requests_since(circuit.last_completion());
         if admission == Admission::Admit
             && circuit.recovery_request_limit().is_some_and(|max_requests| unanswered() >= max_requests)
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -22,15 +22,16 @@
         let known = self.endpoints.get(endpoint).filter(|_| self.parameters.responses_carry_load_reports);
         let Some(scope) = known.map(|known| self.endpoints.scope_of(endpoint, known)) else { return };
         let limit = Some(report.limit_per_second).filter(|limit| *limit > 0.0);
-        self.endpoints
-            .update_usage(&self.endpoints.endpoints_in_scope(scope), |usage| usage.set_limit(limit));
+        self.endpoints.update_usage(&self.endpoints.endpoints_in_scope(scope), |usage| {
+            usage.set_limit_per_second(limit)
+        });
         self.circuit_mut(scope).set_remaining_limit_share(limit.map(|_| report.remaining_limit_share));
     }
 
     /// Returns this forwarder's long-term rate for an endpoint, in messages a second.
     ///
-    /// The rates of all forwarders add up to no more than the capacity of the destination, however unevenly the
-    /// traffic is spread over them.
+    /// The rates of all forwarders add up to no more than the capacity of the destination, however unevenly
+    /// the traffic is spread over them.
     pub(super) fn baseline_rate(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let Some(destination) = self.endpoints.destination(endpoint.destination) else { return 0.0 };
         let traffic = destination.traffic();
@@ -40,7 +41,7 @@
             .as_secs_f64();
         let endpoints = self.endpoints.active_endpoints(endpoint.destination).count().max(1) as f64;
         let observed_rate = traffic.arrivals() as f64 / elapsed / endpoints;
-        // The listed rate is a lower bound: it is more accurate than a rate observed from few messages.
+        // The listed rate is the minimum, because a rate observed from few messages is inaccurate.
         let endpoints_in_scope = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { endpoints };
         self.listed_rate(endpoint).map_or(observed_rate, |listed_rate| {
             observed_rate.max(listed_rate / self.parameters.forwarders / endpoints_in_scope)
@@ -51,25 +52,26 @@
     /// limited by the reported one. `None` if no rate is listed.
     pub(super) fn listed_rate(&self, endpoint: &Endpoint) -> Option<f64> {
         let listed_rate = endpoint.weight().filter(|_| self.parameters.listed_rate_margin.is_some())?;
-        Some(endpoint.usage().limit().map_or(listed_rate, |limit| listed_rate.min(limit)))
+        Some(endpoint.usage().limit_per_second().map_or(listed_rate, |limit| listed_rate.min(limit)))
     }
 
-    /// Returns whether the listed rate of an endpoint counts requests that carry a batch, and not single
-    /// messages.
+    /// Returns whether the listed rate of an endpoint counts requests with a batch of messages instead of
+    /// single messages.
     pub(super) fn listed_rate_counts_batches(&self, endpoint: &Endpoint) -> bool {
         self.endpoints.has_own_circuit(endpoint)
             && self.endpoints.max_batch(endpoint) > 1
             && self.listed_rate(endpoint).is_some()
     }
 
-    /// Returns this forwarder's share, in requests a second, of what an endpoint's circuit accepts.
+    /// Returns this forwarder's share, in requests a second, of the rate that the endpoints of a circuit
+    /// accept.
     pub(super) fn fair_share(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let endpoints = self.endpoints.active_endpoints(endpoint.destination).count().max(1) as f64;
         let endpoints_in_scope = if self.endpoints.has_own_circuit(endpoint) { 1.0 } else { endpoints };
         let baseline_rate_in_scope = self.baseline_rate(endpoint, now) * endpoints_in_scope;
-        // If most other forwarders are down, the share grows with the traffic that moves to this one. The
-        // message that is being sent is not counted.
-        let span = self.recent_span();
+        // If most other forwarders are down, the share grows with the traffic that moves to this forwarder.
+        // The message to be sent is not counted.
+        let span = self.recent_traffic_span();
         let destination = self.endpoints.destination(endpoint.destination);
         let recent_messages =
             destination.map_or(0.0, |d| (d.traffic().recent_arrivals(now, span) - 1.0).max(0.0));
@@ -86,8 +88,8 @@
         fair_share.max(MIN_FAIR_SHARE)
     }
 
-    /// Returns the span over which arrivals count as recent.
-    pub(super) fn recent_span(&self) -> Duration {
+    /// Returns the length of the period, up to now, whose submitted messages count as recent traffic.
+    pub(super) fn recent_traffic_span(&self) -> Duration {
         self.parameters.slow_start_duration / 2
     }
 }
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -10,14 +10,15 @@
 const MAX_FAILURES_KEPT: usize = 5;
 /// Number of failures within the window that opens a circuit.
 const FAILURE_THRESHOLD: usize = 3;
-/// Added to the lifetime of a record, so that clocks read at different moments cannot end it early.
+/// Margin added to the retention times of circuit failures and removed endpoints. Prevents an early removal
+/// if the times that the host reports differ slightly.
 pub(super) const RECORD_EXPIRY_MARGIN: Duration = Duration::from_secs(5);
 
 impl CircuitBreaker {
-    /// Returns whether the circuit admits a request, and changes nothing.
+    /// Returns whether the circuit admits a request, without a change of its state.
     ///
-    /// [`CircuitBreaker::reopen`] is called when the trial is sent, so that a trial without a message to carry
-    /// does not postpone the next one.
+    /// [`CircuitBreaker::reopen`] is called only when a trial is sent, so that a destination without a
+    /// message for the trial does not have to wait for the next one.
     pub(super) fn admission(&self, now: Duration) -> Admission {
         match self.state(now) {
             CircuitState::Closed => Admission::Admit,
@@ -51,7 +52,8 @@
     /// Closes the circuit and removes its failures.
     pub(super) fn record_success(&mut self, now: Duration) {
         if !self.is_closed() {
-            // The recovery ramp limits the requests in flight to one at first, and doubles with each success.
+            // The recovery ramp allows one request in flight at first, and doubles the number with each
+            // success.
             self.set_recovery_request_limit(Some(1));
         } else if let Some(requests) = self.recovery_request_limit() {
             self.set_recovery_request_limit(Some(requests.saturating_mul(2)));
@@ -59,8 +61,8 @@
         self.close(now);
     }
 
-    /// Resets a record that no longer affects a decision, because the failure window and the open period have
-    /// ended.
+    /// Closes the circuit and removes its failures once the failure window and the open period have ended,
+    /// because they no longer affect a decision.
     pub(super) fn expire_if_stale(&mut self, now: Duration, parameters: &PolicyParameters) {
         let relevant_until =
             self.open_until().unwrap_or_default().max(self.changed_at() + parameters.failure_window);
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -26,14 +26,14 @@
         self.endpoints.finish_list(|destination| queue.mark_changed(destination))
     }
 
-    /// Aborts an endpoint list that ended early. The entries received so far stay in effect, and no endpoint is
-    /// removed.
+    /// Aborts an endpoint list that ended early. The entries received so far stay in effect, and no endpoint
+    /// is removed.
     pub fn abort_endpoint_list(&mut self) {
         self.endpoints.abort_list();
     }
 
-    /// Returns whether the endpoint list has named a destination; true for all destinations while it has named
-    /// no endpoint.
+    /// Returns whether the endpoint list has named a destination; true for all destinations while it has
+    /// named no endpoint.
     #[must_use]
     pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.endpoints.knows_destination(destination)
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -9,8 +9,8 @@
 use crate::message_key::MessageKey;
 use crate::state::{AdmittedEndpoint, CircuitBreaker, Endpoint, Message};
 
-/// Maximum number of consecutive failures that counts in the selection of an endpoint.
-const MAX_COUNTED_FAILURES: u32 = 3;
+/// Number of consecutive failures beyond which further failures do not affect the selection of an endpoint.
+const MAX_FAILURES_COMPARED: u32 = 3;
 /// Maximum backoff of a failing endpoint, in recovery delays.
 const MAX_BACKOFF_RECOVERY_DELAYS: u32 = 4;
 /// Number of steps per price point in which prices are compared.
@@ -18,37 +18,38 @@
 /// Minimum mean response time, in seconds, that others are compared with; prevents a division by zero.
 const MIN_MEAN_LATENCY_SECONDS: f64 = 0.001;
 
-/// Sort key of endpoints for the next request. The endpoint with the lowest key is chosen; fields are compared
-/// in their order.
+/// Sort key of endpoints for the next request. The endpoint with the lowest key is chosen; fields are
+/// compared in their order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EndpointSelectionKey {
     consecutive_failures: u32,
     /// Binary logarithm, rounded down, of the circuit's mean response time divided by that of all requests.
     slowness: u64,
-    /// In millionths of a price point.
+    /// Price of the request, in millionths of a price point.
     price: u64,
     requests_in_flight: u32,
 }
 
 impl DeliveryPolicy {
-    /// Returns whether the endpoint may get the message, by the endpoint's state, the idempotency key, the
-    /// shutdown and the retry budget.
-    pub(super) fn may_attempt(&self, key: MessageKey, to: &AdmittedEndpoint, now: Duration) -> bool {
+    /// Returns whether the message may be sent to the endpoint, given the endpoint's state, the idempotency
+    /// key, a shutdown and the retry budget.
+    pub(super) fn may_attempt(&self, key: MessageKey, admitted: &AdmittedEndpoint, now: Duration) -> bool {
         let message = &self.messages[key];
-        let endpoint = &self.endpoints[to.endpoint];
+        let endpoint = &self.endpoints[admitted.endpoint];
         if endpoint.state != EndpointState::Active || endpoint.destination != message.destination {
             return false;
         }
-        if self.may_lack_idempotency_key(message, to.endpoint, endpoint)
-            || now >= self.latest_start(message, to.scope)
+        if self.may_lack_idempotency_key(message, admitted.endpoint, endpoint)
+            || now >= self.latest_start(message, admitted.scope)
         {
             return false;
         }
         self.may_retry(message, endpoint, now)
     }
 
-    /// Returns whether the endpoint may not recognize the idempotency key of a message that may have been
-    /// executed: keys are shared within a zone only, and that attempt went to another zone.
+    /// Returns whether the idempotency key of a possibly executed message can be unknown to the endpoint:
+    /// keys are shared only within a zone, and the attempt that may have executed the message went to another
+    /// zone.
     fn may_lack_idempotency_key(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
         let by_zone = matches!(
             self.idempotency(message),
@@ -69,8 +70,8 @@
             .max(1.0)
     }
 
-    /// Returns the price points of a request to the endpoint: the fee of its zone, a zone crossing and a new
-    /// connection.
+    /// Returns the price, in price points, of a request to the endpoint: the sum of the fee of its zone, the
+    /// price of a zone crossing and the price of a new connection.
     fn price(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let parameters = &self.parameters;
         let zone = self.endpoints.zone_name(endpoint);
@@ -91,7 +92,8 @@
 
     /// Excludes endpoints that are in backoff after failures of this class, unless all are.
     ///
-    /// Handles an endpoint that fails, or fails one class, while other completions keep the circuit closed.
+    /// Avoids an endpoint that fails all messages, or those of one class, while other completions keep the
+    /// circuit closed.
     pub(super) fn exclude_failing_endpoints(
         &self,
         eligible: &mut Vec<AdmittedEndpoint>,
@@ -144,7 +146,7 @@
         let endpoint = &self.endpoints[candidate.endpoint];
         let circuit = self.circuits.get(candidate.scope);
         EndpointSelectionKey {
-            consecutive_failures: endpoint.consecutive_failures(class).min(MAX_COUNTED_FAILURES),
+            consecutive_failures: endpoint.consecutive_failures(class).min(MAX_FAILURES_COMPARED),
             slowness: self.slowness(circuit).log2() as u64,
             price: (self.price(endpoint, now) * PRICE_STEPS) as u64,
             requests_in_flight: endpoint.usage().requests_in_flight(),
--- a/src/policy/eviction.rs
+++ b/src/policy/eviction.rs
@@ -10,13 +10,13 @@
 /// Number of steps per unit of priority weight in which priorities are compared.
 const PRIORITY_STEPS: f64 = 1e6;
 
-/// Sort key of messages for eviction. The message with the lowest key is evicted; fields are compared in their
-/// order.
+/// Sort key of messages for eviction. The message with the lowest key is evicted; fields are compared in
+/// their order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
     /// Current priority weight, in millionths.
     priority: u64,
-    /// Whether the message may still meet its latency objective.
+    /// Whether the latency objective has not passed yet.
     on_time: bool,
     order: EvictionOrder,
     message: MessageKey,
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -11,7 +11,8 @@
 const MIN_RESPONSE_TIME: Duration = Duration::from_millis(10);
 
 impl DeliveryPolicy {
-    /// Returns whether a message may not be sent again, whatever the state of its destination.
+    /// Returns whether every further attempt is ruled out, whatever the state of the destination: the
+    /// attempts or the time are used up, or a non-idempotent message may have been executed.
     pub(super) fn cannot_be_sent(&self, key: MessageKey, now: Duration) -> bool {
         let Some(message) = self.messages.get(key) else { return true };
         message.attempts() >= self.parameters.max_attempts
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,10 @@
 //! The delivery policy, which makes all delivery decisions.
 //!
-//! A host creates one [`DeliveryPolicy`] for each instance with [`DeliveryPolicy::new`] and reports each event
-//! ([`DeliveryPolicy::submit`], [`DeliveryPolicy::attempt_finished`], [`DeliveryPolicy::update_endpoint`], ...).
-//! Once all events of a moment are reported, the host calls [`DeliveryPolicy::run_due_work`]. The policy sends its
-//! decisions as commands to a [`PolicyHost`]. The records that decisions depend on are in
-//! [`state`](crate::state).
+//! A host creates one [`DeliveryPolicy`] for each instance with [`DeliveryPolicy::new`] and reports each
+//! event ([`DeliveryPolicy::submit`], [`DeliveryPolicy::attempt_finished`],
+//! [`DeliveryPolicy::update_endpoint`], ...). Once all events of a moment are reported, the host calls
+//! [`DeliveryPolicy::run_due_work`]. The policy sends its decisions as commands to a [`PolicyHost`]. The
+//! records that decisions depend on are in [`state`](crate::state).
 //!
 //! The modules, in the order in which a request passes them:
 //!
@@ -67,25 +67,25 @@
     queue: MessageQueue,
     /// Attempts and requests without an outcome.
     in_flight: AttemptsInFlight,
-    /// Endpoints and destinations, as the endpoint list names them.
+    /// Endpoints and destinations that the endpoint list has named.
     endpoints: EndpointDirectory,
     /// Circuit breakers in use.
     circuits: CircuitTable,
     /// Messages of ordered classes, by ordering key.
     ordering_queues: OrderingQueues,
-    /// The remaining quota of each tenant.
-    tenant_accounts: TenantTokenBuckets,
+    /// Remaining quota of each tenant.
+    tenant_token_buckets: TenantTokenBuckets,
     response_times: ResponseTimes,
-    /// When the endpoint list is polled again after a failure.
+    /// Next poll of the endpoint list after a failure, and its backoff.
     poll_schedule: PollSchedule,
-    /// Numbers messages and requests in order of creation.
+    /// Numbers of messages and requests, in the order of their creation.
     sequence_numbers: Sequence,
-    /// Numbers the entries of the queue.
+    /// Numbers of queue entries, in the order of their creation.
     queue_entry_numbers: Sequence,
     timer: PolicyTimer,
-    /// No event is reported before this time.
+    /// Time before which no event is reported.
     next_report_at: Duration,
-    /// When the program stops; `None` before a shutdown begins.
+    /// Time at which the program stops; `None` before a shutdown begins.
     shutdown_deadline: Option<Duration>,
 }
 
@@ -106,7 +106,7 @@
             endpoints: EndpointDirectory::new(kinds.into_iter().map(EndpointKindParameters::from).collect()),
             circuits: CircuitTable::default(),
             ordering_queues: OrderingQueues::default(),
-            tenant_accounts: TenantTokenBuckets::new(parameters.tenants.len(), now),
+            tenant_token_buckets: TenantTokenBuckets::new(parameters.tenants.len(), now),
             response_times: ResponseTimes::default(),
             poll_schedule: PollSchedule::default(),
             sequence_numbers: Sequence::default(),
@@ -135,8 +135,8 @@
         self.in_flight.attempt(&key).map(|attempt| attempt.endpoint)
     }
 
-    /// Reports that the response to an attempt has begun. The policy takes no action, because no other attempt
-    /// of the message is in flight that could be cancelled.
+    /// Reports that the response to an attempt has begun. The policy takes no action, because no other
+    /// attempt of the message is in flight that could be cancelled.
     pub fn response_started(
         &mut self,
         _now: Duration,
@@ -152,12 +152,12 @@
     /// Reports gossip from another forwarder. The policy sends none and takes no action.
     pub fn gossip_received(&mut self, _now: Duration, _from: PeerId, _gossip: &[u8]) {}
 
-    /// Messages without a final answer.
+    /// Returns the messages without a final answer.
     pub(crate) fn messages(&self) -> &MessageTable {
         &self.messages
     }
 
-    /// Endpoints and destinations, with those that were removed recently.
+    /// Returns the endpoints and destinations, including endpoints that were removed recently.
     pub(crate) fn endpoints(&self) -> &EndpointDirectory {
         &self.endpoints
     }
@@ -177,8 +177,7 @@
         }
     }
 
-    /// Returns the circuit breaker of a scope for a change, inserted if there is none, and wakes its
-    /// destination.
+    /// Returns the circuit breaker of a scope, which is created if absent, and wakes its destination.
     fn circuit_mut(&mut self, scope: CircuitScope) -> &mut CircuitBreaker {
         self.wake_destination_of(scope);
         self.circuits.get_or_insert(scope)
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -8,7 +8,7 @@
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
-/// A circuit pauses for the recovery delay divided by this after an attempt that was not sent.
+/// Divisor of the recovery delay that gives the pause of a circuit after an attempt that was not sent.
 const NOT_SENT_PAUSE_DIVISOR: u32 = 4;
 /// Minimum time between two reported circuit events.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Removes an ended attempt from all records of what is in flight.
+    /// Removes an ended attempt from all records of attempts and requests in flight.
     fn end_attempt(&mut self, key: &AttemptKey) -> Option<EndedAttempt> {
         let ended = self.in_flight.end_attempt(key)?;
         let attempt = &ended.attempt;
@@ -67,8 +67,8 @@
         Some(ended)
     }
 
-    /// Counts an error response to a message, and returns whether the message and not the endpoint is at fault:
-    /// from its second error on.
+    /// Counts an error response to a message. Returns whether the error is attributed to the message instead
+    /// of the endpoint, which applies from the second error on.
     ///
     /// Prevents a message that always gets an error from keeping a circuit open.
     fn record_message_error(&mut self, attempt: &Attempt, outcome: AttemptOutcome) -> bool {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Updates the circuit and the endpoint by one outcome.
+    /// Updates the circuit and the endpoint after a request ended with the given outcome.
     fn record_outcome(&mut self, attempt: &Attempt, now: Duration, outcome: AttemptOutcome) {
         let Some(usage) = self.endpoints.usage_mut(attempt.endpoint) else { return };
         let got_response = matches!(
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Queues a message again after an attempt without a final answer, or finishes it if it may not be sent
-    /// again.
+    /// Queues a message again after an attempt without a final answer, or finishes the message if every
+    /// further attempt is ruled out.
     fn requeue_or_finish(
         &mut self,
         attempt: &Attempt,
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -7,29 +7,31 @@
 use crate::interface::CircuitScope;
 use crate::state::{Endpoint, Pacing, MIN_TIMER};
 
-/// Factors by which the pacing interval grows with each rejection and shrinks with each completion.
+/// Factor by which the pacing interval grows with each rejection.
 pub(super) const PACING_GROWTH: f64 = 1.6;
+/// Factor by which the pacing interval shrinks with each completion.
 const PACING_SHRINK: f64 = 0.93;
-/// Factor by which the pacing interval shrinks with each completion under sparse traffic, where completions are
-/// rare.
+/// Factor by which the pacing interval shrinks with each completion under sparse traffic, where completions
+/// are rare.
 const SPARSE_PACING_SHRINK: f64 = 0.75;
-/// Factor by which an approximate listed rate may exceed the true rate. The first interval after a rejection is
-/// the interval at this forwarder's share of a listed rate times this factor.
+/// Factor by which an approximate listed rate may exceed the true rate. The first pacing interval
+/// after a rejection is this factor times the interval at this forwarder's share of the listed rate.
 pub(super) const APPROXIMATE_RATE_MARGIN: f64 = 1.5;
-/// Length of a time slot, as a multiple of the interval at this forwarder's share of the listed rate. Below 1,
-/// because some slots stay unused.
+/// Length of a time slot, as a multiple of the interval at this forwarder's share of the listed rate. Below
+/// 1, because some slots stay unused.
 const TIME_SLOT_INTERVAL_FACTOR: f64 = 0.8;
-/// Share of a time slot in which its request may begin, and the minimum length of that part in seconds. A host
-/// that runs due work at coarse intervals would miss shorter ones.
+/// Share of a time slot, from its start, in which its request may begin.
 const TIME_SLOT_OPEN_SHARE: f64 = 0.3;
+/// Minimum time from the start of a time slot in which its request may begin. A host that runs due work at
+/// coarse intervals would miss a shorter time.
 const TIME_SLOT_OPEN_MIN_SECONDS: f64 = 0.1;
 
 impl DeliveryPolicy {
-    /// Returns when this forwarder's next time slot at the endpoint begins; `None` if a request may be sent
-    /// now.
+    /// Returns the time at which this forwarder's next time slot at the endpoint begins; `None` if a request
+    /// may be sent now.
     ///
-    /// Prevents a burst that reaches many forwarders at once from exceeding the rate limit of an endpoint. Time
-    /// slots apply to endpoints with a listed rate whose responses report no limit. Each slot admits one
+    /// Prevents a burst that reaches many forwarders at once from exceeding the rate limit of an endpoint.
+    /// Time slots apply to endpoints with a listed rate whose responses report no limit. Each slot admits one
     /// request, phases are random, and unused slots are not saved.
     pub(super) fn next_time_slot(
         &self,
@@ -67,8 +69,8 @@
 }
 
 impl Pacing {
-    /// Shrinks the pacing interval after a completed attempt. `remaining_limit_share` is the share of the rate limit that
-    /// is left; `None` if it is not known.
+    /// Shrinks the pacing interval after a completed attempt. `remaining_limit_share` is the share of the
+    /// rate limit that is left; `None` if it is not known.
     pub(super) fn shrink(&mut self, remaining_limit_share: Option<f64>, has_sparse_traffic: bool) {
         let shrink = if has_sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
         // The interval shrinks slowly while little is left of the limit, which rejected requests use up too.
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -11,22 +11,31 @@
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 /// Shortest latency objective if the settings have no class.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(2);
-/// Assumed warm-up of a destination if the settings do not describe it, and the minimum values that budgets are
-/// derived from.
+/// Share of its capacity that a destination has directly after an outage, unless the settings define the
+/// share.
 const DEFAULT_SLOW_START_FLOOR: f64 = 0.2;
+/// Minimum slow start floor; prevents a slow start budget of zero.
 const MIN_SLOW_START_FLOOR: f64 = 0.01;
+/// Time from the end of an outage to full capacity, unless the settings define the time.
 const DEFAULT_SLOW_START_DURATION: Duration = Duration::from_secs(10);
+/// Multiple of its current capacity at which a destination fails, unless the settings define the multiple.
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 2.0;
+/// Minimum multiple of its current capacity at which a destination fails; prevents a slow start budget of
+/// zero.
 const MIN_OVERLOAD_MULTIPLE: f64 = 0.1;
+/// Duration of overload after which a destination fails, unless the settings define the duration.
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 /// Minimum recovery delay, for classes with a very short latency objective.
 const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(50);
 /// Length of the failure window, in recovery delays.
 const FAILURE_WINDOW_RECOVERY_DELAYS: u32 = 10;
-/// Upper limits; greater values in the settings are reduced to these.
+/// Greatest effective value of the setting `max_in_flight`; greater values are reduced to this limit.
 const MAX_REQUESTS_IN_FLIGHT: u64 = 1 << 20;
-const MAX_CAPACITY: u64 = 1 << 30;
+/// Greatest effective value of the setting `max_pending_messages`; greater values are reduced to this limit.
+const MAX_PENDING_MESSAGES: u64 = 1 << 30;
+/// Greatest effective value of the setting `max_attempts`; greater values are reduced to this limit.
 const MAX_ATTEMPTS: u64 = 1 << 20;
+/// Greatest effective value of the setting `max_batch`; greater values are reduced to this limit.
 const MAX_BATCH: u64 = 1000;
 
 impl From<Settings> for PolicyParameters {
@@ -34,7 +43,8 @@
         let classes: Vec<_> = settings.classes.into_iter().map(ClassParameters::from).collect();
         let shortest_objective =
             classes.iter().map(|c| c.latency_objective).min().unwrap_or(DEFAULT_OBJECTIVE);
-        // A trial that succeeds within half the shortest objective still lets a queued message meet it.
+        // After a trial that succeeds within half the shortest objective, a queued message can still meet its
+        // objective.
         let recovery_delay = (shortest_objective / 2).max(MIN_RECOVERY_DELAY);
         let forwarders = settings.forwarders.unwrap_or(1);
         let max_in_flight = settings.max_in_flight.unwrap_or(u64::MAX);
@@ -47,8 +57,10 @@
             initial_retry_tokens: initial_retry_tokens(forwarders.max(1) as f64),
             has_sparse_traffic: forwarders > max_in_flight,
             max_in_flight: max_in_flight.min(MAX_REQUESTS_IN_FLIGHT) as usize,
-            max_pending_messages: settings.max_pending_messages.unwrap_or(u64::MAX).clamp(2, MAX_CAPACITY)
-                as usize,
+            max_pending_messages: settings
+                .max_pending_messages
+                .unwrap_or(u64::MAX)
+                .clamp(2, MAX_PENDING_MESSAGES) as usize,
             hedging_allowed: settings.hedging_allowed,
             max_attempts: settings.max_attempts.unwrap_or(u64::MAX).min(MAX_ATTEMPTS) as u32,
             max_retry_after: settings.max_retry_after,
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -25,7 +25,7 @@
         if let Some(ordering_key) = ordering_key {
             self.ordering_queues.push(ordering_key, arrival_number, key);
         }
-        let span = self.recent_span();
+        let span = self.recent_traffic_span();
         self.endpoints.traffic_mut(destination).record_arrival(now, span);
         self.enqueue(key);
     }
@@ -71,7 +71,7 @@
         Some(entry.number)
     }
 
-    /// Updates the queue position of a message that has changed; a message that is not queued stays so.
+    /// Updates the queue position of a message that has changed. A message that is not queued is ignored.
     pub(super) fn requeue(&mut self, key: MessageKey) {
         if let Some(number) = self.dequeue(key) {
             self.insert_into_queue(key, number);
@@ -89,7 +89,8 @@
         self.check_indices();
     }
 
-    /// Compares all indices with full scans: always while few messages are pending, otherwise now and then.
+    /// Compares all indices with full scans: on each call while few messages are pending, otherwise on a part
+    /// of the calls.
     #[cfg(debug_assertions)]
     fn check_indices(&self) {
         const MAX_MESSAGES_ALWAYS_CHECKED: usize = 64;
@@ -106,7 +107,12 @@
         self.queue.assert_consistent(queued);
         for (_, message) in self.messages.iter() {
             if let Some(entry) = message.queue_entry() {
-                assert_eq!(entry.position, self.queue_position(message), "position of {:?}", message.id);
+                assert_eq!(
+                    entry.position,
+                    self.queue_position(message),
+                    "queue position of {:?} is out of date",
+                    message.id
+                );
                 assert!(message.in_flight().is_empty(), "{:?} is queued and in flight", message.id);
             }
         }
@@ -115,7 +121,10 @@
             let requests: BTreeSet<RequestId> =
                 attempts.filter(|attempt| attempt.scope == scope).map(|attempt| attempt.request).collect();
             let recorded = circuit.in_flight().iter().map(|request| &request.id);
-            assert!(requests.iter().eq(recorded), "requests in flight to {scope:?}");
+            assert!(
+                requests.iter().eq(recorded),
+                "requests in flight to {scope:?} differ from those of its circuit breaker"
+            );
         }
     }
 
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -6,7 +6,7 @@
 /// Two random number generators that are seeded from the settings.
 pub(super) struct RandomSources {
     general: Pcg32,
-    /// Draws the order of classes only, so that no other draw depends on what is queued.
+    /// Draws only the order of classes, so that no other draw depends on the queued messages.
     class_order: Pcg32,
 }
 
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -6,18 +6,18 @@
 use super::DeliveryPolicy;
 use crate::interface::{CircuitScope, DestinationId, EndpointId};
 
-/// A circuit is removed once it was unused for the longest deadline times this factor.
+/// Time for which an unused circuit is kept, as a multiple of the longest deadline.
 const IDLE_RETENTION_FACTOR: u32 = 10;
-/// Maximum number of endpoints whose records one run removes, so that a list that drops many does not delay the
-/// run.
+/// Maximum number of endpoints whose records one run removes, so that the removal of many endpoints does
+/// not delay the run.
 const MAX_ENDPOINTS_REMOVED_PER_RUN: usize = 1_000;
 
 impl DeliveryPolicy {
-    /// Returns the endpoints whose records were removed since the last call. A host needs no record of them
-    /// either.
+    /// Returns the endpoints whose records were removed since the last call. The host can remove its own
+    /// records of these endpoints.
     #[must_use]
     pub fn take_removed_endpoints(&mut self) -> Vec<EndpointId> {
-        self.endpoints.take_forgotten()
+        self.endpoints.take_deleted()
     }
 
     /// Removes the records of removed endpoints, idle circuits and idle ordering keys.
@@ -33,13 +33,13 @@
     /// Limits memory use where endpoints are replaced continuously.
     fn remove_expired_endpoints(&mut self, now: Duration, retention: Duration) {
         for id in self.endpoints.expired_endpoints(now, retention, MAX_ENDPOINTS_REMOVED_PER_RUN) {
-            let Some(destination) = self.endpoints.forget_endpoint(id) else { continue };
+            let Some(destination) = self.endpoints.delete_endpoint(id) else { continue };
             self.circuits.remove(CircuitScope::Endpoint(id));
             self.queue.mark_changed(destination);
             if self.endpoints.is_without_endpoints(destination)
                 && self.queue.destination_queue(destination).is_none()
             {
-                self.endpoints.forget_destination(destination);
+                self.endpoints.delete_destination(destination);
                 self.circuits.remove(CircuitScope::Destination(destination));
             }
         }
@@ -60,7 +60,7 @@
             }
             self.circuits.remove(scope);
             for id in self.endpoints.endpoints_in_scope(scope) {
-                self.endpoints.forget_idle_usage(id);
+                self.endpoints.remove_idle_usage(id);
             }
         }
     }
@@ -83,7 +83,7 @@
                 circuit.expire_if_stale(now, &self.parameters);
             }
             if let Some(usage) = self.endpoints.existing_usage_mut(id) {
-                usage.forget_stale(now, load_retention, fault_retention);
+                usage.remove_stale(now, load_retention, fault_retention);
             }
         }
     }
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -8,20 +8,21 @@
 use crate::interface::EndpointId;
 use crate::state::{Attempt, CircuitBreaker, Pacing, PolicyParameters};
 
-/// Factor by which the pacing interval grows with a rejection that no rate limit explains: by a full queue, or
-/// by a destination that is down and will have to warm up.
+/// Factor by which the pacing interval grows with a rejection that is not caused by a rate limit, but by a
+/// full queue or an outage.
 const UNEXPLAINED_REJECTION_GROWTH: f64 = 4.0;
-/// A rejection is attributed to a rate limit if less than this share of the limit was left. Load reports may be
-/// up to a second old.
+/// A rejection is attributed to a rate limit if less than this share of the limit was left. Load reports may
+/// be up to a second old.
 const LIMIT_USED_UP_THRESHOLD: f64 = 0.5;
-/// First pacing interval, as a multiple of the mean interval between this forwarder's requests to the circuit.
+/// First pacing interval, as a multiple of the mean interval between this forwarder's requests to the
+/// circuit.
 const FIRST_INTERVAL_FACTOR: f64 = 0.5;
-/// Maximum pacing interval in a large fleet, as a multiple of the interval at this forwarder's share.
+/// Maximum pacing interval in a large fleet, as a multiple of the interval at this forwarder's fair share.
 const MAX_PACING_INTERVAL_FACTOR: f64 = 8.0;
 
-/// The load on a circuit when it rejected a request.
+/// Load on the destination of a circuit when a request was rejected.
 struct LoadAtRejection {
-    /// The endpoints that share the circuit.
+    /// Endpoints that share the circuit.
     in_scope: Vec<EndpointId>,
     recovery_delay: Duration,
     /// Long-term rate, in requests a second.
@@ -33,7 +34,7 @@
 }
 
 impl DeliveryPolicy {
-    /// Updates the circuit and its endpoints by a rejection.
+    /// Updates the circuit and its endpoints after a rejection.
     pub(super) fn record_rejection(
         &mut self,
         attempt: &Attempt,
@@ -55,8 +56,8 @@
             let jitter = self.random.draw_jitter();
             pacing.postpone(now + wait + duration_from_seconds(jitter * pacing.interval_seconds()));
         }
-        // A short Retry-After indicates a rate limit and no outage: the destination has capacity when the wait
-        // ends.
+        // A short Retry-After indicates a rate limit and no outage: the destination has capacity when the
+        // wait ends.
         let is_rate_limited = parameters.has_sparse_traffic
             && (limit_used_up || !wait.is_zero())
             && wait < parameters.overload_window;
@@ -68,8 +69,8 @@
         );
         let is_outage = circuit.shows_outage(now, retry_after, parameters);
         if retry_after.is_none() {
-            // The last Retry-After replaces a missing one. Where rejected requests count against the rate
-            // limit, early requests would extend the wait for all forwarders.
+            // The last Retry-After replaces a missing one. If rejected requests count against the rate limit,
+            // early requests would extend the wait for all forwarders.
             circuit.extend_retry_after(now + circuit.last_retry_after());
             if !parameters.has_sparse_traffic && follows_last_change {
                 circuit.pacing_mut().widen(&load, parameters, now);
@@ -100,8 +101,8 @@
 }
 
 impl CircuitBreaker {
-    /// Returns whether a rate limit explains a rejection. A destination that rejects repeatedly may be down,
-    /// whatever is left of its limit.
+    /// Returns whether a rejection is attributed to a rate limit. A destination that rejects repeatedly may
+    /// be down, whatever share of its limit is unused.
     fn is_explained_by_limit(&self) -> bool {
         self.failure_count() == 0
             && self.remaining_limit_share().is_some_and(|left| left < LIMIT_USED_UP_THRESHOLD)
@@ -122,7 +123,8 @@
 }
 
 impl Pacing {
-    /// Widens the interval under sparse traffic, where a forwarder sees little of the destination's load.
+    /// Widens the pacing interval under sparse traffic, when this forwarder sends only a small part of the
+    /// destination's requests.
     fn widen_for_sparse_traffic(
         &mut self,
         fair_share: f64,
@@ -131,7 +133,8 @@
         now: Duration,
     ) {
         let first_interval = parameters.listed_rate_margin.unwrap_or(APPROXIMATE_RATE_MARGIN) / fair_share;
-        // With load reports, which show when there is capacity again, the first interval can be short.
+        // With load reports, the first interval can be short, because the reports show when the destination
+        // has capacity.
         let (max_first_interval, growth) = if !parameters.responses_carry_load_reports {
             (parameters.longest_deadline, PACING_GROWTH)
         } else if limit_used_up {
@@ -148,8 +151,8 @@
         self.set_interval_after_rejection(interval, now);
     }
 
-    /// Widens the interval by this forwarder's recent requests, where these are a large part of the
-    /// destination's load.
+    /// Widens the pacing interval based on the rate of this forwarder's recent requests, when they are a
+    /// large part of the destination's requests.
     fn widen(&mut self, load: &LoadAtRejection, parameters: &PolicyParameters, now: Duration) {
         let mean_recent_interval = if load.recent_requests > 1 {
             parameters.overload_window.as_secs_f64() / load.recent_requests as f64
@@ -159,8 +162,8 @@
         let baseline_rate = load.baseline_rate.max(MIN_RATE);
         let first_interval =
             (PACING_GROWTH * mean_recent_interval).max(FIRST_INTERVAL_FACTOR / baseline_rate);
-        // A destination is assumed to accept at least half of its long-term rate, in as many requests or in fewer
-        // with larger batches.
+        // A destination is assumed to accept at least half of its long-term rate, in as many requests or in
+        // fewer with larger batches.
         let max_interval = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / baseline_rate);
         let interval = (self.interval_seconds() * PACING_GROWTH).max(first_interval).min(max_interval);
         self.set_interval_after_rejection(interval, now);
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -10,8 +10,8 @@
 use crate::queue::QueueSegment;
 use crate::state::{AdmittedEndpoint, EarliestTime};
 
-/// A destination that admits requests but has no message to send is checked again after the recovery delay
-/// divided by this.
+/// Divisor of the recovery delay that gives the time to the next check of a destination that admits requests
+/// but has no message to send.
 const RECHECK_DELAY_DIVISOR: u32 = 4;
 /// Minimum priority weight in the order of classes; prevents a division by zero.
 const MIN_PRIORITY_WEIGHT: f64 = 0.001;
@@ -39,7 +39,7 @@
     key: MessageKey,
 }
 
-/// The endpoints that admit a request, by whether the request would be a half-open trial.
+/// Endpoints that admit a request, separated by whether the request would be a half-open trial.
 struct Candidates {
     for_trial: Vec<AdmittedEndpoint>,
     for_regular_requests: Vec<AdmittedEndpoint>,
@@ -54,8 +54,8 @@
 }
 
 impl DeliveryPolicy {
-    /// Starts one request to the destination if a message may be sent, and returns whether it did. Adds the
-    /// time of the next check to `next_admission`.
+    /// Starts one request to the destination if a message may be sent, and returns whether a request was
+    /// started. Adds the time of the next check to `next_admission`.
     pub(super) fn schedule_request(
         &mut self,
         destination: DestinationId,
@@ -109,10 +109,10 @@
         now: Duration,
     ) -> Option<MessageKey> {
         let segments: Vec<QueueSegment> = self.queue.segments(destination, now).collect();
-        let first = |segment: &QueueSegment, to: &[AdmittedEndpoint]| {
-            self.first_eligible(segment, class_order, to, now)
+        let first = |segment: &QueueSegment, endpoints: &[AdmittedEndpoint]| {
+            self.first_eligible(segment, class_order, endpoints, now)
         };
-        // A trial may fail, so it carries a message that may be repeated, if there is one.
+        // A trial may fail, so it carries a repeatable message if one is queued.
         let repeatable = segments.iter().filter(|s| self.is_repeatable(s.queue_class.priority.class));
         let for_trial =
             repeatable.filter_map(|s| Some((s.queue_class.errors, first(s, &candidates.for_trial)?)));
@@ -130,8 +130,8 @@
         now: Duration,
     ) -> AdmittedEndpoint {
         let class = self.messages[lead].class;
-        let eligible = |to: &[AdmittedEndpoint]| -> Vec<AdmittedEndpoint> {
-            to.iter().filter(|to| self.may_attempt(lead, to, now)).copied().collect()
+        let eligible = |endpoints: &[AdmittedEndpoint]| -> Vec<AdmittedEndpoint> {
+            endpoints.iter().filter(|admitted| self.may_attempt(lead, admitted, now)).copied().collect()
         };
         let (for_trial, for_regular_requests) =
             (eligible(&candidates.for_trial), eligible(&candidates.for_regular_requests));
@@ -168,7 +168,8 @@
         messages
     }
 
-    /// Returns the messages of a segment that are not held back by their ordering key, each with its rank.
+    /// Returns the messages of a segment that may be sent under the rules of their ordering keys, each with
+    /// its rank.
     fn sendable_messages<'s>(
         &'s self,
         segment: &QueueSegment<'s>,
@@ -200,17 +201,17 @@
         })
     }
 
-    /// Returns the first message of a segment that one of these endpoints may get. The result is the same for
-    /// all messages of a segment, except for those with idempotency keys that expire.
+    /// Returns the first message of a segment that may be sent to one of the endpoints. Only messages that
+    /// may have been executed are checked one by one; for all others of a segment, the result is the same.
     fn first_eligible(
         &self,
         segment: &QueueSegment,
         class_order: &[u64],
-        to: &[AdmittedEndpoint],
+        endpoints: &[AdmittedEndpoint],
         now: Duration,
     ) -> Option<RankedMessage> {
         let max_checked = if segment.queue_class.possibly_executed { usize::MAX } else { 1 };
         let mut ranked = self.sendable_messages(segment, class_order, now).take(max_checked);
-        ranked.find(|ranked| to.iter().any(|to| self.may_attempt(ranked.key, to, now)))
+        ranked.find(|ranked| endpoints.iter().any(|admitted| self.may_attempt(ranked.key, admitted, now)))
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -13,19 +13,19 @@
     pub(super) fn start_request(
         &mut self,
         messages: Vec<MessageKey>,
-        to: AdmittedEndpoint,
+        admitted: AdmittedEndpoint,
         now: Duration,
         host: &mut dyn PolicyHost,
     ) {
         let request = RequestInFlight { id: RequestId(self.sequence_numbers.next()), started_at: now };
         self.in_flight.add_request(request.id, messages.len() as u32);
         let load = 1.0 + LOAD_PER_EXTRA_MESSAGE * (messages.len() - 1) as f64;
-        let shared_timeout = self.shared_timeout(&messages, to);
+        let shared_timeout = self.shared_timeout(&messages, admitted);
         for key in messages {
-            self.start_attempt(key, to, request, shared_timeout, host);
+            self.start_attempt(key, admitted, request, shared_timeout, host);
         }
-        self.record_request(to, request, load);
-        let pacing = self.circuit_mut(to.scope).pacing_mut();
+        self.record_request(admitted, request, load);
+        let pacing = self.circuit_mut(admitted.scope).pacing_mut();
         pacing.postpone(pacing.postponed_until().max(now + duration_from_seconds(pacing.interval_seconds())));
     }
 
@@ -33,12 +33,12 @@
     ///
     /// An attempt that timed out before the others would be retried while its request still carries the
     /// message.
-    fn shared_timeout(&self, messages: &[MessageKey], to: AdmittedEndpoint) -> Duration {
+    fn shared_timeout(&self, messages: &[MessageKey], admitted: AdmittedEndpoint) -> Duration {
         if self.parameters.hedging_allowed {
             return Duration::ZERO;
         }
         let messages = messages.iter().filter_map(|key| self.messages.get(*key));
-        let timeouts = messages.map(|m| self.response_timeout(m, to.scope, to.half_open_trial));
+        let timeouts = messages.map(|m| self.response_timeout(m, admitted.scope, admitted.half_open_trial));
         timeouts.max().unwrap_or_default()
     }
 
@@ -46,7 +46,7 @@
     fn start_attempt(
         &mut self,
         key: MessageKey,
-        to: AdmittedEndpoint,
+        admitted: AdmittedEndpoint,
         request: RequestInFlight,
         shared_timeout: Duration,
         host: &mut dyn PolicyHost,
@@ -54,24 +54,25 @@
         let now = request.started_at;
         let Some(message) = self.messages.get(key) else { return };
         let time_left = message.deadline.saturating_sub(now);
-        let own_timeout = self.response_timeout(message, to.scope, to.half_open_trial);
+        let own_timeout = self.response_timeout(message, admitted.scope, admitted.half_open_trial);
         let response_within = own_timeout.max(shared_timeout).min(time_left);
-        let start_within = self.latest_start(message, to.scope).saturating_sub(now).min(response_within);
+        let start_within =
+            self.latest_start(message, admitted.scope).saturating_sub(now).min(response_within);
         let is_retry = message.attempts() > 0;
-        let attempt = Attempt::new(key, message, to, request);
+        let attempt = Attempt::new(key, message, admitted, request);
         let Some(attempt_key) = self.record_attempt(attempt) else { return };
         if is_retry {
             let initial = self.parameters.initial_retry_tokens;
-            self.endpoints.update_usage(&[to.endpoint], |usage| usage.spend_retry_token(initial));
+            self.endpoints.update_usage(&[admitted.endpoint], |usage| usage.spend_retry_token(initial));
         }
-        if to.half_open_trial {
-            let recovery_delay = self.recovery_delay(&self.endpoints[to.endpoint], now);
-            let circuit = self.circuit_mut(to.scope);
+        if admitted.half_open_trial {
+            let recovery_delay = self.recovery_delay(&self.endpoints[admitted.endpoint], now);
+            let circuit = self.circuit_mut(admitted.scope);
             circuit.reopen(now, recovery_delay);
             circuit.begin_trial(attempt_key.clone());
         }
         let timeouts = AttemptTimeouts { request: request.id, start_within, response_within };
-        host.start_attempt(&attempt_key.message, to.endpoint, timeouts);
+        host.start_attempt(&attempt_key.message, admitted.endpoint, timeouts);
     }
 
     /// Records an attempt of a queued message, and removes the message from the queue.
@@ -85,10 +86,10 @@
     }
 
     /// Records a request that was sent, and the load that it adds to its endpoint.
-    fn record_request(&mut self, to: AdmittedEndpoint, request: RequestInFlight, load: f64) {
-        self.circuit_mut(to.scope).record_request(request);
+    fn record_request(&mut self, admitted: AdmittedEndpoint, request: RequestInFlight, load: f64) {
+        self.circuit_mut(admitted.scope).record_request(request);
         let sent = SentLoad { at: request.started_at, load };
-        self.endpoints.update_usage(&[to.endpoint], |usage| usage.record_request(sent));
+        self.endpoints.update_usage(&[admitted.endpoint], |usage| usage.record_request(sent));
     }
 
     /// Cancels every attempt that a request carries.
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Paces the circuits of a restored message as if they had rejected a request, at most until the message's
-    /// objective.
+    /// Paces the circuits of a restored message as if they had rejected a request, at most until the
+    /// message's objective.
     ///
-    /// Prevents forwarders that restart together from sending all pending messages at once, as the rates they
-    /// had observed are lost.
+    /// Prevents forwarders that restart together from sending all pending messages at once, because the rates
+    /// that they observed are lost in a restart.
     fn pace_restored_messages(&mut self, destination: DestinationId, objective_at: Duration, now: Duration) {
         let shares: Vec<_> = (self.endpoints.active_endpoints(destination))
             .map(|(id, endpoint)| (self.endpoints.scope_of(id, endpoint), self.fair_share(endpoint, now)))
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -21,8 +21,8 @@
         self.endpoints.endpoints_sharing_circuit(id)
     }
 
-    /// Records a Retry-After for a circuit. A request with several messages may receive one for each message or
-    /// one for all.
+    /// Records a Retry-After for a circuit. A request with several messages may receive one for each message
+    /// or one for all.
     pub(super) fn apply_retry_after(&mut self, now: Duration, scope: CircuitScope, wait: Duration) {
         if let Some(destination) = self.endpoints.destination_of(scope) {
             self.remove_stale_records(destination, now);
@@ -44,7 +44,7 @@
     }
 
     /// Returns the Retry-After for a client: the expected time until the destination accepts messages again.
-    /// `None` if rejections may not carry one.
+    /// `None` if rejections carry no Retry-After.
     pub(super) fn retry_after_for_client(
         &self,
         destination: DestinationId,
@@ -58,7 +58,8 @@
         Some(available_at.saturating_sub(now).max(self.parameters.recovery_delay).min(max_retry_after))
     }
 
-    /// Returns when the first Retry-After of the destination's endpoints ends.
+    /// Returns the time at which the first Retry-After of the destination's endpoints ends; zero if there is
+    /// none.
     pub(super) fn earliest_retry_after_end(&self, destination: DestinationId) -> Duration {
         self.circuits_of(destination).map(|circuit| circuit.retry_after_until()).min().unwrap_or_default()
     }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -36,8 +36,8 @@
     /// Returns whether the retry budget of an endpoint allows an attempt. Only retries need a token.
     ///
     /// Without a token, a retry is allowed once the endpoint was idle for the recovery delay, or for the mean
-    /// interval between messages if the message was not executed. In a large fleet or with much traffic, pacing
-    /// alone limits messages that were not executed.
+    /// interval between messages if the message was not executed. In a large fleet or with much traffic,
+    /// pacing alone limits messages that were not executed.
     pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         if message.attempts() == 0
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -9,8 +9,8 @@
 use crate::queue::QueueClass;
 use crate::state::EarliestTime;
 
-/// Minimum relative wait of a destination, as a share of the latency objective. Longer waits raise the
-/// destination's share of the requests in flight.
+/// Minimum wait that counts in the order of destinations, as a share of the latency objective. Longer waits
+/// raise the destination's share of the requests in flight.
 const MIN_RELATIVE_WAIT: f64 = 0.1;
 /// Minimum latency objective, in seconds, that waits are compared with; prevents a division by zero.
 const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
@@ -28,7 +28,8 @@
 }
 
 impl DeliveryPolicy {
-    /// Makes all decisions that are due. Called once everything known at this time has been reported.
+    /// Makes all decisions that are due. The host calls this method after it has reported all events up to
+    /// `now`.
     pub fn run_due_work(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         let mut wake = EarliestTime::default();
         if self.poll_schedule.take_due(now) {
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Returns the sort key of a destination. A slow request counts as several, because it occupies the limit
-    /// of requests in flight for as long as these.
+    /// Returns the sort key of a destination. A slow request counts as several, because it stays in flight
+    /// for as long as several of average duration.
     fn scheduling_key(&self, destination: DestinationId, relative_wait: f64) -> SchedulingKey {
         let slowness = self.circuits_of(destination).map(|circuit| self.slowness(Some(circuit)));
         let slowness = slowness.reduce(f64::min).unwrap_or(1.0);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,8 +7,8 @@
 use crate::interface::CircuitScope;
 use crate::state::Endpoint;
 
-/// Slow start budget as a multiple of the budget at the long-term rate. Above 1, because a destination has more
-/// capacity than its ordinary traffic needs.
+/// Slow start budget as a multiple of the budget at the long-term rate. Above 1, because a destination has
+/// more capacity than its ordinary traffic needs.
 const SLOW_START_BASELINE_MULTIPLE: f64 = 1.5;
 /// Load of each further message in a request, relative to a request with one message.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
@@ -21,7 +21,7 @@
 pub(super) enum SlowStartBudget {
     /// Maximum load, in requests with one message.
     Load(f64),
-    /// No request before this time.
+    /// The budget is used up; no request may be sent before the given time.
     UsedUpUntil(Duration),
 }
 
@@ -62,8 +62,8 @@
         }
         let baseline = self.baseline_rate(endpoint, now);
         let load_per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * baseline;
-        // The budget of one forwarder is a few requests per window, so that requests are spaced and not
-        // counted.
+        // The budget of one forwarder is only a few requests per window. Requests are therefore spaced evenly
+        // instead of counted.
         let last_load = endpoint.usage().recent_load().back();
         let next_load_at =
             last_load.map(|sent| sent.at + duration_from_seconds(sent.load / load_per_second.max(MIN_RATE)));
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -8,11 +8,12 @@
 use crate::interface::{PolicyHost, RequestId};
 use crate::state::{Attempt, CircuitBreaker, EarliestTime};
 
-/// The straggler threshold in mean response times: the first value, plus the second divided by the number of
-/// requests in flight.
+/// Fixed part of the straggler threshold, in mean response times.
 const STRAGGLER_LATENCY_FACTOR: f64 = 1.5;
+/// Variable part of the straggler threshold, in mean response times, which is divided by the number of
+/// requests in flight.
 const STRAGGLER_SHARED_LATENCY_FACTOR: f64 = 4.0;
-/// The straggler threshold is at least the recovery delay divided by this.
+/// Divisor of the recovery delay that gives the minimum straggler threshold.
 const MIN_STRAGGLER_THRESHOLD_DIVISOR: u32 = 4;
 
 /// The request that is most overdue.
@@ -23,8 +24,8 @@
 }
 
 impl DeliveryPolicy {
-    /// Returns how long a circuit may go without a completion before its requests are stragglers. The threshold
-    /// is lower with more requests in flight.
+    /// Returns how long a circuit may go without a completion before its requests are stragglers. The
+    /// threshold is lower with more requests in flight.
     pub(super) fn straggler_threshold(&self, circuit: &CircuitBreaker) -> Duration {
         let mean = circuit
             .mean_latency_seconds()
@@ -35,8 +36,8 @@
             .max(self.parameters.recovery_delay / MIN_STRAGGLER_THRESHOLD_DIVISOR)
     }
 
-    /// Cancels the request that is most overdue. If none is overdue, sets the wake-up to when the first will
-    /// be.
+    /// Cancels the request that is most overdue. Adds the times at which other requests become overdue to
+    /// `wake`.
     ///
     /// Prevents requests to unresponsive or very slow destinations from using up the limit of requests in
     /// flight. Non-idempotent messages are allowed more time.
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Returns the last completion of a circuit that could send a queued message, or the last of all circuits
-    /// if that circuit has no recent one.
+    /// Returns the time of the latest completion among the circuits that admit requests for queued messages.
+    /// A circuit without a recent completion counts with the latest completion of all circuits.
     ///
     /// Only requests sent before this time can be stragglers: if all destinations are equally slow, none is.
     fn last_relevant_completion(&self, now: Duration) -> Duration {
@@ -101,7 +102,7 @@
             return None;
         }
         let message = self.messages.get(attempt.message)?;
-        // A non-idempotent message is lost if its attempt is cancelled, so it is allowed more time.
+        // A non-idempotent message is lost if its attempt is cancelled, and is therefore allowed more time.
         Some(self.straggler_threshold(circuit).mul_f64(response_timeout_factor(self.idempotency(message))))
     }
 }
--- a/src/policy/submission.rs
+++ b/src/policy/submission.rs
@@ -10,8 +10,8 @@
 const QUOTA_BURST_SECONDS: f64 = 2.0;
 
 impl DeliveryPolicy {
-    /// Accepts a submitted message, which gets exactly one final answer. A message of an unknown class fails at
-    /// once.
+    /// Accepts a submitted message, which gets exactly one final answer. A message of an unknown class fails
+    /// at once.
     pub fn submit(&mut self, now: Duration, message: NewMessage, host: &mut dyn PolicyHost) {
         let NewMessage { id, class, tenant, ordering_key, deadline, destination } = message;
         let Some(class) = self.parameters.classes.iter().position(|known| known.name == class) else {
@@ -26,9 +26,9 @@
         self.accept(Message::new(id, class, ordering_key, destination, times, over_quota), now);
     }
 
-    /// Returns until when a message has its full priority weight. The time is counted back from the deadline,
-    /// so that a client's repeated submission does not extend it. A message with less time left than its
-    /// latency objective keeps its full weight until its deadline.
+    /// Returns the time until which a message has its full priority weight. The time is counted back from the
+    /// deadline, so that a client's repeated submission does not extend it. A message with less time left
+    /// than its latency objective keeps its full weight until its deadline.
     fn objective_at(&self, class: usize, deadline: Duration, now: Duration) -> Duration {
         let class = &self.parameters.classes[class];
         let lifetime =
@@ -40,6 +40,6 @@
     /// applies the whole quota, because the spread of the traffic over forwarders is not known.
     fn spend_quota(&mut self, tenant: usize, now: Duration) -> bool {
         let quota = self.parameters.tenants[tenant].messages_per_second;
-        !self.tenant_accounts.try_take_token(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
+        !self.tenant_token_buckets.try_take_token(tenant, quota, quota.max(1.0) * QUOTA_BURST_SECONDS, now)
     }
 }
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -16,12 +16,12 @@
 /// Factor by which the response timeout grows with each consecutive timeout, so that a slow destination can
 /// still respond.
 const TIMEOUT_GROWTH: f64 = 1.5;
-/// Maximum number of consecutive timeouts that increase the response timeout.
-const MAX_COUNTED_TIMEOUTS: u32 = 2;
+/// Number of consecutive timeouts beyond which further timeouts do not increase the response timeout.
+const MAX_TIMEOUT_GROWTH_STEPS: u32 = 2;
 
 impl DeliveryPolicy {
-    /// Returns until when a retry is safe: while the idempotency key of the first possibly executed attempt is
-    /// valid. `Duration::MAX` if no key limits the retry.
+    /// Returns the time until which a retry is safe: the expiry of the idempotency key of the first attempt
+    /// that may have executed the message. `Duration::MAX` if no key limits the retry.
     pub(super) fn key_valid_until(&self, message: &Message) -> Duration {
         match (message.possible_execution(), self.idempotency(message)) {
             (Some(first), Idempotency::WithKey { window, .. }) => first.started_at + window,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Returns the latest time at which an attempt may begin. Before a shutdown, time for the response to a
-    /// non-idempotent message is left: after a restart, such a message could not be retried.
+    /// Returns the latest time at which an attempt may begin. Before a shutdown, time is left for the
+    /// response to a non-idempotent message, because such a message could not be retried after a restart.
     pub(super) fn latest_start(&self, message: &Message, scope: CircuitScope) -> Duration {
         let own = self.circuits.get(scope).and_then(|circuit| circuit.mean_latency_seconds());
         let mean = own.or(self.response_times.mean_latency_seconds()).unwrap_or_default();
@@ -51,7 +51,7 @@
         let circuit = self.circuits.get(scope);
         let mean = circuit.and_then(|circuit| circuit.mean_latency_seconds()).unwrap_or(0.0);
         let consecutive_timeouts =
-            circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_COUNTED_TIMEOUTS));
+            circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_TIMEOUT_GROWTH_STEPS));
         let growth = TIMEOUT_GROWTH.powi(consecutive_timeouts as i32);
         // Only one trial is in flight at a time, so a long timeout would delay the recovery.
         let ordinary = (RESPONSE_TIMEOUT_LATENCY_FACTOR, class.latency_objective);
@@ -65,8 +65,8 @@
     }
 }
 
-/// Returns the factor by which the response timeout is longer for this idempotency. A non-idempotent message is
-/// lost if its attempt times out.
+/// Returns the factor by which an idempotency multiplies the response timeout. A non-idempotent message is
+/// lost if its attempt times out, and is therefore allowed more time.
 pub(super) fn response_timeout_factor(idempotency: Idempotency) -> f64 {
     if idempotency == Idempotency::NonIdempotent {
         NON_IDEMPOTENT_TIMEOUT_FACTOR
--- a/src/queue/consistency.rs
+++ b/src/queue/consistency.rs
@@ -7,7 +7,8 @@
 use crate::message_key::MessageKey;
 
 impl MessageQueue {
-    /// Compares every index with one that is rebuilt from the queued messages. No destination may be stale.
+    /// Compares every index with one that is rebuilt from the queued messages. The caller has updated the
+    /// indices of all destinations before.
     ///
     /// # Panics
     ///
@@ -34,15 +35,31 @@
     fn check_destination(&self, destination: DestinationId, fresh: &mut MessageQueue) {
         let queue = &self.destinations[&destination];
         let rebuilt = &fresh.destinations[&destination];
-        assert_eq!(queue.classes, rebuilt.classes, "classes of {destination:?}");
-        assert_eq!(queue.deadlines, rebuilt.deadlines, "deadlines of {destination:?}");
-        assert_eq!(queue.key_expiries, rebuilt.key_expiries, "key expiries of {destination:?}");
-        assert_eq!(queue.len, rebuilt.len, "length of {destination:?}");
+        assert_eq!(
+            queue.classes, rebuilt.classes,
+            "queue classes of {destination:?} differ from the rebuilt ones"
+        );
+        assert_eq!(
+            queue.deadlines, rebuilt.deadlines,
+            "deadlines of {destination:?} differ from the rebuilt ones"
+        );
+        assert_eq!(
+            queue.key_expiries, rebuilt.key_expiries,
+            "key expiries of {destination:?} differ from the rebuilt ones"
+        );
+        assert_eq!(queue.len, rebuilt.len, "queue length of {destination:?} differs from the rebuilt one");
         fresh.update_indices(destination, queue.indexed_entries.available_at);
         let updated = &fresh.destinations[&destination].indexed_entries;
-        assert_eq!(queue.indexed_entries, *updated, "index entries of {destination:?}");
+        assert_eq!(
+            queue.indexed_entries, *updated,
+            "index entries of {destination:?} differ from the rebuilt ones"
+        );
         let asleep = queue.wake_state != WakeState::Awake;
-        assert_ne!(asleep, self.schedule.awake.contains(&destination), "wake state of {destination:?}");
+        assert_ne!(
+            asleep,
+            self.schedule.awake.contains(&destination),
+            "wake state of {destination:?} contradicts the wake schedule"
+        );
     }
 
     fn check_indices(&self, fresh: &MessageQueue) {
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -59,7 +59,8 @@
         self.len -= 1;
     }
 
-    /// Returns the messages in segments, without those that are blocked by a message with the same ordering key.
+    /// Returns the messages in segments, without those that are blocked by a message with the same ordering
+    /// key.
     pub(super) fn segments(&self, now: Duration) -> impl Iterator<Item = QueueSegment<'_>> {
         let unblocked = self.classes.iter().filter(|(queue_class, _)| !queue_class.blocked);
         unblocked.flat_map(move |(queue_class, entries)| {
@@ -77,8 +78,8 @@
         subjects_due_by(&self.key_expiries, last)
     }
 
-    /// Returns the current entries of this queue for the indices. `available_at` is the time at which the first
-    /// endpoint of the destination may receive a request.
+    /// Returns the current entries of this queue for the indices. `available_at` is the time at which the
+    /// first endpoint of the destination may receive a request.
     pub(super) fn index_entries(&self, available_at: Duration) -> IndexEntries {
         let deadline = self.deadlines.first().map(|due| due.at);
         let key_expiry = self.key_expiries.first().map(|due| due.at);
--- a/src/queue/indices.rs
+++ b/src/queue/indices.rs
@@ -15,11 +15,12 @@
     pub key_expiry: Option<Duration>,
     /// Time at which the first endpoint of the destination may receive a request.
     pub available_at: Duration,
-    /// Time from `available_at` to the earliest deadline; zero if an idempotency key expires by then.
+    /// Time from `available_at` to the earliest deadline; zero if an idempotency key expires before
+    /// `available_at`.
     pub time_left_when_available: Option<Duration>,
     /// Number of queued messages.
     pub len: usize,
-    /// Range of each priority class with queued messages, in ascending order.
+    /// First and last message of each priority class with queued messages, in ascending order of the classes.
     pub objective_ranges: Vec<ObjectiveRange>,
 }
 
--- a/src/queue/message_queue.rs
+++ b/src/queue/message_queue.rs
@@ -14,7 +14,7 @@
 /// Queued messages of all destinations.
 #[derive(Default)]
 pub(crate) struct MessageQueue {
-    /// Queues of the destinations that have queued messages.
+    /// Queues of the destinations with queued messages.
     pub(super) destinations: BTreeMap<DestinationId, DestinationQueue>,
     pub(super) schedule: WakeSchedule,
     /// Destinations whose entries in the indices are out of date.
@@ -57,8 +57,8 @@
         self.destinations.get(&destination)
     }
 
-    /// Returns the queued messages of a destination in segments, without those that are blocked by a message with
-    /// the same ordering key.
+    /// Returns the queued messages of a destination in segments, without those that are blocked by a message
+    /// with the same ordering key.
     pub fn segments(
         &self,
         destination: DestinationId,
@@ -67,8 +67,8 @@
         self.destinations.get(&destination).into_iter().flat_map(move |queue| queue.segments(now))
     }
 
-    /// Wakes a destination and marks its index entries as out of date, after an event that may allow its messages to
-    /// be sent.
+    /// Wakes a destination and marks its index entries as out of date, after an event that may allow its
+    /// messages to be sent.
     pub fn mark_changed(&mut self, destination: DestinationId) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         self.stale.insert(destination);
@@ -80,8 +80,8 @@
         &self.schedule.awake
     }
 
-    /// Excludes a destination from checks until the given time, or until [`MessageQueue::mark_changed`] if there is
-    /// none.
+    /// Excludes a destination from checks until the given time or an event that affects the destination
+    /// ([`MessageQueue::mark_changed`]). With `None`, only an event ends the exclusion.
     pub fn sleep(&mut self, destination: DestinationId, until: Option<Duration>) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         queue.wake_state = self.schedule.sleep(destination, until);
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Returns the next wake time of a destination.
+    /// Returns the earliest wake time of all sleeping destinations; `None` if there is none.
     pub fn next_wake(&self) -> Option<Duration> {
         self.schedule.wake_times.first().map(|due| due.at)
     }
 
-    /// Removes and returns the stale destinations. Each needs a call of [`MessageQueue::update_indices`] before the
-    /// indices are read.
+    /// Removes and returns the destinations whose index entries are out of date. The caller passes each of
+    /// them to [`MessageQueue::update_indices`] before the indices are read.
     #[must_use]
     pub fn take_stale(&mut self) -> BTreeSet<DestinationId> {
         std::mem::take(&mut self.stale)
@@ -120,8 +120,9 @@
         queue.indexed_entries = entries;
     }
 
-    /// Returns the messages that can no longer be delivered: no response can arrive before the deadline, given the
-    /// expected response time, or the idempotency key expires before an endpoint may receive a request.
+    /// Returns the messages that can no longer be delivered: no response can arrive before the deadline,
+    /// given the expected response time, or the idempotency key expires before an endpoint may receive a
+    /// request.
     pub fn expiring_messages(&self, now: Duration, response_time: Duration) -> BTreeSet<MessageKey> {
         let mut expiring = BTreeSet::new();
         let last_deadline = now.saturating_add(response_time);
@@ -140,7 +141,8 @@
         expiring
     }
 
-    /// Returns the time at which the next message expires, given the expected response time.
+    /// Returns the time at which the next message expires, given the expected response time; `None` if no
+    /// message is queued.
     pub fn next_expiry(&self, response_time: Duration) -> Option<Duration> {
         let deadline = self.indices.deadlines.first().map(|due| due.at.saturating_sub(response_time));
         let key_expiry = self.indices.key_expiries.first().map(|due| due.at);
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -1,9 +1,10 @@
-//! Messages that wait to be sent, with indices for the queries of the scheduler: the next message of a destination,
-//! the next messages to expire, the message with the lowest priority, and the destinations to check.
+//! Messages that wait to be sent, with indices for the queries of the scheduler: the next message of a
+//! destination, the next messages to expire, the message with the lowest priority, and the destinations to
+//! check.
 //!
-//! Each destination with queued messages has a [`DestinationQueue`]. The indices over all destinations hold a few
-//! entries per destination and none per message. A destination queue that changes is marked as stale, and its
-//! entries are updated before the indices are next read. The policy defines priorities and thresholds.
+//! Each destination with queued messages has a [`DestinationQueue`]. The indices over all destinations hold a
+//! few entries per destination and none per message. A destination queue that changes is marked as stale, and
+//! its entries are updated before the indices are next read. The policy defines priorities and thresholds.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -41,7 +41,7 @@
     pub arrival_number: u64,
     /// Time at which the final answer is due, since the start.
     pub deadline: Duration,
-    /// Time until which a retry may begin; `None` if no idempotency key limits it.
+    /// Time until which a retry may begin; `None` if no idempotency key limits the time.
     pub key_valid_until: Option<Duration>,
 }
 
@@ -52,9 +52,7 @@
     }
 }
 
-/// Sort key within a queue class: latency objective, then arrival.
-///
-/// Comparison uses tuples, like that of [`Due`], because a derived `Ord` takes more instructions.
+/// Sort key within a queue class: latency objective, then arrival number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ObjectiveOrder {
     pub objective_at: Duration,
@@ -62,7 +60,8 @@
 }
 
 impl ObjectiveOrder {
-    /// Returns a key that sorts after all messages whose objective ends by the given time, and before all others.
+    /// Returns a key that sorts after all messages whose latency objective ends by the given time, and before
+    /// all other messages.
     pub(super) fn end_of(objective_at: Duration) -> ObjectiveOrder {
         ObjectiveOrder { objective_at, arrival_number: u64::MAX }
     }
--- a/src/queue/segment.rs
+++ b/src/queue/segment.rs
@@ -5,7 +5,8 @@
 
 use super::position::{ClassEntries, ObjectiveOrder, QueueClass, QueuedMessage};
 
-/// Messages of one queue class of a destination whose latency objectives have either all passed or all not passed.
+/// Messages of one queue class of a destination whose latency objectives have either all passed or all not
+/// passed.
 #[derive(Clone, Copy)]
 pub(crate) struct QueueSegment<'q> {
     /// Queue class of the messages.
@@ -17,7 +18,7 @@
 }
 
 impl<'q> QueueSegment<'q> {
-    /// Returns the late messages of a queue class, followed by those in time.
+    /// Returns the segment of the late messages of a queue class, followed by the segment of those in time.
     pub(super) fn late_and_in_time(
         queue_class: QueueClass,
         entries: &'q ClassEntries,
--- a/src/queue/wake_schedule.rs
+++ b/src/queue/wake_schedule.rs
@@ -1,5 +1,5 @@
-//! Destinations to check now, and wake times of the others. The messages of a sleeping destination cannot be sent
-//! before its wake time or an event, so that earlier checks are unnecessary.
+//! Destinations to check now, and wake times of the others. The messages of a sleeping destination cannot be
+//! sent before its wake time or an event, so that earlier checks are unnecessary.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/src/state/attempt.rs
+++ b/src/state/attempt.rs
@@ -32,7 +32,8 @@
 /// Attempt in flight, kept from its start until its outcome is known.
 pub(crate) struct Attempt {
     pub(crate) message: MessageKey,
-    /// Key and arrival number identify the message's place in its ordering queue, even if the message is finished.
+    /// Key and arrival number identify the message's place in its ordering queue, even if the message is
+    /// finished.
     pub(crate) ordering_key: Option<OrderingKey>,
     pub(crate) arrival_number: u64,
     pub(crate) endpoint: EndpointId,
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -25,7 +25,7 @@
 pub(crate) struct CircuitBreaker {
     /// Times of recent failures, oldest first.
     failure_times: Vec<Duration>,
-    /// `None` while the circuit is closed.
+    /// Time at which the circuit becomes, or became, half-open; `None` while the circuit is closed.
     open_until: Option<Duration>,
     /// Time of the last change to `failure_times` or `open_until` other than by [`CircuitBreaker::reset`].
     changed_at: Duration,
@@ -63,7 +63,8 @@
         self.open_until.is_none()
     }
 
-    /// Returns the time at which the circuit becomes, or became, half-open; `None` while it is closed.
+    /// Returns the time at which the circuit becomes, or became, half-open; `None` while the circuit is
+    /// closed.
     pub(crate) fn open_until(&self) -> Option<Duration> {
         self.open_until
     }
@@ -146,7 +147,7 @@
         self.retry_after_until = self.retry_after_until.max(until);
     }
 
-    /// Returns the last Retry-After, which serves as an estimate for rejections without one.
+    /// Returns the last Retry-After, which is the estimate for rejections without a Retry-After.
     pub(crate) fn last_retry_after(&self) -> Duration {
         self.last_retry_after
     }
@@ -226,7 +227,7 @@
         self.consecutive_timeouts
     }
 
-    /// Returns the later of the last use or change and the time until which requests are postponed.
+    /// Returns the latest of the last use, the last change and the time until which requests are postponed.
     pub(crate) fn in_use_until(&self) -> Duration {
         let used = self.last_sent.max(self.changed_at).max(self.pacing.postponed_until());
         used.max(self.retry_after_until).max(self.open_until.unwrap_or_default())
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -6,7 +6,8 @@
 
 use crate::interface::EndpointId;
 
-/// Minimum time constant of the decay of arrivals; prevents a division by zero.
+/// Minimum time constant, in seconds, with which the count of recent messages decays; prevents a division by
+/// zero.
 const MIN_DECAY_SECONDS: f64 = 0.001;
 
 #[derive(Default)]
@@ -16,11 +17,11 @@
     traffic: Option<Box<Traffic>>,
 }
 
-/// Traffic that was submitted for a destination.
+/// Messages that were submitted for a destination, counted as arrivals.
 #[derive(Default)]
 pub(crate) struct Traffic {
     arrivals: u64,
-    /// Exponentially decayed number of arrivals as of `recent_arrivals_at`.
+    /// Exponentially decayed number of submitted messages as of `recent_arrivals_at`.
     recent_arrivals: f64,
     recent_arrivals_at: Duration,
     first_arrival_at: Duration,
@@ -82,7 +83,8 @@
         self.last_request_number = number;
     }
 
-    /// Counts a message that was submitted at `now`. Earlier arrivals decay with the time constant `span`.
+    /// Counts a message that was submitted at `now`. The count of recent messages decays with the time
+    /// constant `span`.
     pub(crate) fn record_arrival(&mut self, now: Duration, span: Duration) {
         if self.arrivals == 0 {
             self.first_arrival_at = now;
@@ -92,7 +94,7 @@
         self.recent_arrivals_at = now;
     }
 
-    /// Returns the approximate number of arrivals within `span` before `now`.
+    /// Returns the approximate number of messages submitted within `span` before `now`.
     pub(crate) fn recent_arrivals(&self, now: Duration, span: Duration) -> f64 {
         let spans = now.saturating_sub(self.recent_arrivals_at).as_secs_f64()
             / span.as_secs_f64().max(MIN_DECAY_SECONDS);
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -27,36 +27,39 @@
 #[derive(Default)]
 pub(crate) struct EndpointUsage {
     /// Rate limit in requests per second from the last load report; `None` if there is no limit.
-    limit: Option<f64>,
+    limit_per_second: Option<f64>,
     /// Unused tokens of the retry budget; `None` before the first completion or retry.
     retry_tokens: Option<f64>,
     requests_in_flight: u32,
     /// Failures of each message class since its last completion, by class index.
     consecutive_failures: BTreeMap<usize, u32>,
-    /// Latest time at which the endpoint may be down or in slow start.
+    /// Time from which slow start is counted: the last sign of an outage, the end of a Retry-After during the
+    /// outage, or the recovery. `None` without a recent outage.
     last_fault: Option<Duration>,
-    /// Load of recent requests, oldest first.
+    /// Recent requests with their load in [`SentLoad`] units, oldest first.
     recent_load: VecDeque<SentLoad>,
     last_sent: Duration,
-    /// Time of the last response, which leaves an idle connection; `None` if the last request ended without one.
+    /// Time of the last response, which leaves an idle connection; `None` if the last request ended without
+    /// one.
     answered_at: Option<Duration>,
 }
 
-/// Load of a request on its endpoint. The unit is the load of a request with one message.
+/// Load that a request puts on its endpoint. A request with one message has a load of 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SentLoad {
+    /// Time at which the request was sent.
     pub(crate) at: Duration,
     pub(crate) load: f64,
 }
 
 impl EndpointUsage {
     /// Returns the rate limit in requests per second from the last load report; `None` if there is no limit.
-    pub(crate) fn limit(&self) -> Option<f64> {
-        self.limit
+    pub(crate) fn limit_per_second(&self) -> Option<f64> {
+        self.limit_per_second
     }
 
-    pub(crate) fn set_limit(&mut self, limit: Option<f64>) {
-        self.limit = limit;
+    pub(crate) fn set_limit_per_second(&mut self, limit_per_second: Option<f64>) {
+        self.limit_per_second = limit_per_second;
     }
 
     /// Returns the unused tokens of the retry budget; `None` before the first completion or retry.
@@ -94,13 +97,13 @@
         self.last_sent
     }
 
-    /// Returns the load of recent requests, oldest first.
+    /// Returns recent requests with their load in [`SentLoad`] units, oldest first.
     pub(crate) fn recent_load(&self) -> &VecDeque<SentLoad> {
         &self.recent_load
     }
 
-    /// Returns the time of the last response, which leaves an idle connection; `None` if the last request ended
-    /// without one.
+    /// Returns the time of the last response, which leaves an idle connection; `None` if the last request
+    /// ended without one.
     pub(crate) fn answered_at(&self) -> Option<Duration> {
         self.answered_at
     }
@@ -119,18 +122,18 @@
         self.consecutive_failures.remove(&class);
     }
 
-    /// Returns the latest time at which the endpoint may be down or in slow start.
+    /// Returns the time from which slow start is counted; `None` without a recent outage.
     pub(crate) fn last_fault(&self) -> Option<Duration> {
         self.last_fault
     }
 
-    /// Records that the endpoint may be down or in slow start at the given time.
+    /// Records a sign or the end of an outage. Slow start is counted from the given time.
     pub(crate) fn record_fault(&mut self, at: Duration) {
         self.last_fault = Some(at);
     }
 
     /// Removes loads and faults that are older than their retention times, except the last load.
-    pub(crate) fn forget_stale(
+    pub(crate) fn remove_stale(
         &mut self,
         now: Duration,
         load_retention: Duration,
@@ -145,7 +148,7 @@
 
 /// Usage of endpoints that no request was sent to.
 static NO_USAGE: EndpointUsage = EndpointUsage {
-    limit: None,
+    limit_per_second: None,
     retry_tokens: None,
     requests_in_flight: 0,
     consecutive_failures: BTreeMap::new(),
@@ -175,13 +178,13 @@
         self.usage.get_or_insert_default()
     }
 
-    /// Returns the usage, or `None` if there is none yet.
+    /// Returns the usage; `None` if no usage is recorded.
     pub(super) fn existing_usage_mut(&mut self) -> Option<&mut EndpointUsage> {
         self.usage.as_deref_mut()
     }
 
     /// Removes the usage unless a request is in flight.
-    pub(super) fn forget_idle_usage(&mut self) {
+    pub(super) fn remove_idle_usage(&mut self) {
         self.usage.take_if(|usage| usage.requests_in_flight == 0);
     }
 
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -54,15 +54,15 @@
         self.endpoints.get_mut(&id).map(Endpoint::usage_mut)
     }
 
-    /// Returns the usage of an endpoint, or `None` if there is none yet.
+    /// Returns the usage of an endpoint; `None` if no usage is recorded.
     pub(crate) fn existing_usage_mut(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
         self.endpoints.get_mut(&id).and_then(Endpoint::existing_usage_mut)
     }
 
     /// Removes the usage of an endpoint unless a request to it is in flight.
-    pub(crate) fn forget_idle_usage(&mut self, id: EndpointId) {
+    pub(crate) fn remove_idle_usage(&mut self, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
-            endpoint.forget_idle_usage();
+            endpoint.remove_idle_usage();
         }
     }
 
@@ -75,7 +75,8 @@
         self.destinations.entry(id).or_default().traffic_mut()
     }
 
-    /// Returns whether a destination is known. Before the first listed endpoint, every destination counts as known.
+    /// Returns whether a destination is known. Before the first listed endpoint, every destination counts as
+    /// known.
     pub(crate) fn knows_destination(&self, id: DestinationId) -> bool {
         self.endpoints.is_empty() || self.destinations.contains_key(&id)
     }
@@ -164,14 +165,14 @@
 
 // Updates from the endpoint list.
 impl EndpointDirectory {
-    /// Begins a sequence of updates: a full endpoint list, or only the changes.
+    /// Begins an endpoint list: a full list, or one with only the changed entries.
     pub(crate) fn begin_list(&mut self, full: bool) {
         self.full_lists_begun = self.full_lists_begun.wrapping_add(u32::from(full));
         self.receiving_full_list = full;
     }
 
-    /// Ends a list and marks the endpoints that a full list did not contain as removed. Returns these endpoints
-    /// and calls `changed` with the destination of each.
+    /// Ends an endpoint list. Endpoints that a full list did not contain are marked as removed and returned,
+    /// and `changed` is called with the destination of each of them.
     pub(crate) fn finish_list(&mut self, mut changed: impl FnMut(DestinationId)) -> Vec<EndpointId> {
         if !std::mem::take(&mut self.receiving_full_list) {
             return Vec::new();
@@ -188,13 +189,14 @@
         removed
     }
 
-    /// Ends an incomplete list. Entries received so far stay applied, and no other endpoint is removed.
+    /// Ends an endpoint list that was not received completely. The entries received so far stay in effect,
+    /// and no other endpoint is removed.
     pub(crate) fn abort_list(&mut self) {
         self.receiving_full_list = false;
     }
 
-    /// Applies an entry of the list. A new endpoint gets the given slot phase. Calls `changed` with each destination
-    /// whose endpoints changed.
+    /// Applies an entry of the endpoint list. A new endpoint gets the given slot phase. Calls `changed` with
+    /// each destination whose endpoints changed.
     pub(crate) fn apply_update(
         &mut self,
         update: &EndpointUpdate,
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Returns an endpoint without usage, as the entry of the list describes it.
+    /// Returns an endpoint without usage, as its entry in the endpoint list describes it.
     fn endpoint_from(&mut self, update: &EndpointUpdate, slot_phase: f64) -> Endpoint {
         let kind = self.kinds.iter().position(|kind| kind.name == update.kind);
         Endpoint {
@@ -248,8 +250,8 @@
         }
     }
 
-    /// Returns at most `max_count` endpoints that were removed more than `retention` ago and have no request in
-    /// flight. Endpoints that were removed since the last call get the removal time `now`.
+    /// Returns at most `max_count` endpoints that were removed more than `retention` ago and have no request
+    /// in flight. Endpoints that were removed since the last call get the removal time `now`.
     pub(crate) fn expired_endpoints(
         &mut self,
         now: Duration,
@@ -262,10 +264,10 @@
     }
 
     /// Deletes the record of an endpoint. Returns its destination, or `None` if the endpoint is unknown.
-    pub(crate) fn forget_endpoint(&mut self, id: EndpointId) -> Option<DestinationId> {
+    pub(crate) fn delete_endpoint(&mut self, id: EndpointId) -> Option<DestinationId> {
         self.removed.remove(id);
         let endpoint = self.endpoints.remove(&id)?;
-        self.removed.record_forgotten(id);
+        self.removed.record_deleted(id);
         if let Some(destination) = self.destinations.get_mut(&endpoint.destination) {
             destination.remove(id);
         }
@@ -277,18 +279,18 @@
         self.destinations.get(&id).is_some_and(|destination| destination.endpoints().is_empty())
     }
 
-    pub(crate) fn forget_destination(&mut self, id: DestinationId) {
+    pub(crate) fn delete_destination(&mut self, id: DestinationId) {
         self.destinations.remove(&id);
     }
 
     /// Returns the endpoints whose records were deleted since the last call.
-    pub(crate) fn take_forgotten(&mut self) -> Vec<EndpointId> {
-        self.removed.take_forgotten()
+    pub(crate) fn take_deleted(&mut self) -> Vec<EndpointId> {
+        self.removed.take_deleted()
     }
 }
 
 impl Endpoint {
-    /// Returns whether both endpoints have equal entries in the list.
+    /// Returns whether both endpoints have equal entries in the endpoint list.
     fn has_same_listing(&self, other: &Endpoint) -> bool {
         self.destination == other.destination
             && self.state == other.state
--- a/src/state/in_flight.rs
+++ b/src/state/in_flight.rs
@@ -41,7 +41,8 @@
         self.attempts.iter()
     }
 
-    /// Marks the attempts of a request as cancelled, and calls `cancelled` with their keys in ascending order.
+    /// Marks the attempts of a request as cancelled, and calls `cancelled` with their keys in ascending
+    /// order.
     pub(crate) fn cancel_request(&mut self, request: RequestId, mut cancelled: impl FnMut(&AttemptKey)) {
         for (key, attempt) in &mut self.attempts {
             if attempt.request == request {
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -16,9 +16,9 @@
 /// Attempts that may have executed a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PossibleExecution {
-    /// Start time of the earliest such attempt.
+    /// Start time of the earliest attempt that may have executed the message.
     pub(crate) started_at: Duration,
-    /// Endpoint of the latest such attempt.
+    /// Endpoint of the latest attempt that may have executed the message.
     pub(crate) endpoint: EndpointId,
 }
 
@@ -29,7 +29,8 @@
     pub(crate) position: QueuePosition,
 }
 
-/// Message between its submission and its final answer. Values that attempts change are private and have methods.
+/// Message between its submission and its final answer. Fields that attempts change are only changed by
+/// methods.
 pub(crate) struct Message {
     pub(crate) id: MessageId,
     /// Index of the message class.
@@ -150,7 +151,7 @@
         self.queue_entry = Some(entry);
     }
 
-    /// Removes and returns the entry; the caller removes the message from the queue.
+    /// Removes and returns the queue entry; the caller removes the message from the queue.
     pub(crate) fn take_queue_entry(&mut self) -> Option<QueueEntry> {
         self.queue_entry.take()
     }
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -1,4 +1,5 @@
-//! Queues of ordering keys, which determine the next message of each key and how long messages are held off.
+//! Queues of ordering keys, which determine the next message of each key, and how long an attempt with an
+//! unknown outcome delays the messages that follow (hold-off).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,10 +11,11 @@
 #[derive(Default)]
 struct OrderingQueue {
     by_arrival: BTreeMap<u64, MessageKey>,
-    /// Time before which only the message `held_off_by` is sent.
-    held_off_until: Duration,
-    /// Arrival number of the message whose attempt holds off the other messages.
-    held_off_by: u64,
+    /// End of the hold-off: before this time, only the message with arrival number `hold_off_started_by` is
+    /// sent.
+    hold_off_until: Duration,
+    /// Arrival number of the message whose attempt started the hold-off.
+    hold_off_started_by: u64,
 }
 
 /// Queues of all ordering keys in use.
@@ -32,7 +34,8 @@
         self.queues.entry(key).or_default().by_arrival.insert(arrival_number, message);
     }
 
-    /// Removes the message with the given arrival number. Returns the message that is then first in the queue.
+    /// Removes the message with the given arrival number. Returns the message that is then first in the
+    /// queue.
     pub(crate) fn remove(&mut self, key: OrderingKey, arrival_number: u64) -> Option<MessageKey> {
         let queue = self.queues.get_mut(&key)?;
         queue.by_arrival.remove(&arrival_number);
@@ -43,12 +46,12 @@
         next
     }
 
-    /// Holds off the messages that follow the one with the given arrival number until the given time.
+    /// Delays the messages that follow the one with the given arrival number until the given time.
     pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, arrival_number: u64, until: Duration) {
         let Some(queue) = key.and_then(|key| self.queues.get_mut(&key)) else { return };
         if queue.by_arrival.contains_key(&arrival_number) {
-            queue.held_off_until = until;
-            queue.held_off_by = arrival_number;
+            queue.hold_off_until = until;
+            queue.hold_off_started_by = arrival_number;
         }
     }
 
@@ -59,24 +62,25 @@
         first.is_none_or(|(first, _)| *first == arrival_number)
     }
 
-    /// Returns whether a message is the first of its key and not held off.
+    /// Returns whether a message is the first of its key and no hold-off delays it.
     pub(crate) fn may_send(&self, key: Option<OrderingKey>, arrival_number: u64, now: Duration) -> bool {
         let queue = key.and_then(|key| self.queues.get(&key));
-        let may_proceed =
-            |queue: &OrderingQueue| now >= queue.held_off_until || queue.held_off_by == arrival_number;
+        let may_proceed = |queue: &OrderingQueue| {
+            now >= queue.hold_off_until || queue.hold_off_started_by == arrival_number
+        };
         self.is_first(key, arrival_number) && queue.is_none_or(may_proceed)
     }
 
-    /// Removes the queues of keys that have no message and are not held off.
+    /// Removes the queues of keys that have no message and whose hold-off has ended.
     pub(crate) fn remove_idle(&mut self, now: Duration) {
         for key in std::mem::take(&mut self.emptied) {
             if let Some(queue) = self.queues.get(&key) {
-                self.remove_at.insert((queue.held_off_until, key));
+                self.remove_at.insert((queue.hold_off_until, key));
             }
         }
         while let Some((_, key)) = self.remove_at.first().copied().filter(|(at, _)| *at <= now) {
             self.remove_at.pop_first();
-            let idle = |queue: &OrderingQueue| queue.by_arrival.is_empty() && now >= queue.held_off_until;
+            let idle = |queue: &OrderingQueue| queue.by_arrival.is_empty() && now >= queue.hold_off_until;
             if self.queues.get(&key).is_some_and(idle) {
                 self.queues.remove(&key);
             }
--- a/src/state/parameters.rs
+++ b/src/state/parameters.rs
@@ -44,7 +44,7 @@
     /// Whether each forwarder sends only a small part of the traffic of most destinations, because forwarders
     /// outnumber the requests that each may have in flight.
     pub(crate) has_sparse_traffic: bool,
-    /// Maximum number of requests in flight.
+    /// Maximum number of requests in flight to all destinations together.
     pub(crate) max_in_flight: usize,
     /// Maximum number of messages without a final answer.
     pub(crate) max_pending_messages: usize,
@@ -56,7 +56,7 @@
     pub(crate) longest_deadline: Duration,
     /// Maximum Retry-After that clients honor; `None` if rejections carry no Retry-After.
     pub(crate) max_retry_after: Option<Duration>,
-    /// Time within which failures are counted together.
+    /// Length of the period in which failures are counted for the opening of a circuit.
     pub(crate) failure_window: Duration,
     /// Time from the opening of a circuit to its half-open trial.
     pub(crate) recovery_delay: Duration,
@@ -64,9 +64,9 @@
     pub(crate) slow_start_floor: f64,
     /// Time from the end of an outage until a destination has its full capacity.
     pub(crate) slow_start_duration: Duration,
-    /// Multiple of its current capacity above which load makes a destination fail during its slow start.
+    /// Multiple of a destination's current capacity above which load makes it fail during its slow start.
     pub(crate) overload_multiple: f64,
-    /// Duration of overload, as defined by `overload_multiple`, after which a destination fails.
+    /// Duration of a load above `overload_multiple` after which a destination fails.
     pub(crate) overload_window: Duration,
     /// Delay of the next message of an ordering key after an attempt with an unknown outcome.
     pub(crate) ordering_hold_off: Duration,
@@ -81,7 +81,7 @@
     pub(crate) over_quota_weight: f64,
     /// Time after which an idle connection is closed.
     pub(crate) connection_idle_timeout: Duration,
-    /// Price of a request to another zone, in price points.
+    /// Additional price of a request to another zone, in price points.
     pub(crate) cross_zone_price: f64,
     /// Price of a new connection, in price points.
     pub(crate) connection_price: f64,
--- a/src/state/removed_endpoints.rs
+++ b/src/state/removed_endpoints.rs
@@ -8,12 +8,12 @@
 /// Endpoints that are no longer listed, until their records are deleted.
 #[derive(Default)]
 pub(super) struct RemovedEndpoints {
-    /// Endpoints without a removal time yet.
+    /// Endpoints whose removal time is not set yet.
     without_removal_time: BTreeSet<EndpointId>,
     removed_at: BTreeMap<EndpointId, Duration>,
     by_removal_time: BTreeSet<(Duration, EndpointId)>,
     /// Endpoints whose deletion has not been reported to the host yet.
-    forgotten: Vec<EndpointId>,
+    deleted: Vec<EndpointId>,
 }
 
 impl RemovedEndpoints {
@@ -44,11 +44,11 @@
         self.by_removal_time.iter().take_while(move |(since, _)| now > *since + age).map(|(_, id)| *id)
     }
 
-    pub(super) fn record_forgotten(&mut self, endpoint: EndpointId) {
-        self.forgotten.push(endpoint);
+    pub(super) fn record_deleted(&mut self, endpoint: EndpointId) {
+        self.deleted.push(endpoint);
     }
 
-    pub(super) fn take_forgotten(&mut self) -> Vec<EndpointId> {
-        std::mem::take(&mut self.forgotten)
+    pub(super) fn take_deleted(&mut self) -> Vec<EndpointId> {
+        std::mem::take(&mut self.deleted)
     }
 }
--- a/src/state/tenants.rs
+++ b/src/state/tenants.rs
@@ -18,8 +18,8 @@
         TenantTokenBuckets(std::iter::repeat_with(empty).take(tenants).collect())
     }
 
-    /// Refills a tenant's bucket at `tokens_per_second` up to `max_tokens`, and takes one token. Returns whether a
-    /// token was available.
+    /// Refills a tenant's bucket at `tokens_per_second` up to `max_tokens`, and takes one token. Returns
+    /// whether a token was available.
     pub(crate) fn try_take_token(
         &mut self,
         tenant: usize,
--- a/src/state/timer.rs
+++ b/src/state/timer.rs
@@ -12,8 +12,8 @@
 }
 
 impl PolicyTimer {
-    /// Requests a timer for the given time. Returns the duration of the timer that the host must set, or `None` if
-    /// the pending timer fires early enough.
+    /// Requests a timer for the given time. Returns the duration of the timer that the host must set, or
+    /// `None` if the pending timer fires early enough.
     #[must_use]
     pub(crate) fn request(&mut self, at: Duration, now: Duration) -> Option<Duration> {
         let at = at.max(now + MIN_TIMER);
@@ -24,8 +24,8 @@
         Some(at - now)
     }
 
-    /// Clears the pending timer if it is due. Timers that fire up to [`MIN_TIMER`] early count as due, because
-    /// otherwise no new timer is set and a message misses its deadline.
+    /// Clears the pending timer if it is due. Timers that fire up to [`MIN_TIMER`] early count as due,
+    /// because otherwise no new timer is set and a message misses its deadline.
     pub(crate) fn fired(&mut self, now: Duration) {
         if self.fires_at.is_some_and(|at| at <= now + MIN_TIMER) {
             self.fires_at = None;
--- a/tests/policy/discovery.rs
+++ b/tests/policy/discovery.rs
@@ -64,14 +64,14 @@
     test.policy.begin_endpoint_list(true);
     let dropped = test.policy.finish_endpoint_list();
     assert_eq!(dropped.len(), 10_000);
-    let (mut forgotten, mut runs) = (0, 0);
-    while forgotten < 10_000 {
+    let (mut deleted, mut runs) = (0, 0);
+    while deleted < 10_000 {
         test.run_after(if runs == 0 { ms(0) } else { ms(30_000) });
         let in_this_run = test.policy.take_removed_endpoints().len();
         assert!(in_this_run <= 1_000, "{in_this_run} in one run of due work");
-        forgotten += in_this_run;
+        deleted += in_this_run;
         runs += 1;
-        assert!(runs < 20, "{forgotten} forgotten");
+        assert!(runs < 20, "{deleted} deleted");
     }
     let size = test.policy.state_size();
     assert!(size.endpoints == 0 && size.messages == 0);
@@ -106,7 +106,7 @@
     let mut polled = Vec::new();
     test.policy.discovery_failed(test.now);
     for n in 0..600 {
-        if test.run_after(ms(100)).contains(&HostCommand::Subscribe) {
+        if test.run_after(ms(100)).contains(&HostCommand::WatchEndpointList) {
             polled.push(n);
             test.policy.discovery_failed(test.now);
         }
--- a/tests/policy/fleet_pacing.rs
+++ b/tests/policy/fleet_pacing.rs
@@ -6,8 +6,8 @@
 
 const OWN_CIRCUIT_ENDPOINT: &[ListedEndpoint] = &[listed(1, 9, OWN_CIRCUIT)];
 
-/// Returns how many requests a fleet sends to an endpoint in each second after each forwarder was rejected once
-/// at the same time. The endpoint is listed with 6 requests a second.
+/// Returns how many requests a fleet sends to an endpoint in each second after each forwarder was rejected
+/// once at the same time. The endpoint is listed with 6 requests a second.
 fn started_after_common_rejection(outcome: AttemptOutcome) -> Vec<usize> {
     let mut fleet = fleet(30, OWN_CIRCUIT_ENDPOINT);
     fleet.iter_mut().for_each(|member| member.submit("a", IDEMPOTENT, 9));
@@ -36,7 +36,8 @@
     }
 }
 
-/// Returns the pacing interval, in seconds, after a rejection of one of `messages` messages submitted together.
+/// Returns the pacing interval, in seconds, after a rejection of one of `messages` messages submitted
+/// together.
 fn pacing_interval_with_recent(messages: u64) -> f64 {
     let mut test = fleet_member_of_60(OWN_CIRCUIT_ENDPOINT);
     test.submit("early", IDEMPOTENT, 9);
@@ -56,8 +57,8 @@
     assert!(usual >= 10.0 && busy < 2.0, "pacing intervals of {usual} s and {busy} s");
 }
 
-/// Returns how many requests a fleet of 60 sends in each second to an endpoint that is listed with 6 requests a
-/// second, after each forwarder got a message at the same time.
+/// Returns how many requests a fleet of 60 sends in each second to an endpoint that is listed with 6 requests
+/// a second, after each forwarder got a message at the same time.
 fn started_after_burst() -> Vec<usize> {
     let mut fleet = fleet(60, OWN_CIRCUIT_ENDPOINT);
     for member in &mut fleet {
@@ -82,8 +83,8 @@
 #[test]
 fn burst_to_a_whole_fleet_is_spread_to_the_listed_rate() {
     let started = started_after_burst();
-    // About three in ten time slots are open at first and used at once. All 60 messages are ten seconds of the
-    // listed rate.
+    // About three in ten time slots are open at first and used at once. All 60 messages are ten seconds of
+    // the listed rate.
     let most = started[1..].iter().max().unwrap();
     assert!(
         started[0] <= 18 + 12 && *most <= 12,
--- a/tests/policy/load_reports.rs
+++ b/tests/policy/load_reports.rs
@@ -1,4 +1,4 @@
-//! Pacing where responses report what is left of a limit.
+//! Pacing with responses that report the unused share of a rate limit.
 
 use reeddock::*;
 
@@ -13,8 +13,8 @@
     assert_eq!(test.started_after(ms(0)).len(), 4);
 }
 
-/// Returns the pacing interval of a circuit, in seconds, after two rejections, with a completion between them
-/// if `answered` is set.
+/// Returns the pacing interval of a circuit, in seconds, after two rejections. If `answered` is set, a
+/// request completes between the rejections.
 fn pacing_interval_after_two_rejections(left: f64, limit: f64, answered: bool) -> f64 {
     let mut test = with_load_reports(ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
@@ -90,7 +90,7 @@
     test.submit("a", IDEMPOTENT, 9);
     for attempt in 0..3 {
         let again = (0..200).any(|_| !test.started_after(ms(50)).is_empty());
-        assert!(again, "a retry within ten seconds");
+        assert!(again, "expected a retry within ten seconds");
         test.report_load(1, 0.0, limit);
         test.reject_attempt("a", attempt, None);
     }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the delivery policy on a recording host: one module for each subject, one behaviour for each test.
+//! Tests of the delivery policy on a recording host: one module for each subject, one behaviour for each
+//! test.
 //!
 //! In debug builds the policy checks each of its indices against a full scan.
 
--- a/tests/policy/support/host.rs
+++ b/tests/policy/support/host.rs
@@ -12,7 +12,7 @@
     Cancel { message: String, attempt: AttemptNumber },
     Reject { message: String, retry_after: Option<Duration> },
     Fail { message: String },
-    Subscribe,
+    WatchEndpointList,
 }
 
 /// An attempt that the policy starts.
@@ -22,12 +22,12 @@
     pub endpoint: EndpointId,
 }
 
-/// The command that gives a message a failure as its final answer.
+/// Returns the command that gives a message a failure as its final answer.
 pub fn fail(message: &str) -> HostCommand {
     HostCommand::Fail { message: message.to_owned() }
 }
 
-/// The command that rejects a message.
+/// Returns the command that rejects a message.
 pub fn reject(message: &str, retry_after: Option<Duration>) -> HostCommand {
     HostCommand::Reject { message: message.to_owned(), retry_after }
 }
@@ -50,7 +50,7 @@
     pub commands: Vec<HostCommand>,
     /// All reported events.
     pub events: Vec<PolicyEvent>,
-    /// The durations of all timers that were set.
+    /// Durations of all timers that were set.
     pub timers: Vec<Duration>,
     /// Timeouts of the last attempt of each message.
     pub timeouts: BTreeMap<String, AttemptTimeouts>,
@@ -77,7 +77,7 @@
     fn start_health_check(&mut self, _endpoint: EndpointId) {}
     fn send_gossip(&mut self, _peer: Option<PeerId>, _gossip: &[u8]) {}
     fn watch_endpoint_list(&mut self, _on: bool) {
-        self.commands.push(HostCommand::Subscribe);
+        self.commands.push(HostCommand::WatchEndpointList);
     }
     fn fetch_endpoint_list(&mut self) {}
     fn report_event(&mut self, event: &PolicyEvent) {
--- a/tests/policy/support/policy_test.rs
+++ b/tests/policy/support/policy_test.rs
@@ -92,7 +92,7 @@
         self.policy.finish_endpoint_list();
     }
 
-    /// Applies one entry of an endpoint list that the test begins and finishes.
+    /// Applies one entry of an endpoint list. The caller begins the list before and finishes it afterwards.
     pub fn update_endpoint(&mut self, listed: &ListedEndpoint, state: EndpointState) {
         self.policy.update_endpoint(EndpointUpdate {
             endpoint: EndpointId(listed.endpoint),
@@ -164,7 +164,7 @@
         self.finish_attempt(name, attempt, AttemptOutcome::Rejected { retry_after });
     }
 
-    /// Completes an attempt at an endpoint with a Retry-After in its response.
+    /// Submits a message and completes its attempt at an endpoint with a Retry-After in the response.
     pub fn complete_with_retry_after(&mut self, endpoint: u32, destination: u64, retry_after: Duration) {
         let name = format!("answered {endpoint}");
         self.submit(&name, IDEMPOTENT, destination);
@@ -173,7 +173,8 @@
         self.complete_attempt(&name, 0);
     }
 
-    /// Reports what is left of an endpoint's limit, as its response would.
+    /// Reports a rate limit, in requests per second, and its unused share, as a response of the endpoint
+    /// would.
     pub fn report_load(&mut self, endpoint: u32, left: f64, limit: f64) {
         self.policy.load_reported(
             EndpointId(endpoint),
--- a/tests/policy/support/settings.rs
+++ b/tests/policy/support/settings.rs
@@ -17,11 +17,11 @@
 pub const SHARED_CIRCUIT: &str = "shared-circuit";
 /// An endpoint kind with a circuit for each endpoint.
 pub const OWN_CIRCUIT: &str = "own-circuit";
-/// Like [`SHARED_CIRCUIT`], with up to 4 messages in a request.
+/// An endpoint kind with one circuit for each destination and up to 4 messages in a request.
 pub const BATCH_OF_4: &str = "batch-of-4";
-/// Like [`SHARED_CIRCUIT`], with up to 40 messages in a request.
+/// An endpoint kind with one circuit for each destination and up to 40 messages in a request.
 pub const BATCH_OF_40: &str = "batch-of-40";
-/// Like [`OWN_CIRCUIT`], with up to 10 messages in a request.
+/// An endpoint kind with a circuit for each endpoint and up to 10 messages in a request.
 pub const OWN_CIRCUIT_BATCH_OF_10: &str = "own-circuit-batch-of-10";
 
 /// Settings of one forwarder with at most eight requests in flight. Messages have a latency objective of 2 s
@@ -67,8 +67,8 @@
     EndpointKind { name: name.into(), circuit_per_endpoint, max_batch: Some(max_batch) }
 }
 
-/// Creates a policy that is one of 200 forwarders. Responses report what is left of a limit, listed rates are
-/// exact, and new connections have a price.
+/// Creates a policy that is one of 200 forwarders. Responses report the unused share of a rate limit, listed
+/// rates are exact, and new connections have a price.
 pub fn with_load_reports(endpoints: &[ListedEndpoint]) -> PolicyTest {
     let settings = Settings {
         forwarders: Some(200),
--- a/tests/policy/wake_ups.rs
+++ b/tests/policy/wake_ups.rs
@@ -12,7 +12,7 @@
     test.advance(Duration::from_nanos(500));
     test.submit("a", IDEMPOTENT, 9);
     test.run_after(ms(0));
-    let timer = test.host.timers.pop().expect("a timer before the deadline");
+    let timer = test.host.timers.pop().expect("expected a timer before the deadline, none was set");
     let whole_micros = Duration::from_micros(timer.as_micros() as u64 - 1);
     test.run_after(whole_micros);
     assert!(!test.host.timers.is_empty());
