--- a/crates/forwarder/src/cached_endpoint_list.rs
+++ b/crates/forwarder/src/cached_endpoint_list.rs
@@ -1,42 +1,44 @@
-//! The endpoint list as it was known before the start of the process.
+//! The endpoint list that was cached before the process started.
 
 use std::error::Error;
 
 use reeddock_protocol::{ListEntry, ListPart};
 use thiserror::Error;
 
-/// The error of reading the entries of a list; its text is one line.
+/// An error of reading the entries of a cached list. Its text is one line.
 pub type ReadEntriesError = Box<dyn Error + Send + Sync>;
 
-/// Passes each entry of a list to a function.
+/// A function that passes each entry of a cached list to its argument, in the order of the list.
 pub type ReadEntries = Box<dyn FnOnce(&mut dyn FnMut(ListEntry)) -> Result<(), ReadEntriesError> + Send>;
 
-/// The cached list can't be read again, although it could be read when the configuration was parsed.
+/// Returned when the cached list can't be read while it is applied, although it was valid when the
+/// configuration was parsed.
 #[derive(Debug, Error)]
-#[error(transparent)]
+#[error("cannot read the cached endpoint list: {0}")]
 pub struct CachedListError(ReadEntriesError);
 
-/// A list that is read entry by entry while it is applied, so that it need not be in memory as a whole.
+/// A cached endpoint list whose entries are read while they are applied, so that the whole list need not be
+/// in memory.
 pub struct CachedEndpointList {
-    /// The generation of the list, from which a watch continues; 0 if no list is known.
+    /// The generation of the list, from which the watch continues; 0 if no list is cached.
     pub generation: u64,
-    /// How many entries it has; 0 if no list is known.
+    /// The number of entries; 0 if no list is cached.
     pub endpoints: usize,
     read_entries: ReadEntries,
 }
 
 impl CachedEndpointList {
-    /// A list with `endpoints` entries, which `read_entries` reads.
+    /// Returns a list with `endpoints` entries, which `read_entries` passes on.
     pub fn new(generation: u64, endpoints: usize, read_entries: ReadEntries) -> CachedEndpointList {
         CachedEndpointList { generation, endpoints, read_entries }
     }
 
-    /// An empty list, for a start without any known list.
+    /// Returns an empty list, for a start without a cached list.
     pub fn none() -> CachedEndpointList {
         CachedEndpointList::new(0, 0, Box::new(|_| Ok(())))
     }
 
-    /// Passes each entry to a function. On an error some of them may have been passed.
+    /// Passes each entry to `apply`. After an error, some entries may already have been passed.
     pub(crate) fn for_each(self, mut apply: impl FnMut(ListEntry)) -> Result<(), CachedListError> {
         (self.read_entries)(&mut apply).map_err(CachedListError)
     }
--- a/crates/forwarder/src/discovery.rs
+++ b/crates/forwarder/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list, opened again whenever it breaks or falls silent.
+//! The watch on the endpoint list, which is reopened after each loss.
 
 use std::net::SocketAddr;
 
@@ -10,9 +10,10 @@
 use crate::events::Event;
 use crate::list_reader::{ListReader, WatchProgress};
 use crate::log_throttle::LogThrottle;
-use crate::watch_schedule::{BreakCause, Loss, Received, WatchSchedule, WatchTimings};
+use crate::watch_schedule::{Received, WatchFailure, WatchLoss, WatchSchedule, WatchTimings};
 
-/// Completes when the address of discovery changes; never if it can't change any more.
+/// Completes when the address of discovery changes. Never completes once the sender of the address is
+/// dropped.
 pub(crate) async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending().await
@@ -21,8 +22,8 @@
 
 /// Watches the endpoint list until the event loop ends.
 ///
-/// `generation` is the generation of the list that the event loop already has; the first watch requests the changes
-/// after it.
+/// `generation` is the generation of the list that the event loop already has. The first watch requests the
+/// changes after that generation.
 pub async fn watch_endpoint_list(
     mut address: watch::Receiver<SocketAddr>,
     generation: u64,
@@ -36,13 +37,13 @@
         progress.received = Received::Nothing;
         let request = WatchRequest {
             discovery: *address.borrow_and_update(),
-            response_deadline: start + schedule.request_begun(start.elapsed()),
-            periods: schedule.periods(),
+            response_deadline: start + schedule.request_started(start.elapsed()),
+            timings: schedule.timings(),
         };
         let loss = tokio::select! {
             loss = request.run(&mut progress, &event_loop) => loss,
             () = address_changed(&mut address) => {
-                schedule.discovery_moved(start.elapsed());
+                schedule.discovery_address_changed(start.elapsed());
                 continue;
             }
         };
@@ -53,48 +54,51 @@
         }
         tokio::select! {
             () = sleep_until(next_request) => {}
-            () = address_changed(&mut address) => schedule.discovery_moved(start.elapsed()),
+            () = address_changed(&mut address) => schedule.discovery_address_changed(start.elapsed()),
         }
     }
 }
 
-/// Logs why a watch was lost and when the next one is opened.
-fn log_loss(log_throttle: &mut LogThrottle, loss: &Loss, next_request: Instant) {
+/// Logs why a watch was lost and after which delay the next one is opened.
+fn log_loss(log_throttle: &mut LogThrottle, loss: &WatchLoss, next_request: Instant) {
     if let Some(suppressed) = log_throttle.admit() {
         let retry_in = next_request.saturating_duration_since(Instant::now());
         tracing::warn!(error = %loss, ?retry_in, suppressed, "endpoint list watch lost");
     }
 }
 
-/// One request that opens a watch.
+/// A request that opens a watch.
 struct WatchRequest {
     discovery: SocketAddr,
-    /// The request is abandoned if it is not answered by then.
+    /// The time at which the request is cancelled if no response has arrived.
     response_deadline: Instant,
-    periods: WatchTimings,
+    timings: WatchTimings,
 }
 
 impl WatchRequest {
-    /// Opens the watch and reads it until it ends; returns why it ended or could not be opened.
-    async fn run(self, progress: &mut WatchProgress, event_loop: &mpsc::Sender<Event>) -> Loss {
+    /// Opens the watch and reads it until it is lost. Returns why it was lost or could not be opened.
+    async fn run(self, progress: &mut WatchProgress, event_loop: &mpsc::Sender<Event>) -> WatchLoss {
         let request = match watch_request(self.discovery, progress.generation) {
             Ok(request) => request,
-            Err(error) => return BreakCause::Request(error.to_string()).into(),
+            Err(error) => return WatchFailure::BuildRequest(error.to_string()).into(),
         };
-        let mut connection = match Connection::open(self.discovery, self.periods.connect_timeout, None).await
+        let mut connection = match Connection::open(self.discovery, self.timings.connect_timeout, None).await
         {
             Ok(connection) => connection,
-            Err(result) => return BreakCause::Connection(result).into(),
+            Err(result) => return WatchFailure::Connection(result).into(),
         };
         let response = match timeout_at(self.response_deadline, connection.send(request)).await {
-            Err(_) => return Loss::NoAnswer,
-            Ok(Err(result)) => return BreakCause::Connection(result).into(),
+            Err(_) => return WatchLoss::ResponseTimeout,
+            Ok(Err(result)) => return WatchFailure::Connection(result).into(),
             Ok(Ok(response)) => response,
         };
         let (head, body) = response.into_parts();
         if head.status != http::StatusCode::OK {
-            return Loss::Refused { status: head.status, retry_after: parse_retry_after(&head) };
+            return WatchLoss::UnexpectedStatus {
+                status: head.status,
+                retry_after: parse_retry_after(&head),
+            };
         }
-        ListReader::new(progress, event_loop).read(connection, body, self.periods.idle_timeout).await
+        ListReader::new(progress, event_loop).read(connection, body, self.timings.idle_timeout).await
     }
 }
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints as the network knows them: names, numbers and addresses.
+//! Names, ids and addresses of the endpoints.
 
 use std::hash::BuildHasher;
 use std::net::{SocketAddr, SocketAddrV4, SocketAddrV6};
@@ -8,9 +8,9 @@
 use reeddock::EndpointId;
 use smol_str::SmolStr;
 
-/// An address in 16 bytes: there is one for each endpoint of the list, and nearly all are IPv4.
+/// A socket address in 16 bytes. Nearly all endpoints have IPv4 addresses, so that IPv6 addresses are boxed.
 enum CompactAddress {
-    /// The list has had no address for it so far.
+    /// The endpoint list has not given an address.
     Unknown,
     V4(SocketAddrV4),
     V6(Box<SocketAddrV6>),
@@ -35,78 +35,79 @@
     }
 }
 
-/// The stored data of one endpoint.
 struct EndpointRow {
     name: SmolStr,
     address: CompactAddress,
     max_batch: u32,
 }
 
-/// The address of an endpoint, and the most messages that it accepts in one request.
+/// The address of an endpoint, and the limit on messages in one request to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointLocation {
-    /// Its address.
+    /// The address from the endpoint list.
     pub address: SocketAddr,
-    /// The most messages in one request to it.
+    /// The maximum number of messages that the endpoint accepts in one request.
     pub max_batch: usize,
 }
 
 /// The change of an endpoint's address by [`EndpointTable::set_location`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocationChange {
-    /// It had none before.
+    /// The endpoint had no address before.
     New,
-    /// It had another one before.
+    /// The endpoint had another address before.
     Moved,
-    /// It had the same one before, or the endpoint is unknown.
+    /// The endpoint had the same address before, or is unknown.
     Same,
 }
 
-/// An entry in the index of names. It stores the hash of its name, so that the index can grow without hashing each name
-/// again: with some hundred thousand names that would block the event loop for too long.
+/// An entry in the index of names. The stored hash lets the index grow without hashing all names again, which
+/// would block the event loop when there are hundreds of thousands of names.
 struct NameEntry {
     hash: u32,
     id: EndpointId,
 }
 
 impl NameEntry {
-    /// Extends the stored half of a name's hash to all bits that the index uses.
-    fn spread(hash: u32) -> u64 {
+    /// Extends the stored 32 bits of a name's hash to the 64 bits that the index uses.
+    fn index_hash(hash: u32) -> u64 {
         u64::from(hash) << 32 | u64::from(hash)
     }
 }
 
-/// All endpoints that were named and not forgotten. The time of each operation does not depend on how many there are.
+/// All endpoints that were named and not forgotten. Each operation takes constant time, independent of the
+/// number of endpoints.
 #[derive(Default)]
 pub struct EndpointTable {
-    /// By number.
+    /// The endpoints by the number in their id.
     rows: IndexMap<u32, EndpointRow, DefaultHashBuilder>,
-    /// The same endpoints, by name.
+    /// The index of the same endpoints by name.
     names: HashTable<NameEntry>,
     hashes: DefaultHashBuilder,
     next_number: u32,
-    with_address: usize,
+    located_count: usize,
 }
 
 impl EndpointTable {
-    /// The number of an endpoint, which is assigned when its name is used for the first time. The endpoint keeps it
-    /// until it is forgotten; the number is never assigned again.
+    /// Returns the id of an endpoint, and assigns one when the name is used for the first time.
+    ///
+    /// An endpoint keeps its id until it is forgotten. An id is never assigned again.
     pub fn id_for_name(&mut self, name: &str) -> EndpointId {
         let EndpointTable { rows, names, hashes, next_number, .. } = self;
         let name_of = |id: &EndpointId| rows.get(&id.0).map_or("", |row| row.name.as_str());
         let hash = hashes.hash_one(name) as u32;
-        if let Some(known) = names.find(NameEntry::spread(hash), |entry| name_of(&entry.id) == name) {
+        if let Some(known) = names.find(NameEntry::index_hash(hash), |entry| name_of(&entry.id) == name) {
             return known.id;
         }
         let id = EndpointId(*next_number);
         *next_number += 1;
         let entry = NameEntry { hash, id };
-        names.insert_unique(NameEntry::spread(hash), entry, |entry| NameEntry::spread(entry.hash));
+        names.insert_unique(NameEntry::index_hash(hash), entry, |entry| NameEntry::index_hash(entry.hash));
         rows.insert(id.0, EndpointRow { name: name.into(), address: CompactAddress::Unknown, max_batch: 1 });
         id
     }
 
-    /// Stores where an endpoint is, as the list has it.
+    /// Stores the address and batch limit that the endpoint list gives for an endpoint.
     pub fn set_location(&mut self, id: EndpointId, location: EndpointLocation) -> LocationChange {
         let Some(row) = self.rows.get_mut(&id.0) else { return LocationChange::Same };
         row.max_batch = u32::try_from(location.max_batch).unwrap_or(u32::MAX);
@@ -118,32 +119,32 @@
         if previous.is_some() {
             return LocationChange::Moved;
         }
-        self.with_address += 1;
+        self.located_count += 1;
         LocationChange::New
     }
 
-    /// The name of an endpoint, if it is known.
+    /// Returns the name of an endpoint, or `None` if the endpoint is unknown.
     pub fn name(&self, id: EndpointId) -> Option<&str> {
         self.rows.get(&id.0).map(|row| row.name.as_str())
     }
 
-    /// Where an endpoint is, if the list has given an address.
+    /// Returns the location of an endpoint, or `None` if the endpoint list has given no address for it.
     pub fn location(&self, id: EndpointId) -> Option<EndpointLocation> {
         let row = self.rows.get(&id.0)?;
         Some(EndpointLocation { address: row.address.get()?, max_batch: row.max_batch as usize })
     }
 
-    /// How many endpoints have an address.
-    pub fn located(&self) -> usize {
-        self.with_address
+    /// Returns the number of endpoints that have an address.
+    pub fn located_count(&self) -> usize {
+        self.located_count
     }
 
-    /// Forgets an endpoint. If its name is used again, it gets another number.
+    /// Forgets an endpoint. If its name is used again, the endpoint gets another id.
     pub fn forget(&mut self, id: EndpointId) {
         let Some(row) = self.rows.swap_remove(&id.0) else { return };
-        self.with_address -= usize::from(row.address.get().is_some());
+        self.located_count -= usize::from(row.address.get().is_some());
         let hash = self.hashes.hash_one(row.name.as_str()) as u32;
-        if let Ok(entry) = self.names.find_entry(NameEntry::spread(hash), |entry| entry.id == id) {
+        if let Ok(entry) = self.names.find_entry(NameEntry::index_hash(hash), |entry| entry.id == id) {
             entry.remove();
         }
     }
--- a/crates/forwarder/src/error.rs
+++ b/crates/forwarder/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a forwarder can't start.
+//! The errors that prevent the start of a forwarder.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,29 +9,29 @@
 
 use crate::cached_endpoint_list::CachedListError;
 
-/// Why a forwarder can't start. Once it serves, it ends without an error.
+/// An error that prevents the start of a forwarder. A forwarder that serves ends without an error.
 #[derive(Debug, Error)]
 pub enum ForwarderError {
-    /// The address for clients can't be listened on.
+    /// The listening socket for clients can't be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address from the configuration.
+        /// The listening address from the configuration.
         address: SocketAddr,
-        /// What the system answered.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The write-ahead log can't be opened.
-    #[error("write-ahead log in {}: {source}", folder.display())]
+    #[error("cannot open the write-ahead log in {}: {source}", folder.display())]
     OpenLog {
-        /// The state folder.
+        /// The state folder, which contains the write-ahead log.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// The error of the write-ahead log.
         source: WalError,
     },
-    /// The cached endpoint list can't be read any more.
+    /// The cached endpoint list can't be read.
     #[error(transparent)]
     CachedList(#[from] CachedListError),
-    /// The system does not give the address of the listening socket.
-    #[error(transparent)]
+    /// The operating system does not return the address of the listening socket.
+    #[error("cannot read the address of the listening socket: {0}")]
     LocalAddress(io::Error),
 }
--- a/crates/forwarder/src/event_loop/attempt_results.rs
+++ b/crates/forwarder/src/event_loop/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Results of attempts: recorded for the write-ahead log and passed to the policy.
+//! Records the results of attempts for the write-ahead log, and passes them to the policy.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use super::EventLoop;
 
 impl EventLoop {
-    /// Handles a `Retry-After` of an endpoint that accepted messages all the same.
+    /// Handles a `Retry-After` header from an endpoint that accepted messages.
     pub(super) fn pause_endpoint(&mut self, endpoint: EndpointId, pause: Duration, now: Duration) {
-        self.hold_back_requests(endpoint, now + pause);
+        self.postpone_requests(endpoint, now + pause);
         self.policy.retry_after_received(now, endpoint, pause);
     }
 
-    /// Holds back requests to an endpoint that still wait for their connection until its pause is over. The policy
-    /// can't recall these any more.
-    fn hold_back_requests(&self, endpoint: EndpointId, until: Duration) {
+    /// Postpones requests to an endpoint that are still waiting for a connection, because the policy can't
+    /// recall them.
+    fn postpone_requests(&self, endpoint: EndpointId, until: Duration) {
         for endpoint in self.policy.endpoints_sharing_circuit(endpoint) {
-            self.connections.set_retry_after(endpoint, self.clock.instant(until));
+            self.connections.set_retry_after(endpoint, self.clock.instant_at(until));
         }
     }
 
@@ -33,21 +33,22 @@
         now: Duration,
     ) {
         let key = AttemptKey { message: id, number };
-        self.state.attempt_finished(&key);
+        self.state.remove_in_flight(&key);
         tracing::debug!(message_id = &*key.message.0, attempt = number.0, %result, "attempt finished");
-        self.log_malformed(&key.message, result);
+        self.log_malformed_request(&key.message, result);
         let message_finished = self.record_result(&key, result);
         let (id, outcome) = (&key.message, result.outcome());
         if let AttemptOutcome::Rejected { retry_after: Some(pause) } = outcome {
             if let Some(endpoint) = self.policy.attempt_endpoint(id, number) {
-                self.hold_back_requests(endpoint, now + pause);
+                self.postpone_requests(endpoint, now + pause);
             }
         }
         let ended = FinishedAttempt { message: id, number, outcome, message_finished };
         self.policy.attempt_finished(now, &ended, self.state.commands());
     }
 
-    /// Records a result for the write-ahead log. Returns whether its message is finished, with this result or before.
+    /// Records a result for the write-ahead log. Returns whether the message has its final answer, from this
+    /// result or earlier.
     fn record_result(&mut self, attempt: &AttemptKey, result: AttemptResult) -> bool {
         let message = &attempt.message;
         if !self.state.pending().contains(message) {
@@ -64,8 +65,8 @@
         false
     }
 
-    /// Logs a message whose request the endpoint answered as malformed.
-    fn log_malformed(&mut self, id: &MessageId, result: AttemptResult) {
+    /// Logs a message whose request the endpoint rejected as malformed.
+    fn log_malformed_request(&mut self, id: &MessageId, result: AttemptResult) {
         if !matches!(result, AttemptResult::Malformed | AttemptResult::BatchMalformed) {
             return;
         }
--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the delivery policy, collected while it runs and sorted by kind for the event loop.
+//! Collects the commands of the delivery policy, and sorts them by kind for the event loop.
 
 use std::time::Duration;
 
@@ -8,12 +8,11 @@
 use reeddock_protocol::{DeliveryNotice, FinalAnswer, OutgoingMessage};
 use tracing::field::{self, DebugValue};
 
-/// A command of the policy.
 enum Command {
     StartAttempt(AttemptCommand),
     Cancel(AttemptKey),
     GiveFinalAnswer(DeliveryNotice),
-    /// Set a timer that fires after this span.
+    /// Sets a timer that fires after this time.
     SetTimer(Duration),
 }
 
@@ -31,7 +30,7 @@
     pub number: AttemptNumber,
 }
 
-/// An attempt that has its number and is about to start.
+/// An attempt that has its number and is ready to start.
 pub(super) struct OutgoingAttempt {
     pub message: OutgoingMessage,
     pub number: AttemptNumber,
@@ -39,16 +38,16 @@
     pub timeouts: AttemptTimeouts,
 }
 
-/// The policy's host: collects its commands until the event loop takes them.
+/// The host of the policy, which stores commands until the event loop takes them.
 #[derive(Default)]
 pub(super) struct CommandBuffer {
     commands: Vec<Command>,
 }
 
-/// Commands by kind, each kind in the order in which the policy gave them.
+/// Commands by kind, each kind in the order in which the policy issued them.
 #[derive(Default)]
 pub(super) struct CommandBatch {
-    /// Spans after which timers fire.
+    /// The times from now after which timers fire.
     pub timers: Vec<Duration>,
     pub attempts: Vec<AttemptCommand>,
     pub cancellations: Vec<AttemptKey>,
@@ -56,7 +55,7 @@
 }
 
 impl CommandBuffer {
-    /// Takes all commands that the policy gave since they were taken last.
+    /// Takes the commands that the policy issued since the last call.
     pub(super) fn take(&mut self) -> CommandBatch {
         let mut batch = CommandBatch::default();
         for command in self.commands.drain(..) {
@@ -75,7 +74,7 @@
     }
 }
 
-/// What a circuit is kept for, as log fields: the one that is given is written.
+/// The scope of a circuit as log fields. Only the field that is `Some` is logged.
 struct CircuitFields {
     destination: Option<u64>,
     endpoint: Option<DebugValue<EndpointId>>,
@@ -114,8 +113,8 @@
         self.commands.push(Command::SetTimer(after));
     }
 
-    // Not implemented on sockets: endpoints have no health checks, forwarders do not talk to each other, and the watch
-    // on the endpoint list is always open.
+    // The remaining commands have no effect on sockets: endpoints have no health checks, forwarders do not
+    // exchange gossip, and the watch on the endpoint list is always open.
     fn start_health_check(&mut self, _: EndpointId) {}
     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn watch_endpoint_list(&mut self, _: bool) {}
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -1,4 +1,5 @@
-//! One run of the policy's due work. Its commands are written to the write-ahead log first and then carried out.
+//! Runs the policy's due work. The resulting records are appended to the write-ahead log before requests
+//! start.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,20 +12,20 @@
 use super::log_writer::LogWrite;
 use super::EventLoop;
 
-/// Due work runs again at the latest this long after an attempt or a submission failed for a local reason: soon, but
-/// not at once, so that a full disk does not cause a busy loop.
-const RETRY_AFTER_FAULT: Duration = Duration::from_millis(20);
+/// The maximum delay of the next due work after an attempt or a submission failed for a local reason. A delay
+/// prevents a busy loop while the disk is full.
+const LOCAL_FAILURE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The attempts of one run of due work, by whether they may start.
+/// The attempts of one run of due work, divided by whether they may start.
 struct SplitAttempts {
     startable: Vec<OutgoingAttempt>,
     unstartable: Vec<OutgoingAttempt>,
 }
 
 impl EventLoop {
-    /// Lets the policy run its due work, and carries out its commands.
+    /// Runs the policy's due work, and executes the resulting commands.
     pub(super) fn run_due_work(&mut self, now: Duration) {
-        self.reap_requests();
+        self.remove_finished_requests();
         self.state.begin_due_work(now);
         self.policy.run_due_work(now, self.state.commands());
         self.forget_removed_endpoints();
@@ -40,14 +41,14 @@
         self.start_requests(startable, now);
         self.state.cancel_attempts(cancellations);
         if !unstartable.is_empty() || !withdrawn.is_empty() {
-            self.state.set_timers([now + RETRY_AFTER_FAULT]);
+            self.state.set_timers([now + LOCAL_FAILURE_RETRY_DELAY]);
         }
         self.return_unstarted(unstartable, now);
-        self.withdraw(withdrawn);
+        self.withdraw_messages(withdrawn);
     }
 
-    /// Separates the attempts that may start from those that may not because the write-ahead log does not have them,
-    /// their message was withdrawn, or their endpoint has no address.
+    /// Separates attempts that may start from the others. An attempt may not start if the write-ahead log
+    /// does not contain it, its message was withdrawn, or its endpoint has no address.
     fn split_startable(
         &self,
         attempts: Vec<OutgoingAttempt>,
@@ -63,15 +64,16 @@
         SplitAttempts { startable, unstartable }
     }
 
-    /// Finishes attempts that could not start with the result `NotSent`. The policy reacts in the next due work.
+    /// Finishes attempts that could not start with the result `NotSent`. The policy handles them in the next
+    /// due work.
     fn return_unstarted(&mut self, attempts: Vec<OutgoingAttempt>, now: Duration) {
         for attempt in attempts {
             self.finish_attempt(attempt.message.id, attempt.number, AttemptResult::NotSent, now);
         }
     }
 
-    /// Withdraws messages whose clients were not answered 202 and will submit them again.
-    fn withdraw(&mut self, ids: BTreeSet<MessageId>) {
+    /// Withdraws messages whose clients did not receive a 202 response and will submit the messages again.
+    fn withdraw_messages(&mut self, ids: BTreeSet<MessageId>) {
         for id in ids {
             self.policy.withdraw(&id, self.state.commands());
             self.state.finish_message(&id);
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, applied entry by entry.
+//! Applies the endpoint list entry by entry.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,16 @@
 use crate::endpoints::{EndpointLocation, LocationChange};
 use crate::malformed_list::MalformedList;
 
-/// The new endpoints of one part of the list that have a line each in the log; further ones are in the debug log.
+/// The maximum number of new endpoints per list part that are logged at info level. Further ones are logged
+/// at debug level.
 const MAX_NEW_ENDPOINTS_LOGGED: usize = 100;
 
-/// How much of a part of the list was applied.
+/// The applied portion of a part of the list.
 #[derive(Default)]
 pub(super) struct ListProgress {
     generation: u64,
-    /// Whether the part is the whole list, and not only what has changed.
-    whole: bool,
+    /// Whether the part is the full list. Otherwise the part contains only changes.
+    is_full_list: bool,
     entries: usize,
     new_endpoints: usize,
 }
@@ -28,8 +29,12 @@
     pub(super) fn apply_list_events(&mut self, events: Vec<ListEvent>) {
         for event in events {
             match event {
-                ListEvent::PartStarted { generation, is_full_list: whole } => {
-                    self.begin_endpoint_list(ListProgress { generation, whole, ..ListProgress::default() });
+                ListEvent::PartStarted { generation, is_full_list } => {
+                    self.begin_endpoint_list(ListProgress {
+                        generation,
+                        is_full_list,
+                        ..ListProgress::default()
+                    });
                 }
                 ListEvent::EndpointUpdated(entry) => self.update_endpoint(entry),
                 ListEvent::PartEnded => self.finish_endpoint_list(),
@@ -38,41 +43,42 @@
         }
     }
 
-    /// Applies the list that was known before the start. Must be called before any event is handled.
+    /// Applies the list that was cached before the start. Must be called before any event is handled.
     pub fn apply_cached_list(&mut self, cached_list: CachedEndpointList) -> Result<(), CachedListError> {
         if cached_list.endpoints == 0 {
             tracing::info!("no cached endpoint list, messages wait for discovery");
             return Ok(());
         }
         let generation = cached_list.generation;
-        self.begin_endpoint_list(ListProgress { generation, whole: true, ..ListProgress::default() });
+        self.begin_endpoint_list(ListProgress { generation, is_full_list: true, ..ListProgress::default() });
         cached_list.for_each(|entry| self.update_endpoint(entry))?;
         self.finish_endpoint_list();
         Ok(())
     }
 
-    /// Begins a part of the list, of which nothing was applied yet.
+    /// Begins a new part of the list.
     fn begin_endpoint_list(&mut self, progress: ListProgress) {
-        // If an earlier part is unfinished, its watch was abandoned in the middle of it.
+        // An unfinished earlier part belongs to a watch that was lost.
         self.abort_endpoint_list();
-        self.policy.begin_endpoint_list(progress.whole);
+        self.policy.begin_endpoint_list(progress.is_full_list);
         *self.state.list_progress_mut() = Some(progress);
     }
 
-    /// Abandons a part of the list that was not received to its end: endpoints that it did not name stay as they are.
+    /// Aborts a part of the list that was not received completely. Endpoints that the part did not name stay
+    /// unchanged.
     fn abort_endpoint_list(&mut self) {
         let Some(progress) = self.state.list_progress_mut().take() else { return };
         self.policy.abort_endpoint_list();
-        let ListProgress { generation, whole, entries, .. } = progress;
+        let ListProgress { generation, is_full_list, entries, .. } = progress;
         tracing::warn!(
             generation,
-            whole,
+            whole = is_full_list,
             entries,
             "endpoint list incomplete, endpoints not named in it stay"
         );
     }
 
-    /// Rejects a malformed list: the previous one stays in force.
+    /// Rejects a malformed list. The previous list stays in effect.
     pub(super) fn reject_malformed_list(&mut self, list: &MalformedList) {
         self.abort_endpoint_list();
         self.list_status.malformed(&list.fault);
@@ -82,7 +88,7 @@
         }
     }
 
-    /// Handles the end of a watch, or a watch that could not be opened.
+    /// Handles the loss of a watch, or a watch that could not be opened.
     pub(super) fn discovery_failed(&mut self) {
         self.abort_endpoint_list();
         self.policy.discovery_failed(self.clock.now());
@@ -116,20 +122,21 @@
         self.update_location(endpoint, &entry);
     }
 
-    /// Stores the address of an endpoint. An entry for a removed endpoint has none; then the last address is kept, as
-    /// the policy may still refer to the endpoint.
+    /// Stores the address of an endpoint. An entry without an address, as for a removed endpoint, keeps the
+    /// last address, because the policy may still refer to the endpoint.
     fn update_location(&mut self, endpoint: EndpointId, entry: &ListEntry) {
         let Some(address) = entry.address else { return };
         let location = EndpointLocation { address, max_batch: self.batch_limits.of_kind(&entry.kind) };
         match self.state.endpoints_mut().set_location(endpoint, location) {
             LocationChange::New => self.log_new_endpoint(endpoint, address, entry),
-            // Another machine may have the old address by now.
+            // Another machine may use the previous address by now.
             LocationChange::Moved => self.connections.close_idle(endpoint),
             LocationChange::Same => {}
         }
     }
 
-    /// Logs the name and address of a new endpoint with its number, by which the policy's lines refer to it.
+    /// Logs the name and address of a new endpoint with its id, which identifies the endpoint in other log
+    /// lines.
     fn log_new_endpoint(&mut self, endpoint: EndpointId, address: SocketAddr, entry: &ListEntry) {
         let new_endpoints = self.state.list_progress_mut().as_mut().map_or(1, |progress| {
             progress.new_endpoints += 1;
@@ -143,14 +150,14 @@
         }
     }
 
-    /// Finishes a part of the list: endpoints that a whole list did not name are removed.
+    /// Finishes a part of the list. Endpoints that a full list did not name are removed.
     fn finish_endpoint_list(&mut self) {
         let dropped = self.policy.finish_endpoint_list();
         for endpoint in &dropped {
             self.connections.endpoint_removed(*endpoint);
         }
         let Some(progress) = self.state.list_progress_mut().take() else { return };
-        if progress.whole || progress.new_endpoints > MAX_NEW_ENDPOINTS_LOGGED {
+        if progress.is_full_list || progress.new_endpoints > MAX_NEW_ENDPOINTS_LOGGED {
             self.log_applied_list(&progress, dropped.len());
         }
         self.list_status.applied();
@@ -158,11 +165,11 @@
 
     /// Logs a part of the list that was applied completely.
     fn log_applied_list(&self, progress: &ListProgress, dropped: usize) {
-        let ListProgress { generation, whole, entries, new_endpoints } = *progress;
-        let endpoints = self.state.endpoints().located();
+        let ListProgress { generation, is_full_list, entries, new_endpoints } = *progress;
+        let endpoints = self.state.endpoints().located_count();
         tracing::info!(
             generation,
-            whole,
+            whole = is_full_list,
             entries,
             new_endpoints,
             dropped,
@@ -171,8 +178,8 @@
         );
     }
 
-    /// Forgets the endpoints that the policy has forgotten: endpoints that are replaced under new names would otherwise
-    /// fill the memory.
+    /// Forgets the endpoints that the policy has forgotten, because endpoints that are replaced under new
+    /// names would otherwise occupy memory without limit.
     pub(super) fn forget_removed_endpoints(&mut self) {
         let removed = self.policy.take_removed_endpoints();
         for endpoint in &removed {
--- a/crates/forwarder/src/event_loop/log_writer.rs
+++ b/crates/forwarder/src/event_loop/log_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the records of each run of due work to the write-ahead log.
+//! Appends the records of each run of due work to the write-ahead log.
 
 use std::time::Duration;
 
@@ -8,32 +8,33 @@
 use super::new_submission::NewSubmission;
 use super::EventLoop;
 
-/// Which records of one run of due work were written to the write-ahead log.
+/// The extent to which the records of one run of due work were appended to the write-ahead log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LogWrite {
-    /// All of them.
+    /// All records were appended.
     Complete,
-    /// All except the new submissions and their attempts, for which there was no space.
+    /// All records were appended except those of new submissions and their attempts, because the disk space
+    /// was insufficient.
     WithoutSubmissions,
-    /// Nothing: the write failed.
+    /// No record was appended.
     Failed,
 }
 
 impl LogWrite {
-    /// Whether attempts of messages that were accepted before may start.
+    /// Returns whether attempts of previously accepted messages may start.
     pub(super) fn has_attempts(self) -> bool {
         self != LogWrite::Failed
     }
 
-    /// Whether the new submissions are accepted.
+    /// Returns whether the new submissions are accepted.
     pub(super) fn has_submissions(self) -> bool {
         self == LogWrite::Complete
     }
 }
 
 impl EventLoop {
-    /// Writes all records of this run of due work. If that fails, no attempt is started and no submission accepted, and
-    /// the records of finished attempts and messages are written with the next run.
+    /// Appends all records of this run of due work. If that fails, no attempt starts, no submission is
+    /// accepted, and the records of finished attempts and messages are appended in the next run.
     pub(super) fn write_to_log(
         &mut self,
         submissions: &[NewSubmission],
@@ -47,7 +48,7 @@
         let records: Vec<Record> = accepted.chain(finished).chain(started).collect();
         match self.log.append(&records, now) {
             Ok(outcome) => {
-                self.state.records_written();
+                self.state.clear_written_records();
                 if outcome.messages_accepted {
                     LogWrite::Complete
                 } else {
@@ -63,7 +64,8 @@
         }
     }
 
-    /// The record that precedes the first byte of an attempt; `started_at_unix_us` in microseconds of Unix time.
+    /// Returns the record that is appended before the first byte of an attempt is sent. `started_at_unix_us`
+    /// is in microseconds of Unix time.
     fn attempt_record(&self, attempt: &OutgoingAttempt, started_at_unix_us: u64) -> Record {
         Record::AttemptStarted {
             id: attempt.message.id.0.to_string(),
--- a/crates/forwarder/src/event_loop/mod.rs
+++ b/crates/forwarder/src/event_loop/mod.rs
@@ -1,20 +1,20 @@
-//! The one task that owns the delivery policy and the write-ahead log. All other tasks reach it through bounded queues
-//! only; the policy's commands are carried out from here, and only after the write-ahead log has them.
+//! The event loop, which owns the delivery policy and the write-ahead log. Other tasks send it events through
+//! bounded queues. The policy's commands are executed only after the write-ahead log contains them.
 //!
-//! The steps of a message, each in a module of its own:
+//! The steps in handling a message:
 //!
 //! | step | module |
 //! | --- | --- |
-//! | a client's submission is checked and passed to the policy | [`submissions`], [`new_submission`] |
-//! | the policy runs its due work, and its commands are gathered | [`due_work`], [`commands`] |
-//! | final answers without delivery, acceptance, and numbering of attempts | [`state`], [`pending_messages`] |
-//! | all of that goes into the write-ahead log | [`log_writer`] |
-//! | requests with the attempts start | [`requests`] |
-//! | attempts finish | [`attempt_results`] |
-//! | the platform acknowledges notices | [`notices`] |
+//! | check a client's submission and pass it to the policy | [`submissions`], [`new_submission`] |
+//! | run the policy's due work and collect its commands | [`due_work`], [`commands`] |
+//! | give final answers without delivery, accept messages, number attempts | [`state`], [`pending_messages`] |
+//! | append the records to the write-ahead log | [`log_writer`] |
+//! | start requests with the attempts | [`requests`] |
+//! | handle the results of attempts | [`attempt_results`] |
+//! | send notices to the platform | [`notices`] |
 //!
-//! [`run`] waits for the events, [`endpoint_list`] applies the endpoint list, and [`restore`] continues with what the
-//! write-ahead log holds from before the start.
+//! [`run`] waits for events, [`endpoint_list`] applies the endpoint list, and [`restore`] restores pending
+//! messages from the write-ahead log at the start.
 
 mod attempt_results;
 mod commands;
@@ -52,29 +52,29 @@
 pub struct EventLoopConfig {
     /// The settings of the delivery policy.
     pub settings: Settings,
-    /// Due work runs at most once in this interval.
+    /// The minimum interval between two runs of due work.
     pub tick: Duration,
-    /// Bytes of messages that may be kept in memory.
+    /// The maximum bytes of pending messages in memory.
     pub max_message_bytes: u64,
 }
 
-/// The parts of the forwarder that an event loop works with.
+/// The components of the forwarder that an event loop uses.
 pub struct EventLoopParts {
-    /// The policy's time.
+    /// The clock that converts between the policy's time and instants.
     pub clock: Clock,
-    /// Owned by the event loop from here on.
+    /// The write-ahead log, owned by the event loop from now on.
     pub log: WriteAheadLog,
     /// The pool of connections to endpoints.
     pub connections: Connections,
-    /// The status of the endpoint list for the health check, which the event loop updates.
+    /// The status of the endpoint list for the health check. The event loop updates the status.
     pub list_status: ListStatus,
-    /// The queue of notices for the platform.
+    /// The sending end of the queue of notices for the platform.
     pub notices: mpsc::UnboundedSender<DeliveryNotice>,
-    /// The sending end of the event loop's own queue, for the results of requests.
+    /// The sending end of the event loop's own queue, used for the results of requests.
     pub events: mpsc::Sender<Event>,
 }
 
-/// The owner of the delivery policy and the write-ahead log.
+/// The event loop, which owns the delivery policy and the write-ahead log.
 pub struct EventLoop {
     policy: DeliveryPolicy,
     state: EventLoopState,
@@ -85,7 +85,7 @@
     batch_limits: BatchLimits,
     connections: Connections,
     request_sender: RequestSender,
-    /// The tasks of the requests that are in flight; they end with the event loop.
+    /// The tasks of the requests in flight, which end with the event loop.
     requests: JoinSet<()>,
     list_status: ListStatus,
     notices: mpsc::UnboundedSender<DeliveryNotice>,
@@ -95,7 +95,7 @@
 }
 
 impl EventLoop {
-    /// An event loop with a new policy, which knows neither endpoints nor messages.
+    /// Returns an event loop with a new policy that knows neither endpoints nor messages.
     pub fn new(config: EventLoopConfig, parts: EventLoopParts) -> EventLoop {
         let EventLoopParts { clock, log, connections, list_status, notices, events } = parts;
         let mut state = EventLoopState::default();
@@ -121,7 +121,7 @@
     }
 }
 
-/// The most messages in one request, by kind of endpoint.
+/// The maximum number of messages in one request, by kind of endpoint.
 struct BatchLimits(BTreeMap<String, usize>);
 
 impl From<&Settings> for BatchLimits {
@@ -135,16 +135,15 @@
 }
 
 impl BatchLimits {
-    /// The limit of a kind; 1 for one that the settings don't name.
+    /// Returns the limit of a kind, or 1 if the settings do not name the kind.
     fn of_kind(&self, kind: &str) -> usize {
         self.0.get(kind).copied().unwrap_or(1)
     }
 }
 
-/// The throttles of the event loop's log lines.
 #[derive(Default)]
 struct LogThrottles {
-    /// Submissions without capacity, and failed writes to the write-ahead log.
+    /// Limits lines about submissions without capacity, and about failed appends to the write-ahead log.
     capacity: LogThrottle,
     malformed_message: LogThrottle,
     malformed_list: LogThrottle,
--- a/crates/forwarder/src/event_loop/notices.rs
+++ b/crates/forwarder/src/event_loop/notices.rs
@@ -1,14 +1,14 @@
-//! Passes notices to the task that delivers them to the platform.
+//! Passes notices to the task that sends them to the platform.
 
 use reeddock_protocol::DeliveryNotice;
 
 use super::EventLoop;
 
 impl EventLoop {
-    /// Passes notices to the task that delivers them.
+    /// Queues notices for the task that sends them to the platform.
     pub(super) fn send_notices(&mut self, notices: impl IntoIterator<Item = DeliveryNotice>) {
         for notice in notices {
-            self.state.notice_sent();
+            self.state.count_sent_notice();
             let _ = self.notices.send(notice);
         }
     }
--- a/crates/forwarder/src/event_loop/pending_messages.rs
+++ b/crates/forwarder/src/event_loop/pending_messages.rs
@@ -1,4 +1,4 @@
-//! The messages that were accepted and have no final answer yet, and the ids of recently finished ones.
+//! The accepted messages without a final answer, and the ids of recently finished messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,36 +10,36 @@
 
 use super::commands::{AttemptCommand, OutgoingAttempt};
 
-/// An id is not accepted again for this long after its message is finished: a duplicate of the submission may arrive
-/// shortly after that, and would be executed a second time.
-const FINISHED_ID_KEPT_FOR: Duration = Duration::from_secs(15);
+/// The time for which the id of a finished message is rejected, so that a late duplicate of the submission is
+/// not executed a second time.
+const FINISHED_ID_RETENTION: Duration = Duration::from_secs(15);
 
-/// A message that was accepted and has no final answer yet.
+/// An accepted message without a final answer.
 pub(super) struct PendingEntry {
     pub body: Bytes,
     pub idempotency_key: Option<Arc<str>>,
-    /// Bytes that it occupies in memory and in the write-ahead log.
+    /// Bytes that the message occupies in memory and in the write-ahead log.
     pub size: u64,
-    /// How many of its attempts were numbered so far.
+    /// The number of attempts that have a number.
     pub attempts: u32,
 }
 
-/// The id of a finished message, which is not accepted again until it expires.
+/// The id of a finished message, which is rejected in submissions until it expires.
 struct FinishedId {
     id: MessageId,
     expires_at: Duration,
 }
 
-/// All pending messages.
+/// The pending messages, and the ids of recently finished ones.
 #[derive(Default)]
 pub(super) struct PendingMessages {
     entries: BTreeMap<MessageId, PendingEntry>,
     /// The sum of the entries' `size`.
     bytes: u64,
     finished_ids: BTreeSet<MessageId>,
-    /// The same ids in the order in which they expire.
+    /// The finished ids in the order in which they expire.
     finished_expiry: VecDeque<FinishedId>,
-    /// The time of the last run of due work, from which the expiry of finished ids is counted.
+    /// The time of the last run of due work, from which the expiry of finished ids counts.
     due_work_at: Duration,
 }
 
@@ -56,12 +56,12 @@
         self.entries.contains_key(id)
     }
 
-    /// Whether a message with this id was finished recently.
+    /// Returns whether a message with this id was finished recently.
     pub(super) fn is_finished(&self, id: &MessageId) -> bool {
         self.finished_ids.contains(id)
     }
 
-    /// Bytes that all pending messages occupy.
+    /// Returns the bytes that all pending messages occupy.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -71,18 +71,18 @@
         self.entries.insert(id, entry);
     }
 
-    /// Removes a message that has its final answer; returns whether it was pending.
+    /// Removes a message that has its final answer. Returns whether the message was pending.
     pub(super) fn finish(&mut self, id: &MessageId) -> bool {
         let Some(entry) = self.entries.remove(id) else { return false };
         self.bytes -= entry.size;
         if self.finished_ids.insert(id.clone()) {
-            let expires_at = self.due_work_at + FINISHED_ID_KEPT_FOR;
+            let expires_at = self.due_work_at + FINISHED_ID_RETENTION;
             self.finished_expiry.push_back(FinishedId { id: id.clone(), expires_at });
         }
         true
     }
 
-    /// Forgets the finished ids that have expired at the time of this run of due work.
+    /// Removes the finished ids that have expired by this run of due work.
     pub(super) fn expire_finished_ids(&mut self, now: Duration) {
         self.due_work_at = now;
         while let Some(FinishedId { id, .. }) =
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Numbers the attempt that the policy commanded. None if its message is not pending.
+    /// Numbers the attempt of a command. Returns `None` if its message is not pending.
     pub(super) fn number_attempt(&mut self, command: AttemptCommand) -> Option<OutgoingAttempt> {
         let AttemptCommand { message: id, endpoint, timeouts } = command;
         let entry = self.entries.get_mut(&id)?;
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that carry attempts to endpoints.
+//! Starts the requests that send attempts to endpoints.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use super::EventLoop;
 use crate::request_sender::{run_request, BatchMessage, EndpointRequest, PendingAttempt};
 
-/// Identifies one request that the policy decided on. Requests start in the order of their ids.
+/// Identifies one request that the policy decided on. Requests start in the order of their keys.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     request: RequestId,
@@ -20,10 +20,11 @@
 }
 
 impl EventLoop {
-    /// Starts requests for these attempts, which the policy decided on at `decided_at`.
+    /// Starts requests for the attempts that the policy decided on at `decided_at`.
     ///
-    /// Attempts that the policy put into one request are sent together, as far as the batch limit of the endpoint
-    /// allows, and never with others: otherwise one could still be in flight when another has its result.
+    /// Attempts that the policy put into one request are sent together, up to the batch limit of the
+    /// endpoint. They are never combined with other attempts, because one of these could still be in flight
+    /// when another has its result.
     pub(super) fn start_requests(&mut self, attempts: Vec<OutgoingAttempt>, decided_at: Duration) {
         let mut requests: BTreeMap<RequestKey, Vec<OutgoingAttempt>> = BTreeMap::new();
         for attempt in attempts {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Starts one request with all of these attempts.
+    /// Starts one request with all given attempts.
     fn start_request(
         &mut self,
         endpoint: EndpointId,
@@ -47,16 +48,16 @@
         decided_at: Duration,
     ) {
         let now = Instant::now();
-        let decided_at = self.clock.instant(decided_at);
+        let decided_at = self.clock.instant_at(decided_at);
         let messages = attempts.iter().map(|attempt| BatchMessage {
             message: attempt.message.clone(),
             response_deadline: now + attempt.timeouts.response_within,
         });
         let request = EndpointRequest::new(endpoint, address, messages.collect());
         let attempts = attempts.into_iter().map(|attempt| {
-            let start_deadline = latest_start(&attempt, decided_at, now);
+            let start_deadline = start_deadline_of(&attempt, decided_at, now);
             let key = AttemptKey { message: attempt.message.id, number: attempt.number };
-            let cancelled = self.state.attempt_in_flight(key.clone());
+            let cancelled = self.state.add_in_flight(key.clone());
             PendingAttempt { message: key.message, number: key.number, start_deadline, cancelled }
         });
         let attempts: Vec<PendingAttempt> = attempts.collect();
@@ -64,15 +65,15 @@
         self.requests.spawn(run_request(sender, request, attempts, events));
     }
 
-    /// Drops the tasks of requests that have finished.
-    pub(super) fn reap_requests(&mut self) {
+    /// Removes the tasks of finished requests.
+    pub(super) fn remove_finished_requests(&mut self) {
         while self.requests.try_join_next().is_some() {}
     }
 }
 
-/// The latest time for the first byte of an attempt. A start limit counts from the policy's decision, before the
-/// write-ahead log was written; without one, the attempt may start for as long as its response is waited for.
-fn latest_start(attempt: &OutgoingAttempt, decided_at: Instant, now: Instant) -> Instant {
+/// Returns the latest time for the first byte of an attempt. A start limit counts from the policy's decision.
+/// An attempt without one may start until its response timeout ends.
+fn start_deadline_of(attempt: &OutgoingAttempt, decided_at: Instant, now: Instant) -> Instant {
     let timeouts = attempt.timeouts;
     if timeouts.start_within < timeouts.response_within {
         decided_at + timeouts.start_within
@@ -81,10 +82,11 @@
     }
 }
 
-/// Splits the attempts of one request to an endpoint that accepts at most `max_batch` messages in a request.
+/// Splits the attempts of one request into batches of at most `max_batch` messages.
 ///
-/// The attempt whose response is waited for longest comes first: a request carries only one time limit, which the
-/// endpoint may apply to the first message, and a response after that limit would be lost for the others too.
+/// The attempt with the longest response timeout comes first. A request has only one time limit, which the
+/// endpoint may apply to the first message, and a response after that limit would be lost for the other
+/// messages too.
 fn split_attempts(mut attempts: Vec<OutgoingAttempt>, max_batch: usize) -> Vec<Vec<OutgoingAttempt>> {
     attempts.sort_by_key(|attempt| std::cmp::Reverse(attempt.timeouts.response_within));
     let messages: Vec<OutgoingMessage> = attempts.iter().map(|attempt| attempt.message.clone()).collect();
--- a/crates/forwarder/src/event_loop/restore.rs
+++ b/crates/forwarder/src/event_loop/restore.rs
@@ -1,4 +1,4 @@
-//! Restores pending messages and unacknowledged notices from the write-ahead log at a start.
+//! Restores pending messages and unacknowledged notices from the write-ahead log at the start.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use super::EventLoop;
 
 impl EventLoop {
-    /// Passes the messages that are pending in the write-ahead log to the policy, in the order in which they were
-    /// accepted, and sends unacknowledged notices again.
+    /// Passes the messages that are pending in the write-ahead log to the policy, in the order of their
+    /// acceptance, and sends unacknowledged notices again.
     pub fn restore_pending(&mut self) {
         let now = self.clock.now();
         let index = self.log.index();
@@ -23,7 +23,7 @@
                 Ok(accepted) => self.restore_message(pending, accepted, now),
                 Err(error) => {
                     tracing::error!(%error, message_id = &*id.0, "pending message unreadable, answered as failed");
-                    self.fail_unreadable(id);
+                    self.fail_unreadable_message(id);
                 }
             }
         }
@@ -40,21 +40,21 @@
         self.send_notices(notices);
     }
 
-    /// Finishes a message whose record can't be read any more as failed.
-    fn fail_unreadable(&mut self, id: MessageId) {
+    /// Finishes a message whose record can't be read as failed.
+    fn fail_unreadable_message(&mut self, id: MessageId) {
         let answer = FinalAnswer::Failed;
         self.state.record(Record::Finished { id: id.0.to_string(), notice: Some(answer) });
         self.send_notices([DeliveryNotice { id, answer }]);
     }
 
-    /// Passes one message to the policy, with its previous attempts.
+    /// Passes one message to the policy together with its previous attempts.
     fn restore_message(&mut self, pending: PendingMessage, accepted: AcceptedMessage, now: Duration) {
         let previous_attempts = self.previous_attempts(&pending);
         let id = pending.id;
         let message = NewMessage {
             id: id.clone(),
             class: &pending.class,
-            // Its tenant's quota was charged for it by the process that accepted it.
+            // The process that accepted the message has already charged the tenant's quota.
             tenant: None,
             ordering_key: pending.ordering_key.map(OrderingKey),
             deadline: self.clock.from_unix_micros(pending.deadline_unix_us),
@@ -71,7 +71,7 @@
         self.state.pending_mut().insert(id, entry);
     }
 
-    /// The attempts of a message from before this start.
+    /// Returns the attempts of a message from before this start.
     fn previous_attempts(&mut self, pending: &PendingMessage) -> Vec<PreviousAttempt> {
         let mut attempts = Vec::new();
         for started in &pending.attempts {
@@ -82,7 +82,7 @@
             });
         }
         if pending.records_lost {
-            // One attempt for all whose records were lost; when they were sent is unknown.
+            // A single attempt, started at an unknown time, represents all attempts whose records were lost.
             attempts.push(PreviousAttempt {
                 endpoint: self.state.endpoints_mut().id_for_name(""),
                 started_at: Duration::ZERO,
--- a/crates/forwarder/src/event_loop/run.rs
+++ b/crates/forwarder/src/event_loop/run.rs
@@ -1,4 +1,4 @@
-//! Waits for events and timers, and handles them in steps of bounded length.
+//! Waits for events and timers, and handles them in steps of limited length.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use super::EventLoop;
 use crate::events::Event;
 
-/// The most events that are handled before due work runs, so that a flood of events can't delay the policy's decisions.
+/// The maximum number of events that are handled before due work runs, so that many events do not delay the
+/// policy's decisions.
 const MAX_EVENTS_PER_STEP: usize = 256;
 
 /// The progress of a graceful shutdown.
 #[derive(Default)]
 pub(super) struct ShutdownProgress {
-    /// The latest time at which the process stops. None until a shutdown is requested.
+    /// The latest time at which the process stops, or `None` if no shutdown was requested.
     deadline: Option<Instant>,
     clients_disconnected: bool,
 }
@@ -24,14 +25,14 @@
 impl EventLoop {
     /// Runs the event loop until the shutdown is complete.
     ///
-    /// `events` has the events of all tasks except the watch. The watch has a short queue of its own, `list_events`, so
-    /// that a long list and all other events delay each other for a moment only.
+    /// `events` receives the events of all tasks except the watch. The watch has a separate short queue,
+    /// `list_events`, so that a long list and other events do not block each other.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>, mut list_events: mpsc::Receiver<Event>) {
         self.run_due_work(self.clock.now());
         loop {
             let first = self.wait_for_work(&mut events, &mut list_events).await;
-            // What arrives in one interval is handled in one step: messages for one endpoint share a request, and
-            // results of attempts are known before due work runs.
+            // Events of one interval are handled in one step, so that messages for one endpoint share a
+            // request and due work runs with the latest results of attempts.
             self.apply_list_events_until(self.clock.next_tick(self.tick), &mut list_events).await;
             let now = self.clock.now();
             self.handle_events(first, &mut events, now);
@@ -44,13 +45,13 @@
         }
     }
 
-    /// Sleeps until there is an event, a timer is due or the shutdown deadline is reached. Returns the event, if any.
+    /// Waits for an event, a due timer or the shutdown deadline. Returns the event, if any.
     async fn wait_for_work(
         &mut self,
         events: &mut mpsc::Receiver<Event>,
         list_events: &mut mpsc::Receiver<Event>,
     ) -> Option<Event> {
-        let timer = self.state.next_timer().map(|at| self.clock.instant(at));
+        let timer = self.state.next_timer().map(|at| self.clock.instant_at(at));
         let wake_at = [timer, self.shutdown.deadline].into_iter().flatten().min();
         tokio::select! {
             event = events.recv() => event,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Sleeps until then, and meanwhile applies list events. Between two pieces other tasks can run.
+    /// Applies list events until `until`. Other tasks can run between two chunks.
     async fn apply_list_events_until(&mut self, until: Instant, list_events: &mut mpsc::Receiver<Event>) {
         let mut sleep = pin!(sleep_until(until));
         loop {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Handles this event and those that are queued behind it, up to [`MAX_EVENTS_PER_STEP`].
+    /// Handles an event and the events queued after it, at most [`MAX_EVENTS_PER_STEP`] in total.
     fn handle_events(&mut self, first: Option<Event>, events: &mut mpsc::Receiver<Event>, now: Duration) {
         let queued = std::iter::from_fn(|| events.try_recv().ok());
         let Some(first) = first else { return };
@@ -95,7 +96,7 @@
             }
             Event::RetryAfter { endpoint, retry_after } => self.pause_endpoint(endpoint, retry_after, now),
             Event::LoadReported { endpoint, report } => self.policy.load_reported(endpoint, report),
-            Event::ListEvents(piece) => self.apply_list_events(piece),
+            Event::ListEvents(events) => self.apply_list_events(events),
             Event::ListMalformed(list) => self.reject_malformed_list(&list),
             Event::WatchLost => self.discovery_failed(),
             Event::NoticesAcknowledged(ids) => self.state.acknowledge_notices(&ids),
@@ -104,20 +105,20 @@
         }
     }
 
-    /// Fires each timer that is due.
+    /// Reports each due timer to the policy.
     fn fire_timers(&mut self, now: Duration) {
         while self.state.take_due_timer(now).is_some() {
             self.policy.timer_fired(now);
         }
     }
 
-    /// Tells the policy the deadline of the shutdown, and stores it.
+    /// Stores the deadline of the shutdown, and reports it to the policy.
     fn begin_shutdown(&mut self, deadline: Instant) {
-        self.policy.begin_shutdown(self.clock.at(deadline));
+        self.policy.begin_shutdown(self.clock.time_at(deadline));
         self.shutdown.deadline = Some(deadline);
     }
 
-    /// Whether a shutdown was requested, and is complete or past its deadline.
+    /// Returns whether a requested shutdown is complete or past its deadline.
     fn is_shut_down(&self) -> bool {
         let Some(deadline) = self.shutdown.deadline else { return false };
         let complete = self.shutdown.clients_disconnected && self.state.is_idle();
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -1,4 +1,4 @@
-//! The state of the event loop between its steps, beside the policy and the write-ahead log.
+//! The state of the event loop between its steps, except for the policy and the write-ahead log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,20 +18,20 @@
 /// The state of the event loop between its steps.
 #[derive(Default)]
 pub(super) struct EventLoopState {
-    /// Commands of the policy that are not carried out yet.
+    /// The policy's commands that are not executed yet.
     commands: CommandBuffer,
     endpoints: EndpointTable,
     /// The part of the endpoint list that is being received.
     list_progress: Option<ListProgress>,
-    /// Submitted since the last due work, and not yet answered.
+    /// Submissions since the last due work, whose clients have no response yet.
     submissions: Vec<NewSubmission>,
     pending: PendingMessages,
-    /// Attempts that have started and not finished, each with the sender that cancels it.
+    /// The attempts in flight, each with the channel that cancels it.
     in_flight: BTreeMap<AttemptKey, oneshot::Sender<()>>,
     timers: BTreeSet<Duration>,
-    /// Records that go into the write-ahead log with the next due work.
+    /// Records for the write-ahead log that the next due work appends.
     unwritten: Vec<Record>,
-    /// How many notices the platform has not acknowledged.
+    /// The number of sent notices that the platform has not acknowledged.
     unacknowledged_notices: usize,
 }
 
@@ -60,12 +60,12 @@
         &mut self.pending
     }
 
-    /// Whether no message is pending and every notice is acknowledged.
+    /// Returns whether no message is pending and every notice is acknowledged.
     pub(super) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.unacknowledged_notices == 0
     }
 
-    /// Prepares a run of due work at this time.
+    /// Prepares the state for a run of due work.
     pub(super) fn begin_due_work(&mut self, now: Duration) {
         self.pending.expire_finished_ids(now);
     }
@@ -81,7 +81,7 @@
         self.timers.first().copied()
     }
 
-    /// Takes the first timer that is due.
+    /// Removes and returns the first timer that is due, if any.
     pub(super) fn take_due_timer(&mut self, now: Duration) -> Option<Duration> {
         self.next_timer().filter(|at| *at <= now)?;
         self.timers.pop_first()
@@ -98,7 +98,7 @@
         self.submissions.iter().any(|submission| submission.id == *id)
     }
 
-    /// Bytes that the submissions will occupy once they are accepted.
+    /// Returns the bytes that the submissions occupy once they are accepted.
     pub(super) fn submitted_bytes(&self) -> u64 {
         self.submissions.iter().map(|submission| submission.accepted.reserved_bytes()).sum()
     }
@@ -108,7 +108,7 @@
         Some(self.submissions.remove(position))
     }
 
-    /// Makes the messages pending that were submitted since the last due work, and returns their submissions.
+    /// Marks the messages of all submissions since the last due work as pending, and returns the submissions.
     pub(super) fn accept_submissions(&mut self) -> Vec<NewSubmission> {
         let submissions = std::mem::take(&mut self.submissions);
         for NewSubmission { id, accepted, .. } in &submissions {
@@ -128,8 +128,8 @@
 
 /// Attempts and final answers.
 impl EventLoopState {
-    /// Numbers attempts, those of one message in the order in which the policy commanded them. A message that is not
-    /// pending any more gets none.
+    /// Numbers the attempts of commands, in the order of the commands for each message. Commands for messages
+    /// that are not pending are ignored.
     pub(super) fn number_attempts(&mut self, commands: Vec<AttemptCommand>) -> Vec<OutgoingAttempt> {
         let attempts: Vec<OutgoingAttempt> =
             commands.into_iter().filter_map(|command| self.pending.number_attempt(command)).collect();
@@ -147,19 +147,19 @@
         attempts
     }
 
-    /// Records that an attempt is in flight; returns the channel that cancels its request.
-    pub(super) fn attempt_in_flight(&mut self, attempt: AttemptKey) -> oneshot::Receiver<()> {
+    /// Records that an attempt is in flight. Returns the channel that signals its cancellation.
+    pub(super) fn add_in_flight(&mut self, attempt: AttemptKey) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
         self.in_flight.insert(attempt, cancel);
         cancelled
     }
 
     /// Records that an attempt is no longer in flight.
-    pub(super) fn attempt_finished(&mut self, attempt: &AttemptKey) {
+    pub(super) fn remove_in_flight(&mut self, attempt: &AttemptKey) {
         self.in_flight.remove(attempt);
     }
 
-    /// Cancels those of these attempts that are in flight.
+    /// Cancels the given attempts that are in flight.
     pub(super) fn cancel_attempts(&mut self, attempts: Vec<AttemptKey>) {
         for attempt in attempts {
             if let Some(cancel) = self.in_flight.remove(&attempt) {
@@ -168,13 +168,14 @@
         }
     }
 
-    /// Records that a message has its final answer; returns whether it was pending.
+    /// Records that a message has its final answer. Returns whether the message was pending.
     pub(super) fn finish_message(&mut self, id: &MessageId) -> bool {
         self.pending.finish(id)
     }
 
-    /// Finishes messages that were not delivered, and returns the notices for the platform. A message that was
-    /// submitted since the last due work needs neither notice nor record: its client gets the answer as the response.
+    /// Finishes messages that were not delivered, and returns the notices for the platform. A message
+    /// submitted since the last due work has neither notice nor record, because its client receives the
+    /// answer as the response.
     pub(super) fn give_final_answers(&mut self, answers: Vec<DeliveryNotice>) -> Vec<DeliveryNotice> {
         let mut notices = Vec::new();
         for notice in answers {
@@ -187,7 +188,7 @@
         notices
     }
 
-    /// Records the final answer of a pending message that was not delivered; returns whether it was pending.
+    /// Records the final answer of a message that was not delivered. Returns whether the message was pending.
     fn finish_undelivered(&mut self, notice: &DeliveryNotice) -> bool {
         if !self.finish_message(&notice.id) {
             return false;
@@ -199,7 +200,7 @@
     }
 }
 
-/// The response to a client whose message has its final answer before it was accepted.
+/// Returns the response to a client whose message has its final answer before it is accepted.
 fn response_to(answer: FinalAnswer) -> ClientResponse {
     match answer {
         FinalAnswer::Rejected { retry_after } => ClientResponse::Rejected { retry_after },
@@ -218,13 +219,13 @@
         &self.unwritten
     }
 
-    /// Clears the queued records, which the write-ahead log has now.
-    pub(super) fn records_written(&mut self) {
+    /// Removes the queued records, after the write-ahead log has them.
+    pub(super) fn clear_written_records(&mut self) {
         self.unwritten.clear();
     }
 
     /// Counts a notice that the platform has not acknowledged.
-    pub(super) fn notice_sent(&mut self) {
+    pub(super) fn count_sent_notice(&mut self) {
         self.unacknowledged_notices += 1;
     }
 
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -1,4 +1,5 @@
-//! Submissions of clients, until they are written to the write-ahead log and answered.
+//! Handles submissions of clients until the write-ahead log contains them and the clients have their
+//! responses.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,8 +15,9 @@
 use super::EventLoop;
 
 impl EventLoop {
-    /// Passes a submission to the policy, or answers it immediately if it can't be accepted. `received_at` is the time
-    /// at which the client's request was read completely.
+    /// Passes a submission to the policy, or responds immediately if the submission can't be accepted.
+    ///
+    /// `received_at` is the time at which the client's request was read completely.
     pub(super) fn submit(
         &mut self,
         submission: Submission,
@@ -34,7 +36,7 @@
         let id = submission.id.clone();
         let ordering_key = submission.ordering_key;
         let destination = submission.destination;
-        let deadline = self.clock.at(received_at) + submission.time_left;
+        let deadline = self.clock.time_at(received_at) + submission.time_left;
         let accepted = self.accepted_record(submission, deadline);
         if !self.has_capacity_for(&accepted) {
             let _ = reply.send(ClientResponse::NoCapacity);
@@ -46,11 +48,12 @@
         self.state.add_submission(NewSubmission { id, accepted, reply });
     }
 
-    /// The response to a submission that is not passed to the policy; None if it is.
+    /// Returns the response to a submission that is not passed to the policy, or `None` if the policy must
+    /// decide.
     fn immediate_response(&self, submission: &Submission) -> Option<ClientResponse> {
         let (id, pending) = (&submission.id, self.state.pending());
         if pending.contains(id) {
-            // A repeated submission: the write-ahead log has this message.
+            // The write-ahead log already contains this message, as the submission is a repetition.
             Some(ClientResponse::Accepted)
         } else if pending.is_finished(id) || self.state.has_submission(id) {
             Some(ClientResponse::DuplicateId)
@@ -61,7 +64,7 @@
         }
     }
 
-    /// The record of a submission that is accepted.
+    /// Returns the record of an accepted submission.
     fn accepted_record(&self, submission: Submission, deadline: Duration) -> AcceptedMessage {
         AcceptedMessage {
             id: submission.id.0.to_string(),
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Whether memory and disk have space for one more message, in addition to those submitted since the last due work.
+    /// Returns whether memory and disk have capacity for one more message, in addition to the submissions
+    /// since the last due work.
     fn has_capacity_for(&mut self, accepted: &AcceptedMessage) -> bool {
         let new_bytes = self.state.submitted_bytes() + accepted.reserved_bytes();
         let memory_bytes = self.state.pending().bytes() + new_bytes;
@@ -92,8 +96,8 @@
         has_capacity
     }
 
-    /// Answers the clients of all submissions. Returns the messages whose clients were not answered 202: they submit
-    /// the message again, as does a client that has disconnected.
+    /// Responds to the clients of all submissions. Returns the messages whose clients did not receive a 202
+    /// response. These clients submit the message again, as do clients that have disconnected.
     pub(super) fn answer_submissions(
         &self,
         submissions: Vec<NewSubmission>,
--- a/crates/forwarder/src/events.rs
+++ b/crates/forwarder/src/events.rs
@@ -9,49 +9,51 @@
 
 use crate::malformed_list::MalformedList;
 
-/// What the other tasks report to the event loop.
+/// An event that another task reports to the event loop.
 pub enum Event {
     /// A client submitted a message.
     Submission {
-        /// What the client submitted.
+        /// The decoded submission.
         submission: Submission,
-        /// When its last byte was read; the message's time left counts from here.
+        /// The time at which the last byte of the submission was read. The remaining time of the message
+        /// counts from here.
         received_at: Instant,
-        /// Takes the response to the client. It is closed once the client has disconnected.
+        /// The channel for the response to the client, closed once the client has disconnected.
         reply: oneshot::Sender<ClientResponse>,
     },
     /// An attempt has finished.
     AttemptFinished {
-        /// The message that was attempted.
+        /// The message of the attempt.
         message: MessageId,
-        /// The number of the attempt among those of its message.
+        /// The number of the attempt among the attempts of its message, from 0.
         number: AttemptNumber,
-        /// How it ended.
+        /// The result of the attempt.
         result: AttemptResult,
     },
-    /// An endpoint sent a `Retry-After` although it accepted messages.
+    /// An endpoint sent a `Retry-After` header although it accepted messages.
     RetryAfter {
-        /// The endpoint that asked.
+        /// The endpoint that sent the header.
         endpoint: EndpointId,
-        /// For how long no request is to be sent to it, from now on.
+        /// The time from now during which no request may be sent to the endpoint.
         retry_after: Duration,
     },
-    /// A response carried a load report. The attempts that it finished follow as events of their own.
+    /// A response contained a load report. Results of the attempts in the response are separate events.
     LoadReported {
-        /// The endpoint that responded.
+        /// The endpoint that sent the report.
         endpoint: EndpointId,
-        /// The limit of its circuit, and what is left of it.
+        /// The limit of the endpoint's circuit, and its remaining capacity.
         report: LoadReport,
     },
-    /// Events of a watch, in their order: at most `MAX_LIST_EVENTS_PER_PIECE` events (`list_reader`).
+    /// Events of a watch in their order, at most `MAX_LIST_EVENTS_PER_CHUNK` of them (`list_reader`).
     ListEvents(Vec<ListEvent>),
-    /// A watch sent a malformed list; what it sent before that stays applied.
+    /// A watch sent a malformed list. The events before the fault stay applied.
     ListMalformed(MalformedList),
     /// A watch has ended, possibly in the middle of a list, or could not be opened.
     WatchLost,
-    /// The platform has acknowledged the notices about these messages, or they were dropped as malformed.
+    /// The platform has acknowledged the notices about these messages, or the notices were dropped as
+    /// malformed.
     NoticesAcknowledged(Vec<MessageId>),
-    /// A shutdown was requested; the process stops at this time at the latest.
+    /// A shutdown was requested. The process stops at this instant at the latest.
     ShutdownRequested(Instant),
     /// All client connections are closed, and no more are accepted.
     ClientsDisconnected,
--- a/crates/forwarder/src/http_progress.rs
+++ b/crates/forwarder/src/http_progress.rs
@@ -1,22 +1,22 @@
 //! The progress of an HTTP/1 exchange, derived from the bytes on the connection.
 //!
-//! Pure state machines without I/O: the stream passes them the bytes that are read and written. They exist because the
-//! HTTP library hides two facts that decide whether a request may have been executed: how many of its bytes the
-//! operating system has accepted, and the status line of a response whose head the library can't parse.
+//! The HTTP library hides two facts that decide whether a request may have been executed: how many bytes of
+//! the request the operating system has accepted, and the status line of a response whose head is malformed.
+//! The state machines in this module derive both without I/O.
 
-/// Finds the blank line that ends a message head, in whatever pieces the bytes arrive.
+/// Finds the blank line that ends a message head. The bytes may arrive in any number of pieces.
 #[derive(Default)]
 pub(crate) struct HeadScanner {
-    /// How many bytes of [`HeadScanner::END_OF_HEAD`] the last bytes match.
+    /// The number of bytes of [`HeadScanner::END_OF_HEAD`] that the last bytes match.
     matched: usize,
     finished: bool,
 }
 
 impl HeadScanner {
-    /// The end of the last header line and the blank line after it.
+    /// The end of the last header line, and the blank line after it.
     const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-    /// Consumes bytes up to the end of the head and returns those after it.
+    /// Consumes bytes up to the end of the head, and returns the bytes after it.
     pub(crate) fn skip<'b>(&mut self, mut bytes: &'b [u8]) -> &'b [u8] {
         while let (false, Some((byte, rest))) = (self.finished, bytes.split_first()) {
             self.advance(*byte);
@@ -29,80 +29,80 @@
         self.matched = if byte == Self::END_OF_HEAD[self.matched] {
             self.matched + 1
         } else {
-            // A mismatch can itself begin the sequence anew.
+            // The mismatched byte can be the first byte of the sequence.
             usize::from(byte == b'\r')
         };
         self.finished = self.matched == Self::END_OF_HEAD.len();
     }
 }
 
-/// How much of a request the operating system has accepted for sending.
+/// The part of a request that the operating system has accepted for sending.
 ///
-/// What the HTTP library still buffers has not been sent, and a request of which the last byte was not sent cannot
+/// Bytes that the HTTP library still buffers count as not sent. A request whose last byte was not sent can't
 /// have been executed.
 #[derive(Default)]
 pub struct RequestProgress {
     begun: bool,
     head: HeadScanner,
-    /// Bytes of the body that were not sent yet.
+    /// Bytes of the body that are not sent yet.
     body_left: usize,
 }
 
 impl RequestProgress {
-    /// Begins anew for a request with a body of this many bytes, none of it sent yet.
+    /// Starts tracking a new request whose body has `body` bytes, none of them sent yet.
     pub fn begin(&mut self, body: usize) {
         *self = RequestProgress { body_left: body, ..RequestProgress::default() };
     }
 
-    /// Counts bytes that the operating system has accepted.
+    /// Records bytes that the operating system has accepted.
     pub fn record_sent(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
         self.body_left = self.body_left.saturating_sub(self.head.skip(bytes).len());
     }
 
-    /// Whether at least one byte of the request was sent.
+    /// Returns whether at least one byte of the request was sent.
     pub fn has_begun(&self) -> bool {
         self.begun
     }
 
-    /// Whether the last byte of the request was sent, so that it may have been executed.
+    /// Returns whether the last byte of the request was sent, so that the request may have been executed.
     pub fn is_complete(&self) -> bool {
         self.head.finished && self.body_left == 0
     }
 }
 
-/// The status line of a response, kept apart from the HTTP library.
+/// Reads the status line of a response independently of the HTTP library.
 ///
-/// The library hides the status line when it cannot parse the headers behind it, though the line may have said that
-/// the request was completed. Interim (1xx) responses in front of it are skipped.
+/// The library hides the status line when it can't parse the headers after it, although the status may
+/// confirm that the request was completed. Interim (1xx) responses are skipped.
 #[derive(Default)]
 pub struct StatusLine {
-    /// The current line, or the whole status line once that has ended.
+    /// The bytes of the current line, or the final status line once it is complete.
     line: Vec<u8>,
     state: StatusLineState,
 }
 
-/// What [`StatusLine`] reads at the moment.
+/// The element of the response that [`StatusLine`] reads next.
 #[derive(Default)]
 enum StatusLineState {
-    /// A line that is a status line, final or interim.
+    /// A status line, either final or interim.
     #[default]
     InStatusLine,
-    /// The rest of the head of an interim response.
+    /// The headers of an interim response.
     InInterimHead,
-    /// The final status line has ended.
+    /// Nothing, as the final status line is complete.
     Complete,
 }
 
 impl StatusLine {
-    /// The most bytes of a status line; a longer one is not HTTP, and nothing after it is read.
+    /// Maximum bytes of a status line. A longer line is not HTTP, and nothing after it is read.
     const MAX_BYTES: usize = 256;
-    /// Bytes before the status code: `HTTP/1.1`.
+    /// Bytes before the status code, as in `HTTP/1.1`.
     const VERSION_BYTES: usize = 8;
     /// Bytes of the shortest status line: the version, a space and three digits.
     const MIN_BYTES: usize = 12;
 
-    /// Adds bytes that were received; returns whether they complete the status line.
+    /// Records received bytes. Returns whether they complete the final status line.
     pub fn record_received(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
             if matches!(self.state, StatusLineState::Complete) || self.line.len() > Self::MAX_BYTES {
@@ -116,7 +116,7 @@
         false
     }
 
-    /// Moves on from a line that has just ended; returns whether it is the final status line.
+    /// Handles the end of a line. Returns whether the line is the final status line.
     fn end_line(&mut self) -> bool {
         let line = self.line.trim_ascii_end();
         self.state = match self.state {
@@ -138,12 +138,12 @@
             && line[Self::VERSION_BYTES..].starts_with(b" 1")
     }
 
-    /// Whether nothing was received, or nothing but whole interim responses.
+    /// Returns whether nothing was received except complete interim responses.
     pub fn is_empty(&self) -> bool {
         self.line.is_empty()
     }
 
-    /// Whether the status line is complete and says 200.
+    /// Returns whether the status line is complete and its code is 200.
     pub fn is_ok(&self) -> bool {
         let after_code = self.line.strip_prefix(b"HTTP/1.1 200").or(self.line.strip_prefix(b"HTTP/1.0 200"));
         // A complete line ends in a line feed, so that at least one byte follows the code.
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -1,4 +1,4 @@
-//! Which kinds of endpoint have capacity for idle connections. Pure state without I/O.
+//! Tracks which kinds of endpoint have capacity for idle connections. Pure state without I/O.
 
 use std::time::Duration;
 
@@ -6,37 +6,36 @@
 use reeddock::EndpointId;
 use tokio::time::Instant;
 
-/// For this long after a rejected connection, a kind is assumed to have no capacity for idle connections.
+/// A kind that rejected a connection is assumed to have no capacity for idle connections for this long.
 ///
-/// This is several times as long as the idle timeout of most endpoints, so that a fleet of forwarders does not fill
-/// them again each time it has passed.
-const REJECTION_REMEMBERED: Duration = Duration::from_secs(30);
+/// The value is a multiple of the usual idle timeout of endpoints, so that a fleet of forwarders does not use
+/// up all connections again after each timeout.
+const REJECTION_EXPIRY: Duration = Duration::from_secs(30);
 
-/// Says for each endpoint whether a connection to it may be kept idle.
+/// Determines for each endpoint whether a connection to it may be kept idle.
 ///
-/// Endpoints accept a limited number of connections, idle ones counted. Where forwarders outnumber that limit, those
-/// that connected first would keep all connections though they rarely use them, and the others would be rejected for
-/// good. A forwarder that has a connection is not rejected by that endpoint but by others of its kind, so a
-/// rejection by one endpoint counts for all endpoints of its kind.
+/// Endpoints limit their connections, including idle ones. If there are more forwarders than connections,
+/// those that connect first would keep all of them. A rejection by one endpoint applies to all endpoints of
+/// its kind, because a forwarder that holds a connection is only rejected by other endpoints.
 #[derive(Default)]
 pub struct IdlePermits {
-    /// For each endpoint, by its number, the index of its kind in `kinds`: 32 bits each, as there may be several
-    /// hundred thousand endpoints.
+    /// For each endpoint number, the index of the endpoint's kind in `kinds`. Both have 32 bits to save
+    /// memory, as there may be hundreds of thousands of endpoints.
     kind_index: HashMap<u32, u32>,
     kinds: Vec<Kind>,
 }
 
-/// One kind of endpoint, by its name in the endpoint list.
+/// A kind of endpoint, identified by its name in the endpoint list.
 struct Kind {
     name: Box<str>,
-    /// How many endpoints of it are known; at zero the entry is free for another kind.
+    /// The number of known endpoints of this kind. An entry with zero endpoints is reused for another kind.
     endpoints: usize,
-    /// When one of its endpoints last rejected a connection.
+    /// The time at which an endpoint of this kind last rejected a connection.
     last_rejection: Option<Instant>,
 }
 
 impl IdlePermits {
-    /// The endpoint list names this endpoint as one of this kind.
+    /// Records the kind that the endpoint list gives for an endpoint.
     pub fn endpoint_listed(&mut self, endpoint: EndpointId, kind: &str) {
         if self.kind_of(endpoint).is_some_and(|listed| &*listed.name == kind) {
             return;
@@ -47,7 +46,7 @@
         self.kind_index.insert(endpoint.0, index as u32);
     }
 
-    /// Forgets an endpoint that is not known any more, and its kind with the last endpoint of that.
+    /// Forgets an endpoint, and its kind together with the last endpoint of the kind.
     pub fn forget(&mut self, endpoint: EndpointId) {
         let index = self.kind_index.remove(&endpoint.0);
         if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
@@ -55,7 +54,7 @@
         }
     }
 
-    /// The endpoint rejected one more connection.
+    /// Records that an endpoint rejected a connection.
     pub fn connection_rejected(&mut self, endpoint: EndpointId, now: Instant) {
         let index = self.kind_index.get(&endpoint.0).copied();
         if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
@@ -63,10 +62,10 @@
         }
     }
 
-    /// Whether a connection to the endpoint may be kept idle.
+    /// Returns whether a connection to the endpoint may be kept idle.
     pub fn allows_idle(&self, endpoint: EndpointId, now: Instant) -> bool {
         let last_rejection = self.kind_of(endpoint).and_then(|kind| kind.last_rejection);
-        last_rejection.is_none_or(|at| now >= at + REJECTION_REMEMBERED)
+        last_rejection.is_none_or(|at| now >= at + REJECTION_EXPIRY)
     }
 
     fn kind_of(&self, endpoint: EndpointId) -> Option<&Kind> {
@@ -74,7 +73,7 @@
         self.kinds.get(*index as usize)
     }
 
-    /// The index of a kind; a kind without one gets a free entry, or else a new one.
+    /// Returns the index of a kind. A new kind takes an unused entry, or a new one if there is none.
     fn index_of_kind(&mut self, name: &str) -> usize {
         let in_use = |kind: &Kind| kind.endpoints > 0 && &*kind.name == name;
         if let Some(index) = self.kinds.iter().position(in_use) {
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -1,30 +1,31 @@
-//! One forwarder on sockets, around the delivery policy of the package `reeddock`.
+//! A forwarder on sockets, built around the delivery policy of the package `reeddock`.
 //!
-//! The policy makes every decision; this package carries the decisions out and reports to the policy what happens.
-//! Everything runs on one thread. [`serve()`] starts the tasks and runs the event loop, which alone owns the policy and
-//! the write-ahead log; all other tasks reach it through bounded queues of [`events::Event`].
+//! The policy makes every decision. This package carries the decisions out and reports their results to the
+//! policy. All tasks run on one thread. [`serve()`] starts the tasks and runs the event loop, which owns the
+//! policy and the write-ahead log. All other tasks send [`events::Event`]s to the event loop through bounded
+//! queues.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `serve` | starts the tasks, and ends them in order |
-//! | `options`, `error` | what a forwarder is given at its start, and why it may fail to start |
+//! | `serve` | starts and stops the tasks |
+//! | `options`, `error` | the options of a forwarder, and the errors that prevent its start |
 //! | `ingress` | accepts client connections and their submissions |
 //! | [`events`] | the events that reach the event loop |
 //! | `event_loop` | owns the delivery policy and the write-ahead log |
-//! | [`endpoints`] | names, numbers and addresses of endpoints |
-//! | [`request_sender`] | one request to an endpoint, from start to result |
+//! | [`endpoints`] | names, ids and addresses of endpoints |
+//! | [`request_sender`] | sends requests to endpoints and interprets the responses |
 //! | [`connections`] | the pool of connections to endpoints |
-//! | [`http_progress`] | how much of an HTTP exchange has passed on a connection |
+//! | [`http_progress`] | the progress of an HTTP exchange on a connection |
 //! | [`idle_permits`] | which kinds of endpoint have capacity for idle connections |
 //! | [`discovery`] | the watch on the endpoint list |
-//! | [`watch_schedule`] | when a lost watch is opened again |
-//! | `list_reader` | reads the body of a watch |
-//! | [`malformed_list`] | how long to wait before a malformed list is asked for again |
-//! | [`cached_endpoint_list`] | the endpoint list as it was known before the start |
-//! | `list_status` | what the health check says of the endpoint list |
-//! | `notices` | delivery notices to the platform |
+//! | [`watch_schedule`] | the times at which a lost watch is reopened |
+//! | `list_reader` | decodes the body of a watch |
+//! | [`malformed_list`] | the backoff after a malformed list |
+//! | [`cached_endpoint_list`] | the endpoint list that was cached before the start |
+//! | `list_status` | the status of the endpoint list for the health check |
+//! | `notices` | sends delivery notices to the platform |
 //! | [`limits`] | the limits derived from the machine's resources |
-//! | `log_throttle` | keeps repeated log lines from flooding the log |
+//! | `log_throttle` | limits the rate of repeated log lines |
 //! | [`clock`] | the policy's time, and wall-clock time for what is stored |
 
 pub mod cached_endpoint_list;
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -1,5 +1,5 @@
-//! Resource limits, derived from what the configuration allows a forwarder. They protect the machine; how much is sent
-//! to a destination is the delivery policy's decision.
+//! Resource limits of a forwarder, derived from its configuration. They protect the machine. The delivery
+//! policy decides how much is sent to a destination.
 
 use std::fmt;
 
@@ -8,33 +8,34 @@
 pub struct ResourceLimits {
     /// Bytes of memory.
     pub memory_bytes: u64,
-    /// File descriptors.
+    /// The maximum number of open file descriptors.
     pub descriptors: usize,
-    /// Bytes in the state folder.
+    /// Bytes of disk space in the state folder.
     pub disk_bytes: u64,
 }
 
-/// The limits that follow from a machine's resources.
+/// The limits that are derived from [`ResourceLimits`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Client connections that are served; submissions on further ones are answered with 503.
+    /// The maximum number of served client connections. Submissions on further connections are answered with
+    /// 503.
     pub served_clients: usize,
-    /// Client connections that are accepted at all.
+    /// The maximum number of accepted client connections.
     pub accepted_clients: usize,
-    /// While more client connections than this are open, each is closed after its response: otherwise clients that
-    /// submit once and stay connected would keep others out.
+    /// The number of open client connections above which each connection is closed after its response, so
+    /// that idle clients don't occupy all connections.
     pub keep_alive_clients: usize,
-    /// Closed client connections that are still read from.
+    /// The maximum number of closed client connections that are still read from.
     pub lingering_clients: usize,
-    /// Connections to endpoints, idle ones included.
+    /// The maximum number of connections to endpoints, including idle ones.
     pub endpoint_connections: usize,
-    /// Events that are queued for the event loop, submissions among them.
+    /// The maximum number of events that are queued for the event loop, submissions included.
     pub queued_events: usize,
-    /// Bytes of pending messages in memory.
+    /// The maximum bytes of pending messages in memory.
     pub message_bytes: u64,
 }
 
-/// One line for operators.
+/// Writes the limits as one line of text for operators.
 impl fmt::Display for Limits {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
@@ -52,29 +53,30 @@
     }
 }
 
-/// Descriptors that neither client connections nor requests may use, so that the endpoint list, notices and the
-/// write-ahead log always have descriptors.
+/// File descriptors that client connections and requests may not use, so that the endpoint list, notices and
+/// the write-ahead log always have descriptors.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorReserve {
     /// Standard input, output and error.
     pub standard_streams: usize,
     /// The runtime's event queue, wake-ups and signals.
     pub runtime: usize,
-    /// The socket that clients connect to.
+    /// The listening socket for clients.
     pub listener: usize,
-    /// The write-ahead log: its lock, the open segments, one that is read or made beside them, and its folder.
+    /// The write-ahead log: its lock file, the open segments, one segment that is read or created, and the
+    /// state folder.
     pub log: usize,
-    /// The configuration, as it is read again.
+    /// The configuration file while it is reloaded.
     pub configuration: usize,
-    /// The watch on the endpoint list, and one that is being closed.
+    /// The watch on the endpoint list, and a previous connection that is being closed.
     pub watch: usize,
-    /// The connection for notices, and one that is being closed.
+    /// The connection for notices, and a previous connection that is being closed.
     pub notices: usize,
-    /// Descriptors that libraries may open in addition.
+    /// Descriptors that libraries open in addition.
     pub margin: usize,
 }
 
-/// The reserve that [`Limits::derive`] subtracts.
+/// The descriptors that [`Limits::derive`] subtracts.
 pub const DESCRIPTOR_RESERVE: DescriptorReserve = DescriptorReserve {
     standard_streams: 3,
     runtime: 8,
@@ -86,13 +88,13 @@
     margin: 7,
 };
 
-/// A forwarder assumes at least this many descriptors beyond the reserve, even if fewer are configured.
+/// The minimum number of descriptors outside the reserve, assumed even if fewer are configured.
 const MIN_FREE_DESCRIPTORS: usize = 8;
-/// Events that are queued for the event loop: a few of its steps, each of 256 events at most.
-const EVENT_QUEUE: usize = 1024;
+/// The maximum number of events that are queued for the event loop, which handles at most 256 in one step.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
 
 impl DescriptorReserve {
-    /// All descriptors of the reserve.
+    /// Returns the sum of all descriptors in the reserve.
     pub const fn total(&self) -> usize {
         self.standard_streams
             + self.runtime
@@ -108,19 +110,21 @@
 impl Limits {
     /// Divides a machine's resources among the parts of a forwarder.
     pub fn derive(resources: ResourceLimits) -> Limits {
-        let free = resources.descriptors.saturating_sub(DESCRIPTOR_RESERVE.total()).max(MIN_FREE_DESCRIPTORS);
-        // Clients that submit once and stay connected, or never submit, need more connections than requests do.
-        let for_clients = free * 3 / 5;
-        let lingering = for_clients / 8;
-        let accepted = for_clients - lingering;
+        let free_descriptors =
+            resources.descriptors.saturating_sub(DESCRIPTOR_RESERVE.total()).max(MIN_FREE_DESCRIPTORS);
+        // Clients need more connections than requests do, because clients may stay connected without
+        // submitting.
+        let client_descriptors = free_descriptors * 3 / 5;
+        let lingering_clients = client_descriptors / 8;
+        let accepted_clients = client_descriptors - lingering_clients;
         Limits {
-            served_clients: accepted - accepted / 8,
-            accepted_clients: accepted,
-            lingering_clients: lingering,
-            keep_alive_clients: for_clients / 8,
-            endpoint_connections: free - for_clients,
-            queued_events: EVENT_QUEUE,
-            // The rest is for connections, each with the body that it is reading, and for the program.
+            served_clients: accepted_clients - accepted_clients / 8,
+            accepted_clients,
+            lingering_clients,
+            keep_alive_clients: client_descriptors / 8,
+            endpoint_connections: free_descriptors - client_descriptors,
+            queued_events: EVENT_QUEUE_CAPACITY,
+            // The remaining memory is for connections, each with the body that it reads, and for the program.
             message_bytes: resources.memory_bytes / 4,
         }
     }
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a watch, and passes the list events in it to the event loop in pieces, as they arrive.
+//! Decodes the body of a watch, and sends its list events to the event loop in chunks as they arrive.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -14,72 +14,74 @@
 use crate::connections::Connection;
 use crate::events::Event;
 use crate::malformed_list::MalformedList;
-use crate::watch_schedule::{BreakCause, Loss, Received};
+use crate::watch_schedule::{Received, WatchFailure, WatchLoss};
 
-/// The most list events that the event loop applies in one step; each takes a few microseconds.
-pub const MAX_LIST_EVENTS_PER_PIECE: usize = 256;
-/// The most pieces that are queued for the event loop. Beyond that the reader waits, and so does discovery.
-pub const QUEUED_LIST_PIECES: usize = 2;
+/// The maximum number of list events that the event loop applies in one step, which limits the length of a
+/// step.
+pub const MAX_LIST_EVENTS_PER_CHUNK: usize = 256;
+/// The maximum number of chunks that are queued for the event loop. When the queue is full, the reader waits
+/// and so applies backpressure to discovery.
+pub const MAX_QUEUED_LIST_CHUNKS: usize = 2;
 
-/// How much of the list was received, over all watches.
+/// The progress of receiving the list, over all watches.
 pub(crate) struct WatchProgress {
-    /// The generation of the last part of the list that the event loop has completely.
+    /// The generation of the last part of the list that was sent to the event loop completely.
     pub generation: u64,
-    /// What the present watch has received.
+    /// What the current watch has received.
     pub received: Received,
 }
 
-/// Why a watch is not read any further.
+/// The reasons to stop reading a watch.
 enum ReadError {
-    /// The event loop has ended.
     EventLoopEnded,
-    /// The received bytes are no valid list.
+    /// The received bytes are not a valid list.
     Malformed(MalformedList),
 }
 
 /// Reads one watch.
 pub(crate) struct ListReader<'w> {
     decoder: ListDecoder,
-    /// The generation of the part that is being read.
+    /// The generation of the list part that is being read.
     part_generation: Option<u64>,
-    /// Events that are decoded and not yet passed to the event loop.
-    piece: Vec<ListEvent>,
+    /// Decoded events that were not sent to the event loop yet.
+    chunk: Vec<ListEvent>,
     progress: &'w mut WatchProgress,
     event_loop: &'w mpsc::Sender<Event>,
 }
 
 impl<'w> ListReader<'w> {
-    /// A reader at the start of a watch, which keeps `progress` up to date.
+    /// Returns a reader at the start of a watch. The reader updates `progress`.
     pub(crate) fn new(progress: &'w mut WatchProgress, event_loop: &'w mpsc::Sender<Event>) -> Self {
         ListReader {
             decoder: ListDecoder::default(),
             part_generation: None,
-            piece: Vec::new(),
+            chunk: Vec::new(),
             progress,
             event_loop,
         }
     }
 
-    /// Reads until the watch ends, and returns why it ended. A watch without any byte for `idle_timeout` has ended.
+    /// Reads until the watch ends, or until no byte was received for `idle_timeout`. Returns why the watch
+    /// was lost.
     ///
-    /// After a malformed list the connection is closed, and this returns only after a backoff.
+    /// After a malformed list the connection is closed, and the method returns after the backoff.
     pub(crate) async fn read(
         mut self,
         connection: Connection,
         mut body: Incoming,
         idle_timeout: Duration,
-    ) -> Loss {
+    ) -> WatchLoss {
         loop {
             let frame = match timeout(idle_timeout, body.frame()).await {
-                Err(_) => return Loss::Silent,
-                Ok(None) => return BreakCause::Closed.into(),
-                Ok(Some(Err(error))) => return BreakCause::Body(error.to_string()).into(),
+                Err(_) => return WatchLoss::IdleTimeout,
+                Ok(None) => return WatchFailure::ResponseEnded.into(),
+                Ok(Some(Err(error))) => return WatchFailure::ReadBody(error.to_string()).into(),
                 Ok(Some(Ok(frame))) => frame,
             };
             let Ok(bytes) = frame.into_data() else { continue };
             match self.decode(&bytes).await {
                 Ok(()) => {}
-                Err(ReadError::EventLoopEnded) => return BreakCause::EventLoopEnded.into(),
+                Err(ReadError::EventLoopEnded) => return WatchFailure::EventLoopEnded.into(),
                 Err(ReadError::Malformed(list)) => {
                     drop((connection, body));
                     return back_off_after_malformed(list, self.event_loop).await;
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Decodes these bytes, and passes their events to the event loop.
+    /// Decodes received bytes, and sends their events to the event loop.
     async fn decode(&mut self, mut bytes: &[u8]) -> Result<(), ReadError> {
         loop {
             let event = match self.decoder.next_event(&mut bytes) {
                 Ok(Some(event)) => event,
-                Ok(None) => return self.pass_on().await,
+                Ok(None) => return self.send_chunk().await,
                 Err(fault) => {
                     let (fault, bytes) = (fault.to_string(), self.decoder.consumed_bytes());
                     return Err(ReadError::Malformed(MalformedList { fault, bytes }));
@@ -103,35 +105,35 @@
                 self.progress.received = Received::Lines;
             }
             if event != ListEvent::Heartbeat {
-                self.piece.push(event);
+                self.chunk.push(event);
             }
-            if self.piece.len() >= MAX_LIST_EVENTS_PER_PIECE {
-                self.pass_on().await?;
+            if self.chunk.len() >= MAX_LIST_EVENTS_PER_CHUNK {
+                self.send_chunk().await?;
             }
         }
     }
 
-    /// Passes the present piece to the event loop, if there is any.
-    async fn pass_on(&mut self) -> Result<(), ReadError> {
-        if self.piece.is_empty() {
+    /// Sends the current chunk to the event loop, unless the chunk is empty.
+    async fn send_chunk(&mut self) -> Result<(), ReadError> {
+        if self.chunk.is_empty() {
             return Ok(());
         }
-        let completed = self.follow_generations();
-        let piece = mem::take(&mut self.piece);
-        if self.event_loop.send(Event::ListEvents(piece)).await.is_err() {
+        let completed = self.track_generations();
+        let chunk = mem::take(&mut self.chunk);
+        if self.event_loop.send(Event::ListEvents(chunk)).await.is_err() {
             return Err(ReadError::EventLoopEnded);
         }
-        // Only after the event loop has the piece: if the watch is abandoned before, the next one requests this part
-        // again.
+        // The generation advances only after the event loop has the chunk. If the watch is lost earlier, the
+        // next watch requests this part again.
         self.progress.generation = completed.unwrap_or(self.progress.generation);
         Ok(())
     }
 
-    /// Updates the generation of the part that is being read; returns the generation of the last part that the present
-    /// piece completes.
-    fn follow_generations(&mut self) -> Option<u64> {
+    /// Updates `part_generation` from the events of the current chunk. Returns the generation of the last
+    /// part that the chunk completes.
+    fn track_generations(&mut self) -> Option<u64> {
         let mut completed = None;
-        for event in &self.piece {
+        for event in &self.chunk {
             match event {
                 ListEvent::PartStarted { generation, .. } => self.part_generation = Some(*generation),
                 ListEvent::PartEnded => completed = self.part_generation,
@@ -142,10 +144,10 @@
     }
 }
 
-/// Reports a malformed list to the event loop, and waits for the backoff that its size requires.
-async fn back_off_after_malformed(list: MalformedList, event_loop: &mpsc::Sender<Event>) -> Loss {
-    let loss = Loss::from(BreakCause::MalformedList(list.fault.clone()));
-    // This randomness only spreads forwarders; it does not come from the policy's seed.
+/// Reports a malformed list to the event loop, and waits for the backoff that the size of the list requires.
+async fn back_off_after_malformed(list: MalformedList, event_loop: &mpsc::Sender<Event>) -> WatchLoss {
+    let loss = WatchLoss::from(WatchFailure::MalformedList(list.fault.clone()));
+    // The jitter spreads the requests of forwarders. Its randomness is independent of the policy's seed.
     let jitter = RandomState::new().hash_one(list.bytes) as f64 / u64::MAX as f64;
     let backoff = list.backoff(jitter);
     let _ = event_loop.send(Event::ListMalformed(list)).await;
--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -1,38 +1,39 @@
-//! The status of the endpoint list, as the health check reports it.
+//! The status of the endpoint list for the health check.
 
 use std::sync::{Arc, Mutex};
 
 use crate::connections::locked;
 
-/// The status of the endpoint list, shared by the event loop, which applies the list, and the responses to clients.
+/// The status of the endpoint list, shared between the event loop, which applies the list, and the health
+/// check.
 #[derive(Clone, Default)]
 pub struct ListStatus(Arc<Mutex<Status>>);
 
 #[derive(Default)]
 struct Status {
     has_list: bool,
-    /// Why the newest list was not applied.
+    /// The reason why the latest list was not applied, or `None` if the latest list was applied.
     fault: Option<String>,
 }
 
 impl ListStatus {
-    /// Records that the newest list was applied.
+    /// Records that the latest list was applied.
     pub fn applied(&self) {
         *locked(&self.0) = Status { has_list: true, fault: None };
     }
 
-    /// Records that the newest list is malformed, and why, in one line.
+    /// Records that the latest list is malformed. `fault` is a line that gives the reason.
     pub fn malformed(&self, fault: &str) {
         locked(&self.0).fault = Some(fault.to_owned());
     }
 
-    /// Whether any list was applied.
+    /// Returns whether any list was applied.
     pub fn has_list(&self) -> bool {
         locked(&self.0).has_list
     }
 
-    /// What is wrong with the list, in one line, as the health check's body has it. None if the newest list was
-    /// applied.
+    /// Returns the fault of the list as a line of text for the health check's body, or `None` if the latest
+    /// list was applied.
     pub fn fault(&self) -> Option<String> {
         let status = locked(&self.0);
         match (status.has_list, &status.fault) {
--- a/crates/forwarder/src/log_throttle.rs
+++ b/crates/forwarder/src/log_throttle.rs
@@ -1,13 +1,13 @@
-//! Limits the rate of log lines that repeat during a fault.
+//! Limits the rate of repeated log lines.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The shortest time between two lines of one throttle.
-const MIN_INTERVAL: Duration = Duration::from_secs(5);
+/// The minimum time between two lines of one throttle.
+const MIN_LINE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Admits one line in an interval, and counts those that it suppresses.
+/// Admits one line per interval, and counts the suppressed ones.
 #[derive(Default)]
 pub struct LogThrottle {
     last: Option<Instant>,
@@ -15,10 +15,10 @@
 }
 
 impl LogThrottle {
-    /// Returns whether a line may be logged now: `Some` with the number of lines suppressed since the last one, or
-    /// `None`.
+    /// Returns the number of lines suppressed since the last admitted line, or `None` if no line may be
+    /// logged now.
     pub fn admit(&mut self) -> Option<u32> {
-        if self.last.is_some_and(|last| last.elapsed() < MIN_INTERVAL) {
+        if self.last.is_some_and(|last| last.elapsed() < MIN_LINE_INTERVAL) {
             self.suppressed += 1;
             return None;
         }
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -1,4 +1,4 @@
-//! Delivery notices to the platform, each sent again until the platform has acknowledged it.
+//! Sends delivery notices to the platform, and repeats each until the platform has acknowledged it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,18 +16,18 @@
 use crate::events::Event;
 use crate::log_throttle::LogThrottle;
 
-/// The most notices in one request, well inside what a body may hold.
+/// The maximum number of notices in one request, so that its body stays below the platform's size limit.
 const MAX_NOTICES_PER_REQUEST: usize = 128;
-/// The platform answers at once, and a notice is overdue 300 ms after its time: a connection that has fallen silent
-/// must leave time for another.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// The first pause before a request is repeated; it doubles with each further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest such pause. The platform is near, and takes notices also while discovery is down: a longer pause would
-/// only make those that fall due meanwhile overdue.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(100);
+/// The timeout of a request, half of the 300 ms within which a notice is due, so that a request on another
+/// connection can follow in time.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
+/// The delay before the first repetition of a request. The delay doubles with each further repetition.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// The maximum delay between repetitions, short enough that notices are not overdue after a short outage.
+const MAX_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Delivers notices to the platform in their order, at its address of the time.
+/// Sends queued notices to the platform in order, at the platform's current address, until the queue is
+/// closed.
 pub async fn deliver(
     address: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<DeliveryNotice>,
@@ -40,7 +40,8 @@
         while let Some(mut part) = parts.pop_front() {
             let delivery = sender.deliver(&part).await;
             if delivery == Delivery::Malformed && part.len() > 1 {
-                // One of them is malformed: each half is sent by itself, so that the others are not lost with it.
+                // At least one of the notices is malformed. Each half is sent separately so that the valid
+                // ones are delivered.
                 let second_half = part.split_off(part.len() / 2);
                 parts.push_front(second_half);
                 parts.push_front(part);
@@ -57,7 +58,8 @@
     }
 }
 
-/// Logs notices that are dropped: the platform would never read a malformed one, and later ones must not wait for it.
+/// Logs malformed notices, which are dropped because the platform would reject them again and later notices
+/// must not wait.
 fn log_dropped(notices: &[DeliveryNotice]) {
     for DeliveryNotice { id, answer } in notices {
         tracing::error!(message_id = &*id.0, %answer, "notice dropped, platform answers that it is malformed");
@@ -67,28 +69,26 @@
 /// The outcome of a request with notices.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Delivery {
-    /// The platform has acknowledged all of them.
+    /// The platform has acknowledged all notices.
     Acknowledged,
-    /// The platform answered that the request is malformed; sending it again would not help.
+    /// The platform responded that the request is malformed. A repetition would have the same result.
     Malformed,
 }
 
-/// Why a request with notices has to be sent again.
+/// The error of a request with notices that has to be repeated.
 #[derive(Debug, Error)]
 enum NoticeError {
-    #[error("answered {0}")]
+    #[error("platform responded with status {0}, expected a 2xx status")]
     UnexpectedStatus(StatusCode),
-    #[error("no answer")]
-    NoAnswer,
-    /// The connection could not be opened, or broke.
-    #[error("{0}")]
+    #[error("platform sent no response within {:?}", RESPONSE_TIMEOUT)]
+    ResponseTimeout,
+    #[error("connection to the platform failed: {0}")]
     Connection(AttemptResult),
-    /// The request could not be built.
-    #[error(transparent)]
+    #[error("cannot build the request with notices: {0}")]
     Request(#[from] http::Error),
 }
 
-/// Sends requests with notices, over one connection for as long as it can be used.
+/// Sends requests with notices. A connection is reused until it fails or the platform's address changes.
 struct NoticeSender {
     address: watch::Receiver<SocketAddr>,
     connection: Option<Connection>,
@@ -96,9 +96,9 @@
 }
 
 impl NoticeSender {
-    /// Sends these notices until the platform has read them.
+    /// Sends notices until the platform has acknowledged them or responded that they are malformed.
     async fn deliver(&mut self, notices: &[DeliveryNotice]) -> Delivery {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             if self.address.has_changed().unwrap_or(false) {
                 self.connection = None;
@@ -121,29 +121,30 @@
             }
             self.connection = None;
             tokio::select! {
-                () = sleep(backoff) => backoff = (backoff * 2).min(LONGEST_BACKOFF),
-                () = address_changed(&mut self.address) => backoff = FIRST_BACKOFF,
+                () = sleep(backoff) => backoff = (backoff * 2).min(MAX_BACKOFF),
+                () = address_changed(&mut self.address) => backoff = INITIAL_BACKOFF,
             }
         }
     }
 }
 
-/// Sends one request and interprets its status; fails if the platform does not respond in time.
+/// Sends one request and interprets the status of the response. Fails if the platform does not respond in
+/// time.
 async fn send_within_timeout(
     platform: SocketAddr,
     open_connection: &mut Option<Connection>,
     notices: &[DeliveryNotice],
 ) -> Result<Delivery, NoticeError> {
-    match timeout(ANSWER_TIMEOUT, send(platform, open_connection, notices)).await {
+    match timeout(RESPONSE_TIMEOUT, send(platform, open_connection, notices)).await {
         Ok(Ok(StatusCode::BAD_REQUEST)) => Ok(Delivery::Malformed),
         Ok(Ok(status)) if status.is_success() => Ok(Delivery::Acknowledged),
         Ok(Ok(status)) => Err(NoticeError::UnexpectedStatus(status)),
         Ok(Err(error)) => Err(error),
-        Err(_) => Err(NoticeError::NoAnswer),
+        Err(_) => Err(NoticeError::ResponseTimeout),
     }
 }
 
-/// Sends one request on the open connection, or on a new one, and keeps the connection open if it can carry another.
+/// Sends one request on the open connection or a new one, and keeps the connection if it can be reused.
 async fn send(
     platform: SocketAddr,
     open_connection: &mut Option<Connection>,
@@ -151,7 +152,7 @@
 ) -> Result<StatusCode, NoticeError> {
     let mut connection = match open_connection.take() {
         Some(connection) => connection,
-        None => Connection::open(platform, ANSWER_TIMEOUT, None).await.map_err(NoticeError::Connection)?,
+        None => Connection::open(platform, RESPONSE_TIMEOUT, None).await.map_err(NoticeError::Connection)?,
     };
     let request = notices_request(platform, notices)?;
     let response = connection.send(request).await.map_err(NoticeError::Connection)?;
--- a/crates/forwarder/src/options.rs
+++ b/crates/forwarder/src/options.rs
@@ -10,30 +10,31 @@
 use crate::cached_endpoint_list::CachedEndpointList;
 use crate::limits::ResourceLimits;
 
-/// The options of a forwarder, fixed at its start except for the address of discovery.
+/// The options of a forwarder. All are fixed at the start except for the address of discovery.
 pub struct ForwarderOptions {
-    /// Where clients connect; [`serve_on`](crate::serve_on) uses the socket that it is given instead.
+    /// The listening address for clients. [`serve_on`](crate::serve_on) ignores it and uses the given socket.
     pub listen: SocketAddr,
-    /// The address of discovery and of the platform, which are the same; it may change at any time.
+    /// The common address of discovery and the platform, which may change at any time.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The state folder, which outlasts the process: the write-ahead log is there.
+    /// The state folder, which contains the write-ahead log and is kept when the process ends.
     pub state_folder: PathBuf,
-    /// The resources of the machine that it may use.
+    /// The resources of the machine that the forwarder may use.
     pub resources: ResourceLimits,
-    /// The endpoint list as it was last known.
+    /// The endpoint list that was cached before the start.
     pub cached_list: CachedEndpointList,
     /// The settings of the delivery policy.
     pub settings: Settings,
-    /// The policy runs its due work at most once in this interval; zero runs it after each event.
+    /// The minimum interval between two runs of the policy's due work. With zero, due work runs after each
+    /// event.
     pub tick: Duration,
-    /// When the write-ahead log is synced, so that it survives a loss of the machine.
+    /// The conditions under which the write-ahead log is synced to the disk.
     pub sync: reeddock_wal::SyncPolicy,
     /// The timeout for connecting to an endpoint.
     pub connect_timeout: Duration,
-    /// Endpoints close connections that were idle for this long.
+    /// The time after which endpoints close idle connections.
     pub endpoint_idle_timeout: Duration,
-    /// The process stops at the latest this long after a shutdown was requested.
+    /// The maximum time from the shutdown request to the end of the process.
     pub shutdown_grace: Duration,
-    /// New client connections are still accepted for this long after a shutdown was requested.
+    /// The time from the shutdown request during which new client connections are still accepted.
     pub accept_grace: Duration,
 }
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of a forwarder, runs its event loop, and ends both in order.
+//! Starts the tasks of a forwarder, runs its event loop, and performs a graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::{pending, Future};
@@ -17,17 +17,18 @@
 use crate::events::Event;
 use crate::ingress::{self, ClientConnections};
 use crate::limits::Limits;
-use crate::list_reader::QUEUED_LIST_PIECES;
+use crate::list_reader::MAX_QUEUED_LIST_CHUNKS;
 use crate::list_status::ListStatus;
 use crate::watch_schedule::{WatchSchedule, WatchTimings};
 use crate::{discovery, notices, ForwarderError, ForwarderOptions};
 
-/// Idle connections to endpoints are checked at this interval, which is far below the endpoints' idle timeouts.
+/// The interval at which idle connections to endpoints are checked, well below the endpoints' idle timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// During a shutdown open client connections are counted at this interval.
+/// The interval at which a shutdown checks whether all client connections are closed.
 const CLIENTS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens and serves until `stop` completes, and then until the shutdown is complete or its grace period has passed.
+/// Opens the listening socket and serves until `stop` completes, then until the shutdown is complete or its
+/// grace period ends.
 pub async fn serve(options: ForwarderOptions, stop: impl Future<Output = ()>) -> Result<(), ForwarderError> {
     let address = options.listen;
     let listener =
@@ -35,9 +36,9 @@
     serve_on(listener, options, stop).await
 }
 
-/// Serves like [`serve()`], on a socket that listens already; `options.listen` is not used.
+/// Serves like [`serve()`] on an open listening socket. `options.listen` is ignored.
 ///
-/// All tasks that this starts end with it.
+/// All tasks that this function starts end when it returns.
 pub async fn serve_on(
     listener: TcpListener,
     options: ForwarderOptions,
@@ -47,7 +48,7 @@
     let clock = Clock::start();
     let log = open_log(&options)?;
     let (events, event_queue) = mpsc::channel(limits.queued_events);
-    let (list_events, list_queue) = mpsc::channel(QUEUED_LIST_PIECES);
+    let (list_events, list_queue) = mpsc::channel(MAX_QUEUED_LIST_CHUNKS);
     let (notices, notice_queue) = mpsc::unbounded_channel();
     let connections =
         Connections::new(limits.endpoint_connections, options.connect_timeout, options.endpoint_idle_timeout);
@@ -105,7 +106,7 @@
     opened.map_err(|source| ForwarderError::OpenLog { folder: options.state_folder.clone(), source })
 }
 
-/// Closes idle connections to endpoints at regular intervals; never returns.
+/// Closes expired idle connections to endpoints at regular intervals. Never returns.
 async fn sweep_connections(connections: Connections) {
     let mut interval = interval(SWEEP_INTERVAL);
     loop {
@@ -114,20 +115,22 @@
     }
 }
 
-/// The part of a graceful shutdown that concerns clients. The event loop ends once nothing is left to do.
+/// The client side of a graceful shutdown. The event loop ends once no message or notice is pending.
 struct Shutdown {
     clients: Arc<ClientConnections>,
-    /// The one task that accepts client connections; it returns the tasks of connections that are still served.
+    /// The task that accepts client connections. The task returns the tasks of the connections that are still
+    /// served.
     accepting: JoinSet<JoinSet<()>>,
     events: mpsc::Sender<Event>,
-    /// From the request to stop to the latest end of the process.
+    /// The maximum time from the shutdown request to the end of the process.
     grace: Duration,
-    /// From the request to stop to the last new client connection.
+    /// The time from the shutdown request during which new client connections are accepted.
     accept_grace: Duration,
 }
 
 impl Shutdown {
-    /// Waits for `stop`, asks clients to use other forwarders, and reports when the last one has disconnected.
+    /// Waits for `stop`, asks clients to use other forwarders, and reports when the last client has
+    /// disconnected.
     async fn run_after(mut self, stop: impl Future<Output = ()>) -> Infallible {
         stop.await;
         tracing::info!("shutdown requested");
@@ -136,8 +139,8 @@
         let _ = self.events.send(Event::ShutdownRequested(deadline)).await;
         sleep(self.accept_grace).await;
         self.clients.close_all();
-        // Completes once all clients are accepted that connected before the close. Dropping the tasks closes
-        // connections.
+        // The task completes once all clients that connected before the close are accepted. Dropping the
+        // returned tasks closes their connections.
         let _connection_tasks = self.accepting.join_next().await;
         while !self.clients.is_empty() {
             sleep(CLIENTS_CHECK_INTERVAL).await;
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -1,4 +1,4 @@
-//! The parts of the forwarder that do no I/O, each by itself.
+//! Unit tests of the parts of the forwarder that do no I/O.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 #[test]
-fn a_status_line_is_read_whatever_follows_it_and_however_it_is_split() {
+fn status_line_is_parsed_independently_of_later_bytes_and_read_boundaries() {
     for (response, ok) in [
         ("HTTP/1.1 200 OK\r\n\0\x01", true),
         ("HTTP/1.1 200\r\n", true),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_request_is_complete_with_the_last_byte_of_its_body_and_not_before() {
+fn request_is_complete_only_after_last_body_byte() {
     let request = b"POST / HTTP/1.1\r\na: \r\r\n\r\n12345\r\n\r\n";
     for split in 0..request.len() {
         let mut progress = RequestProgress::default();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_descriptor_reserve_and_all_limits_add_up_to_the_descriptors() {
+fn descriptor_reserve_and_limits_sum_to_available_descriptors() {
     for descriptors in 64..=1024 {
         let limits =
             Limits::derive(ResourceLimits { memory_bytes: 32_000_000, descriptors, disk_bytes: 3_000_000 });
@@ -62,12 +62,15 @@
             + limits.lingering_clients
             + limits.endpoint_connections;
         assert_eq!(planned, descriptors);
-        assert!(limits.served_clients < limits.accepted_clients, "some are accepted only to be refused");
+        assert!(
+            limits.served_clients < limits.accepted_clients,
+            "connections above the served limit are accepted so that they can be answered with 503"
+        );
     }
 }
 
 #[test]
-fn a_stored_time_is_read_back_as_the_same_time() {
+fn stored_time_converts_back_to_same_policy_time() {
     let clock = Clock::start();
     let before = clock.now() - Duration::from_secs(60);
     let read = clock.from_unix_micros(clock.to_unix_micros(before));
@@ -75,17 +78,17 @@
 }
 
 #[test]
-fn the_next_tick_is_on_the_grid() {
+fn next_tick_is_multiple_of_interval() {
     let clock = Clock::start();
-    let width = Duration::from_millis(5);
-    // Ticks are counted from a moment that lies a whole number of widths before the start.
-    let next = clock.at(clock.next_tick(width));
-    assert_eq!(next.as_nanos() % width.as_nanos(), 0);
+    let interval = Duration::from_millis(5);
+    // Ticks count from a policy time that is a multiple of the interval before the start.
+    let next = clock.time_at(clock.next_tick(interval));
+    assert_eq!(next.as_nanos() % interval.as_nanos(), 0);
     assert!(clock.next_tick(Duration::ZERO) <= Instant::now());
 }
 
 #[test]
-fn a_malformed_list_rests_by_its_size() {
+fn backoff_after_malformed_list_grows_with_its_size() {
     let table = [
         (0, 0),
         (1600, 97),
@@ -101,40 +104,44 @@
         assert_eq!(list.backoff(0.5), mean, "{bytes}");
         assert_eq!((list.backoff(0.0), list.backoff(1.0)), (mean / 2, mean + mean / 2), "{bytes}");
         assert_eq!(list.backoff(f64::INFINITY), list.backoff(1.0));
-        // On average no more bytes a second than this, unless a corrected list would have to wait too long for it.
-        let cost = bytes as f64 / list.backoff(0.5).as_secs_f64();
+        // The mean traffic stays below the limit, unless the backoff has its maximum.
+        let bytes_per_second = bytes as f64 / list.backoff(0.5).as_secs_f64();
         assert!(
             list.backoff(0.5) >= MAX_MEAN_BACKOFF
                 || bytes < 2000
-                || cost <= MAX_MEAN_BYTES_PER_SECOND as f64 * 1.01,
+                || bytes_per_second <= MAX_MEAN_BYTES_PER_SECOND as f64 * 1.01,
             "{bytes}"
         );
     }
 }
 
 #[test]
-fn endpoints_are_numbered_once_and_a_forgotten_one_gets_another_number() {
+fn endpoint_keeps_its_id_until_forgotten_and_then_gets_new_one() {
     let mut table = EndpointTable::default();
     let location = |port| EndpointLocation { address: SocketAddr::from(([10, 0, 0, 1], port)), max_batch: 4 };
-    let long = "a name that does not fit into the row itself";
-    let ids: Vec<_> = (0..1000).map(|n| table.id_for_name(&format!("{long}-{n}"))).collect();
+    let long_name = "a name that does not fit into the row itself";
+    let ids: Vec<_> = (0..1000).map(|n| table.id_for_name(&format!("{long_name}-{n}"))).collect();
     for (n, id) in ids.iter().enumerate() {
-        assert_eq!(table.id_for_name(&format!("{long}-{n}")), *id);
-        assert_eq!((table.location(*id), table.name(*id)), (None, Some(format!("{long}-{n}").as_str())));
+        assert_eq!(table.id_for_name(&format!("{long_name}-{n}")), *id);
+        assert_eq!((table.location(*id), table.name(*id)), (None, Some(format!("{long_name}-{n}").as_str())));
         assert_eq!(table.set_location(*id, location(n as u16)), LocationChange::New);
     }
-    assert_eq!(table.located(), 1000);
+    assert_eq!(table.located_count(), 1000);
     for id in ids.iter().step_by(2) {
         table.forget(*id);
         table.forget(*id);
         assert_eq!((table.location(*id), table.name(*id)), (None, None));
-        assert_eq!(table.set_location(*id, location(1)), LocationChange::Same, "it is unknown now");
+        assert_eq!(
+            table.set_location(*id, location(1)),
+            LocationChange::Same,
+            "a forgotten endpoint is unknown"
+        );
     }
-    assert_eq!(table.located(), 500);
+    assert_eq!(table.located_count(), 500);
     for (n, id) in ids.iter().enumerate() {
-        let again = table.id_for_name(&format!("{long}-{n}"));
-        assert_eq!(again == *id, n % 2 == 1, "{n}");
-        assert!(again == *id || !ids.contains(&again));
+        let new_id = table.id_for_name(&format!("{long_name}-{n}"));
+        assert_eq!(new_id == *id, n % 2 == 1, "{n}");
+        assert!(new_id == *id || !ids.contains(&new_id));
     }
     let kept = ids[1];
     assert_eq!(table.location(kept), Some(location(1)));
@@ -142,11 +149,11 @@
     let ipv6 = EndpointLocation { address: "[::1]:9".parse().unwrap(), max_batch: 1 };
     assert_eq!((table.set_location(kept, ipv6), table.location(kept)), (LocationChange::Moved, Some(ipv6)));
     table.forget(kept);
-    assert_eq!(table.located(), 499);
+    assert_eq!(table.located_count(), 499);
 }
 
 #[test]
-fn an_endpoint_kind_is_kept_idle_again_after_a_rest_and_forgotten_with_its_endpoints() {
+fn idle_connections_are_allowed_again_after_rejection_expires_or_kind_is_removed() {
     let now = Instant::now();
     let mut permits = IdlePermits::default();
     for (endpoint, kind) in [(1, "small"), (2, "small"), (3, "large")] {
@@ -161,8 +168,12 @@
     assert_eq!(allows_idle(&permits, 29_000), [false, false, true, true]);
     assert_eq!(allows_idle(&permits, 30_000), [true; 4]);
     permits.forget(EndpointId(1));
-    assert_eq!(allows_idle(&permits, 0), [true, false, true, true], "another of the kind is still listed");
+    assert_eq!(
+        allows_idle(&permits, 0),
+        [true, false, true, true],
+        "another endpoint of the kind is still listed"
+    );
     permits.forget(EndpointId(2));
     permits.endpoint_listed(EndpointId(2), "small");
-    assert_eq!(allows_idle(&permits, 0), [true; 4], "nothing is kept of a kind that nothing is listed for");
+    assert_eq!(allows_idle(&permits, 0), [true; 4], "a kind without listed endpoints is forgotten");
 }
