--- a/crates/forwarder/src/cached_endpoint_list.rs
+++ b/crates/forwarder/src/cached_endpoint_list.rs
@@ -5,7 +5,7 @@
 use reeddock_protocol::{ListEntry, ListPart};
 use thiserror::Error;
 
-/// An error of reading the entries of a cached list. Its text is one line.
+/// An error of reading the entries of a cached list, whose text is one line.
 pub type ReadEntriesError = Box<dyn Error + Send + Sync>;
 
 /// A function that passes each entry of a cached list to its argument, in the order of the list.
--- a/crates/forwarder/src/event_loop/mod.rs
+++ b/crates/forwarder/src/event_loop/mod.rs
@@ -7,7 +7,7 @@
 //! | --- | --- |
 //! | check a client's submission and pass it to the policy | [`submissions`], [`new_submission`] |
 //! | run the policy's due work and collect its commands | [`due_work`], [`commands`] |
-//! | give final answers without delivery, accept messages, number attempts | [`state`], [`pending_messages`] |
+//! | give final answers, accept messages, number attempts | [`state`], [`pending_messages`] |
 //! | append the records to the write-ahead log | [`log_writer`] |
 //! | start requests with the attempts | [`requests`] |
 //! | handle the results of attempts | [`attempt_results`] |
--- a/crates/forwarder/src/event_loop/requests.rs
+++ b/crates/forwarder/src/event_loop/requests.rs
@@ -23,8 +23,8 @@
     /// Starts requests for the attempts that the policy decided on at `decided_at`.
     ///
     /// Attempts that the policy put into one request are sent together, up to the batch limit of the
-    /// endpoint. They are never combined with other attempts, because one of these could still be in flight
-    /// when another has its result.
+    /// endpoint. Attempts of different requests are never combined, because one could still be in flight when
+    /// another has its result.
     pub(super) fn start_requests(&mut self, attempts: Vec<OutgoingAttempt>, decided_at: Duration) {
         let mut requests: BTreeMap<RequestKey, Vec<OutgoingAttempt>> = BTreeMap::new();
         for attempt in attempts {
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -97,7 +97,7 @@
     }
 
     /// Responds to the clients of all submissions. Returns the messages whose clients did not receive a 202
-    /// response. These clients submit the message again, as do clients that have disconnected.
+    /// response, and which are therefore submitted again. Clients that have disconnected are included.
     pub(super) fn answer_submissions(
         &self,
         submissions: Vec<NewSubmission>,
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -14,9 +14,10 @@
 
 /// Determines for each endpoint whether a connection to it may be kept idle.
 ///
-/// Endpoints limit their connections, including idle ones. If there are more forwarders than connections,
-/// those that connect first would keep all of them. A rejection by one endpoint applies to all endpoints of
-/// its kind, because a forwarder that holds a connection is only rejected by other endpoints.
+/// Endpoints limit their connections, including idle ones. If there are more forwarders than connections, the
+/// forwarders that connect first would keep all connections. A rejection by one endpoint applies to all
+/// endpoints of its kind, because a forwarder holds connections to some of them and is rejected only by the
+/// others.
 #[derive(Default)]
 pub struct IdlePermits {
     /// For each endpoint number, the index of the endpoint's kind in `kinds`. Both have 32 bits to save
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -1,5 +1,5 @@
-//! Resource limits of a forwarder, derived from its configuration. They protect the machine. The delivery
-//! policy decides how much is sent to a destination.
+//! Resource limits of a forwarder, derived from its configuration. The limits protect the machine; the
+//! delivery policy decides how much is sent to a destination.
 
 use std::fmt;
 
--- a/crates/forwarder/src/list_reader.rs
+++ b/crates/forwarder/src/list_reader.rs
@@ -147,7 +147,7 @@
 /// Reports a malformed list to the event loop, and waits for the backoff that the size of the list requires.
 async fn back_off_after_malformed(list: MalformedList, event_loop: &mpsc::Sender<Event>) -> WatchLoss {
     let loss = WatchLoss::from(WatchFailure::MalformedList(list.fault.clone()));
-    // The jitter spreads the requests of forwarders. Its randomness is independent of the policy's seed.
+    // Spreads the requests of forwarders. The randomness is independent of the policy's seed.
     let jitter = RandomState::new().hash_one(list.bytes) as f64 / u64::MAX as f64;
     let backoff = list.backoff(jitter);
     let _ = event_loop.send(Event::ListMalformed(list)).await;
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -3,10 +3,10 @@
 //!
 //! A change must be received at most [`WatchTimings::max_staleness`] after discovery has it. A request
 //! therefore starts at most that time, less [`WatchTimings::max_response_time`], after the last received line
-//! and after the start of the previous request. A `Retry-After` header can't postpone this deadline, and is
+//! and after the start of the previous request. A `Retry-After` header does not extend this deadline, and is
 //! limited to half of the request interval.
 //!
-//! The first losses of a connection are followed by quick retries. Afterwards each forwarder sends one
+//! The first failures of a connection are followed by quick retries. Afterwards each forwarder sends one
 //! request per interval, at its own phase, so that the requests of a fleet are spread and do not overload
 //! discovery.
 
@@ -35,10 +35,10 @@
     pub min_response_timeout: Duration,
     /// The timeout for connecting to discovery.
     pub connect_timeout: Duration,
-    /// The time without any received byte after which a watch is lost. Discovery sends an empty line every 2
-    /// s.
+    /// The time without any received byte after which a watch is lost. Discovery sends an empty line every
+    /// two seconds.
     pub idle_timeout: Duration,
-    /// The time over which the requests of forwarders are spread whose watches reached the idle timeout
+    /// The time over which requests are spread when the watches of several forwarders reach the idle timeout
     /// together.
     pub idle_retry_spread: Duration,
     /// The mean delay of the first quick retry. The second one has twice this delay.
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -81,7 +81,7 @@
 fn next_tick_is_multiple_of_interval() {
     let clock = Clock::start();
     let interval = Duration::from_millis(5);
-    // Ticks count from a policy time that is a multiple of the interval before the start.
+    // The policy's time at the process start is a multiple of the interval.
     let next = clock.time_at(clock.next_tick(interval));
     assert_eq!(next.as_nanos() % interval.as_nanos(), 0);
     assert!(clock.next_tick(Duration::ZERO) <= Instant::now());
