--- a/crates/forwarder/tests/watch_schedule.rs
+++ b/crates/forwarder/tests/watch_schedule.rs
@@ -57,7 +57,7 @@
     /// The time at which the list was last known to be up to date, or `None` if it never was.
     up_to_date_until: Option<Duration>,
     requests_since_up_to_date: u32,
-    started_at: Vec<Duration>,
+    request_starts: Vec<Duration>,
 }
 
 impl SimulatedWatch {
@@ -68,23 +68,23 @@
             now: start,
             up_to_date_until: None,
             requests_since_up_to_date: 0,
-            started_at: Vec::new(),
+            request_starts: Vec::new(),
         }
     }
 
     /// Simulates one request, and advances to the start of the next.
     fn request(&mut self, outcome: RequestOutcome) {
-        let began = self.now;
-        let times_out_at = self.schedule.request_started(began);
+        let start = self.now;
+        let times_out_at = self.schedule.request_started(start);
         assert!(
-            times_out_at >= began + MIN_RESPONSE_TIMEOUT,
+            times_out_at >= start + MIN_RESPONSE_TIMEOUT,
             "{outcome:?}: times out before the minimum response timeout"
         );
         assert!(
-            times_out_at + MAX_RESPONSE_TIME <= began + MAX_STALENESS,
+            times_out_at + MAX_RESPONSE_TIME <= start + MAX_STALENESS,
             "{outcome:?}: times out too late for another request"
         );
-        self.started_at.push(began);
+        self.request_starts.push(start);
         let timings = self.schedule.timings();
         let failed = || WatchLoss::Failed(WatchFailure::ReadBody("broken".into()));
         let rejected = |retry_after| WatchLoss::UnexpectedStatus {
@@ -92,23 +92,23 @@
             retry_after,
         };
         let (ended, loss, up_to_date_until) = match outcome {
-            RequestOutcome::Rejected => (began + ROUND_TRIP, rejected(None), None),
+            RequestOutcome::Rejected => (start + ROUND_TRIP, rejected(None), None),
             RequestOutcome::RejectedWithShortRetryAfter => {
-                (began + ROUND_TRIP, rejected(Some(SHORT_RETRY_AFTER)), None)
+                (start + ROUND_TRIP, rejected(Some(SHORT_RETRY_AFTER)), None)
             }
             RequestOutcome::RejectedWithLongRetryAfter => {
-                (began + ROUND_TRIP, rejected(Some(LONG_RETRY_AFTER)), None)
+                (start + ROUND_TRIP, rejected(Some(LONG_RETRY_AFTER)), None)
             }
-            RequestOutcome::ConnectionRefused => (began, failed(), None),
-            RequestOutcome::ConnectTimeout => (began + timings.connect_timeout, failed(), None),
+            RequestOutcome::ConnectionRefused => (start, failed(), None),
+            RequestOutcome::ConnectTimeout => (start + timings.connect_timeout, failed(), None),
             RequestOutcome::NoResponse => (times_out_at, WatchLoss::ResponseTimeout, None),
-            RequestOutcome::ResetBeforeResponse => (began + SLOW_RESPONSE, failed(), None),
+            RequestOutcome::ResetBeforeResponse => (start + SLOW_RESPONSE, failed(), None),
             RequestOutcome::IdleAfterSlowHead => {
-                (began + SLOW_RESPONSE + timings.idle_timeout, WatchLoss::IdleTimeout, None)
+                (start + SLOW_RESPONSE + timings.idle_timeout, WatchLoss::IdleTimeout, None)
             }
-            RequestOutcome::ResetAfter(open_for) => (began + open_for, failed(), Some(began + open_for)),
+            RequestOutcome::ResetAfter(open_for) => (start + open_for, failed(), Some(start + open_for)),
             RequestOutcome::IdleAfter(open_for) => {
-                (began + open_for + timings.idle_timeout, WatchLoss::IdleTimeout, Some(began + open_for))
+                (start + open_for + timings.idle_timeout, WatchLoss::IdleTimeout, Some(start + open_for))
             }
         };
         self.up_to_date_until = up_to_date_until.or(self.up_to_date_until);
@@ -117,7 +117,7 @@
         assert!(next >= ended);
         // A change that discovery has just after this time is received with the next request, which must be
         // in time.
-        let missing_since = up_to_date_until.unwrap_or(began);
+        let missing_since = up_to_date_until.unwrap_or(start);
         assert!(
             next + MAX_RESPONSE_TIME <= missing_since + MAX_STALENESS,
             "{outcome:?}: {missing_since:?}, next at {next:?}"
@@ -159,12 +159,12 @@
         RequestOutcome::NoResponse,
         RequestOutcome::ConnectTimeout,
     ];
-    for (seed, second) in (0..400).flat_map(|seed| second_outcomes.map(|second| (seed, second))) {
+    for (seed, second_outcome) in (0..400).flat_map(|seed| second_outcomes.map(|outcome| (seed, outcome))) {
         let mut watch = SimulatedWatch::new(seed, Duration::from_millis(seed * 37));
         watch.request(RequestOutcome::IdleAfter(Duration::from_secs(20)));
         let idle_since = watch.up_to_date_until.unwrap();
-        watch.request(second);
-        assert!(watch.now + MAX_RESPONSE_TIME <= idle_since + MAX_STALENESS, "{seed} {second:?}");
+        watch.request(second_outcome);
+        assert!(watch.now + MAX_RESPONSE_TIME <= idle_since + MAX_STALENESS, "{seed} {second_outcome:?}");
     }
 }
 
@@ -204,11 +204,15 @@
             while watch.now < span {
                 watch.request(outcome);
             }
-            let between = span / watch.started_at.len() as u32;
+            let mean_interval = span / watch.request_starts.len() as u32;
             // After an idle timeout the next request starts sooner, because the idle time is part of the
             // interval.
-            let min_between = if matches!(outcome, RequestOutcome::IdleAfter(_)) { 3000 } else { 5500 };
-            assert!(between >= Duration::from_millis(min_between), "{outcome:?} {between:?}");
+            let min_mean_interval_ms =
+                if matches!(outcome, RequestOutcome::IdleAfter(_)) { 3000 } else { 5500 };
+            assert!(
+                mean_interval >= Duration::from_millis(min_mean_interval_ms),
+                "{outcome:?} {mean_interval:?}"
+            );
         }
     }
 }
@@ -239,7 +243,7 @@
         while watch.now < Duration::from_secs(100) + span {
             watch.request(following);
         }
-        requests.extend(&watch.started_at[1..]);
+        requests.extend(&watch.request_starts[1..]);
     }
     requests.sort();
     requests
@@ -247,9 +251,9 @@
 
 /// Returns the maximum number of requests that start within one window of this width.
 fn max_requests_within(window: Duration, requests: &[Duration]) -> usize {
-    let begun_within =
+    let started_within =
         |first: usize| requests[first..].iter().take_while(|at| **at < requests[first] + window).count();
-    (0..requests.len()).map(begun_within).max().unwrap_or_default()
+    (0..requests.len()).map(started_within).max().unwrap_or_default()
 }
 
 #[test]
@@ -258,10 +262,9 @@
     const WINDOW: Duration = Duration::from_millis(500);
     // The mean of a fleet in which each forwarder sends one request in 5 s.
     let mean = FLEET as f64 * WINDOW.as_secs_f64() / 5.0;
-    // The third value is the maximum ratio to the mean. Random phases of 300 forwarders alone cause up to
-    // 1.7.
+    // The third value is the maximum ratio of requests in one window to the mean.
     let open_for = Duration::from_secs(20);
-    for (common, following, most) in [
+    for (common, following, max_ratio) in [
         (RequestOutcome::Rejected, RequestOutcome::Rejected, 2.0),
         (RequestOutcome::Rejected, RequestOutcome::RejectedWithLongRetryAfter, 2.0),
         (RequestOutcome::RejectedWithShortRetryAfter, RequestOutcome::RejectedWithShortRetryAfter, 3.0),
@@ -271,11 +274,11 @@
         (RequestOutcome::IdleAfter(open_for), RequestOutcome::Rejected, 6.0),
     ] {
         let requests = request_times_after(FLEET, common, following, Duration::from_secs(60));
-        let times = max_requests_within(WINDOW, &requests) as f64 / mean;
-        assert!(times <= most, "after {common:?}, {following:?}: {times} times the mean");
+        let ratio = max_requests_within(WINDOW, &requests) as f64 / mean;
+        assert!(ratio <= max_ratio, "after {common:?}, {following:?}: {ratio} times the mean");
         let later: Vec<Duration> = requests.into_iter().filter(|at| *at > Duration::from_secs(130)).collect();
-        let times = max_requests_within(WINDOW, &later) as f64 / mean;
-        assert!(times <= 2.0, "half a minute after {common:?}, {following:?}: {times} times the mean");
+        let ratio = max_requests_within(WINDOW, &later) as f64 / mean;
+        assert!(ratio <= 2.0, "half a minute after {common:?}, {following:?}: {ratio} times the mean");
     }
 }
 
@@ -283,13 +286,13 @@
 /// `served_per_second` requests, and rejected requests count too. Forwarders without a watch after two
 /// minutes are left out.
 fn recovery_times(fleet: u64, served_per_second: usize) -> Vec<Duration> {
-    let lost = Duration::from_secs(20);
+    let lost_at = Duration::from_secs(20);
     let mut without_watch: Vec<(Duration, WatchSchedule)> = (0..fleet)
         .map(|seed| {
             let mut schedule = WatchSchedule::new(WatchTimings::default(), seed);
             schedule.request_started(Duration::ZERO);
             let reset = WatchLoss::Failed(WatchFailure::ReadBody("reset".into()));
-            (schedule.watch_lost(lost, &reset, Received::Lines), schedule)
+            (schedule.watch_lost(lost_at, &reset, Received::Lines), schedule)
         })
         .collect();
     let mut recent_requests: Vec<Duration> = Vec::new();
@@ -298,7 +301,7 @@
         without_watch.sort_by_key(|(next, _)| *next);
         let Some((next, schedule)) = without_watch.first_mut() else { return recovered };
         let now = *next;
-        if now > lost + Duration::from_secs(120) {
+        if now > lost_at + Duration::from_secs(120) {
             return recovered;
         }
         schedule.request_started(now);
@@ -311,7 +314,7 @@
                 Received::Nothing,
             );
         } else {
-            recovered.push(now - lost);
+            recovered.push(now - lost_at);
             without_watch.remove(0);
         }
     }
