--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use crate::connections::locked;
+use crate::connections::lock;
 
 /// The status of the endpoint list, shared between the event loop, which applies the list, and the health
 /// check.
@@ -19,23 +19,23 @@
 impl ListStatus {
     /// Records that the latest list was applied.
     pub fn applied(&self) {
-        *locked(&self.0) = Status { has_list: true, fault: None };
+        *lock(&self.0) = Status { has_list: true, fault: None };
     }
 
     /// Records that the latest list is malformed. `fault` is a line that gives the reason.
     pub fn malformed(&self, fault: &str) {
-        locked(&self.0).fault = Some(fault.to_owned());
+        lock(&self.0).fault = Some(fault.to_owned());
     }
 
     /// Returns whether any list was applied.
     pub fn has_list(&self) -> bool {
-        locked(&self.0).has_list
+        lock(&self.0).has_list
     }
 
     /// Returns the fault of the list as a line of text for the health check's body, or `None` if the latest
     /// list was applied.
     pub fn fault(&self) -> Option<String> {
-        let status = locked(&self.0);
+        let status = lock(&self.0);
         match (status.has_list, &status.fault) {
             (true, None) => None,
             (true, Some(fault)) => Some(format!("the latest endpoint list is malformed: {fault}")),
