--- a/crates/forwarder/src/list_status.rs
+++ b/crates/forwarder/src/list_status.rs
@@ -38,11 +38,9 @@
         let status = lock(&self.0);
         match (status.has_list, &status.fault) {
             (true, None) => None,
-            (true, Some(fault)) => Some(format!("the latest endpoint list is malformed: {fault}")),
-            (false, None) => Some("no endpoint list yet: none received from discovery".into()),
-            (false, Some(fault)) => {
-                Some(format!("no endpoint list yet: the received list is malformed: {fault}"))
-            }
+            (true, Some(fault)) => Some(format!("the newest target list can't be read: {fault}")),
+            (false, None) => Some("no target list yet: discovery has told none".into()),
+            (false, Some(fault)) => Some(format!("no target list yet: it can't be read: {fault}")),
         }
     }
 }
