--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -1,4 +1,4 @@
-//! Numbers of a scenario: bounded as they are read, constant or drawn from a stated distribution.
+//! Numbers of a scenario: bounded when they are read, and either constant or drawn from a distribution.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,64 +9,63 @@
 use serde::de::{Deserializer, Error, MapAccess, Visitor};
 use serde::{Deserialize, Serialize};
 
-/// Source of random numbers of a simulated world. Each use has a stream of its own, so that one more draw in one
-/// place leaves the others as they were and two policies get the same arrivals.
+/// Random number generator of a simulated world. Each use has its own stream, so that an additional draw in
+/// one use does not change the numbers of the others.
 pub type RandomSource = rand_pcg::Pcg64;
 
-/// The longest span that a scenario may name, in seconds: a day.
-const LONGEST_SPAN: f64 = 86_400.0;
+/// Maximum of a [`Span`], in seconds: one day.
+const MAX_SPAN_S: f64 = 86_400.0;
 
-/// Bounds of an [`Amount`].
 const AMOUNT_RANGE: std::ops::RangeInclusive<f64> = 1e-6..=1e6;
 
-/// Largest number that a [`Distribution`] may name.
-const LARGEST_NUMBER: f64 = 1e9;
+/// Maximum of the parameters of a [`Distribution`].
+const MAX_PARAMETER: f64 = 1e9;
 
-/// Largest spread of the logarithm in a log-normal distribution: beyond it no mean means anything.
-const LARGEST_SIGMA: f64 = 3.0;
+/// Maximum sigma of a log-normal distribution; larger ones have a mean that rare extreme draws dominate.
+const MAX_SIGMA: f64 = 3.0;
 
-/// A number that a scenario may not name.
+/// A number of a scenario that is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum NumberError {
-    /// Not a [`Share`].
-    #[error("{0} is no share: expected a number from 0 to 1")]
+    /// The value is not a [`Share`].
+    #[error("invalid share {0}: expected a number from 0 to 1")]
     Share(f64),
-    /// Not an [`Amount`].
-    #[error("{0} is out of range: expected a number over 0, 1000000 at most")]
+    /// The value is not an [`Amount`].
+    #[error("number {0} is out of range: expected a number over 0, 1000000 at most")]
     Amount(f64),
-    /// Not a [`Span`].
-    #[error("{0} is no span: expected seconds from 0 to {LONGEST_SPAN}")]
+    /// The value is not a [`Span`].
+    #[error("invalid duration {0}: expected seconds from 0 to {MAX_SPAN_S}")]
     Span(f64),
     /// Parameters of a [`Distribution`] that are out of range.
     #[error(
-        "distribution out of range: expected numbers from 0 up, uniform = [low, high], a mean or median over 0, \
-         sigma 3 at most"
+        "distribution parameters out of range: expected numbers from 0 to 1000000000, uniform = [low, high], \
+         a mean or median over 0, sigma 3 at most"
     )]
     Distribution,
 }
 
-/// A part of a whole, from 0 to 1.
+/// A fraction of a whole or a probability, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(f64);
 
 impl Share {
-    /// Nothing.
+    /// Zero.
     pub const NONE: Share = Share(0.0);
 
-    /// The share as a number from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     pub fn get(self) -> f64 {
         self.0
     }
 
-    /// The nearest share; none where the value is not finite.
+    /// Returns the nearest share, or [`Share::NONE`] if the value is not finite.
     pub fn clamped(value: f64) -> Share {
         Share(if value.is_finite() { value.clamp(0.0, 1.0) } else { 0.0 })
     }
 
     /// Draws whether an event with this probability occurs.
     pub fn occurs(self, random: &mut RandomSource) -> bool {
-        // Drawn in any case, so that a share of 0 does not shift what is drawn after it.
+        // A share of 0 or 1 draws too, so that the later draws of the stream don't depend on the share.
         random.random::<f64>() < self.0
     }
 }
@@ -94,15 +93,15 @@
 pub struct Amount(f64);
 
 impl Amount {
-    /// One.
+    /// The number 1, which as a factor changes nothing.
     pub const ONE: Amount = Amount(1.0);
 
-    /// The amount as a number.
+    /// Returns the amount as a number, over 0.
     pub fn get(self) -> f64 {
         self.0
     }
 
-    /// The nearest amount; one where the value is not finite.
+    /// Returns the nearest amount, 0.000001 at least, or [`Amount::ONE`] if the value is not finite.
     pub fn clamped(value: f64) -> Amount {
         Amount(if value.is_finite() { value.clamp(*AMOUNT_RANGE.start(), *AMOUNT_RANGE.end()) } else { 1.0 })
     }
@@ -125,23 +124,23 @@
     }
 }
 
-/// A span of time, read and written as seconds; a day at most, to the microsecond.
+/// A duration of a scenario: one day at most, rounded to microseconds, read and written as seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Span(pub Duration);
 
 impl Span {
-    /// A span of whole milliseconds.
+    /// Returns a span of whole milliseconds.
     pub const fn millis(ms: u64) -> Span {
         Span(Duration::from_millis(ms))
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn seconds(self) -> f64 {
         self.0.as_secs_f64()
     }
 
-    /// The nearest span that a scenario may name.
+    /// Returns the nearest valid span, or zero if the value is not finite.
     pub fn clamped(seconds: f64) -> Span {
         Span(duration_from_seconds(seconds))
     }
@@ -150,7 +149,7 @@
 impl TryFrom<f64> for Span {
     type Error = NumberError;
     fn try_from(value: f64) -> Result<Span, NumberError> {
-        if (0.0..=LONGEST_SPAN).contains(&value) {
+        if (0.0..=MAX_SPAN_S).contains(&value) {
             Ok(Span(duration_from_seconds(value)))
         } else {
             Err(NumberError::Span(value))
@@ -164,23 +163,24 @@
     }
 }
 
-/// Seconds as whole microseconds, a day at most: whole, so that the last bits of a platform's logarithms seldom matter.
+/// Converts seconds into a duration of 0 to one day; a value that is not finite gives 0. Durations are
+/// rounded to microseconds so that differences between the platforms' logarithms rarely change a run.
 pub fn duration_from_seconds(seconds: f64) -> Duration {
-    let micros = if seconds.is_finite() { seconds.clamp(0.0, LONGEST_SPAN) * 1e6 } else { 0.0 };
+    let micros = if seconds.is_finite() { seconds.clamp(0.0, MAX_SPAN_S) * 1e6 } else { 0.0 };
     Duration::from_micros(micros.round() as u64)
 }
 
-/// A number that is constant, or drawn anew at each use.
+/// A number that is either constant or drawn at each use.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Distribution {
-    /// The same number at each use.
+    /// One value at each use.
     Constant(f64),
-    /// Drawn at each use.
+    /// A value that is drawn at each use.
     Random(RandomDistribution),
 }
 
-/// A distribution to draw from.
+/// A probability distribution and its parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(
     rename_all = "snake_case",
@@ -188,21 +188,21 @@
     expecting = "a table of the distribution's parameters"
 )]
 pub enum RandomDistribution {
-    /// Evenly between two values.
+    /// Uniform from the first value to the second.
     Uniform([f64; 2]),
-    /// By its mean.
+    /// Exponential with this mean, over 0.
     Exponential(f64),
-    /// Log-normal.
+    /// Log-normal, by the median of the draws and the standard deviation of their logarithm.
     LogNormal {
-        /// Half of all draws lie under it.
+        /// Median of the draws, over 0.
         median: f64,
-        /// Spread of the logarithm.
+        /// Standard deviation of the logarithm, from 0 to 3.
         sigma: f64,
     },
 }
 
 impl Distribution {
-    /// Draws a number.
+    /// Draws a number; a constant draws nothing from the stream.
     pub fn draw(&self, random: &mut RandomSource) -> f64 {
         match *self {
             Distribution::Constant(value) => value,
@@ -218,17 +218,17 @@
         }
     }
 
-    /// Draws a duration, in seconds.
+    /// Draws a duration from a distribution of seconds.
     pub fn draw_seconds(&self, random: &mut RandomSource) -> Duration {
         duration_from_seconds(self.draw(random))
     }
 
-    /// Draws a duration, in milliseconds.
+    /// Draws a duration from a distribution of milliseconds.
     pub fn draw_millis(&self, random: &mut RandomSource) -> Duration {
         duration_from_seconds(self.draw(random) / 1e3)
     }
 
-    /// The mean of all draws.
+    /// Returns the mean of the distribution.
     pub fn mean(&self) -> f64 {
         match *self {
             Distribution::Constant(value) => value,
@@ -240,9 +240,9 @@
         }
     }
 
-    /// Refuses parameters that are out of range.
+    /// Returns the distribution if its parameters are in range.
     fn validated(self) -> Result<Distribution, NumberError> {
-        let in_range = |v: f64| v.is_finite() && (0.0..=LARGEST_NUMBER).contains(&v);
+        let in_range = |v: f64| v.is_finite() && (0.0..=MAX_PARAMETER).contains(&v);
         let valid = match self {
             Distribution::Constant(v) => in_range(v),
             Distribution::Random(RandomDistribution::Uniform([low, high])) => {
@@ -250,7 +250,7 @@
             }
             Distribution::Random(RandomDistribution::Exponential(mean)) => in_range(mean) && mean > 0.0,
             Distribution::Random(RandomDistribution::LogNormal { median, sigma }) => {
-                in_range(median) && median > 0.0 && (0.0..=LARGEST_SIGMA).contains(&sigma)
+                in_range(median) && median > 0.0 && (0.0..=MAX_SIGMA).contains(&sigma)
             }
         };
         if valid {
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,188 +1,190 @@
-//! Faults that a scenario injects. A new one is an arm of [`Fault`], and the places that the compiler then names.
+//! Faults that a scenario injects.
 
 use serde::{Deserialize, Serialize};
 
 use crate::distribution::{Amount, Distribution, Share, Span};
 
-/// Share of failing requests above which an endpoint counts as down.
+/// Share of requests answered with an error above which an endpoint counts as down.
 const OUTAGE_ERROR_SHARE: f64 = 0.5;
 
-/// The endpoints that a fault affects.
+/// Selects the endpoints that a fault affects, by destination.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table with destinations, or a share of them")]
 pub struct EndpointSelector {
-    /// Destinations by rank of traffic, from 0; where none are named, a share is drawn.
+    /// Destinations by rank of traffic, from 0; empty if `destination_share` is set.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub destinations: Vec<u32>,
-    /// Share of all destinations, drawn by the seed.
+    /// Share of all destinations, which are drawn at random; `None` if `destinations` names them.
     #[serde(rename = "share", skip_serializing_if = "Option::is_none")]
     pub destination_share: Option<Share>,
-    /// Share of the endpoints of each of these, one at least; all of them where it is absent.
+    /// Share of the endpoints of each selected destination, one endpoint at least; `None` selects all of
+    /// them.
     #[serde(rename = "targets", skip_serializing_if = "Option::is_none")]
     pub endpoint_share: Option<Share>,
 }
 
-/// Forwarders, by number or as a share of the fleet from the first one on.
+/// Selects the forwarders that a fault affects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table with forwarders, or a share of them")]
 pub struct ForwarderSelector {
-    /// Forwarders by number, from 0.
+    /// Forwarders by number, from 0; empty if `share` is set.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub forwarders: Vec<u32>,
-    /// Share of all forwarders, where none are named.
+    /// Share of the fleet, counted from the first forwarder; `None` if `forwarders` names them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub share: Option<Share>,
 }
 
-/// Something that goes wrong for a while.
+/// A fault that is active for a limited time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields, expecting = "a table of the fault's values")]
 pub enum Fault {
-    /// Connections are refused at once, and those that stand are reset.
+    /// New connections are refused at once, and established ones are reset.
     #[serde(rename = "refused")]
     ConnectionsRefused {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
     },
-    /// Packets are lost: no connection is made, and requests are never answered.
+    /// Packets are lost: no connection can be established, and requests get no response.
     #[serde(rename = "silent")]
     Unreachable {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
     },
-    /// Requests are accepted and not answered before the end of the fault.
+    /// Requests are accepted, but get no response before the end of the fault.
     #[serde(rename = "hang")]
     Hang {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
     },
-    /// All requests are rejected, some with Retry-After up to the end of the fault.
+    /// All requests are rejected, some with a Retry-After that lasts until the end of the fault.
     #[serde(rename = "shut")]
     RejectsAll {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
     },
-    /// A share of requests is answered with an error at once, and nothing is executed.
+    /// A share of requests is answered with an error at once and not executed.
     #[serde(rename = "fast_errors")]
     FastErrors {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
-        /// Share of requests that fail.
+        /// Share of requests that are answered with an error.
         #[serde(default = "default_error_share")]
         share: Share,
     },
-    /// All work takes several times as long.
+    /// All work takes longer.
     #[serde(rename = "slow")]
     Slow {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
-        /// Factor of the time that work takes.
+        /// Factor by which the duration of work is multiplied.
         #[serde(rename = "times")]
         factor: Amount,
     },
-    /// All work stands still again and again.
+    /// All work stops periodically.
     #[serde(rename = "pauses")]
     Pauses {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
-        /// Length of each pause.
+        /// Duration of each pause; shorter than `interval`.
         #[serde(rename = "each_s")]
         duration: Span,
-        /// From the start of a pause to the start of the next.
+        /// Time from the start of one pause to the start of the next.
         #[serde(rename = "every_s")]
         interval: Span,
     },
-    /// A share of requests takes several times as long.
+    /// A share of requests takes longer.
     #[serde(rename = "heavy_tail")]
     HeavyTail {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
         /// Share of requests that take longer.
         share: Share,
-        /// Factor of the time that these take.
+        /// Factor by which the duration of such a request is multiplied.
         #[serde(rename = "times")]
         factor: Distribution,
     },
-    /// Requests with a message of one class are answered with an error.
+    /// Requests that contain a message of one class are answered with an error.
     #[serde(rename = "category_fails")]
     ClassFails {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
-        /// Name of the message class.
+        /// Name of the message class in the scenario.
         #[serde(rename = "category")]
         class: String,
     },
-    /// Requests are executed, and the connection is reset before the response.
+    /// Requests are executed, but the connection is reset before the response.
     #[serde(rename = "answers_lost")]
     ResponsesLost {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
         /// Share of responses that are lost.
         share: Share,
     },
-    /// Endpoints are replaced by others at the same address; the endpoint list says so late.
+    /// Endpoints are replaced by others at the same address; the endpoint list shows the change with its
+    /// delay.
     #[serde(rename = "replaced")]
     Replaced {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
     },
-    /// Endpoints drain by the endpoint list, and are removed at the end of the fault.
+    /// Endpoints are listed as draining, and are removed at the end of the fault.
     #[serde(rename = "leaves")]
     Drains {
-        /// Endpoints that are struck.
+        /// Endpoints that the fault affects.
         #[serde(rename = "whom")]
         endpoints: EndpointSelector,
     },
-    /// No forwarder learns of a change of the endpoint list.
+    /// No forwarder receives changes of the endpoint list.
     #[serde(rename = "list_frozen")]
     ListFrozen {},
-    /// Forwarders are killed, and started again at the end of the fault.
+    /// Forwarders are killed, and restarted at the end of the fault.
     #[serde(rename = "killed")]
     ForwardersKilled {
-        /// Forwarders that are struck.
+        /// Forwarders that are killed.
         #[serde(rename = "which")]
         forwarders: ForwarderSelector,
     },
-    /// No gossip passes between these forwarders and the others.
+    /// No gossip passes between the selected forwarders and the others.
     #[serde(rename = "cut_off")]
     GossipPartition {
-        /// Forwarders on one side.
+        /// Forwarders on one side of the partition.
         #[serde(rename = "which")]
         forwarders: ForwarderSelector,
     },
-    /// A share of all traffic comes to these forwarders.
+    /// A share of all traffic is directed to the selected forwarders.
     #[serde(rename = "shift")]
     TrafficShift {
-        /// Forwarders that get it.
+        /// Forwarders that receive the share.
         #[serde(rename = "which")]
         forwarders: ForwarderSelector,
-        /// Share of the traffic.
+        /// Share of all traffic that is directed to them.
         share: Share,
     },
-    /// All traffic is several times the usual.
+    /// All programs send more traffic.
     #[serde(rename = "burst")]
     TrafficBurst {
-        /// Factor of the traffic.
+        /// Factor by which the rate of arrivals is multiplied.
         #[serde(rename = "times")]
         factor: Amount,
     },
-    /// One program sends several times its usual traffic.
+    /// One program sends more traffic.
     #[serde(rename = "surge")]
     ProgramSurge {
-        /// Name of the program.
+        /// Name of the program in the scenario.
         program: String,
-        /// Factor of its traffic.
+        /// Factor by which the program's rate of arrivals is multiplied.
         #[serde(rename = "times")]
         factor: Amount,
     },
@@ -193,7 +195,7 @@
 }
 
 impl Fault {
-    /// The endpoints it affects, where it affects endpoints.
+    /// Returns the selector of affected endpoints; `None` if the fault affects no endpoints.
     pub fn endpoint_selector(&self) -> Option<&EndpointSelector> {
         match self {
             Fault::ConnectionsRefused { endpoints }
@@ -217,7 +219,7 @@
         }
     }
 
-    /// The forwarders it affects, where it affects forwarders.
+    /// Returns the selector of affected forwarders; `None` if the fault affects no forwarders.
     pub fn forwarder_selector(&self) -> Option<&ForwarderSelector> {
         match self {
             Fault::ForwardersKilled { forwarders }
@@ -227,7 +229,8 @@
         }
     }
 
-    /// Whether an endpoint that it affects counts as down, in the sense of [`Rule::NoOverload`](crate::rule::Rule::NoOverload).
+    /// Returns whether an affected endpoint counts as down and has to warm up afterwards, see
+    /// [`Rule::NoOverload`](crate::rule::Rule::NoOverload).
     pub fn is_outage(&self) -> bool {
         match self {
             Fault::ConnectionsRefused { .. }
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -1,34 +1,34 @@
-//! Indices by which the parts of a simulated world name each other.
+//! Indices of the objects of a simulated world.
 
-/// A forwarder, over all its incarnations.
+/// Index of a forwarder; a restart keeps the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ForwarderIndex(pub usize);
 
-/// A forwarder between one start and its end: what was meant for an earlier incarnation is void.
+/// One incarnation of a forwarder. Events that were scheduled for an earlier incarnation are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ForwarderIncarnation {
     pub(crate) forwarder: ForwarderIndex,
-    /// Raised at each start and each kill.
+    /// Incremented at each start and each kill.
     pub(crate) number: u32,
 }
 
-/// A destination, by rank of traffic.
+/// Index of a destination: its rank by traffic, 0 for the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DestinationIndex(pub usize);
 
-/// An endpoint of any destination; what replaces an endpoint has an index of its own.
+/// Index of an endpoint among those of all destinations; a replacement of an endpoint gets a new index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIndex(pub usize);
 
-/// One submission of a message to one forwarder.
+/// Index of one hand-over of a message to one forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageIndex(pub usize);
 
-/// What a client wants delivered, over all its submissions: each one after a rejection is a further
-/// [`MessageIndex`].
+/// Index of what a client wants delivered. Each time that the client submits it again after a rejection, it
+/// gets a further [`MessageIndex`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SubmissionIndex(pub usize);
 
-/// One request on its way to, at, or from an endpoint.
+/// Index of a request to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestIndex(pub usize);
--- a/crates/simulation/src/layout/draw.rs
+++ b/crates/simulation/src/layout/draw.rs
@@ -1,4 +1,4 @@
-//! Draws a world from its scenario.
+//! Draws the initial state of a world from its scenario.
 
 use rand::RngExt;
 
@@ -9,32 +9,32 @@
 use crate::random_streams::RandomStream;
 use crate::scenario::{DestinationKind, Fleet, RateLimit, Scenario};
 
-/// Floor of drawn factors of the work's time, so that work takes some.
+/// Minimum work factor, so that work takes some time.
 const MIN_WORK_FACTOR: f64 = 0.001;
-/// Floor of a drawn headroom or spare capacity, so that limits and capacities are over zero.
+/// Minimum of a drawn headroom or capacity factor, so that limits and capacities are over zero.
 const MIN_CAPACITY_FACTOR: f64 = 0.01;
-/// Endpoints of one destination at most.
+/// Maximum number of endpoints of one destination.
 const MAX_ENDPOINTS: f64 = 1000.0;
-/// Requests that may queue at one endpoint at most.
+/// Maximum number of queued requests at one endpoint.
 const MAX_QUEUED: f64 = 1e5;
 
-/// A destination's kind and what part of the traffic it gets, before they are ranked by it.
+/// Kind and traffic weight of a destination, by which destinations are ranked.
 struct RankedDestination {
-    /// Index of its kind in the scenario.
+    /// Index of the destination's kind in the scenario.
     kind: usize,
     traffic_weight: f64,
 }
 
-/// What the traffic of a usual day asks of all destinations together.
+/// Traffic of all destinations at the baseline load.
 struct ExpectedTraffic {
     /// Sum of the destinations' traffic weights.
     total_weight: f64,
-    /// Mean work of a message at a destination of usual speed, in seconds.
+    /// Mean work of a message at a destination with a work factor of 1, in seconds.
     mean_work_s: f64,
 }
 
 impl FleetLayout {
-    /// Draws the world of a seed.
+    /// Draws the initial state of the world with this seed.
     pub fn draw(scenario: &Scenario, seed: u64) -> FleetLayout {
         let mut random = RandomStream::Layout.open(seed);
         let ranked = rank_destinations(scenario, &mut random);
@@ -65,13 +65,14 @@
         let traffic_part = ranked.traffic_weight / traffic.total_weight;
         let baseline_per_s = traffic_part * scenario.traffic.baseline_per_s.get();
         let work_factor = kind.work_factor.draw(random).max(MIN_WORK_FACTOR);
-        let limit_per_s = draw_limit(kind, baseline_per_s, random);
+        let limit_per_s = draw_limit_per_s(kind, baseline_per_s, random);
         let capacity_per_s = limit_per_s * kind.capacity_factor.draw(random).max(MIN_CAPACITY_FACTOR);
         let endpoint_count = kind.endpoints.draw(random).round().clamp(1.0, MAX_ENDPOINTS) as usize;
         let weight_error = scenario.endpoint_list.weight_error.draw(random);
         let limits = DestinationLimits::of(kind, limit_per_s, endpoint_count);
         let endpoint_capacity = capacity_per_s / endpoint_count as f64;
-        // Whole workers may do a little more than that; what overloads a cold endpoint is what it is built for.
+        // The number of workers is rounded up, so that they may serve more than `capacity_per_s`; overload is
+        // computed from `capacity_per_s`.
         let workers = (endpoint_capacity * (traffic.mean_work_s * work_factor)).ceil().max(1.0) as usize;
         let destination = DestinationIndex(self.destinations.len());
         let mut endpoints = Vec::new();
@@ -84,8 +85,8 @@
                 workers,
                 max_queued: max_queued.clamp(1.0, MAX_QUEUED) as usize,
                 capacity_per_s: endpoint_capacity,
-                limit: limits.of_each_endpoint.clone(),
-                listed_rate: Some(limits.rate_of_an_entry * weight_error),
+                limit: limits.per_endpoint.clone(),
+                listed_rate: Some(limits.listed_per_s * weight_error),
             });
         }
         self.destinations.push(DestinationPlan {
@@ -99,37 +100,38 @@
     }
 }
 
-/// Draws the requests a second that a destination accepts.
-fn draw_limit(kind: &DestinationKind, baseline_per_s: f64, random: &mut RandomSource) -> f64 {
+/// Draws the request limit of a destination, in requests a second.
+fn draw_limit_per_s(kind: &DestinationKind, baseline_per_s: f64, random: &mut RandomSource) -> f64 {
     let headroom = kind.headroom.draw(random).max(MIN_CAPACITY_FACTOR);
     (baseline_per_s * headroom).max(kind.min_limit_per_s.get())
 }
 
-/// The limits of a destination and its endpoints.
+/// Request limits of a destination and its endpoints.
 struct DestinationLimits {
-    /// The limit that all endpoints share; open where each has its own.
+    /// Limit shared by all endpoints; unlimited if each endpoint has its own.
     shared: RequestLimit,
-    /// The limit of each endpoint by itself; open where they share one.
-    of_each_endpoint: RequestLimit,
-    /// Requests a second that an endpoint's entry on the list stands for.
-    rate_of_an_entry: f64,
+    /// Limit of each endpoint; unlimited if the endpoints share one.
+    per_endpoint: RequestLimit,
+    /// Rate of one entry in the endpoint list, in requests a second.
+    listed_per_s: f64,
 }
 
 impl DestinationLimits {
-    /// Divides a limit in requests a second, where each endpoint of the kind has a limit of its own.
+    /// Creates the limits, divided among the endpoints if each endpoint of the kind has its own.
     fn of(kind: &DestinationKind, limit_per_s: f64, endpoint_count: usize) -> DestinationLimits {
         if kind.circuit_per_endpoint {
-            let rate_of_an_entry = limit_per_s / endpoint_count as f64;
-            let of_each_endpoint = request_limit(kind, rate_of_an_entry);
-            DestinationLimits { shared: RequestLimit::Open, of_each_endpoint, rate_of_an_entry }
+            let listed_per_s = limit_per_s / endpoint_count as f64;
+            let per_endpoint = request_limit(kind, listed_per_s);
+            DestinationLimits { shared: RequestLimit::Unlimited, per_endpoint, listed_per_s }
         } else {
             let shared = request_limit(kind, limit_per_s);
-            DestinationLimits { shared, of_each_endpoint: RequestLimit::Open, rate_of_an_entry: limit_per_s }
+            DestinationLimits { shared, per_endpoint: RequestLimit::Unlimited, listed_per_s: limit_per_s }
         }
     }
 }
 
-/// Draws which kind each rank of the skew belongs to, and sorts by traffic weight, the largest first.
+/// Assigns the kinds to random ranks of the skew, and returns the destinations by traffic weight, the largest
+/// first.
 fn rank_destinations(scenario: &Scenario, random: &mut RandomSource) -> Vec<RankedDestination> {
     let mut kinds: Vec<usize> = Vec::new();
     for (index, kind) in scenario.kinds.iter().enumerate() {
@@ -150,22 +152,24 @@
     ranked
 }
 
-/// Mean work of a message over all classes, in seconds.
+/// Returns the mean work of a message over all classes, in seconds.
 fn mean_work_seconds(scenario: &Scenario) -> f64 {
-    let works = scenario.classes.iter().map(|class| class.traffic_weight.get() * class.work_ms.mean() / 1e3);
-    let parts: f64 = scenario.classes.iter().map(|class| class.traffic_weight.get()).sum();
-    works.sum::<f64>() / parts
+    let weighted_work_s =
+        scenario.classes.iter().map(|class| class.traffic_weight.get() * class.work_ms.mean() / 1e3);
+    let total_weight: f64 = scenario.classes.iter().map(|class| class.traffic_weight.get()).sum();
+    weighted_work_s.sum::<f64>() / total_weight
 }
 
 fn request_limit(kind: &DestinationKind, per_s: f64) -> RequestLimit {
     match kind.rate_limit {
-        RateLimit::None => RequestLimit::Open,
+        RateLimit::None => RequestLimit::Unlimited,
         RateLimit::TokenBucket => RequestLimit::token_bucket(per_s),
         RateLimit::FixedWindow(window) => RequestLimit::fixed_window(per_s, window.0),
     }
 }
 
-/// Gives each forwarder the same part of the even share of the traffic, and half of what is left of the uneven share.
+/// Distributes zones and traffic over the forwarders. The even share of the traffic is divided equally; of
+/// the uneven share, each forwarder gets half of the remainder.
 fn plan_forwarders(fleet: &Fleet) -> Vec<ForwarderPlan> {
     let unevenness = fleet.unevenness.get();
     let count = fleet.forwarders as usize;
--- a/crates/simulation/src/layout/mod.rs
+++ b/crates/simulation/src/layout/mod.rs
@@ -1,5 +1,4 @@
-//! The world as it is before the first message: destinations, endpoints and forwarders, drawn from the scenario by
-//! the seed.
+//! Initial state of a world: destinations, endpoints and forwarders, drawn at random from the scenario.
 
 mod draw;
 mod plan;
--- a/crates/simulation/src/layout/plan.rs
+++ b/crates/simulation/src/layout/plan.rs
@@ -1,60 +1,60 @@
-//! What was drawn of a world.
+//! Initial properties of destinations, endpoints and forwarders.
 
 use crate::ids::{DestinationIndex, EndpointIndex};
 use crate::limit::RequestLimit;
 
-/// A destination as it was drawn.
+/// Properties of a destination.
 #[derive(Clone, Debug)]
 pub struct DestinationPlan {
-    /// Index of its kind in the scenario.
+    /// Index of the destination's kind in the scenario.
     pub kind: usize,
-    /// Part of all messages that are for it.
+    /// Share of all messages that are for the destination.
     pub traffic_part: f64,
-    /// Messages a second on a usual day.
+    /// Messages a second for the destination at the baseline load.
     pub baseline_per_s: f64,
-    /// Time that its work takes against the usual.
+    /// Factor by which the duration of work is multiplied.
     pub work_factor: f64,
-    /// Limit that its endpoints share; open where each has its own.
+    /// Request limit shared by the endpoints; unlimited if each endpoint has its own.
     pub limit: RequestLimit,
-    /// Its endpoints.
+    /// Initial endpoints of the destination.
     pub endpoints: Vec<EndpointIndex>,
 }
 
-/// An endpoint as it was drawn.
+/// Properties of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
-    /// The destination that it belongs to.
+    /// Destination to which the endpoint belongs.
     pub destination: DestinationIndex,
-    /// Its zone.
+    /// Index of the endpoint's zone.
     pub zone: u32,
-    /// Requests that it serves at once.
+    /// Number of requests that the endpoint serves concurrently.
     pub workers: usize,
-    /// Requests that may queue.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
-    /// Requests a second that it is built for.
+    /// Nominal capacity in requests a second.
     pub capacity_per_s: f64,
-    /// Limit of its own; open where the destination's endpoints share one.
+    /// Request limit of the endpoint; unlimited if the endpoints of the destination share one.
     pub limit: RequestLimit,
-    /// Requests a second that the endpoint list gives for it, where lists give rates.
+    /// Rate in the endpoint list, in requests a second, if the list gives rates.
     pub listed_rate: Option<f64>,
 }
 
-/// A forwarder as it was drawn.
+/// Properties of a forwarder.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwarderPlan {
-    /// Its zone.
+    /// Index of the forwarder's zone.
     pub zone: u32,
-    /// Part of the traffic that comes to it.
+    /// Share of the traffic that the forwarder receives.
     pub traffic_part: f64,
 }
 
-/// All that was drawn of a world.
+/// Initial state of a world.
 #[derive(Clone, Debug)]
 pub struct FleetLayout {
-    /// By rank of traffic, the largest first.
+    /// Destinations by rank of traffic, the largest first.
     pub destinations: Vec<DestinationPlan>,
-    /// Endpoints of all destinations.
+    /// Endpoints of all destinations, by [`EndpointIndex`].
     pub endpoints: Vec<EndpointPlan>,
-    /// All forwarders.
+    /// Forwarders of the fleet.
     pub forwarders: Vec<ForwarderPlan>,
 }
--- a/crates/simulation/src/layout/selection.rs
+++ b/crates/simulation/src/layout/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoints and forwarders of a world a fault affects.
+//! Selects the endpoints and forwarders that a fault affects.
 
 use rand::RngExt;
 
@@ -8,7 +8,7 @@
 use crate::ids::{EndpointIndex, ForwarderIndex};
 
 impl FleetLayout {
-    /// The endpoints that a selector names or draws.
+    /// Returns the endpoints that match a selector; a share of destinations is drawn at random.
     pub fn select_endpoints(
         &self,
         selector: &EndpointSelector,
@@ -27,7 +27,7 @@
         selected
     }
 
-    /// Draws a share of all destinations, in the order of their rank.
+    /// Draws a share of all destinations and returns their ranks in ascending order.
     fn draw_destinations(&self, share: f64, random: &mut RandomSource) -> Vec<usize> {
         let count = (share * self.destinations.len() as f64).ceil() as usize;
         let mut drawn: Vec<usize> = (0..self.destinations.len()).collect();
@@ -40,7 +40,7 @@
         drawn
     }
 
-    /// The forwarders that a selector names.
+    /// Returns the forwarders that match a selector.
     pub fn select_forwarders(&self, selector: &ForwarderSelector) -> Vec<ForwarderIndex> {
         match selector.share {
             Some(share) if selector.forwarders.is_empty() => {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,22 +1,21 @@
-//! A simulation of a fleet of forwarders, their client programs and their destinations, at sizes that tests over sockets
-//! don't reach. All its results are of simulated time.
+//! Discrete-event simulation of a fleet of forwarders, their client programs and their destinations, at sizes
+//! that tests over sockets don't reach. All results are in simulated time.
 //!
 //! # Guarantees
 //!
-//! - A run is a function of scenario, seed and policy. It reads no clock, opens no file, starts no thread, and
-//!   draws from random streams of its own seed, so that the same three give the same report, byte for byte, on any
-//!   number of threads.
-//! - Arrivals, work and faults are drawn from streams that no decision touches: two policies get the same
-//!   arrivals and faults.
-//! - Policies see what a forwarder sees and nothing else. Only [`policies::BuiltInPolicy::UpperBound`] looks at the
-//!   true state, through [`policy::WorldView`].
+//! - A run is a function of scenario, seed and policy: the same three give the same report, byte for byte. A
+//!   run reads no clock, opens no file and starts no thread.
+//! - Arrivals, work and faults are drawn from random streams that no policy decision changes, so that two
+//!   policies get the same arrivals and faults.
+//! - Policies see only what a forwarder sees. [`policies::BuiltInPolicy::UpperBound`] alone reads the true
+//!   state, through [`policy::WorldView`].
 //! - The rules are checked by [`invariants`], which share no code with the delivery policy.
 //!
-//! # Parts
+//! # Modules
 //!
-//! A [`scenario`] is read from a file, and [`layout`] draws the world from it. The world plays the events of a
-//! [`schedule`] against [`simulated_endpoint`]s behind [`limit`]s; forwarders decide through a [`policy`]. The
-//! [`account`] counts, and the [`report`] says what it came to.
+//! A [`scenario`] is read from a file, and [`layout`] draws the world from it. The world processes the events
+//! of a [`schedule`]: forwarders send requests as their [`policy`] decides, and [`simulated_endpoint`]s serve
+//! them within their [`limit`]s. The [`account`] counts what happens, and the [`report`] holds the results.
 
 pub mod account;
 pub mod distribution;
@@ -41,17 +40,18 @@
 pub use report::Report;
 pub use scenario::{Scenario, ScenarioError};
 
-/// Plays a scenario under one of the built-in policies.
+/// Runs a scenario under one of the built-in policies.
 pub fn run(scenario: &Scenario, seed: u64, policy: BuiltInPolicy) -> Report {
     run_with(scenario, seed, policy.name(), &|now, settings, host| policy.create(now, settings, host))
 }
 
-/// Plays a scenario under a policy of the caller's own; the name is the one in the report.
+/// Runs a scenario under the policy that `factory` creates; the report gives `name` as the policy's name.
 pub fn run_with(scenario: &Scenario, seed: u64, name: &str, factory: &policy::PolicyFactory) -> Report {
     world::World::new(scenario, seed, name, factory).play()
 }
 
-/// Plays a scenario and gives, beside its report, what only the simulation can see.
+/// Runs a scenario as [`run_with`] does, and returns the report together with what was
+/// [observed](observed::Observed).
 pub fn run_observed(
     scenario: &Scenario,
     seed: u64,
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -1,76 +1,84 @@
-//! What a destination or an endpoint accepts from all forwarders together: a token bucket, or a count in fixed windows.
+//! Request limits of destinations and endpoints, over all forwarders: a token bucket, or a count in fixed
+//! windows.
 
 use std::time::Duration;
 
-/// Seconds of a token bucket's rate that may come at once.
+/// Burst size of a token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 0.5;
-/// Windows or bursts that rejected requests can use up ahead.
-const MAX_USED_UP_AHEAD: f64 = 2.0;
+/// Maximum debt that rejected requests can cause, in windows or bursts; limits how long a destination stays
+/// blocked.
+const MAX_DEBT: f64 = 2.0;
 
-/// A limit on requests, and how much of it is used. Times are since the start of the run.
+/// A request limit and its current usage. Times are since the start of the run.
 #[derive(Clone, Debug)]
 pub enum RequestLimit {
     /// No limit.
-    Open,
-    /// Tokens are added at a steady rate, and each request takes one.
+    Unlimited,
+    /// Tokens are added at a constant rate, and each request takes one.
     TokenBucket(TokenBucket),
-    /// Requests are counted in each window.
+    /// A maximum number of requests in each window of fixed length.
     FixedWindow(FixedWindow),
 }
 
 impl RequestLimit {
-    /// A full token bucket of a rate in requests a second.
+    /// Creates a full token bucket with a rate in requests a second.
     pub fn token_bucket(per_s: f64) -> RequestLimit {
         let burst = (per_s * BURST_SECONDS).max(1.0);
         RequestLimit::TokenBucket(TokenBucket { per_s, burst, tokens: burst, refilled_at: Duration::ZERO })
     }
 
-    /// Windows that pass a rate in requests a second in the long run.
+    /// Creates a limit of fixed windows that admits `per_s` requests a second in the mean, one a window at
+    /// least.
     pub fn fixed_window(per_s: f64, window: Duration) -> RequestLimit {
         let count = (per_s * window.as_secs_f64()).round().max(1.0);
-        RequestLimit::FixedWindow(FixedWindow { count, window, used: 0.0, started_at: Duration::ZERO })
+        RequestLimit::FixedWindow(FixedWindow {
+            count,
+            length: window,
+            used: 0.0,
+            started_at: Duration::ZERO,
+        })
     }
 
-    /// Requests a second that pass in the long run; absent where there is no limit.
+    /// Returns the mean rate that the limit admits, in requests a second; `None` if there is no limit.
     pub fn per_s(&self) -> Option<f64> {
         match self {
-            RequestLimit::Open => None,
+            RequestLimit::Unlimited => None,
             RequestLimit::TokenBucket(bucket) => Some(bucket.per_s),
-            RequestLimit::FixedWindow(windows) => Some(windows.count / windows.window.as_secs_f64()),
+            RequestLimit::FixedWindow(window) => Some(window.count / window.length.as_secs_f64()),
         }
     }
 
-    /// Requests that would pass now.
+    /// Returns the number of requests that would be admitted now; negative after debt from rejected requests.
     pub fn available(&mut self, now: Duration) -> f64 {
         match self {
-            RequestLimit::Open => f64::MAX,
+            RequestLimit::Unlimited => f64::MAX,
             RequestLimit::TokenBucket(bucket) => bucket.available(now),
-            RequestLimit::FixedWindow(windows) => windows.available(now),
+            RequestLimit::FixedWindow(window) => window.available(now),
         }
     }
 
-    /// Lets a request pass.
+    /// Admits a request if the limit allows it. With `rejected_use_up_limit`, rejected requests count against
+    /// the limit too.
     ///
     /// # Errors
     ///
-    /// The time until one would pass again, where this one does not.
+    /// If the limit is used up: the time until the next request would be admitted.
     pub fn admit(&mut self, now: Duration, rejected_use_up_limit: bool) -> Result<(), Duration> {
         match self {
-            RequestLimit::Open => Ok(()),
+            RequestLimit::Unlimited => Ok(()),
             RequestLimit::TokenBucket(bucket) => bucket.admit(now, rejected_use_up_limit),
-            RequestLimit::FixedWindow(windows) => windows.admit(now, rejected_use_up_limit),
+            RequestLimit::FixedWindow(window) => window.admit(now, rejected_use_up_limit),
         }
     }
 }
 
-/// Tokens that are added at a steady rate.
+/// Usage of a token bucket.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens a second.
     per_s: f64,
-    /// Tokens that it holds at most.
+    /// Maximum number of tokens.
     burst: f64,
-    /// Tokens that it holds; below zero where rejected requests used them up.
+    /// Current number of tokens; negative after debt from rejected requests.
     tokens: f64,
     refilled_at: Duration,
 }
@@ -94,32 +102,31 @@
             return Ok(());
         }
         if rejected_use_up_limit {
-            self.tokens = (self.tokens - 1.0).max(-MAX_USED_UP_AHEAD * self.burst);
+            self.tokens = (self.tokens - 1.0).max(-MAX_DEBT * self.burst);
         }
         Err(Duration::from_secs_f64((1.0 - self.tokens) / self.per_s))
     }
 }
 
-/// A count of requests in each window.
+/// Usage of a limit that counts requests in fixed windows.
 #[derive(Clone, Debug)]
 pub struct FixedWindow {
-    /// Requests in each window.
+    /// Maximum number of requests in each window.
     count: f64,
-    /// Length of a window.
-    window: Duration,
-    /// Requests counted in this window; over `count` where rejected requests used up the next ones.
+    length: Duration,
+    /// Requests counted in the current window; over `count` after debt from rejected requests.
     used: f64,
-    /// Start of this window.
+    /// Start of the current window.
     started_at: Duration,
 }
 
 impl FixedWindow {
-    /// Moves on to the window of a time.
+    /// Moves to the window that contains `now`.
     fn advance_to(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.started_at).as_nanos() / self.window.as_nanos().max(1);
+        let passed = now.saturating_sub(self.started_at).as_nanos() / self.length.as_nanos().max(1);
         if passed > 0 {
-            self.started_at += self.window * u32::try_from(passed).unwrap_or(u32::MAX);
-            // What was used up beyond one window counts in the next.
+            self.started_at += self.length * u32::try_from(passed).unwrap_or(u32::MAX);
+            // Debt from rejected requests carries over to the next windows.
             self.used = (self.used - self.count * passed as f64).max(0.0);
         }
     }
@@ -136,9 +143,9 @@
             return Ok(());
         }
         if rejected_use_up_limit {
-            self.used = (self.used + 1.0).min((1.0 + MAX_USED_UP_AHEAD) * self.count);
+            self.used = (self.used + 1.0).min((1.0 + MAX_DEBT) * self.count);
         }
         let full_windows = (self.used / self.count).floor().max(1.0);
-        Err((self.started_at + self.window.mul_f64(full_windows)).saturating_sub(now))
+        Err((self.started_at + self.length.mul_f64(full_windows)).saturating_sub(now))
     }
 }
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -1,5 +1,6 @@
-//! What only the simulation can see of a run, kept beside the [`Report`] so that reports keep
-//! their bytes: what cold endpoints were sent after each recovery, and what was sent to endpoints that were down.
+//! Observations of a run that need the true state: the load of cold endpoints after each recovery, and the
+//! traffic to endpoints that were down. They are kept apart from the [`Report`], whose format stays
+//! unchanged.
 
 use std::time::Duration;
 
@@ -8,50 +9,51 @@
 use crate::ids::{DestinationIndex, EndpointIndex};
 use crate::report::Report;
 
-/// Why an endpoint was down.
+/// Cause of an outage of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageCause {
     /// A fault of the scenario.
     Fault,
-    /// It was overloaded while it was cold after an earlier outage.
+    /// An overload while the endpoint was cold after an earlier outage.
     Overload,
 }
 
-/// What an endpoint was sent while it warmed up after an outage, in the worst window of the length that the
-/// settings name: the one whose sum was largest against what may be sent.
+/// Load of an endpoint that warmed up after an outage, in the worst overload window: the one with the largest
+/// ratio of received work to budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecoveryLoad {
-    /// Index of the endpoint.
+    /// Index of the endpoint among those of all destinations.
     #[serde(rename = "target")]
     pub endpoint: usize,
-    /// Rank of its destination.
+    /// Rank of the endpoint's destination by traffic, from 0.
     pub destination: usize,
-    /// Messages a second for the destination on a usual day, from all forwarders.
+    /// Messages a second for the destination at the baseline load, from all forwarders.
     #[serde(rename = "usual_per_s")]
     pub baseline_per_s: f64,
-    /// Whether the outage was itself an overload of this endpoint while it was cold.
+    /// Whether the preceding outage was an overload of the endpoint while it was cold.
     #[serde(rename = "after_a_fall")]
     pub after_overload: bool,
-    /// Seconds from the recovery to the end of the worst window.
+    /// Seconds from the recovery to the end of the worst window; 0 if the endpoint received nothing.
     pub after_s: f64,
-    /// Work that reached the endpoint in that window, in requests of one message.
+    /// Work that reached the endpoint in the worst window, in requests of one message.
     #[serde(rename = "sum")]
     pub received_work: f64,
-    /// What the settings allow in it, without what is left to chance: N.
+    /// Work that the settings allow in the window, in requests of one message, without a margin for chance.
     #[serde(rename = "allowed")]
     pub allowed_work: f64,
-    /// What overloads it: N + 2 * sqrt(N) + 2.
+    /// Work above which the endpoint is overloaded, see
+    /// [`overload_budget`](crate::simulated_endpoint::overload_budget).
     pub budget: f64,
-    /// Part of the sum that came from forwarders that had seen the outage.
+    /// Part of the received work that came from forwarders that had seen a failure in the outage.
     #[serde(rename = "known")]
     pub informed_work: f64,
-    /// The endpoint was overloaded.
+    /// Whether the received work overloaded the endpoint.
     #[serde(rename = "fell")]
     pub overloaded: bool,
 }
 
 impl RecoveryLoad {
-    /// The worst window's sum against the budget; over 1 the endpoint is overloaded.
+    /// Returns the ratio of received work to budget; above 1 the endpoint is overloaded.
     pub fn ratio(&self) -> f64 {
         if self.budget > 0.0 {
             self.received_work / self.budget
@@ -61,84 +63,84 @@
     }
 }
 
-/// What was sent to endpoints while they were down, over the whole fleet.
+/// Traffic of the whole fleet to destinations and endpoints that were down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OutageTraffic {
-    /// Messages that were submitted while all endpoints of their destination were down.
+    /// Number of messages that were submitted while all endpoints of their destination were down.
     #[serde(rename = "handed_in")]
     pub submitted: u64,
-    /// Priority weight of these.
+    /// Sum of the priority weights of the messages counted in `submitted`.
     pub credit_asked: f64,
-    /// Priority weight that these earned.
+    /// Priority weight earned by the messages counted in `submitted`.
     pub credit_earned: f64,
-    /// Attempts that left for an endpoint that was down then.
+    /// Number of attempts that were sent to an endpoint while it was down.
     #[serde(rename = "dispatches")]
     pub attempts: u64,
-    /// New connections that were asked for there.
+    /// Number of connection attempts to endpoints that were down.
     pub connections: u64,
-    /// Messages whose first attempt was one of these.
+    /// Number of messages whose first attempt was sent to an endpoint that was down.
     #[serde(rename = "first_lost")]
     pub first_attempts_lost: u64,
-    /// The same, where some forwarder had already seen a failure in that outage.
+    /// Number of messages counted in `first_attempts_lost` for which some forwarder had already seen a
+    /// failure in that outage.
     #[serde(rename = "first_lost_to_known")]
     pub first_attempts_lost_to_known_outage: u64,
-    /// Seconds that an endpoint was down, summed over all endpoints.
+    /// Time that endpoints were down, in seconds, summed over all endpoints.
     #[serde(rename = "target_seconds")]
     pub endpoint_seconds: f64,
 }
 
-/// All that was observed in a run.
+/// Observations of a run that need the true state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Observed {
-    /// One for each recovery of an endpoint.
+    /// Loads after recoveries, one for each recovery of an endpoint.
     #[serde(rename = "ramps")]
     pub recovery_loads: Vec<RecoveryLoad>,
-    /// What was sent to endpoints that were down.
+    /// Traffic to endpoints that were down.
     #[serde(rename = "down")]
     pub outage_traffic: OutageTraffic,
 }
 
-/// A run, with what only the simulation can see of it.
+/// Results of a run together with its observations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedRun {
-    /// Its results.
+    /// Results of the run.
     pub report: Report,
-    /// What was observed beside them.
+    /// Observations that the report does not contain.
     pub observed: Observed,
 }
 
-/// An endpoint's recovery and what it was sent since, while the run goes on.
+/// Recovery of an endpoint and the worst load since then, during a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Recovery {
     /// End of the outage, since the start of the run.
     pub(crate) at: Duration,
     cause: OutageCause,
-    worst: Option<RecoveryLoad>,
+    worst_load: Option<RecoveryLoad>,
 }
 
 impl Recovery {
     pub(crate) fn new(at: Duration, cause: OutageCause) -> Recovery {
-        Recovery { at, cause, worst: None }
+        Recovery { at, cause, worst_load: None }
     }
 
-    /// Whether a window with this sum is worse than all before.
-    pub(crate) fn is_worse(&self, sum: f64, budget: f64) -> bool {
-        self.worst.as_ref().is_none_or(|worst| sum > worst.ratio() * budget)
+    /// Returns whether a window with this received work and budget is worse than all earlier ones.
+    pub(crate) fn is_worse(&self, received_work: f64, budget: f64) -> bool {
+        self.worst_load.as_ref().is_none_or(|worst| received_work > worst.ratio() * budget)
     }
 
-    /// Keeps the worst window so far.
-    pub(crate) fn set_worst_load(&mut self, ramp: RecoveryLoad) {
-        self.worst = Some(ramp);
+    pub(crate) fn set_worst_load(&mut self, load: RecoveryLoad) {
+        self.worst_load = Some(load);
     }
 
-    /// The worst window so far, or one in which nothing was sent.
+    /// Returns the load in the worst window so far, or an empty load if nothing was received.
     pub(crate) fn worst_load(
         &self,
         endpoint: EndpointIndex,
         destination: DestinationIndex,
         baseline_per_s: f64,
     ) -> RecoveryLoad {
-        let nothing_sent = RecoveryLoad {
+        let empty_load = RecoveryLoad {
             endpoint: endpoint.0,
             destination: destination.0,
             baseline_per_s,
@@ -150,6 +152,6 @@
             informed_work: 0.0,
             overloaded: false,
         };
-        self.worst.clone().unwrap_or(nothing_sent)
+        self.worst_load.clone().unwrap_or(empty_load)
     }
 }
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -1,9 +1,8 @@
-//! What the baselines have in common: pending messages, the endpoint list, and the rules.
+//! Common part of the baselines: pending messages, the endpoint list, and the rules of delivery.
 //!
-//! A baseline is a [`BaselinePolicy`] in this host; it chooses an endpoint and says whether there is a retry. The
-//! host lets nothing through that breaks a rule which one forwarder can keep by its own records alone (one answer,
-//! no double effect, drains, order, waits); whether a recovering destination is overloaded is the baseline's own
-//! affair.
+//! A [`BaselinePolicy`] selects endpoints and decides on retries. The host keeps the rules that one forwarder
+//! can keep by its own records: one final answer, no double effect, drains, order and Retry-After. The host
+//! does not prevent the overload of recovering endpoints.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -21,7 +20,6 @@
 use crate::distribution::RandomSource;
 use crate::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 
-/// One attempt of one message.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptId {
     message: MessageId,
@@ -35,17 +33,17 @@
     ordering_key: Option<OrderingKey>,
 }
 
-/// An endpoint that a list has named.
+/// An endpoint that an endpoint list has named.
 struct KnownEndpoint {
     destination: DestinationId,
     state: EndpointState,
     circuit_per_endpoint: bool,
     max_batch: usize,
-    /// End of the Retry-After of this endpoint alone.
-    retry_after: Duration,
+    /// End of the Retry-After of this endpoint; used if the endpoints have separate circuits.
+    retry_after_ends: Duration,
 }
 
-/// A forwarder that decides by a baseline.
+/// Policy of a forwarder that decides by a baseline.
 pub(super) struct BaselineHost<B> {
     baseline: B,
     random: RandomSource,
@@ -53,16 +51,17 @@
     messages: BTreeMap<MessageNumber, PendingMessage>,
     numbers: BTreeMap<MessageId, MessageNumber>,
     detached: BTreeMap<AttemptId, DetachedAttempt>,
-    /// Messages without an attempt in flight, in the order in which they were submitted or came back for a retry.
+    /// Messages without an attempt in flight, in the order in which they were submitted or queued for a
+    /// retry.
     queue: VecDeque<MessageNumber>,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
-    /// Endpoints that have sent a Retry-After of their own.
+    /// Endpoints with separate circuits that have sent a Retry-After.
     endpoints_with_retry_after: BTreeSet<EndpointId>,
-    /// End of the Retry-After of destinations whose endpoints share one.
-    retry_after: BTreeMap<DestinationId, Duration>,
+    /// End of the Retry-After of destinations whose endpoints share a circuit.
+    retry_after_ends: BTreeMap<DestinationId, Duration>,
     ordering_keys: OrderingKeys,
-    /// Requests in flight, with the attempts in each that have not ended.
+    /// Requests in flight, each with the number of its unfinished attempts.
     requests: BTreeMap<RequestId, u32>,
     last_request: RequestId,
     last_message: MessageNumber,
@@ -70,7 +69,7 @@
 }
 
 impl<B: BaselinePolicy> BaselineHost<B> {
-    /// A host without messages and endpoints.
+    /// Creates a host without messages and endpoints.
     pub(super) fn new(settings: Settings, baseline: B) -> BaselineHost<B> {
         BaselineHost {
             baseline,
@@ -83,7 +82,7 @@
             endpoints: BTreeMap::new(),
             by_destination: BTreeMap::new(),
             endpoints_with_retry_after: BTreeSet::new(),
-            retry_after: BTreeMap::new(),
+            retry_after_ends: BTreeMap::new(),
             ordering_keys: OrderingKeys::default(),
             requests: BTreeMap::new(),
             last_request: RequestId(0),
@@ -100,9 +99,7 @@
         self.settings.ordering_hold_off.unwrap_or_default()
     }
 
-    // # Final answers.
-
-    /// Whether another attempt for a message has no effect that an earlier one may have had.
+    /// Returns whether another attempt for a message cannot repeat an effect of an earlier attempt.
     fn may_execute_again(&self, message: &PendingMessage, now: Duration) -> bool {
         let class = &self.settings.classes[message.class];
         let idempotency = class.idempotency.unwrap_or(Idempotency::NonIdempotent);
@@ -113,7 +110,7 @@
         }
     }
 
-    /// Forgets a message, but for its attempts in flight.
+    /// Removes a message; its attempts in flight are kept as detached attempts.
     fn remove(&mut self, number: MessageNumber) -> Option<PendingMessage> {
         let message = self.messages.remove(&number)?;
         self.numbers.remove(&message.id);
@@ -127,7 +124,7 @@
         Some(message)
     }
 
-    /// Takes a message out of its key's queue once it is finished and nothing is in flight for it.
+    /// Removes a message from the queue of its key if it has its final answer and no attempt in flight.
     fn leave_ordering_queue(&mut self, key: Option<OrderingKey>, number: MessageNumber) {
         let is_open = self.messages.contains_key(&number)
             || self.detached.values().any(|detached| detached.message == number);
@@ -136,7 +133,7 @@
         }
     }
 
-    /// Holds a key after an attempt that may still be running.
+    /// Holds a key if the attempt with this outcome may still be running.
     fn hold_key(
         &mut self,
         key: Option<OrderingKey>,
@@ -153,12 +150,12 @@
         }
     }
 
-    /// Rejects a message where its client may submit it again without harm, and fails it otherwise.
+    /// Rejects a message if its client can submit it again without a double effect, and fails it otherwise.
     fn give_final_answer(&mut self, number: MessageNumber, now: Duration, host: &mut dyn PolicyHost) {
         let Some(message) = self.remove(number) else { return };
-        let harmless = self.may_execute_again(&message, now) && message.in_flight.is_empty();
-        if harmless && now < message.deadline {
-            let until = self.retry_after.get(&message.destination).copied().unwrap_or_default();
+        let may_resubmit = self.may_execute_again(&message, now) && message.in_flight.is_empty();
+        if may_resubmit && now < message.deadline {
+            let until = self.retry_after_ends.get(&message.destination).copied().unwrap_or_default();
             let wait = self.settings.max_retry_after.map(|max| until.saturating_sub(now).min(max));
             host.reject_message(&message.id, wait.filter(|wait| !wait.is_zero()));
         } else {
@@ -169,14 +166,15 @@
         }
     }
 
-    /// Gives a final answer to messages that can no longer be sent, and to the newest queued ones over the capacity.
+    /// Gives a final answer to messages that can no longer be sent, and to the newest queued messages while
+    /// the capacity is reached.
     fn drop_undeliverable(&mut self, now: Duration, host: &mut dyn PolicyHost) {
-        let is_expired = |number: &&MessageNumber| {
+        let is_undeliverable = |number: &&MessageNumber| {
             let message = self.messages.get(*number);
             message.is_none_or(|m| now >= m.deadline || !self.may_execute_again(m, now))
         };
-        let expired: Vec<MessageNumber> = self.queue.iter().filter(is_expired).copied().collect();
-        for number in expired {
+        let undeliverable: Vec<MessageNumber> = self.queue.iter().filter(is_undeliverable).copied().collect();
+        for number in undeliverable {
             self.give_final_answer(number, now, host);
         }
         let capacity = self.settings.max_pending_messages.unwrap_or(u64::MAX) as usize;
@@ -186,39 +184,35 @@
         }
     }
 
-    // # Whether and where an attempt may be sent.
-
-    /// Whether the ordering key of a message lets it be sent.
+    /// Returns whether the ordering key of a message allows an attempt now.
     fn is_key_free(&self, number: MessageNumber, message: &PendingMessage, now: Duration) -> bool {
-        message.ordering_key.is_none_or(|key| self.ordering_keys.lets_pass(key, number, now))
+        message.ordering_key.is_none_or(|key| self.ordering_keys.allows(key, number, now))
     }
 
-    /// Endpoints that the list and Retry-After let a message go to.
+    /// Returns the endpoints that the endpoint list and Retry-After allow for a message.
     fn candidates(&self, message: &PendingMessage, now: Duration) -> Vec<EndpointId> {
-        let shared = self.retry_after.get(&message.destination).copied().unwrap_or_default();
+        let shared_end = self.retry_after_ends.get(&message.destination).copied().unwrap_or_default();
         let is_candidate = |endpoint: &KnownEndpoint| {
-            let retry_after = if endpoint.circuit_per_endpoint { endpoint.retry_after } else { shared };
-            endpoint.state == EndpointState::Active && now >= retry_after
+            let end = if endpoint.circuit_per_endpoint { endpoint.retry_after_ends } else { shared_end };
+            endpoint.state == EndpointState::Active && now >= end
         };
         let endpoints = self.by_destination.get(&message.destination).into_iter().flatten();
         endpoints.filter(|id| self.endpoints.get(id).is_some_and(is_candidate)).copied().collect()
     }
 
-    /// Keeps the Retry-After of an endpoint, or of its destination where its endpoints share one.
-    fn keep_retry_after(&mut self, id: EndpointId, wait: Duration, now: Duration) {
+    /// Records the Retry-After of an endpoint, or of the destination if the endpoints share a circuit.
+    fn record_retry_after(&mut self, id: EndpointId, wait: Duration, now: Duration) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let until = if endpoint.circuit_per_endpoint {
             self.endpoints_with_retry_after.insert(id);
-            &mut endpoint.retry_after
+            &mut endpoint.retry_after_ends
         } else {
-            self.retry_after.entry(endpoint.destination).or_default()
+            self.retry_after_ends.entry(endpoint.destination).or_default()
         };
         *until = (*until).max(now + wait);
     }
 
-    // # Requests and attempts.
-
-    /// One attempt of a request has ended.
+    /// Counts down the unfinished attempts of a request, and removes the request after the last.
     fn release_request(&mut self, request: Option<RequestId>) {
         let Some(request) = request else { return };
         if let Some(unfinished) = self.requests.get_mut(&request) {
@@ -229,21 +223,21 @@
         }
     }
 
-    /// Queued messages in the order in which they are to be sent, while another request may leave.
+    /// Returns the queued messages in sending order; empty if the maximum number of requests is in flight.
     fn sending_order(&self) -> Vec<MessageNumber> {
         if self.requests.len() >= self.max_in_flight() {
             return Vec::new();
         }
-        let urgency = |number: &MessageNumber| {
-            self.messages.get(number).map_or(Duration::MAX, |message| self.baseline.urgency(message))
+        let sort_key = |number: &MessageNumber| {
+            self.messages.get(number).map_or(Duration::MAX, |message| self.baseline.sort_key(message))
         };
         let mut order: Vec<MessageNumber> = self.queue.iter().copied().collect();
-        // A stable sort: messages of one urgency stay in the order of the queue.
-        order.sort_by_cached_key(urgency);
+        // The sort is stable, so that messages with equal keys stay in the order of the queue.
+        order.sort_by_cached_key(sort_key);
         order
     }
 
-    /// Chooses an endpoint for a message, if it may go to one now.
+    /// Selects an endpoint for a message; `None` if the message cannot be sent now.
     fn select_endpoint(
         &mut self,
         number: MessageNumber,
@@ -252,21 +246,21 @@
         batches: &DepartingBatches,
     ) -> Option<EndpointId> {
         let message = self.messages.get(&number)?;
-        if now < message.not_before || !self.is_key_free(number, message, now) {
+        if now < message.next_attempt_at || !self.is_key_free(number, message, now) {
             return None;
         }
         let mut candidates = self.candidates(message, now);
         if self.requests.len() >= self.max_in_flight() {
-            candidates.retain(|endpoint| batches.has_room(*endpoint));
+            candidates.retain(|endpoint| batches.has_free_place(*endpoint));
         }
         if candidates.is_empty() {
             return None;
         }
-        let view = SelectionView { candidates: &candidates, batches: batches.free_places(), now, world };
+        let view = SelectionView { candidates: &candidates, free_places: batches.free_places(), now, world };
         self.baseline.select(message, &view, &mut self.random)
     }
 
-    /// Starts an attempt, in the request that is being filled for the endpoint or in a new one.
+    /// Starts an attempt in the request that is being filled for the endpoint, or in a new one.
     fn start_attempt(
         &mut self,
         number: MessageNumber,
@@ -290,7 +284,7 @@
         host.start_attempt(&id, endpoint, timeouts);
     }
 
-    /// Queues a message for its retry, or gives its final answer.
+    /// Queues a message for a retry, or gives its final answer.
     fn retry_or_finish(
         &mut self,
         number: MessageNumber,
@@ -305,22 +299,29 @@
             delay = self.baseline.retry_after(message, outcome, &mut self.random);
         }
         let Some(delay) = delay else { return self.give_final_answer(number, now, host) };
-        message.not_before = now + delay;
+        message.next_attempt_at = now + delay;
         self.queue.push_back(number);
         if self.messages.get(&number).is_some_and(|message| !self.may_execute_again(message, now)) {
             self.give_final_answer(number, now, host);
         }
     }
 
-    /// When something becomes due that no call to the host announces.
+    /// Returns the next time at which work becomes due without a call to the policy.
     fn next_timer(&self, now: Duration) -> Option<Duration> {
-        let own = self.endpoints_with_retry_after.iter().filter_map(|id| self.endpoints.get(id));
-        let own = own.map(|endpoint| endpoint.retry_after);
+        let endpoint_ends = self.endpoints_with_retry_after.iter().filter_map(|id| self.endpoints.get(id));
+        let endpoint_ends = endpoint_ends.map(|endpoint| endpoint.retry_after_ends);
         let queued = self.queue.iter().filter_map(|number| self.messages.get(number));
-        let queued = queued.flat_map(|message| [message.deadline, message.not_before]);
+        let queued = queued.flat_map(|message| [message.deadline, message.next_attempt_at]);
         let holds = self.ordering_keys.hold_ends();
         let poll = (!self.queue.is_empty()).then(|| now + self.baseline.poll_interval());
-        let times = self.retry_after.values().copied().chain(own).chain(queued).chain(holds).chain(poll);
+        let times = self
+            .retry_after_ends
+            .values()
+            .copied()
+            .chain(endpoint_ends)
+            .chain(queued)
+            .chain(holds)
+            .chain(poll);
         times.filter(|at| *at > now).min()
     }
 }
@@ -342,7 +343,7 @@
                 state: listed.state,
                 circuit_per_endpoint: kind.is_some_and(|kind| kind.circuit_per_endpoint),
                 max_batch: kind.and_then(|kind| kind.max_batch).unwrap_or(1).max(1) as usize,
-                retry_after: Duration::ZERO,
+                retry_after_ends: Duration::ZERO,
             });
             known.state = listed.state;
             self.by_destination.entry(known.destination).or_default().insert(listed.endpoint);
@@ -371,7 +372,7 @@
             deadline: submission.deadline,
             objective_at: submitted_at + class.latency_objective.unwrap_or(time_to_deadline),
             attempts: 0,
-            not_before: Duration::ZERO,
+            next_attempt_at: Duration::ZERO,
             in_flight: BTreeSet::new(),
             started: Vec::new(),
             possibly_executed_at: None,
@@ -420,7 +421,7 @@
         self.release_request(attempt.request);
         self.hold_key(ordering_key, message_number, outcome, now);
         if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
-            self.keep_retry_after(attempt.endpoint, wait, now);
+            self.record_retry_after(attempt.endpoint, wait, now);
         }
         self.baseline.attempt_finished(attempt.endpoint, outcome, now);
         if finished {
--- a/crates/simulation/src/policies/baseline_ordering.rs
+++ b/crates/simulation/src/policies/baseline_ordering.rs
@@ -1,22 +1,22 @@
-//! Messages of one ordering key go one after the other, at a baseline.
+//! Ordering keys of a baseline: messages of one key are sent one after the other.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use reeddock::OrderingKey;
 
-/// Messages are numbered in the order in which they were submitted.
+/// Number of a message in the order of submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MessageNumber(pub(super) u64);
 
-/// An ordering key that is held after an attempt that may still be running.
+/// Hold on an ordering key after an attempt that may still be running.
 struct OrderingHold {
     until: Duration,
-    /// The message of that attempt; its own retries pass.
+    /// Message of the attempt, whose retries are exempt from the hold.
     holder: MessageNumber,
 }
 
-/// The queue of each ordering key, and the keys that are held.
+/// Queue of each ordering key, and holds on keys.
 #[derive(Default)]
 pub(super) struct OrderingKeys {
     queues: BTreeMap<OrderingKey, VecDeque<MessageNumber>>,
@@ -36,25 +36,26 @@
         }
     }
 
-    /// Holds a key for all messages but one.
+    /// Holds a key until a time, for all messages except `holder`.
     pub(super) fn hold(&mut self, key: OrderingKey, until: Duration, holder: MessageNumber) {
         self.holds.insert(key, OrderingHold { until, holder });
     }
 
-    /// Drops holds that have ended.
+    /// Removes holds that have ended.
     pub(super) fn release_expired(&mut self, now: Duration) {
         self.holds.retain(|_, hold| hold.until > now);
     }
 
-    /// Whether a message is the first of its key, and the key is not held for another one.
-    pub(super) fn lets_pass(&self, key: OrderingKey, message: MessageNumber, now: Duration) -> bool {
+    /// Returns whether a message is the first in the queue of its key, and no hold for another message blocks
+    /// it.
+    pub(super) fn allows(&self, key: OrderingKey, message: MessageNumber, now: Duration) -> bool {
         let first = self.queues.get(&key).and_then(|queue| queue.front());
         let hold = self.holds.get(&key);
         first.is_none_or(|first| *first == message)
             && hold.is_none_or(|hold| now >= hold.until || hold.holder == message)
     }
 
-    /// The ends of all holds.
+    /// Returns the end times of all holds.
     pub(super) fn hold_ends(&self) -> impl Iterator<Item = Duration> + '_ {
         self.holds.values().map(|hold| hold.until)
     }
--- a/crates/simulation/src/policies/baseline_policy.rs
+++ b/crates/simulation/src/policies/baseline_policy.rs
@@ -1,4 +1,4 @@
-//! How a baseline differs from the others: which endpoint it chooses, and when it retries.
+//! Decisions in which baselines differ: which endpoint gets a message, and when a message is retried.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,16 +12,15 @@
 use crate::distribution::RandomSource;
 use crate::policy::WorldView;
 
-/// Interval at which a baseline looks for work: circuits close and capacity becomes free without a call that says so.
+/// Interval at which a baseline checks queued messages, because circuits close and capacity becomes free
+/// without a call to the policy.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Attempts for a message at most, where a baseline retries with backoff.
+/// Maximum number of attempts for a message with the default retries.
 const MAX_ATTEMPTS: u32 = 5;
-/// Backoff before the first retry, in seconds.
-const FIRST_BACKOFF: f64 = 0.1;
-/// Longest backoff, in seconds.
-const MAX_BACKOFF: f64 = 5.0;
-/// Doublings of the backoff at most.
+/// Maximum backoff before the first retry.
+const FIRST_BACKOFF_S: f64 = 0.1;
+const MAX_BACKOFF_S: f64 = 5.0;
 const MAX_DOUBLINGS: u32 = 10;
 
 /// An attempt that a baseline has started.
@@ -29,14 +28,14 @@
 pub(super) struct StartedAttempt {
     pub(super) endpoint: EndpointId,
     pub(super) at: Duration,
-    /// The request that carries it; none where it was started before a restart.
+    /// Request that contains the attempt; `None` if it was started before a restart.
     pub(super) request: Option<RequestId>,
 }
 
-/// A message without a final answer, queued or in flight.
+/// A queued or in-flight message of a baseline, without a final answer.
 pub struct PendingMessage {
     pub(super) id: MessageId,
-    /// Index of its class in the settings.
+    /// Index of the message class in the settings.
     pub(super) class: usize,
     pub(super) ordering_key: Option<OrderingKey>,
     pub(super) destination: DestinationId,
@@ -44,17 +43,17 @@
     pub(super) objective_at: Duration,
     /// Number of attempts started.
     pub(super) attempts: u32,
-    /// No retry before this.
-    pub(super) not_before: Duration,
+    /// Earliest time of the next attempt.
+    pub(super) next_attempt_at: Duration,
     pub(super) in_flight: BTreeSet<AttemptNumber>,
-    /// The attempts started, by attempt number.
+    /// Started attempts, by attempt number.
     pub(super) started: Vec<StartedAttempt>,
-    /// Start of the first attempt that may have been executed.
+    /// Start of the first attempt that may have been executed; `None` if there is none.
     pub(super) possibly_executed_at: Option<Duration>,
 }
 
 impl PendingMessage {
-    /// Takes over the attempts before a restart.
+    /// Restores the attempts that were started before a restart.
     pub(super) fn restore(&mut self, previous: &[PreviousAttempt]) {
         self.attempts = previous.len() as u32;
         let started =
@@ -65,34 +64,34 @@
     }
 }
 
-/// What a baseline may look at when it chooses an endpoint.
+/// Information by which a baseline selects an endpoint for a message.
 pub struct SelectionView<'v> {
-    /// Endpoints that the rules let the message go to.
+    /// Endpoints that the endpoint list and Retry-After allow for the message.
     pub(super) candidates: &'v [EndpointId],
-    /// Free places in the batches that are being filled now.
-    pub(super) batches: &'v BTreeMap<EndpointId, usize>,
+    /// Number of messages that still fit into the requests being filled, by endpoint.
+    pub(super) free_places: &'v BTreeMap<EndpointId, usize>,
     pub(super) now: Duration,
-    /// The true state; only [`UpperBound`](super::BuiltInPolicy::UpperBound) looks.
+    /// True state of the world; only [`UpperBound`](super::BuiltInPolicy::UpperBound) may use it.
     pub(super) world: &'v dyn WorldView,
 }
 
-/// What the baselines decide by themselves. One that implements nothing of it sends each message to any endpoint, in
-/// the order of submission, retries with backoff, and learns nothing from outcomes.
+/// Decisions of a baseline. The default methods send each message to a random endpoint in the order of
+/// submission, retry with backoff, and ignore outcomes.
 pub trait BaselinePolicy: Send {
-    /// Selects the endpoint that gets the message now; the message stays queued where none is selected.
+    /// Selects the endpoint that gets the message now; with `None` the message stays queued.
     fn select(
         &mut self,
         _message: &PendingMessage,
         view: &SelectionView,
         random: &mut RandomSource,
     ) -> Option<EndpointId> {
-        any_endpoint(view.candidates, random)
+        random_endpoint(view.candidates, random)
     }
 
-    /// Learns from the outcome of an attempt.
+    /// Updates the state of the baseline with the outcome of an attempt.
     fn attempt_finished(&mut self, _endpoint: EndpointId, _outcome: AttemptOutcome, _now: Duration) {}
 
-    /// The delay until the retry of a message whose attempt has this outcome; none where it is not retried.
+    /// Returns the delay until a message is retried after an attempt with this outcome; `None` for no retry.
     fn retry_after(
         &mut self,
         message: &PendingMessage,
@@ -102,30 +101,32 @@
         (message.attempts < MAX_ATTEMPTS).then(|| backoff(message.attempts, random))
     }
 
-    /// The order in which messages are sent: the least value first, equal ones in the order of submission.
-    fn urgency(&self, _message: &PendingMessage) -> Duration {
+    /// Returns the sort key of a message: messages are sent in ascending order, and with equal keys in the
+    /// order of the queue.
+    fn sort_key(&self, _message: &PendingMessage) -> Duration {
         Duration::ZERO
     }
 
-    /// Timeout of an attempt for a message with this latency objective.
+    /// Returns the timeout of an attempt for a message with this latency objective.
     fn attempt_timeout(&self, latency_objective: Duration) -> Duration {
         latency_objective
     }
 
-    /// The interval at which it looks for work while anything is queued.
+    /// Returns the interval at which queued messages are checked.
     fn poll_interval(&self) -> Duration {
         POLL_INTERVAL
     }
 }
 
-/// Any of these endpoints, drawn at random; none where there are none.
-pub(super) fn any_endpoint(candidates: &[EndpointId], random: &mut RandomSource) -> Option<EndpointId> {
+/// Returns a random candidate; `None` if there are none.
+pub(super) fn random_endpoint(candidates: &[EndpointId], random: &mut RandomSource) -> Option<EndpointId> {
     (!candidates.is_empty()).then(|| candidates[random.random_range(0..candidates.len())])
 }
 
-/// The backoff after this number of attempts: doubled with each, and drawn from the upper half of that.
+/// Returns the delay of the retry after this number of attempts: exponential, and drawn from the upper half
+/// of the interval.
 pub(super) fn backoff(attempts: u32, random: &mut RandomSource) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-    let longest = (FIRST_BACKOFF * 2.0_f64.powi(doublings as i32)).min(MAX_BACKOFF);
+    let longest = (FIRST_BACKOFF_S * 2.0_f64.powi(doublings as i32)).min(MAX_BACKOFF_S);
     Duration::from_secs_f64(longest * (0.5 + 0.5 * random.random::<f64>()))
 }
--- a/crates/simulation/src/policies/baseline_sending.rs
+++ b/crates/simulation/src/policies/baseline_sending.rs
@@ -1,29 +1,30 @@
-//! The requests that one run of a baseline's due work fills: one for each endpoint at a time.
+//! Requests that a baseline fills with messages during one run of its due work.
 
 use std::collections::BTreeMap;
 
 use reeddock::{EndpointId, RequestId};
 
-/// The request that is being filled for each endpoint.
+/// Requests being filled, one for each endpoint at a time.
 #[derive(Default)]
 pub(super) struct DepartingBatches {
     requests: BTreeMap<EndpointId, RequestId>,
-    /// Places left in each of these requests.
+    /// Number of messages that still fit into the request, by endpoint.
     free_places: BTreeMap<EndpointId, usize>,
 }
 
 impl DepartingBatches {
-    /// Whether a message may join the request to an endpoint.
-    pub(super) fn has_room(&self, endpoint: EndpointId) -> bool {
+    /// Returns whether another message fits into the request to an endpoint.
+    pub(super) fn has_free_place(&self, endpoint: EndpointId) -> bool {
         self.free_places.get(&endpoint).is_some_and(|places| *places > 0)
     }
 
-    /// Places left, by endpoint.
+    /// Returns the number of messages that still fit into the requests, by endpoint.
     pub(super) fn free_places(&self) -> &BTreeMap<EndpointId, usize> {
         &self.free_places
     }
 
-    /// Takes a place in the request to an endpoint, or in a new one with the next number.
+    /// Adds a message to the request to an endpoint, or to a new request with the next number if it is full
+    /// or missing.
     pub(super) fn join_or_open(
         &mut self,
         endpoint: EndpointId,
--- a/crates/simulation/src/policies/baselines.rs
+++ b/crates/simulation/src/policies/baselines.rs
@@ -1,4 +1,5 @@
-//! The baselines: one attempt, retries with backoff, circuit breakers, and an upper bound that sees the true state.
+//! Baselines: one attempt, retries with backoff, circuit breakers, and an upper bound that uses the true
+//! state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,10 +9,10 @@
 use super::baseline_policy::{BaselinePolicy, PendingMessage, SelectionView};
 use crate::distribution::RandomSource;
 
-/// Until the retry of an attempt that never left the forwarder.
-const NOT_SENT_RETRY: Duration = Duration::from_millis(50);
-/// Until a retry of the baseline that sees the true state.
-const UPPER_BOUND_RETRY: Duration = Duration::from_millis(20);
+/// Delay of the retry after an attempt that was not sent.
+const NOT_SENT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Delay of all retries of [`UpperBound`].
+const UPPER_BOUND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// One attempt for each message.
 pub(super) struct OneAttempt;
@@ -23,8 +24,8 @@
         outcome: AttemptOutcome,
         _: &mut RandomSource,
     ) -> Option<Duration> {
-        // What never left the forwarder does not count.
-        (outcome == AttemptOutcome::NotSent).then_some(NOT_SENT_RETRY)
+        // An attempt that was not sent does not count as the one attempt.
+        (outcome == AttemptOutcome::NotSent).then_some(NOT_SENT_RETRY_DELAY)
     }
 
     fn attempt_timeout(&self, _: Duration) -> Duration {
@@ -32,26 +33,26 @@
     }
 }
 
-/// Retries with exponential, jittered backoff, to any endpoint.
+/// Random endpoints, and retries with exponential, jittered backoff.
 pub(super) struct ExponentialBackoff;
 
 impl BaselinePolicy for ExponentialBackoff {}
 
-/// Failures in a row that open a circuit.
+/// Number of consecutive failures that open a circuit.
 const FAILURES_TO_OPEN: u32 = 5;
-/// How long a circuit is open.
+/// Time until an open circuit becomes half-open.
 const OPEN_DURATION: Duration = Duration::from_secs(5);
 
-/// Round robin with a circuit breaker for each endpoint, half-open for one attempt at a time, and retries with
-/// backoff.
+/// Round robin with a circuit breaker for each endpoint, and retries with backoff. A half-open circuit admits
+/// one trial at a time.
 #[derive(Default)]
 pub(super) struct RoundRobinBreaker {
     circuits: BTreeMap<EndpointId, Circuit>,
-    /// By destination: where the next round starts.
-    next: BTreeMap<DestinationId, usize>,
+    /// Position of the first candidate of the next selection, by destination.
+    next_positions: BTreeMap<DestinationId, usize>,
 }
 
-/// The circuit of one endpoint; half-open once its time as an open one has passed.
+/// Circuit of one endpoint: closed without `open_until`, half-open once that time has passed.
 #[derive(Default)]
 struct Circuit {
     consecutive_failures: u32,
@@ -67,7 +68,7 @@
         _: &mut RandomSource,
     ) -> Option<EndpointId> {
         let (candidates, now) = (view.candidates, view.now);
-        let next = self.next.entry(message.destination).or_default();
+        let next = self.next_positions.entry(message.destination).or_default();
         for step in 0..candidates.len() {
             let endpoint = candidates[(*next + step) % candidates.len()];
             let circuit = self.circuits.entry(endpoint).or_default();
@@ -102,13 +103,13 @@
     }
 }
 
-/// Sends only where the request will be accepted and answered, to the endpoint that is done soonest, the message
-/// whose latency objective ends first in front.
+/// Sends a message only if its request will be accepted and answered, to the endpoint with the least load.
+/// Messages whose latency objective ends first are sent first.
 #[derive(Default)]
 pub(super) struct UpperBound {
-    /// Requests sent to each destination at this time, which the world has not seen yet.
-    just_sent: BTreeMap<DestinationId, u32>,
-    at: Duration,
+    /// Number of requests sent to each destination at `sent_at`, which the world has not seen yet.
+    sent: BTreeMap<DestinationId, u32>,
+    sent_at: Duration,
 }
 
 impl BaselinePolicy for UpperBound {
@@ -119,20 +120,21 @@
         _: &mut RandomSource,
     ) -> Option<EndpointId> {
         let (candidates, now, world) = (view.candidates, view.now, view.world);
-        let has_room = |endpoint: &&EndpointId| view.batches.get(*endpoint).is_some_and(|places| *places > 0);
-        if let Some(endpoint) = candidates.iter().find(has_room) {
+        let has_free_place =
+            |endpoint: &&EndpointId| view.free_places.get(*endpoint).is_some_and(|places| *places > 0);
+        if let Some(endpoint) = candidates.iter().find(has_free_place) {
             return Some(*endpoint);
         }
-        if now != self.at {
-            self.just_sent.clear();
-            self.at = now;
+        if now != self.sent_at {
+            self.sent.clear();
+            self.sent_at = now;
         }
-        let just_sent = self.just_sent.entry(message.destination).or_default();
+        let sent = self.sent.entry(message.destination).or_default();
         let accepting =
-            candidates.iter().filter(|endpoint| world.would_accept(**endpoint, message.class, *just_sent));
+            candidates.iter().filter(|endpoint| world.would_accept(**endpoint, message.class, *sent));
         let cost = |endpoint: &EndpointId| (world.load(*endpoint) + 1.0) * world.slowdown(*endpoint);
         let selected = accepting.min_by(|a, b| cost(a).total_cmp(&cost(b))).copied();
-        *just_sent += u32::from(selected.is_some());
+        *sent += u32::from(selected.is_some());
         selected
     }
 
@@ -142,10 +144,10 @@
         _: AttemptOutcome,
         _: &mut RandomSource,
     ) -> Option<Duration> {
-        Some(UPPER_BOUND_RETRY)
+        Some(UPPER_BOUND_RETRY_DELAY)
     }
 
-    fn urgency(&self, message: &PendingMessage) -> Duration {
+    fn sort_key(&self, message: &PendingMessage) -> Duration {
         message.objective_at
     }
 
--- a/crates/simulation/src/policies/built_in.rs
+++ b/crates/simulation/src/policies/built_in.rs
@@ -1,4 +1,4 @@
-//! The policies that a run may be asked for by name.
+//! Policies that can be selected by name.
 
 use std::time::Duration;
 
@@ -9,23 +9,24 @@
 use super::delivery_policy::DeliveryPolicyAdapter;
 use crate::policy::Policy;
 
-/// The policies that a run may be asked for by name.
+/// A policy that can be selected by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BuiltInPolicy {
-    /// The delivery policy.
+    /// The delivery policy of the forwarder.
     DeliveryPolicy,
-    /// One attempt for each message, in the order of arrival.
+    /// One attempt for each message, in the order of arrival; only attempts that were not sent are retried.
     OneAttempt,
     /// Retries with exponential, jittered backoff.
     ExponentialBackoff,
-    /// Round robin with a circuit breaker of three states for each endpoint, and retries.
+    /// Round robin with a circuit breaker for each endpoint, and retries with backoff.
     RoundRobinBreaker,
-    /// Sees the true state of all destinations; a measure of what could be reached and no bound proved.
+    /// Sends by the true state of all destinations. Estimates the best possible result, but is not a proven
+    /// bound.
     UpperBound,
 }
 
 impl BuiltInPolicy {
-    /// All of them, in the order in which tables show them.
+    /// All policies, in the order of tables.
     pub const ALL: [BuiltInPolicy; 5] = [
         BuiltInPolicy::DeliveryPolicy,
         BuiltInPolicy::OneAttempt,
@@ -34,7 +35,7 @@
         BuiltInPolicy::UpperBound,
     ];
 
-    /// Its name on the command line and in results.
+    /// Returns the name of the policy on the command line and in results.
     pub fn name(self) -> &'static str {
         match self {
             BuiltInPolicy::DeliveryPolicy => "module",
@@ -45,12 +46,12 @@
         }
     }
 
-    /// The policy of a name.
+    /// Returns the policy with this name; `None` if there is none.
     pub fn from_name(name: &str) -> Option<BuiltInPolicy> {
         BuiltInPolicy::ALL.into_iter().find(|policy| policy.name() == name)
     }
 
-    /// Makes the instance of a forwarder that starts now.
+    /// Creates the policy of a forwarder that starts at `now`.
     pub fn create(self, now: Duration, settings: Settings, host: &mut dyn PolicyHost) -> Box<dyn Policy> {
         match self {
             BuiltInPolicy::DeliveryPolicy => Box::new(DeliveryPolicyAdapter::new(now, settings, host)),
--- a/crates/simulation/src/policies/delivery_policy.rs
+++ b/crates/simulation/src/policies/delivery_policy.rs
@@ -1,4 +1,4 @@
-//! The delivery policy itself, hosted as the forwarder hosts it.
+//! Adapter that runs the delivery policy as a [`Policy`] of the simulation.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 pub struct DeliveryPolicyAdapter(DeliveryPolicy);
 
 impl DeliveryPolicyAdapter {
-    /// The policy of a forwarder that starts now.
+    /// Creates the delivery policy of a forwarder that starts at `now`.
     pub fn new(now: Duration, settings: Settings, host: &mut dyn PolicyHost) -> DeliveryPolicyAdapter {
         DeliveryPolicyAdapter(DeliveryPolicy::new(now, settings, host))
     }
--- a/crates/simulation/src/policies/mod.rs
+++ b/crates/simulation/src/policies/mod.rs
@@ -1,4 +1,4 @@
-//! The delivery policy and the baselines that it is measured against.
+//! Policies of the simulation: the delivery policy and the baselines that it is compared with.
 
 mod baseline_host;
 mod baseline_ordering;
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -1,5 +1,5 @@
-//! A baseline whose circuit breakers are fed by what its own forwarder sees, or by what all forwarders report to each
-//! other. It measures what sharing would bring; the daemon does not use it.
+//! A baseline whose circuit breakers use the outcomes that forwarders report to each other. Used to measure
+//! the benefit of sharing; the daemon has no such exchange.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,21 +8,21 @@
 use reeddock::{AttemptOutcome, EndpointId, Settings};
 
 use super::baseline_host::BaselineHost;
-use super::baseline_policy::{any_endpoint, backoff, BaselinePolicy, PendingMessage, SelectionView};
+use super::baseline_policy::{backoff, random_endpoint, BaselinePolicy, PendingMessage, SelectionView};
 use crate::distribution::RandomSource;
 use crate::policy::Policy;
 
-/// Failures within the window that open a circuit.
+/// Number of failures within [`FAILURE_WINDOW`] that open a circuit.
 const FAILURES_TO_OPEN: usize = 3;
-/// From a failure or a half-open trial to the next trial.
+/// Delay from a failure or a half-open trial to the next trial.
 const RECOVERY_DELAY: Duration = Duration::from_secs(5);
-/// Window in which failures count together.
+/// Time after which a failure no longer counts.
 const FAILURE_WINDOW: Duration = Duration::from_secs(50);
-/// Time for which a circuit is kept beyond the time in which it can matter.
+/// Time for which a circuit is kept after its last event stopped having an effect.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(5);
-/// Events kept for each endpoint.
+/// Maximum number of events kept for each endpoint.
 const MAX_KEPT_EVENTS: usize = 64;
-/// How often a forwarder with queued messages looks at its circuits.
+/// Interval at which a forwarder with queued messages checks its circuits.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -32,32 +32,32 @@
     TrialStarted,
 }
 
-/// A forwarder that takes part in an exchange.
+/// Identifier of a forwarder that takes part in a [`CircuitExchange`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberId(usize);
 
-/// An event, and which member reported it.
+/// An event of a circuit, with its time and the member that reported it.
 struct ReportedEvent {
     at: Duration,
     member: MemberId,
     event: CircuitEvent,
 }
 
-/// What an endpoint's circuit says to an attempt.
+/// Decision of an endpoint's circuit on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitAdmission {
-    /// The circuit is closed.
+    /// The circuit is closed: attempts may be sent.
     Admit,
     /// The circuit is half-open: one attempt may be sent as a trial.
     HalfOpenTrial,
-    /// The circuit is open.
+    /// The circuit is open: no attempt may be sent.
     Wait,
 }
 
-/// The circuit of an endpoint, computed from the events that have reached a member.
+/// State of an endpoint's circuit at one member, computed from the events that have reached the member.
 #[derive(Default)]
 struct Circuit {
-    /// Failures within the window.
+    /// Times of the failures within [`FAILURE_WINDOW`].
     failures: Vec<Duration>,
     open_until: Option<Duration>,
     last_event_at: Duration,
@@ -88,8 +88,8 @@
     }
 
     fn is_expired(&self, now: Duration) -> bool {
-        let matters_until = self.open_until.unwrap_or_default().max(self.last_event_at + FAILURE_WINDOW);
-        now > matters_until + EXPIRY_MARGIN
+        let effective_until = self.open_until.unwrap_or_default().max(self.last_event_at + FAILURE_WINDOW);
+        now > effective_until + EXPIRY_MARGIN
     }
 
     fn admission(&self, now: Duration) -> CircuitAdmission {
@@ -102,7 +102,7 @@
     }
 }
 
-/// What members report to each other of the circuits of endpoints, with a delay.
+/// Exchange through which forwarders report circuit events of endpoints to each other, with a delay.
 pub struct CircuitExchange {
     delay: Duration,
     members: usize,
@@ -110,19 +110,19 @@
 }
 
 impl CircuitExchange {
-    /// An exchange whose events reach other members after this delay.
+    /// Creates an exchange whose events reach other members after `delay`.
     pub fn new(delay: Duration) -> CircuitExchange {
         CircuitExchange { delay, members: 0, events: BTreeMap::new() }
     }
 
-    /// Adds a member.
+    /// Adds a member and returns its identifier.
     pub fn join(&mut self) -> MemberId {
         let member = MemberId(self.members);
         self.members += 1;
         member
     }
 
-    /// What the circuit of an endpoint says at one member, by the events that have reached it.
+    /// Returns the decision of an endpoint's circuit, computed from the events that have reached the member.
     pub fn admission(&self, endpoint: EndpointId, now: Duration, member: MemberId) -> CircuitAdmission {
         let Some(events) = self.events.get(&endpoint) else { return CircuitAdmission::Admit };
         let mut circuit = Circuit::default();
@@ -132,12 +132,12 @@
         circuit.admission(now)
     }
 
-    /// A member has started a half-open trial.
+    /// Reports that a member has started a half-open trial.
     pub fn trial_started(&mut self, endpoint: EndpointId, now: Duration, member: MemberId) {
         self.report(endpoint, ReportedEvent { at: now, member, event: CircuitEvent::TrialStarted });
     }
 
-    /// An attempt has ended at one member.
+    /// Reports the outcome of an attempt of a member; rejections and attempts that were not sent are ignored.
     pub fn attempt_finished(
         &mut self,
         endpoint: EndpointId,
@@ -161,7 +161,7 @@
 
     fn report(&mut self, endpoint: EndpointId, reported: ReportedEvent) {
         let events = self.events.entry(endpoint).or_default();
-        // A success changes nothing where no failure is known.
+        // A success without earlier events has no effect on the circuit.
         if reported.event == CircuitEvent::Succeeded && events.is_empty() {
             return;
         }
@@ -172,22 +172,22 @@
     }
 }
 
-/// An exchange that the forwarders of one run hold together.
+/// An exchange that the forwarders of one run share.
 pub type SharedExchange = Arc<Mutex<CircuitExchange>>;
 
-/// Opens a forwarder whose circuits are fed by an exchange; with an exchange of its own it knows only what it saw
-/// itself.
+/// Creates the policy of a forwarder that joins an exchange. A forwarder that is the only member of its
+/// exchange uses its own outcomes only.
 pub fn open_sharing_policy(exchange: &SharedExchange, settings: Settings) -> Box<dyn Policy> {
-    let member = locked(exchange).join();
+    let member = lock(exchange).join();
     Box::new(BaselineHost::new(settings, SharingBreaker { exchange: exchange.clone(), member }))
 }
 
-/// Locks the exchange. It stays sound when another thread panics, as each event is added whole.
-fn locked(exchange: &SharedExchange) -> MutexGuard<'_, CircuitExchange> {
+/// Locks the exchange, also after a panic of another thread, because each event is added as a whole.
+fn lock(exchange: &SharedExchange) -> MutexGuard<'_, CircuitExchange> {
     exchange.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Any endpoint whose circuit is closed, else a half-open trial; retries with backoff.
+/// Random endpoint with a closed circuit, or else a half-open trial; retries with backoff.
 struct SharingBreaker {
     exchange: SharedExchange,
     member: MemberId,
@@ -200,13 +200,13 @@
         view: &SelectionView,
         random: &mut RandomSource,
     ) -> Option<EndpointId> {
-        let mut exchange = locked(&self.exchange);
+        let mut exchange = lock(&self.exchange);
         let admission = |endpoint: &EndpointId| exchange.admission(*endpoint, view.now, self.member);
         let closed: Vec<EndpointId> = (view.candidates.iter())
             .filter(|endpoint| admission(endpoint) == CircuitAdmission::Admit)
             .copied()
             .collect();
-        if let Some(endpoint) = any_endpoint(&closed, random) {
+        if let Some(endpoint) = random_endpoint(&closed, random) {
             return Some(endpoint);
         }
         let is_half_open = |endpoint: &&EndpointId| admission(endpoint) == CircuitAdmission::HalfOpenTrial;
@@ -216,7 +216,7 @@
     }
 
     fn attempt_finished(&mut self, endpoint: EndpointId, outcome: AttemptOutcome, now: Duration) {
-        locked(&self.exchange).attempt_finished(endpoint, now, self.member, outcome);
+        lock(&self.exchange).attempt_finished(endpoint, now, self.member, outcome);
     }
 
     fn retry_after(
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -1,5 +1,5 @@
-//! What may decide for a forwarder: the delivery policy, and the baselines that it is measured against. Baselines
-//! live here and in [`crate::policies`] only; the daemon never sees them.
+//! Interface between a simulated forwarder and its policy: the delivery policy, or one of the baselines that
+//! it is compared with. The baselines exist in the simulation only.
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
     PeerId, PolicyHost, PreviousAttempt, Settings,
 };
 
-/// One entry of the endpoint list, as a forwarder reads it.
+/// One entry of the endpoint list, as a forwarder receives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// The endpoint.
+    /// Identifier of the endpoint.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// Destination to which the endpoint belongs.
     pub destination: DestinationId,
-    /// Active, draining or removed.
+    /// Listed state: active, draining or removed.
     pub state: EndpointState,
-    /// Requests a second that it accepts, where the list gives rates.
+    /// Approximate requests a second that the endpoint accepts; `None` if the list contains no rates.
     pub weight: Option<f64>,
-    /// Its zone.
+    /// Name of the endpoint's zone.
     pub zone: String,
-    /// Name of its kind in the settings.
+    /// Name of the endpoint's kind in the settings.
     pub kind: String,
 }
 
 impl ListedEndpoint {
-    /// The entry as the delivery policy takes it.
+    /// Returns the entry in the form that the delivery policy takes.
     pub fn as_update(&self) -> EndpointUpdate<'_> {
         EndpointUpdate {
             endpoint: self.endpoint,
@@ -39,53 +39,55 @@
     }
 }
 
-/// What a forwarder has read of the endpoint list.
+/// The endpoint list, or changes of it, as a forwarder receives them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListUpdate {
-    /// It is the complete list, not its changes: endpoints that it does not name are removed.
+    /// Whether this is the complete list, so that endpoints without an entry are removed; changes otherwise.
     pub complete: bool,
-    /// The entries, in the order of the list.
+    /// Entries in the order of the list.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// A message as it is submitted.
+/// A message that a client submits to a forwarder.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The message.
+    /// Identifier of the message.
     pub id: MessageId,
-    /// Name of its class in the settings.
+    /// Name of the message class in the settings.
     pub class: String,
-    /// Name of the tenant that submits it.
+    /// Name of the tenant that submits the message.
     pub tenant: String,
-    /// Messages of one key go one after the other.
+    /// Ordering key; messages with the same key are delivered one after the other. `None` if order doesn't
+    /// matter.
     pub ordering_key: Option<OrderingKey>,
-    /// Deadline of its final answer, since the start of the run.
+    /// Deadline of the final answer, since the start of the run.
     pub deadline: Duration,
-    /// Where it is to go.
+    /// Destination of the message.
     pub destination: DestinationId,
 }
 
-/// The true state of the world. Only [`BuiltInPolicy::UpperBound`](crate::BuiltInPolicy::UpperBound) may look; what
-/// a forwarder can know does not come by here.
+/// The true state of the world, which a forwarder cannot know. Only
+/// [`BuiltInPolicy::UpperBound`](crate::BuiltInPolicy::UpperBound) may use it.
 pub trait WorldView {
-    /// Whether a request with a message of this class, sent now, would be accepted and answered and overload
-    /// nothing. Requests in transit count, and `sent_before` more to the same destination that are not in the world
-    /// yet. The class is its index in the scenario.
+    /// Returns whether a request sent now would be accepted and answered without an overload. Counts requests
+    /// in transit, and `sent_before` more to the destination that the world has not seen yet. `class` is the
+    /// index of the message class in the scenario.
     fn would_accept(&self, endpoint: EndpointId, class: usize, sent_before: u32) -> bool;
-    /// Requests that the endpoint has not finished, for each of its workers.
+    /// Returns the number of unfinished requests at an endpoint, divided by the number of its workers.
     fn load(&self, endpoint: EndpointId) -> f64;
-    /// Factor of the time that work takes there now.
+    /// Returns the factor by which the duration of work at an endpoint is multiplied now.
     fn slowdown(&self, endpoint: EndpointId) -> f64;
 }
 
-/// One instance that decides for one forwarder, called as the delivery policy is. Times are since the start of the
-/// run.
+/// Policy of one forwarder. The methods correspond to those of [`reeddock::DeliveryPolicy`]; times are since
+/// the start of the run.
 pub trait Policy: Send {
-    /// The endpoint list was read: all of it, or its changes.
+    /// Applies the endpoint list or changes of it.
     fn update_endpoint_list(&mut self, now: Duration, update: &EndpointListUpdate, host: &mut dyn PolicyHost);
-    /// A message was submitted.
+    /// Accepts a submitted message.
     fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost);
-    /// After a restart, and after [`submit`](Policy::submit): the attempts that a pending message had before.
+    /// Restores the earlier attempts of a pending message after a restart. [`submit`](Policy::submit) is
+    /// called first.
     fn restore(
         &mut self,
         now: Duration,
@@ -93,19 +95,19 @@
         previous: &[PreviousAttempt],
         host: &mut dyn PolicyHost,
     );
-    /// An attempt has ended.
+    /// Records the result of an attempt.
     fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost);
-    /// The client withdrew a message.
+    /// Removes a message that its client withdrew.
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost);
-    /// The timer that the policy set has fired.
+    /// Notes that the timer which the policy set has fired.
     fn timer_fired(&mut self, now: Duration);
-    /// A health check has ended.
+    /// Records the result of a health check.
     fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool);
-    /// Gossip has come from another forwarder.
+    /// Handles gossip from another forwarder.
     fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]);
-    /// All inputs were passed on; the policy may now give commands.
+    /// Gives the commands that are due. Called after all pending inputs were passed to the policy.
     fn run_due_work(&mut self, now: Duration, world: &dyn WorldView, host: &mut dyn PolicyHost);
 }
 
-/// Makes the instance of a forwarder that starts.
+/// Creates the policy of a forwarder that starts, from the start time, the settings and the host.
 pub type PolicyFactory<'a> = dyn Fn(Duration, Settings, &mut dyn PolicyHost) -> Box<dyn Policy> + Sync + 'a;
--- a/crates/simulation/src/random_streams.rs
+++ b/crates/simulation/src/random_streams.rs
@@ -1,41 +1,42 @@
-//! Independent streams of random numbers, one for each use: one more draw in one place leaves all others as they
-//! were, so that two policies get the same arrivals and faults.
+//! Independent streams of random numbers, one for each use, so that an additional draw in one use does not
+//! change the numbers of the others. Two policies thus get the same arrivals and faults.
 
 use rand::SeedableRng;
 
 use crate::distribution::RandomSource;
 
-/// Multiplier that spreads the seeds of neighbouring runs: 2^64 divided by the golden ratio.
-const SEED_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier that separates the stream seeds of runs with adjacent seeds: 2^64 divided by the golden ratio.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What a stream of random numbers is for.
+/// Use of a stream of random numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RandomStream {
-    /// The world as it is before the first message.
+    /// Destinations, endpoints and forwarders, before the first message.
     Layout,
-    /// Arrivals of messages and what they are.
+    /// Arrivals of messages and their properties.
     Arrivals,
-    /// Work and answers of endpoints.
+    /// Work and responses of endpoints.
     Service,
-    /// Delays of the network.
+    /// Network delays.
     Network,
-    /// Which forwarder clients reach, and what they do after a rejection.
+    /// Choice of the forwarder that clients reach, and their behavior after a rejection.
     Clients,
-    /// Delays of the endpoint list.
+    /// Delays after which forwarders receive changes of the endpoint list.
     EndpointList,
-    /// Seeds of forwarders that start.
+    /// Seeds of the policies of forwarders that start.
     Forwarders,
-    /// Which endpoints a fault affects, by its place in the scenario.
+    /// Choice of the endpoints that a fault affects, by the fault's index in the scenario.
     Fault(usize),
 }
 
 impl RandomStream {
-    /// Opens the stream of a run.
+    /// Returns the generator of this stream in the run with this seed.
     pub(crate) fn open(self, seed: u64) -> RandomSource {
-        RandomSource::seed_from_u64(seed.wrapping_mul(SEED_SPREAD).wrapping_add(self.number()))
+        RandomSource::seed_from_u64(seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(self.number()))
     }
 
-    /// These numbers stay: recordings and results depend on them.
+    /// Returns the number of the stream. The numbers must not change, as recordings and results depend on
+    /// them.
     fn number(self) -> u64 {
         match self {
             RandomStream::Layout => 1,
--- a/crates/simulation/src/received_work.rs
+++ b/crates/simulation/src/received_work.rs
@@ -1,22 +1,22 @@
-//! Work that an endpoint was sent while it warmed up.
+//! Work that an endpoint receives while it warms up after an outage.
 
 use std::time::Duration;
 
 use crate::ids::ForwarderIndex;
 
-/// Work that reached an endpoint.
+/// Work of one request that reached an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedWork {
-    /// When it arrived, since the start of the run.
+    /// Time of arrival, since the start of the run.
     pub at: Duration,
-    /// How much, in requests of one message.
+    /// Amount of work, in requests of one message.
     pub amount: f64,
-    /// The forwarder that sent it.
+    /// Forwarder that sent the request.
     pub sender: ForwarderIndex,
 }
 
 impl ReceivedWork {
-    /// Sums work, in requests of one message.
+    /// Returns the sum of the work, in requests of one message.
     pub fn total<'a>(received: impl IntoIterator<Item = &'a ReceivedWork>) -> f64 {
         received.into_iter().map(|work| work.amount).sum()
     }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -6,18 +6,19 @@
 use crate::account::{AttemptCounts, Ends, Load, Second};
 use crate::invariants::Violation;
 
-/// Seconds in the worst span that is reported.
+/// Length of the period over which [`Report::credit_worst_span`] is computed, in seconds.
 pub const WORST_SPAN_SECONDS: usize = 10;
 
-/// Credit of one class, program or destination.
+/// Credit of one message class, program or destination. Credit is priority weight, which a message earns in
+/// full until its latency objective and in part until its deadline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupCredit {
-    /// Name of the class, program or destination.
+    /// Name of the class or program, or a label of the destination.
     pub name: String,
-    /// Credit asked for.
+    /// Sum of the priority weights of all submissions.
     #[serde(rename = "asked")]
     pub credit_asked: f64,
-    /// Part of it that was earned.
+    /// Share of this sum that was earned, from 0 to 1.
     #[serde(rename = "share")]
     pub earned_share: f64,
 }
@@ -27,109 +28,111 @@
 pub struct Report {
     /// Name of the scenario.
     pub scenario: String,
-    /// Name of the policy.
+    /// Name of the policy, see [`BuiltInPolicy::name`](crate::BuiltInPolicy::name).
     pub policy: String,
     /// Seed of the run.
     pub seed: u64,
-    /// Part of the credit asked for that was earned.
+    /// Share of the possible credit that was earned, from 0 to 1.
     pub credit: f64,
-    /// The same in the worst [`WORST_SPAN_SECONDS`] seconds, by first submissions.
+    /// Share of the possible credit that was earned by messages first submitted in the worst
+    /// [`WORST_SPAN_SECONDS`] seconds.
     pub credit_worst_span: f64,
-    /// The same for the worst message class.
+    /// Share of the possible credit that was earned by the worst message class.
     #[serde(rename = "credit_worst_category")]
     pub credit_worst_class: f64,
-    /// What clients wanted delivered.
+    /// Number of messages that clients wanted delivered, each counted once.
     #[serde(rename = "first_tries")]
     pub submissions: u64,
-    /// Messages that forwarders accepted, each submission after a rejection counted again.
+    /// Number of messages that forwarders accepted; each submission after a rejection counts again.
     #[serde(rename = "envelopes")]
     pub messages: u64,
-    /// By message class.
+    /// Credit by message class.
     #[serde(rename = "categories")]
     pub classes: Vec<GroupCredit>,
-    /// By program.
+    /// Credit by client program.
     pub programs: Vec<GroupCredit>,
-    /// The destinations that lost most credit, the worst first.
+    /// Credit of the destinations that lost most, the worst first.
     pub destinations: Vec<GroupCredit>,
-    /// How messages ended.
+    /// Number of messages by how they ended.
     pub ends: Ends,
-    /// How attempts ended.
+    /// Number of attempts by how they ended.
     #[serde(rename = "dispatches")]
     pub attempts: AttemptCounts,
-    /// Milliseconds from a first submission to its completion.
+    /// Latency from the first submission to the completion, in milliseconds.
     pub latency_ms: Latency,
-    /// Attempts for each submission, in the mean.
+    /// Mean number of attempts for each submission.
     #[serde(rename = "dispatches_per_try")]
     pub attempts_per_submission: f64,
-    /// Attempts that endpoints rejected, for each submission in the mean.
+    /// Mean number of attempts that endpoints rejected, for each submission.
     #[serde(rename = "refusals_per_try")]
     pub rejections_per_submission: f64,
-    /// Part of the work done by destinations that completed nothing.
+    /// Share of the work of endpoints that completed no message.
     pub work_wasted: f64,
-    /// Mean part of all requests that may be in flight that were, while messages arrive.
+    /// Mean share of the fleet's maximum requests in flight that was used while messages arrived.
     #[serde(rename = "slots_used")]
     pub in_flight_used: f64,
-    /// New connections for each submission, in the mean.
+    /// Mean number of new connections for each submission.
     #[serde(rename = "new_connections_per_try")]
     pub new_connections_per_submission: f64,
-    /// Effects applied again where a class allows that.
+    /// Number of repeated effects of messages whose class allows repeats.
     pub repeats_applied: u64,
-    /// Endpoints that were overloaded while cold.
+    /// Number of times that an endpoint was overloaded while it was cold.
     #[serde(rename = "falls")]
     pub overloads: u64,
-    /// How often a rule was broken.
+    /// Number of rule violations.
     pub rules_broken: usize,
-    /// The first of these in full.
+    /// Details of the first rule violations.
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
-    /// Second by second.
+    /// Counts for each second of the run.
     pub seconds: Vec<Second>,
-    /// The destinations with most traffic, second by second.
+    /// Load of the destinations with the most traffic.
     #[serde(rename = "watched")]
     pub watched_destinations: Vec<WatchedDestination>,
-    /// Histogram of the latencies, without its empty steps.
+    /// Histogram of the latencies, without empty buckets.
     pub latency_steps: Vec<LatencyStep>,
-    /// Submissions without an end; one would be a fault of the simulation.
+    /// Number of submissions that did not end; 0 unless the simulation has a bug.
     #[serde(rename = "unfinished")]
     pub unfinished_submissions: usize,
-    /// Simulated seconds that the run went on for.
+    /// Simulated duration of the run, in seconds.
     #[serde(rename = "ran_s")]
     pub simulated_s: f64,
-    /// Events that it took.
+    /// Number of events processed.
     pub events: u64,
-    /// Times that a policy ran its due work.
+    /// Number of times that a policy ran its due work.
     #[serde(rename = "turns")]
     pub policy_runs: u64,
 }
 
-/// Quantiles of the latency, in milliseconds.
+/// Quantiles and maximum of the latency, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
-    /// Median.
+    /// Median latency.
     pub p50: u64,
-    /// 90th percentile.
+    /// 90th percentile of the latency.
     pub p90: u64,
-    /// 99th percentile.
+    /// 99th percentile of the latency.
     pub p99: u64,
-    /// Maximum.
+    /// Maximum latency.
     #[serde(rename = "worst")]
     pub max: u64,
 }
 
-/// A destination with much traffic, second by second.
+/// Load of a destination with much traffic, for each second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchedDestination {
-    /// Its rank by traffic.
+    /// Rank of the destination by traffic, from 0.
     pub destination: usize,
-    /// Name of its kind.
+    /// Name of the destination's kind.
     pub kind: String,
-    /// Requests a second that pass its limit at most; absent where there is none but its capacity.
+    /// Rate limit in requests a second; `None` if only the capacity limits the destination.
     pub limit: Option<f64>,
-    /// Its load in each second.
+    /// Load in each second of the run.
     pub seconds: Vec<Load>,
 }
 
-/// Rounds a result to six decimals: the digits after them mean nothing, and differ between platforms.
+/// Rounds a result to six decimals, because further digits differ between platforms. Returns 0 if it is not
+/// finite.
 pub fn rounded(value: f64) -> f64 {
     if value.is_finite() {
         (value * 1e6).round() / 1e6
--- a/crates/simulation/src/rule.rs
+++ b/crates/simulation/src/rule.rs
@@ -1,33 +1,34 @@
-//! The rules that no policy may break.
+//! The rules of delivery that no policy may break.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A rule, in the order in which the operators number them.
+/// A rule of delivery. The order of the variants gives their [numbers](Rule::number).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// The host's interface is used as documented: no command names a message that the forwarder does not have.
+    /// The policy uses the host's interface as documented: no command names a message that the forwarder
+    /// doesn't have.
     Interface,
-    /// Each message gets one final answer, in time.
+    /// Each message gets exactly one final answer, by its deadline.
     OneAnswer,
-    /// What is not idempotent has its effect once.
+    /// Messages that are not idempotent take effect at most once.
     NoDoubleEffect,
-    /// Attempts go to listed endpoints only, and to draining ones within the grace period.
+    /// Attempts go to listed endpoints only, and to a draining endpoint only within the grace period.
     Drains,
-    /// An endpoint that has just recovered is not overloaded.
+    /// Endpoints that warm up after an outage are not overloaded.
     #[serde(rename = "not_pushed_over")]
     NoOverload,
-    /// Messages of one ordering key go one after the other.
+    /// Messages of one ordering key are delivered one after the other.
     Order,
-    /// Retry-After is honored.
+    /// No attempt goes to an endpoint or destination before its Retry-After has passed.
     #[serde(rename = "waits")]
     RetryAfterHonored,
 }
 
 impl Rule {
-    /// The operators' number of this rule; 0 for [`Rule::Interface`].
+    /// Returns the number under which the rule is documented; 0 for [`Rule::Interface`].
     pub fn number(self) -> u8 {
         self as u8
     }
--- a/crates/simulation/src/scenario/defaults.rs
+++ b/crates/simulation/src/scenario/defaults.rs
@@ -1,8 +1,8 @@
-//! Values that hold where the scenario file leaves a key out.
+//! Default values of keys that a scenario file omits.
 
 use crate::distribution::{Amount, Distribution, Share, Span};
 
-pub(super) fn one_zone() -> u32 {
+pub(super) fn zones() -> u32 {
     1
 }
 
@@ -26,7 +26,7 @@
     Span::millis(3000)
 }
 
-pub(super) fn one_amount() -> Amount {
+pub(super) fn factor_one() -> Amount {
     Amount::ONE
 }
 
@@ -34,7 +34,7 @@
     Share::clamped(0.4)
 }
 
-pub(super) fn all() -> Share {
+pub(super) fn full_share() -> Share {
     Share::clamped(1.0)
 }
 
@@ -42,11 +42,11 @@
     Distribution::Constant(1.0)
 }
 
-pub(super) fn clump() -> Distribution {
+pub(super) fn group_size() -> Distribution {
     Distribution::Constant(10.0)
 }
 
-pub(super) fn single_message_batch() -> u32 {
+pub(super) fn max_batch() -> u32 {
     1
 }
 
@@ -54,16 +54,14 @@
     Distribution::Constant(1.4)
 }
 
-pub(super) fn spare() -> Distribution {
+pub(super) fn capacity_factor() -> Distribution {
     Distribution::Constant(1.3)
 }
 
-/// Seconds of work.
-pub(super) fn queue() -> Distribution {
+pub(super) fn queue_s() -> Distribution {
     Distribution::Constant(0.5)
 }
 
-/// Seconds.
-pub(super) fn resubmission_delay() -> Distribution {
+pub(super) fn resubmission_delay_s() -> Distribution {
     Distribution::Constant(0.5)
 }
--- a/crates/simulation/src/scenario/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -1,73 +1,73 @@
-//! Sections of the scenario file on destinations and their endpoints.
+//! Sections of the scenario file that describe destinations and their endpoints.
 
 use serde::{Deserialize, Serialize};
 
 use super::defaults;
 use crate::distribution::{Amount, Distribution, Share, Span};
 
-/// A kind of destinations, which are drawn alike.
+/// A kind of destinations, whose properties are drawn from the same distributions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of a kind of destinations")]
 pub struct DestinationKind {
-    /// Name in settings, endpoint lists and reports.
+    /// Name of the kind in settings, endpoint lists and reports.
     pub name: String,
-    /// How many destinations are of this kind.
+    /// Number of destinations of this kind.
     pub destinations: u32,
-    /// Endpoints of each.
+    /// Number of endpoints of each destination, rounded and at least 1.
     #[serde(rename = "targets", default = "defaults::constant_one")]
     pub endpoints: Distribution,
-    /// Weight of its destinations' traffic beside their rank in the skew.
-    #[serde(rename = "traffic", default = "defaults::one_amount")]
+    /// Factor of each destination's part of the traffic, in addition to the [skew](super::Traffic::skew).
+    #[serde(rename = "traffic", default = "defaults::factor_one")]
     pub traffic_weight: Amount,
-    /// Each endpoint has a circuit and a rate limit of its own, instead of one for the destination.
+    /// Whether each endpoint has its own circuit breaker and rate limit, instead of one for the destination.
     #[serde(rename = "apart", default)]
     pub circuit_per_endpoint: bool,
-    /// Messages in one request at most.
-    #[serde(rename = "batch", default = "defaults::single_message_batch")]
+    /// Maximum number of messages in one request.
+    #[serde(rename = "batch", default = "defaults::max_batch")]
     pub max_batch: u32,
-    /// How its destinations limit requests.
+    /// Type of the destinations' request limit.
     #[serde(rename = "limit", default)]
     pub rate_limit: RateLimit,
-    /// The limit against the usual requests.
+    /// Ratio of the request limit to the baseline traffic of the destination.
     #[serde(default = "defaults::headroom")]
     pub headroom: Distribution,
-    /// Least limit, in requests a second.
-    #[serde(rename = "least_per_s", default = "defaults::one_amount")]
+    /// Minimum request limit of a destination, in requests a second.
+    #[serde(rename = "least_per_s", default = "defaults::factor_one")]
     pub min_limit_per_s: Amount,
-    /// Requests that it can serve against its limit.
-    #[serde(rename = "spare", default = "defaults::spare")]
+    /// Ratio of the capacity of a destination to its request limit.
+    #[serde(rename = "spare", default = "defaults::capacity_factor")]
     pub capacity_factor: Distribution,
-    /// Work that may queue at an endpoint, in seconds of what it can serve.
-    #[serde(default = "defaults::queue")]
+    /// Maximum queue of an endpoint, in seconds of its capacity.
+    #[serde(default = "defaults::queue_s")]
     pub queue_s: Distribution,
-    /// Time that its work takes against the usual.
+    /// Factor by which the duration of work is multiplied at a destination.
     #[serde(rename = "pace", default = "defaults::constant_one")]
     pub work_factor: Distribution,
     /// Share of rejections that carry Retry-After.
     #[serde(rename = "told_waits", default)]
     pub retry_after_share: Share,
-    /// Requests that are rejected use up the limit too.
+    /// Whether rejected requests count against the limit too.
     #[serde(rename = "refused_use_up", default)]
     pub rejected_use_up_limit: bool,
-    /// Connections that an endpoint accepts, idle ones counted; absent where there is no bound.
+    /// Maximum number of connections of an endpoint, idle ones included; `None` for no maximum.
     #[serde(rename = "connections", default, skip_serializing_if = "Option::is_none")]
     pub max_connections: Option<u32>,
-    /// Share of queued requests that are still served after the forwarder has stopped waiting.
-    #[serde(rename = "runs_on", default = "defaults::all")]
+    /// Share of queued requests that are still served after the forwarder stopped waiting for them.
+    #[serde(rename = "runs_on", default = "defaults::full_share")]
     pub abandoned_served_share: Share,
 }
 
-/// How a destination limits requests.
+/// Type of request limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RateLimit {
-    /// By its capacity only.
+    /// No limit other than the capacity.
     #[default]
     None,
-    /// Token bucket that holds half a second's requests.
+    /// Token bucket with a burst of half a second's requests.
     #[serde(rename = "rate")]
     TokenBucket,
-    /// A count in each window of this length.
+    /// Maximum number of requests in each window of this length.
     #[serde(rename = "span")]
     FixedWindow(Span),
 }
--- a/crates/simulation/src/scenario/error.rs
+++ b/crates/simulation/src/scenario/error.rs
@@ -1,4 +1,4 @@
-//! The error of a scenario file that cannot be used.
+//! Errors of reading a scenario file.
 
 use std::fmt;
 
@@ -7,35 +7,35 @@
 use super::overrides::OverrideError;
 use super::validation::ValidationError;
 
-/// What is wrong with a scenario, in one line: file, line where it is known, and what was expected.
+/// An invalid scenario. Its text is one line with the file, the line number if known, and what was expected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScenarioError {
-    /// Path or name under which the scenario was read.
+    /// Path or name of the scenario file.
     pub file: String,
-    /// Line of the file, counted from 1; absent where the problem is of no one line.
+    /// Line number from 1; `None` if the problem does not belong to a single line.
     pub line: Option<usize>,
-    /// What is wrong, and what was expected.
+    /// Cause of the error.
     pub problem: ScenarioProblem,
 }
 
-/// What is wrong with a scenario.
+/// Cause of a [`ScenarioError`].
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ScenarioProblem {
-    /// The file cannot be read; the text is the operating system's.
+    /// The file cannot be read, with the error text of the operating system.
     #[error("cannot be read: {0}")]
     Unreadable(String),
-    /// The text is no TOML, or has keys or values that a scenario does not; the text is the parser's.
+    /// The text is not valid TOML or not a valid scenario, with the error text of the parser.
     #[error("{0}")]
     Syntax(String),
-    /// A value cannot be put in the place of another.
+    /// An override cannot be applied.
     #[error(transparent)]
     Override(#[from] OverrideError),
-    /// A scenario with values put in is no scenario; the text is the parser's.
-    #[error("with {paths} put in: {message}")]
+    /// The scenario is invalid after overrides were applied, with the error text of the parser.
+    #[error("invalid after overriding {paths}: {message}")]
     Overridden {
-        /// The paths of these values, joined by commas.
+        /// Paths of all overrides, separated by commas.
         paths: String,
-        /// What the parser says of them.
+        /// Error text of the parser.
         message: String,
     },
     /// Values are out of range or contradict each other.
--- a/crates/simulation/src/scenario/messages.rs
+++ b/crates/simulation/src/scenario/messages.rs
@@ -1,4 +1,4 @@
-//! Sections of the scenario file on messages: their classes and the client programs that submit them.
+//! Sections of the scenario file that describe message classes and the client programs that submit messages.
 
 use std::time::Duration;
 
@@ -8,45 +8,46 @@
 use super::defaults;
 use crate::distribution::{Amount, Distribution, Share, Span};
 
-/// Guards the division by the time between objective and deadline where the two are equal, in seconds.
-const MIN_LATE_PERIOD: f64 = 1e-9;
+/// Minimum time from objective to deadline, which prevents a division by zero if the two are equal.
+const MIN_LATE_PERIOD_S: f64 = 1e-9;
 
-/// A message class: the priority weight of its messages, how long they may take, and how much work they are.
+/// A message class: idempotency, latency objective, deadline, priority weight and work of its messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of a category")]
 pub struct ClassSpec {
-    /// Name in settings, reports and faults.
+    /// Name of the class in settings, reports and faults.
     pub name: String,
-    /// Part of all messages, against the other classes' parts.
-    #[serde(rename = "part", default = "defaults::one_amount")]
+    /// Weight of the class's traffic, relative to the other classes.
+    #[serde(rename = "part", default = "defaults::factor_one")]
     pub traffic_weight: Amount,
-    /// What a further attempt may do.
+    /// Effect of a repeated attempt.
     #[serde(rename = "effect")]
     pub idempotency: ClassIdempotency,
-    /// Latency objective, from the first submission.
+    /// Latency objective, counted from the first submission; over zero.
     #[serde(rename = "promised_s")]
     pub latency_objective: Span,
-    /// Deadline, from the first submission.
+    /// Deadline, counted from the first submission; at least the latency objective.
     #[serde(rename = "outer_limit_s")]
     pub deadline: Span,
-    /// Priority weight that a message earns which completes within its latency objective.
-    #[serde(rename = "credit", default = "defaults::one_amount")]
+    /// Priority weight of a message that completes within its latency objective.
+    #[serde(rename = "credit", default = "defaults::factor_one")]
     pub priority_weight: Amount,
-    /// Part of the priority weight that is left at the deadline.
+    /// Share of the priority weight that remains at the deadline.
     #[serde(rename = "late_credit", default = "defaults::late_weight")]
     pub late_weight: Share,
-    /// How the weight falls between objective and deadline.
+    /// Decrease of the weight between objective and deadline.
     #[serde(rename = "decay", default)]
     pub late_decay: ClassDecay,
-    /// Work at a destination of usual speed, in milliseconds.
+    /// Duration of the work at a destination with a work factor of 1, in milliseconds.
     pub work_ms: Distribution,
-    /// Number of ordering keys in use; absent where messages have no order.
+    /// Number of ordering keys in use; `None` if the messages have no order.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ordered_keys: Option<u32>,
 }
 
 impl ClassSpec {
-    /// Part of the priority weight that a message earns which completes with this latency after its first submission.
+    /// Returns the share of the priority weight that a message earns with this latency since its first
+    /// submission.
     pub fn earned_part(&self, latency: Duration) -> f64 {
         let (objective, deadline) = (self.latency_objective.seconds(), self.deadline.seconds());
         let latency = latency.as_secs_f64();
@@ -59,7 +60,7 @@
         }
         match self.late_decay {
             ClassDecay::Linear => {
-                let late_period = (deadline - objective).max(MIN_LATE_PERIOD);
+                let late_period = (deadline - objective).max(MIN_LATE_PERIOD_S);
                 1.0 - (1.0 - late_weight) * (latency - objective) / late_period
             }
             ClassDecay::Exponential => late_weight.max(0.5_f64.powi((latency / objective).ceil() as i32 - 1)),
@@ -67,17 +68,18 @@
     }
 }
 
-/// What a further attempt for a message of a class may do.
+/// Effect of a repeated attempt for a message of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ClassIdempotency {
-    /// A repeat does no harm.
+    /// A repeated attempt has no further effect.
     #[serde(rename = "pure")]
     Idempotent,
-    /// Every endpoint of the destination recognizes a repeat by its idempotency key, within this window.
+    /// Every endpoint of the destination recognizes repeated attempts by their idempotency key within this
+    /// window.
     #[serde(rename = "receipted")]
     WithKey(Span),
-    /// A repeat has its effect a second time.
+    /// A repeated attempt takes effect again.
     #[serde(rename = "effectful")]
     NonIdempotent,
 }
@@ -94,44 +96,44 @@
     }
 }
 
-/// How the priority weight of a message falls after its latency objective.
+/// Decrease of a message's priority weight after its latency objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClassDecay {
-    /// Evenly, down to the late weight at the deadline.
+    /// Linear, down to the late weight at the deadline.
     #[default]
     #[serde(rename = "line")]
     Linear,
-    /// By half with each further objective's time, to the late weight at least.
+    /// Halved with each further period of the latency objective, down to the late weight.
     #[serde(rename = "halves")]
     Exponential,
 }
 
-/// A client program, which is a tenant of the forwarders.
+/// A client program, which is one tenant of the forwarders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of a program")]
 pub struct Program {
-    /// Name of the tenant.
+    /// Name of the program, which is its tenant name.
     pub name: String,
-    /// Part of all messages, against the other programs' parts.
-    #[serde(rename = "part", default = "defaults::one_amount")]
+    /// Weight of the program's traffic, relative to the other programs.
+    #[serde(rename = "part", default = "defaults::factor_one")]
     pub traffic_weight: Amount,
-    /// Messages a second inside its quota; absent where it has none.
+    /// Quota in messages a second; `None` for no quota.
     #[serde(rename = "share_per_s", default, skip_serializing_if = "Option::is_none")]
     pub quota_per_s: Option<Amount>,
-    /// How often it submits a message again after a rejection.
+    /// Maximum number of times that a message is submitted again after a rejection.
     #[serde(rename = "returns", default)]
     pub max_resubmissions: u32,
-    /// From a rejection to the next submission, in seconds.
-    #[serde(rename = "return_after_s", default = "defaults::resubmission_delay")]
+    /// Delay from a rejection to the next submission, in seconds.
+    #[serde(rename = "return_after_s", default = "defaults::resubmission_delay_s")]
     pub resubmission_delay_s: Distribution,
-    /// Share of its clients that honor Retry-After.
-    #[serde(rename = "heeds", default = "defaults::all")]
+    /// Share of rejections whose Retry-After the clients honor.
+    #[serde(rename = "heeds", default = "defaults::full_share")]
     pub retry_after_honored_share: Share,
-    /// Seconds after which its clients withdraw a message; absent where they never do.
+    /// Time after which clients withdraw a message, in seconds; `None` if they never do.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub withdraws_after_s: Option<Distribution>,
-    /// Messages at once at each arrival.
+    /// Number of messages that are submitted together at each arrival.
     #[serde(rename = "bunch", default = "defaults::constant_one")]
     pub arrival_size: Distribution,
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! The scenario file, version 1: what a fleet, its client programs, its destinations and a day's faults are like.
+//! The scenario file, version 1: a fleet, its client programs, its destinations and the faults of a run.
 //!
-//! What is unknown or out of range is refused with file, line and what was expected; nothing is guessed. The
-//! keys of the file are the operators' words, which stay as they are; a field whose name differs says its key.
+//! Unknown keys and values out of range are errors that name the file, the line and what was expected. The
+//! keys of the file are stable; a field whose name differs from its key has a `serde` rename.
 
 mod defaults;
 mod destinations;
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -1,4 +1,4 @@
-//! The scenario file as a whole.
+//! Top level of the scenario file.
 
 use std::time::Duration;
 
@@ -11,92 +11,94 @@
 use crate::fault::Fault;
 use crate::rule::Rule;
 
-/// The version of the scenario file's format that is read and written.
+/// Version of the scenario file format that is read and written.
 pub const VERSION: u32 = 1;
 
-/// A simulated world and what happens to it.
+/// A simulated world, its traffic and the faults of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a scenario")]
 pub struct Scenario {
-    /// [`VERSION`].
+    /// Version of the file format; must equal [`VERSION`].
     pub version: u32,
-    /// Name under which results are shown.
+    /// Name of the scenario in results.
     pub name: String,
-    /// What the scenario is for, in a sentence.
+    /// Purpose of the scenario, in one sentence.
     #[serde(default)]
     pub about: String,
-    /// How long messages arrive; the run goes on until each has its final answer.
+    /// Time during which messages arrive; the run continues until each message has its final answer.
     #[serde(rename = "lasts_s")]
     pub duration: Span,
-    /// The forwarders.
+    /// Forwarders and their limits.
     pub fleet: Fleet,
-    /// How many messages arrive, and for which destinations.
+    /// Rate of arriving messages and their distribution over destinations.
     pub traffic: Traffic,
     /// Delays and timeouts of connections.
     #[serde(default)]
     pub network: Network,
-    /// How forwarders learn of endpoints.
+    /// Delay and content of the endpoint list.
     #[serde(rename = "list", default)]
     pub endpoint_list: EndpointListSettings,
     /// Gossip between forwarders.
     #[serde(rename = "notes", default)]
     pub gossip: GossipSettings,
-    /// Slow start after an outage, and overload of an endpoint that is still cold.
+    /// Slow start of endpoints after an outage, and their overload while they are cold.
     #[serde(rename = "returning", default)]
     pub recovery: RecoverySettings,
     /// Message classes.
     #[serde(rename = "category")]
     pub classes: Vec<ClassSpec>,
-    /// Client programs; each is a tenant of the forwarders.
+    /// Client programs; each is one tenant of the forwarders.
     #[serde(rename = "program")]
     pub programs: Vec<Program>,
     /// Kinds of destinations.
     #[serde(rename = "kind")]
     pub kinds: Vec<DestinationKind>,
-    /// Faults and when they are active.
+    /// Faults with the times at which they are active.
     #[serde(rename = "trouble", default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<ScheduledFault>,
-    /// What a search saw with this scenario, so that it can be seen again.
+    /// Result of the search that found this scenario; `None` if no search wrote the file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub found: Option<SearchFinding>,
 }
 
-/// What a search for weaknesses saw with a scenario.
+/// Result of a search for scenarios in which the delivery policy does badly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of what a search found")]
 pub struct SearchFinding {
     /// Seed of the run.
     pub seed: u64,
-    /// The rule that was broken; absent where credit was far from the best known instead.
+    /// Rule that was broken; `None` if the finding is a low credit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rule: Option<Rule>,
-    /// Part of all credit that the delivery policy earned.
+    /// Share of the possible credit that the delivery policy earned.
     pub credit: f64,
-    /// Part of all credit that a single attempt for each message earned.
+    /// Share of the possible credit that [`BuiltInPolicy::OneAttempt`](crate::BuiltInPolicy::OneAttempt)
+    /// earned.
     #[serde(rename = "one_try")]
     pub one_attempt: f64,
-    /// Part of all credit that the policy which sees the true state earned.
+    /// Share of the possible credit that [`BuiltInPolicy::UpperBound`](crate::BuiltInPolicy::UpperBound)
+    /// earned.
     #[serde(rename = "ceiling")]
     pub upper_bound: f64,
 }
 
-/// A fault and when it is active.
+/// A fault and the time at which it is active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of a trouble and its times")]
 pub struct ScheduledFault {
-    /// Start of the fault, from the start of the run.
+    /// Start of the fault, since the start of the run.
     #[serde(rename = "at_s")]
     pub start: Span,
     /// Duration of the fault.
     #[serde(rename = "for_s")]
     pub duration: Span,
-    /// The fault itself.
+    /// Type and parameters of the fault.
     #[serde(rename = "what")]
     pub fault: Fault,
 }
 
 impl ScheduledFault {
-    /// End of the fault, from the start of the run.
+    /// Returns the end of the fault, since the start of the run.
     pub fn end(&self) -> Duration {
         self.start.0 + self.duration.0
     }
--- a/crates/simulation/src/scenario/overrides.rs
+++ b/crates/simulation/src/scenario/overrides.rs
@@ -1,59 +1,63 @@
-//! Single values put in the place of those of a scenario file, as `--set` on the command line does.
+//! Overrides of single values of a scenario file, as given by `--set` on the command line.
 
 use thiserror::Error;
 
-/// A value that is put in the place of one of a scenario file.
+/// An override of one value of a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValueOverride {
-    /// The place: keys and positions joined by dots, such as `traffic.load` or `kind.0.told_waits`.
+    /// Path of the value: keys and array indices joined by dots, such as `traffic.load` or
+    /// `kind.0.told_waits`.
     pub path: String,
-    /// The value as TOML has it; what is no TOML is meant as text.
+    /// New value in TOML syntax; anything that is not valid TOML is taken as a string.
     pub value: String,
 }
 
 impl ValueOverride {
-    /// An override of the value at a path.
+    /// Creates an override of the value at a path.
     pub fn new(path: impl Into<String>, value: impl Into<String>) -> ValueOverride {
         ValueOverride { path: path.into(), value: value.into() }
     }
 }
 
-/// Why a value could not be put into a scenario.
+/// An override that cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OverrideError {
-    /// The value is no TOML value, nor text.
+    /// The value is neither valid TOML nor a string, with the error text of the parser.
     #[error("{0}")]
     InvalidValue(String),
     /// The value is empty.
-    #[error("no value")]
+    #[error("the value is empty: expected a TOML value or text")]
     NoValue,
-    /// A step of the path names nothing in the file.
-    #[error("{path}: nothing at \"{step}\", expected keys and numbers, as kind.0.batch")]
+    /// A step of the path does not exist in the file.
+    #[error("{path}: \"{step}\" does not exist, expected keys and indices such as kind.0.batch")]
     NothingAt {
-        /// The whole path.
+        /// Path of the override.
         path: String,
-        /// The step that failed.
+        /// Step of the path that does not exist.
         step: String,
     },
 }
 
-/// Puts one value into a table that was read.
-pub(super) fn apply_override(table: &mut toml::Table, one: &ValueOverride) -> Result<(), OverrideError> {
-    let ValueOverride { path, value } = one;
+/// Sets one value in a parsed scenario file; missing tables on the path are added.
+pub(super) fn apply_override(
+    table: &mut toml::Table,
+    value_override: &ValueOverride,
+) -> Result<(), OverrideError> {
+    let ValueOverride { path, value } = value_override;
     let value = parse_value(value)?;
     let mut steps = path.split('.');
     let first = steps.next().unwrap_or_default();
-    let mut at = table.entry(first).or_insert_with(empty_table);
+    let mut target = table.entry(first).or_insert_with(empty_table);
     for step in steps {
-        let next = match at {
+        let next = match target {
             toml::Value::Table(table) => Some(table.entry(step).or_insert_with(empty_table)),
             toml::Value::Array(array) => step.parse::<usize>().ok().and_then(|index| array.get_mut(index)),
             _ => None,
         };
         let missing = || OverrideError::NothingAt { path: path.clone(), step: step.to_owned() };
-        at = next.ok_or_else(missing)?;
+        target = next.ok_or_else(missing)?;
     }
-    *at = value;
+    *target = value;
     Ok(())
 }
 
@@ -61,7 +65,7 @@
     toml::Value::Table(toml::Table::new())
 }
 
-/// Reads a TOML value; what is none is meant as text.
+/// Parses a TOML value; text that is not valid TOML becomes a string.
 fn parse_value(value: &str) -> Result<toml::Value, OverrideError> {
     let read = |text: &str| toml::from_str::<toml::Table>(&format!("value = {text}"));
     let table = read(value)
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario from its file, and writes it as one.
+//! Reads and writes scenario files.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
     ///
     /// # Errors
     ///
-    /// A file that cannot be read, and all that [`Scenario::parse`] refuses.
+    /// The file cannot be read, or [`Scenario::parse`] fails.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -24,16 +24,17 @@
         }
     }
 
-    /// Reads a scenario's text, with single values put in the place of those that stand there.
+    /// Parses the text of a scenario file after applying overrides; `file` is its name in errors.
     ///
     /// # Errors
     ///
-    /// Text that is no TOML, unknown keys, and values that are out of range or contradict each other.
+    /// The text is not valid TOML, an override cannot be applied, a key is unknown, or values are out of
+    /// range or contradict each other.
     pub fn parse(file: &str, text: &str, overrides: &[ValueOverride]) -> Result<Scenario, ScenarioError> {
         let error = |line, problem| ScenarioError { file: file.to_owned(), line, problem };
-        let syntax_error = |fault: toml::de::Error| {
-            let line = fault.span().map(|span| line_at(text, span.start));
-            error(line, ScenarioProblem::Syntax(in_plain_words(fault.message())))
+        let syntax_error = |parse_error: toml::de::Error| {
+            let line = parse_error.span().map(|span| line_at(text, span.start));
+            error(line, ScenarioProblem::Syntax(plain_message(parse_error.message())))
         };
         let scenario: Scenario = if overrides.is_empty() {
             toml::from_str(text).map_err(syntax_error)?
@@ -45,7 +46,7 @@
         Ok(scenario)
     }
 
-    /// As a file that [`Scenario::read`] takes.
+    /// Returns the text of a scenario file that [`Scenario::read`] accepts.
     pub fn to_text(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
@@ -55,23 +56,23 @@
     mut table: toml::Table,
     overrides: &[ValueOverride],
 ) -> Result<Scenario, ScenarioProblem> {
-    for one in overrides {
-        apply_override(&mut table, one)?;
+    for value_override in overrides {
+        apply_override(&mut table, value_override)?;
     }
     let text = toml::to_string(&table).map_err(|error| ScenarioProblem::Syntax(error.to_string()))?;
     toml::from_str(&text).map_err(|error| {
-        let paths: Vec<&str> = overrides.iter().map(|one| one.path.as_str()).collect();
-        ScenarioProblem::Overridden { paths: paths.join(", "), message: in_plain_words(error.message()) }
+        let paths: Vec<&str> = overrides.iter().map(|value_override| value_override.path.as_str()).collect();
+        ScenarioProblem::Overridden { paths: paths.join(", "), message: plain_message(error.message()) }
     })
 }
 
-/// The line of a byte offset, counted from 1.
+/// Returns the line number of a byte offset, counted from 1.
 fn line_at(text: &str, offset: usize) -> usize {
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
-/// What the parser says, on one line, and without the names that the language has for types of numbers.
-fn in_plain_words(message: &str) -> String {
+/// Returns the parser's message on one line, with Rust's names of number types replaced by plain words.
+fn plain_message(message: &str) -> String {
     let message = message.trim().replace('\n', "; ");
     match message.rsplit_once("expected ") {
         Some((before, "u32" | "u64")) => format!("{before}expected a whole number from 0 up"),
--- a/crates/simulation/src/scenario/settings.rs
+++ b/crates/simulation/src/scenario/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the operators of a scenario's fleet would give each forwarder.
+//! Derives the settings of the forwarders from a scenario.
 
 use reeddock::{EndpointKind, LateDecay, ListedWeights, MessageClass, Settings, TenantQuota};
 
@@ -8,16 +8,16 @@
 use super::world::ListWeights;
 use crate::distribution::Amount;
 
-/// Priority weight of a message beyond its tenant's quota, as a part of its class's weight.
+/// Priority weight of a message over its tenant's quota, as a share of the weight of its class.
 pub const OVER_QUOTA_WEIGHT: f64 = 0.1;
 
-/// The name of a zone in settings and endpoint lists.
+/// Returns the name of a zone in settings and endpoint lists.
 pub fn zone_name(zone: u32) -> String {
     format!("zone-{zone}")
 }
 
 impl Scenario {
-    /// The settings of a forwarder that starts in a zone, with the seed of its own random draws.
+    /// Returns the settings of a forwarder in a zone; `seed` is the seed of its policy's random numbers.
     pub fn settings(&self, seed: u64, zone: u32) -> Settings {
         let (fleet, recovery) = (&self.fleet, &self.recovery);
         Settings {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// One decay holds for all classes of a forwarder: the steeper one where classes differ.
+    /// Returns the decay for all classes, as a forwarder has only one setting: the steeper one if classes
+    /// differ.
     fn late_decay(&self) -> LateDecay {
         if self.classes.iter().any(|class| class.late_decay == ClassDecay::Exponential) {
             LateDecay::Exponential
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of a scenario that span several of its values: ranges, unique names, and that faults name what exists.
+//! Validates a parsed scenario: ranges, unique names, and references of faults to other sections.
 
 use std::ops::RangeInclusive;
 
@@ -9,10 +9,11 @@
 use super::model::{Scenario, VERSION};
 use crate::fault::Fault;
 
-/// Sections of one kind at most.
+/// Maximum number of sections with the same header.
 const MAX_SECTIONS: usize = 1000;
 
-/// A section of the scenario file: the text with which it begins, and which one of those.
+/// A place in the scenario file: the text with which its first line begins, and its index among all such
+/// lines.
 #[derive(Clone, Copy)]
 pub(super) struct Section {
     header: &'static str,
@@ -35,17 +36,17 @@
         Section { header, index }
     }
 
-    /// The line where this section begins, counted from 1.
+    /// Returns the number of the section's first line, counted from 1; `None` if the text has no such line.
     pub(super) fn line_in(self, text: &str) -> Option<usize> {
-        let begins_here = |line: &(usize, &str)| line.1.trim_start().starts_with(self.header);
-        text.lines().enumerate().filter(begins_here).nth(self.index).map(|(line, _)| line + 1)
+        let is_header = |line: &(usize, &str)| line.1.trim_start().starts_with(self.header);
+        text.lines().enumerate().filter(is_header).nth(self.index).map(|(line, _)| line + 1)
     }
 
     fn invalid(self, error: ValidationError) -> InvalidSection {
         InvalidSection { section: self, error }
     }
 
-    /// Refuses a value outside a range.
+    /// Returns an error if a value is outside a range.
     fn check_range(
         self,
         name: &'static str,
@@ -60,87 +61,87 @@
     }
 }
 
-/// A section that is not valid, and why.
+/// A validation error and the section in which it occurred.
 pub(super) struct InvalidSection {
     pub(super) section: Section,
     pub(super) error: ValidationError,
 }
 
-/// A value that is out of range, or contradicts another one.
+/// A value of a scenario that is out of range or contradicts another one.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ValidationError {
-    /// The version of the file's format is not [`VERSION`].
-    #[error("version {0} is not known: expected {VERSION}")]
+    /// The version of the file format is not [`VERSION`].
+    #[error("unsupported version {0}: expected {VERSION}")]
     UnknownVersion(u32),
     /// A number is out of range.
     #[error("{name} is {value}: expected {low} to {high}")]
     OutOfRange {
-        /// The number's name in the file.
+        /// Name of the number, by its key in the file.
         name: &'static str,
-        /// The number.
+        /// Value of the number.
         value: f64,
-        /// Least number that is accepted.
+        /// Minimum value.
         low: f64,
-        /// Greatest number that is accepted.
+        /// Maximum value.
         high: f64,
     },
-    /// No sections of a kind, or too many.
-    #[error("{count} {sections}: expected 1 to {MAX_SECTIONS}")]
+    /// Sections of one kind are missing, or too many.
+    #[error("scenario has {count} {sections}: expected 1 to {MAX_SECTIONS}")]
     SectionCount {
-        /// What the sections describe.
+        /// Content of the sections, in the plural.
         sections: &'static str,
-        /// How many there are.
+        /// Number of sections.
         count: usize,
     },
-    /// A name that stands twice.
-    #[error("name used before: expected a name that stands once only")]
+    /// A name occurs twice in sections of one kind.
+    #[error("duplicate name: expected a name that stands once only")]
     RepeatedName,
-    /// A latency objective of zero, or after the deadline.
+    /// The latency objective of a class is zero or longer than its deadline.
     #[error(
         "promised_s of \"{class}\" is {objective}: expected over 0, and its outer_limit_s {deadline} at most"
     )]
     LatencyObjective {
-        /// Name of the class.
+        /// Name of the message class.
         class: String,
-        /// Its latency objective, in seconds.
+        /// Latency objective in seconds.
         objective: f64,
-        /// Its deadline, in seconds.
+        /// Deadline in seconds.
         deadline: f64,
     },
-    /// A fault names a destination that is not there.
-    #[error("destination {index}: expected a number under {count}")]
+    /// A fault names a destination that does not exist.
+    #[error("unknown destination {index}: expected a number under {count}")]
     UnknownDestination {
-        /// Its index.
+        /// Index of the destination.
         index: u32,
-        /// How many there are.
+        /// Number of destinations.
         count: u32,
     },
-    /// A fault names a forwarder that is not there.
-    #[error("forwarder {index}: expected a number under {count}")]
+    /// A fault names a forwarder that does not exist.
+    #[error("unknown forwarder {index}: expected a number under {count}")]
     UnknownForwarder {
-        /// Its index.
+        /// Index of the forwarder.
         index: u32,
-        /// How many there are.
+        /// Number of forwarders.
         count: u32,
     },
-    /// A fault names destinations and a share of them, or neither.
+    /// A fault names both destinations and a share of them, or neither.
     #[error("whom: expected either destinations or a share")]
     EndpointSelector,
-    /// A fault names forwarders and a share of them, or neither.
+    /// A fault names both forwarders and a share of them, or neither.
     #[error("which: expected either forwarders or a share")]
     ForwarderSelector,
-    /// A fault names a message class that is not there.
-    #[error("category \"{0}\" is not in this scenario")]
+    /// A fault names a message class that does not exist.
+    #[error("unknown category \"{0}\": expected the name of a category of this scenario")]
     UnknownClass(String),
-    /// A fault names a program that is not there.
-    #[error("program \"{0}\" is not in this scenario")]
+    /// A fault names a program that does not exist.
+    #[error("unknown program \"{0}\": expected the name of a program of this scenario")]
     UnknownProgram(String),
-    /// Pauses that are as long as their interval, or longer.
-    #[error("pauses: expected each_s under every_s")]
+    /// Pauses are not shorter than their interval.
+    #[error("pauses: expected each_s to be less than every_s")]
     PauseInterval,
 }
 
-/// Checks what single values cannot show when they are read.
+/// Checks a scenario after parsing. Returns the first error and its section.
 pub(super) fn validate(scenario: &Scenario) -> Result<(), InvalidSection> {
     check_top_level(scenario)?;
     check_fleet(scenario)?;
@@ -187,7 +188,7 @@
     let (section, traffic) = (Section::TRAFFIC, &scenario.traffic);
     section.check_range("skew", traffic.skew, 0.0..=3.0)?;
     let submissions = traffic.baseline_per_s.get() * traffic.load.get() * scenario.duration.seconds();
-    section.check_range("first tries of the whole day", submissions, 0.0..=2e7)
+    section.check_range("number of first submissions (usual_per_s * load * lasts_s)", submissions, 0.0..=2e7)
 }
 
 fn check_counts(scenario: &Scenario) -> Result<(), InvalidSection> {
@@ -223,7 +224,7 @@
             deadline: class.deadline.seconds(),
         }));
     }
-    section.check_range("work_ms in the mean", class.work_ms.mean(), 0.001..=1e6)?;
+    section.check_range("mean of work_ms", class.work_ms.mean(), 0.001..=1e6)?;
     match class.ordered_keys {
         Some(keys) => section.check_range("ordered_keys", keys.into(), 1.0..=1e6),
         None => Ok(()),
@@ -232,16 +233,16 @@
 
 fn check_program(section: Section, program: &Program) -> Result<(), InvalidSection> {
     section.check_range("returns", program.max_resubmissions.into(), 0.0..=100.0)?;
-    section.check_range("bunch in the mean", program.arrival_size.mean(), 1.0..=1e5)
+    section.check_range("mean of bunch", program.arrival_size.mean(), 1.0..=1e5)
 }
 
 fn check_kind(section: Section, kind: &DestinationKind) -> Result<(), InvalidSection> {
     section.check_range("destinations", kind.destinations.into(), 1.0..=100_000.0)?;
-    section.check_range("targets in the mean", kind.endpoints.mean(), 1.0..=1000.0)?;
+    section.check_range("mean of targets", kind.endpoints.mean(), 1.0..=1000.0)?;
     section.check_range("batch", kind.max_batch.into(), 1.0..=1000.0)?;
-    section.check_range("headroom in the mean", kind.headroom.mean(), 0.01..=1e4)?;
-    section.check_range("spare in the mean", kind.capacity_factor.mean(), 0.01..=1e4)?;
-    section.check_range("pace in the mean", kind.work_factor.mean(), 0.001..=1e3)?;
+    section.check_range("mean of headroom", kind.headroom.mean(), 0.01..=1e4)?;
+    section.check_range("mean of spare", kind.capacity_factor.mean(), 0.01..=1e4)?;
+    section.check_range("mean of pace", kind.work_factor.mean(), 0.001..=1e3)?;
     match kind.rate_limit {
         RateLimit::FixedWindow(window) => section.check_range("limit.span", window.seconds(), 0.01..=3600.0),
         RateLimit::None | RateLimit::TokenBucket => Ok(()),
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -1,5 +1,5 @@
-//! Sections of the scenario file on the fleet and what connects it: forwarders, traffic, network, endpoint list,
-//! gossip and recovery after an outage.
+//! Sections of the scenario file that describe the fleet and its environment: forwarders, traffic, network,
+//! endpoint list, gossip and recovery after an outage.
 
 use std::time::Duration;
 
@@ -8,65 +8,68 @@
 use super::defaults;
 use crate::distribution::{Amount, Distribution, RandomSource, Share, Span};
 
-/// The forwarders, and the limits in their settings.
+/// The forwarders and the limits in their settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of the fleet")]
 pub struct Fleet {
-    /// How many forwarders there are.
+    /// Number of forwarders.
     pub forwarders: u32,
-    /// Zones over which forwarders and endpoints are spread round robin.
-    #[serde(default = "defaults::one_zone")]
+    /// Number of zones, over which forwarders and endpoints are distributed round robin.
+    #[serde(default = "defaults::zones")]
     pub zones: u32,
-    /// Requests that one forwarder may have in flight.
+    /// Maximum number of requests that one forwarder may have in flight.
     #[serde(rename = "slots")]
     pub max_in_flight: u32,
-    /// Messages that one forwarder may hold, queued or in flight.
+    /// Maximum number of messages that one forwarder may hold, queued or in flight.
     #[serde(rename = "room")]
     pub max_pending_messages: u32,
-    /// Attempts for one message.
+    /// Maximum number of attempts for one message.
     #[serde(rename = "dispatch_cap", default = "defaults::max_attempts")]
     pub max_attempts: u32,
-    /// A forwarder handles what has come in at multiples of this interval.
+    /// Interval at whose multiples a forwarder handles its pending inputs.
     #[serde(rename = "tick_s", default = "defaults::tick")]
     pub tick: Span,
-    /// Longest Retry-After that client programs honor; absent where none may be given.
+    /// Maximum Retry-After that forwarders send to client programs; `None` if they send none.
     #[serde(rename = "come_back_s", default, skip_serializing_if = "Option::is_none")]
     pub max_retry_after: Option<Span>,
-    /// A forwarder that restarts finds its pending messages in its write-ahead log; else programs submit them again.
+    /// Whether a restarted forwarder restores its pending messages from a write-ahead log; otherwise programs
+    /// submit them again.
     #[serde(rename = "ledger", default)]
     pub write_ahead_log: bool,
-    /// Share of the traffic that is spread unevenly over forwarders: 0 for the same traffic at each.
+    /// Share of the traffic that is distributed unevenly over forwarders; with 0 all get the same traffic.
     #[serde(rename = "uneven", default)]
     pub unevenness: Share,
-    /// Time in which attempts to a draining endpoint must end.
+    /// Grace period: time after the change in the endpoint list within which attempts may go to a draining
+    /// endpoint.
     #[serde(rename = "drain_grace_s", default = "defaults::drain_grace")]
     pub drain_grace: Span,
-    /// Time for which an ordering key is held after an attempt that may still be running.
+    /// Time for which an ordering key is held back after an attempt that may still be running.
     #[serde(rename = "key_rest_s", default = "defaults::ordering_hold_off")]
     pub ordering_hold_off: Span,
-    /// Time past a deadline in which a final answer still counts.
+    /// Tolerance after a deadline within which a final answer still counts as in time.
     #[serde(rename = "answer_slack_s", default = "defaults::answer_slack")]
     pub answer_slack: Span,
 }
 
-/// How many messages arrive, and how they spread over destinations.
+/// Rate of arriving messages and their distribution over destinations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of the traffic")]
 pub struct Traffic {
-    /// New messages a second of all programs together on a usual day; destinations are built for it.
+    /// Baseline rate of new messages a second of all programs, for which the capacities of destinations are
+    /// drawn.
     #[serde(rename = "usual_per_s")]
     pub baseline_per_s: Amount,
-    /// This day's traffic against the baseline.
-    #[serde(default = "defaults::one_amount")]
+    /// Ratio of the run's traffic to the baseline.
+    #[serde(default = "defaults::factor_one")]
     pub load: Amount,
-    /// Zipf exponent of the destinations' parts of the traffic; 0 gives each the same.
+    /// Zipf exponent of the distribution of traffic over destinations; with 0 all ranks get the same weight.
     #[serde(default)]
     pub skew: f64,
-    /// Share of messages that come in clumps for one destination.
+    /// Share of messages that arrive in groups for a single destination.
     #[serde(rename = "clumped", default)]
     pub grouped_share: Share,
-    /// Messages in a clump.
-    #[serde(rename = "clump", default = "defaults::clump")]
+    /// Number of messages in such a group.
+    #[serde(rename = "clump", default = "defaults::group_size")]
     pub group_size: Distribution,
 }
 
@@ -74,17 +77,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table of the network")]
 pub struct Network {
-    /// One way between a forwarder and an endpoint of its zone, in milliseconds.
+    /// One-way delay between a forwarder and an endpoint in the same zone, in milliseconds.
     pub one_way_ms: Distribution,
-    /// Added to one way where the endpoint is in another zone, in milliseconds.
+    /// Additional one-way delay if the endpoint is in another zone, in milliseconds.
     #[serde(rename = "across_zones_ms")]
     pub cross_zone_ms: Distribution,
-    /// Work of making a connection beside its round trip, in milliseconds.
+    /// Time to establish a connection in addition to one round trip, in milliseconds.
     pub handshake_ms: Distribution,
-    /// After this a connection that got no answer counts as not made.
+    /// Timeout of establishing a connection.
     #[serde(rename = "connect_within_s")]
     pub connect_timeout: Span,
-    /// After this an idle connection is closed.
+    /// Time after which an idle connection is closed.
     #[serde(rename = "idle_s")]
     pub idle_timeout: Span,
 }
@@ -102,10 +105,10 @@
 }
 
 impl Network {
-    /// Draws the one-way delay between a forwarder and an endpoint in these zones.
+    /// Draws the one-way delay between a forwarder and an endpoint in the zones of `path`.
     pub fn one_way(&self, path: ZonePath, random: &mut RandomSource) -> Duration {
         let same_zone = self.one_way_ms.draw_millis(random);
-        // Drawn in any case, so that the zone does not shift what is drawn later.
+        // The cross-zone delay is always drawn, so that later draws don't depend on the zones.
         let added = self.cross_zone_ms.draw_millis(random);
         if path.crosses_zones() {
             same_zone + added
@@ -130,15 +133,15 @@
     }
 }
 
-/// How forwarders learn of endpoints.
+/// Delay and content of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table of the endpoint list")]
 pub struct EndpointListSettings {
-    /// From a change of the endpoint list until a forwarder learns of it, in seconds.
+    /// Delay from a change of the endpoint list until a forwarder receives it, in seconds.
     pub delay_s: Distribution,
-    /// What the list says of the endpoints' rates.
+    /// Rates that the list gives for endpoints.
     pub weights: ListWeights,
-    /// The listed rate against the true one.
+    /// Ratio of the listed rate to the true rate.
     pub weight_error: Distribution,
 }
 
@@ -152,13 +155,13 @@
     }
 }
 
-/// What the endpoint list says of the endpoints' rates.
+/// Rates that the endpoint list gives for endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListWeights {
-    /// Nothing.
+    /// No rates.
     None,
-    /// Roughly the requests a second that an endpoint accepts.
+    /// Approximate requests a second that an endpoint accepts.
     Rates,
 }
 
@@ -166,11 +169,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table of the notes between forwarders")]
 pub struct GossipSettings {
-    /// Whether forwarders may send gossip at all.
+    /// Whether forwarders may send gossip.
     pub allowed: bool,
-    /// From one forwarder to another, in milliseconds.
+    /// Delay of gossip from one forwarder to another, in milliseconds.
     pub delay_ms: Distribution,
-    /// Share of gossip that is lost on its way.
+    /// Share of gossip that is lost in transit.
     #[serde(rename = "lost")]
     pub loss: Share,
 }
@@ -181,23 +184,23 @@
     }
 }
 
-/// How an endpoint recovers from an outage, and what overloads it while it is cold.
+/// Slow start of endpoints after an outage, and their overload while they are cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table of returning destinations")]
 pub struct RecoverySettings {
-    /// Share of its capacity that an endpoint has right after an outage.
+    /// Share of its capacity that an endpoint has at the end of an outage.
     #[serde(rename = "cold_from")]
     pub slow_start_floor: Share,
-    /// Time until it has its whole capacity again.
+    /// Time until an endpoint has its full capacity again; the share increases linearly.
     #[serde(rename = "warm_within_s")]
     pub slow_start_duration: Span,
-    /// Multiple of its present capacity that overloads it while it is cold.
+    /// Multiple of the current capacity that a cold endpoint may receive without an overload.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: Amount,
-    /// Window over which work is summed against that multiple.
+    /// Length of the window over which received work is compared with `overload_multiple`.
     #[serde(rename = "tip_after_s")]
     pub overload_window: Span,
-    /// How long an overloaded endpoint is down.
+    /// Duration of the outage that an overload causes.
     #[serde(rename = "stays_down_s")]
     pub overload_outage: Span,
 }
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,22 +1,23 @@
-//! Events that are still to come, in order of time; those of the same time come in the order in which they were
-//! scheduled.
+//! Queue of scheduled events, in order of time. Events of the same time are taken in the order in which they
+//! were scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// An event whose time has come.
+/// An event that is due, and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledEvent<E> {
-    /// When it happens, since the start of the run.
+    /// Time of the event, since the start of the run.
     pub at: Duration,
-    /// The event itself.
+    /// The event that takes place.
     pub event: E,
 }
 
-/// An event that is still to come, and its place in the order in which events were scheduled.
+/// A pending event.
 struct Entry<E> {
     at: Duration,
+    /// Number of the event in the order of scheduling, which orders events of the same time.
     sequence: u64,
     event: E,
 }
@@ -36,13 +37,13 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// Reversed: the heap gives its greatest first.
+    /// Compares in reverse, because `BinaryHeap` pops the greatest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// The simulated clock and the events that move it.
+/// Simulated clock and pending events; taking an event advances the clock.
 pub struct EventSchedule<E> {
     heap: BinaryHeap<Entry<E>>,
     scheduled: u64,
@@ -56,25 +57,25 @@
 }
 
 impl<E> EventSchedule<E> {
-    /// The simulated time, since the start of the run: that of the last event taken.
+    /// Returns the simulated time since the start of the run, which is the time of the last event taken.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Schedules an event; one that would lie in the past happens now.
+    /// Schedules an event; a time in the past is replaced by the current time.
     pub fn schedule(&mut self, at: Duration, event: E) {
         self.scheduled += 1;
         self.heap.push(Entry { at: at.max(self.now), sequence: self.scheduled, event });
     }
 
-    /// Takes the next event and moves the clock to it.
+    /// Removes the next event and advances the clock to its time; returns `None` if no event is pending.
     pub fn pop(&mut self) -> Option<ScheduledEvent<E>> {
         let Entry { at, event, .. } = self.heap.pop()?;
         self.now = at;
         Some(ScheduledEvent { at, event })
     }
 
-    /// Events scheduled so far.
+    /// Returns the number of events scheduled so far, taken ones included.
     pub fn scheduled(&self) -> u64 {
         self.scheduled
     }
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -1,5 +1,5 @@
-//! One endpoint as it really is: its queue, its work, its faults, how far it has warmed up after an outage, and
-//! whether it is overloaded.
+//! True state of a simulated endpoint: queue, requests in service, connections, active faults, warm-up after
+//! an outage and overload.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,72 +12,72 @@
 use crate::received_work::ReceivedWork;
 use crate::scenario::RecoverySettings;
 
-/// Least warmth of an endpoint, so that slow work ends.
+/// Minimum share of the capacity that a cold endpoint has, so that its work ends in finite time.
 const MIN_WARMTH: f64 = 0.01;
-/// Guards the division by the slow start's duration, in seconds.
-const MIN_SLOW_START: f64 = 1e-6;
+/// Minimum duration of the slow start, which prevents a division by zero.
+const MIN_SLOW_START_S: f64 = 1e-6;
 
-/// Work within the overload window above which a cold endpoint is overloaded, from what the settings allow in it:
-/// N + 2 * sqrt(N) + 2. The excess over N is for chance, and is counted over all forwarders together.
+/// Returns the work within the overload window above which a cold endpoint is overloaded: `allowed` plus a
+/// margin of `2 * sqrt(allowed) + 2` for random variation, over all forwarders together.
 pub fn overload_budget(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.max(0.0).sqrt() + 2.0
 }
 
-/// The state of one endpoint.
+/// True state of one endpoint.
 pub struct SimulatedEndpoint {
     pub(crate) plan: EndpointPlan,
-    /// What is left of its own limit.
+    /// Usage of the endpoint's own request limit.
     pub(crate) limit: RequestLimit,
     pub(crate) busy_workers: usize,
     pub(crate) queue: VecDeque<RequestIndex>,
     pub(crate) serving: Vec<RequestIndex>,
-    /// Accepted while it hangs.
+    /// Requests accepted while a fault makes the endpoint hang.
     pub(crate) hung_requests: Vec<RequestIndex>,
-    /// Responses that wait until it no longer hangs.
+    /// Requests whose responses are withheld while a fault makes the endpoint hang.
     pub(crate) hung_responses: Vec<RequestIndex>,
-    /// Faults that affect it now, by their place in the scenario.
+    /// Active faults, by index in the scenario.
     pub(crate) active_faults: Vec<usize>,
-    /// Outages among these, overload counted.
+    /// Number of active outages: faults that count as outages, and an overload.
     pub(crate) active_outages: u32,
-    /// End of its last outage.
+    /// End of the last outage.
     recovered_at: Option<Duration>,
-    /// All recoveries so far, each with what the endpoint was sent after it.
+    /// All recoveries so far, each with the worst load after it.
     pub(crate) recoveries: Vec<Recovery>,
     pub(crate) down_since: Option<Duration>,
     pub(crate) overloaded_until: Option<Duration>,
-    /// Replaced by another endpoint, or drained and removed: it refuses all connections.
+    /// Whether the endpoint was replaced, or drained and removed; all connections are refused then.
     pub(crate) removed: bool,
-    /// What it was sent in the overload window, while it is cold.
+    /// Work received in the overload window; kept while the endpoint is cold.
     recent_work: VecDeque<ReceivedWork>,
-    /// Raised when all connections are reset: requests and work of an earlier incarnation are void.
+    /// Incremented when all connections are reset; requests and work of an earlier incarnation are ignored.
     pub(crate) incarnation: u32,
-    /// Requests that were sent and have not arrived.
+    /// Number of requests that were sent and have not arrived yet.
     pub(crate) in_transit: u32,
-    /// Connections that it counts, idle ones among them.
+    /// Number of open connections, idle ones included.
     pub(crate) connections: u32,
-    /// Idle connections by forwarder, each with the time since when.
+    /// Idle connections by forwarder, each as the time since which it is idle.
     pub(crate) idle_connections: BTreeMap<ForwarderIndex, Vec<Duration>>,
 }
 
-/// What a cold endpoint was sent in the overload window.
+/// Work that a cold endpoint received in the current overload window, and the work allowed in it.
 pub(crate) struct WarmUpWindow<'a> {
     pub(crate) received: &'a VecDeque<ReceivedWork>,
-    /// Sum of it, in requests of one message.
+    /// Sum of the received work, in requests of one message.
     pub(crate) total: f64,
-    /// What the settings allow in that window, without what is left to chance.
+    /// Work that the settings allow in the window, without the margin for random variation.
     pub(crate) allowed: f64,
 }
 
-/// What a cold endpoint was sent when that overloaded it.
+/// Work that overloaded a cold endpoint.
 pub struct Overload {
-    /// The work in the window, oldest first.
+    /// Work received in the overload window, oldest first.
     pub received: Vec<ReceivedWork>,
-    /// [`overload_budget`] at that time.
+    /// Value of [`overload_budget`] at the time of the overload.
     pub budget: f64,
 }
 
 impl SimulatedEndpoint {
-    /// An endpoint that is up, warm and idle.
+    /// Creates an endpoint that is up, warm and idle.
     pub fn new(plan: EndpointPlan) -> SimulatedEndpoint {
         SimulatedEndpoint {
             limit: plan.limit.clone(),
@@ -102,18 +102,18 @@
         }
     }
 
-    /// Ends the outage: the endpoint is cold, and starts to warm up.
+    /// Records the end of an outage; the endpoint is cold and starts to warm up.
     pub fn recover(&mut self, now: Duration, cause: OutageCause) {
         self.recovered_at = Some(now);
         self.recoveries.push(Recovery::new(now, cause));
     }
 
-    /// Share of its capacity that it has now.
+    /// Returns the share of the capacity that the endpoint has now: 1 once it is warm.
     pub(crate) fn warmth(&self, now: Duration, settings: &RecoverySettings) -> f64 {
         let Some(recovered_at) = self.recovered_at else { return 1.0 };
         let floor = settings.slow_start_floor.get().max(MIN_WARMTH);
         let elapsed = now.saturating_sub(recovered_at).as_secs_f64();
-        let warmed = elapsed / settings.slow_start_duration.seconds().max(MIN_SLOW_START);
+        let warmed = elapsed / settings.slow_start_duration.seconds().max(MIN_SLOW_START_S);
         (floor + (1.0 - floor) * warmed).min(1.0)
     }
 
@@ -125,18 +125,19 @@
         self.active_outages > 0
     }
 
-    /// Requests that it has accepted and not finished, or that are on their way to it.
+    /// Returns the number of requests in transit, queued and in service.
     pub(crate) fn unfinished_requests(&self) -> usize {
         self.busy_workers + self.queue.len() + self.in_transit as usize
     }
 
-    /// Work that the settings allow within the overload window, as warm as it is now.
+    /// Returns the work that the settings allow within the overload window at the current warmth.
     fn allowed_work(&self, now: Duration, settings: &RecoverySettings) -> f64 {
         let window = settings.overload_window.seconds();
         settings.overload_multiple.get() * self.warmth(now, settings) * self.plan.capacity_per_s * window
     }
 
-    /// Work that the settings still allow now.
+    /// Returns the work that the settings allow in addition to that in the overload window; unlimited once
+    /// warm.
     pub(crate) fn remaining_allowance(&self, now: Duration, settings: &RecoverySettings) -> f64 {
         if self.warmth(now, settings) >= 1.0 {
             return f64::MAX;
@@ -146,7 +147,7 @@
         self.allowed_work(now, settings) - ReceivedWork::total(in_window)
     }
 
-    /// What it was sent in the overload window, with what is allowed in it now; absent once it is warm.
+    /// Returns the received and the allowed work of the overload window; `None` once the endpoint is warm.
     pub(crate) fn warm_up_window(
         &self,
         now: Duration,
@@ -160,7 +161,8 @@
         Some(WarmUpWindow { received: &self.recent_work, total, allowed })
     }
 
-    /// Work has reached it. While it is cold, more than a multiple of what it can do within a window overloads it.
+    /// Records received work. Returns the overload if the endpoint is cold and the work in the overload
+    /// window exceeds the [budget](overload_budget).
     #[must_use = "an endpoint that is overloaded goes down"]
     pub fn receive_work(
         &mut self,
@@ -185,7 +187,7 @@
         Some(Overload { received: self.recent_work.drain(..).collect(), budget })
     }
 
-    /// All connections are reset; names the requests that were queued, served or hung.
+    /// Resets all connections; returns the requests that were queued, in service or hanging.
     #[must_use = "the senders of these requests see the reset"]
     pub(crate) fn reset_connections(&mut self) -> Vec<RequestIndex> {
         self.incarnation += 1;
@@ -199,7 +201,7 @@
         requests
     }
 
-    /// Closes connections that have been idle since before this time.
+    /// Closes connections that have been idle since before `since`.
     pub(crate) fn close_idle_before(&mut self, since: Duration) {
         let mut closed = 0;
         self.idle_connections.retain(|_, times| {
@@ -223,10 +225,10 @@
     }
 }
 
-/// A destination's state beside its endpoints'.
+/// True state of a destination.
 pub(crate) struct SimulatedDestination {
-    /// What is left of the limit that its endpoints share.
+    /// Usage of the request limit that the endpoints share.
     pub(crate) limit: RequestLimit,
-    /// Its endpoints, those that replaced others among them.
+    /// Endpoints of the destination, replacements included.
     pub(crate) endpoints: Vec<EndpointIndex>,
 }
