--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -17,8 +17,7 @@
     /// Share of all destinations, which are drawn at random; `None` if `destinations` names them.
     #[serde(rename = "share", skip_serializing_if = "Option::is_none")]
     pub destination_share: Option<Share>,
-    /// Share of the endpoints of each selected destination, one endpoint at least; `None` selects all of
-    /// them.
+    /// Share of each selected destination's endpoints, one endpoint at least; `None` for all endpoints.
     #[serde(rename = "targets", skip_serializing_if = "Option::is_none")]
     pub endpoint_share: Option<Share>,
 }
@@ -131,8 +130,7 @@
         /// Share of responses that are lost.
         share: Share,
     },
-    /// Endpoints are replaced by others at the same address; the endpoint list shows the change with its
-    /// delay.
+    /// Endpoints are replaced by others at the same address; the endpoint list shows the change later.
     #[serde(rename = "replaced")]
     Replaced {
         /// Endpoints that the fault affects.
--- a/crates/simulation/src/layout/draw.rs
+++ b/crates/simulation/src/layout/draw.rs
@@ -130,8 +130,7 @@
     }
 }
 
-/// Assigns the kinds to random ranks of the skew, and returns the destinations by traffic weight, the largest
-/// first.
+/// Assigns kinds to random ranks of the skew, and sorts the destinations by descending traffic weight.
 fn rank_destinations(scenario: &Scenario, random: &mut RandomSource) -> Vec<RankedDestination> {
     let mut kinds: Vec<usize> = Vec::new();
     for (index, kind) in scenario.kinds.iter().enumerate() {
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -1,12 +1,10 @@
-//! Request limits of destinations and endpoints, over all forwarders: a token bucket, or a count in fixed
-//! windows.
+//! Request limits of destinations and endpoints over all forwarders: token bucket or fixed windows.
 
 use std::time::Duration;
 
 /// Burst size of a token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 0.5;
-/// Maximum debt that rejected requests can cause, in windows or bursts; limits how long a destination stays
-/// blocked.
+/// Maximum debt from rejected requests, in windows or bursts; limits how long a destination is blocked.
 const MAX_DEBT: f64 = 2.0;
 
 /// A request limit and its current usage. Times are since the start of the run.
@@ -27,8 +25,7 @@
         RequestLimit::TokenBucket(TokenBucket { per_s, burst, tokens: burst, refilled_at: Duration::ZERO })
     }
 
-    /// Creates a limit of fixed windows that admits `per_s` requests a second in the mean, one a window at
-    /// least.
+    /// Creates fixed windows that admit `per_s` requests a second in the mean, one in a window at least.
     pub fn fixed_window(per_s: f64, window: Duration) -> RequestLimit {
         let count = (per_s * window.as_secs_f64()).round().max(1.0);
         RequestLimit::FixedWindow(FixedWindow {
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -1,6 +1,5 @@
 //! Observations of a run that need the true state: the load of cold endpoints after each recovery, and the
-//! traffic to endpoints that were down. They are kept apart from the [`Report`], whose format stays
-//! unchanged.
+//! traffic to endpoints that were down. The [`Report`] does not contain these observations.
 
 use std::time::Duration;
 
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -33,7 +33,7 @@
     ordering_key: Option<OrderingKey>,
 }
 
-/// An endpoint that an endpoint list has named.
+/// An endpoint that the endpoint list has named at least once; removed endpoints included.
 struct KnownEndpoint {
     destination: DestinationId,
     state: EndpointState,
@@ -51,8 +51,7 @@
     messages: BTreeMap<MessageNumber, PendingMessage>,
     numbers: BTreeMap<MessageId, MessageNumber>,
     detached: BTreeMap<AttemptId, DetachedAttempt>,
-    /// Messages without an attempt in flight, in the order in which they were submitted or queued for a
-    /// retry.
+    /// Messages without an attempt in flight, in the order in which they were queued.
     queue: VecDeque<MessageNumber>,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
--- a/crates/simulation/src/policies/baseline_ordering.rs
+++ b/crates/simulation/src/policies/baseline_ordering.rs
@@ -46,8 +46,7 @@
         self.holds.retain(|_, hold| hold.until > now);
     }
 
-    /// Returns whether a message is the first in the queue of its key, and no hold for another message blocks
-    /// it.
+    /// Returns whether a message is the first of its key, and the key is not held for another message.
     pub(super) fn allows(&self, key: OrderingKey, message: MessageNumber, now: Duration) -> bool {
         let first = self.queues.get(&key).and_then(|queue| queue.front());
         let hold = self.holds.get(&key);
--- a/crates/simulation/src/policies/baseline_policy.rs
+++ b/crates/simulation/src/policies/baseline_policy.rs
@@ -18,7 +18,7 @@
 
 /// Maximum number of attempts for a message with the default retries.
 const MAX_ATTEMPTS: u32 = 5;
-/// Maximum backoff before the first retry.
+/// Maximum delay of the first retry; each further retry doubles the maximum.
 const FIRST_BACKOFF_S: f64 = 0.1;
 const MAX_BACKOFF_S: f64 = 5.0;
 const MAX_DOUBLINGS: u32 = 10;
--- a/crates/simulation/src/policies/baselines.rs
+++ b/crates/simulation/src/policies/baselines.rs
@@ -1,5 +1,4 @@
-//! Baselines: one attempt, retries with backoff, circuit breakers, and an upper bound that uses the true
-//! state.
+//! Baselines: one attempt, retries with backoff, circuit breakers, and an upper bound by the true state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/simulation/src/policies/built_in.rs
+++ b/crates/simulation/src/policies/built_in.rs
@@ -20,8 +20,7 @@
     ExponentialBackoff,
     /// Round robin with a circuit breaker for each endpoint, and retries with backoff.
     RoundRobinBreaker,
-    /// Sends by the true state of all destinations. Estimates the best possible result, but is not a proven
-    /// bound.
+    /// Selects endpoints by their true state. Estimates the best possible result, without proof of a bound.
     UpperBound,
 }
 
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -57,8 +57,7 @@
     pub class: String,
     /// Name of the tenant that submits the message.
     pub tenant: String,
-    /// Ordering key; messages with the same key are delivered one after the other. `None` if order doesn't
-    /// matter.
+    /// Ordering key; messages of one key are delivered one after the other. `None` for no order.
     pub ordering_key: Option<OrderingKey>,
     /// Deadline of the final answer, since the start of the run.
     pub deadline: Duration,
@@ -86,8 +85,7 @@
     fn update_endpoint_list(&mut self, now: Duration, update: &EndpointListUpdate, host: &mut dyn PolicyHost);
     /// Accepts a submitted message.
     fn submit(&mut self, now: Duration, submission: &Submission, host: &mut dyn PolicyHost);
-    /// Restores the earlier attempts of a pending message after a restart. [`submit`](Policy::submit) is
-    /// called first.
+    /// Restores the earlier attempts of a pending message after a restart, after [`submit`](Policy::submit).
     fn restore(
         &mut self,
         now: Duration,
--- a/crates/simulation/src/random_streams.rs
+++ b/crates/simulation/src/random_streams.rs
@@ -35,8 +35,7 @@
         RandomSource::seed_from_u64(seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(self.number()))
     }
 
-    /// Returns the number of the stream. The numbers must not change, as recordings and results depend on
-    /// them.
+    /// Returns the stream's number, which must not change because recordings and results depend on it.
     fn number(self) -> u64 {
         match self {
             RandomStream::Layout => 1,
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -131,8 +131,7 @@
     pub seconds: Vec<Load>,
 }
 
-/// Rounds a result to six decimals, because further digits differ between platforms. Returns 0 if it is not
-/// finite.
+/// Rounds to six decimals, as further digits differ between platforms; 0 if the value is not finite.
 pub fn rounded(value: f64) -> f64 {
     if value.is_finite() {
         (value * 1e6).round() / 1e6
--- a/crates/simulation/src/rule.rs
+++ b/crates/simulation/src/rule.rs
@@ -8,8 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// The policy uses the host's interface as documented: no command names a message that the forwarder
-    /// doesn't have.
+    /// The host's interface is used as documented: commands name only messages that the forwarder has.
     Interface,
     /// Each message gets exactly one final answer, by its deadline.
     OneAnswer,
--- a/crates/simulation/src/scenario/messages.rs
+++ b/crates/simulation/src/scenario/messages.rs
@@ -13,7 +13,7 @@
 
 /// A message class: idempotency, latency objective, deadline, priority weight and work of its messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "a table of a category")]
+#[serde(deny_unknown_fields, expecting = "a table of a message class")]
 pub struct ClassSpec {
     /// Name of the class in settings, reports and faults.
     pub name: String,
@@ -46,8 +46,7 @@
 }
 
 impl ClassSpec {
-    /// Returns the share of the priority weight that a message earns with this latency since its first
-    /// submission.
+    /// Returns the share of the priority weight that a message with this latency earns.
     pub fn earned_part(&self, latency: Duration) -> f64 {
         let (objective, deadline) = (self.latency_objective.seconds(), self.deadline.seconds());
         let latency = latency.as_secs_f64();
@@ -75,8 +74,7 @@
     /// A repeated attempt has no further effect.
     #[serde(rename = "pure")]
     Idempotent,
-    /// Every endpoint of the destination recognizes repeated attempts by their idempotency key within this
-    /// window.
+    /// All endpoints of the destination recognize repeats by the idempotency key within this window.
     #[serde(rename = "receipted")]
     WithKey(Span),
     /// A repeated attempt takes effect again.
@@ -111,7 +109,7 @@
 
 /// A client program, which is one tenant of the forwarders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "a table of a program")]
+#[serde(deny_unknown_fields, expecting = "a table of a client program")]
 pub struct Program {
     /// Name of the program, which is its tenant name.
     pub name: String,
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -63,7 +63,7 @@
 
 /// Result of a search for scenarios in which the delivery policy does badly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "a table of what a search found")]
+#[serde(deny_unknown_fields, expecting = "a table with the result of a search")]
 pub struct SearchFinding {
     /// Seed of the run.
     pub seed: u64,
@@ -84,7 +84,7 @@
 
 /// A fault and the time at which it is active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "a table of a trouble and its times")]
+#[serde(deny_unknown_fields, expecting = "a table with a fault, its start and its duration")]
 pub struct ScheduledFault {
     /// Start of the fault, since the start of the run.
     #[serde(rename = "at_s")]
--- a/crates/simulation/src/scenario/settings.rs
+++ b/crates/simulation/src/scenario/settings.rs
@@ -52,8 +52,7 @@
         }
     }
 
-    /// Returns the decay for all classes, as a forwarder has only one setting: the steeper one if classes
-    /// differ.
+    /// Returns the decay for all classes, the steeper one if they differ: a forwarder has a single setting.
     fn late_decay(&self) -> LateDecay {
         if self.classes.iter().any(|class| class.late_decay == ClassDecay::Exponential) {
             LateDecay::Exponential
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -12,8 +12,7 @@
 /// Maximum number of sections with the same header.
 const MAX_SECTIONS: usize = 1000;
 
-/// A place in the scenario file: the text with which its first line begins, and its index among all such
-/// lines.
+/// A place in the scenario file: how its first line begins, and the index among all such lines.
 #[derive(Clone, Copy)]
 pub(super) struct Section {
     header: &'static str,
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -39,8 +39,7 @@
     /// Share of the traffic that is distributed unevenly over forwarders; with 0 all get the same traffic.
     #[serde(rename = "uneven", default)]
     pub unevenness: Share,
-    /// Grace period: time after the change in the endpoint list within which attempts may go to a draining
-    /// endpoint.
+    /// Time after an endpoint is listed as draining within which attempts may still go to the endpoint.
     #[serde(rename = "drain_grace_s", default = "defaults::drain_grace")]
     pub drain_grace: Span,
     /// Time for which an ordering key is held back after an attempt that may still be running.
@@ -55,8 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "a table of the traffic")]
 pub struct Traffic {
-    /// Baseline rate of new messages a second of all programs, for which the capacities of destinations are
-    /// drawn.
+    /// Baseline rate of new messages a second, of all programs; destinations are sized for this rate.
     #[serde(rename = "usual_per_s")]
     pub baseline_per_s: Amount,
     /// Ratio of the run's traffic to the baseline.
@@ -167,7 +165,7 @@
 
 /// Gossip between forwarders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "a table of the notes between forwarders")]
+#[serde(deny_unknown_fields, default, expecting = "a table of the gossip settings")]
 pub struct GossipSettings {
     /// Whether forwarders may send gossip.
     pub allowed: bool,
@@ -186,7 +184,7 @@
 
 /// Slow start of endpoints after an outage, and their overload while they are cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "a table of returning destinations")]
+#[serde(deny_unknown_fields, default, expecting = "a table of the recovery settings")]
 pub struct RecoverySettings {
     /// Share of its capacity that an endpoint has at the end of an outage.
     #[serde(rename = "cold_from")]
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,5 +1,4 @@
-//! Queue of scheduled events, in order of time. Events of the same time are taken in the order in which they
-//! were scheduled.
+//! Queue of scheduled events in order of time. Events of the same time keep the order of scheduling.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -136,8 +136,7 @@
         settings.overload_multiple.get() * self.warmth(now, settings) * self.plan.capacity_per_s * window
     }
 
-    /// Returns the work that the settings allow in addition to that in the overload window; unlimited once
-    /// warm.
+    /// Returns the work that the settings still allow in the overload window; [`f64::MAX`] once warm.
     pub(crate) fn remaining_allowance(&self, now: Duration, settings: &RecoverySettings) -> f64 {
         if self.warmth(now, settings) >= 1.0 {
             return f64::MAX;
