--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -47,7 +47,7 @@
 
 /// Runs a scenario under the policy that `factory` creates; the report gives `name` as the policy's name.
 pub fn run_with(scenario: &Scenario, seed: u64, name: &str, factory: &policy::PolicyFactory) -> Report {
-    world::World::new(scenario, seed, name, factory).play()
+    world::World::new(scenario, seed, name, factory).run()
 }
 
 /// Runs a scenario as [`run_with`] does, and returns the report together with what was
@@ -58,5 +58,5 @@
     name: &str,
     factory: &policy::PolicyFactory,
 ) -> observed::ObservedRun {
-    world::World::new(scenario, seed, name, factory).play_observed()
+    world::World::new(scenario, seed, name, factory).run_observed()
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use crate::account::LatencyStep;
-use crate::account::{AttemptCounts, Ends, Load, Second};
+use crate::account::{AttemptCounts, DestinationLoad, MessageOutcomes, SecondCounts};
 use crate::invariants::Violation;
 
 /// Length of the period over which [`Report::credit_worst_span`] is computed, in seconds.
@@ -54,7 +54,7 @@
     /// Credit of the destinations that lost most, the worst first.
     pub destinations: Vec<GroupCredit>,
     /// Number of messages by how they ended.
-    pub ends: Ends,
+    pub ends: MessageOutcomes,
     /// Number of attempts by how they ended.
     #[serde(rename = "dispatches")]
     pub attempts: AttemptCounts,
@@ -85,7 +85,7 @@
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
     /// Counts for each second of the run.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondCounts>,
     /// Load of the destinations with the most traffic.
     #[serde(rename = "watched")]
     pub watched_destinations: Vec<WatchedDestination>,
@@ -128,7 +128,7 @@
     /// Rate limit in requests a second; `None` if only the capacity limits the destination.
     pub limit: Option<f64>,
     /// Load in each second of the run.
-    pub seconds: Vec<Load>,
+    pub seconds: Vec<DestinationLoad>,
 }
 
 /// Rounds to six decimals, as further digits differ between platforms; 0 if the value is not finite.
