--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! # Guarantees
 //!
-//! - A run is a function of scenario, seed and policy: the same three give the same report, byte for byte. A
-//!   run reads no clock, opens no file and starts no thread.
+//! - A run is a function of scenario, seed and policy: the same three give the same report, byte for byte, on
+//!   any number of threads. A run reads no clock, opens no file and starts no thread.
 //! - Arrivals, work and faults are drawn from random streams that no policy decision changes, so that two
 //!   policies get the same arrivals and faults.
 //! - Policies see only what a forwarder sees. [`policies::BuiltInPolicy::UpperBound`] alone reads the true
