--- a/crates/experiments/src/arguments.rs
+++ b/crates/experiments/src/arguments.rs
@@ -7,10 +7,10 @@
 /// Why a value of the command line was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ArgumentError {
-    /// A policy that does not exist.
-    #[error("no policy \"{0}\": expected {known}", known = known_policies())]
+    /// No built-in policy has this name.
+    #[error("unknown policy \"{0}\": expected {known}", known = known_policies())]
     UnknownPolicy(String),
-    /// An override that is not of the form `KEY=VALUE,VALUE`, or has an empty part.
+    /// The override is not of the form `KEY=VALUE,VALUE`, or its key or a value is empty.
     #[error("expected KEY=VALUE,VALUE")]
     MalformedOverride,
 }
@@ -19,12 +19,12 @@
     BuiltInPolicy::ALL.map(BuiltInPolicy::name).join(", ")
 }
 
-/// Policies to run, in the order of the command line; text form: names joined by commas.
+/// Policies to run, in the order of the command line. Parsed from names separated by commas.
 #[derive(Clone, Debug)]
 pub struct PolicyList(Vec<BuiltInPolicy>);
 
 impl PolicyList {
-    /// The policies, in order; at least one.
+    /// Returns the policies in order; there is at least one.
     pub fn as_slice(&self) -> &[BuiltInPolicy] {
         &self.0
     }
@@ -42,12 +42,13 @@
     }
 }
 
-/// A key of a scenario and the values to put there, each in a run of its own; text form: `KEY=VALUE,VALUE`.
+/// A key of a scenario and the values that replace its value, each in separate runs. Parsed from
+/// `KEY=VALUE,VALUE`.
 #[derive(Clone, Debug)]
 pub struct ScenarioOverride {
-    /// A path of keys and positions joined by dots, such as `kind.1.batch`.
+    /// Path of keys and list positions separated by dots, such as `kind.1.batch`.
     pub key: String,
-    /// Values in TOML; at least one, none of them empty.
+    /// Values in TOML syntax; there is at least one, and none is empty.
     pub values: Vec<String>,
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// Splits at commas, except those inside a list or table of TOML.
+/// Splits a text at commas, except those inside a TOML list or table.
 fn split_values(text: &str) -> Vec<String> {
     let mut values = Vec::new();
     let mut value = String::new();
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of an experiment.
+//! Errors of experiments.
 
 use std::fmt;
 use std::io;
@@ -9,7 +9,7 @@
 
 use crate::limits::{MAX_RECORDINGS, MAX_RUNS, MAX_SEARCH_MINUTES};
 
-/// Why an experiment could not be carried out. Each message says where the fault lies and what was expected.
+/// Why an experiment could not be carried out. Each message names the file or option and what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// A scenario file can't be read or does not hold a valid scenario.
@@ -20,16 +20,16 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What was tried with it.
+        /// The operation that failed.
         action: FileAction,
-        /// The answer of the operating system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An experiment of no runs, or of more than one process should take on.
-    #[error("{0} runs: expected 1 seed or more, and {MAX_RUNS} runs at most")]
+    /// The experiment has no runs, or more than one command may have.
+    #[error("{0} runs: expected 1 seed or more, and at most {MAX_RUNS} runs")]
     RunCount(u64),
-    /// A number of seeds or event streams for which no recordings are made.
-    #[error("{option} {count}: expected 1 or more, and {MAX_RECORDINGS} recordings at most")]
+    /// The number of seeds or event streams to record is 0 or too large.
+    #[error("{option} {count}: expected 1 or more, and at most {MAX_RECORDINGS} recordings")]
     RecordingCount {
         /// The option on the command line.
         option: &'static str,
@@ -43,81 +43,81 @@
         option: &'static str,
         /// Its value.
         value: f64,
-        /// The least value that is accepted.
+        /// The minimum accepted value.
         low: f64,
-        /// The greatest value that is accepted.
+        /// The maximum accepted value.
         high: f64,
     },
-    /// A search of no time, or of more than [`crate::MAX_SEARCH_MINUTES`].
-    #[error("--minutes is {minutes}: expected over 0, {MAX_SEARCH_MINUTES} at most")]
+    /// The duration of a search is not over 0, or is more than [`crate::MAX_SEARCH_MINUTES`].
+    #[error("--minutes is {minutes}: expected more than 0 and at most {MAX_SEARCH_MINUTES}")]
     SearchDuration {
         /// The duration on the command line, in minutes.
         minutes: f64,
     },
-    /// `--threads 0`.
+    /// The option `--threads` is 0.
     #[error("--threads is 0: expected 1 or more")]
     NoThreads,
-    /// The threads of the runner can't be started.
+    /// The runner's thread pool can't be started.
     #[error("{}", one_line(.0))]
     ThreadPool(#[from] rayon::ThreadPoolBuildError),
-    /// `record` without anything to record.
+    /// The command `record` got no scenarios, streams or folders to compare.
     #[error("nothing to record: expected scenarios, --streams COUNT or --compare A B")]
     NothingToRecord,
-    /// Two scenarios whose recordings would have the same name.
+    /// Two scenario files have the same name, so that their recordings would too.
     #[error("{}: named twice: expected scenarios of different names", .0.display())]
     DuplicateScenario(PathBuf),
-    /// Two folders of recordings can't be compared.
+    /// A folder of recordings can't be read or compared.
     #[error("{}", one_line(.0))]
     RecordingComparison(#[from] CompareError),
-    /// `replay` of a scenario that no search has written.
+    /// The scenario to replay was not written by a search.
     #[error("{}: holds no [found] with a seed: expected a file that a search wrote", .0.display())]
     NoFinding(PathBuf),
-    /// `report` on a folder without results.
+    /// The folder for `report` has no result files.
     #[error("{}: holds no results: expected files that --out wrote", .0.display())]
     NoResults(PathBuf),
-    /// A file beside the results that is not one.
-    #[error("{}: is no result of this laboratory: {source}", .path.display())]
+    /// A JSON file in a folder of results does not hold a result.
+    #[error("{}: not an experiment result: {source}", .path.display())]
     MalformedResult {
         /// The file.
         path: PathBuf,
-        /// What the JSON reader expected.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
     /// A result can't be written as JSON.
     #[error("{}", one_line(.0))]
     Json(#[from] serde_json::Error),
-    /// A plot can't be drawn; the text is that of the plotting library.
+    /// A plot can't be drawn; holds the message of the plotting library.
     #[error("{}", one_line(.0))]
     Plot(String),
 }
 
 impl ExperimentError {
-    /// A fault of the file system at this path, for `Result::map_err`.
+    /// Returns a conversion of an I/O error at this path, for `Result::map_err`.
     pub(crate) fn file(path: &Path, action: FileAction) -> impl FnOnce(io::Error) -> ExperimentError + '_ {
         move |source| ExperimentError::File { path: path.to_owned(), action, source }
     }
 
-    /// A fault of the plotting library, whose error types differ by call.
-    pub(crate) fn plot(fault: impl fmt::Display) -> ExperimentError {
-        ExperimentError::Plot(fault.to_string())
+    /// Converts an error of the plotting library, whose error types differ by call.
+    pub(crate) fn plot(error: impl fmt::Display) -> ExperimentError {
+        ExperimentError::Plot(error.to_string())
     }
 }
 
-/// What was tried with a file or folder that failed.
+/// The operation on a file or folder that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileAction {
-    /// It was to be read.
+    /// Reading the file or folder.
     Read,
-    /// It was to be created.
+    /// Creating the file or folder.
     Create,
-    /// It was to be written, after it had been created.
+    /// Writing to the file after its creation.
     Write,
-    /// Anything else; the answer of the operating system says enough.
+    /// Any other operation; the message consists of the path and the error of the operating system.
     Access,
 }
 
 impl fmt::Display for FileAction {
-    /// The part of the message between the path and the answer of the operating system.
+    /// Writes the part of the message between the path and the error of the operating system.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             FileAction::Read => "cannot be read: ",
@@ -128,7 +128,7 @@
     }
 }
 
-/// The text of another library's error, which may run over several lines, on one line.
-fn one_line(fault: &impl fmt::Display) -> String {
-    fault.to_string().trim().replace('\n', "; ")
+/// Returns an error's message with its line breaks replaced by `; `.
+fn one_line(error: &impl fmt::Display) -> String {
+    error.to_string().trim().replace('\n', "; ")
 }
--- a/crates/experiments/src/html_report.rs
+++ b/crates/experiments/src/html_report.rs
@@ -1,4 +1,4 @@
-//! One HTML page with tables and plots of the results in a folder.
+//! An HTML page with tables and plots of the results in a folder.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
     table{border-collapse:collapse;margin:1rem 0}td,th{padding:.2rem .6rem;text-align:right;\
     border-bottom:1px solid #ddd}figure{margin:1rem 0}svg{max-width:100%;height:auto}";
 
-/// A result on the page.
+/// One result on the page.
 struct Section {
     title: String,
     table: Markup,
@@ -37,8 +37,8 @@
                     plots: run_plots(reports)?,
                 }
             }
-            ExperimentResult::Comparison { scenario, rows, first_days } => {
-                Section { title: scenario.clone(), table: summary_table(rows), plots: run_plots(first_days)? }
+            ExperimentResult::Comparison { scenario, rows, first_runs } => {
+                Section { title: scenario.clone(), table: summary_table(rows), plots: run_plots(first_runs)? }
             }
             ExperimentResult::Sweep { scenario, keys, rows } => {
                 let plot = sweep_plot(keys, rows)?;
@@ -55,7 +55,7 @@
                 plots: run_plots(std::slice::from_ref(report.as_ref()))?,
             },
             ExperimentResult::Search { scenarios, found, .. } => Section {
-                title: format!("search over {scenarios} scenarios"),
+                title: format!("search of {scenarios} random scenarios"),
                 table: findings_table(found),
                 plots: Vec::new(),
             },
@@ -74,9 +74,9 @@
     }
 }
 
-/// A row of a table of summaries.
+/// A row of a table of policy summaries.
 struct SummaryRow<'a> {
-    /// One value for each key of the table.
+    /// One value for each overridden key; empty outside sweeps.
     values: &'a [String],
     summary: &'a PolicySummary,
 }
@@ -96,13 +96,13 @@
     table_with_values(&[], &rows)
 }
 
-/// A table of summaries, each after its values of these keys.
+/// Returns a table of policy summaries, each with its values of these keys in the first columns.
 fn table_with_values(keys: &[String], rows: &[SummaryRow]) -> Markup {
     html! {
         table {
             tr {
                 @for key in keys { th { (key) } }
-                @for head in summary_header() { th { (head) } }
+                @for heading in summary_header() { th { (heading) } }
             }
             @for row in rows {
                 tr {
@@ -114,12 +114,12 @@
     }
 }
 
-/// The columns of a policy over several days.
+/// Returns the headings of a policy's results over several runs.
 fn summary_header() -> Vec<&'static str> {
-    [&CREDIT_HEADER[..], &["least"], &COST_HEADER, &["rules broken"]].concat()
+    [&CREDIT_HEADER[..], &["minimum"], &COST_HEADER, &["violations"]].concat()
 }
 
-/// The cells under [`summary_header`].
+/// Returns the cells under [`summary_header`].
 fn summary_cells(summary: &PolicySummary) -> Vec<String> {
     let mut cells = credit_cells(summary).to_vec();
     cells.push(credit_cell(summary.metrics.credit.minimum));
@@ -132,8 +132,8 @@
     html! {
         table {
             tr {
-                @for head in FINDING_HEADER { th { (head) } }
-                th { "what" }
+                @for heading in FINDING_HEADER { th { (heading) } }
+                th { "finding" }
             }
             @for finding in findings {
                 tr {
@@ -145,7 +145,7 @@
     }
 }
 
-/// The JSON files of a folder, by name.
+/// Returns the JSON files of a folder in the order of their names.
 fn result_files(folder: &Path) -> Result<Vec<PathBuf>, ExperimentError> {
     let entries = fs::read_dir(folder).map_err(ExperimentError::file(folder, FileAction::Access))?;
     let mut files: Vec<PathBuf> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
@@ -169,23 +169,23 @@
         html lang="en" {
             head {
                 meta charset="utf-8";
-                title { "reeddock laboratory" }
+                title { "reeddock experiments" }
                 style { (STYLE) }
             }
             body {
-                h1 { "Laboratory" }
-                p { "All figures are emulated: from simulated time, not from sockets." }
+                h1 { "Experiments" }
+                p { "All results are emulated: they come from simulated time, not from real sockets." }
                 @for section in sections { (section) }
             }
         }
     }
 }
 
-/// Writes a page of all results in a folder, and gives the number of plots on it.
+/// Writes a page of all results in a folder and returns the number of plots on the page.
 ///
 /// # Errors
 ///
-/// A folder without results, a file that is not a result, or a page that can't be written.
+/// Returns an error if the folder holds no results, a file is not a result, or the page can't be written.
 pub fn write_html_report(folder: &Path, page_file: &Path) -> Result<usize, ExperimentError> {
     let mut sections = Vec::new();
     let mut plot_count = 0;
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,8 +1,8 @@
 //! Experiments on the simulation of a fleet of forwarders: single runs, comparisons of policies, parameter
 //! sweeps, a random search for faults, and studies of single questions.
 //!
-//! Runs are spread over all cores; results do not depend on how many those are. All results are of simulated time.
-//! `docs/experiments.md` shows a whole experiment.
+//! Runs are spread over all cores; results do not depend on the number of threads. All results are in
+//! simulated time, none from real sockets.
 
 mod arguments;
 mod error;
--- a/crates/experiments/src/limits.rs
+++ b/crates/experiments/src/limits.rs
@@ -1,8 +1,8 @@
-//! How much one command takes on at most.
+//! Limits on the work of one command.
 
-/// Runs of one experiment at most: more would take days, and their reports the memory of the machine.
+/// Maximum number of runs of one experiment. Prevents reports from exhausting the memory of the machine.
 pub(crate) const MAX_RUNS: u64 = 100_000;
-/// Recordings that one command makes at most: each is a file.
+/// Maximum number of recordings that one command makes, each of which is a file.
 pub(crate) const MAX_RECORDINGS: u64 = 10_000;
-/// The longest search, in minutes: a day.
+/// Maximum duration of a search, in minutes; one day.
 pub const MAX_SEARCH_MINUTES: f64 = 24.0 * 60.0;
--- a/crates/experiments/src/line_plot.rs
+++ b/crates/experiments/src/line_plot.rs
@@ -6,11 +6,11 @@
 use crate::error::ExperimentError;
 
 /// Width and height of a plot, in pixels.
-const SIZE: (u32, u32) = (860, 320);
-/// Height of the vertical axis, as a multiple of the highest point.
+const SIZE_PIXELS: (u32, u32) = (860, 320);
+/// Upper end of the vertical axis, as a multiple of the maximum value.
 const AXIS_HEADROOM: f64 = 1.05;
 /// Length of a line in the legend, in pixels.
-const LEGEND_LINE_LENGTH: i32 = 16;
+const LEGEND_LINE_PIXELS: i32 = 16;
 
 /// A point of a line, in the units of the axes.
 #[derive(Clone, Copy)]
@@ -21,12 +21,12 @@
 
 /// A line of a plot.
 pub(crate) struct Line {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub(crate) name: String,
     pub(crate) points: Vec<Point>,
 }
 
-/// A plot of several lines over a common axis; the other axis begins at 0.
+/// A plot of several lines over a common horizontal axis; the vertical axis begins at 0.
 pub(crate) struct LinePlot<'a> {
     pub(crate) title: &'a str,
     pub(crate) x_label: &'a str,
@@ -34,15 +34,14 @@
     pub(crate) lines: Vec<Line>,
 }
 
-/// The result of drawing with the plotting library.
 type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 impl LinePlot<'_> {
-    /// The plot as SVG text.
+    /// Returns the plot as SVG text.
     pub(crate) fn to_svg(&self) -> Result<String, ExperimentError> {
         let mut svg = String::new();
         {
-            let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+            let area = SVGBackend::with_string(&mut svg, SIZE_PIXELS).into_drawing_area();
             area.fill(&WHITE).map_err(ExperimentError::plot)?;
             self.draw(&area).map_err(ExperimentError::plot)?;
             area.present().map_err(ExperimentError::plot)?;
@@ -50,7 +49,7 @@
         Ok(svg)
     }
 
-    /// The ends of the horizontal axis.
+    /// Returns the ends of the horizontal axis; 0 to 1 if there are fewer than two distinct x values.
     fn x_range(&self) -> std::ops::Range<f64> {
         let x_values = || self.lines.iter().flat_map(|line| &line.points).map(|point| point.x);
         let left = x_values().fold(f64::INFINITY, f64::min);
@@ -62,7 +61,7 @@
         }
     }
 
-    /// The ends of the vertical axis.
+    /// Returns the ends of the vertical axis; 0 to 1 if no value is above 0.
     fn y_range(&self) -> std::ops::Range<f64> {
         let y_values = self.lines.iter().flat_map(|line| &line.points).map(|point| point.y);
         let top = y_values.fold(0.0, f64::max);
@@ -78,12 +77,12 @@
             .build_cartesian_2d(self.x_range(), self.y_range())?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc(self.x_label).y_desc(self.y_label).light_line_style(WHITE).draw()?;
-        for (number, line) in self.lines.iter().enumerate() {
-            let style = colour(number).stroke_width(2);
+        for (index, line) in self.lines.iter().enumerate() {
+            let style = colour(index).stroke_width(2);
             chart
                 .draw_series(LineSeries::new(line.points.iter().map(|point| (point.x, point.y)), style))?
                 .label(&line.name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_LENGTH, y)], style));
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_PIXELS, y)], style));
         }
         chart
             .configure_series_labels()
@@ -95,8 +94,8 @@
     }
 }
 
-/// The colour of a line, by its number in the plot.
-fn colour(number: usize) -> RGBColor {
+/// Returns the colour of a line by its position in the plot; colours repeat after the sixth.
+fn colour(index: usize) -> RGBColor {
     const COLOURS: [RGBColor; 6] = [
         RGBColor(31, 119, 180),
         RGBColor(214, 90, 20),
@@ -105,5 +104,5 @@
         RGBColor(120, 90, 170),
         RGBColor(90, 90, 90),
     ];
-    COLOURS[number % COLOURS.len()]
+    COLOURS[index % COLOURS.len()]
 }
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,7 +1,8 @@
-//! The program `reeddock-experiment`. All figures that it prints are emulated.
+//! The program `reeddock-experiment`, which prints results of simulated fleets.
 //!
-//! Exit codes: 0; 1 where an invariant was broken or recordings differ; 2 where the command line or a file was
-//! wrong. Doc comments on the structs of the command line are its help text.
+//! Exit codes: 0 on success; 1 if an invariant was broken, a saved scenario no longer shows its fault or
+//! recordings differ; 2 if the command line or a file is invalid. Doc comments on the structs of the command
+//! line are its help.
 
 mod study_arguments;
 
@@ -17,14 +18,14 @@
 };
 use reeddock_recorder::Form;
 
-/// Plays fleets of forwarders in simulated time and says what they earn, cost and break.
+/// Run experiments on fleets of forwarders in simulated time.
 #[derive(Parser)]
 #[command(name = "reeddock-experiment", version)]
 struct CommandLine {
-    /// Results as JSON, for machines; progress goes to standard error in any case.
+    /// Print results as JSON; progress goes to standard error.
     #[arg(long, global = true)]
     json: bool,
-    /// Threads for runs side by side; all cores where it is left out. Results do not depend on it.
+    /// Number of threads; one for each core by default. Results do not depend on it.
     #[arg(long, global = true, value_name = "N")]
     threads: Option<usize>,
     #[command(subcommand)]
@@ -33,58 +34,60 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play one scenario once.
+    /// Run a scenario once.
     Run {
         scenario: PathBuf,
         #[command(flatten)]
         run: RunArguments,
     },
-    /// Play one scenario under several policies, on the same days.
+    /// Run a scenario under several policies with the same seeds.
     Compare {
         scenario: PathBuf,
-        /// Names joined by commas: module, one-try, back-off, breaker, ceiling.
+        /// Names of policies, separated by commas: module, one-try, back-off, breaker, ceiling.
         #[arg(long, default_value = "module,one-try,back-off,breaker,ceiling")]
         policies: PolicyList,
         #[command(flatten)]
         repeated: RepeatedRunArguments,
     },
-    /// Play one scenario with values put in the place of those that it has.
+    /// Run a scenario with other values of some of its keys.
     Sweep {
         scenario: PathBuf,
-        /// A place in the scenario and the values to put there; may stand several times.
+        /// Key of the scenario and the values to run it with; may be repeated.
         #[arg(long = "set", value_name = "KEY=V1,V2", required = true)]
-        settings: Vec<ScenarioOverride>,
+        overrides: Vec<ScenarioOverride>,
         #[arg(long, default_value = "module")]
         policies: PolicyList,
         #[command(flatten)]
         repeated: RepeatedRunArguments,
     },
-    /// Draw scenarios and look for a broken rule, or for credit far under what the ceiling earns.
+    /// Search random scenarios for broken invariants and for credit far below the upper bound.
     Search {
         #[arg(long, default_value_t = 10.0)]
         minutes: f64,
-        /// Draws of one seed are the same; how many are reached depends on the machine.
+        /// Seed of the sequence of random scenarios; how many of them run depends on the machine.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Where what is found is put, each as a scenario that replays it.
+        /// Folder for the scenarios that show a fault; `replay` runs them again.
         #[arg(long, default_value = "found")]
         out: PathBuf,
-        /// So many of the widest distances are shrunk and kept, beside every broken rule.
-        #[arg(long, default_value_t = 5)]
-        keep: usize,
+        /// Number of scenarios to save for their credit gap, in addition to those with broken invariants.
+        #[arg(long = "keep", value_name = "COUNT", default_value_t = 5)]
+        max_credit_gap_findings: usize,
     },
-    /// Play what a search found, and say whether it is still seen.
+    /// Run a scenario that a search saved, and check whether it still shows its fault.
     Replay { file: PathBuf },
-    /// What a fleet sends to destinations that come back cold, against the budget over which they fall.
-    Ramp(study_arguments::RecoveryStudyArguments),
-    /// What forwarders that share nothing lose at destinations that are down, against ones that share.
-    Sharing(study_arguments::SharingStudyArguments),
-    /// Write down every call into the decision module and every request that it makes.
+    /// Measure the requests of a fleet to destinations in slow start after an outage.
+    #[command(name = "ramp")]
+    RecoveryStudy(study_arguments::RecoveryStudyArguments),
+    /// Compare fleets with and without shared knowledge of destinations that are down.
+    #[command(name = "sharing")]
+    SharingStudy(study_arguments::SharingStudyArguments),
+    /// Record every call into the delivery policy and every command that it gives.
     Record(RecordArguments),
-    /// One HTML page with plots of the results in a folder.
+    /// Write an HTML page with plots of the results in a folder.
     Report {
         folder: PathBuf,
-        /// The page; FOLDER/report.html where it is left out.
+        /// File for the page; FOLDER/report.html by default.
         #[arg(long)]
         to: Option<PathBuf>,
     },
@@ -96,41 +99,41 @@
     seed: u64,
     #[arg(long, default_value = "module")]
     policy: PolicyList,
-    /// Keep the result in this folder, for `report`.
+    /// Save the result in this folder, for `report`.
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct RepeatedRunArguments {
-    /// Days, each drawn by a seed of its own, from 1 up.
+    /// Number of runs of each policy, with seeds from 1 up.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
-    /// Keep the result in this folder, for `report`.
+    /// Save the result in this folder, for `report`.
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct RecordArguments {
-    /// Scenarios to play in the simulation under the delivery policy.
+    /// Scenarios to run under the delivery policy.
     scenarios: Vec<PathBuf>,
-    /// So many random event streams straight at the delivery policy, with seeds from --seed up.
+    /// Number of random event streams to run through the delivery policy, with seeds from --seed up.
     #[arg(long, value_name = "COUNT", conflicts_with = "scenarios")]
     streams: Option<u64>,
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Days of each scenario, with seeds from --seed up.
+    /// Number of runs of each scenario, with seeds from --seed up.
     #[arg(long, default_value_t = 1, conflicts_with = "streams")]
     seeds: u64,
-    /// Where recordings are put; none of the same name may be there.
+    /// Folder for the recordings; existing files are not overwritten.
     #[arg(long, value_name = "FOLDER", default_value = "recordings")]
     out: PathBuf,
-    /// Digests of every thousand lines of a forwarder in the place of the lines.
+    /// Write digests of every thousand lines of a forwarder instead of the lines.
     #[arg(long)]
     digest: bool,
-    /// Compare two folders of recordings; the exit code is 1 where they differ.
+    /// Compare two folders of recordings; the exit code is 1 if they differ.
     #[arg(long, num_args = 2, value_names = ["A", "B"], conflicts_with_all = ["scenarios", "streams", "seeds", "out", "digest"])]
     compare: Option<Vec<PathBuf>>,
 }
@@ -151,28 +154,28 @@
         match self {
             Command::Run { scenario, run } => {
                 let result = runner.run(&scenario, run.seed, &run.policy)?;
-                result.keep(run.out.as_deref())?;
+                result.save(run.out.as_deref())?;
                 result.print(format)
             }
             Command::Compare { scenario, policies, repeated } => {
                 let plan = ComparisonPlan { policies, seeds: repeated.seeds };
                 let result = runner.compare(&scenario, &plan)?;
-                result.keep(repeated.out.as_deref())?;
+                result.save(repeated.out.as_deref())?;
                 result.print(format)
             }
-            Command::Sweep { scenario, settings, policies, repeated } => {
-                let plan = SweepPlan { overrides: settings, policies, seeds: repeated.seeds };
+            Command::Sweep { scenario, overrides, policies, repeated } => {
+                let plan = SweepPlan { overrides, policies, seeds: repeated.seeds };
                 let result = runner.sweep(&scenario, &plan)?;
-                result.keep(repeated.out.as_deref())?;
+                result.save(repeated.out.as_deref())?;
                 result.print(format)
             }
-            Command::Search { minutes, seed, out, keep } => {
+            Command::Search { minutes, seed, out, max_credit_gap_findings } => {
                 let duration = search_duration(minutes)?;
-                runner.search(&SearchPlan { duration, seed, out, keep })?.print(format)
+                runner.search(&SearchPlan { duration, seed, out, max_credit_gap_findings })?.print(format)
             }
             Command::Replay { file } => runner.replay(&file)?.print(format),
-            Command::Ramp(arguments) => arguments.execute(runner, format),
-            Command::Sharing(arguments) => arguments.execute(runner, format),
+            Command::RecoveryStudy(arguments) => arguments.execute(runner, format),
+            Command::SharingStudy(arguments) => arguments.execute(runner, format),
             Command::Record(arguments) => arguments.execute(runner, format),
             Command::Report { folder, to } => {
                 let page = to.unwrap_or_else(|| folder.join("report.html"));
--- a/crates/experiments/src/output.rs
+++ b/crates/experiments/src/output.rs
@@ -1,4 +1,4 @@
-//! How results are printed to standard output: as text for people, or as JSON for machines.
+//! Output of results to standard output, as text or as JSON.
 
 use serde::Serialize;
 
@@ -7,14 +7,14 @@
 /// The form in which a result is printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// Text for people.
+    /// Readable text, mostly tables.
     Text,
     /// JSON on one line.
     Json,
 }
 
 impl OutputFormat {
-    /// Prints a result; its text ends with a line break.
+    /// Prints a result to standard output; `text` returns its readable form, with a line break at the end.
     pub(crate) fn print(
         self,
         result: &impl Serialize,
--- a/crates/experiments/src/random_scenario.rs
+++ b/crates/experiments/src/random_scenario.rs
@@ -1,9 +1,8 @@
-//! Random scenarios for the search: small enough that many are played in a minute, and varied enough to hold
-//! combinations that nobody wrote a scenario for.
+//! Random scenarios for the search, small enough that many run in a minute.
 //!
-//! The order of the random draws is part of the search's results: a file in `scenarios/found/` names the seed
-//! that it was drawn from. [`random_scenario`] therefore draws the parts in a fixed order, and the fields of
-//! each part in the order in which they are written here.
+//! The order of the random draws must not change, because files in `scenarios/found/` name the seed that they
+//! were generated from. [`random_scenario`] draws the parts in a fixed order, and the fields of each part in
+//! the order of their expressions in the source.
 
 use rand::{RngExt, SeedableRng};
 use reeddock_simulation::distribution::{
@@ -16,41 +15,40 @@
 };
 use reeddock_simulation::Scenario;
 
-/// Separates the random stream that draws a scenario from the one that plays it with the same seed.
+/// Separates the random stream that generates a scenario from the stream that runs it with the same seed.
 const SCENARIO_STREAM: u64 = 0x006c_6162;
 
-/// Random values of the types that a scenario is made of.
+/// Draws random parts of a scenario.
 struct ScenarioGenerator(RandomSource);
 
-/// What is drawn first and decides the size of the rest.
+/// Size of the fleet and its traffic; drawn first, because other parts depend on it.
 struct FleetSize {
     forwarders: u32,
-    /// How long the scenario lasts, in seconds.
-    duration: f64,
-    /// Messages a second to the whole fleet, for which destinations are built.
+    duration_s: f64,
+    /// Messages per second to the whole fleet, from which the capacity of destinations follows.
     baseline_per_s: f64,
 }
 
-/// The parts of a scenario that a fault may refer to.
+/// The parts of a scenario that a fault may name.
 struct NamedParts {
     classes: Vec<ClassSpec>,
     programs: Vec<Program>,
 }
 
-/// Uniform primitives.
+/// Random values.
 impl ScenarioGenerator {
-    /// A number in this range, of two decimals: people read the files that a search keeps.
+    /// Draws a number in this range, rounded to two decimals for readable scenario files.
     fn number(&mut self, low: f64, high: f64) -> f64 {
         let drawn = low + (high - low) * self.0.random::<f64>();
-        two_decimals(drawn)
+        round_to_hundredths(drawn)
     }
 
-    /// A whole number in this range, its ends included.
+    /// Draws a whole number in this range, including both ends.
     fn count(&mut self, low: u32, high: u32) -> u32 {
         self.0.random_range(low..=high)
     }
 
-    /// Draws whether something with this probability happens.
+    /// Returns true with this probability.
     fn chance(&mut self, probability: f64) -> bool {
         self.0.random::<f64>() < probability
     }
@@ -63,24 +61,24 @@
         Amount::clamped(self.number(low, high))
     }
 
-    /// A time span; its ends in seconds.
+    /// Draws a time span; `low` and `high` are in seconds.
     fn span(&mut self, low: f64, high: f64) -> Span {
         Span::clamped(self.number(low, high))
     }
 
-    /// A uniform distribution over a part of this range.
+    /// Returns a uniform distribution over a random part of this range.
     fn uniform(&mut self, low: f64, high: f64) -> Distribution {
-        let (one_end, other_end) = (self.number(low, high), self.number(low, high));
-        let ends = [one_end.min(other_end), one_end.max(other_end)];
+        let (first_end, second_end) = (self.number(low, high), self.number(low, high));
+        let ends = [first_end.min(second_end), first_end.max(second_end)];
         Distribution::Random(RandomDistribution::Uniform(ends))
     }
 
-    /// One of these values; there is at least one.
-    fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
+    /// Draws one of these values; there must be at least one.
+    fn choose<T: Copy>(&mut self, all: &[T]) -> T {
         all[self.0.random_range(0..all.len())]
     }
 
-    /// A position in a list of this length, which is at least 1.
+    /// Draws a position in a list of this length, which must be at least 1.
     fn position(&mut self, length: usize) -> usize {
         self.count(0, length as u32 - 1) as usize
     }
@@ -98,7 +96,7 @@
         ForwarderSelector { forwarders: Vec::new(), share: Some(self.share(0.05, 0.6)) }
     }
 
-    /// One of the faults, each as likely as any other.
+    /// Draws one of the faults, each with the same probability.
     fn fault(&mut self, parts: &NamedParts) -> Fault {
         match self.count(0, 16) {
             number @ 0..=11 => self.endpoint_fault(number, parts),
@@ -114,9 +112,9 @@
         }
     }
 
-    /// One of the twelve faults of endpoints.
+    /// Draws the values of one of the twelve faults of endpoints, by its number.
     fn endpoint_fault(&mut self, number: u32, parts: &NamedParts) -> Fault {
-        // Before the selector is drawn, unlike the values of other faults.
+        // The class is drawn before the selector; the values of other faults are drawn after it.
         let class = (number == 8).then(|| self.position(parts.classes.len()));
         let endpoints = self.endpoint_selector();
         match number {
@@ -140,11 +138,11 @@
         }
     }
 
-    /// Up to four faults, with their times in a scenario of this many seconds.
-    fn schedule(&mut self, duration: f64, parts: &NamedParts) -> Vec<ScheduledFault> {
+    /// Draws up to four faults with their times, for a scenario of this duration.
+    fn scheduled_faults(&mut self, duration_s: f64, parts: &NamedParts) -> Vec<ScheduledFault> {
         (0..self.count(0, 4))
             .map(|_| ScheduledFault {
-                start: Span::clamped(self.number(3.0, duration * 0.7)),
+                start: Span::clamped(self.number(3.0, duration_s * 0.7)),
                 duration: self.span(1.0, 15.0),
                 fault: self.fault(parts),
             })
@@ -155,10 +153,10 @@
 /// Parts of a scenario.
 impl ScenarioGenerator {
     fn fleet_size(&mut self) -> FleetSize {
-        let forwarders = self.one_of(&[1, 2, 3, 3, 5, 8, 12, 25, 60]);
-        let duration = self.number(25.0, 45.0);
+        let forwarders = self.choose(&[1, 2, 3, 3, 5, 8, 12, 25, 60]);
+        let duration_s = self.number(25.0, 45.0);
         let baseline_per_s = self.number(15.0, 200.0).max(f64::from(forwarders));
-        FleetSize { forwarders, duration, baseline_per_s }
+        FleetSize { forwarders, duration_s, baseline_per_s }
     }
 
     fn classes(&mut self) -> Vec<ClassSpec> {
@@ -172,7 +170,7 @@
             traffic_weight: self.amount(0.5, 2.0),
             idempotency: self.idempotency(),
             latency_objective: Span::clamped(latency_objective),
-            deadline: Span::clamped(two_decimals(latency_objective * self.number(2.0, 8.0))),
+            deadline: Span::clamped(round_to_hundredths(latency_objective * self.number(2.0, 8.0))),
             priority_weight: self.amount(0.5, 3.0),
             late_weight: self.share(0.2, 0.6),
             late_decay: if self.chance(0.5) { ClassDecay::Linear } else { ClassDecay::Exponential },
@@ -220,8 +218,8 @@
             endpoints: self.uniform(1.0, 3.4),
             traffic_weight: self.amount(0.5, 4.0),
             circuit_per_endpoint: self.chance(0.3),
-            max_batch: self.one_of(&[1, 1, 1, 4, 20]),
-            rate_limit: self.request_limit(),
+            max_batch: self.choose(&[1, 1, 1, 4, 20]),
+            rate_limit: self.rate_limit(),
             headroom: self.uniform(0.9, 2.0),
             min_limit_per_s: self.amount(1.0, 4.0),
             capacity_factor: self.uniform(1.1, 1.6),
@@ -234,24 +232,25 @@
         }
     }
 
-    fn request_limit(&mut self) -> RateLimit {
+    fn rate_limit(&mut self) -> RateLimit {
         match self.count(0, 3) {
             0 => RateLimit::None,
             1 => RateLimit::TokenBucket,
-            _ => RateLimit::FixedWindow(Span::clamped(self.one_of(&[1.0, 2.0, 4.0]))),
+            _ => RateLimit::FixedWindow(Span::clamped(self.choose(&[1.0, 2.0, 4.0]))),
         }
     }
 
-    /// A fleet with capacity in proportion to its traffic and to the work of its messages.
+    /// Draws a fleet whose limits are in proportion to its traffic and to the work of its messages.
     fn fleet(&mut self, size: &FleetSize, classes: &[ClassSpec]) -> Fleet {
         let work_ms: f64 = classes.iter().map(|class| class.work_ms.mean()).sum();
         let mean_work_s = work_ms / classes.len() as f64 / 1e3;
-        let per_forwarder = size.baseline_per_s / f64::from(size.forwarders);
+        let per_forwarder_per_s = size.baseline_per_s / f64::from(size.forwarders);
         Fleet {
             forwarders: size.forwarders,
             zones: self.count(1, 3),
-            max_in_flight: ((per_forwarder * mean_work_s * 1.3 * self.number(1.4, 3.0)).ceil() as u32).max(2),
-            max_pending_messages: ((per_forwarder * self.number(4.0, 14.0)).ceil() as u32).max(8),
+            max_in_flight: ((per_forwarder_per_s * mean_work_s * 1.3 * self.number(1.4, 3.0)).ceil() as u32)
+                .max(2),
+            max_pending_messages: ((per_forwarder_per_s * self.number(4.0, 14.0)).ceil() as u32).max(8),
             max_attempts: self.count(3, 12),
             tick: Span::millis(5),
             max_retry_after: self.chance(0.6).then(|| self.span(1.0, 5.0)),
@@ -281,7 +280,7 @@
         }
     }
 
-    /// How destinations recover from an outage, and what overloads them meanwhile.
+    /// Draws the settings of slow start and of overload after an outage.
     fn recovery(&mut self) -> RecoverySettings {
         RecoverySettings {
             slow_start_floor: self.share(0.15, 0.3),
@@ -293,11 +292,11 @@
     }
 }
 
-fn two_decimals(value: f64) -> f64 {
+fn round_to_hundredths(value: f64) -> f64 {
     (value * 100.0).round() / 100.0
 }
 
-/// The random scenario of a seed: the same seed always gives the same scenario.
+/// Returns the random scenario of a seed. The same seed always yields the same scenario.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut generator = ScenarioGenerator(RandomSource::seed_from_u64(seed ^ SCENARIO_STREAM));
@@ -306,12 +305,12 @@
     let programs = generator.programs(size.baseline_per_s);
     let kinds = generator.destination_kinds();
     let parts = NamedParts { classes, programs };
-    let faults = generator.schedule(size.duration, &parts);
+    let faults = generator.scheduled_faults(size.duration_s, &parts);
     Scenario {
         version: VERSION,
         name: format!("drawn-{seed}"),
         about: String::new(),
-        duration: Span::clamped(size.duration),
+        duration: Span::clamped(size.duration_s),
         fleet: generator.fleet(&size, &parts.classes),
         traffic: generator.traffic(size.baseline_per_s),
         network: Network::default(),
--- a/crates/experiments/src/recorded_policy.rs
+++ b/crates/experiments/src/recorded_policy.rs
@@ -1,4 +1,4 @@
-//! The delivery policy in the simulation, recorded.
+//! A wrapper that records the delivery policy in the simulation.
 
 use std::time::Duration;
 
@@ -8,14 +8,15 @@
 use reeddock_simulation::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 use reeddock_simulation::BuiltInPolicy;
 
-/// The delivery policy, with a line in a recording for each call into it and each command that it gives.
+/// The delivery policy, recorded with one line for each call and for each command that the policy gives to
+/// its host.
 pub(crate) struct RecordedPolicy {
     policy: Box<dyn Policy>,
     writer: RecordingWriter,
 }
 
 impl RecordedPolicy {
-    /// Opens the delivery policy, and records that as the first call.
+    /// Creates the delivery policy and records its creation as the first call.
     pub(crate) fn open(
         now: Duration,
         settings: Settings,
@@ -28,7 +29,7 @@
         RecordedPolicy { policy, writer }
     }
 
-    /// Records a call, and makes it with a host that records each command.
+    /// Records a call, then makes it with a host that records each command.
     fn call(
         &mut self,
         input: PolicyCall,
--- a/crates/experiments/src/recording.rs
+++ b/crates/experiments/src/recording.rs
@@ -1,5 +1,6 @@
-//! Recordings of the delivery policy, in scenarios of the simulation and under random event streams, and their
-//! comparison. A change that is to leave decisions as they are is checked with recordings made before and after.
+//! Recordings of the delivery policy, in scenarios of the simulation and under random event streams, and
+//! their comparison. Comparing recordings made before and after a change shows whether the policy's decisions
+//! changed.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -21,18 +22,18 @@
 use crate::runner::ExperimentRunner;
 use crate::text_report::plain_table;
 
-/// Streams in one recording, so that thousands of them are few files.
+/// Number of event streams in one recording file.
 const STREAMS_PER_FILE: u64 = 100;
-/// Digits of a digest in the table for people.
-const SHOWN_DIGEST_LENGTH: usize = 16;
+/// Number of hexadecimal digits of a digest in the text table.
+const SHOWN_DIGEST_DIGITS: usize = 16;
 
-/// Days of scenarios to be recorded.
+/// Runs of scenarios to record.
 pub struct ScenarioRecordingPlan {
-    /// The scenario files; their names without extension name the recordings and must differ.
+    /// Scenario files. Their names without extension name the recordings and must differ.
     pub scenarios: Vec<PathBuf>,
-    /// The seed of the first day of each scenario; each further day has the next one.
+    /// Seed of the first run of each scenario; further runs have consecutive seeds.
     pub seed: u64,
-    /// Number of days of each scenario.
+    /// Number of runs of each scenario.
     pub seeds: u64,
     /// The folder for the recordings.
     pub out: PathBuf,
@@ -40,11 +41,11 @@
     pub form: Form,
 }
 
-/// Random event streams to be recorded.
+/// Random event streams to record.
 pub struct StreamRecordingPlan {
     /// Number of streams.
     pub count: u64,
-    /// The seed of the first stream; each further one has the next.
+    /// Seed of the first stream; further streams have consecutive seeds.
     pub seed: u64,
     /// The folder for the recordings.
     pub out: PathBuf,
@@ -55,52 +56,52 @@
 /// One recording that was written.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecordedFile {
-    /// The file's name in its folder.
+    /// Name of the file in its folder.
     pub file: String,
-    /// Number of lines that were recorded, written or not.
+    /// Number of recorded lines, whether the file holds lines or digests.
     pub lines: u64,
-    /// SHA-256 of all its lines; the same for lines and for digests.
+    /// SHA-256 of all lines, the same for a file of lines and a file of digests.
     pub digest: String,
 }
 
 /// All recordings of one command.
 #[derive(Debug, Serialize)]
 pub struct RecordedFiles {
-    /// The files, in the order of scenarios and seeds.
+    /// Files in the order of scenarios and seeds.
     pub files: Vec<RecordedFile>,
 }
 
-/// Two folders of recordings, compared file by file.
+/// The result of comparing two folders of recordings file by file.
 pub struct RecordingComparison(Vec<Pair>);
 
-/// One recording of a scenario to be made.
-struct RecordedDay<'a> {
-    /// The recording's file name without extension.
+/// One run of a scenario to record.
+struct RecordingTask<'a> {
+    /// File name of the recording without extension.
     stem: String,
     scenario: &'a Scenario,
     seed: u64,
 }
 
-/// A scenario, and the name of its file without extension.
+/// A scenario and the name of its file without extension.
 struct NamedScenario {
     stem: String,
     scenario: Scenario,
 }
 
-/// A recording that goes into a new file.
-struct NewFile {
+/// A recording being written to a new file.
+struct RecordingFile {
     name: String,
     path: PathBuf,
     recording: Recording,
 }
 
-impl NewFile {
-    fn create(folder: &Path, stem: &str, form: Form) -> Result<NewFile, ExperimentError> {
+impl RecordingFile {
+    fn create(folder: &Path, stem: &str, form: Form) -> Result<RecordingFile, ExperimentError> {
         let name = format!("{stem}.{}", form.extension());
         let path = folder.join(&name);
         let file = File::create_new(&path).map_err(ExperimentError::file(&path, FileAction::Create))?;
         let recording = Recording::new(Box::new(BufWriter::new(file)), form);
-        Ok(NewFile { name, path, recording })
+        Ok(RecordingFile { name, path, recording })
     }
 
     fn finish(self) -> Result<RecordedFile, ExperimentError> {
@@ -114,18 +115,18 @@
     fs::create_dir_all(folder).map_err(ExperimentError::file(folder, FileAction::Create))
 }
 
-/// Plays one day of a scenario. Forwarders are numbered in the order of their starts: one that starts again gets
-/// a new number.
-fn record_day(day: &RecordedDay<'_>, file: &NewFile) {
+/// Runs a scenario and records it. Forwarders are numbered in the order of their starts; a restarted
+/// forwarder gets a new number.
+fn record_run(task: &RecordingTask<'_>, file: &RecordingFile) {
     let starts = AtomicU64::new(0);
     let policy_name = BuiltInPolicy::DeliveryPolicy.name();
-    run_with(day.scenario, day.seed, policy_name, &|now, settings, host| {
+    run_with(task.scenario, task.seed, policy_name, &|now, settings, host| {
         let number = starts.fetch_add(1, Ordering::Relaxed);
         Box::new(RecordedPolicy::open(now, settings, host, file.recording.writer(number)))
     });
 }
 
-/// Checks the value of an option, with the number of recordings that it asks for.
+/// Checks that an option's count is not 0 and does not lead to too many recordings.
 fn check_recording_count(option: &'static str, count: u64, recordings: u64) -> Result<(), ExperimentError> {
     if count == 0 || recordings > MAX_RECORDINGS {
         return Err(ExperimentError::RecordingCount { option, count });
@@ -133,7 +134,7 @@
     Ok(())
 }
 
-/// Reads scenarios, and refuses two of one name.
+/// Reads scenario files; returns an error if two have the same name.
 fn read_scenarios(files: &[PathBuf]) -> Result<Vec<NamedScenario>, ExperimentError> {
     let mut stems = BTreeSet::new();
     let mut scenarios = Vec::new();
@@ -148,11 +149,12 @@
 }
 
 impl ExperimentRunner {
-    /// Records days of scenarios, each into a file of its own.
+    /// Records runs of scenarios, each into a separate file.
     ///
     /// # Errors
     ///
-    /// A scenario that can't be read, no scenarios or seeds, or a file that is there already or can't be written.
+    /// Returns an error if a scenario can't be read, the plan has no scenarios or seeds, or a file already
+    /// exists or can't be written.
     pub fn record_scenarios(&self, plan: &ScenarioRecordingPlan) -> Result<RecordedFiles, ExperimentError> {
         if plan.scenarios.is_empty() {
             return Err(ExperimentError::NothingToRecord);
@@ -161,24 +163,24 @@
         check_recording_count("--seeds", plan.seeds, recordings)?;
         let scenarios = read_scenarios(&plan.scenarios)?;
         create_folder(&plan.out)?;
-        let mut days = Vec::new();
+        let mut tasks = Vec::new();
         for NamedScenario { stem, scenario } in &scenarios {
             for seed in (0..plan.seeds).map(|number| plan.seed.saturating_add(number)) {
-                days.push(RecordedDay { stem: format!("{stem}.seed-{seed}"), scenario, seed });
+                tasks.push(RecordingTask { stem: format!("{stem}.seed-{seed}"), scenario, seed });
             }
         }
-        self.write_files(&days, |day| {
-            let file = NewFile::create(&plan.out, &day.stem, plan.form)?;
-            record_day(day, &file);
+        self.write_files(&tasks, |task| {
+            let file = RecordingFile::create(&plan.out, &task.stem, plan.form)?;
+            record_run(task, &file);
             file.finish()
         })
     }
 
-    /// Records random event streams, a hundred in a file.
+    /// Records random event streams, a hundred to a file.
     ///
     /// # Errors
     ///
-    /// No streams, or a file that is there already or can't be written.
+    /// Returns an error if the plan has no streams, or a file already exists or can't be written.
     pub fn record_streams(&self, plan: &StreamRecordingPlan) -> Result<RecordedFiles, ExperimentError> {
         check_recording_count("--streams", plan.count, plan.count.div_ceil(STREAMS_PER_FILE))?;
         create_folder(&plan.out)?;
@@ -186,13 +188,13 @@
         let first_seeds: Vec<u64> = (plan.seed..end).step_by(STREAMS_PER_FILE as usize).collect();
         self.write_files(&first_seeds, |first| {
             let last = end.min(first + STREAMS_PER_FILE) - 1;
-            let file = NewFile::create(&plan.out, &format!("streams-{first:08}-{last:08}"), plan.form)?;
+            let file = RecordingFile::create(&plan.out, &format!("streams-{first:08}-{last:08}"), plan.form)?;
             (*first..=last).for_each(|seed| streams::play(seed, &file.recording));
             file.finish()
         })
     }
 
-    /// Writes one file for each item, on all threads; the files are listed in the order of the items.
+    /// Writes one file for each item on all threads, and returns the files in the order of the items.
     fn write_files<Item: Sync>(
         &self,
         items: &[Item],
@@ -204,11 +206,11 @@
 }
 
 impl RecordedFiles {
-    /// Prints the files to standard output; the exit code is 0.
+    /// Prints the list of files to standard output. The exit code is 0.
     ///
     /// # Errors
     ///
-    /// Only those of the JSON writer.
+    /// Returns an error if the result can't be written as JSON.
     pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
         format.print(self, || format!("{}\n", self.table()))?;
         Ok(ExitCode::SUCCESS)
@@ -218,7 +220,7 @@
         let mut table = plain_table();
         table.set_header(["file", "lines", "digest"]);
         for file in &self.files {
-            let digest = file.digest[..SHOWN_DIGEST_LENGTH].to_owned();
+            let digest = file.digest[..SHOWN_DIGEST_DIGITS].to_owned();
             table.add_row([file.file.clone(), file.lines.to_string(), digest]);
         }
         table
@@ -229,12 +231,12 @@
 ///
 /// # Errors
 ///
-/// A folder or file that can't be read, or holds no recordings.
+/// Returns an error if a folder or file can't be read, or a folder holds no recordings.
 pub fn compare_recordings(left: &Path, right: &Path) -> Result<RecordingComparison, ExperimentError> {
     Ok(RecordingComparison(compare(left, right)?))
 }
 
-/// How many recordings were compared, and which ones differ; the form of a comparison as JSON.
+/// Summary of a comparison, as printed in JSON.
 #[derive(Serialize)]
 struct ComparisonSummary<'a> {
     different: Vec<&'a str>,
@@ -243,11 +245,11 @@
 }
 
 impl RecordingComparison {
-    /// Prints the comparison to standard output. The exit code is 1 where any file differs.
+    /// Prints the comparison to standard output. The exit code is 1 if any file differs.
     ///
     /// # Errors
     ///
-    /// Only those of the JSON writer.
+    /// Returns an error if the result can't be written as JSON.
     pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
         let summary = self.summary();
         format.print(&summary, || self.text(&summary))?;
@@ -277,14 +279,14 @@
     }
 }
 
-/// The first difference, with the lines before it and those of both sides from it on.
+/// Describes the first difference, with the lines before it and the lines of both sides from there on.
 fn difference_text(difference: &Difference) -> String {
     let mut text = format!("DIFFERS at line {}, forwarder {}\n", difference.line, difference.forwarder);
     push_lines(&mut text, "  ", &difference.before);
     for (mark, lines) in [("A ", &difference.left), ("B ", &difference.right)] {
         push_lines(&mut text, mark, lines);
         if lines.is_empty() {
-            push_lines(&mut text, mark, &["(has ended)".to_owned()]);
+            push_lines(&mut text, mark, &["(end of recording)".to_owned()]);
         }
     }
     text
--- a/crates/experiments/src/recovery_study.rs
+++ b/crates/experiments/src/recovery_study.rs
@@ -1,5 +1,5 @@
-//! A study of recovering destinations: what a whole fleet sends to destinations that are cold after an outage, against
-//! the load that overloads them.
+//! A study of recovering destinations: the requests of a whole fleet to destinations in slow start after an
+//! outage, compared with the load that overloads them.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -17,43 +17,45 @@
 use crate::runner::{ComparisonPlan, ExperimentRunner, Run, ScenarioVariants};
 use crate::text_report::plain_table;
 
-/// Recoveries of destinations of one size, under one policy and combination of scenario values, over all days.
+/// Recoveries of destinations of one size, under one policy and combination of scenario values, over all
+/// runs.
 ///
-/// A destination is overloaded where the requests in a window exceed N + 2 * sqrt(N) + 2; N is what the settings allow
-/// in that window.
+/// A destination is overloaded if the requests in a window exceed N + 2 * sqrt(N) + 2, with N the number of
+/// requests that the settings allow in that window.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecoveryRow {
-    /// One value for each overridden key.
+    /// One value for each overridden key, in their order.
     pub values: Vec<String>,
-    /// The policy's name on the command line.
+    /// Name of the policy on the command line.
     pub policy: String,
-    /// Requests a second that the destination gets on a usual day from all forwarders.
+    /// Baseline rate of requests from all forwarders to the destination, per second.
     #[serde(rename = "usual_per_s")]
     pub baseline_per_s: f64,
-    /// Number of days, each with a seed of its own.
+    /// Number of runs, each with a different seed.
     pub seeds: u64,
-    /// Recoveries from an outage that was not itself an overload.
+    /// Number of recoveries from outages that were not overloads themselves.
     #[serde(rename = "returns")]
     pub recoveries: usize,
-    /// Requests in the worst window against N + 2 * sqrt(N) + 2, over the recoveries.
+    /// Requests in the worst window of each recovery, divided by N + 2 * sqrt(N) + 2.
     #[serde(rename = "ratio")]
     pub load_ratio: Statistics,
-    /// The median of that ratio.
+    /// Median of `load_ratio`.
     #[serde(rename = "ratio_median")]
     pub load_ratio_median: f64,
-    /// N in the worst windows.
-    pub allowed: Statistics,
-    /// Requests in the worst windows.
+    /// N in the worst window of each recovery.
+    #[serde(rename = "allowed")]
+    pub allowed_requests: Statistics,
+    /// Requests in the worst window of each recovery.
     #[serde(rename = "sum")]
     pub requests: Statistics,
-    /// Share of these requests from forwarders that knew of the outage.
+    /// Share of these requests that came from forwarders that knew of the outage.
     #[serde(rename = "known")]
     pub informed_share: Statistics,
-    /// Days on which an endpoint was overloaded and failed again.
+    /// Number of runs in which an endpoint was overloaded and failed again.
     #[serde(rename = "seeds_over")]
     pub seeds_with_overload: usize,
-    /// Days on which the invariant was broken: over two thirds of the requests of an overload came from
-    /// forwarders that knew of the outage.
+    /// Number of runs that broke the invariant: forwarders that knew of the outage sent over two thirds of
+    /// the requests of an overload.
     #[serde(rename = "seeds_broken")]
     pub seeds_with_violation: usize,
 }
@@ -61,7 +63,7 @@
 /// The recoveries of one scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecoveryTable {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
     /// The overridden keys.
     pub keys: Vec<String>,
@@ -69,28 +71,29 @@
     pub rows: Vec<RecoveryRow>,
 }
 
-/// Plays a run, and gives the recoveries of which the outage was not itself an overload.
-fn play(run: &Run) -> Vec<RecoveryLoad> {
+/// Executes a run and returns its recoveries from outages that were not overloads themselves.
+fn recovery_loads(run: &Run) -> Vec<RecoveryLoad> {
     let observed = run_observed(run.scenario, run.seed, run.policy.name(), &|now, settings, host| {
         run.policy.create(now, settings, host)
     });
-    observed.observed.recovery_loads.into_iter().filter(|ramp| !ramp.after_overload).collect()
+    observed.observed.recovery_loads.into_iter().filter(|recovery| !recovery.after_overload).collect()
 }
 
-/// What the rows of one policy and combination of scenario values are made from.
+/// The recoveries from which the rows of one policy and combination of scenario values are computed.
 struct RowGroup<'a> {
     values: &'a [String],
     policy: BuiltInPolicy,
-    /// The recoveries of each day.
-    days: &'a [Vec<RecoveryLoad>],
+    /// The recoveries of each run.
+    runs: &'a [Vec<RecoveryLoad>],
 }
 
 impl ExperimentRunner {
-    /// Measures recoveries at each combination of overridden scenario values, under each policy.
+    /// Measures recoveries for each combination of overridden scenario values, under each policy.
     ///
     /// # Errors
     ///
-    /// A scenario that can't be read or does not have an overridden key, or no runs or too many.
+    /// Returns an error if the scenario can't be read or lacks an overridden key, or the number of runs is
+    /// out of range.
     pub fn study_recovery(
         &self,
         file: &Path,
@@ -106,64 +109,64 @@
                 runs.extend((1..=plan.seeds).map(run));
             }
         }
-        let days = self.map_runs(&runs, "ramps", play)?;
+        let results = self.map_runs(&runs, "recovery study", recovery_loads)?;
         let mut rows = Vec::new();
-        let mut days_of_groups = days.chunks(plan.seeds as usize);
+        let mut results_of_groups = results.chunks(plan.seeds as usize);
         for variant in &variants {
-            for (policy, days) in policies.iter().zip(days_of_groups.by_ref()) {
-                rows.extend(RowGroup { values: &variant.values, policy: *policy, days }.rows());
+            for (policy, runs) in policies.iter().zip(results_of_groups.by_ref()) {
+                rows.extend(RowGroup { values: &variant.values, policy: *policy, runs }.rows());
             }
         }
-        let keys = overrides.iter().map(|one| one.key.clone()).collect();
+        let keys = overrides.iter().map(|key_override| key_override.key.clone()).collect();
         Ok(RecoveryTable { scenario: name, keys, rows })
     }
 }
 
 impl RowGroup<'_> {
-    /// A row for each size of destination, the busiest first.
+    /// Returns a row for each size of destination, in descending order of traffic.
     fn rows(&self) -> Vec<RecoveryRow> {
         let mut sizes: Vec<f64> =
-            self.days.iter().flatten().map(|ramp| rounded(ramp.baseline_per_s)).collect();
+            self.runs.iter().flatten().map(|recovery| rounded(recovery.baseline_per_s)).collect();
         sizes.sort_by(|left, right| right.total_cmp(left));
         sizes.dedup();
         sizes.into_iter().map(|size| self.row(size)).collect()
     }
 
     fn row(&self, baseline_per_s: f64) -> RecoveryRow {
-        let of_this_size = |ramp: &&RecoveryLoad| rounded(ramp.baseline_per_s) == baseline_per_s;
-        let ramps: Vec<&RecoveryLoad> = self.days.iter().flatten().filter(of_this_size).collect();
-        let days_with = |condition: fn(&RecoveryLoad) -> bool| {
-            let shows = |day: &&Vec<RecoveryLoad>| day.iter().filter(of_this_size).any(condition);
-            self.days.iter().filter(shows).count()
+        let of_this_size = |recovery: &&RecoveryLoad| rounded(recovery.baseline_per_s) == baseline_per_s;
+        let recoveries: Vec<&RecoveryLoad> = self.runs.iter().flatten().filter(of_this_size).collect();
+        let runs_with = |condition: fn(&RecoveryLoad) -> bool| {
+            let has_match = |run: &&Vec<RecoveryLoad>| run.iter().filter(of_this_size).any(condition);
+            self.runs.iter().filter(has_match).count()
         };
         RecoveryRow {
             values: self.values.to_vec(),
             policy: self.policy.name().to_owned(),
             baseline_per_s,
-            seeds: self.days.len() as u64,
-            recoveries: ramps.len(),
-            load_ratio: Statistics::over(&ramps, |ramp| ramp.ratio()),
-            load_ratio_median: median(ramps.iter().map(|ramp| ramp.ratio()).collect()),
-            allowed: Statistics::over(&ramps, |ramp| ramp.allowed_work),
-            requests: Statistics::over(&ramps, |ramp| ramp.received_work),
-            informed_share: Statistics::over(&ramps, |ramp| informed_share(ramp)),
-            seeds_with_overload: days_with(|ramp| ramp.overloaded),
-            seeds_with_violation: days_with(|ramp| {
-                ramp.overloaded && 3.0 * ramp.informed_work > 2.0 * ramp.received_work
+            seeds: self.runs.len() as u64,
+            recoveries: recoveries.len(),
+            load_ratio: Statistics::over(&recoveries, |recovery| recovery.ratio()),
+            load_ratio_median: median(recoveries.iter().map(|recovery| recovery.ratio()).collect()),
+            allowed_requests: Statistics::over(&recoveries, |recovery| recovery.allowed_work),
+            requests: Statistics::over(&recoveries, |recovery| recovery.received_work),
+            informed_share: Statistics::over(&recoveries, |recovery| informed_share(recovery)),
+            seeds_with_overload: runs_with(|recovery| recovery.overloaded),
+            seeds_with_violation: runs_with(|recovery| {
+                recovery.overloaded && 3.0 * recovery.informed_work > 2.0 * recovery.received_work
             }),
         }
     }
 }
 
-/// The middle value, the upper one of two; 0 where there are none.
+/// Returns the median, the upper of two middle values; 0 if there are no values.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().map_or(0.0, rounded)
 }
 
-fn informed_share(ramp: &RecoveryLoad) -> f64 {
-    if ramp.received_work > 0.0 {
-        ramp.informed_work / ramp.received_work
+fn informed_share(recovery: &RecoveryLoad) -> f64 {
+    if recovery.received_work > 0.0 {
+        recovery.informed_work / recovery.received_work
     } else {
         0.0
     }
@@ -171,17 +174,17 @@
 
 const HEADER: [&str; 12] = [
     "policy",
-    "usual/s",
-    "returns",
+    "baseline/s",
+    "recoveries",
     "N",
-    "sum",
-    "ratio",
+    "requests",
+    "load ratio",
     "+-",
     "median",
-    "worst",
-    "known",
-    "seeds over",
-    "rule broken",
+    "maximum",
+    "informed",
+    "overload",
+    "invariant broken",
 ];
 
 impl RecoveryRow {
@@ -190,7 +193,7 @@
             self.policy.clone(),
             format!("{:.2}", self.baseline_per_s),
             self.recoveries.to_string(),
-            format!("{:.1}", self.allowed.mean),
+            format!("{:.1}", self.allowed_requests.mean),
             format!("{:.1}", self.requests.mean),
             format!("{:.2}", self.load_ratio.mean),
             format!("{:.2}", self.load_ratio.deviation),
@@ -204,11 +207,11 @@
 }
 
 impl RecoveryTable {
-    /// Prints the table to standard output. An overload is a finding and no fault of the study: the exit code is 0.
+    /// Prints the table to standard output. The exit code is 0, even if destinations were overloaded.
     ///
     /// # Errors
     ///
-    /// Only those of the JSON writer.
+    /// Returns an error if the result can't be written as JSON.
     pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
         format.print(self, || format!("{}, emulated\n{}\n", self.scenario, self.table()))?;
         Ok(ExitCode::SUCCESS)
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -1,7 +1,6 @@
-//! Results of experiments, and their form as JSON: for machines, and kept in a folder for plots.
+//! Results of experiments, and their JSON form, which is printed for scripts and saved in a folder for plots.
 //!
-//! The keys of the JSON form are fixed by `docs/experiments.md`; where a field has another name, `rename`
-//! stands beside it.
+//! The keys of the JSON form must not change; a field with another name in the code has a serde `rename`.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,143 +11,144 @@
 
 use crate::error::{ExperimentError, FileAction};
 
-/// Mean, deviation and range of one measurement over several days.
+/// Mean, deviation and range of one measurement over several runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Statistics {
     /// Arithmetic mean.
     pub mean: f64,
-    /// Standard deviation of the sample; 0 for one day.
+    /// Sample standard deviation; 0 for a single value.
     pub deviation: f64,
-    /// The least value.
+    /// Minimum.
     #[serde(rename = "least")]
     pub minimum: f64,
-    /// The greatest value.
+    /// Maximum.
     #[serde(rename = "most")]
     pub maximum: f64,
 }
 
 impl Statistics {
-    /// The statistics of these values; all are 0 where there are none.
+    /// Returns the statistics of these values; all are 0 if there are no values.
     pub(crate) fn of(values: &[f64]) -> Statistics {
         let count = values.len().max(1) as f64;
         let mean = values.iter().sum::<f64>() / count;
-        let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
+        let sum_of_squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
         Statistics {
             mean: rounded(mean),
-            deviation: rounded((squares / (count - 1.0).max(1.0)).sqrt()),
+            deviation: rounded((sum_of_squares / (count - 1.0).max(1.0)).sqrt()),
             minimum: rounded(values.iter().copied().fold(f64::INFINITY, f64::min)),
             maximum: rounded(values.iter().copied().fold(f64::NEG_INFINITY, f64::max)),
         }
     }
 
-    /// The statistics of one measurement of each item.
+    /// Returns the statistics of one measurement of each item.
     pub(crate) fn over<Item>(items: &[Item], measurement: impl Fn(&Item) -> f64) -> Statistics {
         Statistics::of(&items.iter().map(measurement).collect::<Vec<f64>>())
     }
 }
 
-/// One policy over several days.
+/// Results of one policy over several runs with different seeds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicySummary {
-    /// The policy's name on the command line.
+    /// Name of the policy on the command line.
     pub policy: String,
-    /// Number of days.
-    pub days: usize,
-    /// What the days gave.
+    /// Number of runs.
+    #[serde(rename = "days")]
+    pub run_count: usize,
+    /// Measurements over the runs.
     #[serde(rename = "figures")]
     pub metrics: PolicyMetrics,
-    /// Credit less that of the first policy on the same day.
+    /// Credit minus the credit of the first policy with the same seed.
     #[serde(rename = "against_first")]
     pub credit_difference: Statistics,
-    /// Invariants broken, over all days.
+    /// Number of violations of invariants in all runs.
     #[serde(rename = "rules_broken")]
     pub violations: usize,
-    /// Days on which an invariant was broken.
+    /// Number of runs in which an invariant was broken.
     #[serde(rename = "days_with_broken_rules")]
-    pub days_with_violations: usize,
-    /// Times that a returning endpoint was overloaded and failed again, over all days.
+    pub runs_with_violations: usize,
+    /// Number of times in all runs that a recovering endpoint was overloaded and failed again.
     #[serde(rename = "falls")]
     pub overload_failures: u64,
 }
 
-/// Means over the days, and the statistics of credit.
+/// Means over several runs, and the statistics of credit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyMetrics {
-    /// Share of the credit asked for that was earned.
+    /// Share of the requested credit that was earned.
     pub credit: Statistics,
-    /// The same in the worst ten seconds.
+    /// Share of the requested credit that was earned in the worst ten seconds.
     #[serde(rename = "worst_span")]
     pub worst_window_credit: f64,
-    /// The same for the worst message class.
+    /// Share of the requested credit that was earned for the worst message class.
     #[serde(rename = "worst_category")]
     pub worst_class_credit: f64,
     /// Median latency of completed messages, in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile of that latency, in milliseconds.
+    /// 99th percentile of the latency of completed messages, in milliseconds.
     pub p99_ms: f64,
-    /// Delivery attempts for each message, which counts once however often its program submits it.
+    /// Delivery attempts per message; a message that its program submits again counts once.
     #[serde(rename = "dispatches_per_try")]
     pub attempts_per_message: f64,
-    /// Attempts that endpoints rejected, for each message.
+    /// Attempts rejected by endpoints, per message.
     #[serde(rename = "refusals_per_try")]
     pub rejections_per_message: f64,
     /// Share of the endpoints' work that completed no message.
     pub work_wasted: f64,
-    /// Mean share of all requests that may be in flight that were, while messages arrive.
+    /// Mean number of requests in flight while messages arrive, as a share of the maximum.
     #[serde(rename = "slots_used")]
     pub in_flight_used: f64,
 }
 
 impl PolicySummary {
-    /// Summarizes the days of one policy, beside the same days of the first one.
-    pub(crate) fn of(policy: &str, days: &[Report], days_of_first: &[Report]) -> PolicySummary {
-        let same_days = days.iter().zip(days_of_first);
-        let differences: Vec<f64> = same_days.map(|(own, first)| own.credit - first.credit).collect();
+    /// Summarizes the runs of one policy, compared with the runs of the first policy with the same seeds.
+    pub(crate) fn of(policy: &str, runs: &[Report], first_policy_runs: &[Report]) -> PolicySummary {
+        let run_pairs = runs.iter().zip(first_policy_runs);
+        let differences: Vec<f64> = run_pairs.map(|(own, first)| own.credit - first.credit).collect();
         PolicySummary {
             policy: policy.to_owned(),
-            days: days.len(),
-            metrics: PolicyMetrics::of(days),
+            run_count: runs.len(),
+            metrics: PolicyMetrics::of(runs),
             credit_difference: Statistics::of(&differences),
-            violations: days.iter().map(|day| day.rules_broken).sum(),
-            days_with_violations: days.iter().filter(|day| day.rules_broken > 0).count(),
-            overload_failures: days.iter().map(|day| day.overloads).sum(),
+            violations: runs.iter().map(|run| run.rules_broken).sum(),
+            runs_with_violations: runs.iter().filter(|run| run.rules_broken > 0).count(),
+            overload_failures: runs.iter().map(|run| run.overloads).sum(),
         }
     }
 }
 
 impl PolicyMetrics {
-    fn of(days: &[Report]) -> PolicyMetrics {
-        let mean = |measurement: fn(&Report) -> f64| Statistics::over(days, measurement).mean;
+    fn of(runs: &[Report]) -> PolicyMetrics {
+        let mean = |measurement: fn(&Report) -> f64| Statistics::over(runs, measurement).mean;
         PolicyMetrics {
-            credit: Statistics::over(days, |day| day.credit),
-            worst_window_credit: mean(|day| day.credit_worst_span),
-            worst_class_credit: mean(|day| day.credit_worst_class),
-            p50_ms: mean(|day| day.latency_ms.p50 as f64),
-            p99_ms: mean(|day| day.latency_ms.p99 as f64),
-            attempts_per_message: mean(|day| day.attempts_per_submission),
-            rejections_per_message: mean(|day| day.rejections_per_submission),
-            work_wasted: mean(|day| day.work_wasted),
-            in_flight_used: mean(|day| day.in_flight_used),
+            credit: Statistics::over(runs, |run| run.credit),
+            worst_window_credit: mean(|run| run.credit_worst_span),
+            worst_class_credit: mean(|run| run.credit_worst_class),
+            p50_ms: mean(|run| run.latency_ms.p50 as f64),
+            p99_ms: mean(|run| run.latency_ms.p99 as f64),
+            attempts_per_message: mean(|run| run.attempts_per_submission),
+            rejections_per_message: mean(|run| run.rejections_per_submission),
+            work_wasted: mean(|run| run.work_wasted),
+            in_flight_used: mean(|run| run.in_flight_used),
         }
     }
 }
 
-/// One policy at one combination of overridden scenario values.
+/// Results of one policy with one combination of overridden scenario values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SweepRow {
-    /// One value for each key, in their order.
+    /// One value for each overridden key, in their order.
     pub values: Vec<String>,
-    /// What the days with these values gave.
+    /// Results of the runs with these values.
     #[serde(rename = "row")]
     pub summary: PolicySummary,
 }
 
-/// A scenario that a search kept, as it was shrunk.
+/// A scenario that a search found, shrunk and saved.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FoundScenario {
-    /// The scenario file.
+    /// Path of the scenario file.
     pub file: PathBuf,
-    /// The broken invariant, or how far the delivery policy's credit lies under the upper bound.
+    /// The broken invariant, or the gap between the upper bound's credit and the delivery policy's.
     #[serde(rename = "what")]
     pub description: String,
     /// Credit of the delivery policy.
@@ -159,32 +159,33 @@
     /// Credit of the upper bound.
     #[serde(rename = "ceiling")]
     pub upper_bound_credit: f64,
-    /// Messages, each counted once however often its program submits it.
+    /// Number of messages; a message that its program submits again counts once.
     #[serde(rename = "first_tries")]
     pub messages: u64,
 }
 
-/// What an experiment gave.
+/// The result of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum ExperimentResult {
-    /// One day under one or more policies.
+    /// One run under each of one or more policies.
     Runs {
         /// One report for each policy.
         reports: Vec<Report>,
     },
-    /// Several policies on the same days.
+    /// Several policies with the same seeds.
     Comparison {
-        /// The scenario's name.
+        /// Name of the scenario.
         scenario: String,
         /// One summary for each policy.
         rows: Vec<PolicySummary>,
-        /// The first day under each policy, for plots.
-        first_days: Vec<Report>,
+        /// The run with the first seed under each policy, for plots.
+        #[serde(rename = "first_days")]
+        first_runs: Vec<Report>,
     },
-    /// Several policies at each combination of overridden scenario values.
+    /// Several policies with each combination of overridden scenario values.
     Sweep {
-        /// The scenario's name.
+        /// Name of the scenario.
         scenario: String,
         /// The overridden keys.
         keys: Vec<String>,
@@ -193,32 +194,32 @@
     },
     /// A search of random scenarios.
     Search {
-        /// Scenarios played.
+        /// Number of scenarios that were run.
         scenarios: usize,
-        /// Scenarios in which the delivery policy broke an invariant.
+        /// Number of scenarios in which the delivery policy broke an invariant.
         #[serde(rename = "with_broken_rules")]
         with_violations: usize,
-        /// Scenarios in which one attempt for each message earned clearly more than the delivery policy.
+        /// Number of scenarios in which the delivery policy earned clearly less than one attempt per message.
         #[serde(rename = "under_one_try")]
         under_one_attempt: usize,
-        /// What was kept.
+        /// The scenarios that were saved.
         found: Vec<FoundScenario>,
     },
-    /// A scenario that a search had kept, played again.
+    /// A scenario saved by a search, run again.
     Replay {
-        /// Whether it still shows what it was kept for.
+        /// Whether the scenario still shows what it was saved for.
         #[serde(rename = "seen")]
         reproduced: bool,
-        /// What it was kept for.
+        /// The violation or credit gap that the scenario was saved for.
         #[serde(rename = "was")]
         description: String,
-        /// The delivery policy's report.
+        /// Report of the run under the delivery policy.
         report: Box<Report>,
     },
 }
 
 impl ExperimentResult {
-    /// The name of the file that it is kept in.
+    /// Returns the name of the file that the result is saved in.
     fn file_name(&self) -> String {
         match self {
             ExperimentResult::Runs { reports } => {
@@ -234,32 +235,33 @@
         }
     }
 
-    /// Keeps the result in a folder, if one is named, for [`crate::write_html_report`].
+    /// Saves the result in a folder for [`crate::write_html_report`]; does nothing without a folder.
     ///
     /// # Errors
     ///
-    /// A folder or file that can't be written.
-    pub fn keep(&self, folder: Option<&Path>) -> Result<(), ExperimentError> {
+    /// Returns an error if the folder or file can't be written.
+    pub fn save(&self, folder: Option<&Path>) -> Result<(), ExperimentError> {
         let Some(folder) = folder else { return Ok(()) };
         fs::create_dir_all(folder).map_err(ExperimentError::file(folder, FileAction::Access))?;
         fs::write(folder.join(self.file_name()), self.to_json()?)
             .map_err(ExperimentError::file(folder, FileAction::Access))
     }
 
-    /// The result as JSON on one line.
+    /// Returns the result as JSON on one line.
     ///
     /// # Errors
     ///
-    /// Only those of the JSON writer.
+    /// Returns an error if the result can't be written as JSON.
     pub fn to_json(&self) -> Result<String, ExperimentError> {
         Ok(serde_json::to_string(self)?)
     }
 
-    /// Whether no invariant was broken, and a replayed scenario shows what it was kept for.
+    /// Returns false if an invariant was broken, or a replayed scenario no longer shows what it was saved
+    /// for.
     pub(crate) fn is_success(&self) -> bool {
         match self {
             ExperimentResult::Runs { reports } => reports.iter().all(|report| report.rules_broken == 0),
-            // The baselines after the first policy are there to be measured, whatever they break.
+            // Policies after the first are baselines, whose violations do not make the comparison fail.
             ExperimentResult::Comparison { rows, .. } => rows.iter().take(1).all(|row| row.violations == 0),
             ExperimentResult::Sweep { rows, .. } => rows.iter().all(|row| row.summary.violations == 0),
             ExperimentResult::Search { with_violations, .. } => *with_violations == 0,
@@ -268,7 +270,7 @@
     }
 }
 
-/// Characters that a file name may hold on any system; all others become `_`.
+/// Replaces characters that a file name may not contain on every operating system with `_`.
 fn file_stem(name: &str) -> String {
     name.replace(|character: char| !character.is_ascii_alphanumeric() && character != '-', "_")
 }
--- a/crates/experiments/src/runner.rs
+++ b/crates/experiments/src/runner.rs
@@ -1,5 +1,5 @@
-//! Runs of the simulation on all cores. One thread plays a run from its beginning to its end; results are
-//! collected in the order in which the runs were listed, whichever finished first.
+//! Runs of the simulation on all cores. Each run is executed by one thread; results are in the order of the
+//! runs, whichever finishes first.
 
 use std::fs;
 use std::path::Path;
@@ -15,37 +15,37 @@
 use crate::limits::MAX_RUNS;
 use crate::results::{ExperimentResult, PolicySummary, SweepRow};
 
-/// Carries out experiments on a pool of threads of its own.
+/// Executes experiments on a separate thread pool.
 pub struct ExperimentRunner {
     pool: ThreadPool,
 }
 
-/// Several policies on the same days of one scenario.
+/// A comparison of several policies on one scenario with the same seeds.
 pub struct ComparisonPlan {
-    /// Policies to compare, each with the first.
+    /// Policies to compare; each is compared with the first.
     pub policies: PolicyList,
-    /// Number of days; their seeds are 1 to this number.
+    /// Number of runs of each policy; their seeds are 1 to this number.
     pub seeds: u64,
 }
 
 /// A comparison for each combination of overridden scenario values.
 pub struct SweepPlan {
-    /// The keys to override; the last one varies fastest.
+    /// Keys to override and their values; the last key varies fastest.
     pub overrides: Vec<ScenarioOverride>,
-    /// Policies to run at each combination.
+    /// Policies to run with each combination of values.
     pub policies: PolicyList,
-    /// Number of days for each combination; their seeds are 1 to this number.
+    /// Number of runs of each policy and combination; their seeds are 1 to this number.
     pub seeds: u64,
 }
 
-/// A scenario at one combination of overridden values.
+/// A scenario with one combination of overridden values.
 pub(crate) struct ScenarioVariant {
     /// One value for each overridden key, in their order.
     pub(crate) values: Vec<String>,
     pub(crate) scenario: Scenario,
 }
 
-/// A scenario as its file has it, and at each combination of overridden values.
+/// The name of a scenario, and its variants with each combination of overridden values.
 pub(crate) struct ScenarioVariants {
     pub(crate) name: String,
     pub(crate) variants: Vec<ScenarioVariant>,
@@ -58,50 +58,50 @@
     pub(crate) policy: BuiltInPolicy,
 }
 
-/// What a comparison of policies on several scenarios gave.
+/// Results of comparing policies on several scenarios.
 struct ComparedPolicies {
-    /// One for each scenario and policy, in that order.
+    /// One summary for each scenario and policy, ordered by scenario, then by policy.
     summaries: Vec<PolicySummary>,
-    /// The first day of the first scenario under each policy.
-    first_days: Vec<Report>,
+    /// The run of the first scenario with the first seed, under each policy.
+    first_runs: Vec<Report>,
 }
 
 impl ScenarioVariants {
-    /// Reads a scenario and puts in each combination of the overrides' values.
+    /// Reads a scenario and applies each combination of the overrides' values.
     pub(crate) fn read(
         file: &Path,
         overrides: &[ScenarioOverride],
     ) -> Result<ScenarioVariants, ExperimentError> {
         let text = fs::read_to_string(file).map_err(ExperimentError::file(file, FileAction::Read))?;
         let file_name = file.display().to_string();
-        let unchanged = Scenario::parse(&file_name, &text, &[])?;
+        let base_scenario = Scenario::parse(&file_name, &text, &[])?;
         let mut variants = Vec::new();
         for values in combinations(overrides) {
-            let keys = overrides.iter().map(|one| &one.key);
+            let keys = overrides.iter().map(|key_override| &key_override.key);
             let replacements: Vec<ValueOverride> =
                 keys.zip(&values).map(|(key, value)| ValueOverride::new(key, value)).collect();
             let scenario = Scenario::parse(&file_name, &text, &replacements)?;
             variants.push(ScenarioVariant { values, scenario });
         }
-        Ok(ScenarioVariants { name: unchanged.name, variants })
+        Ok(ScenarioVariants { name: base_scenario.name, variants })
     }
 }
 
-/// Each combination of the overrides' values; the last override varies fastest.
+/// Returns each combination of the overrides' values; the last override varies fastest.
 fn combinations(overrides: &[ScenarioOverride]) -> Vec<Vec<String>> {
     let mut combinations: Vec<Vec<String>> = vec![Vec::new()];
-    for one in overrides {
-        let mut longer = Vec::new();
+    for key_override in overrides {
+        let mut extended = Vec::new();
         for combination in &combinations {
-            let with = |value| [combination.as_slice(), std::slice::from_ref(value)].concat();
-            longer.extend(one.values.iter().map(with));
+            let append = |value| [combination.as_slice(), std::slice::from_ref(value)].concat();
+            extended.extend(key_override.values.iter().map(append));
         }
-        combinations = longer;
+        combinations = extended;
     }
     combinations
 }
 
-/// A progress bar on standard error.
+/// Returns a progress bar that is drawn on standard error.
 pub(crate) fn progress_bar(length: u64, message: &'static str) -> ProgressBar {
     let style = ProgressStyle::with_template("{msg} {wide_bar} {pos}/{len} {eta}");
     let bar = ProgressBar::new(length).with_message(message);
@@ -116,11 +116,11 @@
 }
 
 impl ExperimentRunner {
-    /// A runner with this number of threads, or one thread for each core.
+    /// Creates a runner with this number of threads; `None` means one thread for each core.
     ///
     /// # Errors
     ///
-    /// No threads, or threads that the operating system does not give.
+    /// Returns an error if the number is 0 or the threads can't be started.
     pub fn with_threads(threads: Option<usize>) -> Result<ExperimentRunner, ExperimentError> {
         if threads == Some(0) {
             return Err(ExperimentError::NoThreads);
@@ -133,8 +133,8 @@
         &self.pool
     }
 
-    /// Applies a function to each item on all threads, with a progress bar. The outputs are in the order of the
-    /// items; collected as a `Result`, no further item is begun after an error.
+    /// Applies a function to each item on all threads and shows a progress bar. Outputs are in the order of
+    /// the items. If they are collected into a `Result`, no further item is started after an error.
     pub(crate) fn map<Item: Sync, Output: Send, Outputs: FromParallelIterator<Output> + Send>(
         &self,
         items: &[Item],
@@ -142,33 +142,33 @@
         function: impl Fn(&Item) -> Output + Sync,
     ) -> Outputs {
         let bar = progress_bar(items.len() as u64, message);
-        let counted = |item: &Item| {
+        let apply_and_count = |item: &Item| {
             let output = function(item);
             bar.inc(1);
             output
         };
-        let outputs = self.pool.install(|| items.par_iter().map(counted).collect());
+        let outputs = self.pool.install(|| items.par_iter().map(apply_and_count).collect());
         bar.finish_and_clear();
         outputs
     }
 
-    /// The same as [`ExperimentRunner::map`] for runs, of which there are at least one and at most
+    /// Calls [`ExperimentRunner::map`] for runs; returns an error if there are none or more than
     /// [`MAX_RUNS`].
     pub(crate) fn map_runs<Item: Sync, Output: Send>(
         &self,
         runs: &[Item],
         message: &'static str,
-        play: impl Fn(&Item) -> Output + Sync,
+        execute: impl Fn(&Item) -> Output + Sync,
     ) -> Result<Vec<Output>, ExperimentError> {
         check_run_count(runs.len() as u64)?;
-        Ok(self.map(runs, message, play))
+        Ok(self.map(runs, message, execute))
     }
 
-    /// Plays one day of a scenario under each policy.
+    /// Runs a scenario once under each policy.
     ///
     /// # Errors
     ///
-    /// A scenario that can't be read.
+    /// Returns an error if the scenario can't be read.
     pub fn run(
         &self,
         file: &Path,
@@ -176,30 +176,31 @@
         policies: &PolicyList,
     ) -> Result<ExperimentResult, ExperimentError> {
         let scenario = Scenario::read(file)?;
-        let play = |policy: &BuiltInPolicy| run(&scenario, seed, *policy);
-        Ok(ExperimentResult::Runs { reports: self.map(policies.as_slice(), "runs", play) })
+        let execute = |policy: &BuiltInPolicy| run(&scenario, seed, *policy);
+        Ok(ExperimentResult::Runs { reports: self.map(policies.as_slice(), "runs", execute) })
     }
 
-    /// Plays the same days of a scenario under each policy.
+    /// Runs a scenario under each policy with the same seeds.
     ///
     /// # Errors
     ///
-    /// A scenario that can't be read, or no runs or too many.
+    /// Returns an error if the scenario can't be read or the number of runs is out of range.
     pub fn compare(&self, file: &Path, plan: &ComparisonPlan) -> Result<ExperimentResult, ExperimentError> {
         let scenario = Scenario::read(file)?;
         let compared = self.compare_policies(&[&scenario], plan, "comparison")?;
         Ok(ExperimentResult::Comparison {
             scenario: scenario.name,
             rows: compared.summaries,
-            first_days: compared.first_days,
+            first_runs: compared.first_runs,
         })
     }
 
-    /// Plays the same days at each combination of overridden scenario values, under each policy.
+    /// Runs a scenario with each combination of overridden values under each policy, with the same seeds.
     ///
     /// # Errors
     ///
-    /// A scenario that can't be read or does not have an overridden key, or no runs or too many.
+    /// Returns an error if the scenario can't be read or lacks an overridden key, or the number of runs is
+    /// out of range.
     pub fn sweep(&self, file: &Path, plan: &SweepPlan) -> Result<ExperimentResult, ExperimentError> {
         let ScenarioVariants { name, variants } = ScenarioVariants::read(file, &plan.overrides)?;
         let scenarios: Vec<&Scenario> = variants.iter().map(|variant| &variant.scenario).collect();
@@ -215,11 +216,11 @@
             };
             rows.extend(summaries.iter().map(row));
         }
-        let keys = plan.overrides.iter().map(|one| one.key.clone()).collect();
+        let keys = plan.overrides.iter().map(|key_override| key_override.key.clone()).collect();
         Ok(ExperimentResult::Sweep { scenario: name, keys, rows })
     }
 
-    /// Plays the same days of each scenario under each policy.
+    /// Runs each scenario under each policy with the same seeds.
     fn compare_policies(
         &self,
         scenarios: &[&Scenario],
@@ -234,16 +235,17 @@
                 runs.extend((1..=plan.seeds).map(|seed| Run { scenario, seed, policy: *policy }));
             }
         }
-        let reports: Vec<Report> = self.map(&runs, message, |one| run(one.scenario, one.seed, one.policy));
-        let days = plan.seeds as usize;
+        let reports: Vec<Report> =
+            self.map(&runs, message, |planned| run(planned.scenario, planned.seed, planned.policy));
+        let run_count = plan.seeds as usize;
         let mut summaries = Vec::new();
-        for of_scenario in reports.chunks(days * policies.len()) {
-            let of_first_policy = &of_scenario[..days];
-            for (policy, of_policy) in policies.iter().zip(of_scenario.chunks(days)) {
-                summaries.push(PolicySummary::of(policy.name(), of_policy, of_first_policy));
+        for scenario_reports in reports.chunks(run_count * policies.len()) {
+            let first_policy_reports = &scenario_reports[..run_count];
+            for (policy, policy_reports) in policies.iter().zip(scenario_reports.chunks(run_count)) {
+                summaries.push(PolicySummary::of(policy.name(), policy_reports, first_policy_reports));
             }
         }
-        let first_days = reports.chunks(days).take(policies.len()).map(|days| days[0].clone()).collect();
-        Ok(ComparedPolicies { summaries, first_days })
+        let first_runs = reports.chunks(run_count).take(policies.len()).map(|runs| runs[0].clone()).collect();
+        Ok(ComparedPolicies { summaries, first_runs })
     }
 }
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -1,6 +1,7 @@
-//! A search for faults: random scenarios are played until the time is up, each by the delivery policy, by one
-//! attempt for each message and by the upper bound. Scenarios in which the delivery policy breaks an invariant
-//! or lies farthest under the upper bound are shrunk, and each is kept as a file that replays it.
+//! A search for faults: random scenarios run until the time limit, each under the delivery policy, under the
+//! baseline with one attempt per message and under the upper bound. Scenarios in which the delivery policy
+//! breaks an invariant or has the largest credit gap to the upper bound are shrunk and saved as files for
+//! `replay`.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -18,41 +19,45 @@
 use crate::runner::{progress_bar, ExperimentRunner};
 use crate::shrink::{shrink, ShrinkGoal};
 
-/// Share of the time in which random scenarios are played; the rest is for shrinking.
-const PLAYING_SHARE: f64 = 0.8;
-/// Scenarios that are shrunk for each invariant: more of them mostly show the same fault.
-const MAX_FINDINGS_OF_A_RULE: usize = 3;
-/// Credit by which the delivery policy must lie under one attempt for each message to be counted: less is noise.
+/// Share of the search's duration in which random scenarios run; the rest is for shrinking.
+const RUN_TIME_SHARE: f64 = 0.8;
+/// Maximum number of scenarios that are shrunk for each invariant, because further ones mostly show the same
+/// fault.
+const MAX_FINDINGS_PER_INVARIANT: usize = 3;
+/// Minimum gap in credit for a scenario to count as one in which the delivery policy earned less than one
+/// attempt per message. Excludes random differences.
 const ONE_ATTEMPT_MARGIN: f64 = 0.01;
-/// The seeds of one search lie in a block of this many bits, so that searches of different seeds share none.
+/// Number of low bits of a scenario's seed that one search varies, so that searches with different seeds run
+/// different scenarios.
 const SEED_BLOCK_BITS: u32 = 20;
 
 /// A search for faults.
 pub struct SearchPlan {
-    /// How long the search takes.
+    /// Planned duration of the search; shrinking may take longer.
     pub duration: Duration,
-    /// The same seed draws the same scenarios; how many of them are reached depends on the machine.
+    /// Seed of the sequence of random scenarios. How many of them run depends on the speed of the machine.
     pub seed: u64,
-    /// The folder for the scenario files that are kept.
+    /// Folder for the saved scenario files.
     pub out: PathBuf,
-    /// Scenarios kept for the credit gap to the upper bound alone.
-    pub keep: usize,
+    /// Maximum number of scenarios that are saved for their credit gap to the upper bound, without a
+    /// violation.
+    pub max_credit_gap_findings: usize,
 }
 
-/// A scenario under the three policies of a search.
+/// Reports of a scenario under the three policies of a search.
 struct PolicyReports {
     delivery_policy: Report,
     one_attempt: Report,
     upper_bound: Report,
 }
 
-/// An invariant that the delivery policy broke.
+/// A violation of an invariant by the delivery policy.
 struct Violation {
     rule: Rule,
     description: String,
 }
 
-/// What is kept of one random scenario; the scenario itself is drawn again from its seed.
+/// Results of one random scenario, which can be generated again from its seed.
 struct Candidate {
     seed: u64,
     /// The first violation of each invariant.
@@ -62,11 +67,11 @@
     upper_bound_credit: f64,
 }
 
-/// A scenario to be shrunk and kept.
+/// A scenario to shrink and save.
 struct ShrinkTask<'a> {
     candidate: &'a Candidate,
     goal: ShrinkGoal,
-    /// What the whole scenario showed.
+    /// The violation or credit gap of the scenario before shrinking.
     description: String,
 }
 
@@ -81,12 +86,12 @@
 }
 
 impl Candidate {
-    /// Draws and plays the scenario of a seed.
-    fn play(seed: u64) -> Candidate {
+    /// Generates and runs the scenario of a seed.
+    fn run(seed: u64) -> Candidate {
         let reports = PolicyReports::of(&random_scenario(seed), seed);
         let mut violations: Vec<Violation> = Vec::new();
         for broken in &reports.delivery_policy.violations {
-            if violations.iter().all(|known| known.rule != broken.rule) {
+            if violations.iter().all(|earlier| earlier.rule != broken.rule) {
                 violations.push(Violation { rule: broken.rule, description: broken.to_string() });
             }
         }
@@ -105,55 +110,57 @@
 }
 
 impl ExperimentRunner {
-    /// Searches random scenarios, and keeps what it finds in a folder.
+    /// Searches random scenarios for faults, and saves the shrunk scenarios in a folder.
     ///
     /// # Errors
     ///
-    /// A folder or file that can't be written.
+    /// Returns an error if the folder or a file can't be written.
     pub fn search(&self, plan: &SearchPlan) -> Result<ExperimentResult, ExperimentError> {
         fs::create_dir_all(&plan.out).map_err(ExperimentError::file(&plan.out, FileAction::Access))?;
-        let candidates = self.play_candidates(plan);
+        let candidates = self.run_candidates(plan);
         let mut tasks = violation_tasks(&candidates);
-        tasks.extend(credit_gap_tasks(&candidates, plan.keep));
-        let found: Vec<_> = self.map(&tasks, "shrinking", |task| keep_finding(task, &plan.out));
+        tasks.extend(credit_gap_tasks(&candidates, plan.max_credit_gap_findings));
+        let found: Vec<_> = self.map(&tasks, "shrinking", |task| save_finding(task, &plan.out));
         let under_one_attempt =
             |candidate: &&Candidate| candidate.credit < candidate.one_attempt_credit - ONE_ATTEMPT_MARGIN;
         Ok(ExperimentResult::Search {
             scenarios: candidates.len(),
-            with_violations: candidates.iter().filter(|one| !one.violations.is_empty()).count(),
+            with_violations: candidates.iter().filter(|candidate| !candidate.violations.is_empty()).count(),
             under_one_attempt: candidates.iter().filter(under_one_attempt).count(),
             found: found.into_iter().collect::<Result<Vec<_>, _>>()?,
         })
     }
 
-    /// Plays random scenarios on all threads until the time is up; in the order of their seeds.
-    fn play_candidates(&self, plan: &SearchPlan) -> Vec<Candidate> {
-        let begun = Instant::now();
-        let limit = plan.duration.mul_f64(PLAYING_SHARE);
+    /// Runs random scenarios on all threads until the time limit. Returns their results in the order of the
+    /// seeds.
+    fn run_candidates(&self, plan: &SearchPlan) -> Vec<Candidate> {
+        let start = Instant::now();
+        let limit = plan.duration.mul_f64(RUN_TIME_SHARE);
         let bar = progress_bar(limit.as_secs().max(1), "search, seconds");
         let next_seed = AtomicU64::new(plan.seed << SEED_BLOCK_BITS);
-        // Each thread takes the next seed until the time is up; sorting hides which thread took which.
-        let play_until_limit = |_: BroadcastContext<'_>| {
+        // Each thread takes the next seed until the time limit. Sorting makes the order independent of the
+        // threads.
+        let run_until_limit = |_: BroadcastContext<'_>| {
             let mut candidates = Vec::new();
-            while begun.elapsed() < limit {
-                candidates.push(Candidate::play(next_seed.fetch_add(1, Ordering::Relaxed)));
-                bar.set_position(begun.elapsed().as_secs());
+            while start.elapsed() < limit {
+                candidates.push(Candidate::run(next_seed.fetch_add(1, Ordering::Relaxed)));
+                bar.set_position(start.elapsed().as_secs());
             }
             candidates
         };
         let mut candidates: Vec<Candidate> =
-            self.pool().broadcast(play_until_limit).into_iter().flatten().collect();
+            self.pool().broadcast(run_until_limit).into_iter().flatten().collect();
         candidates.sort_by_key(|candidate| candidate.seed);
         bar.finish_and_clear();
         candidates
     }
 
-    /// Plays a scenario that a search kept, and says whether it still shows what it was kept for: the broken
-    /// invariant, or at least half the credit gap.
+    /// Runs a scenario that a search saved, and reports whether it still shows the broken invariant, or at
+    /// least half the credit gap, that it was saved for.
     ///
     /// # Errors
     ///
-    /// A scenario that can't be read, or that no search wrote.
+    /// Returns an error if the scenario can't be read or was not written by a search.
     pub fn replay(&self, file: &Path) -> Result<ExperimentResult, ExperimentError> {
         let scenario = Scenario::read(file)?;
         let Some(found) = &scenario.found else {
@@ -167,22 +174,22 @@
             }
             None => {
                 let upper_bound = run(&scenario, found.seed, BuiltInPolicy::UpperBound);
-                let (then, now) = (found.upper_bound - found.credit, upper_bound.credit - report.credit);
-                (now >= then / 2.0, format!("{then:.3} under the ceiling, now {now:.3}"))
+                let (saved_gap, gap) = (found.upper_bound - found.credit, upper_bound.credit - report.credit);
+                (gap >= saved_gap / 2.0, format!("{saved_gap:.3} under the ceiling, now {gap:.3}"))
             }
         };
         Ok(ExperimentResult::Replay { reproduced, description, report: Box::new(report) })
     }
 }
 
-/// The first candidates that broke each invariant.
+/// Returns a task for each of the first candidates that broke each invariant.
 fn violation_tasks(candidates: &[Candidate]) -> Vec<ShrinkTask<'_>> {
     let mut tasks: Vec<ShrinkTask<'_>> = Vec::new();
     for candidate in candidates {
         for violation in &candidate.violations {
             let goal = ShrinkGoal::Violation(violation.rule);
-            let of_the_same_rule = tasks.iter().filter(|task| task.goal == goal).count();
-            if of_the_same_rule < MAX_FINDINGS_OF_A_RULE {
+            let same_rule_count = tasks.iter().filter(|task| task.goal == goal).count();
+            if same_rule_count < MAX_FINDINGS_PER_INVARIANT {
                 tasks.push(ShrinkTask { candidate, goal, description: violation.description.clone() });
             }
         }
@@ -190,7 +197,8 @@
     tasks
 }
 
-/// The candidates without a violation that lie farthest under the upper bound, the farthest first.
+/// Returns tasks for the candidates without a violation that have the largest credit gaps, in descending
+/// order.
 fn credit_gap_tasks(candidates: &[Candidate], count: usize) -> Vec<ShrinkTask<'_>> {
     let mut by_gap: Vec<&Candidate> =
         candidates.iter().filter(|candidate| candidate.violations.is_empty()).collect();
@@ -203,8 +211,8 @@
     by_gap.into_iter().take(count).map(task).collect()
 }
 
-/// Shrinks a scenario and writes it to a file that `replay` reads.
-fn keep_finding(task: &ShrinkTask<'_>, folder: &Path) -> Result<FoundScenario, ExperimentError> {
+/// Shrinks a scenario and writes it to a file for `replay`.
+fn save_finding(task: &ShrinkTask<'_>, folder: &Path) -> Result<FoundScenario, ExperimentError> {
     let seed = task.candidate.seed;
     let mut scenario = shrink(&random_scenario(seed), seed, task.goal);
     let reports = PolicyReports::of(&scenario, seed);
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -1,32 +1,32 @@
-//! Shrinks a scenario to the least that still shows the same fault.
+//! Shrinks a scenario to a smaller one that still shows the same fault.
 
 use reeddock_simulation::distribution::{Amount, Share, Span};
 use reeddock_simulation::fault::Fault;
 use reeddock_simulation::invariants::Rule;
 use reeddock_simulation::{run, BuiltInPolicy, Scenario};
 
-/// What a shrunk scenario must still show.
+/// The fault that a shrunk scenario must still show.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ShrinkGoal {
     /// The delivery policy breaks this invariant.
     Violation(Rule),
-    /// The delivery policy's credit lies so far under that of the upper bound.
+    /// The delivery policy's credit stays below the upper bound's by most of this gap.
     CreditGap(f64),
 }
 
-/// Share of a credit gap that must be left.
-const GAP_LEFT: f64 = 0.85;
-/// Messages below which a credit gap may be chance.
+/// Share of a credit gap that a shrunk scenario must still have.
+const MIN_REMAINING_GAP_SHARE: f64 = 0.85;
+/// Minimum number of messages of a scenario shrunk for its credit gap; with fewer, the gap may be random.
 const MIN_MESSAGES: u64 = 400;
-/// Scenarios played for one goal: bounds the time that a search spends on it.
-const MAX_TRIALS: usize = 120;
-/// Kinds of destinations whose removal is tried.
+/// Maximum number of scenarios that are run for one goal; limits the time for shrinking.
+const MAX_CANDIDATES: usize = 120;
+/// Maximum number of destination kinds whose removal is tried.
 const MAX_KINDS_REMOVED: usize = 8;
-/// The shortest scenario, in seconds.
-const MIN_DURATION: f64 = 5.0;
+/// Minimum duration of a shrunk scenario, in seconds.
+const MIN_DURATION_S: f64 = 5.0;
 
 impl ShrinkGoal {
-    /// Whether the scenario shows what is wanted; plays it.
+    /// Runs the scenario and returns whether it shows the fault.
     #[must_use]
     pub fn is_reproduced_by(self, scenario: &Scenario, seed: u64) -> bool {
         let report = run(scenario, seed, BuiltInPolicy::DeliveryPolicy);
@@ -34,20 +34,22 @@
             ShrinkGoal::Violation(rule) => report.violations.iter().any(|broken| broken.rule == rule),
             ShrinkGoal::CreditGap(gap) => {
                 let upper_bound = run(scenario, seed, BuiltInPolicy::UpperBound);
-                report.submissions >= MIN_MESSAGES && upper_bound.credit - report.credit >= gap * GAP_LEFT
+                report.submissions >= MIN_MESSAGES
+                    && upper_bound.credit - report.credit >= gap * MIN_REMAINING_GAP_SHARE
             }
         }
     }
 }
 
-/// One way to make a scenario smaller or simpler. Positions are those in the scenario that it was made for.
+/// A change that makes a scenario smaller or simpler. Positions refer to the scenario for which it was
+/// listed.
 #[derive(Clone, Copy, Debug)]
 enum Reduction {
     RemoveFault(usize),
     RemoveKind(usize),
     RemoveClass(usize),
     RemoveProgram(usize),
-    /// Halves the fleet, the traffic and the destinations: each forwarder keeps its load.
+    /// Halves the fleet, the traffic and the destinations, so that the load of each forwarder stays the same.
     HalveFleetAndLoad,
     HalveFleet,
     HalveDestinations(usize),
@@ -73,14 +75,14 @@
             Reduction::HalveDestinations(position) => halve_destinations(scenario, position),
             Reduction::ReduceTraffic => scale_traffic(scenario, 0.7),
             Reduction::Shorten => {
-                scenario.duration = Span::clamped((scenario.duration.seconds() * 0.75).max(MIN_DURATION));
+                scenario.duration = Span::clamped((scenario.duration.seconds() * 0.75).max(MIN_DURATION_S));
             }
             Reduction::Simplify(simplify) => simplify(scenario),
         }
     }
 }
 
-/// Settings that make a scenario simpler where they are off, each as the change that turns it off.
+/// Changes that each turn off one setting.
 const SIMPLIFICATIONS: [fn(&mut Scenario); 11] = [
     |scenario| scenario.traffic.grouped_share = Share::NONE,
     |scenario| scenario.traffic.skew = 0.0,
@@ -95,7 +97,7 @@
     |scenario| scenario.kinds.iter_mut().for_each(|kind| kind.max_batch = 1),
 ];
 
-/// Removes a message class, and the faults that name it.
+/// Removes a message class and the faults that name the class.
 fn remove_class(scenario: &mut Scenario, position: usize) {
     let removed = scenario.classes.remove(position).name;
     scenario
@@ -103,7 +105,7 @@
         .retain(|fault| !matches!(&fault.fault, Fault::ClassFails { class, .. } if *class == removed));
 }
 
-/// Removes a client program, and the faults that name it.
+/// Removes a client program and the faults that name the program.
 fn remove_program(scenario: &mut Scenario, position: usize) {
     let removed = scenario.programs.remove(position).name;
     scenario
@@ -124,12 +126,12 @@
     scenario.traffic.baseline_per_s = Amount::clamped(scenario.traffic.baseline_per_s.get() * factor);
 }
 
-/// The positions of parts that may be removed: at least one part must be left.
+/// Returns the positions of parts that may be removed; a single part may not be.
 fn removable(length: usize) -> std::ops::Range<usize> {
     0..if length > 1 { length } else { 0 }
 }
 
-/// All reductions of a scenario, those that remove most first.
+/// Returns all reductions of a scenario; those that usually remove most come first.
 fn reductions(scenario: &Scenario) -> Vec<Reduction> {
     let mut reductions = Vec::new();
     reductions.extend((0..scenario.faults.len()).map(Reduction::RemoveFault));
@@ -145,36 +147,37 @@
     reductions
 }
 
-/// Whether the scenario can be written to a file and read back as it is.
+/// Returns whether the scenario stays the same when written to a file and read back.
 fn is_valid(scenario: &Scenario) -> bool {
     Scenario::parse("candidate", &scenario.to_text(), &[]).is_ok_and(|read| read == *scenario)
 }
 
-/// Shrinks a scenario until no reduction leaves what is wanted, or enough of them were tried.
+/// Shrinks a scenario until every further reduction would lose the fault, or the maximum number was tried.
 #[must_use]
 pub fn shrink(scenario: &Scenario, seed: u64, goal: ShrinkGoal) -> Scenario {
     let mut smallest = scenario.clone();
-    let mut trials = 0;
+    let mut candidate_count = 0;
     loop {
-        let mut reduced = false;
+        let mut changed = false;
         for number in 0..reductions(&smallest).len() {
-            // Listed anew each time: a reduction that was kept changes the positions that those after it name.
+            // Reductions are listed again each time, because an applied reduction changes the positions of
+            // later ones.
             let Some(reduction) = reductions(&smallest).get(number).copied() else { break };
             let mut candidate = smallest.clone();
             reduction.apply(&mut candidate);
             if candidate == smallest {
                 continue;
             }
-            trials += 1;
+            candidate_count += 1;
             if is_valid(&candidate) && goal.is_reproduced_by(&candidate, seed) {
                 smallest = candidate;
-                reduced = true;
+                changed = true;
             }
-            if trials >= MAX_TRIALS {
+            if candidate_count >= MAX_CANDIDATES {
                 return smallest;
             }
         }
-        if !reduced {
+        if !changed {
             return smallest;
         }
     }
--- a/crates/experiments/src/study_arguments.rs
+++ b/crates/experiments/src/study_arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of the studies that `docs/CAPACITY.md` quotes.
+//! Command-line arguments of the studies.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,16 +9,16 @@
     SharingStudyPlan,
 };
 
-/// Sums of calls to destinations that come back cold.
+/// Measure the requests of a fleet to destinations in slow start after an outage.
 #[derive(Args)]
 pub struct RecoveryStudyArguments {
     scenario: PathBuf,
-    /// A place in the scenario and the values to put there; may stand several times.
+    /// Key of the scenario and the values to run it with; may be repeated.
     #[arg(long = "set", value_name = "KEY=V1,V2", default_value = "fleet.forwarders=3,30,300")]
-    settings: Vec<ScenarioOverride>,
+    overrides: Vec<ScenarioOverride>,
     #[arg(long, default_value = "module")]
     policies: PolicyList,
-    /// Days, each drawn by a seed of its own, from 1 up.
+    /// Number of runs of each combination, with seeds from 1 up.
     #[arg(long, default_value_t = 30)]
     seeds: u64,
 }
@@ -30,33 +30,38 @@
         format: OutputFormat,
     ) -> Result<ExitCode, ExperimentError> {
         let plan = ComparisonPlan { policies: self.policies, seeds: self.seeds };
-        runner.study_recovery(&self.scenario, &self.settings, &plan)?.print(format)
+        runner.study_recovery(&self.scenario, &self.overrides, &plan)?.print(format)
     }
 }
 
-/// Fleets that share nothing of destinations that are down, beside ones that do.
+/// Compare fleets with and without shared knowledge of destinations that are down.
 #[derive(Args)]
 pub struct SharingStudyArguments {
     scenario: PathBuf,
-    /// Sizes of the fleet.
-    #[arg(long, value_delimiter = ',', default_value = "10,30,100,300,1000")]
-    forwarders: Vec<u32>,
-    /// Seconds between two meetings of a forwarder with a destination, in the mean.
-    #[arg(long, default_value_t = 842.0)]
-    meet_every: f64,
-    /// Share of the destinations that is down at any time.
-    #[arg(long, default_value_t = 0.041)]
-    down: f64,
-    /// Seconds that an outage lasts.
-    #[arg(long, default_value_t = 180.0)]
-    outage: f64,
-    /// Most forwarders times destinations that are played; rates are scaled up.
-    #[arg(long, default_value_t = 100_000)]
-    cells: u64,
-    /// Destinations that rates are scaled up to.
-    #[arg(long, default_value_t = 320_000)]
-    full: u64,
-    /// Days, each drawn by a seed of its own, from 1 up.
+    /// Numbers of forwarders, one for each fleet.
+    #[arg(
+        long = "forwarders",
+        value_name = "FORWARDERS",
+        value_delimiter = ',',
+        default_value = "10,30,100,300,1000"
+    )]
+    fleet_sizes: Vec<u32>,
+    /// Mean time between two messages of a forwarder to the same destination, in seconds.
+    #[arg(long = "meet-every", value_name = "SECONDS", default_value_t = 842.0)]
+    message_interval_s: f64,
+    /// Mean share of the destinations that is down at any time.
+    #[arg(long = "down", value_name = "SHARE", default_value_t = 0.041)]
+    down_share: f64,
+    /// Duration of each outage, in seconds.
+    #[arg(long = "outage", value_name = "SECONDS", default_value_t = 180.0)]
+    outage_s: f64,
+    /// Maximum number of forwarders times simulated destinations.
+    #[arg(long = "cells", value_name = "COUNT", default_value_t = 100_000)]
+    max_forwarder_destination_pairs: u64,
+    /// Number of destinations in production, to which rates are scaled up.
+    #[arg(long = "full", value_name = "COUNT", default_value_t = 320_000)]
+    production_destinations: u64,
+    /// Number of runs of each combination, with seeds from 1 up.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
 }
@@ -68,12 +73,12 @@
         format: OutputFormat,
     ) -> Result<ExitCode, ExperimentError> {
         let plan = SharingStudyPlan {
-            forwarders: self.forwarders,
-            message_interval_s: self.meet_every,
-            down_share: self.down,
-            outage_s: self.outage,
-            max_cells: self.cells,
-            real_destinations: self.full,
+            fleet_sizes: self.fleet_sizes,
+            message_interval_s: self.message_interval_s,
+            down_share: self.down_share,
+            outage_s: self.outage_s,
+            max_forwarder_destination_pairs: self.max_forwarder_destination_pairs,
+            production_destinations: self.production_destinations,
             seeds: self.seeds,
         };
         runner.study_sharing(&self.scenario, &plan)?.print(format)
--- a/crates/experiments/src/text_report.rs
+++ b/crates/experiments/src/text_report.rs
@@ -1,4 +1,4 @@
-//! Results as text for people.
+//! Results as readable text.
 
 use std::process::ExitCode;
 
@@ -13,25 +13,25 @@
     cost_cells, credit_cell, credit_cells, finding_cells, COST_HEADER, CREDIT_HEADER, FINDING_HEADER,
 };
 
-/// Message classes, programs and destinations that are listed of each run.
-const LISTED_PARTS: usize = 6;
-/// Broken invariants that are listed of each run.
-const LISTED_VIOLATIONS: usize = 5;
+/// Maximum number of message classes, of programs and of destinations that are listed for each run.
+const MAX_LISTED_GROUPS: usize = 6;
+/// Maximum number of violations that are listed for each run.
+const MAX_LISTED_VIOLATIONS: usize = 5;
 
-/// A table without borders.
+/// Returns an empty table without borders.
 pub(crate) fn plain_table() -> Table {
     let mut table = Table::new();
     table.load_preset(NOTHING);
     table
 }
 
-/// The whole text, with a line break at its end.
+/// Returns the text of a result, with a line break at the end.
 fn render(result: &ExperimentResult) -> String {
     match result {
         ExperimentResult::Runs { reports } => reports.iter().map(run_text).collect(),
         ExperimentResult::Replay { reproduced, description, report } => {
-            let now = if *reproduced { "seen again" } else { "NOT seen any more" };
-            format!("{description}: {now}\n{}", run_text(report))
+            let verdict = if *reproduced { "reproduced" } else { "NOT reproduced" };
+            format!("{description}: {verdict}\n{}", run_text(report))
         }
         ExperimentResult::Comparison { scenario, rows, .. } => {
             format!("{scenario}, emulated\n{}\n", comparison_table(rows))
@@ -40,25 +40,28 @@
             format!("{scenario}, emulated\n{}\n", sweep_table(keys, rows))
         }
         ExperimentResult::Search { scenarios, with_violations, under_one_attempt, found } => format!(
-            "{scenarios} scenarios, emulated; {with_violations} with a broken rule, \
-             {under_one_attempt} under one try\n{}\n",
+            "{scenarios} scenarios, emulated; {with_violations} with a broken invariant, \
+             {under_one_attempt} with less credit than one attempt per message\n{}\n",
             findings_table(found)
         ),
     }
 }
 
-/// The columns of a policy over several days.
+/// Returns the headings of a policy's results over several runs.
 fn summary_header() -> Vec<&'static str> {
-    [&CREDIT_HEADER[..], &["against", "worst 10 s"], &COST_HEADER, &["broken"]].concat()
+    [&CREDIT_HEADER[..], &["difference", "worst 10 s"], &COST_HEADER, &["violations"]].concat()
 }
 
-/// The cells under [`summary_header`].
+/// Returns the cells under [`summary_header`].
 fn summary_cells(summary: &PolicySummary) -> Vec<String> {
     let mut cells = credit_cells(summary).to_vec();
     cells.push(format!("{:+.3}", summary.credit_difference.mean));
     cells.push(credit_cell(summary.metrics.worst_window_credit));
     cells.extend(cost_cells(&summary.metrics));
-    cells.push(format!("{} on {} of {}", summary.violations, summary.days_with_violations, summary.days));
+    cells.push(format!(
+        "{} in {} of {} runs",
+        summary.violations, summary.runs_with_violations, summary.run_count
+    ));
     cells
 }
 
@@ -82,27 +85,28 @@
 
 fn findings_table(findings: &[FoundScenario]) -> Table {
     let mut table = plain_table();
-    table.set_header(FINDING_HEADER.into_iter().chain(["tries", "what"]));
+    table.set_header(FINDING_HEADER.into_iter().chain(["messages", "finding"]));
     for finding in findings {
-        let what = finding.description.lines().next().unwrap_or_default().to_owned();
-        table.add_row(finding_cells(finding).into_iter().chain([finding.messages.to_string(), what]));
+        let summary = finding.description.lines().next().unwrap_or_default().to_owned();
+        table.add_row(finding_cells(finding).into_iter().chain([finding.messages.to_string(), summary]));
     }
     table
 }
 
-/// One run: its measurements, the parts that lost most credit, and the invariants that it broke.
+/// Describes one run: measurements, the groups of messages that lost most credit, and violations.
 fn run_text(run: &Report) -> String {
     let mut text = [credit_lines(run), message_lines(run), cost_lines(run)].concat();
-    let parts = [("category", &run.classes), ("program", &run.programs), ("destination", &run.destinations)];
-    for (kind, parts) in parts {
-        for part in parts.iter().take(LISTED_PARTS) {
+    let group_lists =
+        [("message class", &run.classes), ("program", &run.programs), ("destination", &run.destinations)];
+    for (kind, groups) in group_lists {
+        for group in groups.iter().take(MAX_LISTED_GROUPS) {
             text +=
-                &format!("  {kind} {}: {:.3} of {:.0}\n", part.name, part.earned_share, part.credit_asked);
+                &format!("  {kind} {}: {:.3} of {:.0}\n", group.name, group.earned_share, group.credit_asked);
         }
     }
     if run.rules_broken > 0 {
-        text += &format!("RULES BROKEN: {}\n", run.rules_broken);
-        for violation in run.violations.iter().take(LISTED_VIOLATIONS) {
+        text += &format!("INVARIANTS BROKEN: {}\n", run.rules_broken);
+        for violation in run.violations.iter().take(MAX_LISTED_VIOLATIONS) {
             text += &format!("  {violation}\n");
         }
     }
@@ -112,17 +116,17 @@
 fn credit_lines(run: &Report) -> String {
     format!(
         "{} under {}, seed {}, emulated\n\
-         credit {:.3}, worst 10 s {:.3}, worst category {:.3}\n",
+         credit {:.3}, worst 10 s {:.3}, worst message class {:.3}\n",
         run.scenario, run.policy, run.seed, run.credit, run.credit_worst_span, run.credit_worst_class,
     )
 }
 
-/// How the messages ended, and how long they took.
+/// Describes the outcomes of messages and their latency.
 fn message_lines(run: &Report) -> String {
     format!(
-        "{} first tries, {} envelopes: {} in time, {} late, {} shed, {} broken off, {} withdrawn, \
-         {} turned away, {} lost\n\
-         latency ms: p50 {}, p90 {}, p99 {}, worst {}\n",
+        "{} submissions, {} messages: {} in time, {} late, {} rejected, {} failed, {} withdrawn, \
+         {} not accepted, {} lost\n\
+         latency ms: p50 {}, p90 {}, p99 {}, maximum {}\n",
         run.submissions,
         run.messages,
         run.ends.completed_in_time,
@@ -139,12 +143,12 @@
     )
 }
 
-/// What the deliveries took from forwarders and endpoints, and the run from this machine.
+/// Describes the attempts, connections and work of the run, and the size of the simulation.
 fn cost_lines(run: &Report) -> String {
     format!(
-        "for each try {:.2} dispatches, {:.2} refused, {:.2} new connections; \
-         work wasted {:.2}, slots in use {:.2}\n\
-         {} events, {} turns, ran {:.1} s; {} fell over\n",
+        "per submission: {:.2} attempts, {:.2} rejected, {:.2} new connections; \
+         work wasted {:.2}, in-flight limit used {:.2}\n\
+         {} events, {} policy runs, {:.1} simulated s; {} overloads\n",
         run.attempts_per_submission,
         run.rejections_per_submission,
         run.new_connections_per_submission,
@@ -158,12 +162,12 @@
 }
 
 impl ExperimentResult {
-    /// Prints the result to standard output. The exit code is 1 where an invariant was broken, or a replayed
-    /// scenario no longer shows what it was kept for.
+    /// Prints the result to standard output. The exit code is 1 if an invariant was broken, or a replayed
+    /// scenario no longer shows what it was saved for.
     ///
     /// # Errors
     ///
-    /// Only those of the JSON writer.
+    /// Returns an error if the result can't be written as JSON.
     pub fn print(&self, format: OutputFormat) -> Result<ExitCode, ExperimentError> {
         format.print(self, || render(self))?;
         Ok(ExitCode::from(u8::from(!self.is_success())))
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Small experiments, through the library and the program.
+//! Tests of runs, sweeps, searches and reports, through the library and the program.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -9,7 +9,7 @@
 };
 use reeddock_simulation::{run, BuiltInPolicy, Scenario};
 
-fn scenario() -> PathBuf {
+fn scenario_file() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/first-morning.toml")
 }
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_sweep_gives_the_same_bytes_with_any_number_of_threads() {
+fn sweep_result_does_not_depend_on_thread_count() {
     let bytes = |threads| {
         let plan = SweepPlan {
             overrides: vec![
@@ -30,40 +30,41 @@
         };
         ExperimentRunner::with_threads(Some(threads))
             .unwrap()
-            .sweep(&scenario(), &plan)
+            .sweep(&scenario_file(), &plan)
             .unwrap()
             .to_json()
             .unwrap()
     };
-    let alone = bytes(1);
-    assert_eq!(alone, bytes(3));
-    assert!(alone.contains("\"values\":[\"0.8\",\"15\"]"), "{alone}");
+    let single_threaded = bytes(1);
+    assert_eq!(single_threaded, bytes(3));
+    assert!(single_threaded.contains("\"values\":[\"0.8\",\"15\"]"), "{single_threaded}");
 }
 
 #[test]
-fn drawn_scenarios_are_sound_and_read_as_written() {
+fn random_scenarios_stay_the_same_when_written_and_read() {
     for seed in 0..400 {
-        let drawn = random_scenario(seed);
-        let read = Scenario::parse("drawn", &drawn.to_text(), &[]).unwrap_or_else(|e| panic!("{seed}: {e}"));
-        assert_eq!(read, drawn, "seed {seed}");
+        let generated = random_scenario(seed);
+        let read =
+            Scenario::parse("drawn", &generated.to_text(), &[]).unwrap_or_else(|e| panic!("{seed}: {e}"));
+        assert_eq!(read, generated, "seed {seed}");
     }
 }
 
-/// FNV-1a of 64 bits.
+/// Returns the 64-bit FNV-1a hash of a text.
 fn checksum(text: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
 #[test]
-fn a_seed_draws_the_same_scenario_as_ever() {
-    // Files in `scenarios/found/` name the seeds that they were drawn from.
+fn random_scenario_of_a_seed_never_changes() {
+    // Files in `scenarios/found/` name the seeds that they were generated from.
     let scenarios: String = (0..100).map(|number| random_scenario(number * 7919).to_text()).collect();
     assert_eq!(checksum(&scenarios), 0xbdb2_4db3_feaf_fff8);
 }
 
 #[test]
-fn values_of_an_override_may_hold_the_commas_of_lists_and_tables() {
+fn override_values_may_contain_commas_inside_lists_and_tables() {
     let parsed: ScenarioOverride = r#" kind.0.limit = "none", { span = 2 } ,[1, 2]"#.parse().unwrap();
     assert_eq!(parsed.key, "kind.0.limit");
     assert_eq!(parsed.values, [r#""none""#, "{ span = 2 }", "[1, 2]"]);
@@ -73,24 +74,25 @@
 }
 
 #[test]
-fn what_is_found_is_shrunk_and_replayed() {
-    // A distance to the ceiling that any scenario has which is worse than perfect.
+fn found_scenario_is_shrunk_and_replayed() {
+    // The first small scenario in which the delivery policy has a credit gap to the upper bound.
     let seed = (0..200)
         .find(|seed| {
-            let drawn = random_scenario(*seed);
-            let few = drawn.fleet.forwarders <= 3 && drawn.traffic.baseline_per_s.get() < 60.0;
-            few && run(&drawn, *seed, BuiltInPolicy::UpperBound).credit
-                - run(&drawn, *seed, BuiltInPolicy::DeliveryPolicy).credit
-                > 0.03
+            let generated = random_scenario(*seed);
+            let is_small = generated.fleet.forwarders <= 3 && generated.traffic.baseline_per_s.get() < 60.0;
+            is_small
+                && run(&generated, *seed, BuiltInPolicy::UpperBound).credit
+                    - run(&generated, *seed, BuiltInPolicy::DeliveryPolicy).credit
+                    > 0.03
         })
-        .expect("one of these days is worse than perfect");
-    let drawn = random_scenario(seed);
-    let gap = run(&drawn, seed, BuiltInPolicy::UpperBound).credit
-        - run(&drawn, seed, BuiltInPolicy::DeliveryPolicy).credit;
+        .expect("no random scenario has a credit gap over 0.03");
+    let generated = random_scenario(seed);
+    let gap = run(&generated, seed, BuiltInPolicy::UpperBound).credit
+        - run(&generated, seed, BuiltInPolicy::DeliveryPolicy).credit;
     let goal = ShrinkGoal::CreditGap(gap);
-    let mut small = shrink(&drawn, seed, goal);
-    assert!(goal.is_reproduced_by(&small, seed), "it still shows what was found");
-    assert!(small.to_text().len() < drawn.to_text().len());
+    let mut small = shrink(&generated, seed, goal);
+    assert!(goal.is_reproduced_by(&small, seed), "the shrunk scenario must still show the credit gap");
+    assert!(small.to_text().len() < generated.to_text().len());
 
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("found.toml");
@@ -104,20 +106,20 @@
     std::fs::write(&file, small.to_text()).unwrap();
     let replayed = program(&["replay", file.to_str().unwrap()]);
     let text = String::from_utf8(replayed.stdout).unwrap();
-    assert!(replayed.status.success() && text.contains("seen again"), "{text}");
-    // A rule that is not broken there is not seen, and the exit code says so.
+    assert!(replayed.status.success() && text.contains(": reproduced"), "{text}");
+    // An invariant that the scenario does not break is not reproduced, so that the exit code is 1.
     small.found.as_mut().unwrap().rule = Some(reeddock_simulation::invariants::Rule::Interface);
     std::fs::write(&file, small.to_text()).unwrap();
     assert_eq!(program(&["replay", file.to_str().unwrap()]).status.code(), Some(1));
 }
 
 #[test]
-fn results_are_kept_and_plotted_on_one_page() {
+fn saved_results_are_plotted_on_one_html_page() {
     let folder = tempfile::tempdir().unwrap();
     let runner = ExperimentRunner::with_threads(None).unwrap();
     let policies: PolicyList = "module,ceiling".parse().unwrap();
-    let compared = runner.compare(&scenario(), &ComparisonPlan { policies, seeds: 1 }).unwrap();
-    compared.keep(Some(folder.path())).unwrap();
+    let comparison = runner.compare(&scenario_file(), &ComparisonPlan { policies, seeds: 1 }).unwrap();
+    comparison.save(Some(folder.path())).unwrap();
     let page = folder.path().join("page.html");
     let plots = write_html_report(folder.path(), &page).unwrap();
     let text = std::fs::read_to_string(page).unwrap();
@@ -126,9 +128,9 @@
 }
 
 #[test]
-fn a_wrong_line_is_answered_with_one_line() {
-    let scenario = scenario();
-    let file = scenario.to_str().unwrap();
+fn invalid_arguments_and_files_are_reported_with_exit_code_2() {
+    let path = scenario_file();
+    let file = path.to_str().unwrap();
     for (arguments, expected) in [
         (vec!["run", "none.toml"], "none.toml: cannot be read"),
         (vec!["compare", file, "--policies", "modul"], "expected module, one-try"),
--- a/crates/experiments/tests/output_keys.rs
+++ b/crates/experiments/tests/output_keys.rs
@@ -1,5 +1,5 @@
-//! Names that operators and scripts see: keys of results as JSON, keys and words of the scenario file, options of the
-//! command line. What is renamed in the code must not rename these.
+//! Guards against renames in the code that change names read by operators and scripts: keys of JSON results,
+//! keys and keywords of the scenario file, and options of the command line.
 
 #[path = "support/full_scenario.rs"]
 mod full_scenario;
@@ -13,27 +13,27 @@
 use reeddock_simulation::Scenario;
 use serde_json::{json, Value};
 
-/// The keys of the JSON form of statistics.
+/// Keys of statistics in JSON.
 const STATISTICS: [&str; 4] = ["deviation", "least", "mean", "most"];
 
-/// The paths of all keys in a value; `[]` stands for the items of a list.
+/// Returns the paths of all keys in a value; `[]` stands for the items of a list.
 fn key_paths(value: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     collect_key_paths(value, "", &mut paths);
     paths
 }
 
-fn collect_key_paths(value: &Value, place: &str, paths: &mut BTreeSet<String>) {
+fn collect_key_paths(value: &Value, prefix: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
             for (key, field) in fields {
-                let path = if place.is_empty() { key.clone() } else { format!("{place}.{key}") };
+                let path = if prefix.is_empty() { key.clone() } else { format!("{prefix}.{key}") };
                 collect_key_paths(field, &path, paths);
                 paths.insert(path);
             }
         }
         Value::Array(items) => {
-            items.iter().for_each(|item| collect_key_paths(item, &format!("{place}[]"), paths));
+            items.iter().for_each(|item| collect_key_paths(item, &format!("{prefix}[]"), paths));
         }
         _ => {}
     }
@@ -54,7 +54,7 @@
     serde_json::from_str(&printed_text(&[arguments, &["--json"]].concat())).unwrap()
 }
 
-/// A report in which every list has an item and every rule is broken.
+/// Returns a report in which every list has an item and every invariant is broken.
 fn report() -> Value {
     let rules =
         ["interface", "one_answer", "no_double_effect", "drains", "not_pushed_over", "order", "waits"];
@@ -90,7 +90,7 @@
     })
 }
 
-/// A policy's summary in a comparison or sweep.
+/// Returns a policy's summary in a comparison or sweep.
 fn summary() -> Value {
     let statistics = json!({"mean": 1.5, "deviation": 0.5, "least": 1.25, "most": 1.75});
     json!({
@@ -103,7 +103,7 @@
     })
 }
 
-/// Asserts that a result is read from this JSON and written as the same JSON, with no key more or less.
+/// Asserts that a result is read from this JSON and written as the same JSON, with the same keys.
 fn assert_read_and_written(expected: &Value) {
     let result: ExperimentResult = serde_json::from_value(expected.clone()).unwrap();
     let written: Value = serde_json::from_str(&result.to_json().unwrap()).unwrap();
@@ -142,7 +142,7 @@
     let printed = printed_json(&["compare", file.to_str().unwrap(), "--seeds", "1"]);
     let expected =
         json!({"kind": "comparison", "scenario": "a", "rows": [summary()], "first_days": [report()]});
-    // Policies may break no rule on this day.
+    // Policies may break no invariant in this run, so that keys of violations may be missing.
     let without_violations = |value: &Value| {
         let mut paths = key_paths(value);
         paths.retain(|path| !path.starts_with("first_days[].broken[]"));
@@ -154,7 +154,7 @@
     assert_eq!(policies, ["module", "one-try", "back-off", "breaker", "ceiling"]);
 }
 
-/// The paths of a table's keys, of which the rows hold statistics and other values.
+/// Returns the paths of a table's keys, whose rows hold statistics and other values.
 fn table_paths(keys: &[&str], statistics: &[&str], others: &[&str]) -> BTreeSet<String> {
     let mut paths: BTreeSet<String> = keys.iter().map(|key| (*key).to_owned()).collect();
     paths.extend(others.iter().chain(statistics).map(|key| format!("rows[].{key}")));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn scenario_with_everything_set_is_read_and_written_with_these_keys() {
+fn scenario_with_every_key_is_read_and_written_with_these_keys() {
     let scenario = Scenario::parse("full", FULL_SCENARIO, &[]).unwrap();
     let written = serde_json::to_value(&scenario).unwrap();
     let paths = key_paths(&written);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn words_of_scenario_are_written_as_they_are_read() {
+fn scenario_keywords_are_written_as_they_are_read() {
     let scenario = Scenario::parse("full", FULL_SCENARIO, &[]).unwrap();
     let written = serde_json::to_value(&scenario).unwrap();
     let words = |section: &str, key: &str| -> Vec<Value> {
@@ -235,10 +235,10 @@
     assert_eq!(serde_json::to_value(&scenario).unwrap()["list"]["weights"], "none");
 }
 
-/// The names in the lines below a heading of a help text: those of options without what they take.
+/// Returns the names below a heading of a help text, without the values that options take.
 fn help_names(help: &str, heading: &str) -> Vec<String> {
-    let below = help.lines().skip_while(|line| *line != heading).skip(1);
-    let lines = below.take_while(|line| line.is_empty() || line.starts_with(' '));
+    let lines_below = help.lines().skip_while(|line| *line != heading).skip(1);
+    let lines = lines_below.take_while(|line| line.is_empty() || line.starts_with(' '));
     let name = |line: &str| match heading {
         "Options:" => {
             let long = line.trim_start().starts_with('-').then(|| line.find("--")).flatten()?;
@@ -262,7 +262,7 @@
 
 #[test]
 fn subcommands_have_these_options() {
-    for (subcommand, own) in [
+    for (subcommand, own_options) in [
         ("compare", vec!["--out", "--policies", "--seeds"]),
         ("ramp", vec!["--policies", "--seeds", "--set"]),
         ("record", vec!["--compare", "--digest", "--out", "--seed", "--seeds", "--streams"]),
@@ -276,7 +276,7 @@
         ),
         ("sweep", vec!["--out", "--policies", "--seeds", "--set"]),
     ] {
-        let mut expected = [own, vec!["--help", "--json", "--threads"]].concat();
+        let mut expected = [own_options, vec!["--help", "--json", "--threads"]].concat();
         expected.sort_unstable();
         let help = printed_text(&[subcommand, "--help"]);
         assert_eq!(help_names(&help, "Options:"), expected, "{subcommand}");
--- a/crates/experiments/tests/studies.rs
+++ b/crates/experiments/tests/studies.rs
@@ -1,4 +1,4 @@
-//! The studies of returning destinations and of shared knowledge, small.
+//! Tests of the recovery study and the sharing study on small fleets.
 
 use std::path::{Path, PathBuf};
 
@@ -10,21 +10,21 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
 }
 
-/// One day of few destinations, each of which a forwarder meets often.
-fn small_fleets(forwarders: Vec<u32>) -> SharingStudyPlan {
+/// Returns a plan of one run with few destinations, to each of which a forwarder sends often.
+fn small_fleets(fleet_sizes: Vec<u32>) -> SharingStudyPlan {
     SharingStudyPlan {
-        forwarders,
+        fleet_sizes,
         message_interval_s: 25.0,
         down_share: 0.1,
         outage_s: 60.0,
-        max_cells: 1_000,
-        real_destinations: 1_000,
+        max_forwarder_destination_pairs: 1_000,
+        production_destinations: 1_000,
         seeds: 1,
     }
 }
 
 #[test]
-fn ramps_are_summed_over_the_fleet_and_the_same_with_any_number_of_threads() {
+fn recovery_loads_are_summed_over_the_fleet_and_do_not_depend_on_thread_count() {
     let rows = |threads| {
         let overrides: Vec<ScenarioOverride> =
             vec!["fleet.forwarders=3,12".parse().unwrap(), "lasts_s=40".parse().unwrap()];
@@ -32,41 +32,49 @@
         let runner = ExperimentRunner::with_threads(Some(threads)).unwrap();
         runner.study_recovery(&scenario("cold-return.toml"), &overrides, &plan).unwrap().rows
     };
-    let alone = rows(1);
-    assert_eq!(serde_json::to_string(&alone).unwrap(), serde_json::to_string(&rows(3)).unwrap());
-    // Four sizes of destinations for each fleet and policy; each of twelve returns once a day.
-    assert_eq!(alone.len(), 2 * 2 * 4);
-    let returns: usize = alone.iter().map(|r| r.recoveries).sum();
-    assert_eq!(returns, 2 * 2 * 2 * 12);
-    // Retries without a guard push a returning destination over, and the study sees it.
-    let fell = |policy: &str| {
-        alone.iter().filter(|r| r.policy == policy).map(|r| r.seeds_with_overload).sum::<usize>()
+    let single_threaded = rows(1);
+    assert_eq!(serde_json::to_string(&single_threaded).unwrap(), serde_json::to_string(&rows(3)).unwrap());
+    // Each fleet and policy has four sizes of destinations. Each of twelve destinations recovers once in a
+    // run.
+    assert_eq!(single_threaded.len(), 2 * 2 * 4);
+    let recoveries: usize = single_threaded.iter().map(|r| r.recoveries).sum();
+    assert_eq!(recoveries, 2 * 2 * 2 * 12);
+    // Retries with back-off alone overload a recovering destination, and the study reports the overload.
+    let overload_count = |policy: &str| {
+        single_threaded.iter().filter(|r| r.policy == policy).map(|r| r.seeds_with_overload).sum::<usize>()
     };
-    assert!(fell("back-off") > 0);
-    assert!(alone.iter().filter(|row| row.policy == "back-off").any(|row| row.load_ratio.maximum > 1.0));
-    assert_eq!(fell("module"), 0);
+    assert!(overload_count("back-off") > 0);
+    assert!(single_threaded
+        .iter()
+        .filter(|row| row.policy == "back-off")
+        .any(|row| row.load_ratio.maximum > 1.0));
+    assert_eq!(overload_count("module"), 0);
 }
 
 #[test]
-fn forwarders_that_share_send_less_to_what_is_down() {
+fn forwarders_sharing_circuit_state_send_less_to_down_destinations() {
     let plan = small_fleets(vec![30]);
     let table = ExperimentRunner::with_threads(None)
         .unwrap()
         .study_sharing(&scenario("seldom-met.toml"), &plan)
         .unwrap();
     let row = |name: &str| table.rows.iter().find(|r| r.policy.contains(name)).unwrap();
-    let (alone, late) = (row("circuit, shares nothing"), row("after 1 s"));
-    let (at_once, ideal) = (row("at once"), row("true state"));
-    assert!(at_once.first_lost_to_known.mean < 0.5 * alone.first_lost_to_known.mean);
-    // While the news of a trial are on their way, all that hold something go too: a delay costs most of the gain.
-    assert!(late.attempts_per_s.mean > 1.5 * at_once.attempts_per_s.mean);
-    assert!(ideal.attempts_per_s.mean < 0.1 * at_once.attempts_per_s.mean);
+    let (unshared, delayed) = (row("circuit, shares nothing"), row("after 1 s"));
+    let (immediate, upper_bound) = (row("at once"), row("true state"));
+    assert!(
+        immediate.first_attempt_lost_to_known_outage_share.mean
+            < 0.5 * unshared.first_attempt_lost_to_known_outage_share.mean
+    );
+    // Until the result of a trial arrives, other forwarders with messages attempt trials as well, so that the
+    // delay costs most of the gain.
+    assert!(delayed.attempts_per_s.mean > 1.5 * immediate.attempts_per_s.mean);
+    assert!(upper_bound.attempts_per_s.mean < 0.1 * immediate.attempts_per_s.mean);
     assert!(table.rows.iter().all(|r| r.violations == 0));
 }
 
 #[test]
-fn a_fleet_size_may_be_named_twice() {
-    // Its rows once were looked for past the end of the sizes.
+fn repeated_fleet_size_gets_its_own_equal_rows() {
+    // Guards against pairing the results of repeated sizes with the wrong rows.
     let plan = small_fleets(vec![2, 2]);
     let runner = ExperimentRunner::with_threads(None).unwrap();
     let rows = runner.study_sharing(&scenario("seldom-met.toml"), &plan).unwrap().rows;
@@ -76,11 +84,11 @@
 }
 
 #[test]
-fn sizes_of_nonsense_are_refused_in_one_line() {
+fn fleet_size_of_zero_is_rejected() {
     let plan = small_fleets(vec![0]);
-    let fault = ExperimentRunner::with_threads(None)
+    let error = ExperimentRunner::with_threads(None)
         .unwrap()
         .study_sharing(&scenario("seldom-met.toml"), &plan)
         .unwrap_err();
-    assert_eq!(fault.to_string(), "--forwarders is 0: expected 1 to 10000");
+    assert_eq!(error.to_string(), "--forwarders is 0: expected 1 to 10000");
 }
--- a/crates/experiments/tests/support/full_scenario.rs
+++ b/crates/experiments/tests/support/full_scenario.rs
@@ -1,6 +1,6 @@
-//! A scenario file with every key, and the paths of its keys as they are written again.
+//! A scenario file with every key, and the paths of the keys as the scenario is written back.
 
-/// Every key, every fault and every word of a scenario file; `weights` also has the word `none`.
+/// Scenario file with every key, every fault and every keyword but `none` of `weights`.
 pub const FULL_SCENARIO: &str = r#"version = 1
 name = "full"
 about = "every key of a scenario and every fault once"
@@ -214,7 +214,7 @@
 ceiling = 0.75
 "#;
 
-/// The paths of the keys in that file, sorted; `[]` stands for the items of a list.
+/// Sorted paths of the keys in [`FULL_SCENARIO`]; `[]` stands for the items of a list.
 pub const SCENARIO_KEYS: &str = "\
 about
 category
