--- a/crates/experiments/src/random_scenario.rs
+++ b/crates/experiments/src/random_scenario.rs
@@ -286,7 +286,7 @@
         RecoverySettings {
             slow_start_floor: self.share(0.15, 0.3),
             slow_start_duration: self.span(6.0, 14.0),
-            overload_multiple: self.amount(1.5, 2.5),
+            overload_capacity_multiple: self.amount(1.5, 2.5),
             overload_window: self.span(1.5, 4.0),
             overload_outage: Span::millis(60_000),
         }
--- a/crates/recorder/src/line/text.rs
+++ b/crates/recorder/src/line/text.rs
@@ -114,7 +114,7 @@
 fn write_slow_start(settings: &Settings, to: &mut Formatter) -> fmt::Result {
     write!(to, " warm_within={}", seconds_or_dash(settings.slow_start_duration))?;
     write!(to, " cold_from={}", OrDash(settings.slow_start_floor))?;
-    write!(to, " fall_multiple={}", OrDash(settings.overload_multiple))?;
+    write!(to, " fall_multiple={}", OrDash(settings.overload_capacity_multiple))?;
     write!(to, " tip_after={}", seconds_or_dash(settings.overload_window))?;
     write!(to, " key_rest={}", seconds_or_dash(settings.ordering_hold_off))
 }
--- a/crates/recorder/src/streams/setup.rs
+++ b/crates/recorder/src/streams/setup.rs
@@ -292,7 +292,7 @@
         max_retry_after: perhaps(random, |random| millis(random, 100, 10_000)),
         slow_start_floor: perhaps(random, |random| random.random_range(0.05..1.0)),
         slow_start_duration: perhaps(random, |random| millis(random, 0, 15_000)),
-        overload_multiple: perhaps(random, |random| random.random_range(0.5..4.0)),
+        overload_capacity_multiple: perhaps(random, |random| random.random_range(0.5..4.0)),
         overload_window: perhaps(random, |random| millis(random, 100, 4_000)),
         ordering_hold_off: perhaps(random, |random| millis(random, 0, 4_000)),
         max_poll_interval: perhaps(random, |random| millis(random, 500, 20_000)),
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -108,7 +108,7 @@
     let guarantees = Section::from(settings).section("guarantees");
     parsed.slow_start_floor = guarantees.number("coldFrom");
     parsed.slow_start_duration = guarantees.micros("warmWithinUs");
-    parsed.overload_multiple = guarantees.number("fallMultiple");
+    parsed.overload_capacity_multiple = guarantees.number("fallMultiple");
     parsed.overload_window = guarantees.micros("tipAfterUs");
     parsed.ordering_hold_off = guarantees.micros("keyQuietUs");
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -74,7 +74,7 @@
 fn guarantees_discovery_and_prices_are_parsed() {
     let settings = parse_policy_settings(5, &full_settings());
     assert_eq!((settings.slow_start_floor, settings.slow_start_duration), (Some(0.3), micros(21)));
-    assert_eq!((settings.overload_multiple, settings.overload_window), (Some(1.5), micros(22)));
+    assert_eq!((settings.overload_capacity_multiple, settings.overload_window), (Some(1.5), micros(22)));
     assert_eq!((settings.ordering_hold_off, settings.max_poll_interval), (micros(23), micros(24)));
     assert_eq!(settings.listed_weights, ListedWeights::ApproximateRates);
     assert!(settings.responses_carry_load_reports);
--- a/crates/simulation/src/scenario/settings.rs
+++ b/crates/simulation/src/scenario/settings.rs
@@ -36,7 +36,7 @@
             max_retry_after: fleet.max_retry_after.map(|span| span.0),
             slow_start_floor: Some(recovery.slow_start_floor.get()),
             slow_start_duration: Some(recovery.slow_start_duration.0),
-            overload_multiple: Some(recovery.overload_multiple.get()),
+            overload_capacity_multiple: Some(recovery.overload_capacity_multiple.get()),
             overload_window: Some(recovery.overload_window.0),
             ordering_hold_off: Some(fleet.ordering_hold_off.0),
             max_poll_interval: None,
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -193,7 +193,7 @@
     pub slow_start_duration: Span,
     /// Multiple of its present capacity that overloads it while it is cold.
     #[serde(rename = "fall_multiple")]
-    pub overload_multiple: Amount,
+    pub overload_capacity_multiple: Amount,
     /// Window over which work is summed against that multiple.
     #[serde(rename = "tip_after_s")]
     pub overload_window: Span,
@@ -207,7 +207,7 @@
         RecoverySettings {
             slow_start_floor: Share::clamped(0.2),
             slow_start_duration: Span::millis(10_000),
-            overload_multiple: Amount::clamped(2.0),
+            overload_capacity_multiple: Amount::clamped(2.0),
             overload_window: Span::millis(3000),
             overload_outage: Span::millis(60_000),
         }
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -133,7 +133,10 @@
     /// Work that the settings allow within the overload window, as warm as it is now.
     fn allowed_work(&self, now: Duration, settings: &RecoverySettings) -> f64 {
         let window = settings.overload_window.seconds();
-        settings.overload_multiple.get() * self.warmth(now, settings) * self.plan.capacity_per_s * window
+        settings.overload_capacity_multiple.get()
+            * self.warmth(now, settings)
+            * self.plan.capacity_per_s
+            * window
     }
 
     /// Work that the settings still allow now.
--- a/crates/simulation/tests/simulation/defective_policy.rs
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -48,7 +48,7 @@
     ) -> Box<dyn Policy> {
         if defect == Defect::OverloadsRecoveringEndpoints {
             settings.slow_start_floor = Some(1.0);
-            settings.overload_multiple = Some(1000.0);
+            settings.overload_capacity_multiple = Some(1000.0);
             settings.slow_start_duration = Some(Duration::from_millis(1));
         }
         let policy = DeliveryPolicyAdapter::new(now, settings, host);
--- a/crates/simulation/tests/simulation/recovery.rs
+++ b/crates/simulation/tests/simulation/recovery.rs
@@ -36,7 +36,7 @@
 fn recovering_endpoint(scenario: &Scenario) -> (SimulatedEndpoint, f64) {
     let plan = FleetLayout::draw(scenario, 1).endpoints.remove(0);
     let settings = &scenario.recovery;
-    let allowed = settings.overload_multiple.get()
+    let allowed = settings.overload_capacity_multiple.get()
         * settings.slow_start_floor.get()
         * plan.capacity_per_s
         * settings.overload_window.seconds();
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -126,8 +126,8 @@
     pub slow_start_duration: Option<Duration>,
     /// Multiple of a destination's current capacity above which load makes it fail during its slow start; 2
     /// if `None`.
-    pub overload_multiple: Option<f64>,
-    /// Duration of a load above `overload_multiple` after which a destination fails; 2 s if `None`.
+    pub overload_capacity_multiple: Option<f64>,
+    /// Duration of a load above `overload_capacity_multiple` after which a destination fails; 2 s if `None`.
     pub overload_window: Option<Duration>,
     /// Delay of the next message of an ordering key after an attempt with an unknown outcome; zero if `None`.
     pub ordering_hold_off: Option<Duration>,
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -19,10 +19,10 @@
 /// Time from the end of an outage to full capacity, unless the settings define the time.
 const DEFAULT_SLOW_START_DURATION: Duration = Duration::from_secs(10);
 /// Multiple of its current capacity at which a destination fails, unless the settings define the multiple.
-const DEFAULT_OVERLOAD_MULTIPLE: f64 = 2.0;
+const DEFAULT_OVERLOAD_CAPACITY_MULTIPLE: f64 = 2.0;
 /// Minimum multiple of its current capacity at which a destination fails; prevents a slow start budget of
 /// zero.
-const MIN_OVERLOAD_MULTIPLE: f64 = 0.1;
+const MIN_OVERLOAD_CAPACITY_MULTIPLE: f64 = 0.1;
 /// Duration of overload after which a destination fails, unless the settings define the duration.
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 /// Minimum recovery delay, for classes with a very short latency objective.
@@ -69,8 +69,11 @@
             slow_start_floor: non_negative_or(settings.slow_start_floor, DEFAULT_SLOW_START_FLOOR)
                 .clamp(MIN_SLOW_START_FLOOR, 1.0),
             slow_start_duration: settings.slow_start_duration.unwrap_or(DEFAULT_SLOW_START_DURATION),
-            overload_multiple: non_negative_or(settings.overload_multiple, DEFAULT_OVERLOAD_MULTIPLE)
-                .max(MIN_OVERLOAD_MULTIPLE),
+            overload_capacity_multiple: non_negative_or(
+                settings.overload_capacity_multiple,
+                DEFAULT_OVERLOAD_CAPACITY_MULTIPLE,
+            )
+            .max(MIN_OVERLOAD_CAPACITY_MULTIPLE),
             overload_window: settings.overload_window.unwrap_or(DEFAULT_OVERLOAD_WINDOW),
             ordering_hold_off: settings.ordering_hold_off.unwrap_or_default(),
             max_poll_interval: settings.max_poll_interval,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -61,7 +61,8 @@
             return SlowStartBudget::UNLIMITED;
         }
         let baseline = self.baseline_rate(endpoint, now);
-        let load_per_second = SLOW_START_BASELINE_MULTIPLE * parameters.overload_multiple * share * baseline;
+        let load_per_second =
+            SLOW_START_BASELINE_MULTIPLE * parameters.overload_capacity_multiple * share * baseline;
         // The budget of one forwarder is only a few requests per window. Requests are therefore spaced evenly
         // instead of counted.
         let last_load = endpoint.usage().recent_load().back();
@@ -95,7 +96,7 @@
     pub(super) fn recovery_delay(&self, endpoint: &Endpoint, now: Duration) -> Duration {
         let parameters = &self.parameters;
         let share = self.baseline_rate(endpoint, now).max(MIN_DESTINATION_CAPACITY / parameters.forwarders);
-        let trials = parameters.overload_multiple
+        let trials = parameters.overload_capacity_multiple
             * parameters.slow_start_floor
             * share
             * parameters.overload_window.as_secs_f64();
--- a/src/state/parameters.rs
+++ b/src/state/parameters.rs
@@ -65,8 +65,8 @@
     /// Time from the end of an outage until a destination has its full capacity.
     pub(crate) slow_start_duration: Duration,
     /// Multiple of a destination's current capacity above which load makes it fail during its slow start.
-    pub(crate) overload_multiple: f64,
-    /// Duration of a load above `overload_multiple` after which a destination fails.
+    pub(crate) overload_capacity_multiple: f64,
+    /// Duration of a load above `overload_capacity_multiple` after which a destination fails.
     pub(crate) overload_window: Duration,
     /// Delay of the next message of an ordering key after an attempt with an unknown outcome.
     pub(crate) ordering_hold_off: Duration,
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -54,7 +54,7 @@
         max_in_flight: Some(0),
         max_pending_messages: Some(0),
         slow_start_floor: Some(-1.0),
-        overload_multiple: Some(f64::INFINITY),
+        overload_capacity_multiple: Some(f64::INFINITY),
         overload_window: zero,
         slow_start_duration: zero,
         listed_weights: ListedWeights::ApproximateRates,
