--- a/src/inspection.rs
+++ b/src/inspection.rs
@@ -24,7 +24,7 @@
     /// Number of attempts that were started.
     pub attempts: u32,
     /// Time until which a delivery meets the latency objective.
-    pub objective_at: Duration,
+    pub objective_ends_at: Duration,
 }
 
 impl DeliveryPolicy {
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn message_progress(&self, id: &MessageId) -> Option<MessageProgress> {
         let message = self.messages().get(self.messages().key_of(id)?)?;
-        Some(MessageProgress { attempts: message.attempts(), objective_at: message.objective_at() })
+        Some(MessageProgress { attempts: message.attempts(), objective_ends_at: message.objective_ends_at() })
     }
 
     /// Returns whether the policy keeps a record of an endpoint. Records are kept for some time after the
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -28,7 +28,7 @@
 /// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedWeights {
-    /// The weights have no defined meaning and are ignored.
+    /// The weights in the endpoint list have no defined meaning, and the policy ignores them.
     #[default]
     Unspecified,
     /// Each weight is the number of requests per second that the endpoint accepts, up to 50% too high or too
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -86,7 +86,7 @@
 pub struct ZoneFee {
     /// Zone of the endpoints.
     pub zone: String,
-    /// Price of one request, in price points.
+    /// Price of one request, in the unit that the operators choose for all prices.
     pub fee: f64,
 }
 
@@ -124,7 +124,7 @@
     pub slow_start_floor: Option<f64>,
     /// Time from the end of an outage until a destination has its full capacity; 10 s if `None`.
     pub slow_start_duration: Option<Duration>,
-    /// Multiple of a destination's current capacity above which load makes it fail during its slow start; 2
+    /// Load above which a destination fails during its slow start, as a multiple of its current capacity; 2
     /// if `None`.
     pub overload_capacity_multiple: Option<f64>,
     /// Duration of a load above `overload_capacity_multiple` after which a destination fails; 2 s if `None`.
@@ -139,9 +139,9 @@
     pub responses_carry_load_reports: bool,
     /// Time after which an idle connection is closed; zero if `None`.
     pub connection_idle_timeout: Option<Duration>,
-    /// Additional price of a request to another zone, in price points; 0 if `None`.
+    /// Additional price of a request to another zone, in the unit of [`ZoneFee::fee`]; 0 if `None`.
     pub cross_zone_price: Option<f64>,
-    /// Price of a new connection, in price points; 0 if `None`.
+    /// Price of a new connection, in the unit of [`ZoneFee::fee`]; 0 if `None`.
     pub connection_price: Option<f64>,
     /// Prices of requests to endpoints with circuit breakers of their own, by zone.
     pub zone_fees: Vec<ZoneFee>,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -14,8 +14,8 @@
     Admit,
     /// A request may be sent, as the trial of a half-open circuit.
     HalfOpenTrial,
-    /// No request may be sent before the given time or an event of the circuit. With `None`, only an event
-    /// ends the wait.
+    /// No request may be sent before the given time or an event of the circuit, for example the end of a
+    /// request. With `None`, only an event ends the wait.
     Wait(Option<Duration>),
     /// No request may be sent before the given time at the current rates, which change over time. `None` if
     /// the time is unknown.
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Decides whether the circuit admits a request by its Retry-After, pacing, state and recovery ramp,
-    /// without regard to its endpoints.
+    /// Decides whether the circuit admits a request, given its Retry-After, its pacing, its state and its
+    /// limit of requests in flight after a recovery. The state of its endpoints is not considered.
     fn admit_by_circuit(&self, circuit: &CircuitBreaker, now: Duration) -> Admission {
         if now < circuit.retry_after_until() {
             return Admission::Wait(Some(circuit.retry_after_until()));
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -16,8 +16,8 @@
 const MIN_RATE_SPAN_SECONDS: f64 = 0.001;
 
 impl DeliveryPolicy {
-    /// Records the rate limit that a response or a health check reported for its endpoint. Called before the
-    /// outcome of the attempt is reported.
+    /// Records the rate limit that a response or a health check reported for its endpoint. The host calls
+    /// this method before it reports the outcome of the attempt.
     pub fn load_reported(&mut self, endpoint: EndpointId, report: LoadReport) {
         let known = self.endpoints.get(endpoint).filter(|_| self.parameters.responses_carry_load_reports);
         let Some(scope) = known.map(|known| self.endpoints.scope_of(endpoint, known)) else { return };
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -15,10 +15,10 @@
 pub(super) const RECORD_EXPIRY_MARGIN: Duration = Duration::from_secs(5);
 
 impl CircuitBreaker {
-    /// Returns whether the circuit admits a request, without a change of its state.
+    /// Decides whether the circuit admits a request, without a change of its state.
     ///
     /// [`CircuitBreaker::reopen`] is called only when a trial is sent, so that a destination without a
-    /// message for the trial does not have to wait for the next one.
+    /// message for the trial does not have to wait for the next trial.
     pub(super) fn admission(&self, now: Duration) -> Admission {
         match self.state(now) {
             CircuitState::Closed => Admission::Admit,
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Closes the circuit and removes its failures.
+    /// Closes the circuit, removes its failures, and sets or doubles its limit of requests in flight after a
+    /// recovery.
     pub(super) fn record_success(&mut self, now: Duration) {
         if !self.is_closed() {
-            // The recovery ramp allows one request in flight at first, and doubles the number with each
-            // success.
+            // After a recovery, one request may be in flight at first; each success doubles the number.
             self.set_recovery_request_limit(Some(1));
         } else if let Some(requests) = self.recovery_request_limit() {
             self.set_recovery_request_limit(Some(requests.saturating_mul(2)));
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! Updates from the endpoint list, and polls of it after failures.
+//! Applies updates of the endpoint list, and schedules the next poll of the list after a failed one.
 
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
         self.endpoints.abort_list();
     }
 
-    /// Returns whether the endpoint list has named a destination; true for all destinations while it has
-    /// named no endpoint.
+    /// Returns whether the endpoint list has named a destination; true for all destinations while no endpoint
+    /// is known.
     #[must_use]
     pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.endpoints.knows_destination(destination)
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -11,9 +11,9 @@
 
 /// Number of consecutive failures beyond which further failures do not affect the selection of an endpoint.
 const MAX_FAILURES_COMPARED: u32 = 3;
-/// Maximum backoff of a failing endpoint, in recovery delays.
+/// Maximum backoff of a failing endpoint, as a multiple of the time from a circuit's opening to its trial.
 const MAX_BACKOFF_RECOVERY_DELAYS: u32 = 4;
-/// Number of steps per price point in which prices are compared.
+/// Number of steps per unit of price in which prices are compared.
 const PRICE_STEPS: f64 = 1e6;
 /// Minimum mean response time, in seconds, that others are compared with; prevents a division by zero.
 const MIN_MEAN_LATENCY_SECONDS: f64 = 0.001;
@@ -25,7 +25,7 @@
     consecutive_failures: u32,
     /// Binary logarithm, rounded down, of the circuit's mean response time divided by that of all requests.
     slowness: u64,
-    /// Price of the request, in millionths of a price point.
+    /// Price of the request, in millionths of the unit of prices in the settings.
     price: u64,
     requests_in_flight: u32,
 }
@@ -70,8 +70,8 @@
             .max(1.0)
     }
 
-    /// Returns the price, in price points, of a request to the endpoint: the sum of the fee of its zone, the
-    /// price of a zone crossing and the price of a new connection.
+    /// Returns the price of a request to the endpoint, in the unit of prices in the settings: the sum of the
+    /// fee of its zone, the price of a zone crossing and the price of a new connection.
     fn price(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let parameters = &self.parameters;
         let zone = self.endpoints.zone_name(endpoint);
--- a/src/policy/eviction.rs
+++ b/src/policy/eviction.rs
@@ -26,10 +26,10 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
     /// A late message. The one whose objective ended first is evicted first.
-    Late { objective_at: Duration, arrival_number: u64 },
+    Late { objective_ends_at: Duration, arrival_number: u64 },
     /// A message that is not late. The one with the latest objective in the longest queue is evicted first.
     /// Values are subtracted from their type's maximum, so that the greatest sorts first.
-    OnTime { inverted_queue_length: usize, inverted_objective_at: Duration, inverted_arrival: u64 },
+    OnTime { inverted_queue_length: usize, inverted_objective_ends_at: Duration, inverted_arrival: u64 },
 }
 
 impl DeliveryPolicy {
@@ -49,12 +49,12 @@
     /// Returns the message of a priority class that would be evicted first.
     fn eviction_candidate(&self, class: PriorityClass, now: Duration) -> Option<EvictionKey> {
         let first = self.queue.earliest_message(class)?;
-        let is_late = first.objective_at < now;
+        let is_late = first.objective_ends_at < now;
         let (entry, order) = if is_late {
             (
                 first,
                 EvictionOrder::Late {
-                    objective_at: first.objective_at,
+                    objective_ends_at: first.objective_ends_at,
                     arrival_number: first.arrival_number,
                 },
             )
@@ -62,7 +62,7 @@
             let LongestQueue { len, last } = self.queue.longest_queue(class)?;
             let order = EvictionOrder::OnTime {
                 inverted_queue_length: usize::MAX - len,
-                inverted_objective_at: Duration::MAX - last.objective_at,
+                inverted_objective_ends_at: Duration::MAX - last.objective_ends_at,
                 inverted_arrival: u64::MAX - last.arrival_number,
             };
             (last, order)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -83,7 +83,7 @@
     /// Numbers of queue entries, in the order of their creation.
     queue_entry_numbers: Sequence,
     timer: PolicyTimer,
-    /// Time before which no event is reported.
+    /// Time before which no further opening or closing of a circuit is reported to the host.
     next_report_at: Duration,
     /// Time at which the program stops; `None` before a shutdown begins.
     shutdown_deadline: Option<Duration>,
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -18,16 +18,19 @@
 const MIN_SLOW_START_FLOOR: f64 = 0.01;
 /// Time from the end of an outage to full capacity, unless the settings define the time.
 const DEFAULT_SLOW_START_DURATION: Duration = Duration::from_secs(10);
-/// Multiple of its current capacity at which a destination fails, unless the settings define the multiple.
+/// Load above which a destination fails during its slow start, as a multiple of its current capacity, unless
+/// the settings define the multiple.
 const DEFAULT_OVERLOAD_CAPACITY_MULTIPLE: f64 = 2.0;
-/// Minimum multiple of its current capacity at which a destination fails; prevents a slow start budget of
-/// zero.
+/// Minimum of the load above which a destination fails, as a multiple of its current capacity; prevents a
+/// slow start budget of zero.
 const MIN_OVERLOAD_CAPACITY_MULTIPLE: f64 = 0.1;
 /// Duration of overload after which a destination fails, unless the settings define the duration.
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
-/// Minimum recovery delay, for classes with a very short latency objective.
+/// Minimum time from the opening of a circuit to its half-open trial, for classes with a very short latency
+/// objective.
 const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(50);
-/// Length of the failure window, in recovery delays.
+/// Length of the period in which failures of a circuit are counted, as a multiple of the time from its
+/// opening to its half-open trial.
 const FAILURE_WINDOW_RECOVERY_DELAYS: u32 = 10;
 /// Greatest effective value of the setting `max_in_flight`; greater values are reduced to this limit.
 const MAX_REQUESTS_IN_FLIGHT: u64 = 1 << 20;
--- a/src/policy/priority.rs
+++ b/src/policy/priority.rs
@@ -14,7 +14,7 @@
     /// late or over its tenant's quota.
     pub(super) fn priority(&self, message: &Message, now: Duration) -> f64 {
         let class = &self.parameters.classes[message.class];
-        let late_seconds = now.saturating_sub(message.objective_at()).as_secs_f64();
+        let late_seconds = now.saturating_sub(message.objective_ends_at()).as_secs_f64();
         let remaining_weight_share = match self.parameters.late_decay {
             LateDecay::Exponential => exponential_decay(class, late_seconds),
             LateDecay::Linear => linear_decay(class, late_seconds),
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -30,7 +30,7 @@
         self.enqueue(key);
     }
 
-    /// Queues a message for its destination, after all that were queued before.
+    /// Queues a message for its destination, with the next queue entry number.
     pub(super) fn enqueue(&mut self, key: MessageKey) {
         let number = self.queue_entry_numbers.next();
         self.insert_into_queue(key, number);
@@ -56,7 +56,7 @@
                 possibly_executed: message.possible_execution().is_some(),
                 blocked: !self.ordering_queues.is_first(message.ordering_key, message.arrival_number),
             },
-            objective_at: message.objective_at(),
+            objective_ends_at: message.objective_ends_at(),
             arrival_number: message.arrival_number,
             deadline: message.deadline,
             key_valid_until: Some(until).filter(|until| *until < Duration::MAX),
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Updates the indices of destinations whose queues changed. Called before the indices over all
-    /// destinations are read.
+    /// Updates the indices of destinations whose queues changed. The indices over all destinations are read
+    /// only after this update.
     pub(super) fn refresh_indices(&mut self) {
         for destination in self.queue.take_stale() {
             let available_at = self.earliest_retry_after_end(destination);
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -49,13 +49,13 @@
     ///
     /// Limits memory use in a large fleet, where a forwarder seldom sends to most destinations.
     fn remove_idle_circuits(&mut self, now: Duration, retention: Duration) {
-        self.circuits.schedule_first_reviews(now + retention);
-        while let Some(scope) = self.circuits.take_due_review(now) {
+        self.circuits.schedule_first_removal_checks(now + retention);
+        while let Some(scope) = self.circuits.take_due_removal_check(now) {
             let Some(circuit) = self.circuits.get(scope) else { continue };
             let in_use_until = circuit.in_use_until();
             let is_used = in_use_until + retention > now || !circuit.in_flight().is_empty();
             if is_used || self.has_queued(scope) {
-                self.circuits.schedule_review(scope, now.max(in_use_until) + retention);
+                self.circuits.schedule_removal_check(scope, now.max(in_use_until) + retention);
                 continue;
             }
             self.circuits.remove(scope);
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -15,7 +15,7 @@
 const RECHECK_DELAY_DIVISOR: u32 = 4;
 /// Minimum priority weight in the order of classes; prevents a division by zero.
 const MIN_PRIORITY_WEIGHT: f64 = 0.001;
-/// Number of steps per unit in which drawn positions of classes are compared.
+/// Number of steps per unit in which the numbers drawn for the order of classes are compared.
 const CLASS_ORDER_STEPS: f64 = 1e6;
 
 /// Sort key of the messages of a destination. The message with the lowest key is sent first; fields are
@@ -26,9 +26,9 @@
     /// Whether the message got more than one error response.
     failed_repeatedly: bool,
     late: bool,
-    /// Position of the message's class in the drawn order.
+    /// Number drawn for the message's class by [`DeliveryPolicy::draw_class_order`]; the lowest is first.
     class_order: u64,
-    objective_at: Duration,
+    objective_ends_at: Duration,
     arrival_number: u64,
 }
 
@@ -194,7 +194,7 @@
                 failed_repeatedly: queue_class.errors > 1,
                 late,
                 class_order,
-                objective_at: queued.objective_at,
+                objective_ends_at: queued.objective_ends_at,
                 arrival_number: queued.arrival_number,
             },
             key: queued.key,
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! Starts requests and records them.
+//! Starts and records requests, and cancels their attempts.
 
 use std::time::Duration;
 
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -8,8 +8,8 @@
 use crate::state::PossibleExecution;
 
 impl DeliveryPolicy {
-    /// Restores the attempts that a message had before this start of the program. Called after the host has
-    /// submitted the message again.
+    /// Restores the attempts that a message had before this start of the program. The host submits the
+    /// message again before it calls this method.
     pub fn restore(
         &mut self,
         now: Duration,
@@ -22,8 +22,8 @@
         message.set_previous_attempts(previous.len() as u32);
         let destination = message.destination;
         // A restored message does not count as late: its objective lasts for half of the time left.
-        let objective_at = now + message.deadline.saturating_sub(now) / 2;
-        message.extend_objective(objective_at);
+        let objective_ends_at = now + message.deadline.saturating_sub(now) / 2;
+        message.extend_objective(objective_ends_at);
         let possibly_executed = previous.iter().filter(|attempt| !attempt.proves_not_executed);
         let earliest = possibly_executed
             .map(|attempt| PossibleExecution { started_at: attempt.started_at, endpoint: attempt.endpoint })
@@ -39,7 +39,7 @@
             self.finish_undelivered(key, now, host);
         }
         if self.parameters.has_sparse_traffic {
-            self.pace_restored_messages(destination, objective_at, now);
+            self.pace_restored_messages(destination, objective_ends_at, now);
         }
     }
 
@@ -48,7 +48,12 @@
     ///
     /// Prevents forwarders that restart together from sending all pending messages at once, because the rates
     /// that they observed are lost in a restart.
-    fn pace_restored_messages(&mut self, destination: DestinationId, objective_at: Duration, now: Duration) {
+    fn pace_restored_messages(
+        &mut self,
+        destination: DestinationId,
+        objective_ends_at: Duration,
+        now: Duration,
+    ) {
         let shares: Vec<_> = (self.endpoints.active_endpoints(destination))
             .map(|(id, endpoint)| (self.endpoints.scope_of(id, endpoint), self.fair_share(endpoint, now)))
             .collect();
@@ -60,7 +65,7 @@
                 pacing.set_interval_seconds(APPROXIMATE_RATE_MARGIN / fair_share);
                 pacing.postpone(now + duration_from_seconds(phase * pacing.interval_seconds()));
             }
-            pacing.postpone(pacing.postponed_until().min(objective_at));
+            pacing.postpone(pacing.postponed_until().min(objective_ends_at));
         }
     }
 }
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -9,8 +9,8 @@
 use crate::queue::QueueClass;
 use crate::state::EarliestTime;
 
-/// Minimum wait that counts in the order of destinations, as a share of the latency objective. Longer waits
-/// raise the destination's share of the requests in flight.
+/// Minimum wait by which destinations are compared, as a share of the latency objective; prevents a division
+/// by zero. A destination with a longer wait gets a larger share of the requests in flight.
 const MIN_RELATIVE_WAIT: f64 = 0.1;
 /// Minimum latency objective, in seconds, that waits are compared with; prevents a division by zero.
 const MIN_OBJECTIVE_SECONDS: f64 = 0.001;
@@ -70,7 +70,7 @@
         next_admission.include(self.queue.next_wake());
         while !self.in_flight_limit_reached() {
             let Some(Reverse(SchedulingKey { destination, .. })) = candidates.pop() else {
-                // No other request can be sent before the next admission.
+                // No further request can be sent before an endpoint of a destination admits one again.
                 wake.include(next_admission.time());
                 return;
             };
@@ -103,8 +103,8 @@
             let objective = self.parameters.classes[class.priority.class].latency_objective;
             objective.as_secs_f64().max(MIN_OBJECTIVE_SECONDS)
         };
-        let elapsed_share = |(class, objective_at): (&QueueClass, Duration)| {
-            1.0 - objective_at.saturating_sub(now).as_secs_f64() / objective(class)
+        let elapsed_share = |(class, objective_ends_at): (&QueueClass, Duration)| {
+            1.0 - objective_ends_at.saturating_sub(now).as_secs_f64() / objective(class)
         };
         let next = self
             .queue
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -13,7 +13,7 @@
 /// Load of each further message in a request, relative to a request with one message.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
 
-/// Minimum slow start duration, in seconds, that shares of it are derived from; prevents a division by zero.
+/// Minimum slow start duration, in seconds, by which warm-up times are divided; prevents a division by zero.
 const MIN_SLOW_START_SECONDS: f64 = 0.001;
 
 /// The load that an endpoint may get now.
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -94,8 +94,8 @@
         latest_completion
     }
 
-    /// Returns how long an attempt may take before it is a straggler. `None` if its circuit has completed a
-    /// request since, or its message is finished.
+    /// Returns how long an attempt may take before it is a straggler; `None` if its circuit has completed a
+    /// request since the attempt started, or if its message is finished.
     fn allowed_time(&self, attempt: &Attempt) -> Option<Duration> {
         let circuit = self.circuits.get(attempt.scope)?;
         if circuit.last_completion() > attempt.started_at {
--- a/src/policy/submission.rs
+++ b/src/policy/submission.rs
@@ -19,7 +19,8 @@
             return;
         };
         let ordering_key = ordering_key.filter(|_| self.parameters.classes[class].ordered);
-        let times = MessageTimes { objective_at: self.objective_at(class, deadline, now), deadline };
+        let times =
+            MessageTimes { objective_ends_at: self.objective_ends_at(class, deadline, now), deadline };
         let tenant =
             tenant.and_then(|name| self.parameters.tenants.iter().position(|known| known.name == name));
         let over_quota = tenant.is_some_and(|tenant| self.spend_quota(tenant, now));
@@ -29,7 +30,7 @@
     /// Returns the time until which a message has its full priority weight. The time is counted back from the
     /// deadline, so that a client's repeated submission does not extend it. A message with less time left
     /// than its latency objective keeps its full weight until its deadline.
-    fn objective_at(&self, class: usize, deadline: Duration, now: Duration) -> Duration {
+    fn objective_ends_at(&self, class: usize, deadline: Duration, now: Duration) -> Duration {
         let class = &self.parameters.classes[class];
         let lifetime =
             if now + class.latency_objective < deadline { class.deadline } else { class.latency_objective };
--- a/src/queue/consistency.rs
+++ b/src/queue/consistency.rs
@@ -64,19 +64,34 @@
 
     fn check_indices(&self, fresh: &MessageQueue) {
         let (actual, rebuilt) = (&self.indices, &fresh.indices);
-        assert_eq!((&actual.deadlines, &actual.key_expiries), (&rebuilt.deadlines, &rebuilt.key_expiries));
-        assert_eq!(actual.by_time_left, rebuilt.by_time_left);
+        assert_eq!(
+            (&actual.deadlines, &actual.key_expiries),
+            (&rebuilt.deadlines, &rebuilt.key_expiries),
+            "indices by deadline and key expiry differ from the rebuilt ones"
+        );
+        assert_eq!(
+            actual.by_time_left, rebuilt.by_time_left,
+            "index by time left differs from the rebuilt one"
+        );
         let by_priority = |queue: &MessageQueue| -> Vec<_> {
             let indices = &queue.indices;
             let of_class = |c| (c, indices.by_first_message[&c].clone(), indices.by_length[&c].clone());
             indices.priority_classes().map(of_class).collect()
         };
-        assert_eq!(by_priority(self), by_priority(fresh));
+        assert_eq!(
+            by_priority(self),
+            by_priority(fresh),
+            "indices of priority classes differ from the rebuilt ones"
+        );
     }
 
     fn check_wake_times(&self) {
         let has_wake_time = |wake_state: WakeState| matches!(wake_state, WakeState::AsleepUntil(_));
         let expected = self.destinations.values().filter(|queue| has_wake_time(queue.wake_state)).count();
-        assert_eq!(self.schedule.wake_times.len(), expected);
+        assert_eq!(
+            self.schedule.wake_times.len(),
+            expected,
+            "expected one wake time for each destination that is asleep until a time"
+        );
     }
 }
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -30,8 +30,8 @@
     pub fn next_objectives(&self, now: Duration) -> impl Iterator<Item = (&QueueClass, Duration)> {
         self.classes.iter().filter_map(move |(queue_class, entries)| {
             let after_now = ObjectiveOrder::end_of(now);
-            let mut upcoming = entries.range(after_now..).map(|(order, _)| order.objective_at);
-            Some((queue_class, upcoming.find(|objective_at| *objective_at > now)?))
+            let mut upcoming = entries.range(after_now..).map(|(order, _)| order.objective_ends_at);
+            Some((queue_class, upcoming.find(|objective_ends_at| *objective_ends_at > now)?))
         })
     }
 
--- a/src/queue/indices.rs
+++ b/src/queue/indices.rs
@@ -9,14 +9,14 @@
 /// Entries of a destination queue in the indices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct IndexEntries {
-    /// Earliest deadline of the messages.
+    /// Earliest deadline of the messages; `None` if the queue is empty.
     pub deadline: Option<Duration>,
-    /// Earliest expiry of an idempotency key that a message needs.
+    /// Earliest expiry of an idempotency key that a message needs; `None` if no message needs one.
     pub key_expiry: Option<Duration>,
     /// Time at which the first endpoint of the destination may receive a request.
     pub available_at: Duration,
-    /// Time from `available_at` to the earliest deadline; zero if an idempotency key expires before
-    /// `available_at`.
+    /// Time from `available_at` to the earliest deadline; zero if an idempotency key expires at or before
+    /// `available_at`, and `None` if the queue is empty.
     pub time_left_when_available: Option<Duration>,
     /// Number of queued messages.
     pub len: usize,
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -35,11 +35,11 @@
 pub(crate) struct QueuePosition {
     /// Queue class of the message.
     pub queue_class: QueueClass,
-    /// Time until which a delivery meets the latency objective, since the start.
-    pub objective_at: Duration,
+    /// Time until which a delivery meets the latency objective, since the host's start time.
+    pub objective_ends_at: Duration,
     /// Sequence number of the message, in the order of submission.
     pub arrival_number: u64,
-    /// Time at which the final answer is due, since the start.
+    /// Time at which the final answer is due, since the host's start time.
     pub deadline: Duration,
     /// Time until which a retry may begin; `None` if no idempotency key limits the time.
     pub key_valid_until: Option<Duration>,
@@ -48,29 +48,29 @@
 impl QueuePosition {
     /// Returns the sort key within the queue class.
     pub(super) fn objective_order(&self) -> ObjectiveOrder {
-        ObjectiveOrder { objective_at: self.objective_at, arrival_number: self.arrival_number }
+        ObjectiveOrder { objective_ends_at: self.objective_ends_at, arrival_number: self.arrival_number }
     }
 }
 
 /// Sort key within a queue class: latency objective, then arrival number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ObjectiveOrder {
-    pub objective_at: Duration,
+    pub objective_ends_at: Duration,
     pub arrival_number: u64,
 }
 
 impl ObjectiveOrder {
     /// Returns a key that sorts after all messages whose latency objective ends by the given time, and before
     /// all other messages.
-    pub(super) fn end_of(objective_at: Duration) -> ObjectiveOrder {
-        ObjectiveOrder { objective_at, arrival_number: u64::MAX }
+    pub(super) fn end_of(objective_ends_at: Duration) -> ObjectiveOrder {
+        ObjectiveOrder { objective_ends_at, arrival_number: u64::MAX }
     }
 }
 
 impl Ord for ObjectiveOrder {
     #[inline]
     fn cmp(&self, other: &ObjectiveOrder) -> Ordering {
-        (self.objective_at, self.arrival_number).cmp(&(other.objective_at, other.arrival_number))
+        (self.objective_ends_at, self.arrival_number).cmp(&(other.objective_ends_at, other.arrival_number))
     }
 }
 
@@ -87,8 +87,8 @@
 /// Queued message, ordered by latency objective across all classes and destinations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedMessage {
-    /// Time until which a delivery meets the latency objective, since the start.
-    pub objective_at: Duration,
+    /// Time until which a delivery meets the latency objective, since the host's start time.
+    pub objective_ends_at: Duration,
     /// Sequence number of the message, in the order of submission.
     pub arrival_number: u64,
     pub key: MessageKey,
@@ -96,7 +96,11 @@
 
 impl QueuedMessage {
     pub(super) fn new(order: ObjectiveOrder, key: MessageKey) -> QueuedMessage {
-        QueuedMessage { objective_at: order.objective_at, arrival_number: order.arrival_number, key }
+        QueuedMessage {
+            objective_ends_at: order.objective_ends_at,
+            arrival_number: order.arrival_number,
+            key,
+        }
     }
 }
 
@@ -109,7 +113,7 @@
     pub last: QueuedMessage,
 }
 
-/// Subject with a due time, ordered by the time and then by the subject.
+/// Message or destination with a due time, ordered by the time and then by the message or destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Due<T> {
     pub at: Duration,
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -29,7 +29,7 @@
     open_until: Option<Duration>,
     /// Time of the last change to `failure_times` or `open_until` other than by [`CircuitBreaker::reset`].
     changed_at: Duration,
-    /// Half-open trial in flight.
+    /// Half-open trial in flight; `None` if there is none.
     trial: Option<AttemptKey>,
     /// Maximum number of requests in flight after a recovery; `None` if not limited.
     recovery_request_limit: Option<usize>,
@@ -41,7 +41,7 @@
     last_sent: Duration,
     /// Requests in the order in which they were sent.
     in_flight: VecDeque<RequestInFlight>,
-    /// Running mean of response times.
+    /// Running mean of response times; `None` before the first completion.
     mean_latency_seconds: Option<f64>,
     last_completion: Duration,
     /// Unused share of the rate limit in the last load report; `None` if no limit is reported.
--- a/src/state/circuit_table.rs
+++ b/src/state/circuit_table.rs
@@ -11,9 +11,9 @@
 pub(crate) struct CircuitTable {
     circuits: BTreeMap<CircuitScope, CircuitBreaker>,
     /// Times at which circuit breakers are next checked for removal.
-    review_at: BTreeSet<(Duration, CircuitScope)>,
-    /// Scopes of circuit breakers that have no review scheduled yet.
-    without_review: Vec<CircuitScope>,
+    removal_check_at: BTreeSet<(Duration, CircuitScope)>,
+    /// Scopes of circuit breakers whose first check for removal is not scheduled yet.
+    without_removal_check: Vec<CircuitScope>,
 }
 
 impl CircuitTable {
@@ -32,7 +32,7 @@
     /// Returns the circuit breaker of a scope, which is created if absent.
     pub(crate) fn get_or_insert(&mut self, scope: CircuitScope) -> &mut CircuitBreaker {
         self.circuits.entry(scope).or_insert_with(|| {
-            self.without_review.push(scope);
+            self.without_removal_check.push(scope);
             CircuitBreaker::default()
         })
     }
@@ -46,21 +46,21 @@
         self.circuits.iter().map(|(scope, circuit)| (*scope, circuit))
     }
 
-    /// Schedules the first review of the circuit breakers that were created since the last call.
-    pub(crate) fn schedule_first_reviews(&mut self, at: Duration) {
-        for scope in std::mem::take(&mut self.without_review) {
-            self.schedule_review(scope, at);
+    /// Schedules the first check for removal of the circuit breakers that were created since the last call.
+    pub(crate) fn schedule_first_removal_checks(&mut self, at: Duration) {
+        for scope in std::mem::take(&mut self.without_removal_check) {
+            self.schedule_removal_check(scope, at);
         }
     }
 
-    pub(crate) fn schedule_review(&mut self, scope: CircuitScope, at: Duration) {
-        self.review_at.insert((at, scope));
+    pub(crate) fn schedule_removal_check(&mut self, scope: CircuitScope, at: Duration) {
+        self.removal_check_at.insert((at, scope));
     }
 
-    /// Removes and returns the next scope whose review is due.
-    pub(crate) fn take_due_review(&mut self, now: Duration) -> Option<CircuitScope> {
-        let (_, scope) = self.review_at.first().copied().filter(|(due, _)| *due <= now)?;
-        self.review_at.pop_first();
+    /// Removes and returns the next scope whose check for removal is due.
+    pub(crate) fn take_due_removal_check(&mut self, now: Duration) -> Option<CircuitScope> {
+        let (_, scope) = self.removal_check_at.first().copied().filter(|(due, _)| *due <= now)?;
+        self.removal_check_at.pop_first();
         Some(scope)
     }
 }
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MessageTimes {
     /// Time until which a delivery meets the latency objective.
-    pub(crate) objective_at: Duration,
+    pub(crate) objective_ends_at: Duration,
     pub(crate) deadline: Duration,
 }
 
@@ -42,7 +42,7 @@
     pub(crate) deadline: Duration,
     /// Whether the tenant's quota was used up when the message was submitted.
     pub(crate) over_quota: bool,
-    objective_at: Duration,
+    objective_ends_at: Duration,
     /// Number of attempts that were started.
     attempts: u32,
     /// Number of attempts that were answered with an error.
@@ -71,7 +71,7 @@
             arrival_number: 0,
             deadline: times.deadline,
             over_quota,
-            objective_at: times.objective_at,
+            objective_ends_at: times.objective_ends_at,
             attempts: 0,
             errors: 0,
             in_flight: BTreeSet::new(),
@@ -85,13 +85,13 @@
     }
 
     /// Returns the time until which a delivery meets the latency objective.
-    pub(crate) fn objective_at(&self) -> Duration {
-        self.objective_at
+    pub(crate) fn objective_ends_at(&self) -> Duration {
+        self.objective_ends_at
     }
 
     /// Postpones the end of the latency objective to the given time, unless it is already later.
     pub(crate) fn extend_objective(&mut self, until: Duration) {
-        self.objective_at = self.objective_at.max(until);
+        self.objective_ends_at = self.objective_ends_at.max(until);
     }
 
     /// Returns the number of attempts that were started.
--- a/src/state/parameters.rs
+++ b/src/state/parameters.rs
@@ -64,7 +64,7 @@
     pub(crate) slow_start_floor: f64,
     /// Time from the end of an outage until a destination has its full capacity.
     pub(crate) slow_start_duration: Duration,
-    /// Multiple of a destination's current capacity above which load makes it fail during its slow start.
+    /// Load above which a destination fails during its slow start, as a multiple of its current capacity.
     pub(crate) overload_capacity_multiple: f64,
     /// Duration of a load above `overload_capacity_multiple` after which a destination fails.
     pub(crate) overload_window: Duration,
@@ -81,9 +81,9 @@
     pub(crate) over_quota_weight: f64,
     /// Time after which an idle connection is closed.
     pub(crate) connection_idle_timeout: Duration,
-    /// Additional price of a request to another zone, in price points.
+    /// Additional price of a request to another zone, in the unit of [`ZoneFee::fee`].
     pub(crate) cross_zone_price: f64,
-    /// Price of a new connection, in price points.
+    /// Price of a new connection, in the unit of [`ZoneFee::fee`].
     pub(crate) connection_price: f64,
     /// Prices of requests to endpoints with circuit breakers of their own, by zone.
     pub(crate) zone_fees: Vec<ZoneFee>,
--- a/src/state/response_times.rs
+++ b/src/state/response_times.rs
@@ -5,7 +5,7 @@
 /// Response times of all completed attempts, used for circuit breakers without response times of their own.
 #[derive(Default)]
 pub(crate) struct ResponseTimes {
-    /// Running mean of all response times.
+    /// Running mean of all response times; `None` before the first completion.
     mean_latency_seconds: Option<f64>,
     last_completion: Duration,
 }
--- a/src/state/zones.rs
+++ b/src/state/zones.rs
@@ -7,7 +7,7 @@
 pub(super) struct ZoneNumber(u16);
 
 impl ZoneNumber {
-    /// Zones beyond the maximum that [`Zones`] stores.
+    /// Number of every zone beyond the maximum count that [`Zones`] stores.
     const UNNUMBERED: ZoneNumber = ZoneNumber(u16::MAX);
 }
 
--- a/tests/policy/discovery.rs
+++ b/tests/policy/discovery.rs
@@ -50,7 +50,10 @@
     assert!(test.policy.keeps_endpoint(EndpointId(190)));
     let size = test.policy.state_size();
     let kept = [size.endpoints, size.circuits, size.destinations];
-    assert!(kept.iter().all(|kept| *kept < 80), "{kept:?}");
+    assert!(
+        kept.iter().all(|kept| *kept < 80),
+        "records kept of endpoints, circuits and destinations: {kept:?}"
+    );
 }
 
 #[test]
@@ -68,10 +71,10 @@
     while deleted < 10_000 {
         test.run_after(if runs == 0 { ms(0) } else { ms(30_000) });
         let in_this_run = test.policy.take_removed_endpoints().len();
-        assert!(in_this_run <= 1_000, "{in_this_run} in one run of due work");
+        assert!(in_this_run <= 1_000, "{in_this_run} endpoints removed in one run of due work");
         deleted += in_this_run;
         runs += 1;
-        assert!(runs < 20, "{deleted} deleted");
+        assert!(runs < 20, "{deleted} of 10,000 endpoints removed after {runs} runs");
     }
     let size = test.policy.state_size();
     assert!(size.endpoints == 0 && size.messages == 0);
--- a/tests/policy/endpoint_selection.rs
+++ b/tests/policy/endpoint_selection.rs
@@ -37,7 +37,8 @@
     for n in 0..100 {
         let name = format!("e{n}");
         test.submit(&name, IDEMPOTENT, 9);
-        let attempt = test.last_started_after(ms(100)).expect("the last command does not start an attempt");
+        let attempt =
+            test.last_started_after(ms(100)).expect("expected the last command to start an attempt");
         to_small += u32::from(attempt.endpoint == EndpointId(2));
         test.complete_attempt(&name, 0);
     }
@@ -54,11 +55,15 @@
     let mut used = Vec::new();
     for n in 0..12 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
-        let attempt = test.last_started_after(ms(500)).expect("the last command does not start an attempt");
+        let attempt =
+            test.last_started_after(ms(500)).expect("expected the last command to start an attempt");
         used.push(attempt.endpoint);
         test.complete_attempt(&attempt.message, 0);
     }
-    assert!(used.iter().all(|endpoint| *endpoint == used[0]), "{used:?}");
+    assert!(
+        used.iter().all(|endpoint| *endpoint == used[0]),
+        "expected one endpoint for all requests: {used:?}"
+    );
 }
 
 #[test]
@@ -72,7 +77,8 @@
     let mut to_east = 0;
     for n in 0..40 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
-        let attempt = test.last_started_after(ms(500)).expect("the last command does not start an attempt");
+        let attempt =
+            test.last_started_after(ms(500)).expect("expected the last command to start an attempt");
         to_east += u32::from(attempt.endpoint == EndpointId(2));
         test.complete_attempt(&attempt.message, 0);
     }
@@ -86,7 +92,8 @@
     let mut to_slow = 0;
     for n in 0..220 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
-        let attempt = test.last_started_after(ms(500)).expect("the last command does not start an attempt");
+        let attempt =
+            test.last_started_after(ms(500)).expect("expected the last command to start an attempt");
         let slow = attempt.endpoint == EndpointId(1);
         test.advance(if slow { ms(1500) } else { ms(100) });
         test.complete_attempt(&attempt.message, 0);
--- a/tests/policy/eviction.rs
+++ b/tests/policy/eviction.rs
@@ -27,7 +27,7 @@
     let commands = test.run_after(ms(0));
     assert!(
         matches!(&commands[..], [HostCommand::Reject { message, .. }] if message == "low"),
-        "{commands:?}"
+        "expected only the rejection of `low`: {commands:?}"
     );
 }
 
--- a/tests/policy/expiry.rs
+++ b/tests/policy/expiry.rs
@@ -14,7 +14,7 @@
     // The third message is the half-open trial and may have been executed.
     let rejected =
         |command: &&HostCommand| matches!(command, HostCommand::Reject { retry_after: Some(_), .. });
-    assert_eq!(answers.iter().filter(rejected).count(), 2, "{answers:?}");
+    assert_eq!(answers.iter().filter(rejected).count(), 2, "rejections with a Retry-After among {answers:?}");
 }
 
 #[test]
--- a/tests/policy/fleet_pacing.rs
+++ b/tests/policy/fleet_pacing.rs
@@ -147,11 +147,15 @@
     }
     let started: Vec<usize> = (0..190).map(|_| test.started_after(ms(100)).len()).collect();
     let first = started.iter().position(|count| *count > 0).unwrap();
-    assert_eq!(started[first..(first + 100).min(190)].iter().sum::<usize>(), 1, "{started:?}");
+    assert_eq!(
+        started[first..(first + 100).min(190)].iter().sum::<usize>(),
+        1,
+        "attempts per tenth of a second: {started:?}"
+    );
 }
 
 #[test]
-fn message_does_not_wait_for_a_full_batch_if_no_rate_applies() {
+fn message_does_not_wait_for_a_full_batch_without_time_slots() {
     let mut test = fleet_member_of_60(&[listed(1, 9, BATCH_OF_4)]);
     for n in 0..4 {
         let name = format!("e{n}");
@@ -174,7 +178,7 @@
 }
 
 #[test]
-fn waiting_messages_are_sent_as_a_batch_if_a_rate_applies() {
+fn messages_that_wait_for_a_time_slot_are_sent_as_a_batch() {
     let mut test = fleet_member_of_60(&[listed(1, 9, OWN_CIRCUIT_BATCH_OF_10)]);
     test.submit("first", IDEMPOTENT, 9);
     assert_eq!(test.started_after(ms(0)), ["first"]);
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -87,6 +87,9 @@
         assert_eq!(timeouts["a"].response_within == timeouts["b"].response_within, !hedging_allowed);
         let requests = ["a", "b", "c", "d", "e"].map(|name| timeouts[name].request);
         let first_batch = requests[..4].iter().all(|request| *request == requests[0]);
-        assert!(first_batch && requests[4] != requests[0], "{requests:?}");
+        assert!(
+            first_batch && requests[4] != requests[0],
+            "expected a batch of `a` to `d` and a request for `e`: {requests:?}"
+        );
     }
 }
--- a/tests/policy/load_reports.rs
+++ b/tests/policy/load_reports.rs
@@ -48,7 +48,10 @@
 #[test]
 fn rejections_without_a_completion_between_them_are_retried_late_at_any_limit_left() {
     for (left, limit) in [(0.1, 6.0), (0.9, 6.0), (0.0, 0.0)] {
-        assert!(pacing_interval_after_two_rejections(left, limit, false) > 3.0, "{left} of {limit}");
+        assert!(
+            pacing_interval_after_two_rejections(left, limit, false) > 3.0,
+            "share {left} of a limit of {limit} requests a second is left"
+        );
     }
 }
 
--- a/tests/policy/ordering.rs
+++ b/tests/policy/ordering.rs
@@ -35,5 +35,5 @@
     test.finish_attempt("e0002", 0, AttemptOutcome::TimedOut);
     assert_eq!(test.policy.message_progress(&id("e0002")).unwrap().attempts, 1);
     let next = test.started_after(ms(1500));
-    assert!(next.iter().all(|name| name == "e0002"), "{next:?}");
+    assert!(next.iter().all(|name| name == "e0002"), "expected no message but e0002: {next:?}");
 }
--- a/tests/policy/retry_after.rs
+++ b/tests/policy/retry_after.rs
@@ -87,7 +87,7 @@
 fn retry_after_of_an_endpoint_with_its_own_circuit_does_not_block_another_endpoint() {
     let mut test = PolicyTest::with_endpoints(&[listed(1, 9, OWN_CIRCUIT), listed(2, 9, OWN_CIRCUIT)]);
     test.submit("a", IDEMPOTENT, 9);
-    let first = test.last_started_after(ms(0)).expect("the last command does not start an attempt");
+    let first = test.last_started_after(ms(0)).expect("expected the last command to start an attempt");
     test.reject_attempt("a", 0, Some(ms(1500)));
     let commands = test.run_after(ms(0));
     assert!(matches!(
--- a/tests/policy/scheduling.rs
+++ b/tests/policy/scheduling.rs
@@ -43,7 +43,7 @@
     }
     let started = test.started_after(ms(0));
     let long = started.iter().filter(|name| name.starts_with("long")).count();
-    assert!(long > started.len() / 2, "{started:?}");
+    assert!(long > started.len() / 2, "expected most attempts for the long queue: {started:?}");
 }
 
 #[test]
@@ -68,7 +68,7 @@
     test.complete_attempt("next0", 0);
     let commands = test.run_after(ms(3000));
     let cancelled = |command: &HostCommand| matches!(command, HostCommand::Cancel { message, .. } if message.starts_with("silent"));
-    assert!(commands.iter().any(cancelled), "{commands:?}");
+    assert!(commands.iter().any(cancelled), "expected the cancellation of a silent attempt: {commands:?}");
     let non_idempotent = |command: &HostCommand| matches!(command, HostCommand::Cancel { message, .. } if ["silent1", "silent3"].contains(&message.as_str()));
     assert!(!commands.iter().any(non_idempotent), "cancelling a non-idempotent attempt would lose it");
 }
@@ -103,6 +103,6 @@
     let deadline = test.now + ms(300);
     test.submit_with_deadline("short", IDEMPOTENT, 9, deadline);
     let progress = test.policy.message_progress(&id("short")).unwrap();
-    assert_eq!(progress.objective_at, deadline, "the objective ends at the deadline");
+    assert_eq!(progress.objective_ends_at, deadline, "the objective ends at the deadline");
     assert_eq!(test.started_after(ms(0)), ["short"], "some responses take less than the mean");
 }
