--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -194,8 +194,8 @@
     pub slow_start_duration: Span,
     /// Multiple of the current capacity that a cold endpoint may receive without an overload.
     #[serde(rename = "fall_multiple")]
-    pub overload_multiple: Amount,
-    /// Length of the window over which received work is compared with `overload_multiple`.
+    pub overload_capacity_multiple: Amount,
+    /// Length of the window over which received work is compared with `overload_capacity_multiple`.
     #[serde(rename = "tip_after_s")]
     pub overload_window: Span,
     /// Duration of the outage that an overload causes.
@@ -208,7 +208,7 @@
         RecoverySettings {
             slow_start_floor: Share::clamped(0.2),
             slow_start_duration: Span::millis(10_000),
-            overload_multiple: Amount::clamped(2.0),
+            overload_capacity_multiple: Amount::clamped(2.0),
             overload_window: Span::millis(3000),
             overload_outage: Span::millis(60_000),
         }
