--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -67,7 +67,7 @@
     }
 
     fn check_probes(&self) -> ResultLine {
-        let expected = self.new_destinations() * self.real_forwarders.len();
+        let expected = self.new_destination_count() * self.real_forwarders.len();
         let arrived = lock(&self.probe_records).len();
         ResultLine::check(
             "each new destination became known at each real forwarder",
--- a/crates/scale-test/src/client.rs
+++ b/crates/scale-test/src/client.rs
@@ -25,7 +25,7 @@
     /// Rejected, for example because the list has no such destination.
     Rejected,
     /// No connection, a connection that was lost, or no answer in time.
-    NoAnswer,
+    NoResponse,
 }
 
 /// A client with one connection at most.
@@ -56,11 +56,11 @@
             .header("x-budget", "20.000")
             .header("x-route-to", format!("dest={destination}"))
             .body(Full::from(Bytes::from_static(MESSAGE_BODY)));
-        let Ok(request) = request else { return SubmitResult::NoAnswer };
+        let Ok(request) = request else { return SubmitResult::NoResponse };
         match self.send(request).await {
             Some(StatusCode::ACCEPTED | StatusCode::OK) => SubmitResult::Accepted,
             Some(_) => SubmitResult::Rejected,
-            None => SubmitResult::NoAnswer,
+            None => SubmitResult::NoResponse,
         }
     }
 
--- a/crates/scale-test/src/control_plane.rs
+++ b/crates/scale-test/src/control_plane.rs
@@ -85,7 +85,7 @@
     }
 
     /// Delivery notices that have come.
-    pub(crate) fn notices(&self) -> u64 {
+    pub(crate) fn notice_count(&self) -> u64 {
         self.notices.load(Ordering::Relaxed)
     }
 
--- a/crates/scale-test/src/endpoint_list.rs
+++ b/crates/scale-test/src/endpoint_list.rs
@@ -38,7 +38,7 @@
 }
 
 /// The index in an instance name; None for names that no list of this program has.
-pub fn index_of(name: &str) -> Option<u32> {
+pub fn instance_index(name: &str) -> Option<u32> {
     let digits = name.strip_prefix("s-").filter(|digits| digits.len() == 8)?;
     u32::from_str_radix(digits, 16).ok()
 }
--- a/crates/scale-test/src/hollow_state.rs
+++ b/crates/scale-test/src/hollow_state.rs
@@ -42,7 +42,7 @@
     /// The generation of the change.
     pub generation: u64,
     /// When the end of its line had been applied.
-    pub at: Instant,
+    pub applied_at: Instant,
 }
 
 /// How a forwarder's list differs from the authoritative one.
@@ -183,9 +183,9 @@
         }
     }
 
-    fn record_applied(&mut self, generations: RangeInclusive<u64>, at: Instant) {
+    fn record_applied(&mut self, generations: RangeInclusive<u64>, applied_at: Instant) {
         let applied = generations.filter(|generation| self.dropped_change != Some(*generation));
-        self.applied.extend(applied.map(|generation| AppliedChange { generation, at }));
+        self.applied.extend(applied.map(|generation| AppliedChange { generation, applied_at }));
     }
 
     /// Restarts the forwarder without a list; which changes it had before stays recorded.
--- a/crates/scale-test/src/latency_results.rs
+++ b/crates/scale-test/src/latency_results.rs
@@ -25,8 +25,8 @@
             });
         }
         lines.push(ResultLine::Deliveries {
-            requests: self.endpoints.requests(),
-            notices: self.control_plane.notices(),
+            requests: self.endpoints.request_count(),
+            notices: self.control_plane.notice_count(),
         });
         lines
     }
@@ -96,7 +96,7 @@
             let hollow = lock(hollow);
             let mut attribution = outages.attribution(hollow.number());
             for change in hollow.state().applied() {
-                latencies.add(Role::Hollow, &mut attribution, change.generation, change.at);
+                latencies.add(Role::Hollow, &mut attribution, change.generation, change.applied_at);
             }
         }
     }
@@ -117,12 +117,12 @@
     /// when the forwarder could be reached again.
     fn add(&mut self, role: Role, attribution: &mut OutageAttribution, generation: u64, in_force: Instant) {
         let Some(made) = self.list.made_at(generation) else { return };
-        let outage = attribution.outage(made, in_force);
+        let outage = attribution.attribute(made, in_force);
         let occasion = outage.map_or(Occasion::Calm, |outage| Occasion::Fault(outage.kind));
         let since_change = in_force.saturating_duration_since(made);
         self.histograms.entry((role, occasion, Since::Change)).or_default().record(since_change);
         if let Some(outage) = outage {
-            let reachable = outage.ended.map_or(in_force, |ended| ended.max(made));
+            let reachable = outage.ended_at.map_or(in_force, |ended| ended.max(made));
             let since_reachable = in_force.saturating_duration_since(reachable);
             self.histograms.entry((role, occasion, Since::Reachable)).or_default().record(since_reachable);
         }
--- a/crates/scale-test/src/list_decoder.rs
+++ b/crates/scale-test/src/list_decoder.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::endpoint_list::index_of;
+use crate::endpoint_list::instance_index;
 
 /// The longest entry, and the longest line without its entries, in bytes.
 const MAX_PART_BYTES: usize = 16 * 1024;
@@ -196,7 +196,7 @@
 
 fn decode_entry(text: &[u8]) -> Result<Entry, DecodeError> {
     let instance: Instance = serde_json::from_slice(text).map_err(|e| DecodeError::Entry(e.to_string()))?;
-    let index = index_of(instance.instance_id);
+    let index = instance_index(instance.instance_id);
     let index = index.ok_or_else(|| DecodeError::Entry(format!("name {:?}", instance.instance_id)))?;
     let address = match instance.lifecycle {
         "Gone" => None,
--- a/crates/scale-test/src/measurements.rs
+++ b/crates/scale-test/src/measurements.rs
@@ -7,7 +7,7 @@
 use crate::metered_stream::TrafficTotals;
 use crate::process_usage::{thread_processor_s, ResourceUsage};
 use crate::report::{Phase, ResultLine, Role, TrafficRates};
-use crate::test_bed::{TestBed, CONTROL_THREAD};
+use crate::test_bed::{TestBed, CONTROL_THREAD_NAME};
 
 /// All counters at one moment.
 pub(crate) struct Snapshot {
@@ -62,7 +62,7 @@
         let mut lines = vec![
             ResultLine::figure("list.whole_bytes", full_list_bytes),
             ResultLine::figure("start.seconds", start_s),
-            ResultLine::figure("start.control_processor_s", started.thread_s(CONTROL_THREAD)),
+            ResultLine::figure("start.control_processor_s", started.thread_s(CONTROL_THREAD_NAME)),
             ResultLine::figure("start.control_sent_bytes", started.control_traffic.sent_bytes as f64),
         ];
         let mean_processor_s = mean(&started.real_processor_s);
@@ -96,7 +96,7 @@
             let core_share = (used_s - before.thread_s(name)) / seconds;
             lines.push(ResultLine::Thread { name: name.clone(), core_share });
         }
-        let control_s = after.thread_s(CONTROL_THREAD) - before.thread_s(CONTROL_THREAD);
+        let control_s = after.thread_s(CONTROL_THREAD_NAME) - before.thread_s(CONTROL_THREAD_NAME);
         lines.push(ResultLine::figure("control.core_share", control_s / seconds));
         lines
     }
--- a/crates/scale-test/src/outages.rs
+++ b/crates/scale-test/src/outages.rs
@@ -16,9 +16,9 @@
     /// The forwarder's number.
     pub forwarder: u32,
     /// When the fault began.
-    pub began: Instant,
+    pub started_at: Instant,
     /// When nothing outside the forwarder prevented its recovery any more; none while the fault lasts.
-    pub ended: Option<Instant>,
+    pub ended_at: Option<Instant>,
 }
 
 /// The outages of a run.
@@ -30,14 +30,14 @@
 impl Outages {
     /// Records that a fault begins at a forwarder now.
     pub fn begin(&mut self, kind: FaultKind, forwarder: u32) {
-        self.all.push(Outage { kind, forwarder, began: Instant::now(), ended: None });
+        self.all.push(Outage { kind, forwarder, started_at: Instant::now(), ended_at: None });
     }
 
     /// Records that a fault ends at a forwarder now.
     pub fn end(&mut self, kind: FaultKind, forwarder: u32) {
         let now = Instant::now();
         let open = self.all.iter_mut().filter(|o| o.kind == kind && o.forwarder == forwarder);
-        open.filter(|o| o.ended.is_none()).for_each(|o| o.ended = Some(now));
+        open.filter(|o| o.ended_at.is_none()).for_each(|o| o.ended_at = Some(now));
     }
 
     /// Attributes the changes of one forwarder, in their order, to its outages.
@@ -48,10 +48,10 @@
     /// The outage during which, or shortly after which, a forwarder learnt of a change; the last one of several.
     fn overlapping(&self, forwarder: u32, made: Instant, applied: Instant) -> Option<Outage> {
         let overlaps = |outage: &&Outage| {
-            let ended = outage.ended.map_or(applied, |ended| ended + RECOVERY_WINDOW);
-            outage.forwarder == forwarder && outage.began <= applied && made <= ended
+            let ended = outage.ended_at.map_or(applied, |ended| ended + RECOVERY_WINDOW);
+            outage.forwarder == forwarder && outage.started_at <= applied && made <= ended
         };
-        self.all.iter().filter(overlaps).max_by_key(|outage| outage.began).copied()
+        self.all.iter().filter(overlaps).max_by_key(|outage| outage.started_at).copied()
     }
 }
 
@@ -74,7 +74,7 @@
     /// The outage to which a change is attributed that was made and came into force then; none for a change in calm
     /// operation. A change that was made while the forwarder still caught up is attributed to the outage from which
     /// it did, however long that took.
-    pub fn outage(&mut self, made: Instant, in_force: Instant) -> Option<Outage> {
+    pub fn attribute(&mut self, made: Instant, in_force: Instant) -> Option<Outage> {
         let still_behind = self.behind.filter(|behind| made < behind.until).map(|behind| behind.outage);
         let outage = self.outages.overlapping(self.forwarder, made, in_force).or(still_behind)?;
         let until = self.behind.map_or(in_force, |behind| behind.until.max(in_force));
--- a/crates/scale-test/src/probe.rs
+++ b/crates/scale-test/src/probe.rs
@@ -64,7 +64,7 @@
                 last_rejected = Some(probe_began);
                 interval()
             }
-            SubmitResult::NoAnswer => interval(),
+            SubmitResult::NoResponse => interval(),
         };
         let arrival = timeout(wait, async {
             while let Some(arrival) = expected_requests.next().await {
--- a/crates/scale-test/src/resource_budget.rs
+++ b/crates/scale-test/src/resource_budget.rs
@@ -6,7 +6,7 @@
 use crate::error::ScaleTestError;
 use crate::hollow_state::HOLLOW_BYTES_PER_ENDPOINT;
 use crate::scenario::Scenario;
-use crate::stub_endpoints::ADDRESSES;
+use crate::stub_endpoints::STUB_LISTENER_COUNT;
 
 /// Serialized size of one entry of the endpoint list, in bytes.
 const BYTES_PER_ENTRY: u64 = 160;
@@ -85,5 +85,5 @@
     // Both ends of each hollow forwarder's watch; this program's end of real ones' watches and notices.
     let watches = 2 * hollow + 2 * real;
     let clients = CLIENTS_PER_REAL_FORWARDER * real;
-    BASE_DESCRIPTORS + ADDRESSES as u64 + listeners + watches + clients + requests
+    BASE_DESCRIPTORS + STUB_LISTENER_COUNT as u64 + listeners + watches + clients + requests
 }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -286,7 +286,7 @@
     async fn wait_for_convergence(&self) -> bool {
         let limit = Duration::from_secs_f64(self.scenario.changes.settle_within_s);
         let generation = self.list.generation();
-        let probes = self.new_destinations() * self.real_forwarders.len();
+        let probes = self.new_destination_count() * self.real_forwarders.len();
         let converged = || {
             let hollow = &self.hollow_forwarders;
             lock(&self.probe_records).len() >= probes
--- a/crates/scale-test/src/stub_endpoints.rs
+++ b/crates/scale-test/src/stub_endpoints.rs
@@ -21,7 +21,7 @@
 use crate::lock::lock;
 
 /// Number of listening sockets that the endpoints share.
-pub(crate) const ADDRESSES: usize = 4;
+pub(crate) const STUB_LISTENER_COUNT: usize = 4;
 
 /// The stub endpoints' addresses, and the requests that came.
 #[derive(Clone)]
@@ -49,7 +49,7 @@
     pub(crate) async fn open() -> Result<StubEndpoints, ScaleTestError> {
         let mut addresses = Vec::new();
         let arrivals = Arc::new(Arrivals::default());
-        for _ in 0..ADDRESSES {
+        for _ in 0..STUB_LISTENER_COUNT {
             let listen_error = |e| ScaleTestError::aborted("a stand-in target can't listen", e);
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(listen_error)?;
             let address = listener.local_addr().map_err(listen_error)?;
@@ -75,7 +75,7 @@
     }
 
     /// Requests that have come.
-    pub(crate) fn requests(&self) -> u64 {
+    pub(crate) fn request_count(&self) -> u64 {
         self.arrivals.requests.load(Ordering::Relaxed)
     }
 
--- a/crates/scale-test/src/test_bed.rs
+++ b/crates/scale-test/src/test_bed.rs
@@ -30,7 +30,7 @@
 use crate::stub_endpoints::StubEndpoints;
 
 /// The name of the control plane's thread, by which its processor time is found.
-pub(crate) const CONTROL_THREAD: &str = "control";
+pub(crate) const CONTROL_THREAD_NAME: &str = "control";
 /// Distance between two checks of the memory in use.
 const MEMORY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -98,9 +98,9 @@
         match result {
             SubmitResult::Accepted => self.accepted += 1,
             SubmitResult::Rejected => self.rejected += 1,
-            SubmitResult::NoAnswer => self.unanswered += 1,
+            SubmitResult::NoResponse => self.unanswered += 1,
         }
-        if result != SubmitResult::NoAnswer {
+        if result != SubmitResult::NoResponse {
             self.latency.record(latency);
         }
     }
@@ -144,7 +144,7 @@
         let endpoints = endpoints_thread.run(StubEndpoints::open()).await?;
         let list = AuthoritativeList::new(scenario.list.endpoints, |index| endpoints.address(index, 0));
         let list = Arc::new(list);
-        let control_thread = RuntimeThread::start(CONTROL_THREAD)?;
+        let control_thread = RuntimeThread::start(CONTROL_THREAD_NAME)?;
         let control_plane =
             ControlPlane::new(list.clone(), scenario.list.concurrent_full_lists, defects.lost_change);
         let listeners = open_listeners(&scenario, &control_thread, &control_plane).await?;
@@ -205,7 +205,7 @@
     }
 
     /// The number of changes so far that listed a new destination.
-    pub(crate) fn new_destinations(&self) -> usize {
+    pub(crate) fn new_destination_count(&self) -> usize {
         self.list.len() - self.scenario.list.endpoints as usize
     }
 }
--- a/crates/scale-test/tests/endpoint_list.rs
+++ b/crates/scale-test/tests/endpoint_list.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use reeddock_scale_test::endpoint_list::{index_of, instance_name, AuthoritativeList};
+use reeddock_scale_test::endpoint_list::{instance_index, instance_name, AuthoritativeList};
 use reeddock_scale_test::hollow_state::{Difference, HollowState, HOLLOW_BYTES_PER_ENDPOINT};
 use reeddock_scale_test::list_decoder::{DecodeError, Entry, ListDecoder, ListEvent};
 
@@ -98,8 +98,11 @@
 
 #[test]
 fn names_stand_for_indices() {
-    assert_eq!(index_of(&instance_name(319_999)), Some(319_999));
-    assert_eq!((index_of("s-12"), index_of("t-00000001"), index_of("s-0000000g")), (None, None, None));
+    assert_eq!(instance_index(&instance_name(319_999)), Some(319_999));
+    assert_eq!(
+        (instance_index("s-12"), instance_index("t-00000001"), instance_index("s-0000000g")),
+        (None, None, None)
+    );
 }
 
 #[test]
