--- a/crates/scale-test/src/client.rs
+++ b/crates/scale-test/src/client.rs
@@ -1,4 +1,4 @@
-//! Submits messages at one forwarder, over a connection that is kept.
+//! An HTTP client that submits messages to one forwarder over a persistent connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,40 +14,39 @@
 use crate::task::AbortOnDrop;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The content of each message.
 const MESSAGE_BODY: &[u8] = b"an envelope of the scale run";
 
-/// The result of one submission.
+/// The result of one submission, by the forwarder's response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SubmitResult {
-    /// The forwarder is responsible for the message until it has a final answer.
+    /// Status 200 or 202: the forwarder is responsible for the message until the message has a final answer.
     Accepted,
-    /// Rejected, for example because the list has no such destination.
+    /// Any other status, for example because the forwarder's list doesn't contain the destination.
     Rejected,
-    /// No connection, a connection that was lost, or no answer in time.
+    /// No connection, a lost connection, or no complete response within the timeout.
     NoResponse,
 }
 
-/// A client with one connection at most.
+/// A client of one forwarder, with at most one open connection.
 pub(crate) struct Client {
     forwarder: SocketAddr,
     response_timeout: Duration,
     connection: Option<Connection>,
 }
 
-/// An open connection, closed when this is dropped.
+/// An open connection to the forwarder, closed on drop.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDrop,
 }
 
 impl Client {
-    /// A client of the forwarder at an address; it connects with the first submission.
+    /// Creates a client of the forwarder at this address. The client connects at the first submission.
     pub(crate) fn new(forwarder: SocketAddr, response_timeout: Duration) -> Client {
         Client { forwarder, response_timeout, connection: None }
     }
 
-    /// Submits one message.
+    /// Submits one message to the forwarder and returns how the forwarder responded.
     pub(crate) async fn submit(&mut self, message_id: &str, destination: u32) -> SubmitResult {
         let request = Request::post("/api")
             .header("host", "api.internal")
@@ -64,10 +63,11 @@
         }
     }
 
-    /// Sends a request and returns the status of the response. The connection is kept after a complete response only.
+    /// Sends a request and returns the status of the response, or `None` if there is no complete response in time.
+    /// The connection is reused only after a complete response.
     async fn send(&mut self, request: Request<Full<Bytes>>) -> Option<StatusCode> {
-        let kept = self.connection.take().filter(|connection| !connection.sender.is_closed());
-        let mut connection = match kept {
+        let reusable = self.connection.take().filter(|connection| !connection.sender.is_closed());
+        let mut connection = match reusable {
             Some(connection) => connection,
             None => self.connect().await?,
         };
--- a/crates/scale-test/src/control_plane.rs
+++ b/crates/scale-test/src/control_plane.rs
@@ -1,5 +1,5 @@
-//! A stub control plane: it serves the endpoint list in full and as a watch, and takes delivery notices. Forwarders
-//! reach it through listeners, each of which faults can partition from its clients or close.
+//! A stub control plane that serves the endpoint list, in full and as a watch, and receives delivery notices.
+//! Forwarders connect to its listeners; a fault can partition a listener from its clients or close it.
 
 mod service;
 mod watch_stream;
@@ -23,39 +23,39 @@
 use crate::error::ScaleTestError;
 use crate::metered_stream::{MeteredStream, TrafficCounters, TrafficTotals};
 
-/// Connections that wait to be accepted at one listener.
+/// Maximum number of connections per listener that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// A port that is not free yet is tried again after so long.
+/// Time between two attempts to bind a closed listener's port again.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The body of a response.
 type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Whether clients can reach a listener.
+/// Whether clients can reach a listener of the control plane.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Reachability {
-    /// Connections and bytes pass.
+    /// Connections are accepted and served.
     Open,
-    /// No byte passes and nothing is reset; connections from before are reset when the listener opens again.
+    /// No response byte is sent and no connection is reset. Connections opened before the partition are reset when
+    /// the partition ends.
     Partitioned,
-    /// Nobody listens, and open connections are reset.
+    /// The listening socket is closed and open connections are reset.
     Closed,
 }
 
-/// A seeded defect that the checks have to find: a change that is never sent.
+/// A seeded defect: a change that the control plane never sends through one listener. The checks must find it.
 #[derive(Clone, Copy, Debug)]
 pub struct LostChange {
-    /// The number of the listener through which it is not sent: real forwarders' listeners come first, then those of
-    /// zones.
+    /// The number of the listener that doesn't send the change. The listeners of real forwarders come first, then one
+    /// listener per zone.
     pub listener: usize,
     /// The generation of the change.
     pub generation: u64,
 }
 
-/// What all listeners share.
+/// The state that all listeners of the control plane share.
 pub(crate) struct ControlPlane {
     list: Arc<AuthoritativeList>,
-    /// One permit for each full list that is sent concurrently.
+    /// Limits how many full lists are sent concurrently.
     full_list_permits: Arc<Semaphore>,
     lost_change: Option<LostChange>,
     full_list_bytes: AtomicU64,
@@ -63,8 +63,8 @@
 }
 
 impl ControlPlane {
-    /// A control plane that sends so many full lists concurrently. `lost_change` seeds a defect; none for a sound
-    /// one.
+    /// Creates a control plane that sends at most `concurrent_full_lists` full lists at a time. `lost_change` seeds a
+    /// defect; `None` in ordinary runs.
     pub(crate) fn new(
         list: Arc<AuthoritativeList>,
         concurrent_full_lists: u32,
@@ -79,12 +79,12 @@
         })
     }
 
-    /// Size of the full list that was sent last, in bytes.
+    /// Returns the size in bytes of the full list that was sent last; 0 if none was sent.
     pub(crate) fn full_list_bytes(&self) -> u64 {
         self.full_list_bytes.load(Ordering::Relaxed)
     }
 
-    /// Delivery notices that have come.
+    /// Returns the number of delivery notices received on all listeners.
     pub(crate) fn notice_count(&self) -> u64 {
         self.notices.load(Ordering::Relaxed)
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// One listening socket of the control plane.
+/// One listener of the control plane, with its own traffic counters and reachability.
 pub(crate) struct ControlListener {
     address: SocketAddr,
     traffic: Arc<TrafficCounters>,
@@ -102,12 +102,14 @@
 }
 
 impl ControlListener {
-    /// Listens on loopback and serves as a task of the current runtime, which ends when this is dropped.
+    /// Listens on a free loopback port and serves clients in a task of the current runtime. The task ends when the
+    /// listener is dropped.
     pub(crate) async fn open(
         control_plane: Arc<ControlPlane>,
         number: usize,
     ) -> Result<ControlListener, ScaleTestError> {
-        let listen_error = |e: io::Error| ScaleTestError::aborted("the control side can't listen", e);
+        let listen_error =
+            |e: io::Error| ScaleTestError::aborted("opening a listener of the control plane", e);
         let address = crate::ports::free().map_err(listen_error)?;
         let socket = bind(address).map_err(listen_error)?;
         let listener = ControlListener {
@@ -125,17 +127,17 @@
         Ok(listener)
     }
 
-    /// Where it listens.
+    /// Returns the address to which forwarders connect.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What has passed through it.
+    /// Returns the traffic through this listener since it was opened.
     pub(crate) fn traffic(&self) -> TrafficTotals {
         self.traffic.totals()
     }
 
-    /// Changes whether clients can reach it.
+    /// Sets whether clients can reach the listener.
     pub(crate) fn set_reachability(&self, reachability: Reachability) {
         self.reachability.send_replace(reachability);
     }
@@ -148,29 +150,28 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// What each connection of one listener is given.
+/// The state that all connections of one listener share.
 #[derive(Clone)]
 struct ConnectionContext {
     control_plane: Arc<ControlPlane>,
-    /// The listener's number.
     listener: usize,
     traffic: Arc<TrafficCounters>,
     reachability: watch::Receiver<Reachability>,
 }
 
 impl ConnectionContext {
-    /// Waits while the listener is partitioned from its clients.
+    /// Waits until the listener is not partitioned from its clients.
     async fn wait_while_partitioned(&mut self) {
         wait_while_partitioned(&mut self.reachability).await;
     }
 }
 
 async fn wait_while_partitioned(reachability: &mut watch::Receiver<Reachability>) {
-    // A listener that has been dropped holds nothing back.
+    // An error means that the listener was dropped, which ends the partition too.
     let _ = reachability.wait_for(|r| *r != Reachability::Partitioned).await;
 }
 
-/// Accepts connections until the listener is dropped.
+/// Accepts connections until the listener is dropped. A closed listener is bound to its port again when it reopens.
 async fn accept_connections(socket: TcpListener, address: SocketAddr, mut context: ConnectionContext) {
     let mut socket = Some(socket);
     loop {
@@ -202,7 +203,7 @@
     }
 }
 
-/// Serves one connection until it ends or a fault resets it.
+/// Serves one connection until the connection ends or a fault resets it.
 async fn serve_connection(stream: TcpStream, context: ConnectionContext) {
     let _ = stream.set_nodelay(true);
     let mut reachability = context.reachability.clone();
@@ -215,10 +216,10 @@
     }
 }
 
-/// Waits until connections from before now are reset.
+/// Waits until a fault resets the connections that are open now: at once on a close, at its end on a partition.
 async fn wait_for_reset(reachability: &mut watch::Receiver<Reachability>) {
-    let left_open = reachability.wait_for(|r| *r != Reachability::Open).await;
-    let partitioned = left_open.is_ok_and(|r| *r == Reachability::Partitioned);
+    let unreachable = reachability.wait_for(|r| *r != Reachability::Open).await;
+    let partitioned = unreachable.is_ok_and(|r| *r == Reachability::Partitioned);
     if partitioned {
         wait_while_partitioned(reachability).await;
     }
--- a/crates/scale-test/src/control_plane/service.rs
+++ b/crates/scale-test/src/control_plane/service.rs
@@ -1,4 +1,4 @@
-//! Responds to the requests of forwarders.
+//! Responds to the requests of forwarders: endpoint lists, watches and delivery notices.
 
 use std::convert::Infallible;
 use std::sync::atomic::Ordering;
@@ -12,7 +12,7 @@
 use super::watch_stream::watch_body;
 use super::{Body, ConnectionContext, ControlPlane};
 
-/// The response to one request.
+/// Responds to one request, after a partition of the listener has ended.
 pub(super) async fn respond(
     request: Request<Incoming>,
     mut context: ConnectionContext,
@@ -26,7 +26,7 @@
             respond_with_watch(query, context)
         }
         (&Method::GET, "/v1/servers") => respond_with_full_list(&context.control_plane).await,
-        (&Method::POST, "/v2/finals") => take_notices(body, &context.control_plane).await,
+        (&Method::POST, "/v2/finals") => receive_notices(body, &context.control_plane).await,
         _ => respond_with_text(StatusCode::NOT_FOUND, ""),
     };
     Ok(response)
@@ -43,7 +43,10 @@
     let index = query.split('&').find_map(|pair| pair.strip_prefix("index="));
     match index.unwrap_or("0").parse() {
         Ok(generation) => Response::new(watch_body(context, generation)),
-        Err(_) => respond_with_text(StatusCode::BAD_REQUEST, "index: expected a generation\n"),
+        Err(_) => respond_with_text(
+            StatusCode::BAD_REQUEST,
+            "index: expected a generation (a non-negative integer)\n",
+        ),
     }
 }
 
@@ -53,8 +56,8 @@
     Response::new(StreamBody::new(stream::iter(chunks)).boxed_unsync())
 }
 
-/// Counts delivery notices, one a line.
-async fn take_notices(mut body: Incoming, control_plane: &ControlPlane) -> Response<Body> {
+/// Reads the body and counts its delivery notices, one per line.
+async fn receive_notices(mut body: Incoming, control_plane: &ControlPlane) -> Response<Body> {
     while let Some(Ok(frame)) = body.frame().await {
         let lines = frame.into_data().map_or(0, |data| data.iter().filter(|byte| **byte == b'\n').count());
         control_plane.notices.fetch_add(lines as u64, Ordering::Relaxed);
--- a/crates/scale-test/src/control_plane/watch_stream.rs
+++ b/crates/scale-test/src/control_plane/watch_stream.rs
@@ -1,4 +1,4 @@
-//! Watches of the endpoint list: the lines that one forwarder is sent.
+//! The body of a watch response: lines with the full endpoint list, changes to it, or nothing as a keep-alive.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -17,12 +17,12 @@
 use super::{Body, ConnectionContext};
 use crate::endpoint_list::{change_line, Change, FullList};
 
-/// An empty line is sent so often while nothing changes.
+/// Time without a change or a chunk after which an empty line is sent as a keep-alive.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
-/// Changes in one line at most.
+/// Maximum number of changes in one line of a watch.
 const MAX_CHANGES_PER_LINE: usize = 256;
 
-/// The body of a watch that begins after a generation; 0 requests a full list first.
+/// Returns the body of a watch that sends all changes after `generation`; 0 requests a full list first.
 pub(super) fn watch_body(context: ConnectionContext, generation: u64) -> Body {
     let generations = context.control_plane.list.subscribe();
     let watch = Watch {
@@ -40,38 +40,40 @@
     StreamBody::new(lines).boxed_unsync()
 }
 
-/// One watch, and how far it has come.
+/// One watch and its progress.
 struct Watch {
     context: ConnectionContext,
     generations: watch::Receiver<u64>,
-    /// The generation up to which all changes were sent.
+    /// The generation up to which all changes were sent; 0 if the client needs a full list.
     sent_generation: u64,
-    /// What is left of the full list that is being sent.
+    /// The chunks of the current full list that are not yet sent.
     chunks: VecDeque<Bytes>,
+    /// The full list that is being sent; `None` between full lists.
     full_list: Option<FullListTransfer>,
-    /// The place in the queue for a permit, which survives the empty lines that are sent meanwhile.
+    /// The pending request for a permit to send a full list. Kept across keep-alives so that the watch keeps its
+    /// position in the queue. `None` if no full list is requested.
     permit_request: Option<PermitRequest>,
 }
 
-/// A full list that is being sent.
+/// A full list that is being sent to one watch.
 struct FullListTransfer {
     list: Arc<FullList>,
-    /// Released when the last chunk has been sent.
+    /// Released after the last chunk is sent.
     _permit: OwnedSemaphorePermit,
 }
 
 type PermitRequest = Pin<Box<dyn Future<Output = Result<OwnedSemaphorePermit, AcquireError>> + Send>>;
 
 impl Watch {
-    /// The bytes that are sent next, as soon as there are any.
+    /// Waits for the next bytes to send and returns them.
     async fn next_bytes(&mut self) -> Bytes {
         loop {
             self.context.wait_while_partitioned().await;
             if let Some(chunk) = self.chunks.pop_front() {
                 return chunk;
             }
-            if let Some(transfer) = self.full_list.take() {
-                self.sent_generation = transfer.list.generation;
+            if let Some(completed) = self.full_list.take() {
+                self.sent_generation = completed.list.generation;
             }
             self.generations.borrow_and_update();
             let Some(changes) = self.unsent_changes() else {
@@ -83,7 +85,7 @@
             if let Some(last) = changes.last() {
                 self.sent_generation = last.generation;
                 self.context.traffic.count_message();
-                if let Some(line) = self.line_with(&changes) {
+                if let Some(line) = self.change_line_without_lost(&changes) {
                     return line;
                 }
                 continue;
@@ -94,9 +96,9 @@
         }
     }
 
-    /// The changes that are due; none where the client needs a full list.
+    /// Returns the changes that the client has not been sent, or `None` if the client needs a full list.
     fn unsent_changes(&self) -> Option<Vec<Change>> {
-        // Generation 0 means no list.
+        // A client at generation 0 has no list.
         if self.sent_generation == 0 {
             return None;
         }
@@ -108,9 +110,9 @@
         Bytes::from_static(b"\n")
     }
 
-    /// The line with these changes. With a seeded defect, a lost change is left out, and a lost one alone has no
-    /// line.
-    fn line_with(&self, changes: &[Change]) -> Option<Bytes> {
+    /// Returns the line with these changes, without the lost change of a seeded defect. Returns `None` if the lost
+    /// change is the only one.
+    fn change_line_without_lost(&self, changes: &[Change]) -> Option<Bytes> {
         let is_lost =
             |change: &Change| self.context.control_plane.is_lost(self.context.listener, change.generation);
         if let [change] = changes {
@@ -121,7 +123,7 @@
         Some(Bytes::from(change_line(self.sent_generation, &entries)))
     }
 
-    /// Starts to send a full list; false while too many other watches are being sent theirs.
+    /// Begins to send a full list. Returns false if no permit was available within [`EMPTY_LINE_INTERVAL`].
     async fn start_full_list(&mut self) -> bool {
         let permits = self.context.control_plane.full_list_permits.clone();
         let request = self.permit_request.get_or_insert_with(|| Box::pin(permits.acquire_owned()));
--- a/crates/scale-test/src/endpoint_list.rs
+++ b/crates/scale-test/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The authoritative endpoint list of the control plane: the entries, the last changes, and full lists that are
-//! serialized once and shared by all watches that are sent them.
+//! The authoritative endpoint list of the control plane: its entries, the latest changes, and a serialized full list
+//! that all watches share.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -12,92 +12,92 @@
 
 use crate::lock::lock;
 
-/// Changes that are retained; a watch that is further behind is sent the full list.
+/// Maximum number of retained changes. A watch that is further behind is sent a full list.
 const RETAINED_CHANGES: usize = 4_096;
-/// A serialized full list is sent again, followed by the changes since, until so many have been made.
+/// Maximum number of changes since a full list was serialized for which the serialized list is reused. The changes
+/// are sent after it.
 const FULL_LIST_REUSE_LIMIT: u64 = 512;
-/// Size of one chunk of a full list, in bytes.
+/// Size at which a chunk of a full list is complete, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
-/// Spare room in a chunk's buffer, in bytes, so that its last entry does not make it grow.
+/// Additional capacity of a chunk's buffer, in bytes, so that the last entry doesn't cause a reallocation.
 const CHUNK_SPARE_BYTES: usize = 256;
-/// The generation of the list at the start.
+/// The generation of a new list.
 const FIRST_GENERATION: u64 = 1;
 
-/// One endpoint. Its instance name and its destination follow from its index in the list.
+/// An endpoint of the list. Its instance name and its destination are derived from its index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Where it listens.
+    /// The address at which the endpoint receives requests.
     pub address: SocketAddrV4,
-    /// The generation of its last change.
+    /// The generation of the endpoint's last change.
     pub generation: u64,
 }
 
-/// The instance name of the endpoint at an index.
+/// Returns the instance name of the endpoint at an index.
 pub fn instance_name(index: u32) -> String {
     format!("s-{index:08x}")
 }
 
-/// The index in an instance name; None for names that no list of this program has.
+/// Returns the index in an instance name, or `None` if the name doesn't have the form of [`instance_name`].
 pub fn instance_index(name: &str) -> Option<u32> {
     let digits = name.strip_prefix("s-").filter(|digits| digits.len() == 8)?;
     u32::from_str_radix(digits, 16).ok()
 }
 
-/// One change, which is one generation.
+/// A change of one endpoint. Each change has its own generation.
 #[derive(Clone)]
 pub struct Change {
-    /// The generation.
+    /// The generation of the list after the change.
     pub generation: u64,
-    /// The entry as JSON, as it is sent in a line.
+    /// The entry as JSON, for a line with several changes.
     pub entry: Bytes,
-    /// The line with this change alone.
+    /// The complete line that contains only this change.
     pub line: Bytes,
 }
 
-/// The full list of one generation, serialized, in chunks that all watches share.
+/// The serialized full list of one generation, in chunks that all watches share.
 pub struct FullList {
-    /// The generation.
+    /// The generation of the list when it was serialized.
     pub generation: u64,
-    /// The bytes, in order.
+    /// The bytes of the line, in order.
     pub chunks: Vec<Bytes>,
 }
 
 impl FullList {
-    /// Bytes of all chunks.
+    /// Returns the size of all chunks together, in bytes.
     pub fn size(&self) -> usize {
         self.chunks.iter().map(Bytes::len).sum()
     }
 }
 
-/// All endpoints at one moment.
+/// A copy of the list at one moment.
 pub struct ListSnapshot {
-    /// The generation of the list.
+    /// The generation of the list at that moment.
     pub generation: u64,
     /// The endpoints by index.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// The content of the list.
 struct State {
     generation: u64,
     endpoints: Vec<ListedEndpoint>,
-    /// The last changes, oldest first, without gaps.
+    /// The retained changes, oldest first, with consecutive generations.
     changes: VecDeque<Change>,
-    /// When each generation was made, from the first on.
+    /// The time of each generation, from [`FIRST_GENERATION`] on.
     made_at: Vec<Instant>,
 }
 
 /// The endpoint list, shared by the control plane and the task that changes it.
 pub struct AuthoritativeList {
     state: Mutex<State>,
-    /// Carries the newest generation.
+    /// The newest generation.
     generations: watch::Sender<u64>,
-    /// The full list that was serialized last.
+    /// The full list that was serialized last; `None` before the first one.
     full_list: tokio::sync::Mutex<Option<Arc<FullList>>>,
 }
 
 impl AuthoritativeList {
-    /// A list of so many endpoints; `address` gives the address of each index.
+    /// Creates a list of `endpoints` endpoints; `address` returns the address of the endpoint at an index.
     pub fn new(endpoints: u32, address: impl Fn(u32) -> SocketAddrV4) -> AuthoritativeList {
         let endpoint = |index| ListedEndpoint { address: address(index), generation: FIRST_GENERATION };
         let state = State {
@@ -117,7 +117,8 @@
         lock(&self.state)
     }
 
-    /// Moves an endpoint, or adds one behind the last, and returns the generation of the change.
+    /// Changes the address of an endpoint, or appends an endpoint if the index is not listed. Returns the generation
+    /// of the change.
     pub fn put(&self, index: u32, address: SocketAddrV4) -> u64 {
         let mut state = self.state();
         let generation = state.generation + 1;
@@ -140,57 +141,57 @@
         generation
     }
 
-    /// Forgets all changes, as a control plane that restarts without its history.
+    /// Discards all retained changes, as a control plane does that restarts without its history.
     pub fn forget_changes(&self) {
         self.state().changes.clear();
     }
 
-    /// A channel that carries each new generation.
+    /// Returns a receiver that is notified of each new generation.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.generations.subscribe()
     }
 
-    /// The newest generation.
+    /// Returns the newest generation.
     pub fn generation(&self) -> u64 {
         self.state().generation
     }
 
-    /// When a generation was made; none for one that was not.
+    /// Returns the time of a generation, or `None` if the list never had this generation.
     pub fn made_at(&self, generation: u64) -> Option<Instant> {
         let index = generation.checked_sub(FIRST_GENERATION)?;
         self.state().made_at.get(usize::try_from(index).ok()?).copied()
     }
 
-    /// The number of endpoints now.
+    /// Returns the number of endpoints, including those appended since the start.
     pub fn len(&self) -> usize {
         self.state().endpoints.len()
     }
 
-    /// Whether the list has no endpoint.
+    /// Returns whether the list has no endpoint.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All endpoints as they are now.
+    /// Returns a copy of all endpoints and the generation.
     pub fn snapshot(&self) -> ListSnapshot {
         let state = self.state();
         ListSnapshot { generation: state.generation, endpoints: state.endpoints.clone() }
     }
 
-    /// The changes after a generation, `limit` at most; none where some of them are no longer retained, or the
-    /// generation was never made.
+    /// Returns the first `limit` changes after a generation. Returns `None` if some of the changes after it are no
+    /// longer retained, or if the list never had this generation.
     pub fn changes_after(&self, generation: u64, limit: usize) -> Option<Vec<Change>> {
         let state = self.state();
         if generation > state.generation {
             return None;
         }
-        let behind = usize::try_from(state.generation - generation).ok()?;
-        let start = state.changes.len().checked_sub(behind)?;
+        let missing = usize::try_from(state.generation - generation).ok()?;
+        let start = state.changes.len().checked_sub(missing)?;
         Some(state.changes.range(start..).take(limit).cloned().collect())
     }
 
-    /// A full list after which all changes until now are retained. It is serialized anew where the last one is too
-    /// old.
+    /// Returns a serialized full list. All changes after its generation are still retained. The list is serialized
+    /// again if the last one is too old.
     pub async fn full_list(self: &Arc<AuthoritativeList>) -> Arc<FullList> {
         let mut cached = self.full_list.lock().await;
         if let Some(full_list) = cached.as_ref() {
@@ -208,18 +209,18 @@
     }
 }
 
-fn write_entry(to: &mut String, index: u32, endpoint: &ListedEndpoint) {
+fn write_entry(text: &mut String, index: u32, endpoint: &ListedEndpoint) {
     let name = instance_name(index);
     // Writing into a string cannot fail.
     let _ = write!(
-        to,
+        text,
         "{{\"instanceId\":\"{name}\",\"hostPort\":\"{}\",\"zone\":\"a\",\"machineType\":\"partner\",\
          \"cell\":{index},\"lifecycle\":\"Ready\",\"weight\":1.0,\"startedAtMs\":0}}",
         endpoint.address
     );
 }
 
-/// The line with these entries, which have changed up to a generation.
+/// Returns the line that contains these changed entries and sets the list's generation.
 pub(crate) fn change_line(generation: u64, entries: &[&[u8]]) -> Vec<u8> {
     let mut line = format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[").into_bytes();
     line.extend(entries.join(&b','));
--- a/crates/scale-test/src/fault_schedule.rs
+++ b/crates/scale-test/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Carries out the faults of the scenario, each at its time.
+//! Injects the faults of the scenario, each at its scheduled time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,31 +14,31 @@
 use crate::scenario::{Fault, FaultKind};
 use crate::test_bed::TestBed;
 
-/// How a forwarder is ended before it is started again.
+/// How a forwarder is stopped before its restart.
 #[derive(Clone, Copy, PartialEq)]
 enum Shutdown {
-    /// By SIGTERM, with time to finish.
+    /// By SIGTERM, and by SIGKILL if the process still runs after a delay.
     Graceful,
     /// By SIGKILL.
     Immediate,
 }
 
-/// The loss of some listeners of the control plane.
+/// A fault that makes some listeners of the control plane unreachable.
 struct ListenerOutage {
     kind: FaultKind,
-    /// The forwarders that it affects.
+    /// The numbers of the affected forwarders.
     forwarders: Vec<u32>,
-    /// The numbers of the listeners.
+    /// The numbers of the affected listeners.
     listeners: Vec<usize>,
-    /// What becomes of the listeners while it lasts.
+    /// The state of the listeners during the outage.
     reachability: Reachability,
     duration: Duration,
-    /// Whether the control plane has forgotten the changes from before when it ends.
+    /// Whether the control plane discards all retained changes at the end of the outage.
     forgets_changes: bool,
 }
 
 impl TestBed {
-    /// Carries out all faults of the scenario, whose times count from now; returns when the last one is over.
+    /// Injects all faults of the scenario, with times relative to this call. Returns after the last fault ends.
     pub(crate) async fn run_fault_schedule(self: Arc<TestBed>) -> Result<(), ScaleTestError> {
         let faults = self.scenario.faults.iter().map(|fault| self.run_fault(fault));
         join_all(faults).await.into_iter().collect()
@@ -50,7 +50,7 @@
         let kind = fault.kind();
         match *fault {
             Fault::RollingRestart { gap_s, down_s, .. } => {
-                self.restart_in_turn(kind, &forwarders, gap_s, down_s).await
+                self.rolling_restart(kind, &forwarders, gap_s, down_s).await
             }
             Fault::ZoneOutage { down_s, .. } | Fault::RackOutage { down_s, .. } => {
                 let restarts = forwarders.iter().map(|n| self.restart(kind, *n, Shutdown::Immediate, down_s));
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Restarts forwarders gracefully, one each `gap_s`.
-    async fn restart_in_turn(
+    /// Restarts forwarders gracefully. The shutdown of each begins `gap_s` seconds after that of the previous one.
+    async fn rolling_restart(
         &self,
         kind: FaultKind,
         forwarders: &[u32],
@@ -98,13 +98,13 @@
         join_all(restarts).await.into_iter().collect()
     }
 
-    /// The listeners through which the forwarders of a region reach the control plane.
+    /// Returns the numbers of the listeners through which the forwarders of a region reach the control plane.
     fn listeners_of_region(&self, region: u32, forwarders: &[u32]) -> Vec<usize> {
         let real = self.real_forwarders.len();
-        let of_real_forwarders = forwarders.iter().map(|n| *n as usize).filter(|n| *n < real);
+        let real_listeners = forwarders.iter().map(|n| *n as usize).filter(|n| *n < real);
         let zones = zones_in_region(&self.scenario, region);
-        let of_zones = zones.into_iter().map(|zone| real + zone as usize);
-        of_real_forwarders.chain(of_zones).collect()
+        let zone_listeners = zones.into_iter().map(|zone| real + zone as usize);
+        real_listeners.chain(zone_listeners).collect()
     }
 
     async fn run_listener_outage(&self, outage: ListenerOutage) {
@@ -134,7 +134,7 @@
         forwarders.iter().for_each(|forwarder| outages.end(kind, *forwarder));
     }
 
-    /// Ends a forwarder, and starts it again after `down_s`. A real one is waited for until it has the list.
+    /// Stops a forwarder and starts it again after `down_s` seconds. Waits until a real forwarder has the list again.
     async fn restart(
         &self,
         kind: FaultKind,
@@ -146,7 +146,7 @@
         let down = Duration::from_secs_f64(down_s);
         if let Some(forwarder) = self.real_forwarders.get(number as usize) {
             {
-                // Locked while it is down, so that nobody else ends or starts it meanwhile.
+                // The lock prevents another fault from stopping or starting the forwarder while it is down.
                 let mut forwarder = forwarder.lock().await;
                 match shutdown {
                     Shutdown::Graceful => forwarder.stop().await,
--- a/crates/scale-test/src/hollow_forwarder.rs
+++ b/crates/scale-test/src/hollow_forwarder.rs
@@ -1,5 +1,5 @@
-//! Hollow forwarders: each watches the endpoint list over a connection of its own and keeps what a real one must of
-//! each endpoint. They take no messages.
+//! Hollow forwarders: each watches the endpoint list over its own connection and stores the endpoints as a real
+//! forwarder does, but accepts no messages.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -23,22 +23,25 @@
 use crate::metered_stream::{MeteredStream, TrafficCounters};
 use crate::task::AbortOnDrop;
 
-/// A watch without any bytes for so long is lost. As a real forwarder has it: two empty lines have stayed away.
+/// Time without received bytes after which a watch is lost: longer than two intervals between empty lines, as in a
+/// real forwarder.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Mean backoff before the watch is opened again; doubled each time until something has been received.
+/// Mean backoff before a watch is opened again. It doubles with each watch that received nothing.
 const BACKOFF_INITIAL: Duration = Duration::from_millis(100);
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// One hollow forwarder, running or not.
+/// One hollow forwarder, running or stopped.
 pub(crate) struct HollowForwarder {
     number: u32,
     watcher: Watcher,
-    running: Option<AbortOnDrop>,
+    /// The watcher's task; `None` while the forwarder is stopped.
+    task: Option<AbortOnDrop>,
 }
 
 impl HollowForwarder {
-    /// A forwarder that does not run yet. It watches the list at `control_plane` and counts its traffic there.
+    /// Creates a stopped forwarder. Once started, it watches the list at `control_plane` and counts its traffic in
+    /// `traffic`.
     pub(crate) fn new(
         number: u32,
         state: HollowState,
@@ -47,45 +50,45 @@
         seed: u64,
     ) -> HollowForwarder {
         let state = Arc::new(Mutex::new(state));
-        HollowForwarder { number, watcher: Watcher { control_plane, state, traffic, seed }, running: None }
+        HollowForwarder { number, watcher: Watcher { control_plane, state, traffic, seed }, task: None }
     }
 
-    /// Its number among all forwarders.
+    /// Returns the forwarder's number among all forwarders, real and hollow.
     pub(crate) fn number(&self) -> u32 {
         self.number
     }
 
-    /// What it knows of the list.
+    /// Locks and returns the forwarder's view of the endpoint list.
     pub(crate) fn state(&self) -> MutexGuard<'_, HollowState> {
         lock(&self.watcher.state)
     }
 
-    /// Starts it without a list, as a task of this runtime; one that runs is killed first.
+    /// Starts the forwarder without a list, as a task of this runtime. A running forwarder is killed first.
     pub(crate) fn start(&mut self, runtime: &Handle) {
         self.kill();
         self.state().restart(Instant::now());
         self.watcher.seed += 1;
-        self.running = Some(AbortOnDrop::spawn_on(runtime, self.watcher.clone().run()));
+        self.task = Some(AbortOnDrop::spawn_on(runtime, self.watcher.clone().run()));
     }
 
-    /// Ends it at once.
+    /// Stops the forwarder immediately; its connection is closed.
     pub(crate) fn kill(&mut self) {
-        self.running = None;
+        self.task = None;
     }
 }
 
 /// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    #[error("no connection, or a break")]
+    #[error("could not connect, or the connection was lost")]
     ConnectionLost,
-    #[error("no line came")]
+    #[error("no response bytes within the timeout")]
     Silent,
     #[error(transparent)]
     Malformed(#[from] DecodeError),
 }
 
-/// The task of a running hollow forwarder.
+/// Watches the endpoint list in the task of a running hollow forwarder.
 #[derive(Clone)]
 struct Watcher {
     control_plane: SocketAddr,
@@ -96,13 +99,13 @@
 }
 
 impl Watcher {
-    /// Watches the list, and opens the watch again with backoff each time it ends.
+    /// Watches the list without end, with a backoff before each new watch.
     async fn run(self) {
         let mut rng = Pcg32::seed_from_u64(self.seed);
         let mut backoff = BACKOFF_INITIAL;
         loop {
             let mut received_any = false;
-            // Why a watch ended makes no difference: it is opened again.
+            // The watch is opened again after every error.
             let _ = self.watch_once(&mut received_any).await;
             if received_any {
                 backoff = BACKOFF_INITIAL;
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Opens one watch and applies what it sends until it ends.
+    /// Opens one watch and applies its lines until the watch ends. Sets `received_any` on the first bytes.
     async fn watch_once(&self, received_any: &mut bool) -> Result<(), WatchError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.control_plane)).await;
         let stream = stream.map_err(|_| WatchError::Silent)?.map_err(|_| WatchError::ConnectionLost)?;
@@ -151,8 +154,7 @@
                 if matches!(event, ListEvent::LineFinished | ListEvent::EmptyLine) {
                     self.traffic.count_message();
                 }
-                // Only the end of a line brings anything into force, and there are too many entries to read the
-                // clock for each.
+                // Only the end of a line needs the exact time. Reading the clock for each entry is too slow.
                 let now = if event == ListEvent::LineFinished { Instant::now() } else { received_at };
                 state.apply(event, now);
             })?;
--- a/crates/scale-test/src/hollow_state.rs
+++ b/crates/scale-test/src/hollow_state.rs
@@ -1,4 +1,4 @@
-//! What a hollow forwarder knows of the endpoint list, and how it differs from the authoritative one.
+//! A hollow forwarder's copy of the endpoint list, and its differences from the authoritative list.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,17 +8,17 @@
 use crate::endpoint_list::{ListSnapshot, ListedEndpoint};
 use crate::list_decoder::{Entry, ListEvent};
 
-/// What is kept of one endpoint, beside its name, which follows from its index.
+/// The stored data of one endpoint. The endpoint's name is derived from its index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Slot {
     address: SocketAddrV4,
     destination: u32,
-    /// The generation of the line that named the endpoint last.
+    /// The generation of the last line that contains the endpoint.
     generation: u32,
     listed: bool,
 }
 
-/// Memory that a hollow forwarder takes for each endpoint, in bytes.
+/// Memory that each hollow forwarder uses per endpoint, in bytes.
 pub const HOLLOW_BYTES_PER_ENDPOINT: u64 = std::mem::size_of::<Slot>() as u64;
 
 const UNLISTED: Slot = Slot {
@@ -36,38 +36,38 @@
     }
 }
 
-/// A change that has come into force.
+/// A change that a hollow forwarder applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AppliedChange {
     /// The generation of the change.
     pub generation: u64,
-    /// When the end of its line had been applied.
+    /// When the end of the line with the change was applied.
     pub applied_at: Instant,
 }
 
-/// How a forwarder's list differs from the authoritative one.
+/// A difference between a hollow forwarder's list and the authoritative list.
 #[derive(Debug, PartialEq)]
 pub enum Difference {
     /// The generations differ.
     Generation {
         /// The forwarder's generation.
         actual: u64,
-        /// The authoritative one.
+        /// The generation of the authoritative list.
         expected: u64,
     },
-    /// An endpoint is listed in one of the lists only, or differs between them.
+    /// An endpoint is missing in one of the lists, or has different data in them.
     Endpoint {
         /// The endpoint's index.
         index: u32,
     },
-    /// A line skipped a change.
+    /// A line omitted a change, whether or not a later change replaced it.
     SkippedChange {
         /// The generation of the change.
         generation: u64,
     },
 }
 
-/// The form in which the detail of a check shows a difference; part of the JSON output.
+/// Formats a difference for the detail of a check; part of the JSON output.
 impl Display for Difference {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         match self {
@@ -80,50 +80,53 @@
     }
 }
 
-/// What a hollow forwarder knows of the endpoint list.
+/// A hollow forwarder's copy of the endpoint list, with a record of the changes that it applied.
 #[derive(Default)]
 pub struct HollowState {
     generation: u64,
-    /// The endpoints by index.
+    /// The endpoints by index; removed ones are [`UNLISTED`].
     slots: Vec<Slot>,
-    /// The line that is being received.
+    /// The line that is being received; `None` between lines.
     line: Option<PartialLine>,
     applied: Vec<AppliedChange>,
-    /// The generation of the first full list.
+    /// The generation of the first full list; `None` before it is complete.
     first_generation: Option<u64>,
-    /// Generations of changes that a line skipped.
+    /// Generations of changes that lines omitted.
     skipped: Vec<u64>,
-    /// A seeded defect that the checks have to find: the change of this generation is not applied.
+    /// A seeded defect: the change of this generation is not applied. `None` in ordinary runs.
     dropped_change: Option<u64>,
-    /// When the forwarder was started last.
+    /// When the forwarder was last started; `None` before the first start.
     started_at: Option<Instant>,
-    /// Whether a full list has come since the last start.
+    /// Whether a full list was received since the last start.
     has_list: bool,
+    /// The time from each start until the first full list was applied.
     list_latencies: Vec<Duration>,
 }
 
-/// A line that has begun.
+/// A line that is not yet complete.
 struct PartialLine {
     generation: u64,
     full: bool,
+    /// Number of entries received so far.
     entries: u64,
-    /// Which indices a full list has named.
-    named: Vec<bool>,
+    /// Whether a full list contains each index; empty for a line with changes.
+    listed_indices: Vec<bool>,
 }
 
 impl HollowState {
-    /// The state of a forwarder that has not been started. `dropped_change` seeds a defect; none for a sound one.
+    /// Creates the state of a forwarder before its first start. `dropped_change` is the generation of a change that is
+    /// not applied, as a seeded defect; `None` in ordinary runs.
     pub fn new(dropped_change: Option<u64>) -> HollowState {
         HollowState { dropped_change, ..HollowState::default() }
     }
 
-    /// Applies one event of the decoder; `now` is when a finished line comes into force.
+    /// Applies one event of the decoder. `now` is recorded as the time at which a finished line takes effect.
     pub fn apply(&mut self, event: ListEvent, now: Instant) {
         match event {
             ListEvent::EmptyLine => {}
             ListEvent::LineStarted { generation, full } => {
-                let named = if full { vec![false; self.slots.len()] } else { Vec::new() };
-                self.line = Some(PartialLine { generation, full, entries: 0, named });
+                let listed_indices = if full { vec![false; self.slots.len()] } else { Vec::new() };
+                self.line = Some(PartialLine { generation, full, entries: 0, listed_indices });
             }
             ListEvent::Entry(entry) => self.apply_entry(entry),
             ListEvent::LineFinished => self.finish_line(now),
@@ -135,11 +138,11 @@
         line.entries += 1;
         let index = entry.index as usize;
         if line.full {
-            line.named.resize(line.named.len().max(index + 1), false);
-            line.named[index] = true;
+            line.listed_indices.resize(line.listed_indices.len().max(index + 1), false);
+            line.listed_indices[index] = true;
         }
-        let change = self.generation + line.entries;
-        if !line.full && self.dropped_change == Some(change) {
+        let generation = self.generation + line.entries;
+        if !line.full && self.dropped_change == Some(generation) {
             return;
         }
         if self.slots.len() <= index {
@@ -156,10 +159,10 @@
     fn finish_line(&mut self, now: Instant) {
         let Some(line) = self.line.take() else { return };
         if line.full {
-            self.finish_full_list(&line.named, now);
+            self.finish_full_list(&line.listed_indices, now);
         }
         let new_generations = self.generation + 1..=line.generation;
-        // Each generation is one change, and a line leaves none out.
+        // A correct line contains one entry for each new generation.
         if !line.full && line.entries < line.generation.saturating_sub(self.generation) {
             self.skipped.extend(new_generations.clone().skip(line.entries as usize));
         }
@@ -170,10 +173,10 @@
         self.generation = line.generation.max(self.generation);
     }
 
-    /// Drops the endpoints that a full list has not named.
-    fn finish_full_list(&mut self, named: &[bool], now: Instant) {
+    /// Removes the endpoints that a full list doesn't contain.
+    fn finish_full_list(&mut self, listed_indices: &[bool], now: Instant) {
         for (index, slot) in self.slots.iter_mut().enumerate() {
-            if !named.get(index).copied().unwrap_or(false) {
+            if !listed_indices.get(index).copied().unwrap_or(false) {
                 *slot = UNLISTED;
             }
         }
@@ -188,7 +191,7 @@
         self.applied.extend(applied.map(|generation| AppliedChange { generation, applied_at }));
     }
 
-    /// Restarts the forwarder without a list; which changes it had before stays recorded.
+    /// Discards the list, as a restart does. The record of applied changes is kept.
     pub fn restart(&mut self, now: Instant) {
         self.slots = Vec::new();
         self.line = None;
@@ -196,12 +199,12 @@
         self.has_list = false;
     }
 
-    /// Whether a full list has come since the last start.
+    /// Returns whether a full list was received since the last start.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// The generation after which a watch is to send changes; 0 requests a full list.
+    /// Returns the generation after which a new watch sends changes; 0 requests a full list.
     pub fn watch_index(&self) -> u64 {
         if self.has_list {
             self.generation
@@ -210,22 +213,22 @@
         }
     }
 
-    /// The generation of the first full list that it had; all later changes have come into force one by one.
+    /// Returns the generation of the first full list, or 0 before it. All later changes are in [`Self::applied`].
     pub fn first_generation(&self) -> u64 {
         self.first_generation.unwrap_or(0)
     }
 
-    /// Each change that has come into force after the first full list, in order.
+    /// Returns all changes applied after the first full list, in order.
     pub fn applied(&self) -> &[AppliedChange] {
         &self.applied
     }
 
-    /// The time from each start until the full list was in force.
+    /// Returns the time from each start until the first full list was applied.
     pub fn list_latencies(&self) -> &[Duration] {
         &self.list_latencies
     }
 
-    /// All differences from the authoritative list.
+    /// Returns all differences from the authoritative list, including the changes that lines omitted.
     pub fn differences(&self, authoritative: &ListSnapshot) -> Vec<Difference> {
         let ListSnapshot { generation, endpoints } = authoritative;
         let mut differences = Vec::new();
--- a/crates/scale-test/src/list_decoder.rs
+++ b/crates/scale-test/src/list_decoder.rs
@@ -1,4 +1,5 @@
-//! Decodes lines of the endpoint list as their bytes arrive, entry by entry, so that no line is ever held complete.
+//! An incremental decoder of endpoint list lines. Entries are decoded as their bytes arrive, so that no complete line
+//! is held in memory.
 
 use std::net::SocketAddrV4;
 
@@ -6,53 +7,53 @@
 
 use crate::endpoint_list::instance_index;
 
-/// The longest entry, and the longest line without its entries, in bytes.
+/// Maximum size of one entry, and of the head of a line, in bytes.
 const MAX_PART_BYTES: usize = 16 * 1024;
 
-/// What the decoder has found.
+/// An event of the decoder.
 #[derive(Debug, PartialEq)]
 pub enum ListEvent {
-    /// A line has begun; its entries follow.
+    /// A line begins; its entries follow as separate events.
     LineStarted {
-        /// The generation that the list has after this line.
+        /// The generation of the list after this line.
         generation: u64,
-        /// Whether the line is a full list rather than changes.
+        /// True for a full list, false for changes.
         full: bool,
     },
-    /// An entry of the line that has begun.
+    /// An entry of the current line.
     Entry(Entry),
-    /// The line is complete.
+    /// The current line is complete.
     LineFinished,
-    /// An empty line, which only shows that the connection lives.
+    /// An empty line, sent as a append-alive.
     EmptyLine,
 }
 
-/// What an entry says of one endpoint.
+/// An entry of a line: the new state of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
     /// The endpoint's index in the list.
     pub index: u32,
-    /// The number of its destination.
+    /// The number of the endpoint's destination.
     pub destination: u32,
-    /// Its address; none where it is removed.
+    /// The endpoint's address; `None` if the endpoint is removed.
     pub address: Option<SocketAddrV4>,
 }
 
-/// A line that can't be decoded.
+/// Why a line can't be decoded.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// An entry or a head beyond the size limit.
-    #[error("an entry or a head of over {MAX_PART_BYTES} bytes")]
+    /// An entry or the head of a line exceeds the size limit.
+    #[error("an entry or the head of a line exceeds {MAX_PART_BYTES} bytes")]
     TooLong,
-    /// The text before the entries is no valid head; with the reason.
-    #[error("a head that is not understood: {0}")]
+    /// The head, which is the text before the entries, is invalid; with the reason.
+    #[error("invalid head of a line: {0}")]
     Head(String),
-    /// An entry is not valid; with the reason.
-    #[error("an entry that is not understood: {0}")]
+    /// An entry is invalid; with the reason.
+    #[error("invalid entry: {0}")]
     Entry(String),
 }
 
-/// The fields of a line beside its entries.
+/// The head of a line: its fields before the entries.
 #[derive(Deserialize)]
 struct Head {
     generation: u64,
@@ -60,7 +61,7 @@
     reset: bool,
 }
 
-/// The fields of an entry that are used here, as the protocol names them.
+/// The fields of an entry that the decoder uses, named as in the protocol.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Instance<'a> {
@@ -73,38 +74,38 @@
     lifecycle: &'a str,
 }
 
-/// Nesting depth inside a line's object.
+/// Nesting depth inside the object of a line.
 const LINE_DEPTH: u32 = 1;
-/// Nesting depth inside a line's list of entries.
+/// Nesting depth inside the array of entries.
 const ENTRIES_DEPTH: u32 = 2;
 
-/// An incremental decoder, which takes bytes in pieces of any length.
+/// An incremental decoder that accepts chunks of any length.
 #[derive(Default)]
 pub struct ListDecoder {
-    /// Objects and lists that are open.
+    /// Number of open objects and arrays.
     depth: u32,
     in_string: bool,
-    /// Whether the last byte was a backslash that escapes the next one.
+    /// Whether the next byte of a string is escaped by a backslash.
     escaped: bool,
-    /// Whether the head of the line has been decoded.
+    /// Whether the head of the current line is decoded.
     line_started: bool,
-    /// The bytes of the head or the entry that is being read.
+    /// The bytes received so far of the current head or entry.
     part: Vec<u8>,
 }
 
 impl ListDecoder {
-    /// Decodes further bytes, and calls `on_event` for each event as it is complete.
+    /// Decodes the next chunk and calls `on_event` for each complete event.
     pub fn decode(&mut self, bytes: &[u8], mut on_event: impl FnMut(ListEvent)) -> Result<(), DecodeError> {
         let mut rest = bytes;
         while !rest.is_empty() {
             let in_string = self.in_string;
             let plain = rest.iter().position(|byte| is_significant(*byte, in_string)).unwrap_or(rest.len());
             let plain = if self.escaped { 0 } else { plain };
-            self.keep(&rest[..plain])?;
-            let Some((byte, behind)) = rest[plain..].split_first() else { return Ok(()) };
-            rest = behind;
+            self.append(&rest[..plain])?;
+            let Some((byte, remaining)) = rest[plain..].split_first() else { return Ok(()) };
+            rest = remaining;
             if self.in_string {
-                self.keep(&[*byte])?;
+                self.append(&[*byte])?;
                 self.in_string = self.escaped || *byte != b'"';
                 self.escaped = !self.escaped && *byte == b'\\';
             } else {
@@ -114,7 +115,7 @@
         Ok(())
     }
 
-    /// Decodes one significant byte outside strings.
+    /// Decodes one significant byte outside a string.
     fn decode_structural(
         &mut self,
         byte: u8,
@@ -123,7 +124,7 @@
         match byte {
             b'"' => {
                 self.in_string = true;
-                self.keep(&[byte])
+                self.append(&[byte])
             }
             b'{' | b'[' => {
                 self.depth += 1;
@@ -131,19 +132,19 @@
                     on_event(self.finish_head()?);
                     return Ok(());
                 }
-                self.keep(&[byte])
+                self.append(&[byte])
             }
             b'}' | b']' => self.close_bracket(byte, on_event),
             b',' if self.depth == ENTRIES_DEPTH => Ok(()),
             b'\n' if self.depth == 0 => self.finish_line(on_event),
-            _ => self.keep(&[byte]),
+            _ => self.append(&[byte]),
         }
     }
 
     fn close_bracket(&mut self, byte: u8, on_event: &mut impl FnMut(ListEvent)) -> Result<(), DecodeError> {
         self.depth = self.depth.saturating_sub(1);
         if self.depth >= ENTRIES_DEPTH {
-            self.keep(&[byte])?;
+            self.append(&[byte])?;
         }
         if self.depth == ENTRIES_DEPTH {
             on_event(ListEvent::Entry(decode_entry(&self.part)?));
@@ -154,7 +155,9 @@
 
     fn finish_line(&mut self, on_event: &mut impl FnMut(ListEvent)) -> Result<(), DecodeError> {
         if !self.part.trim_ascii().is_empty() {
-            return Err(DecodeError::Head("a line without entries".to_owned()));
+            return Err(DecodeError::Head(
+                "expected an array of entries before the end of the line".to_owned(),
+            ));
         }
         let started = std::mem::take(&mut self.line_started);
         on_event(if started { ListEvent::LineFinished } else { ListEvent::EmptyLine });
@@ -162,19 +165,19 @@
         Ok(())
     }
 
-    /// Keeps bytes of the head or of an entry.
-    fn keep(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
+    /// Appends bytes to the current head or entry, and ignores bytes behind the array of entries.
+    fn append(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
         if self.part.len() + bytes.len() > MAX_PART_BYTES {
             return Err(DecodeError::TooLong);
         }
-        // What follows the entries within a line has no meaning.
+        // Fields behind the array of entries are ignored.
         if !(self.line_started && self.depth <= LINE_DEPTH) {
             self.part.extend_from_slice(bytes);
         }
         Ok(())
     }
 
-    /// Decodes the text before the entries; a number in their place makes it a complete JSON object.
+    /// Decodes the head of a line. A number in place of the array of entries makes the head a complete JSON object.
     fn finish_head(&mut self) -> Result<ListEvent, DecodeError> {
         let mut head = std::mem::take(&mut self.part);
         head.extend_from_slice(b"0}");
@@ -184,7 +187,7 @@
     }
 }
 
-/// Whether a byte ends a run of bytes that are only kept.
+/// Returns whether a byte can change the decoder's state. All other bytes are only stored.
 fn is_significant(byte: u8, in_string: bool) -> bool {
     match byte {
         b'"' => true,
@@ -197,11 +200,19 @@
 fn decode_entry(text: &[u8]) -> Result<Entry, DecodeError> {
     let instance: Instance = serde_json::from_slice(text).map_err(|e| DecodeError::Entry(e.to_string()))?;
     let index = instance_index(instance.instance_id);
-    let index = index.ok_or_else(|| DecodeError::Entry(format!("name {:?}", instance.instance_id)))?;
+    let index = index.ok_or_else(|| {
+        DecodeError::Entry(format!(
+            "instanceId {:?}: expected \"s-\" and 8 hexadecimal digits",
+            instance.instance_id
+        ))
+    })?;
     let address = match instance.lifecycle {
         "Gone" => None,
         _ => Some(instance.host_port.parse().map_err(|_| {
-            DecodeError::Entry(format!("address {:?} of {}", instance.host_port, instance.instance_id))
+            DecodeError::Entry(format!(
+                "hostPort {:?} of {}: expected an IPv4 address and a port",
+                instance.host_port, instance.instance_id
+            ))
         })?),
     };
     Ok(Entry { index, destination: instance.cell, address })
--- a/crates/scale-test/src/lock.rs
+++ b/crates/scale-test/src/lock.rs
@@ -1,8 +1,8 @@
-//! Mutexes whose content stays usable after a panic.
+//! Locking of mutexes whose content stays usable after a panic.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, poisoned or not: each holder leaves the content consistent at every step.
+/// Locks a mutex and ignores poisoning. Callers must leave the content consistent at every step, even in a panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/scale-test/src/metered_stream.rs
+++ b/crates/scale-test/src/metered_stream.rs
@@ -1,4 +1,4 @@
-//! Streams whose bytes are counted.
+//! TCP streams that count their bytes.
 
 use std::io;
 use std::ops::{Add, Sub};
@@ -10,28 +10,28 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Counts what one role has exchanged, at its own end of the connections.
+/// Counters of the traffic of one role, measured at its own end of the connections.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficCounters {
     received_bytes: AtomicU64,
     sent_bytes: AtomicU64,
-    /// Requests and lines of the endpoint list, the empty ones too.
+    /// Number of requests and of lines of the endpoint list, including empty lines.
     messages: AtomicU64,
 }
 
-/// The values of [`TrafficCounters`] at one moment, or their growth between two moments.
+/// The values of [`TrafficCounters`] at one moment, or their increase between two moments.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TrafficTotals {
-    /// Bytes that were received.
+    /// Number of bytes received.
     pub(crate) received_bytes: u64,
-    /// Bytes that were sent.
+    /// Number of bytes sent.
     pub(crate) sent_bytes: u64,
-    /// Requests and lines of the endpoint list, the empty ones too.
+    /// Number of requests and of lines of the endpoint list, including empty lines.
     pub(crate) messages: u64,
 }
 
 impl TrafficCounters {
-    /// The values now.
+    /// Returns the current values.
     pub(crate) fn totals(&self) -> TrafficTotals {
         TrafficTotals {
             received_bytes: self.received_bytes.load(Ordering::Relaxed),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts a request or a line of the endpoint list.
+    /// Counts one request or one line of the endpoint list.
     pub(crate) fn count_message(&self) {
         self.messages.fetch_add(1, Ordering::Relaxed);
     }
@@ -53,7 +53,7 @@
 }
 
 impl TrafficTotals {
-    /// The same traffic as the other end of the connections sees it.
+    /// Returns the totals as measured at the other end of the connections.
     pub(crate) fn at_other_end(self) -> TrafficTotals {
         TrafficTotals { received_bytes: self.sent_bytes, sent_bytes: self.received_bytes, ..self }
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// What was exchanged since an earlier moment.
+/// Returns the traffic since an earlier moment.
 impl Sub for TrafficTotals {
     type Output = TrafficTotals;
 
@@ -84,14 +84,14 @@
     }
 }
 
-/// A stream that counts its bytes.
+/// A TCP stream that adds its bytes to shared counters.
 pub(crate) struct MeteredStream {
     stream: TcpStream,
     traffic: Arc<TrafficCounters>,
 }
 
 impl MeteredStream {
-    /// Counts the bytes of a stream from now on.
+    /// Wraps a stream and adds all further bytes to `traffic`.
     pub(crate) fn new(stream: TcpStream, traffic: Arc<TrafficCounters>) -> MeteredStream {
         MeteredStream { stream, traffic }
     }
--- a/crates/scale-test/src/outages.rs
+++ b/crates/scale-test/src/outages.rs
@@ -1,14 +1,14 @@
-//! Which forwarder was affected by which fault, and when; and to which fault a delayed change is attributed.
+//! Records which fault affected which forwarder, and when, and attributes delayed changes to these faults.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 use crate::scenario::{Fault, FaultKind, Scenario};
 
-/// A change that is made so soon after a fault is still attributed to it: forwarders recover meanwhile.
+/// Time after a fault during which changes are still attributed to the fault, because the forwarder recovers.
 const RECOVERY_WINDOW: Duration = Duration::from_secs(15);
 
-/// One fault as it took place at one forwarder.
+/// One fault at one forwarder.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     /// The kind of the fault.
@@ -17,11 +17,11 @@
     pub forwarder: u32,
     /// When the fault began.
     pub started_at: Instant,
-    /// When nothing outside the forwarder prevented its recovery any more; none while the fault lasts.
+    /// When the fault ended, so that the forwarder could begin to recover; `None` while the fault lasts.
     pub ended_at: Option<Instant>,
 }
 
-/// The outages of a run.
+/// All outages of a run, in the order in which they began.
 #[derive(Debug, Default)]
 pub struct Outages {
     all: Vec<Outage>,
@@ -40,50 +40,55 @@
         open.filter(|o| o.ended_at.is_none()).for_each(|o| o.ended_at = Some(now));
     }
 
-    /// Attributes the changes of one forwarder, in their order, to its outages.
+    /// Returns an attribution of one forwarder's changes to its outages.
     pub fn attribution(&self, forwarder: u32) -> OutageAttribution<'_> {
-        OutageAttribution { outages: self, forwarder, behind: None }
+        OutageAttribution { outages: self, forwarder, catching_up: None }
     }
 
-    /// The outage during which, or shortly after which, a forwarder learnt of a change; the last one of several.
-    fn overlapping(&self, forwarder: u32, made: Instant, applied: Instant) -> Option<Outage> {
+    /// Returns the latest outage of a forwarder that overlaps the time from making a change to applying it. An outage
+    /// lasts until [`RECOVERY_WINDOW`] after its end.
+    fn overlapping(&self, forwarder: u32, made_at: Instant, applied_at: Instant) -> Option<Outage> {
         let overlaps = |outage: &&Outage| {
-            let ended = outage.ended_at.map_or(applied, |ended| ended + RECOVERY_WINDOW);
-            outage.forwarder == forwarder && outage.started_at <= applied && made <= ended
+            let ended = outage.ended_at.map_or(applied_at, |ended| ended + RECOVERY_WINDOW);
+            outage.forwarder == forwarder && outage.started_at <= applied_at && made_at <= ended
         };
         self.all.iter().filter(overlaps).max_by_key(|outage| outage.started_at).copied()
     }
 }
 
-/// Attributes the changes of one forwarder to its outages.
+/// An attribution of one forwarder's changes to its outages. Changes must be attributed in order of generation.
 pub struct OutageAttribution<'a> {
     outages: &'a Outages,
     forwarder: u32,
-    behind: Option<CatchingUp>,
+    /// The state of a forwarder that was affected by an outage; `None` before the first outage.
+    catching_up: Option<CatchingUp>,
 }
 
-/// A forwarder that is behind since an outage.
+/// The latest outage that delayed a forwarder's changes.
 #[derive(Clone, Copy)]
 struct CatchingUp {
     outage: Outage,
-    /// It is behind at least until then.
-    until: Instant,
+    /// When the last change attributed to the outage was applied.
+    caught_up_at: Instant,
 }
 
 impl OutageAttribution<'_> {
-    /// The outage to which a change is attributed that was made and came into force then; none for a change in calm
-    /// operation. A change that was made while the forwarder still caught up is attributed to the outage from which
-    /// it did, however long that took.
-    pub fn attribute(&mut self, made: Instant, in_force: Instant) -> Option<Outage> {
-        let still_behind = self.behind.filter(|behind| made < behind.until).map(|behind| behind.outage);
-        let outage = self.outages.overlapping(self.forwarder, made, in_force).or(still_behind)?;
-        let until = self.behind.map_or(in_force, |behind| behind.until.max(in_force));
-        self.behind = Some(CatchingUp { outage, until });
+    /// Returns the outage that delayed a change, or `None` for a change in normal operation. A change made while the
+    /// forwarder was still catching up is attributed to the same outage, without a time limit.
+    pub fn attribute(&mut self, made_at: Instant, applied_at: Instant) -> Option<Outage> {
+        let unfinished = self
+            .catching_up
+            .filter(|catching_up| made_at < catching_up.caught_up_at)
+            .map(|catching_up| catching_up.outage);
+        let outage = self.outages.overlapping(self.forwarder, made_at, applied_at).or(unfinished)?;
+        let caught_up_at =
+            self.catching_up.map_or(applied_at, |catching_up| catching_up.caught_up_at.max(applied_at));
+        self.catching_up = Some(CatchingUp { outage, caught_up_at });
         Some(outage)
     }
 }
 
-/// The forwarders that a fault affects, in the order in which it reaches them.
+/// Returns the numbers of the forwarders that a fault affects, in the order in which they are affected.
 pub(crate) fn affected_forwarders(scenario: &Scenario, fault: &Fault) -> Vec<u32> {
     let all = 0..scenario.forwarders();
     match fault {
@@ -97,7 +102,7 @@
     }
 }
 
-/// The zones of a region.
+/// Returns the numbers of the zones in a region.
 pub(crate) fn zones_in_region(scenario: &Scenario, region: u32) -> BTreeSet<u32> {
     (0..scenario.fleet.zones).filter(|zone| zone % scenario.fleet.regions == region).collect()
 }
--- a/crates/scale-test/src/real_forwarder.rs
+++ b/crates/scale-test/src/real_forwarder.rs
@@ -1,4 +1,4 @@
-//! Real forwarders: processes of the daemon, each with a configuration and a state folder of its own.
+//! Real forwarders: processes of the daemon, each with its own configuration and state folder.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,40 +14,41 @@
 use crate::process_usage::{ForwarderUsage, ResourceUsage};
 use crate::scenario::ProcessLimits;
 
-/// Time from SIGTERM to SIGKILL at a graceful shutdown.
+/// Maximum time from SIGTERM to SIGKILL in a graceful shutdown.
 const KILL_DELAY: Duration = Duration::from_millis(3_700);
-/// Distance between two readings of the counters of a process that is being stopped.
+/// Time between two readings of the resource counters of a process that is shutting down.
 const USAGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all real forwarders of a run have in common.
+/// The settings that all real forwarders of a run share.
 #[derive(Clone)]
 pub(crate) struct ForwarderTemplate {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub(crate) program: PathBuf,
     /// The resource limits of each process.
     pub(crate) process_limits: ProcessLimits,
-    /// The number of all forwarders, hollow ones too.
+    /// The number of all forwarders, real and hollow.
     pub(crate) forwarders: u32,
     /// The scenario's seed, from which each start's seed is derived.
     pub(crate) seed: u64,
 }
 
-/// One real forwarder, running or not.
+/// One real forwarder, running or stopped.
 pub(crate) struct RealForwarder {
     number: u32,
-    listen: SocketAddr,
+    listen_address: SocketAddr,
     folder: PathBuf,
     template: ForwarderTemplate,
     control_plane: SocketAddr,
+    /// The current process; `None` while the forwarder is stopped.
     child: Option<Child>,
     starts: u64,
     started_at: Instant,
-    /// What the processes before the current one have used.
+    /// Resources used by all previous processes together.
     past_usage: ResourceUsage,
 }
 
 impl RealForwarder {
-    /// A forwarder that does not run yet; its files go into a folder of its own within `folder`.
+    /// Creates a stopped forwarder with its own subfolder of `folder` for its files.
     pub(crate) fn new(
         number: u32,
         folder: &Path,
@@ -55,11 +56,12 @@
         control_plane: SocketAddr,
     ) -> Result<RealForwarder, ScaleTestError> {
         let folder = folder.join(format!("n{number}"));
-        let folder_error = |e| ScaleTestError::aborted(format!("folder of forwarder {number}"), e);
+        let folder_error =
+            |e| ScaleTestError::aborted(format!("preparing the folder and port of forwarder {number}"), e);
         std::fs::create_dir_all(folder.join("state")).map_err(folder_error)?;
         Ok(RealForwarder {
             number,
-            listen: crate::ports::free().map_err(folder_error)?,
+            listen_address: crate::ports::free().map_err(folder_error)?,
             folder,
             template,
             control_plane,
@@ -70,26 +72,26 @@
         })
     }
 
-    /// Its number among all forwarders.
+    /// Returns the forwarder's number among all forwarders, real and hollow.
     pub(crate) fn number(&self) -> u32 {
         self.number
     }
 
-    /// The address at which it takes messages.
+    /// Returns the address at which the forwarder accepts messages.
     pub(crate) fn address(&self) -> SocketAddr {
-        self.listen
+        self.listen_address
     }
 
-    /// When its process was started last.
+    /// Returns when the process was last started, or the time of creation before the first start.
     pub(crate) fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Starts the process.
+    /// Writes the configuration file and starts a process of the daemon.
     pub(crate) fn start(&mut self) -> Result<(), ScaleTestError> {
         let number = self.number;
         let start_error =
-            |e: std::io::Error| ScaleTestError::aborted(format!("forwarder {number} can't be started"), e);
+            |e: std::io::Error| ScaleTestError::aborted(format!("starting forwarder {number}"), e);
         self.starts += 1;
         let config = self.folder.join("config.json");
         std::fs::write(&config, self.configuration().to_string()).map_err(start_error)?;
@@ -112,7 +114,7 @@
         let seed = self.template.seed ^ (u64::from(self.number) << 32) ^ self.starts;
         json!({
             "name": format!("n{}", self.number),
-            "listen": self.listen.to_string(),
+            "listen": self.listen_address.to_string(),
             "discovery": self.control_plane.to_string(),
             "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": descriptors, "disk_mb": disk_mb},
@@ -134,7 +136,7 @@
         })
     }
 
-    /// Whether it was started and not ended since.
+    /// Returns whether the process was started and not stopped since. A crashed process counts as running.
     pub(crate) fn is_running(&self) -> bool {
         self.child.is_some()
     }
@@ -143,18 +145,18 @@
         self.child.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok())
     }
 
-    /// Whether the process has ended though this program did not end it.
+    /// Returns whether the process exited without being stopped by the test bed.
     pub(crate) fn has_crashed(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Shuts the process down gracefully: SIGTERM, and SIGKILL where it still runs 3.7 s later.
+    /// Stops the process by SIGTERM, and by SIGKILL if it still runs after [`KILL_DELAY`].
     pub(crate) async fn stop(&mut self) {
         if let Some(pid) = self.pid().and_then(Pid::from_raw) {
             let _ = kill_process(pid, Signal::TERM);
         }
         let deadline = Instant::now() + KILL_DELAY;
-        // Read while it lives: an ended process has no counters any more.
+        // Counters are read while the process runs, because they are lost when it exits.
         while self.child.is_some() && Instant::now() < deadline {
             let usage = self.current_usage();
             let Some(child) = &mut self.child else { break };
@@ -167,7 +169,7 @@
         self.kill().await;
     }
 
-    /// Ends the process by SIGKILL.
+    /// Stops the process by SIGKILL.
     pub(crate) async fn kill(&mut self) {
         let usage = self.current_usage();
         if let Some(mut child) = self.child.take() {
@@ -180,7 +182,7 @@
         self.pid().and_then(ResourceUsage::of_process).unwrap_or_default()
     }
 
-    /// What all its processes have used until now.
+    /// Returns the resources used by all processes of this forwarder, including the current one.
     pub(crate) fn usage(&self) -> ForwarderUsage {
         let total = self.past_usage.followed_by(self.current_usage());
         ForwarderUsage {
@@ -192,9 +194,9 @@
         }
     }
 
-    /// The last line of its log, for errors.
+    /// Returns the last line of the forwarder's log, for error messages.
     pub(crate) fn last_log_line(&self) -> String {
         let log = std::fs::read_to_string(self.log_file()).unwrap_or_default();
-        log.lines().last().unwrap_or("its log is empty").to_owned()
+        log.lines().last().unwrap_or("the log is empty").to_owned()
     }
 }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,4 +1,4 @@
-//! One run, from the first process to the last check.
+//! Runs a scenario: starts the forwarders, changes the list, injects faults and collects the results.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -25,21 +25,21 @@
 pub use crate::control_plane::LostChange;
 pub use crate::test_bed::{DroppedChange, Options, SeededDefects};
 
-/// Distance between two checks of whether all forwarders have come so far.
+/// Time between two checks of a condition that the run waits for.
 const PROGRESS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Distance between two samples of the real forwarders' usage.
+/// Time between two samples of the real forwarders' resource usage.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a client waits for the answer to a submission.
 const CLIENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A change that listed a new destination, by which a real forwarder is probed.
+/// A change that added a destination. Each real forwarder is probed for this destination.
 #[derive(Clone, Copy)]
 struct ProbeOrder {
     generation: u64,
     target: ProbeTarget,
 }
 
-/// Runs a scenario. Nothing that it started runs on after it, however it ends.
+/// Runs a scenario and returns its results. All processes and forwarders are stopped before it returns, even on an
+/// error.
 pub async fn run(scenario: Scenario, options: Options) -> Result<Results, ScaleTestError> {
     ResourceBudget::needed_by(&scenario).check_against_machine()?;
     let limit = Duration::from_secs_f64(scenario.limit_s);
@@ -66,14 +66,14 @@
         let began = Instant::now();
         let _traffic = self.start_traffic().await;
         self.start_forwarders().await?;
-        self.started.store(true, Ordering::Relaxed);
+        self.start_complete.store(true, Ordering::Relaxed);
         let start_s = began.elapsed().as_secs_f64();
         let before = self.snapshot().await;
         lines.extend(self.start_results(&before, start_s));
         self.run_changes(&mut lines, began).await?;
         let converged = self.wait_for_convergence().await;
         let after = self.snapshot().await;
-        self.probing.store(false, Ordering::Relaxed);
+        self.probing_active.store(false, Ordering::Relaxed);
         lines.extend(self.exchange_results(Phase::AfterStart, &before, &after));
         lines.extend(self.process_results(&before, &after).await);
         lines.extend(self.latency_results());
@@ -81,7 +81,7 @@
         Ok(Results { lines })
     }
 
-    /// Starts all forwarders and waits until each has the list.
+    /// Starts all forwarders and waits until each has the endpoint list.
     async fn start_forwarders(&self) -> Result<(), ScaleTestError> {
         let limit = Duration::from_secs_f64(self.scenario.list.start_within_s);
         for forwarder in &self.real_forwarders {
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Waits until all real forwarders have the list, then starts the hollow ones and waits for those. Real ones do
-    /// not queue behind hollow ones, which share few threads.
+    /// Waits until all real forwarders have the list, then starts the hollow forwarders and waits for them. Real
+    /// forwarders are first so that they don't wait for full lists behind hollow ones.
     async fn wait_for_first_lists(&self) {
         let real = self.real_forwarders.iter();
         join_all(real.map(|forwarder| self.wait_for_list(forwarder, Occasion::FirstStart))).await;
@@ -110,34 +110,34 @@
         self.hollow_forwarders.iter().filter(|hollow| !lock(hollow).state().has_list()).count()
     }
 
-    /// The error of a start that was not over in time.
+    /// Returns the error for forwarders that had no list within the time limit.
     async fn start_error(&self) -> ScaleTestError {
         let hollow_missing = self.hollow_without_list();
-        let real_in_force = lock(&self.start_records).len();
+        let real_with_list = lock(&self.start_records).len();
         let mut last_log_line = String::new();
         for forwarder in &self.real_forwarders {
             last_log_line = forwarder.lock().await.last_log_line();
         }
         let limit_s = self.scenario.list.start_within_s;
         ScaleTestError::aborted(
-            format!("the list was not in force everywhere within {limit_s} s"),
+            format!("the endpoint list was not in effect at all forwarders within {limit_s} s"),
             format!(
-                "{} of {} real and {hollow_missing} of {} hollow forwarders lack it; last log line: {last_log_line}",
-                self.real_forwarders.len() - real_in_force,
+                "{} of {} real and {hollow_missing} of {} hollow forwarders have no list; last log line: {last_log_line}",
+                self.real_forwarders.len() - real_with_list,
                 self.real_forwarders.len(),
                 self.hollow_forwarders.len()
             ),
         )
     }
 
-    /// Starts a hollow forwarder on its thread.
+    /// Starts a hollow forwarder on one of the threads for hollow forwarders.
     pub(crate) fn start_hollow(&self, hollow: &mut HollowForwarder) {
         let thread = hollow.number() as usize % self.hollow_threads.len();
         hollow.start(self.hollow_threads[thread].handle());
     }
 
-    /// Waits until a real forwarder that was started knows the last endpoint of the list, and records how long it
-    /// took.
+    /// Waits until a started real forwarder delivers to the last endpoint of the first list, and records the time since
+    /// its start.
     pub(crate) async fn wait_for_list(
         &self,
         forwarder: &tokio::sync::Mutex<RealForwarder>,
@@ -156,7 +156,7 @@
         lock(&self.start_records).push(StartRecord { occasion, list_latency });
     }
 
-    /// Makes changes, probes, carries out faults and takes samples, until all changes and faults are over.
+    /// Changes the list, sends probes, injects faults and samples usage, until all changes and faults are over.
     async fn run_changes(
         self: &Arc<TestBed>,
         lines: &mut Vec<ResultLine>,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Starts one task for each real forwarder, which probes by the changes that it is sent.
+    /// Starts one probe task for each real forwarder, and returns the channels for their probe orders.
     async fn start_probes(self: &Arc<TestBed>) -> Vec<mpsc::UnboundedSender<ProbeOrder>> {
         let mut senders = Vec::new();
         for forwarder in &self.real_forwarders {
@@ -191,7 +191,7 @@
         senders
     }
 
-    /// Adds a sample of each real forwarder that runs and is not being restarted.
+    /// Adds a usage sample of each running real forwarder that isn't being restarted.
     fn sample_usage(&self, lines: &mut Vec<ResultLine>, began: Instant) {
         let at_s = began.elapsed().as_secs_f64();
         for forwarder in &self.real_forwarders {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Makes all changes of the scenario, and sends those that list a new destination to the probes.
+    /// Makes all changes of the scenario, and sends a probe order for each added destination to all probe tasks.
     async fn make_changes(self: Arc<TestBed>, probes: Vec<mpsc::UnboundedSender<ProbeOrder>>) {
         let changes = &self.scenario.changes;
         let mut rng = Pcg32::seed_from_u64(self.scenario.seed);
@@ -213,7 +213,7 @@
         for number in 1..=count {
             tick.tick().await;
             if number % u64::from(changes.probe_every) != 0 {
-                // The last endpoint of the first list stays where it is: starts are probed by it.
+                // The last endpoint of the first list doesn't move, because `wait_for_list` probes its address.
                 let index = rng.random_range(0..self.scenario.list.endpoints - 1);
                 self.list.put(index, self.endpoints.address(index, number));
                 continue;
@@ -222,14 +222,14 @@
             listed += 1;
             let generation = self.list.put(target.destination, target.address);
             for probe in &probes {
-                // A probe task that has ended is found by a check at the end.
+                // Sending fails if the probe task has ended, which a check at the end detects.
                 let _ = probe.send(ProbeOrder { generation, target });
             }
         }
         tick.tick().await;
     }
 
-    /// Probes one real forwarder by one change after the other, until the run needs no result any more.
+    /// Carries out the probe orders for one real forwarder in order, until probing ends.
     async fn run_probes(
         self: Arc<TestBed>,
         forwarder: u32,
@@ -248,12 +248,12 @@
     }
 
     async fn wait_until_probing_ends(&self) {
-        while self.probing.load(Ordering::Relaxed) {
+        while self.probing_active.load(Ordering::Relaxed) {
             sleep(PROGRESS_CHECK_INTERVAL).await;
         }
     }
 
-    /// Starts a client at each real forwarder, from before this is up.
+    /// Starts a client for each real forwarder before the forwarder itself is started.
     async fn start_traffic(self: &Arc<TestBed>) -> Vec<AbortOnDrop> {
         let mut tasks = Vec::new();
         if self.scenario.traffic.per_forwarder_per_s > 0.0 {
@@ -266,7 +266,7 @@
         tasks
     }
 
-    /// Submits messages at one forwarder without end.
+    /// Submits messages to one forwarder at the scenario's rate, without end.
     async fn submit_traffic(self: Arc<TestBed>, forwarder: u32, mut client: Client) {
         let mut rng = Pcg32::seed_from_u64(self.scenario.seed ^ (u64::from(forwarder) << 40));
         let mut tick = interval(Duration::from_secs_f64(1.0 / self.scenario.traffic.per_forwarder_per_s));
@@ -276,13 +276,13 @@
             let destination = rng.random_range(0..self.scenario.list.endpoints);
             let sent = Instant::now();
             let result = client.submit(&format!("traffic-{forwarder}-{number}"), destination).await;
-            let started = self.started.load(Ordering::Relaxed);
+            let started = self.start_complete.load(Ordering::Relaxed);
             let phase = if started { Phase::AfterStart } else { Phase::Start };
             lock(&self.submissions).entry(phase).or_default().record(result, sent.elapsed());
         }
     }
 
-    /// Waits until the last change is in force everywhere; false if it is not in time.
+    /// Waits until the last change is in effect at all forwarders. Returns false if the time limit expires first.
     async fn wait_for_convergence(&self) -> bool {
         let limit = Duration::from_secs_f64(self.scenario.changes.settle_within_s);
         let generation = self.list.generation();
@@ -296,7 +296,7 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
 async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         sleep(PROGRESS_CHECK_INTERVAL).await;
--- a/crates/scale-test/src/runtime_thread.rs
+++ b/crates/scale-test/src/runtime_thread.rs
@@ -1,4 +1,4 @@
-//! Threads with a runtime of their own, whose processor time is found by the thread's name.
+//! Threads with their own Tokio runtime. Processor time is reported per thread name.
 
 use std::future::Future;
 use std::io;
@@ -9,17 +9,18 @@
 
 use crate::error::ScaleTestError;
 
-/// A thread with a runtime of its own.
+/// A named thread that runs its own single-threaded Tokio runtime.
 pub(crate) struct RuntimeThread {
     handle: Handle,
+    /// Stops the runtime when dropped; `None` only during the drop of the thread.
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl RuntimeThread {
-    /// Starts one under this name; it ends, with all its tasks, when this is dropped.
+    /// Starts a thread with this name. The thread and all its tasks end when the returned value is dropped.
     pub(crate) fn start(name: &str) -> Result<RuntimeThread, ScaleTestError> {
-        let start_error = |e: io::Error| ScaleTestError::aborted("a thread can't be started", e);
+        let start_error = |e: io::Error| ScaleTestError::aborted("starting a thread", e);
         let runtime = Builder::new_current_thread()
             .thread_name(format!("{name}-pool"))
             .enable_all()
@@ -34,17 +35,20 @@
         Ok(RuntimeThread { handle, stop: Some(stop), thread: Some(thread.map_err(start_error)?) })
     }
 
-    /// The runtime, to spawn tasks on.
+    /// Returns the handle of the runtime, for spawning tasks.
     pub(crate) fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// Runs a task on the thread and waits for its end.
+    /// Runs a task on the thread and returns its result.
     pub(crate) async fn run<T: Send + 'static>(
         &self,
         task: impl Future<Output = Result<T, ScaleTestError>> + Send + 'static,
     ) -> Result<T, ScaleTestError> {
-        self.handle.spawn(task).await.map_err(|e| ScaleTestError::aborted("a part of the run", e))?
+        self.handle
+            .spawn(task)
+            .await
+            .map_err(|e| ScaleTestError::aborted("a task on a thread of the run", e))?
     }
 }
 
--- a/crates/scale-test/src/stub_endpoints.rs
+++ b/crates/scale-test/src/stub_endpoints.rs
@@ -1,4 +1,4 @@
-//! Stub endpoints: a few listening sockets that all endpoints of the list share, and that accept every request.
+//! Stub endpoints: a few listeners that all endpoints of the list share and that accept every request.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -20,21 +20,22 @@
 use crate::error::ScaleTestError;
 use crate::lock::lock;
 
-/// Number of listening sockets that the endpoints share.
+/// Number of listeners that all endpoints of the list share.
 pub(crate) const STUB_LISTENER_COUNT: usize = 4;
 
-/// The stub endpoints' addresses, and the requests that came.
+/// The addresses of the stub endpoints, and a record of the requests that they received.
 #[derive(Clone)]
 pub(crate) struct StubEndpoints {
     addresses: Vec<SocketAddrV4>,
     arrivals: Arc<Arrivals>,
 }
 
-/// Requests that came, and the probes that wait for one.
+/// The received requests, and the requests that probes wait for.
 #[derive(Default)]
 struct Arrivals {
+    /// Number of received requests.
     requests: AtomicU64,
-    /// By message id.
+    /// The requests that probes wait for, by message id.
     expected: Mutex<BTreeMap<String, ExpectedRequest>>,
 }
 
@@ -45,12 +46,12 @@
 }
 
 impl StubEndpoints {
-    /// Opens the sockets and serves them as tasks of the current runtime.
+    /// Opens the listeners on loopback and serves them in tasks of the current runtime.
     pub(crate) async fn open() -> Result<StubEndpoints, ScaleTestError> {
         let mut addresses = Vec::new();
         let arrivals = Arc::new(Arrivals::default());
         for _ in 0..STUB_LISTENER_COUNT {
-            let listen_error = |e| ScaleTestError::aborted("a stand-in target can't listen", e);
+            let listen_error = |e| ScaleTestError::aborted("opening a listener of the stub endpoints", e);
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.map_err(listen_error)?;
             let address = listener.local_addr().map_err(listen_error)?;
             if let SocketAddr::V4(address) = address {
@@ -61,8 +62,8 @@
         Ok(StubEndpoints { addresses, arrivals })
     }
 
-    /// Resolves when the first request with this message comes to this address; requests at other addresses do not
-    /// count.
+    /// Returns a receiver of the time at which the first request with this message arrives at this address. Requests
+    /// that arrive at other addresses are ignored.
     pub(crate) fn expect_request(
         &self,
         message_id: &str,
@@ -74,15 +75,15 @@
         arrival
     }
 
-    /// Requests that have come.
+    /// Returns the number of requests received by all stub endpoints.
     pub(crate) fn request_count(&self) -> u64 {
         self.arrivals.requests.load(Ordering::Relaxed)
     }
 
-    /// The address of an endpoint that has moved so many times.
+    /// Returns the address of the endpoint at an index after it moved `moves` times.
     pub(crate) fn address(&self, index: u32, moves: u64) -> SocketAddrV4 {
-        let socket = (u64::from(index) + moves) % self.addresses.len() as u64;
-        self.addresses[socket as usize]
+        let listener = (u64::from(index) + moves) % self.addresses.len() as u64;
+        self.addresses[listener as usize]
     }
 }
 
@@ -93,7 +94,7 @@
         let mut expected = lock(&self.expected);
         expected.retain(|_, request| !request.arrived.is_closed());
         if expected.get(message_id).is_some_and(|request| request.address == address) {
-            // The probe may have ended.
+            // Sending fails if the probe has ended.
             let _ = expected.remove(message_id).map(|request| request.arrived.send(now));
         }
     }
--- a/crates/scale-test/src/task.rs
+++ b/crates/scale-test/src/task.rs
@@ -1,12 +1,12 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use std::future::Future;
 
 use tokio::runtime::Handle;
 use tokio::task::AbortHandle;
 
-/// A running task, aborted when this is dropped.
-#[must_use = "the task is aborted when this is dropped"]
+/// A handle of a spawned task that aborts the task on drop.
+#[must_use = "dropping the handle aborts the task"]
 pub(crate) struct AbortOnDrop(AbortHandle);
 
 impl AbortOnDrop {
--- a/crates/scale-test/src/test_bed.rs
+++ b/crates/scale-test/src/test_bed.rs
@@ -1,4 +1,4 @@
-//! The test bed: all parts of a run, from before its first process to after its last.
+//! The test bed: sets up, holds and tears down all components of a run.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -29,71 +29,71 @@
 use crate::scenario::Scenario;
 use crate::stub_endpoints::StubEndpoints;
 
-/// The name of the control plane's thread, by which its processor time is found.
+/// The name of the control plane's thread. Its processor time is looked up by this name.
 pub(crate) const CONTROL_THREAD_NAME: &str = "control";
-/// Distance between two checks of the memory in use.
+/// Time between two checks of the memory in use.
 const MEMORY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a run is given beside its scenario.
+/// Options of a run that aren't part of its scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The daemon's program; needed where the scenario has real forwarders.
+    /// Path of the daemon's executable. Required if the scenario has real forwarders.
     pub program: Option<PathBuf>,
-    /// Defects that the checks have to find; none in ordinary runs.
+    /// Defects seeded into the run; none in ordinary runs.
     pub defects: SeededDefects,
 }
 
-/// Defects that the checks have to find; none in ordinary runs.
+/// Defects seeded into a run, which the checks must find. None are set in ordinary runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SeededDefects {
-    /// A hollow forwarder does not apply a change.
+    /// A change that one hollow forwarder doesn't apply.
     pub dropped_change: Option<DroppedChange>,
-    /// The control plane never sends a change through one listener.
+    /// A change that the control plane never sends through one listener.
     pub lost_change: Option<LostChange>,
 }
 
-/// A change that one hollow forwarder does not apply.
+/// A seeded defect: a change that one hollow forwarder doesn't apply.
 #[derive(Clone, Copy, Debug)]
 pub struct DroppedChange {
-    /// The index of the forwarder among the hollow ones.
+    /// The index of the forwarder among the hollow forwarders.
     pub hollow_forwarder: u32,
     /// The generation of the change.
     pub generation: u64,
 }
 
-/// When one change was in force at one real forwarder.
+/// When one change took effect at one real forwarder.
 pub(crate) struct ProbeRecord {
     /// The forwarder's number.
     pub(crate) forwarder: u32,
     /// The generation of the change.
     pub(crate) generation: u64,
-    /// What the probes found.
+    /// The result of the probes.
     pub(crate) result: ProbeResult,
 }
 
-/// How long one start of a real forwarder took until the list was in force.
+/// The duration of one start of a real forwarder.
 pub(crate) struct StartRecord {
-    /// Why it was started.
+    /// Why the forwarder was started.
     pub(crate) occasion: Occasion,
-    /// The time from the start of the process.
+    /// Time from the start of the process until the endpoint list was in effect.
     pub(crate) list_latency: Duration,
 }
 
-/// Submissions of one phase.
+/// Counts and latencies of the submissions in one phase.
 #[derive(Default)]
 pub(crate) struct SubmissionStats {
-    /// Until an answer of any kind came.
+    /// Latency of the submissions that got a response, accepted or rejected.
     pub(crate) latency: LatencyHistogram,
-    /// Messages that were accepted.
+    /// Number of accepted messages.
     pub(crate) accepted: u64,
-    /// Messages that were rejected.
+    /// Number of rejected messages.
     pub(crate) rejected: u64,
-    /// Submissions without an answer in time.
+    /// Number of submissions without a response in time.
     pub(crate) unanswered: u64,
 }
 
 impl SubmissionStats {
-    /// Adds one submission, which took so long.
+    /// Adds the result of one submission. The latency is ignored if there was no response.
     pub(crate) fn record(&mut self, result: SubmitResult, latency: Duration) {
         match result {
             SubmitResult::Accepted => self.accepted += 1,
@@ -106,27 +106,27 @@
     }
 }
 
-/// All parts of a run, and what it records.
+/// All components of a run and the records that it collects.
 pub(crate) struct TestBed {
     pub(crate) scenario: Scenario,
     pub(crate) list: Arc<AuthoritativeList>,
     pub(crate) control_plane: Arc<ControlPlane>,
     pub(crate) endpoints: StubEndpoints,
-    /// One for each real forwarder, then one for each zone of hollow ones.
+    /// One listener for each real forwarder, followed by one for the hollow forwarders of each zone.
     pub(crate) listeners: Vec<ControlListener>,
-    /// Locked while a process is stopped and started, so that only one task does so at a time.
+    /// Each is locked during a restart, so that only one task stops or starts the process.
     pub(crate) real_forwarders: Vec<tokio::sync::Mutex<RealForwarder>>,
     pub(crate) hollow_forwarders: Vec<Mutex<HollowForwarder>>,
-    /// Traffic of all hollow forwarders.
+    /// Traffic of all hollow forwarders together.
     pub(crate) hollow_traffic: Arc<TrafficCounters>,
     pub(crate) outages: Mutex<Outages>,
     pub(crate) start_records: Mutex<Vec<StartRecord>>,
     pub(crate) probe_records: Mutex<Vec<ProbeRecord>>,
     pub(crate) submissions: Mutex<BTreeMap<Phase, SubmissionStats>>,
-    /// Whether the list is in force everywhere.
-    pub(crate) started: AtomicBool,
-    /// Whether the result of a probe still counts.
-    pub(crate) probing: AtomicBool,
+    /// Whether all forwarders have had the endpoint list since the first start.
+    pub(crate) start_complete: AtomicBool,
+    /// Whether results of probes are still recorded.
+    pub(crate) probing_active: AtomicBool,
     pub(crate) hollow_threads: Vec<RuntimeThread>,
     _control_thread: RuntimeThread,
     _endpoints_thread: RuntimeThread,
@@ -134,12 +134,13 @@
 }
 
 impl TestBed {
-    /// Opens all sockets; no forwarder runs yet.
+    /// Opens all listeners and creates all forwarders without starting them.
     pub(crate) async fn set_up(scenario: Scenario, options: Options) -> Result<TestBed, ScaleTestError> {
         let program = daemon_program(&scenario, &options)?;
         let defects = options.defects;
         let folder = tempfile::Builder::new().prefix("reeddock-scale-test-").tempdir();
-        let folder = folder.map_err(|e| ScaleTestError::aborted("no folder for temporary files", e))?;
+        let folder =
+            folder.map_err(|e| ScaleTestError::aborted("creating the folder for temporary files", e))?;
         let endpoints_thread = RuntimeThread::start("targets")?;
         let endpoints = endpoints_thread.run(StubEndpoints::open()).await?;
         let list = AuthoritativeList::new(scenario.list.endpoints, |index| endpoints.address(index, 0));
@@ -165,8 +166,8 @@
             start_records: Mutex::default(),
             probe_records: Mutex::default(),
             submissions: Mutex::default(),
-            started: AtomicBool::new(false),
-            probing: AtomicBool::new(true),
+            start_complete: AtomicBool::new(false),
+            probing_active: AtomicBool::new(true),
             _control_thread: control_thread,
             _endpoints_thread: endpoints_thread,
             _folder: folder,
@@ -174,7 +175,7 @@
         })
     }
 
-    /// Ends all forwarders.
+    /// Kills all forwarders.
     pub(crate) async fn tear_down(&self) {
         for hollow in &self.hollow_forwarders {
             lock(hollow).kill();
@@ -182,7 +183,7 @@
         join_all(self.real_forwarders.iter().map(|real| async { real.lock().await.kill().await })).await;
     }
 
-    /// Returns when this program and its processes take too much memory.
+    /// Waits until this program and its processes exceed the memory limit, and returns the error for that.
     pub(crate) async fn watch_memory(self: Arc<TestBed>) -> ScaleTestError {
         let limit = match memory_limit_bytes() {
             Ok(limit) => limit,
@@ -193,24 +194,25 @@
             tick.tick().await;
             let mut used = ResourceUsage::of_this_process().resident_bytes;
             for forwarder in &self.real_forwarders {
-                // One that is being ended is small by then.
+                // A locked forwarder is being restarted, and its memory use is small.
                 used += forwarder.try_lock().map_or(0, |forwarder| forwarder.usage().resident_bytes);
             }
             if used > limit {
                 let (used, limit) = (used >> 20, limit >> 20);
-                let reason = format!("{used} MB, over half of the machine's: {limit} MB");
+                let reason =
+                    format!("{used} MiB in use, expected at most half of the machine's memory: {limit} MiB");
                 return ScaleTestError::aborted("memory", reason);
             }
         }
     }
 
-    /// The number of changes so far that listed a new destination.
+    /// Returns the number of destinations that changes have added to the list since the start.
     pub(crate) fn new_destination_count(&self) -> usize {
         self.list.len() - self.scenario.list.endpoints as usize
     }
 }
 
-/// The daemon's program; an empty path where no forwarder needs it.
+/// Returns the path of the daemon's executable, or an empty path if the scenario has no real forwarders.
 fn daemon_program(scenario: &Scenario, options: &Options) -> Result<PathBuf, ScaleTestError> {
     match (&options.program, scenario.fleet.real) {
         (_, 0) => Ok(PathBuf::new()),
