--- a/crates/scale-test/src/client.rs
+++ b/crates/scale-test/src/client.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Sends a request and returns the status of the response, or `None` if there is no complete response in time.
-    /// The connection is reused only after a complete response.
+    /// Sends a request and returns the status of the response, or `None` if there is no complete response in
+    /// time. The connection is reused only after a complete response.
     async fn send(&mut self, request: Request<Full<Bytes>>) -> Option<StatusCode> {
         let reusable = self.connection.take().filter(|connection| !connection.sender.is_closed());
         let mut connection = match reusable {
--- a/crates/scale-test/src/control_plane.rs
+++ b/crates/scale-test/src/control_plane.rs
@@ -35,18 +35,19 @@
 pub(crate) enum Reachability {
     /// Connections are accepted and served.
     Open,
-    /// No response byte is sent and no connection is reset. Connections opened before the partition are reset when
-    /// the partition ends.
+    /// The control plane sends nothing and resets no connection. Open connections are reset when the
+    /// partition ends.
     Partitioned,
     /// The listening socket is closed and open connections are reset.
     Closed,
 }
 
-/// A seeded defect: a change that the control plane never sends through one listener. The checks must find it.
+/// A seeded defect: a change that the control plane never sends through one listener. The checks must find
+/// it.
 #[derive(Clone, Copy, Debug)]
 pub struct LostChange {
-    /// The number of the listener that doesn't send the change. The listeners of real forwarders come first, then one
-    /// listener per zone.
+    /// The number of the listener that doesn't send the change. The listeners of real forwarders come first,
+    /// then one listener per zone.
     pub listener: usize,
     /// The generation of the change.
     pub generation: u64,
@@ -63,8 +64,8 @@
 }
 
 impl ControlPlane {
-    /// Creates a control plane that sends at most `concurrent_full_lists` full lists at a time. `lost_change` seeds a
-    /// defect; `None` in ordinary runs.
+    /// Creates a control plane that sends at most `concurrent_full_lists` full lists at a time. `lost_change`
+    /// seeds a defect; `None` in ordinary runs.
     pub(crate) fn new(
         list: Arc<AuthoritativeList>,
         concurrent_full_lists: u32,
@@ -102,8 +103,8 @@
 }
 
 impl ControlListener {
-    /// Listens on a free loopback port and serves clients in a task of the current runtime. The task ends when the
-    /// listener is dropped.
+    /// Listens on a free loopback port and serves clients in a task of the current runtime. The task ends
+    /// when the listener is dropped.
     pub(crate) async fn open(
         control_plane: Arc<ControlPlane>,
         number: usize,
@@ -171,7 +172,7 @@
     let _ = reachability.wait_for(|r| *r != Reachability::Partitioned).await;
 }
 
-/// Accepts connections until the listener is dropped. A closed listener is bound to its port again when it reopens.
+/// Accepts connections until the listener is dropped. A listener that reopens binds its port again.
 async fn accept_connections(socket: TcpListener, address: SocketAddr, mut context: ConnectionContext) {
     let mut socket = Some(socket);
     loop {
@@ -216,7 +217,7 @@
     }
 }
 
-/// Waits until a fault resets the connections that are open now: at once on a close, at its end on a partition.
+/// Waits until a fault resets the open connections: when the listener is closed, or when a partition ends.
 async fn wait_for_reset(reachability: &mut watch::Receiver<Reachability>) {
     let unreachable = reachability.wait_for(|r| *r != Reachability::Open).await;
     let partitioned = unreachable.is_ok_and(|r| *r == Reachability::Partitioned);
--- a/crates/scale-test/src/control_plane/watch_stream.rs
+++ b/crates/scale-test/src/control_plane/watch_stream.rs
@@ -1,4 +1,4 @@
-//! The body of a watch response: lines with the full endpoint list, changes to it, or nothing as a keep-alive.
+//! The body of a watch response: full endpoint lists, changes, and empty lines as keep-alive.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -17,7 +17,7 @@
 use super::{Body, ConnectionContext};
 use crate::endpoint_list::{change_line, Change, FullList};
 
-/// Time without a change or a chunk after which an empty line is sent as a keep-alive.
+/// Time without other bytes to send after which an empty line is sent as a keep-alive.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum number of changes in one line of a watch.
 const MAX_CHANGES_PER_LINE: usize = 256;
@@ -50,8 +50,8 @@
     chunks: VecDeque<Bytes>,
     /// The full list that is being sent; `None` between full lists.
     full_list: Option<FullListTransfer>,
-    /// The pending request for a permit to send a full list. Kept across keep-alives so that the watch keeps its
-    /// position in the queue. `None` if no full list is requested.
+    /// The pending request for a permit to send a full list. The request is kept across keep-alives so that
+    /// the watch keeps its position in the queue. `None` if no full list is requested.
     permit_request: Option<PermitRequest>,
 }
 
@@ -110,8 +110,8 @@
         Bytes::from_static(b"\n")
     }
 
-    /// Returns the line with these changes, without the lost change of a seeded defect. Returns `None` if the lost
-    /// change is the only one.
+    /// Returns the line with these changes, without the lost change of a seeded defect. Returns `None` if the
+    /// lost change is the only one.
     fn change_line_without_lost(&self, changes: &[Change]) -> Option<Bytes> {
         let is_lost =
             |change: &Change| self.context.control_plane.is_lost(self.context.listener, change.generation);
--- a/crates/scale-test/src/endpoint_list.rs
+++ b/crates/scale-test/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The authoritative endpoint list of the control plane: its entries, the latest changes, and a serialized full list
-//! that all watches share.
+//! The authoritative endpoint list of the control plane: its entries, the latest changes, and a serialized
+//! full list that all watches share.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -14,8 +14,8 @@
 
 /// Maximum number of retained changes. A watch that is further behind is sent a full list.
 const RETAINED_CHANGES: usize = 4_096;
-/// Maximum number of changes since a full list was serialized for which the serialized list is reused. The changes
-/// are sent after it.
+/// Maximum number of changes since a full list was serialized for which the serialized list is reused. The
+/// changes are sent after it.
 const FULL_LIST_REUSE_LIMIT: u64 = 512;
 /// Size at which a chunk of a full list is complete, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
@@ -78,7 +78,7 @@
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-struct State {
+struct ListState {
     generation: u64,
     endpoints: Vec<ListedEndpoint>,
     /// The retained changes, oldest first, with consecutive generations.
@@ -89,7 +89,7 @@
 
 /// The endpoint list, shared by the control plane and the task that changes it.
 pub struct AuthoritativeList {
-    state: Mutex<State>,
+    state: Mutex<ListState>,
     /// The newest generation.
     generations: watch::Sender<u64>,
     /// The full list that was serialized last; `None` before the first one.
@@ -100,7 +100,7 @@
     /// Creates a list of `endpoints` endpoints; `address` returns the address of the endpoint at an index.
     pub fn new(endpoints: u32, address: impl Fn(u32) -> SocketAddrV4) -> AuthoritativeList {
         let endpoint = |index| ListedEndpoint { address: address(index), generation: FIRST_GENERATION };
-        let state = State {
+        let state = ListState {
             generation: FIRST_GENERATION,
             endpoints: (0..endpoints).map(endpoint).collect(),
             changes: VecDeque::new(),
@@ -113,12 +113,12 @@
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, ListState> {
         lock(&self.state)
     }
 
-    /// Changes the address of an endpoint, or appends an endpoint if the index is not listed. Returns the generation
-    /// of the change.
+    /// Changes the address of an endpoint, or appends an endpoint if the index is not listed. Returns the
+    /// generation of the change.
     pub fn put(&self, index: u32, address: SocketAddrV4) -> u64 {
         let mut state = self.state();
         let generation = state.generation + 1;
@@ -178,8 +178,8 @@
         ListSnapshot { generation: state.generation, endpoints: state.endpoints.clone() }
     }
 
-    /// Returns the first `limit` changes after a generation. Returns `None` if some of the changes after it are no
-    /// longer retained, or if the list never had this generation.
+    /// Returns the first `limit` changes after a generation. Returns `None` if some of the changes after it
+    /// are no longer retained, or if the list never had this generation.
     pub fn changes_after(&self, generation: u64, limit: usize) -> Option<Vec<Change>> {
         let state = self.state();
         if generation > state.generation {
@@ -190,8 +190,8 @@
         Some(state.changes.range(start..).take(limit).cloned().collect())
     }
 
-    /// Returns a serialized full list. All changes after its generation are still retained. The list is serialized
-    /// again if the last one is too old.
+    /// Returns a serialized full list. All changes after its generation are still retained. The list is
+    /// serialized again if the last one is too old.
     pub async fn full_list(self: &Arc<AuthoritativeList>) -> Arc<FullList> {
         let mut cached = self.full_list.lock().await;
         if let Some(full_list) = cached.as_ref() {
--- a/crates/scale-test/src/fault_schedule.rs
+++ b/crates/scale-test/src/fault_schedule.rs
@@ -38,7 +38,8 @@
 }
 
 impl TestBed {
-    /// Injects all faults of the scenario, with times relative to this call. Returns after the last fault ends.
+    /// Injects all faults of the scenario, with times relative to this call. Returns after the last fault
+    /// ends.
     pub(crate) async fn run_fault_schedule(self: Arc<TestBed>) -> Result<(), ScaleTestError> {
         let faults = self.scenario.faults.iter().map(|fault| self.run_fault(fault));
         join_all(faults).await.into_iter().collect()
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Restarts forwarders gracefully. The shutdown of each begins `gap_s` seconds after that of the previous one.
+    /// Restarts forwarders gracefully. The shutdown of each begins `gap_s` seconds after that of the previous
+    /// one.
     async fn rolling_restart(
         &self,
         kind: FaultKind,
@@ -134,7 +136,8 @@
         forwarders.iter().for_each(|forwarder| outages.end(kind, *forwarder));
     }
 
-    /// Stops a forwarder and starts it again after `down_s` seconds. Waits until a real forwarder has the list again.
+    /// Stops a forwarder and starts it again after `down_s` seconds. Waits until a real forwarder has the
+    /// list again.
     async fn restart(
         &self,
         kind: FaultKind,
--- a/crates/scale-test/src/hollow_forwarder.rs
+++ b/crates/scale-test/src/hollow_forwarder.rs
@@ -1,5 +1,5 @@
-//! Hollow forwarders: each watches the endpoint list over its own connection and stores the endpoints as a real
-//! forwarder does, but accepts no messages.
+//! Hollow forwarders: each watches the endpoint list over its own connection and stores the endpoints as a
+//! real forwarder does, but accepts no messages.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -23,11 +23,12 @@
 use crate::metered_stream::{MeteredStream, TrafficCounters};
 use crate::task::AbortOnDrop;
 
-/// Time without received bytes after which a watch is lost: longer than two intervals between empty lines, as in a
-/// real forwarder.
+/// Time without received bytes after which a watch is lost: longer than two intervals between empty lines, as
+/// in a real forwarder.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Mean backoff before a watch is opened again. It doubles with each watch that received nothing.
+/// Mean backoff before a watch is opened again. The backoff doubles, up to [`BACKOFF_MAX`], after each watch
+/// that received no bytes.
 const BACKOFF_INITIAL: Duration = Duration::from_millis(100);
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
@@ -40,8 +41,8 @@
 }
 
 impl HollowForwarder {
-    /// Creates a stopped forwarder. Once started, it watches the list at `control_plane` and counts its traffic in
-    /// `traffic`.
+    /// Creates a stopped forwarder. Once started, the forwarder watches the list at `control_plane` and
+    /// counts its traffic in `traffic`.
     pub(crate) fn new(
         number: u32,
         state: HollowState,
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Opens one watch and applies its lines until the watch ends. Sets `received_any` on the first bytes.
+    /// Opens one watch and applies its lines until the watch ends. Sets `received_any` when bytes are
+    /// received.
     async fn watch_once(&self, received_any: &mut bool) -> Result<(), WatchError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.control_plane)).await;
         let stream = stream.map_err(|_| WatchError::Silent)?.map_err(|_| WatchError::ConnectionLost)?;
--- a/crates/scale-test/src/hollow_state.rs
+++ b/crates/scale-test/src/hollow_state.rs
@@ -97,7 +97,7 @@
     dropped_change: Option<u64>,
     /// When the forwarder was last started; `None` before the first start.
     started_at: Option<Instant>,
-    /// Whether a full list was received since the last start.
+    /// Whether a complete full list was received since the last start.
     has_list: bool,
     /// The time from each start until the first full list was applied.
     list_latencies: Vec<Duration>,
@@ -114,8 +114,8 @@
 }
 
 impl HollowState {
-    /// Creates the state of a forwarder before its first start. `dropped_change` is the generation of a change that is
-    /// not applied, as a seeded defect; `None` in ordinary runs.
+    /// Creates the state of a forwarder before its first start. `dropped_change` is the generation of a
+    /// change that is not applied, as a seeded defect; `None` in ordinary runs.
     pub fn new(dropped_change: Option<u64>) -> HollowState {
         HollowState { dropped_change, ..HollowState::default() }
     }
@@ -199,7 +199,7 @@
         self.has_list = false;
     }
 
-    /// Returns whether a full list was received since the last start.
+    /// Returns whether a complete full list was received since the last start.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
@@ -213,7 +213,8 @@
         }
     }
 
-    /// Returns the generation of the first full list, or 0 before it. All later changes are in [`Self::applied`].
+    /// Returns the generation of the first full list, or 0 before it. All later changes are in
+    /// [`Self::applied`].
     pub fn first_generation(&self) -> u64 {
         self.first_generation.unwrap_or(0)
     }
--- a/crates/scale-test/src/list_decoder.rs
+++ b/crates/scale-test/src/list_decoder.rs
@@ -1,5 +1,5 @@
-//! An incremental decoder of endpoint list lines. Entries are decoded as their bytes arrive, so that no complete line
-//! is held in memory.
+//! An incremental decoder of endpoint list lines. Entries are decoded as their bytes arrive, so that no
+//! complete line is held in memory.
 
 use std::net::SocketAddrV4;
 
@@ -99,10 +99,11 @@
         let mut rest = bytes;
         while !rest.is_empty() {
             let in_string = self.in_string;
-            let plain = rest.iter().position(|byte| is_significant(*byte, in_string)).unwrap_or(rest.len());
-            let plain = if self.escaped { 0 } else { plain };
-            self.append(&rest[..plain])?;
-            let Some((byte, remaining)) = rest[plain..].split_first() else { return Ok(()) };
+            let plain_length =
+                rest.iter().position(|byte| is_significant(*byte, in_string)).unwrap_or(rest.len());
+            let plain_length = if self.escaped { 0 } else { plain_length };
+            self.append(&rest[..plain_length])?;
+            let Some((byte, remaining)) = rest[plain_length..].split_first() else { return Ok(()) };
             rest = remaining;
             if self.in_string {
                 self.append(&[*byte])?;
@@ -165,19 +166,20 @@
         Ok(())
     }
 
-    /// Appends bytes to the current head or entry, and ignores bytes behind the array of entries.
+    /// Appends bytes to the current head or entry, and ignores bytes after the array of entries.
     fn append(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
         if self.part.len() + bytes.len() > MAX_PART_BYTES {
             return Err(DecodeError::TooLong);
         }
-        // Fields behind the array of entries are ignored.
+        // Fields after the array of entries are ignored.
         if !(self.line_started && self.depth <= LINE_DEPTH) {
             self.part.extend_from_slice(bytes);
         }
         Ok(())
     }
 
-    /// Decodes the head of a line. A number in place of the array of entries makes the head a complete JSON object.
+    /// Decodes the head of a line. A number in place of the array of entries makes the head a complete JSON
+    /// object.
     fn finish_head(&mut self) -> Result<ListEvent, DecodeError> {
         let mut head = std::mem::take(&mut self.part);
         head.extend_from_slice(b"0}");
--- a/crates/scale-test/src/outages.rs
+++ b/crates/scale-test/src/outages.rs
@@ -45,8 +45,8 @@
         OutageAttribution { outages: self, forwarder, catching_up: None }
     }
 
-    /// Returns the latest outage of a forwarder that overlaps the time from making a change to applying it. An outage
-    /// lasts until [`RECOVERY_WINDOW`] after its end.
+    /// Returns the latest outage of a forwarder that overlaps the time from making a change to applying it.
+    /// An outage also covers the [`RECOVERY_WINDOW`] after its end.
     fn overlapping(&self, forwarder: u32, made_at: Instant, applied_at: Instant) -> Option<Outage> {
         let overlaps = |outage: &&Outage| {
             let ended = outage.ended_at.map_or(applied_at, |ended| ended + RECOVERY_WINDOW);
@@ -56,11 +56,12 @@
     }
 }
 
-/// An attribution of one forwarder's changes to its outages. Changes must be attributed in order of generation.
+/// An attribution of one forwarder's changes to its outages. Changes must be attributed in order of
+/// generation.
 pub struct OutageAttribution<'a> {
     outages: &'a Outages,
     forwarder: u32,
-    /// The state of a forwarder that was affected by an outage; `None` before the first outage.
+    /// The outage from which the forwarder was last catching up; `None` before the first delayed change.
     catching_up: Option<CatchingUp>,
 }
 
@@ -68,19 +69,19 @@
 #[derive(Clone, Copy)]
 struct CatchingUp {
     outage: Outage,
-    /// When the last change attributed to the outage was applied.
+    /// When the last attributed change was applied. The forwarder is behind at least until this time.
     caught_up_at: Instant,
 }
 
 impl OutageAttribution<'_> {
-    /// Returns the outage that delayed a change, or `None` for a change in normal operation. A change made while the
-    /// forwarder was still catching up is attributed to the same outage, without a time limit.
+    /// Returns the outage that delayed a change, or `None` for a change in normal operation. A change made
+    /// while the forwarder was still catching up is attributed to the same outage, without a time limit.
     pub fn attribute(&mut self, made_at: Instant, applied_at: Instant) -> Option<Outage> {
-        let unfinished = self
+        let earlier_outage = self
             .catching_up
             .filter(|catching_up| made_at < catching_up.caught_up_at)
             .map(|catching_up| catching_up.outage);
-        let outage = self.outages.overlapping(self.forwarder, made_at, applied_at).or(unfinished)?;
+        let outage = self.outages.overlapping(self.forwarder, made_at, applied_at).or(earlier_outage)?;
         let caught_up_at =
             self.catching_up.map_or(applied_at, |catching_up| catching_up.caught_up_at.max(applied_at));
         self.catching_up = Some(CatchingUp { outage, caught_up_at });
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -38,8 +38,8 @@
     target: ProbeTarget,
 }
 
-/// Runs a scenario and returns its results. All processes and forwarders are stopped before it returns, even on an
-/// error.
+/// Runs a scenario and returns its results. All processes and forwarders are stopped before it returns, even
+/// on an error.
 pub async fn run(scenario: Scenario, options: Options) -> Result<Results, ScaleTestError> {
     ResourceBudget::needed_by(&scenario).check_against_machine()?;
     let limit = Duration::from_secs_f64(scenario.limit_s);
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Waits until all real forwarders have the list, then starts the hollow forwarders and waits for them. Real
-    /// forwarders are first so that they don't wait for full lists behind hollow ones.
+    /// Waits until all real forwarders have the list, then starts the hollow forwarders and waits for them.
+    /// Real forwarders start first so that their full lists aren't delayed by those of the hollow forwarders.
     async fn wait_for_first_lists(&self) {
         let real = self.real_forwarders.iter();
         join_all(real.map(|forwarder| self.wait_for_list(forwarder, Occasion::FirstStart))).await;
@@ -122,7 +122,8 @@
         ScaleTestError::aborted(
             format!("the endpoint list was not in effect at all forwarders within {limit_s} s"),
             format!(
-                "{} of {} real and {hollow_missing} of {} hollow forwarders have no list; last log line: {last_log_line}",
+                "{} of {} real and {hollow_missing} of {} hollow forwarders have no list; \
+                 last log line: {last_log_line}",
                 self.real_forwarders.len() - real_with_list,
                 self.real_forwarders.len(),
                 self.hollow_forwarders.len()
@@ -136,8 +137,8 @@
         hollow.start(self.hollow_threads[thread].handle());
     }
 
-    /// Waits until a started real forwarder delivers to the last endpoint of the first list, and records the time since
-    /// its start.
+    /// Waits until a started real forwarder delivers to the last endpoint of the first list, and records the
+    /// time since its start.
     pub(crate) async fn wait_for_list(
         &self,
         forwarder: &tokio::sync::Mutex<RealForwarder>,
@@ -156,7 +157,8 @@
         lock(&self.start_records).push(StartRecord { occasion, list_latency });
     }
 
-    /// Changes the list, sends probes, injects faults and samples usage, until all changes and faults are over.
+    /// Changes the list, sends probes, injects faults and samples usage, until all changes and faults are
+    /// over.
     async fn run_changes(
         self: &Arc<TestBed>,
         lines: &mut Vec<ResultLine>,
@@ -203,7 +205,8 @@
         }
     }
 
-    /// Makes all changes of the scenario, and sends a probe order for each added destination to all probe tasks.
+    /// Makes all changes of the scenario, and sends a probe order for each added destination to all probe
+    /// tasks.
     async fn make_changes(self: Arc<TestBed>, probes: Vec<mpsc::UnboundedSender<ProbeOrder>>) {
         let changes = &self.scenario.changes;
         let mut rng = Pcg32::seed_from_u64(self.scenario.seed);
@@ -213,7 +216,8 @@
         for number in 1..=count {
             tick.tick().await;
             if number % u64::from(changes.probe_every) != 0 {
-                // The last endpoint of the first list doesn't move, because `wait_for_list` probes its address.
+                // The last endpoint of the first list doesn't move, because `wait_for_list` probes its
+                // address.
                 let index = rng.random_range(0..self.scenario.list.endpoints - 1);
                 self.list.put(index, self.endpoints.address(index, number));
                 continue;
@@ -282,7 +286,8 @@
         }
     }
 
-    /// Waits until the last change is in effect at all forwarders. Returns false if the time limit expires first.
+    /// Waits until the last change is in effect at all forwarders. Returns false if the time limit expires
+    /// first.
     async fn wait_for_convergence(&self) -> bool {
         let limit = Duration::from_secs_f64(self.scenario.changes.settle_within_s);
         let generation = self.list.generation();
--- a/crates/scale-test/src/runtime_thread.rs
+++ b/crates/scale-test/src/runtime_thread.rs
@@ -12,7 +12,7 @@
 /// A named thread that runs its own single-threaded Tokio runtime.
 pub(crate) struct RuntimeThread {
     handle: Handle,
-    /// Stops the runtime when dropped; `None` only during the drop of the thread.
+    /// Stops the runtime when dropped; `None` only while the thread is being dropped.
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
--- a/crates/scale-test/src/stub_endpoints.rs
+++ b/crates/scale-test/src/stub_endpoints.rs
@@ -62,8 +62,8 @@
         Ok(StubEndpoints { addresses, arrivals })
     }
 
-    /// Returns a receiver of the time at which the first request with this message arrives at this address. Requests
-    /// that arrive at other addresses are ignored.
+    /// Returns a receiver of the time at which the first request with this message arrives at this address.
+    /// Requests that arrive at other addresses are ignored.
     pub(crate) fn expect_request(
         &self,
         message_id: &str,
--- a/crates/scale-test/src/test_bed.rs
+++ b/crates/scale-test/src/test_bed.rs
@@ -71,7 +71,7 @@
     pub(crate) result: ProbeResult,
 }
 
-/// The duration of one start of a real forwarder.
+/// One start of a real forwarder and its duration.
 pub(crate) struct StartRecord {
     /// Why the forwarder was started.
     pub(crate) occasion: Occasion,
@@ -114,7 +114,7 @@
     pub(crate) endpoints: StubEndpoints,
     /// One listener for each real forwarder, followed by one for the hollow forwarders of each zone.
     pub(crate) listeners: Vec<ControlListener>,
-    /// Each is locked during a restart, so that only one task stops or starts the process.
+    /// Each is locked during a restart, so that only one task at a time stops or starts the process.
     pub(crate) real_forwarders: Vec<tokio::sync::Mutex<RealForwarder>>,
     pub(crate) hollow_forwarders: Vec<Mutex<HollowForwarder>>,
     /// Traffic of all hollow forwarders together.
