--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -133,7 +133,10 @@
     /// Returns the work that the settings allow within the overload window at the current warmth.
     fn allowed_work(&self, now: Duration, settings: &RecoverySettings) -> f64 {
         let window = settings.overload_window.seconds();
-        settings.overload_multiple.get() * self.warmth(now, settings) * self.plan.capacity_per_s * window
+        settings.overload_capacity_multiple.get()
+            * self.warmth(now, settings)
+            * self.plan.capacity_per_s
+            * window
     }
 
     /// Returns the work that the settings still allow in the overload window; [`f64::MAX`] once warm.
