--- a/crates/recorder/src/compare.rs
+++ b/crates/recorder/src/compare.rs
@@ -75,7 +75,10 @@
     #[error("is empty: expected lines of a recording")]
     Empty,
     /// The folder contains no file with the extension of a recording.
-    #[error("holds no recordings: expected files in .{}", RecordingFormat::ALL.map(RecordingFormat::extension).join(" or ."))]
+    #[error(
+        "holds no recordings: expected files in .{}",
+        RecordingFormat::ALL.map(RecordingFormat::extension).join(" or .")
+    )]
     NoRecordings,
 }
 
--- a/crates/recorder/src/line/mod.rs
+++ b/crates/recorder/src/line/mod.rs
@@ -1,5 +1,5 @@
-//! Typed lines of a recording; their `Display` implementations are in `text.rs`. Lines contain only public values of
-//! the policy's interface, so that changes of the policy's internal state don't affect them.
+//! Typed lines of a recording; their `Display` implementations are in `text.rs`. Lines contain only public
+//! values of the policy's interface, so that changes of the policy's internal state don't affect them.
 
 use std::time::Duration;
 
@@ -192,8 +192,8 @@
     },
 }
 
-/// A value that a method of the delivery policy returned. Endpoints are sorted by number, because the order in which
-/// the policy returns them is unspecified.
+/// A value that a method of the delivery policy returned. Endpoints are sorted by number, because the order
+/// in which the policy returns them is unspecified.
 pub enum ReturnedValue {
     /// Endpoints that were removed because a complete list didn't name them.
     UnlistedEndpoints(Vec<EndpointId>),
--- a/crates/recorder/src/line/text.rs
+++ b/crates/recorder/src/line/text.rs
@@ -1,5 +1,5 @@
-//! Text of a recording's lines. The words are a stable format that is independent of the names in the code, so that
-//! recordings of older builds stay comparable.
+//! Text of a recording's lines. The words are a stable format that is independent of the names in the code,
+//! so that recordings of older builds stay comparable.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
--- a/crates/recorder/src/recording.rs
+++ b/crates/recorder/src/recording.rs
@@ -116,7 +116,8 @@
         self.keep_first_error(result);
     }
 
-    /// Keeps the first error for [`Recording::finish`], because the recorded policy accepts no errors from its host.
+    /// Keeps the first error for [`Recording::finish`], because the recorded policy accepts no errors from
+    /// its host.
     fn keep_first_error(&mut self, result: io::Result<()>) {
         if let Err(error) = result {
             self.first_error.get_or_insert(error);
@@ -156,7 +157,8 @@
         RecordingWriter { recording: self.clone(), forwarder }
     }
 
-    /// Writes the digests of incomplete blocks and flushes the output. Must be called once, after the last line.
+    /// Writes the digests of incomplete blocks and flushes the output. Must be called once, after the last
+    /// line.
     ///
     /// # Errors
     ///
--- a/crates/recorder/src/streams/endpoint_set.rs
+++ b/crates/recorder/src/streams/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a stream: what the endpoint list says of each, and how each responds at the time.
+//! The endpoints of a stream: their entries in the endpoint list, and how they currently respond.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,9 +8,8 @@
 use rand_pcg::Pcg32;
 use reeddock::{AttemptOutcome, DestinationId, EndpointId, EndpointState};
 
-use super::setup::{millis, rounded_up, StreamSetup, ZONES};
+use super::setup::{draw_millis, round_up, StreamSetup, ZONES};
 
-/// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
     pub endpoint: EndpointId,
@@ -21,7 +20,7 @@
     pub kind: String,
 }
 
-/// How a request ends, and after what time.
+/// The outcome of an attempt, and the time from its start to the outcome.
 pub struct PlannedOutcome {
     pub outcome: AttemptOutcome,
     pub after: Duration,
@@ -33,7 +32,7 @@
     }
 }
 
-/// How an endpoint responds.
+/// How an endpoint currently responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndpointBehavior {
     Healthy,
@@ -46,7 +45,6 @@
     Erratic,
 }
 
-/// All behaviors but the healthy one.
 const FAULTY_BEHAVIORS: [EndpointBehavior; 7] = [
     EndpointBehavior::Slow,
     EndpointBehavior::Rejecting,
@@ -57,16 +55,16 @@
     EndpointBehavior::Erratic,
 ];
 
-/// The endpoints as discovery would list them now, whether or not the policy was told of it yet.
+/// The endpoints as discovery currently lists them; the policy may not have received the latest entries.
 pub struct EndpointSet {
     pub entries: BTreeMap<EndpointId, ListEntry>,
-    /// Endpoints that are missing here are healthy.
+    /// Behavior by endpoint; endpoints without an entry are healthy.
     behaviors: BTreeMap<EndpointId, EndpointBehavior>,
     next_id: u32,
 }
 
 impl EndpointSet {
-    /// Draws the endpoints with which a stream starts.
+    /// Draws the endpoints at the start of a stream.
     pub fn draw(setup: &StreamSetup, random: &mut Pcg32) -> EndpointSet {
         let mut endpoints = EndpointSet { entries: BTreeMap::new(), behaviors: BTreeMap::new(), next_id: 1 };
         for _ in 0..setup.size.endpoints {
@@ -75,11 +73,11 @@
         endpoints
     }
 
-    /// Adds an endpoint under a number that none had.
+    /// Adds an endpoint with a new id, and returns the id.
     pub fn add(&mut self, setup: &StreamSetup, random: &mut Pcg32) -> EndpointId {
         let id = EndpointId(self.next_id);
         self.next_id += 1;
-        // Each destination has one endpoint before any has two.
+        // The first endpoints cover all destinations.
         let index = u64::from(id.0) - 1;
         let destinations = setup.size.destinations;
         let destination = if index < destinations { index } else { random.random_range(0..destinations) };
@@ -87,46 +85,45 @@
             endpoint: id,
             destination: DestinationId(destination + 1),
             state: EndpointState::Active,
-            weight: weight(random),
+            weight: draw_weight(random),
             zone: ZONES.choose(random).copied().unwrap_or(ZONES[0]),
-            kind: kind(setup, destination, random),
+            kind: draw_kind(setup, destination, random),
         };
         self.entries.insert(id, entry);
         id
     }
 
-    /// Any endpoint of the list; none where it is empty.
-    pub fn any(&self, random: &mut Pcg32) -> Option<EndpointId> {
-        let at = random.random_range(0..self.entries.len().max(1));
-        self.entries.keys().nth(at).copied()
+    /// Draws an endpoint of the list; returns `None` if the list is empty.
+    pub fn draw_endpoint(&self, random: &mut Pcg32) -> Option<EndpointId> {
+        let index = random.random_range(0..self.entries.len().max(1));
+        self.entries.keys().nth(index).copied()
     }
 
-    /// Changes one entry, or adds one; gives its endpoint.
-    pub fn change(&mut self, setup: &StreamSetup, random: &mut Pcg32) -> EndpointId {
-        let known = self.any(random).filter(|_| random.random_bool(0.85));
-        let Some(id) = known else { return self.add(setup, random) };
+    /// Changes or adds an entry, and returns its endpoint.
+    pub fn change_entry(&mut self, setup: &StreamSetup, random: &mut Pcg32) -> EndpointId {
+        let existing = self.draw_endpoint(random).filter(|_| random.random_bool(0.85));
+        let Some(id) = existing else { return self.add(setup, random) };
         let Some(entry) = self.entries.get_mut(&id) else { return id };
         match random.random_range(0..10_u32) {
             0..=2 => entry.state = EndpointState::Removed,
             3..=4 => entry.state = EndpointState::Draining,
             5..=6 => entry.state = EndpointState::Active,
-            7 => entry.weight = weight(random),
+            7 => entry.weight = draw_weight(random),
             8 => entry.zone = ZONES.choose(random).copied().unwrap_or(ZONES[0]),
-            // An endpoint that moves to another destination.
             _ => entry.destination = DestinationId(random.random_range(1..=setup.size.destinations)),
         }
         id
     }
 
-    /// Takes most endpoints off the list.
-    pub fn drop_most(&mut self, random: &mut Pcg32) {
-        let kept = random.random_range(0.0..0.3);
-        self.entries.retain(|_, _| random.random_bool(kept));
+    /// Removes most endpoints from the list.
+    pub fn remove_most(&mut self, random: &mut Pcg32) {
+        let kept_share = random.random_range(0.0..0.3);
+        self.entries.retain(|_, _| random.random_bool(kept_share));
     }
 
-    /// A fault starts or ends at one endpoint, or at all of its destination.
+    /// Starts or ends a fault at one endpoint, or at all endpoints of its destination.
     pub fn change_behaviors(&mut self, random: &mut Pcg32) {
-        let Some(id) = self.any(random) else { return };
+        let Some(id) = self.draw_endpoint(random) else { return };
         let behavior = FAULTY_BEHAVIORS
             .choose(random)
             .copied()
@@ -141,7 +138,7 @@
         }
     }
 
-    /// Draws how a request that is sent now ends.
+    /// Draws the outcome of an attempt that starts now; attempts without a response in time end as timed out.
     pub fn plan_outcome(
         &self,
         endpoint: EndpointId,
@@ -150,8 +147,8 @@
         random: &mut Pcg32,
     ) -> PlannedOutcome {
         let behavior = self.behaviors.get(&endpoint).copied().unwrap_or(EndpointBehavior::Healthy);
-        let planned = draw_outcome(behavior, response_within, setup.time_step, random);
-        let after = rounded_up(planned.after, setup.time_step);
+        let planned = draw_outcome(behavior, response_within, setup.time_granularity, random);
+        let after = round_up(planned.after, setup.time_granularity);
         if after >= response_within {
             PlannedOutcome::new(AttemptOutcome::TimedOut, response_within)
         } else {
@@ -160,87 +157,87 @@
     }
 }
 
-/// A weight of the list: mostly a rate, seldom none or a number that makes no sense.
-fn weight(random: &mut Pcg32) -> Option<f64> {
+/// Draws a weight: usually a rate, sometimes none or an invalid or extreme number.
+fn draw_weight(random: &mut Pcg32) -> Option<f64> {
     match random.random_range(0..10_u32) {
         0 => None,
-        // Weights that no list should have.
         1 => [f64::NAN, f64::INFINITY, 0.0, -1.0, 1e-9, 1e12].choose(random).copied(),
         2..=5 => Some(f64::from(random.random_range(1_u32..40))),
         _ => Some(random.random_range(0.1..200.0)),
     }
 }
 
-/// The endpoints of a destination are usually of one kind; seldom of one that the settings do not have.
-fn kind(setup: &StreamSetup, destination: u64, random: &mut Pcg32) -> String {
+/// Draws an endpoint kind: usually the same for all endpoints of a destination, rarely one missing in the
+/// settings.
+fn draw_kind(setup: &StreamSetup, destination: u64, random: &mut Pcg32) -> String {
     if random.random_bool(0.03) {
         return "unknown".to_owned();
     }
     let usual = destination as usize % setup.kinds.len();
-    let number = if random.random_bool(0.95) { usual } else { random.random_range(0..setup.kinds.len()) };
-    setup.kinds[number].clone()
+    let index = if random.random_bool(0.95) { usual } else { random.random_range(0..setup.kinds.len()) };
+    setup.kinds[index].clone()
 }
 
-/// Draws how a request to an endpoint of this behavior ends.
+/// Draws the outcome of an attempt at an endpoint with this behavior.
 fn draw_outcome(
     behavior: EndpointBehavior,
     response_within: Duration,
-    time_step: Duration,
+    time_granularity: Duration,
     random: &mut Pcg32,
 ) -> PlannedOutcome {
     match behavior {
         EndpointBehavior::Healthy => {
-            let outcome = usual_outcome(random, time_step);
-            PlannedOutcome::new(outcome, millis(random, 2, 150))
+            let outcome = draw_healthy_outcome(random, time_granularity);
+            PlannedOutcome::new(outcome, draw_millis(random, 2, 150))
         }
         EndpointBehavior::Slow => {
             let after = response_within.mul_f64(random.random_range(0.2..1.3));
             PlannedOutcome::new(AttemptOutcome::Completed, after)
         }
         EndpointBehavior::Rejecting => {
-            PlannedOutcome::new(AttemptOutcome::Rejected { retry_after: None }, millis(random, 1, 20))
+            PlannedOutcome::new(AttemptOutcome::Rejected { retry_after: None }, draw_millis(random, 1, 20))
         }
         EndpointBehavior::RejectingWithRetryAfter => {
-            let retry_after = Some(draw_retry_after(random, time_step));
-            PlannedOutcome::new(AttemptOutcome::Rejected { retry_after }, millis(random, 1, 20))
+            let retry_after = Some(draw_retry_after(random, time_granularity));
+            PlannedOutcome::new(AttemptOutcome::Rejected { retry_after }, draw_millis(random, 1, 20))
         }
         EndpointBehavior::Failing if random.random_bool(0.5) => {
-            PlannedOutcome::new(AttemptOutcome::Error, millis(random, 1, 60))
+            PlannedOutcome::new(AttemptOutcome::Error, draw_millis(random, 1, 60))
         }
         EndpointBehavior::Failing => {
-            PlannedOutcome::new(AttemptOutcome::ConnectionReset, millis(random, 1, 400))
+            PlannedOutcome::new(AttemptOutcome::ConnectionReset, draw_millis(random, 1, 400))
         }
         EndpointBehavior::Silent => PlannedOutcome::new(AttemptOutcome::TimedOut, response_within),
         EndpointBehavior::Unreachable => {
-            PlannedOutcome::new(AttemptOutcome::NoConnection, millis(random, 0, 1_000))
+            PlannedOutcome::new(AttemptOutcome::NoConnection, draw_millis(random, 0, 1_000))
         }
         EndpointBehavior::Erratic => {
-            let outcome = any_outcome(random, time_step);
-            PlannedOutcome::new(outcome, millis(random, 0, 500))
+            let outcome = draw_any_outcome(random, time_granularity);
+            PlannedOutcome::new(outcome, draw_millis(random, 0, 500))
         }
     }
 }
 
-/// Mostly completed.
-fn usual_outcome(random: &mut Pcg32, time_step: Duration) -> AttemptOutcome {
+/// Draws an outcome of a healthy endpoint, usually a completed attempt.
+fn draw_healthy_outcome(random: &mut Pcg32, time_granularity: Duration) -> AttemptOutcome {
     match random.random_range(0..100_u32) {
         0..=2 => AttemptOutcome::Error,
         3 => AttemptOutcome::Malformed,
         4 => AttemptOutcome::NotSent,
         5..=6 => AttemptOutcome::Rejected {
-            retry_after: random.random_bool(0.5).then(|| draw_retry_after(random, time_step)),
+            retry_after: random.random_bool(0.5).then(|| draw_retry_after(random, time_granularity)),
         },
         _ => AttemptOutcome::Completed,
     }
 }
 
-/// Any outcome but a cancellation, which the policy asks for itself.
-fn any_outcome(random: &mut Pcg32, time_step: Duration) -> AttemptOutcome {
+/// Draws any outcome but a cancellation, which only the policy causes.
+fn draw_any_outcome(random: &mut Pcg32, time_granularity: Duration) -> AttemptOutcome {
     match random.random_range(0..10_u32) {
         0..=1 => AttemptOutcome::Completed,
         2 => AttemptOutcome::Error,
         3 => AttemptOutcome::Rejected { retry_after: None },
-        4 => AttemptOutcome::Rejected { retry_after: Some(draw_retry_after(random, time_step)) },
+        4 => AttemptOutcome::Rejected { retry_after: Some(draw_retry_after(random, time_granularity)) },
         5 => AttemptOutcome::TimedOut,
         6 => AttemptOutcome::NoConnection,
         7 => AttemptOutcome::ConnectionReset,
@@ -249,13 +246,13 @@
     }
 }
 
-/// Draws a Retry-After, from none to one past most deadlines.
-pub fn draw_retry_after(random: &mut Pcg32, time_step: Duration) -> Duration {
+/// Draws a Retry-After from zero to longer than most deadlines.
+pub fn draw_retry_after(random: &mut Pcg32, time_granularity: Duration) -> Duration {
     let drawn = match random.random_range(0..10_u32) {
         0 => Duration::ZERO,
-        1..=4 => millis(random, 10, 900),
-        5..=8 => millis(random, 1_000, 5_000),
-        _ => millis(random, 20_000, 60_000),
+        1..=4 => draw_millis(random, 10, 900),
+        5..=8 => draw_millis(random, 1_000, 5_000),
+        _ => draw_millis(random, 20_000, 60_000),
     };
-    rounded_up(drawn, time_step)
+    round_up(drawn, time_granularity)
 }
--- a/crates/recorder/src/streams/list_transfer.rs
+++ b/crates/recorder/src/streams/list_transfer.rs
@@ -1,4 +1,5 @@
-//! How discovery passes endpoint lists: whole ones and changes, at once or in pieces, and some only in part.
+//! Passes endpoint lists to the policy: complete lists and changes, at once or in pieces; some lists break
+//! off.
 
 use std::collections::VecDeque;
 
@@ -8,17 +9,17 @@
 use super::endpoint_set::ListEntry;
 use super::transferred_list::{ListEnd, ListScope, ListTransfer};
 
-/// Entries that are passed in one step at most, where a list is passed in pieces.
-const MAX_ENTRIES_PER_STEP: usize = 40;
+/// Upper bound, exclusive, of the entries in one piece of a list.
+const PIECE_SIZE_BOUND: usize = 40;
 
 impl StreamDriver {
     /// Passes the next piece of a list, or begins a list if one is due or drawn.
-    pub(super) fn continue_list(&mut self) {
+    pub(super) fn continue_endpoint_list(&mut self) {
         if self.transfer.is_some() {
-            self.transfer_some();
+            self.transfer_piece();
             return;
         }
-        if self.list_due.take_if(|at| *at <= self.now).is_some() {
+        if self.list_due_at.take_if(|at| *at <= self.now).is_some() {
             if self.one_in(3) {
                 self.policy.discovery_failed(self.now);
             } else {
@@ -26,10 +27,10 @@
             }
             return;
         }
-        match self.below(100) {
+        match self.draw_below(100) {
             0..=4 => self.begin_list(ListScope::Changes, ListEnd::Finished),
             5 => self.begin_list(ListScope::Complete, ListEnd::Finished),
-            6 => self.lose_most_endpoints(),
+            6 => self.remove_most_endpoints(),
             7..=8 => {
                 let scope = if self.one_in(2) { ListScope::Complete } else { ListScope::Changes };
                 self.begin_list(scope, ListEnd::Aborted);
@@ -39,17 +40,17 @@
         }
     }
 
-    /// A complete list misses most endpoints; the next one has others in their place.
-    fn lose_most_endpoints(&mut self) {
-        self.endpoints.drop_most(&mut self.random);
+    /// Passes a complete list without most endpoints; the next list contains new endpoints in their place.
+    fn remove_most_endpoints(&mut self) {
+        self.endpoints.remove_most(&mut self.random);
         self.begin_list(ListScope::Complete, ListEnd::Finished);
-        let added = self.below(self.setup.size.endpoints as usize + 1);
+        let added = self.draw_below(self.setup.size.endpoints as usize + 1);
         for _ in 0..added {
             self.endpoints.add(&self.setup, &mut self.random);
         }
     }
 
-    /// Begins a list, and mostly passes all of it at once.
+    /// Begins a list, and usually passes all of it at once. A list in transfer is aborted.
     pub(super) fn begin_list(&mut self, scope: ListScope, end: ListEnd) {
         if self.transfer.take().is_some() {
             self.abort_list();
@@ -59,29 +60,29 @@
             ListScope::Changes => self.draw_changes(),
         };
         if end == ListEnd::Aborted {
-            let passed = self.below(entries.len());
-            entries.truncate(passed);
+            let count = self.draw_below(entries.len());
+            entries.truncate(count);
         }
-        let whole = scope == ListScope::Complete;
-        self.model.begin_endpoint_list(whole);
-        self.policy.begin_endpoint_list(whole);
+        let complete = scope == ListScope::Complete;
+        self.model.begin_endpoint_list(complete);
+        self.policy.begin_endpoint_list(complete);
         self.transfer = Some(ListTransfer { remaining: entries, end });
         if !self.one_in(4) {
             self.transfer_rest();
         }
     }
 
-    /// Changes some endpoints, and gives their entries.
+    /// Changes some endpoints, and returns their entries.
     fn draw_changes(&mut self) -> VecDeque<ListEntry> {
-        let count = 1 + self.below(4);
+        let count = 1 + self.draw_below(4);
         let changed: Vec<EndpointId> =
-            (0..count).map(|_| self.endpoints.change(&self.setup, &mut self.random)).collect();
+            (0..count).map(|_| self.endpoints.change_entry(&self.setup, &mut self.random)).collect();
         changed.iter().map(|id| self.endpoints.entries[id].clone()).collect()
     }
 
-    /// Passes one piece of the list, and its end if that was the last one.
-    fn transfer_some(&mut self) {
-        let count = self.below(MAX_ENTRIES_PER_STEP);
+    /// Passes one piece of the list, and ends the list if no entries remain.
+    fn transfer_piece(&mut self) {
+        let count = self.draw_below(PIECE_SIZE_BOUND);
         self.transfer_entries(count);
         if self.transfer.as_ref().is_some_and(|transfer| transfer.remaining.is_empty()) {
             self.end_list();
--- a/crates/recorder/src/streams/messages.rs
+++ b/crates/recorder/src/streams/messages.rs
@@ -1,4 +1,4 @@
-//! Draws the messages of a stream, and the attempts that some of them had before a restart.
+//! Draws the messages of a stream, and attempts from before a restart.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,43 +7,44 @@
 use reeddock::{DestinationId, EndpointId, MessageId, OrderingKey, PreviousAttempt};
 
 use super::driver::StreamDriver;
-use super::setup::{millis, MAX_ORDERING_KEYS};
+use super::setup::{draw_millis, MAX_ORDERING_KEYS};
 use crate::recorded_policy::Submission;
 
-/// Added to some deadlines: the policy finishes messages this long before one, so that it then coincides with others.
+/// Offset added to some deadlines. The policy finishes messages this long before their deadline, so that the
+/// final answer then coincides with other times of the stream.
 const DEADLINE_OFFSET: Duration = Duration::from_millis(10);
 
 impl StreamDriver {
-    /// Mostly the first destination, or any; seldom one that no list names.
-    pub(super) fn any_destination(&mut self) -> DestinationId {
-        let all = self.setup.size.destinations as usize;
-        let number = match self.below(20) {
-            0 => all + self.below(2),
+    /// Draws a destination: most often the first one, rarely one that the endpoint list doesn't contain.
+    pub(super) fn draw_destination(&mut self) -> DestinationId {
+        let count = self.setup.size.destinations as usize;
+        let number = match self.draw_below(20) {
+            0 => count + self.draw_below(2),
             1..=8 => 0,
-            _ => self.below(all),
+            _ => self.draw_below(count),
         };
         DestinationId(number as u64 + 1)
     }
 
-    /// Draws a message that is submitted now.
+    /// Draws a message to submit at the current time.
     pub(super) fn draw_message(&mut self, destination: DestinationId) -> Submission {
         self.submitted += 1;
-        let number = self.below(self.setup.classes.len());
-        let class = &self.setup.classes[number];
+        let index = self.draw_below(self.setup.classes.len());
+        let class = &self.setup.classes[index];
         let (name, deadline, ordered) = (class.name.clone(), class.deadline, class.ordered);
-        let unknown_class = self.setup.unknown_names && self.one_in(20);
-        // A client that submits a message again keeps the deadline of its first submission.
+        let unknown_class = self.setup.uses_unknown_classes && self.one_in(20);
+        // Clients that submit a message again keep the deadline of the first submission.
         let elapsed = if self.one_in(5) {
             deadline.mul_f64(self.random.random_range(0.0..1.0))
         } else {
             Duration::ZERO
         };
         let offset = if self.one_in(4) { DEADLINE_OFFSET } else { Duration::ZERO };
-        let tenant = self.below(self.setup.tenants.len() + 1);
+        let tenant_index = self.draw_below(self.setup.tenants.len() + 1);
         Submission {
             id: MessageId(Arc::from(format!("e{:06}", self.submitted))),
             class: if unknown_class { "unknown".to_owned() } else { name },
-            tenant: self.setup.tenants.get(tenant).cloned(),
+            tenant: self.setup.tenants.get(tenant_index).cloned(),
             ordering_key: (ordered || self.one_in(10))
                 .then(|| OrderingKey(self.random.random_range(0..MAX_ORDERING_KEYS))),
             deadline: self.now + (deadline - elapsed) + offset,
@@ -52,14 +53,14 @@
     }
 
     /// Draws the attempts that a message had before a restart.
-    pub(super) fn previous_attempts(&mut self) -> Vec<PreviousAttempt> {
-        let count = self.below(4);
+    pub(super) fn draw_previous_attempts(&mut self) -> Vec<PreviousAttempt> {
+        let count = self.draw_below(4);
         let mut previous = Vec::new();
         for _ in 0..count {
-            let ago = millis(&mut self.random, 0, 6_000);
+            let age = draw_millis(&mut self.random, 0, 6_000);
             previous.push(PreviousAttempt {
-                endpoint: self.endpoints.any(&mut self.random).unwrap_or(EndpointId(0)),
-                started_at: self.now.saturating_sub(ago),
+                endpoint: self.endpoints.draw_endpoint(&mut self.random).unwrap_or(EndpointId(0)),
+                started_at: self.now.saturating_sub(age),
                 proves_not_executed: self.one_in(2),
             });
         }
--- a/crates/recorder/src/streams/mod.rs
+++ b/crates/recorder/src/streams/mod.rs
@@ -1,11 +1,14 @@
-//! Random event streams straight at the delivery policy. A stream depends on its seed and on the policy's commands,
-//! and on nothing else, so that the same policy gives the same recording.
+//! Runs the delivery policy on random event streams. A stream depends only on its seed and on the policy's
+//! commands, so that the same policy always produces the same recording.
 //!
 //! - `setup` draws the settings of a stream;
-//! - `endpoint_set` has the endpoints as discovery lists them, and how each of them responds;
-//! - `messages` draws messages, and the attempts that some had before a restart;
-//! - `driver` plays the steps: it is the host of the delivery policy, and the clients, destinations and discovery
-//!   around it; `list_transfer` is its part that passes endpoint lists, `transferred_list` what it passes;
+//! - `endpoint_set` holds the endpoints that discovery lists, and draws their responses;
+//! - `messages` draws messages, and attempts from before a restart;
+//! - `driver` runs the steps; it simulates the host of the delivery policy, clients, destinations and
+//!   discovery;
+//! - `command_log` keeps the policy's commands until the driver executes them;
+//! - `list_transfer` passes endpoint lists to the policy; `transferred_list` holds a list that is being
+//!   passed;
 //! - `rule_model` checks the policy's commands against its rules.
 
 mod command_log;
@@ -23,14 +26,15 @@
 
 pub use rule_model::Violation;
 
-/// Plays the stream of a seed and records it under that seed's number.
+/// Runs the stream of a seed and records it; the seed takes the place of the forwarder number in the
+/// recording.
 pub fn record(seed: u64, recording: &Recording) {
-    driver::StreamDriver::open(seed, recording.writer(seed)).play(usize::MAX);
+    driver::StreamDriver::new(seed, recording.writer(seed)).run(usize::MAX);
 }
 
-/// Plays at most `max_steps` of the stream of a seed, and gives the rules that the delivery policy broke in them. A
-/// failure of a long stream is looked for in shorter ones of the same seed.
+/// Runs at most `max_steps` of the stream of a seed, and returns the rule violations of the delivery policy.
+/// A smaller `max_steps` runs a prefix of the same stream, which allows a failure to be shrunk.
 pub fn find_violations(seed: u64, max_steps: usize) -> Vec<Violation> {
     let recording = Recording::new(Box::new(io::sink()), RecordingFormat::Full);
-    driver::StreamDriver::open(seed, recording.writer(seed)).play(max_steps)
+    driver::StreamDriver::new(seed, recording.writer(seed)).run(max_steps)
 }
--- a/crates/recorder/src/streams/rule_model/mod.rs
+++ b/crates/recorder/src/streams/rule_model/mod.rs
@@ -1,6 +1,6 @@
-//! A slow model of what the delivery policy owes its host and the destinations. It shares no code with the policy: it
-//! sees the calls and commands of the public interface, walks all that it has kept of them, and names each rule that
-//! was broken.
+//! Simple model of the rules that the delivery policy must keep towards its host and the destinations. The
+//! model shares no code with the policy; the calls and commands of the public interface are all that the
+//! model observes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,7 +10,7 @@
     FinishedAttempt, MessageId, PreviousAttempt, RequestId,
 };
 
-use self::records::{AttemptSent, HoldOff, KnownEndpoint, PendingMessage, PossibleExecution};
+use self::records::{HoldOff, KnownEndpoint, PendingMessage, PossibleExecution, SentAttempt};
 use crate::recorded_policy::Submission;
 
 mod checks;
@@ -18,26 +18,25 @@
 
 pub use self::records::{ClassRules, Rules};
 
-/// The policy sets no timer that fires sooner than this.
-const MIN_TIMER: Duration = Duration::from_millis(1);
+/// Minimum duration of the timers that the policy sets.
+const MIN_TIMER_DURATION: Duration = Duration::from_millis(1);
 
-/// A rule that was broken, and where.
+/// A rule that the delivery policy broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When it was broken, since the start of the stream.
+    /// Time on the clock of the stream, as passed to the policy.
     pub at: Duration,
-    /// How it was broken, and by which message.
-    pub what: String,
+    /// Which rule was broken, and the message or endpoint concerned.
+    pub description: String,
 }
 
-/// The model of one stream.
 pub struct RuleModel {
     rules: Rules,
     pending: BTreeMap<MessageId, PendingMessage>,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
-    /// Endpoints that a whole list has named so far, while one is passed.
-    named: Option<BTreeSet<EndpointId>>,
-    /// By ordering key.
+    /// Endpoints that the current complete list has named so far; `None` if no complete list is being passed.
+    listed: Option<BTreeSet<EndpointId>>,
+    /// Hold-offs by ordering key.
     hold_offs: BTreeMap<u64, HoldOff>,
     shutdown_deadline: Option<Duration>,
     submitted: u64,
@@ -46,13 +45,12 @@
 }
 
 impl RuleModel {
-    /// A model before the first call.
     pub fn new(rules: Rules, now: Duration) -> RuleModel {
         RuleModel {
             rules,
             pending: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            named: None,
+            listed: None,
             hold_offs: BTreeMap::new(),
             shutdown_deadline: None,
             submitted: 0,
@@ -61,49 +59,49 @@
         }
     }
 
-    fn add_violation(&mut self, what: String) {
-        self.violations.push(Violation { at: self.now, what });
+    fn add_violation(&mut self, description: String) {
+        self.violations.push(Violation { at: self.now, description });
     }
 
-    /// Adds a violation where a rule does not hold.
-    fn check(&mut self, holds: bool, what: impl FnOnce() -> String) {
+    /// Adds a violation if the rule doesn't hold.
+    fn check(&mut self, holds: bool, description: impl FnOnce() -> String) {
         if !holds {
-            self.add_violation(what());
+            self.add_violation(description());
         }
     }
 
-    // # Calls into the policy.
+    // Calls into the policy
 
-    /// The time of all calls and commands until the next call of this method.
+    /// Sets the time of all following calls and commands.
     pub fn set_time(&mut self, now: Duration) {
         self.now = now;
     }
 
-    /// A list begins: the whole one, or changes of it.
-    pub fn begin_endpoint_list(&mut self, whole: bool) {
-        self.named = whole.then(BTreeSet::new);
+    /// Begins an endpoint list, which is complete or only contains changes.
+    pub fn begin_endpoint_list(&mut self, complete: bool) {
+        self.listed = complete.then(BTreeSet::new);
     }
 
-    /// One entry of the list.
+    /// Applies one entry of the endpoint list.
     pub fn endpoint_updated(&mut self, update: &EndpointUpdate) {
         let EndpointUpdate { endpoint, destination, state, kind, zone, .. } = *update;
-        if let Some(named) = &mut self.named {
-            named.insert(endpoint);
+        if let Some(listed) = &mut self.listed {
+            listed.insert(endpoint);
         }
         let known = self.endpoints.entry(endpoint).or_insert_with(|| KnownEndpoint {
             destination,
             kind: kind.to_owned(),
             zone: zone.to_owned(),
             state,
-            moves: 0,
-            attempted: false,
-            retry_after: Duration::ZERO,
+            reassignments: 0,
+            has_received_attempt: false,
+            retry_after_until: Duration::ZERO,
         });
-        // The policy may have dropped one that was removed, and its Retry-After with it.
+        // The policy may no longer keep the Retry-After of an endpoint that was removed.
         if known.destination != destination || known.kind != kind || known.state == EndpointState::Removed {
-            known.moves += 1;
-            known.attempted = false;
-            known.retry_after = Duration::ZERO;
+            known.reassignments += 1;
+            known.has_received_attempt = false;
+            known.retry_after_until = Duration::ZERO;
         }
         known.destination = destination;
         kind.clone_into(&mut known.kind);
@@ -111,27 +109,27 @@
         known.state = state;
     }
 
-    /// The list is complete: endpoints that a whole one did not name are removed.
+    /// Ends the list; endpoints that a complete list didn't name are removed.
     pub fn finish_endpoint_list(&mut self) {
-        let Some(named) = self.named.take() else { return };
-        for (_, known) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
+        let Some(listed) = self.listed.take() else { return };
+        for (_, known) in self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id)) {
             known.state = EndpointState::Removed;
         }
     }
 
-    /// The list was lost before its end: nothing is removed.
+    /// Discards a list that broke off; no endpoint is removed.
     pub fn abort_endpoint_list(&mut self) {
-        self.named = None;
+        self.listed = None;
     }
 
-    /// A message was submitted.
+    /// Adds a submitted message.
     pub fn submit(&mut self, message: &Submission) {
         self.submitted += 1;
         let class = self.rules.classes.get(&message.class).copied().unwrap_or(ClassRules::UNKNOWN);
         let pending = PendingMessage {
             number: self.submitted,
             idempotency: class.idempotency,
-            key: message.ordering_key.map(|key| key.0).filter(|_| class.ordered),
+            ordering_key: message.ordering_key.map(|key| key.0).filter(|_| class.ordered),
             destination: message.destination,
             deadline: message.deadline,
             attempts: 0,
@@ -142,7 +140,7 @@
         self.pending.insert(message.id.clone(), pending);
     }
 
-    /// A message had these attempts before a restart.
+    /// Restores the attempts that a message had before a restart.
     pub fn restore(&mut self, id: &MessageId, previous: &[PreviousAttempt]) {
         let until = self.now + self.rules.ordering_hold_off;
         let Some(pending) = self.pending.get_mut(id) else { return };
@@ -153,59 +151,61 @@
             first_started_at: attempt.started_at,
             endpoint: attempt.endpoint,
         });
-        if let Some(key) = pending.key.filter(|_| pending.possibly_executed.is_some()) {
-            self.hold_offs.insert(key, HoldOff { until, holder: pending.number });
+        if let Some(key) = pending.ordering_key.filter(|_| pending.possibly_executed.is_some()) {
+            self.hold_offs.insert(key, HoldOff { until, message_number: pending.number });
         }
     }
 
-    /// An attempt has ended.
-    pub fn attempt_finished(&mut self, ended: &FinishedAttempt) {
-        let FinishedAttempt { message: id, number, outcome, message_finished } = *ended;
+    /// Records the outcome of an attempt.
+    pub fn attempt_finished(&mut self, finished: &FinishedAttempt) {
+        let FinishedAttempt { message: id, number, outcome, message_finished } = *finished;
         let until = self.now + self.rules.ordering_hold_off;
         let Some(pending) = self.pending.get_mut(id) else { return };
         let Some(sent) = pending.in_flight.remove(&number) else { return };
         pending.finished |= message_finished;
         if !outcome.proves_not_executed() {
-            let first =
-                pending.possibly_executed.map_or(sent.at, |known| known.first_started_at.min(sent.at));
-            let executed = PossibleExecution { first_started_at: first, endpoint: sent.endpoint };
+            let first_started_at = pending
+                .possibly_executed
+                .map_or(sent.started_at, |known| known.first_started_at.min(sent.started_at));
+            let executed = PossibleExecution { first_started_at, endpoint: sent.endpoint };
             pending.possibly_executed = Some(executed);
         }
         let may_still_run = matches!(
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         );
-        if let Some(key) = pending.key.filter(|_| may_still_run) {
-            self.hold_offs.insert(key, HoldOff { until, holder: pending.number });
+        if let Some(key) = pending.ordering_key.filter(|_| may_still_run) {
+            self.hold_offs.insert(key, HoldOff { until, message_number: pending.number });
         }
         self.remove_if_done(id);
         let Some(endpoint) = self.endpoints.get_mut(&sent.endpoint) else { return };
-        if let AttemptOutcome::Rejected { retry_after: Some(wait) } = outcome {
-            // It holds for the endpoint as it was when the attempt was sent, and not for one that has moved since.
-            if sent.moves == endpoint.moves {
-                endpoint.extend_retry_after(self.now + wait);
+        if let AttemptOutcome::Rejected { retry_after: Some(retry_after) } = outcome {
+            // The Retry-After doesn't apply to an endpoint that was reassigned after the start of the
+            // attempt.
+            if sent.endpoint_reassignments == endpoint.reassignments {
+                endpoint.extend_retry_after(self.now + retry_after);
             }
         }
     }
 
-    /// A response that rejected nothing carried a Retry-After.
-    pub fn retry_after_received(&mut self, endpoint: EndpointId, wait: Duration) {
+    /// Records a Retry-After of a response that rejected no message.
+    pub fn retry_after_received(&mut self, endpoint: EndpointId, retry_after: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(&endpoint) {
-            endpoint.extend_retry_after(self.now + wait);
+            endpoint.extend_retry_after(self.now + retry_after);
         }
     }
 
-    /// A client withdrew a message.
+    /// Finishes a message that its client withdrew.
     pub fn withdraw(&mut self, id: &MessageId) {
         self.finish(id);
     }
 
-    /// The host will stop at this time.
+    /// Sets the time at which the host stops.
     pub fn begin_shutdown(&mut self, deadline: Duration) {
         self.shutdown_deadline = Some(deadline);
     }
 
-    /// A message needs nothing more of the policy.
+    /// Marks a message as finished.
     fn finish(&mut self, id: &MessageId) {
         if let Some(pending) = self.pending.get_mut(id) {
             pending.finished = true;
@@ -213,72 +213,78 @@
         self.remove_if_done(id);
     }
 
-    /// Drops a message that is finished and has no attempt in flight.
+    /// Removes a message that is finished and has no attempt in flight.
     fn remove_if_done(&mut self, id: &MessageId) {
         if self.pending.get(id).is_some_and(|message| message.finished && message.in_flight.is_empty()) {
             self.pending.remove(id);
         }
     }
 
-    // # Commands of the policy.
+    // Commands of the policy
 
-    /// The policy starts an attempt.
+    /// Checks and records an attempt that the policy starts.
     pub fn attempt_started(&mut self, id: &MessageId, endpoint: EndpointId, timeouts: AttemptTimeouts) {
-        let mut broken = self.rules_broken_by_attempt(id, endpoint, timeouts);
+        let mut violations = self.violations_by_attempt(id, endpoint, timeouts);
         let Some(pending) = self.pending.get_mut(id) else { return };
         let known = self.endpoints.get_mut(&endpoint);
-        let moves = known.map_or(0, |known| {
-            known.attempted = true;
-            known.moves
+        let endpoint_reassignments = known.map_or(0, |known| {
+            known.has_received_attempt = true;
+            known.reassignments
         });
         let number = AttemptNumber(pending.attempts as u32);
         pending.attempts += 1;
-        let sent = AttemptSent { endpoint, moves, at: self.now, request: timeouts.request };
+        let sent =
+            SentAttempt { endpoint, endpoint_reassignments, started_at: self.now, request: timeouts.request };
         pending.in_flight.insert(number, sent);
         if self.requests_in_flight() > self.rules.max_in_flight {
-            broken.push("more requests in flight than allowed");
+            violations.push("more requests are in flight than allowed");
         }
-        for what in broken {
-            self.add_violation(format!("message {} to endpoint {}: {what}", id.0, endpoint.0));
+        for violation in violations {
+            self.add_violation(format!(
+                "attempt of message {} at endpoint {}: {violation}",
+                id.0, endpoint.0
+            ));
         }
     }
 
-    /// Number of requests that carry the attempts in flight.
+    /// Returns the number of requests that carry the attempts in flight.
     fn requests_in_flight(&self) -> u64 {
         let attempts = self.pending.values().flat_map(|message| message.in_flight.values());
         let requests: BTreeSet<RequestId> = attempts.map(|attempt| attempt.request).collect();
         requests.len() as u64
     }
 
-    /// The policy cancels an attempt.
-    pub fn cancelled(&mut self, id: &MessageId, number: AttemptNumber) {
+    /// Checks that a cancelled attempt is in flight.
+    pub fn attempt_cancelled(&mut self, id: &MessageId, number: AttemptNumber) {
         let in_flight = self.pending.get(id).is_some_and(|message| message.in_flight.contains_key(&number));
         self.check(in_flight, || {
-            format!("message {}: attempt {} cancelled, and was not in flight", id.0, number.0)
+            format!("message {}: attempt {} was cancelled but is not in flight", id.0, number.0)
         });
     }
 
-    /// The policy rejects a message.
-    pub fn rejected(&mut self, id: &MessageId) {
-        let harmless = self.pending.get(id).is_some_and(|message| message.may_be_rejected(self.now));
-        self.check(harmless, || format!("message {}: rejected, and submitting it again may do harm", id.0));
-        self.answered(id);
+    /// Checks that the client can safely submit a rejected message again.
+    pub fn message_rejected(&mut self, id: &MessageId) {
+        let is_safe_to_reject = self.pending.get(id).is_some_and(|message| message.may_be_rejected(self.now));
+        self.check(is_safe_to_reject, || {
+            format!("message {}: rejected although submitting it again is not safe", id.0)
+        });
+        self.final_answer_given(id);
     }
 
-    /// The policy fails a message.
-    pub fn failed(&mut self, id: &MessageId) {
-        self.answered(id);
+    /// Records that the policy failed a message.
+    pub fn message_failed(&mut self, id: &MessageId) {
+        self.final_answer_given(id);
     }
 
-    /// A message gets its final answer, which must be the only one.
-    fn answered(&mut self, id: &MessageId) {
+    /// Checks that a final answer is the only one of its message, and finishes the message.
+    fn final_answer_given(&mut self, id: &MessageId) {
         let is_pending = self.pending.get(id).is_some_and(|message| !message.finished);
-        self.check(is_pending, || format!("message {}: answered, and was not pending", id.0));
+        self.check(is_pending, || format!("message {}: got a final answer but is not pending", id.0));
         self.finish(id);
     }
 
-    /// The policy has run its due work; these timers are to come.
-    pub fn work_done(&mut self, timers: &BTreeSet<Duration>) {
+    /// Checks the rules that hold after each run of due work, with the times of the timers that are set.
+    pub fn due_work_finished(&mut self, timers: &BTreeSet<Duration>) {
         let now = self.now;
         let unfinished = self.pending.values().filter(|message| !message.finished).count() as u64;
         let deadlines: Vec<Duration> = (self.pending.values())
@@ -288,13 +294,16 @@
         let expired = deadlines.iter().filter(|deadline| now >= **deadline).count();
         let first_deadline = deadlines.iter().min().copied();
         let first_timer = timers.first().copied();
-        let is_timer_set = first_deadline
-            .is_none_or(|deadline| first_timer.is_some_and(|timer| timer <= deadline.max(now) + MIN_TIMER));
-        let fits = unfinished < self.rules.capacity.max(2) || deadlines.is_empty();
-        self.check(expired == 0, || format!("{expired} messages queued past their deadline"));
+        let is_timer_set = first_deadline.is_none_or(|deadline| {
+            first_timer.is_some_and(|timer| timer <= deadline.max(now) + MIN_TIMER_DURATION)
+        });
+        let is_within_capacity = unfinished < self.rules.capacity.max(2) || deadlines.is_empty();
+        self.check(expired == 0, || format!("{expired} messages are queued past their deadline"));
         self.check(is_timer_set, || {
-            format!("first timer {first_timer:?}, first deadline of a queued message {first_deadline:?}")
+            format!("first timer {first_timer:?}, expected by first queued deadline {first_deadline:?}")
+        });
+        self.check(is_within_capacity, || {
+            format!("{unfinished} messages are pending, expected fewer than the capacity")
         });
-        self.check(fits, || format!("{unfinished} messages pending, over the capacity"));
     }
 }
--- a/crates/recorder/src/streams/rule_model/records.rs
+++ b/crates/recorder/src/streams/rule_model/records.rs
@@ -1,4 +1,4 @@
-//! What the model keeps of settings, messages, attempts and endpoints.
+//! State that the model keeps of settings, messages, attempts and endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,23 +7,23 @@
     AttemptNumber, DestinationId, EndpointId, EndpointState, Idempotency, IdempotencyKeyScope, RequestId,
 };
 
-/// What the rules need to know of a message class.
+/// Properties of a message class that the rules depend on.
 #[derive(Clone, Copy)]
 pub struct ClassRules {
     pub idempotency: Idempotency,
-    /// Messages of one ordering key go one after the other.
+    /// Whether messages with the same ordering key are delivered one after another.
     pub ordered: bool,
 }
 
 impl ClassRules {
-    /// The rules of a class that the settings do not have: those that allow least.
+    /// Properties of classes that the settings don't contain: the most restrictive ones.
     pub(super) const UNKNOWN: ClassRules =
         ClassRules { idempotency: Idempotency::NonIdempotent, ordered: false };
 }
 
-/// What the settings promise, in the form that rules need.
+/// Limits and classes from the settings that the rules depend on.
 pub struct Rules {
-    /// By the name of the class.
+    /// Rules by class name.
     pub classes: BTreeMap<String, ClassRules>,
     pub max_in_flight: u64,
     pub capacity: u64,
@@ -31,37 +31,37 @@
     pub ordering_hold_off: Duration,
 }
 
-/// An attempt that has no outcome yet.
-pub(super) struct AttemptSent {
+/// An attempt without an outcome.
+pub(super) struct SentAttempt {
     pub(super) endpoint: EndpointId,
-    /// [`KnownEndpoint::moves`] when it was sent.
-    pub(super) moves: u64,
-    pub(super) at: Duration,
+    /// [`KnownEndpoint::reassignments`] at the start of the attempt.
+    pub(super) endpoint_reassignments: u64,
+    pub(super) started_at: Duration,
     pub(super) request: RequestId,
 }
 
-/// The attempts of a message that may have been executed.
+/// Summary of a message's attempts that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
-    /// Start of the first of them.
+    /// Start of the first such attempt.
     pub(super) first_started_at: Duration,
-    /// Endpoint of the last one that was reported.
+    /// Endpoint of the most recently reported such attempt.
     pub(super) endpoint: EndpointId,
 }
 
-/// A message that has no final answer yet, or still has an attempt in flight.
+/// A message without a final answer or with an attempt in flight.
 pub(super) struct PendingMessage {
-    /// Messages are numbered in the order of their submission.
+    /// Number of the message in the order of submission, starting at 1.
     pub(super) number: u64,
     pub(super) idempotency: Idempotency,
-    /// Its ordering key, where its class is ordered.
-    pub(super) key: Option<u64>,
+    /// Ordering key of the message; `None` if its class isn't ordered.
+    pub(super) ordering_key: Option<u64>,
     pub(super) destination: DestinationId,
     pub(super) deadline: Duration,
     pub(super) attempts: u64,
-    pub(super) in_flight: BTreeMap<AttemptNumber, AttemptSent>,
+    pub(super) in_flight: BTreeMap<AttemptNumber, SentAttempt>,
     pub(super) possibly_executed: Option<PossibleExecution>,
-    /// It has its final answer.
+    /// Whether the message has its final answer.
     pub(super) finished: bool,
 }
 
@@ -70,7 +70,8 @@
         !self.finished && self.in_flight.is_empty()
     }
 
-    /// Until when a destination recognizes a repeat by its idempotency key, if it needs to.
+    /// Returns the end of the window in which destinations recognize the idempotency key; `None` if the class
+    /// has no such key or no attempt may have been executed.
     pub(super) fn key_valid_until(&self) -> Option<Duration> {
         match (self.idempotency, self.possibly_executed) {
             (Idempotency::WithKey { window, .. }, Some(executed)) => Some(executed.first_started_at + window),
@@ -78,10 +79,10 @@
         }
     }
 
-    /// Whether its client may submit it again without harm.
+    /// Returns whether the client can submit the message again without the risk of a second execution.
     pub(super) fn may_be_rejected(&self, now: Duration) -> bool {
         let not_executed = self.possibly_executed.is_none() && self.in_flight.is_empty();
-        let repeatable = match self.idempotency {
+        let is_safe_to_repeat = match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithKey { scope, .. } => {
                 scope == IdempotencyKeyScope::Region
@@ -89,36 +90,37 @@
             }
             Idempotency::NonIdempotent => false,
         };
-        (not_executed || repeatable) && now < self.deadline
+        (not_executed || is_safe_to_repeat) && now < self.deadline
     }
 }
 
-/// What the endpoint list says of an endpoint, and what the policy has learned from its responses.
+/// The entry of an endpoint in the endpoint list, and its Retry-After.
 pub(super) struct KnownEndpoint {
     pub(super) destination: DestinationId,
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) state: EndpointState,
-    /// How often it has moved to another destination or kind, or was removed and listed again.
-    pub(super) moves: u64,
-    /// An attempt was sent to it since its last move.
-    pub(super) attempted: bool,
-    /// End of its Retry-After.
-    pub(super) retry_after: Duration,
+    /// Number of times that the endpoint changed its destination or kind, or was listed again after a
+    /// removal.
+    pub(super) reassignments: u64,
+    /// Whether the endpoint has received an attempt since the last reassignment.
+    pub(super) has_received_attempt: bool,
+    /// End of the endpoint's Retry-After.
+    pub(super) retry_after_until: Duration,
 }
 
 impl KnownEndpoint {
-    /// A Retry-After holds for an endpoint that was sent an attempt since it moved last.
+    /// Extends the Retry-After. Endpoints without an attempt since their last reassignment are unaffected.
     pub(super) fn extend_retry_after(&mut self, until: Duration) {
-        if self.attempted {
-            self.retry_after = self.retry_after.max(until);
+        if self.has_received_attempt {
+            self.retry_after_until = self.retry_after_until.max(until);
         }
     }
 }
 
-/// An ordering key that is held after an attempt that may still be running.
+/// Hold-off of an ordering key after an attempt that the destination may still be executing.
 pub(super) struct HoldOff {
     pub(super) until: Duration,
-    /// Number of the message of that attempt; its own retries pass.
-    pub(super) holder: u64,
+    /// Number of the message of that attempt, whose retries the hold-off doesn't affect.
+    pub(super) message_number: u64,
 }
--- a/crates/recorder/src/streams/setup.rs
+++ b/crates/recorder/src/streams/setup.rs
@@ -1,4 +1,4 @@
-//! Draws the settings of a stream, its size, and the spans of time that it is played with.
+//! Draws the settings, size and time intervals of a stream.
 
 use std::time::Duration;
 
@@ -12,27 +12,28 @@
 
 use super::rule_model::{ClassRules, Rules};
 
-/// The zones of endpoints; the forwarder is in the first one.
+/// Zones of endpoints; the forwarder is in the first zone.
 pub const ZONES: [&str; 3] = ["north", "south", "west"];
-/// Ordering keys of a stream's messages at most.
+/// Maximum number of different ordering keys in a stream.
 pub const MAX_ORDERING_KEYS: u64 = 4;
 
-/// Coarse steps are as long as many spans that the policy derives from its settings, so that its deadlines coincide.
-const TIME_STEPS: [Duration; 4] = [
+/// Granularities of the times that a stream draws. With a coarse granularity many of the policy's deadlines
+/// coincide.
+const TIME_GRANULARITIES: [Duration; 4] = [
     Duration::from_nanos(1),
     Duration::from_millis(1),
     Duration::from_millis(10),
     Duration::from_millis(250),
 ];
-/// The longest usual time between two steps of a stream.
-const LONGEST_INTERVALS: [Duration; 4] = [
+/// Choices for [`StreamSetup::max_step_interval`].
+const MAX_STEP_INTERVALS: [Duration; 4] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
     Duration::from_millis(100),
     Duration::from_millis(1_500),
 ];
 
-/// A message class as the clients of a stream know it.
+/// A message class as known to the clients of a stream.
 pub struct StreamClass {
     pub name: String,
     pub deadline: Duration,
@@ -40,7 +41,7 @@
     pub idempotency: Idempotency,
 }
 
-/// What a stream is played with, beside the settings of the policy.
+/// Parameters of a stream other than the policy's settings.
 pub struct StreamSetup {
     pub classes: Vec<StreamClass>,
     /// Names of the endpoint kinds in the settings.
@@ -53,59 +54,58 @@
     pub ordering_hold_off: Duration,
     pub responses_carry_load_reports: bool,
     pub size: StreamSize,
-    /// Clients also name classes that the settings do not have.
-    pub unknown_names: bool,
-    /// Spans that the stream draws are multiples of this one: the coarser, the more times coincide.
-    pub time_step: Duration,
-    /// The longest usual time between two steps.
-    pub longest_interval: Duration,
+    /// Whether clients also submit messages of classes that the settings don't contain.
+    pub uses_unknown_classes: bool,
+    /// Durations that the stream draws are rounded up to a multiple of this duration.
+    pub time_granularity: Duration,
+    /// Maximum time between two steps, except for rare long steps and clock jumps.
+    pub max_step_interval: Duration,
 }
 
-/// How large a stream is.
 pub struct StreamSize {
-    /// Times that the policy runs its due work.
+    /// Number of steps; the policy runs its due work once in each step.
     pub steps: usize,
     pub destinations: u64,
-    /// Endpoints at the start, over all destinations.
+    /// Number of endpoints of all destinations at the start.
     pub endpoints: u32,
-    /// Messages of one usual submission at most.
-    pub burst: u32,
+    /// Maximum number of messages submitted in a usual step; bursts are larger.
+    pub max_messages_per_step: u32,
 }
 
-/// A stream's setup, and the settings that the policy starts with.
+/// The setup of a stream, and the settings of its policy.
 pub struct DrawnStream {
     pub setup: StreamSetup,
     pub settings: Settings,
 }
 
-/// A duration between two numbers of milliseconds, both included.
-pub fn millis(random: &mut Pcg32, from: u64, to: u64) -> Duration {
+/// Draws a duration between two numbers of milliseconds, both included.
+pub fn draw_millis(random: &mut Pcg32, from: u64, to: u64) -> Duration {
     Duration::from_millis(random.random_range(from..=to))
 }
 
-/// A duration rounded up to a multiple of a step.
-pub fn rounded_up(duration: Duration, step: Duration) -> Duration {
-    let excess = duration.as_nanos() % step.as_nanos().max(1);
+/// Rounds a duration up to a multiple of `granularity`.
+pub fn round_up(duration: Duration, granularity: Duration) -> Duration {
+    let excess = duration.as_nanos() % granularity.as_nanos().max(1);
     if excess == 0 {
         return duration;
     }
-    // Under a step, so that it fits.
-    duration + (step - Duration::from_nanos(excess as u64))
+    // The excess is less than the granularity and fits in a u64.
+    duration + (granularity - Duration::from_nanos(excess as u64))
 }
 
-/// One of these values.
-fn pick<T: Copy>(random: &mut Pcg32, from: &[T]) -> Option<T> {
-    from.choose(random).copied()
+/// Draws one of the values; returns `None` if there are none.
+fn pick<T: Copy>(random: &mut Pcg32, values: &[T]) -> Option<T> {
+    values.choose(random).copied()
 }
 
-/// A value in half of the cases.
-fn perhaps<T>(random: &mut Pcg32, draw: impl FnOnce(&mut Pcg32) -> T) -> Option<T> {
+/// Draws a value with a probability of one half.
+fn draw_optional<T>(random: &mut Pcg32, draw: impl FnOnce(&mut Pcg32) -> T) -> Option<T> {
     random.random_bool(0.5).then(|| draw(random))
 }
 
-/// The idempotency of a class in the settings.
-fn idempotency(random: &mut Pcg32) -> Option<Idempotency> {
-    let window = millis(random, 200, 8_000);
+/// Draws the idempotency setting of a message class.
+fn draw_idempotency(random: &mut Pcg32) -> Option<Idempotency> {
+    let window = draw_millis(random, 200, 8_000);
     let choices = [
         Some(Idempotency::Idempotent),
         Some(Idempotency::Idempotent),
@@ -114,64 +114,64 @@
         Some(Idempotency::WithKey { window, scope: IdempotencyKeyScope::Zone }),
         None,
     ];
-    let drawn = random.random_range(0..choices.len());
-    // Left out seldom, as the policy then takes the class for non-idempotent.
-    choices[drawn].or_else(|| random.random_bool(0.7).then_some(Idempotency::Idempotent))
+    let index = random.random_range(0..choices.len());
+    // Rarely `None`, because the policy then treats the class as non-idempotent.
+    choices[index].or_else(|| random.random_bool(0.7).then_some(Idempotency::Idempotent))
 }
 
-/// A message class, as clients know it and as the settings have it.
+/// A message class as known to clients, and its settings.
 struct DrawnClass {
     class: StreamClass,
     settings: MessageClass,
 }
 
 impl DrawnClass {
-    fn draw(random: &mut Pcg32, number: usize, time_step: Duration) -> DrawnClass {
-        let deadline = rounded_up(millis(random, 500, 30_000), time_step);
+    fn draw(random: &mut Pcg32, number: usize, time_granularity: Duration) -> DrawnClass {
+        let deadline = round_up(draw_millis(random, 500, 30_000), time_granularity);
         let name = format!("c{number}");
         let ordered = random.random_bool(0.3);
         let settings = MessageClass {
             name: name.clone(),
-            idempotency: idempotency(random),
-            latency_objective: perhaps(random, |random| {
-                rounded_up(deadline.mul_f64(random.random_range(0.05..1.2)), time_step)
+            idempotency: draw_idempotency(random),
+            latency_objective: draw_optional(random, |random| {
+                round_up(deadline.mul_f64(random.random_range(0.05..1.2)), time_granularity)
             }),
             deadline: random.random_bool(0.95).then_some(deadline),
-            priority_weight: perhaps(random, |random| f64::from(random.random_range(0_u32..5)) / 2.0),
-            late_weight: perhaps(random, |random| f64::from(random.random_range(0_u32..10)) / 10.0),
+            priority_weight: draw_optional(random, |random| f64::from(random.random_range(0_u32..5)) / 2.0),
+            late_weight: draw_optional(random, |random| f64::from(random.random_range(0_u32..10)) / 10.0),
             ordered,
         };
-        // A class without this setting is treated as the one that allows least.
+        // The policy treats a class without this setting as non-idempotent.
         let idempotency = settings.idempotency.unwrap_or(Idempotency::NonIdempotent);
         DrawnClass { class: StreamClass { name, deadline, ordered, idempotency }, settings }
     }
 }
 
-/// One to three kinds of endpoints.
-fn endpoint_kinds(random: &mut Pcg32) -> Vec<EndpointKind> {
+/// Draws one to three endpoint kinds.
+fn draw_endpoint_kinds(random: &mut Pcg32) -> Vec<EndpointKind> {
     let count = random.random_range(1..=3_usize);
     let mut kinds = Vec::new();
     for number in 0..count {
-        let max_batch = perhaps(random, |c| c.random_range(1..=12_u64));
+        let max_batch = draw_optional(random, |random| random.random_range(1..=12_u64));
         let circuit_per_endpoint = random.random_bool(0.5);
         kinds.push(EndpointKind { name: format!("k{number}"), circuit_per_endpoint, max_batch });
     }
     kinds
 }
 
-/// Up to two tenants.
-fn tenant_quotas(random: &mut Pcg32) -> Vec<TenantQuota> {
+/// Draws up to two tenants and their quotas.
+fn draw_tenant_quotas(random: &mut Pcg32) -> Vec<TenantQuota> {
     let count = random.random_range(0..=2_usize);
     let mut tenants = Vec::new();
     for number in 0..count {
-        let messages_per_second = perhaps(random, |c| c.random_range(0.2..20.0));
+        let messages_per_second = draw_optional(random, |random| random.random_range(0.2..20.0));
         tenants.push(TenantQuota { tenant: format!("t{number}"), messages_per_second });
     }
     tenants
 }
 
-/// Few requests in flight, more, or many.
-fn max_in_flight(random: &mut Pcg32) -> u64 {
+/// Draws a small, medium or large maximum of requests in flight.
+fn draw_max_in_flight(random: &mut Pcg32) -> u64 {
     match random.random_range(0..10_u32) {
         0..=4 => random.random_range(1..=4),
         5..=8 => random.random_range(5..=24),
@@ -179,44 +179,45 @@
     }
 }
 
-/// Few forwarders, or more of them than one may have requests in flight: in so large a fleet the policy decides otherwise.
-fn forwarders(random: &mut Pcg32, max_in_flight: u64) -> u64 {
+/// Draws the number of forwarders: few, or more than the maximum of requests in flight, as the policy makes
+/// other decisions in so large a fleet.
+fn draw_forwarder_count(random: &mut Pcg32, max_in_flight: u64) -> u64 {
     if random.random_bool(0.5) {
         return random.random_range(1..=max_in_flight.min(3));
     }
     max_in_flight + pick(random, &[1, 10, 100, 1_000]).unwrap_or(1)
 }
 
-/// A capacity that one burst fills, that a longer fault fills, or none.
-fn capacity(random: &mut Pcg32, burst: u64) -> Option<u64> {
+/// Draws a capacity that a burst exhausts, one that a longer fault exhausts, or none.
+fn draw_capacity(random: &mut Pcg32, max_messages_per_step: u64) -> Option<u64> {
     match random.random_range(0..3_u32) {
-        0 => Some(random.random_range(2..=burst * 4)),
-        1 => Some(random.random_range(burst * 4..=burst * 60)),
+        0 => Some(random.random_range(2..=max_messages_per_step * 4)),
+        1 => Some(random.random_range(max_messages_per_step * 4..=max_messages_per_step * 60)),
         _ => None,
     }
 }
 
 impl StreamSize {
-    /// Mostly small; seldom of many destinations, and more seldom of thousands of endpoints.
+    /// Draws a size: usually small, sometimes with many destinations, rarely with thousands of endpoints.
     fn draw(random: &mut Pcg32) -> StreamSize {
         match random.random_range(0..100_u32) {
             0..=89 => {
                 let destinations = random.random_range(1..=8_u64);
                 let endpoints = random.random_range(1..=16_u32).max(destinations as u32);
                 let steps = random.random_range(40..=240);
-                StreamSize { steps, destinations, endpoints, burst: 3 }
+                StreamSize { steps, destinations, endpoints, max_messages_per_step: 3 }
             }
             90..=98 => {
                 let steps = random.random_range(40..=120);
-                StreamSize { steps, destinations: 30, endpoints: 120, burst: 8 }
+                StreamSize { steps, destinations: 30, endpoints: 120, max_messages_per_step: 8 }
             }
-            _ => StreamSize { steps: 24, destinations: 300, endpoints: 2_000, burst: 60 },
+            _ => StreamSize { steps: 24, destinations: 300, endpoints: 2_000, max_messages_per_step: 60 },
         }
     }
 }
 
 impl StreamSetup {
-    /// What the delivery policy promises under these settings.
+    /// Returns the rules that the delivery policy must keep under the settings of this stream.
     pub fn rules(&self) -> Rules {
         let class = |class: &StreamClass| {
             let rules = ClassRules { idempotency: class.idempotency, ordered: class.ordered };
@@ -233,17 +234,17 @@
 }
 
 impl DrawnStream {
-    /// Draws a setup, and settings that go with it.
+    /// Draws a setup and the matching settings.
     pub fn draw(random: &mut Pcg32) -> DrawnStream {
         let size = StreamSize::draw(random);
         let class_count = random.random_range(1..=4_usize);
-        let time_step = pick(random, &TIME_STEPS).unwrap_or(TIME_STEPS[0]);
+        let time_granularity = pick(random, &TIME_GRANULARITIES).unwrap_or(TIME_GRANULARITIES[0]);
         let drawn_classes: Vec<DrawnClass> =
-            (0..class_count).map(|number| DrawnClass::draw(random, number, time_step)).collect();
-        let kinds = endpoint_kinds(random);
-        let tenants = tenant_quotas(random);
-        let max_in_flight = max_in_flight(random);
-        let mut settings = draw_settings(random, max_in_flight, size.burst, &kinds, &tenants);
+            (0..class_count).map(|number| DrawnClass::draw(random, number, time_granularity)).collect();
+        let kinds = draw_endpoint_kinds(random);
+        let tenants = draw_tenant_quotas(random);
+        let max_in_flight = draw_max_in_flight(random);
+        let mut settings = draw_settings(random, max_in_flight, size.max_messages_per_step, &kinds, &tenants);
         let mut classes = Vec::new();
         for drawn in drawn_classes {
             classes.push(drawn.class);
@@ -259,48 +260,48 @@
             ordering_hold_off: settings.ordering_hold_off.unwrap_or_default(),
             responses_carry_load_reports: settings.responses_carry_load_reports,
             size,
-            unknown_names: random.random_bool(0.2),
-            time_step,
-            longest_interval: pick(random, &LONGEST_INTERVALS).unwrap_or(LONGEST_INTERVALS[0]),
+            uses_unknown_classes: random.random_bool(0.2),
+            time_granularity,
+            max_step_interval: pick(random, &MAX_STEP_INTERVALS).unwrap_or(MAX_STEP_INTERVALS[0]),
         };
         DrawnStream { setup, settings }
     }
 }
 
-/// The settings of a stream without its classes.
+/// Draws the settings of a stream, without its message classes.
 fn draw_settings(
     random: &mut Pcg32,
     max_in_flight: u64,
-    burst: u32,
+    max_messages_per_step: u32,
     kinds: &[EndpointKind],
     tenants: &[TenantQuota],
 ) -> Settings {
     let weights = [ListedWeights::Unspecified, ListedWeights::ApproximateRates, ListedWeights::Rates];
     Settings {
         seed: random.next_u64(),
-        forwarders: Some(forwarders(random, max_in_flight)),
+        forwarders: Some(draw_forwarder_count(random, max_in_flight)),
         zone: ZONES[0].to_owned(),
         classes: Vec::new(),
         endpoint_kinds: kinds.to_vec(),
         tenants: tenants.to_vec(),
-        over_quota_weight: perhaps(random, |random| random.random_range(0.0..1.0)),
+        over_quota_weight: draw_optional(random, |random| random.random_range(0.0..1.0)),
         late_decay: if random.random_bool(0.5) { LateDecay::Exponential } else { LateDecay::Linear },
         max_in_flight: Some(max_in_flight),
-        max_pending_messages: capacity(random, u64::from(burst)),
+        max_pending_messages: draw_capacity(random, u64::from(max_messages_per_step)),
         max_attempts: random.random_bool(0.8).then(|| random.random_range(1..=6)),
         hedging_allowed: random.random_bool(0.3),
-        max_retry_after: perhaps(random, |random| millis(random, 100, 10_000)),
-        slow_start_floor: perhaps(random, |random| random.random_range(0.05..1.0)),
-        slow_start_duration: perhaps(random, |random| millis(random, 0, 15_000)),
-        overload_multiple: perhaps(random, |random| random.random_range(0.5..4.0)),
-        overload_window: perhaps(random, |random| millis(random, 100, 4_000)),
-        ordering_hold_off: perhaps(random, |random| millis(random, 0, 4_000)),
-        max_poll_interval: perhaps(random, |random| millis(random, 500, 20_000)),
+        max_retry_after: draw_optional(random, |random| draw_millis(random, 100, 10_000)),
+        slow_start_floor: draw_optional(random, |random| random.random_range(0.05..1.0)),
+        slow_start_duration: draw_optional(random, |random| draw_millis(random, 0, 15_000)),
+        overload_multiple: draw_optional(random, |random| random.random_range(0.5..4.0)),
+        overload_window: draw_optional(random, |random| draw_millis(random, 100, 4_000)),
+        ordering_hold_off: draw_optional(random, |random| draw_millis(random, 0, 4_000)),
+        max_poll_interval: draw_optional(random, |random| draw_millis(random, 500, 20_000)),
         listed_weights: pick(random, &weights).unwrap_or_default(),
         responses_carry_load_reports: random.random_bool(0.4),
-        connection_idle_timeout: perhaps(random, |random| millis(random, 0, 5_000)),
-        cross_zone_price: perhaps(random, |random| random.random_range(0.0..0.1)),
-        connection_price: perhaps(random, |random| random.random_range(0.0..0.1)),
+        connection_idle_timeout: draw_optional(random, |random| draw_millis(random, 0, 5_000)),
+        cross_zone_price: draw_optional(random, |random| random.random_range(0.0..0.1)),
+        connection_price: draw_optional(random, |random| random.random_range(0.0..0.1)),
         zone_fees: ZONES
             .iter()
             .skip(1)
--- a/crates/recorder/src/streams/transferred_list.rs
+++ b/crates/recorder/src/streams/transferred_list.rs
@@ -1,28 +1,28 @@
-//! An endpoint list that discovery passes, and how its transfer ends.
+//! Types for an endpoint list that discovery passes in pieces.
 
 use std::collections::VecDeque;
 
 use super::endpoint_set::ListEntry;
 
-/// What a list is about.
+/// Which endpoints a list names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All endpoints: those that it does not name are removed.
+    /// All endpoints; endpoints that the list doesn't name are removed.
     Complete,
-    /// Those that have changed.
+    /// Only endpoints that have changed.
     Changes,
 }
 
 /// How the transfer of a list ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListEnd {
-    /// All entries were passed.
+    /// All entries are passed.
     Finished,
-    /// The connection is lost before that.
+    /// The connection is lost before the last entry.
     Aborted,
 }
 
-/// A list that is being passed in pieces.
+/// The remaining entries of a list, and how its transfer ends.
 pub struct ListTransfer {
     pub(super) remaining: VecDeque<ListEntry>,
     pub(super) end: ListEnd,
--- a/crates/recorder/tests/recordings.rs
+++ b/crates/recorder/tests/recordings.rs
@@ -1,5 +1,5 @@
-//! Guards against recordings that differ between runs, that miss parts of the delivery policy's interface, or whose
-//! differences the comparison doesn't report.
+//! Guards against recordings that differ between runs, that miss parts of the delivery policy's interface, or
+//! whose differences the comparison doesn't report.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
--- a/crates/recorder/tests/rules.rs
+++ b/crates/recorder/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Guards against commands that break the rules of the delivery policy. Builds with debug assertions also check the
-//! policy's indexes.
+//! Guards against commands that break the rules of the delivery policy. Builds with debug assertions also
+//! check the policy's indexes.
 
 use proptest::prelude::*;
 use reeddock_recorder::streams;
@@ -10,7 +10,7 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 400,
-        // A fixed seed makes failures reproducible.
+        // A fixed seed gives the same cases in each run, so that failures can be reproduced.
         rng_seed: proptest::test_runner::RngSeed::Fixed(39),
         failure_persistence: None,
         ..ProptestConfig::default()
