--- a/crates/recorder/src/line/text.rs
+++ b/crates/recorder/src/line/text.rs
@@ -114,7 +114,7 @@
 fn write_slow_start(settings: &Settings, f: &mut Formatter) -> fmt::Result {
     write!(f, " warm_within={}", seconds_or_dash(settings.slow_start_duration))?;
     write!(f, " cold_from={}", OrDash(settings.slow_start_floor))?;
-    write!(f, " fall_multiple={}", OrDash(settings.overload_multiple))?;
+    write!(f, " fall_multiple={}", OrDash(settings.overload_capacity_multiple))?;
     write!(f, " tip_after={}", seconds_or_dash(settings.overload_window))?;
     write!(f, " key_rest={}", seconds_or_dash(settings.ordering_hold_off))
 }
--- a/crates/recorder/src/streams/setup.rs
+++ b/crates/recorder/src/streams/setup.rs
@@ -293,7 +293,7 @@
         max_retry_after: draw_optional(random, |random| draw_millis(random, 100, 10_000)),
         slow_start_floor: draw_optional(random, |random| random.random_range(0.05..1.0)),
         slow_start_duration: draw_optional(random, |random| draw_millis(random, 0, 15_000)),
-        overload_multiple: draw_optional(random, |random| random.random_range(0.5..4.0)),
+        overload_capacity_multiple: draw_optional(random, |random| random.random_range(0.5..4.0)),
         overload_window: draw_optional(random, |random| draw_millis(random, 100, 4_000)),
         ordering_hold_off: draw_optional(random, |random| draw_millis(random, 0, 4_000)),
         max_poll_interval: draw_optional(random, |random| draw_millis(random, 500, 20_000)),
