--- a/crates/recorder/src/streams/rule_model/checks.rs
+++ b/crates/recorder/src/streams/rule_model/checks.rs
@@ -34,8 +34,7 @@
         checks.into_iter().filter(|check| !check.holds).map(|check| check.violation).collect()
     }
 
-    /// Checks that the message may have another attempt, and that the attempt's timeouts respect its
-    /// deadlines.
+    /// Checks that the message may have another attempt, and that the attempt starts and ends in time.
     fn check_message(
         &self,
         pending: &PendingMessage,
