--- a/crates/experiments/src/recording.rs
+++ b/crates/experiments/src/recording.rs
@@ -71,13 +71,8 @@
     pub files: Vec<RecordedFile>,
 }
 
-<<<<<<< HEAD
-/// Two folders of recordings, compared file by file.
-pub struct RecordingComparison(Vec<ComparedFile>);
-=======
 /// The result of comparing two folders of recordings file by file.
-pub struct RecordingComparison(Vec<Pair>);
->>>>>>> stage
+pub struct RecordingComparison(Vec<ComparedFile>);
 
 /// One run of a scenario to record.
 struct RecordingTask<'a> {
@@ -100,13 +95,8 @@
     recording: Recording,
 }
 
-<<<<<<< HEAD
-impl NewFile {
-    fn create(folder: &Path, stem: &str, form: RecordingFormat) -> Result<NewFile, ExperimentError> {
-=======
 impl RecordingFile {
-    fn create(folder: &Path, stem: &str, form: Form) -> Result<RecordingFile, ExperimentError> {
->>>>>>> stage
+    fn create(folder: &Path, stem: &str, form: RecordingFormat) -> Result<RecordingFile, ExperimentError> {
         let name = format!("{stem}.{}", form.extension());
         let path = folder.join(&name);
         let file = File::create_new(&path).map_err(ExperimentError::file(&path, FileAction::Create))?;
@@ -198,13 +188,8 @@
         let first_seeds: Vec<u64> = (plan.seed..end).step_by(STREAMS_PER_FILE as usize).collect();
         self.write_files(&first_seeds, |first| {
             let last = end.min(first + STREAMS_PER_FILE) - 1;
-<<<<<<< HEAD
-            let file = NewFile::create(&plan.out, &format!("streams-{first:08}-{last:08}"), plan.form)?;
-            (*first..=last).for_each(|seed| streams::record(seed, &file.recording));
-=======
             let file = RecordingFile::create(&plan.out, &format!("streams-{first:08}-{last:08}"), plan.form)?;
-            (*first..=last).for_each(|seed| streams::play(seed, &file.recording));
->>>>>>> stage
+            (*first..=last).for_each(|seed| streams::record(seed, &file.recording));
             file.finish()
         })
     }
