--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,7 +7,7 @@
 use crate::interface::{CircuitScope, DestinationId};
 use crate::state::{AdmittedEndpoint, CircuitBreaker, EarliestTime, Endpoint};
 
-/// The admission decision for one endpoint.
+/// Decision whether an endpoint admits a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Admission {
     /// A request may be sent.
@@ -22,11 +22,11 @@
     Paced(Option<Duration>),
 }
 
-/// The endpoints of a destination that admit a request now.
+/// Endpoints of a destination that admit a request now.
 pub(super) struct AdmittedEndpoints {
     /// Sorted by endpoint id.
     pub(super) endpoints: Vec<AdmittedEndpoint>,
-    /// The earliest time at which an endpoint that admits no request now may admit one.
+    /// Earliest time at which an endpoint that admits no request now may admit one.
     pub(super) next_admission: EarliestTime,
     /// Whether an endpoint that admits no request now is [`Admission::Paced`].
     pub(super) any_paced: bool,
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -1,4 +1,4 @@
-//! The circuit breaker: a circuit opens after several failures within a window, and closes after a successful
+//! Circuit breaker: a circuit opens after several failures within a window, and closes after a successful
 //! trial. The state is derived from the times of the failures and the end of the open period.
 
 use std::time::Duration;
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Opens the circuit for the recovery delay, whatever its state.
+    /// Opens the circuit for the given delay, whatever its state.
     pub(super) fn reopen(&mut self, now: Duration, recovery_delay: Duration) {
         self.open(now, now + recovery_delay);
     }
 
-    /// Records a failure. A closed circuit opens at the threshold; an open or half-open one stays open for at
-    /// least the recovery delay.
+    /// Records a failure. A closed circuit opens at the threshold, an open or half-open one at each failure,
+    /// for at least `recovery_delay`.
     pub(super) fn record_failure(
         &mut self,
         now: Duration,
@@ -63,9 +63,11 @@
 
     /// Closes the circuit and removes its failures once the failure window and the open period have ended,
     /// because they no longer affect a decision.
-    pub(super) fn expire_if_stale(&mut self, now: Duration, parameters: &PolicyParameters) {
-        let relevant_until =
-            self.open_until().unwrap_or_default().max(self.changed_at() + parameters.failure_window);
+    pub(super) fn reset_if_outdated(&mut self, now: Duration, parameters: &PolicyParameters) {
+        let relevant_until = self
+            .open_until()
+            .unwrap_or_default()
+            .max(self.last_failure_or_state_change() + parameters.failure_window);
         if !self.has_trial() && now > relevant_until + RECORD_EXPIRY_MARGIN {
             self.reset();
         }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -13,8 +13,8 @@
 const MAX_FAILURES_COMPARED: u32 = 3;
 /// Maximum backoff of a failing endpoint, as a multiple of the time from a circuit's opening to its trial.
 const MAX_BACKOFF_RECOVERY_DELAYS: u32 = 4;
-/// Number of steps per unit of price in which prices are compared.
-const PRICE_STEPS: f64 = 1e6;
+/// Factor that prices are multiplied by before they are rounded down to integers and compared.
+const PRICE_STEPS_PER_UNIT: f64 = 1e6;
 /// Minimum mean response time, in seconds, that others are compared with; prevents a division by zero.
 const MIN_MEAN_LATENCY_SECONDS: f64 = 0.001;
 
@@ -148,7 +148,7 @@
         EndpointSelectionKey {
             consecutive_failures: endpoint.consecutive_failures(class).min(MAX_FAILURES_COMPARED),
             slowness: self.slowness(circuit).log2() as u64,
-            price: (self.price(endpoint, now) * PRICE_STEPS) as u64,
+            price: (self.price(endpoint, now) * PRICE_STEPS_PER_UNIT) as u64,
             requests_in_flight: endpoint.usage().requests_in_flight(),
         }
     }
--- a/src/policy/eviction.rs
+++ b/src/policy/eviction.rs
@@ -7,8 +7,8 @@
 use crate::message_key::MessageKey;
 use crate::queue::{LongestQueue, PriorityClass};
 
-/// Number of steps per unit of priority weight in which priorities are compared.
-const PRIORITY_STEPS: f64 = 1e6;
+/// Factor that priority weights are multiplied by before they are rounded down to integers and compared.
+const PRIORITY_STEPS_PER_UNIT: f64 = 1e6;
 
 /// Sort key of messages for eviction. The message with the lowest key is evicted; fields are compared in
 /// their order.
@@ -22,7 +22,7 @@
     message: MessageKey,
 }
 
-/// The order among messages of the same priority weight.
+/// Order among messages of the same priority weight.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
     /// A late message. The one whose objective ended first is evicted first.
@@ -67,7 +67,7 @@
             };
             (last, order)
         };
-        let priority = (self.priority(&self.messages[entry.key], now) * PRIORITY_STEPS) as u64;
+        let priority = (self.priority(&self.messages[entry.key], now) * PRIORITY_STEPS_PER_UNIT) as u64;
         Some(EvictionKey { priority, on_time: !is_late, order, message: entry.key })
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -135,8 +135,8 @@
         self.in_flight.attempt(&key).map(|attempt| attempt.endpoint)
     }
 
-    /// Reports that the response to an attempt has begun. The policy takes no action, because no other
-    /// attempt of the message is in flight that could be cancelled.
+    /// Reports that the response to an attempt has begun. The policy takes no action: a message has no other
+    /// attempt in flight that could be cancelled.
     pub fn response_started(
         &mut self,
         _now: Duration,
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -8,7 +8,8 @@
 
 /// Weight of a new response time in a running mean.
 const MEAN_LATENCY_WEIGHT: f64 = 0.2;
-/// Divisor of the recovery delay that gives the pause of a circuit after an attempt that was not sent.
+/// A circuit pauses after an attempt that was not sent for the time from its opening to its half-open trial,
+/// divided by this number.
 const NOT_SENT_PAUSE_DIVISOR: u32 = 4;
 /// Minimum time between two reported circuit events.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -9,7 +9,7 @@
 
 /// Deadline of a class without one in the settings.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// Shortest latency objective if the settings have no class.
+/// Latency objective that is assumed if the settings define no message class.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(2);
 /// Share of its capacity that a destination has directly after an outage, unless the settings define the
 /// share.
--- a/src/policy/queueing.rs
+++ b/src/policy/queueing.rs
@@ -81,7 +81,7 @@
     /// Updates the indices of destinations whose queues changed. The indices over all destinations are read
     /// only after this update.
     pub(super) fn refresh_indices(&mut self) {
-        for destination in self.queue.take_stale() {
+        for destination in self.queue.take_stale_destinations() {
             let available_at = self.earliest_retry_after_end(destination);
             self.queue.update_indices(destination, available_at);
         }
@@ -89,8 +89,7 @@
         self.check_indices();
     }
 
-    /// Compares all indices with full scans: on each call while few messages are pending, otherwise on a part
-    /// of the calls.
+    /// Compares all indices with full scans. With many pending messages, only some of the calls compare.
     #[cfg(debug_assertions)]
     fn check_indices(&self) {
         const MAX_MESSAGES_ALWAYS_CHECKED: usize = 64;
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -17,11 +17,11 @@
     /// records of these endpoints.
     #[must_use]
     pub fn take_removed_endpoints(&mut self) -> Vec<EndpointId> {
-        self.endpoints.take_deleted()
+        self.endpoints.take_deleted_endpoints()
     }
 
     /// Removes the records of removed endpoints, idle circuits and idle ordering keys.
-    pub(super) fn remove_expired(&mut self, now: Duration) {
+    pub(super) fn remove_expired_records(&mut self, now: Duration) {
         self.remove_expired_endpoints(now, self.parameters.longest_deadline + RECORD_EXPIRY_MARGIN);
         self.remove_idle_circuits(now, self.parameters.longest_deadline * IDLE_RETENTION_FACTOR);
         self.ordering_queues.remove_idle(now);
@@ -80,10 +80,10 @@
         for id in endpoints.unwrap_or_default() {
             let Some(endpoint) = self.endpoints.get(id) else { continue };
             if let Some(circuit) = self.circuits.get_mut(self.endpoints.scope_of(id, endpoint)) {
-                circuit.expire_if_stale(now, &self.parameters);
+                circuit.reset_if_outdated(now, &self.parameters);
             }
             if let Some(usage) = self.endpoints.existing_usage_mut(id) {
-                usage.remove_stale(now, load_retention, fault_retention);
+                usage.remove_outdated_load_and_fault(now, load_retention, fault_retention);
             }
         }
     }
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -25,11 +25,11 @@
     /// Endpoints that share the circuit.
     in_scope: Vec<EndpointId>,
     recovery_delay: Duration,
-    /// Long-term rate, in requests a second.
+    /// This forwarder's long-term rate for the endpoints of the circuit, in requests a second.
     baseline_rate: f64,
-    /// This forwarder's share, in requests a second.
+    /// This forwarder's share of the rate that the endpoints of the circuit accept, in requests a second.
     fair_share: f64,
-    /// Number of requests within the last overload window.
+    /// Number of this forwarder's requests to the endpoints of the circuit within the last overload window.
     recent_requests: usize,
 }
 
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -10,13 +10,14 @@
 use crate::queue::QueueSegment;
 use crate::state::{AdmittedEndpoint, EarliestTime};
 
-/// Divisor of the recovery delay that gives the time to the next check of a destination that admits requests
-/// but has no message to send.
+/// A destination that admits requests but has no message to send is checked again after the time from a
+/// circuit's opening to its half-open trial, divided by this number.
 const RECHECK_DELAY_DIVISOR: u32 = 4;
 /// Minimum priority weight in the order of classes; prevents a division by zero.
 const MIN_PRIORITY_WEIGHT: f64 = 0.001;
-/// Number of steps per unit in which the numbers drawn for the order of classes are compared.
-const CLASS_ORDER_STEPS: f64 = 1e6;
+/// Factor that the fractional numbers drawn for the order of classes are multiplied by before they are
+/// rounded down to integers.
+const CLASS_ORDER_STEPS_PER_UNIT: f64 = 1e6;
 
 /// Sort key of the messages of a destination. The message with the lowest key is sent first; fields are
 /// compared in their order.
@@ -91,7 +92,7 @@
         let random = &mut self.random;
         let mut draw = |weight: f64| {
             let weight = weight.max(MIN_PRIORITY_WEIGHT).powi(2);
-            (-random.draw_for_class_order().ln() / weight * CLASS_ORDER_STEPS) as u64
+            (-random.draw_for_class_order().ln() / weight * CLASS_ORDER_STEPS_PER_UNIT) as u64
         };
         self.parameters.classes.iter().map(|class| draw(class.priority_weight)).collect()
     }
@@ -100,7 +101,7 @@
         self.parameters.classes[class].idempotency != Idempotency::NonIdempotent
     }
 
-    /// Returns the message to send first, to any of the endpoints.
+    /// Returns the first message of the next request, which may be sent to any of the endpoints.
     fn lead_message(
         &self,
         destination: DestinationId,
@@ -187,7 +188,7 @@
             let message = &self.messages[*key];
             !ordered || self.ordering_queues.may_send(message.ordering_key, message.arrival_number, now)
         };
-        let entries = segment.entries().filter(move |queued| may_send(&queued.key));
+        let entries = segment.messages().filter(move |queued| may_send(&queued.key));
         entries.map(move |queued| RankedMessage {
             rank: MessageRank {
                 over_quota: queue_class.priority.over_quota,
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of each endpoint: completions earn retry tokens, and retries spend them.
+//! Retry budget of each endpoint: completions earn retry tokens, and retries spend them.
 
 use std::time::Duration;
 
@@ -19,15 +19,17 @@
 }
 
 impl EndpointUsage {
-    /// Adds the retry tokens that one completion earns.
-    pub(super) fn earn_retry_tokens(&mut self, initial: f64) {
-        let tokens = self.retry_tokens().unwrap_or(initial);
+    /// Adds the retry tokens that one completion earns. An endpoint without recorded tokens begins with
+    /// `initial_tokens`.
+    pub(super) fn earn_retry_tokens(&mut self, initial_tokens: f64) {
+        let tokens = self.retry_tokens().unwrap_or(initial_tokens);
         self.set_retry_tokens((tokens + RETRY_TOKENS_PER_COMPLETION).min(MAX_RETRY_TOKENS));
     }
 
-    /// Removes the retry token that one retry spends.
-    pub(super) fn spend_retry_token(&mut self, initial: f64) {
-        let tokens = self.retry_tokens().unwrap_or(initial);
+    /// Removes the retry token that one retry spends. An endpoint without recorded tokens begins with
+    /// `initial_tokens`.
+    pub(super) fn spend_retry_token(&mut self, initial_tokens: f64) {
+        let tokens = self.retry_tokens().unwrap_or(initial_tokens);
         self.set_retry_tokens((tokens - 1.0).max(0.0));
     }
 }
@@ -35,9 +37,10 @@
 impl DeliveryPolicy {
     /// Returns whether the retry budget of an endpoint allows an attempt. Only retries need a token.
     ///
-    /// Without a token, a retry is allowed once the endpoint was idle for the recovery delay, or for the mean
-    /// interval between messages if the message was not executed. In a large fleet or with much traffic,
-    /// pacing alone limits messages that were not executed.
+    /// Without a token, a message that may have been executed is retried once no request was sent to the
+    /// endpoint for the time from a circuit's opening to its half-open trial. A message that was not executed
+    /// is retried after the mean interval between messages; in a large fleet or with much traffic, only
+    /// pacing delays it.
     pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         if message.attempts() == 0
--- a/src/policy/scheduling.rs
+++ b/src/policy/scheduling.rs
@@ -36,12 +36,12 @@
             host.watch_endpoint_list(true);
         }
         wake.include(self.poll_schedule.next_poll());
-        self.queue.wake_due(now);
+        self.queue.wake_due_destinations(now);
         for destination in self.queue.awake_destinations().clone() {
             self.remove_stale_records(destination, now);
         }
         self.evict_lowest_priority(now, host);
-        self.remove_expired(now);
+        self.remove_expired_records(now);
         self.schedule_requests(now, host, &mut wake);
         self.expire_messages(now, host, &mut wake);
         if self.in_flight_limit_reached() {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,8 +7,8 @@
 use crate::interface::CircuitScope;
 use crate::state::Endpoint;
 
-/// Slow start budget as a multiple of the budget at the long-term rate. Above 1, because a destination has
-/// more capacity than its ordinary traffic needs.
+/// Assumed capacity of an endpoint after slow start, as a multiple of this forwarder's long-term rate. Above
+/// 1, because a destination has more capacity than its ordinary traffic needs.
 const SLOW_START_BASELINE_MULTIPLE: f64 = 1.5;
 /// Load of each further message in a request, relative to a request with one message.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
@@ -16,7 +16,7 @@
 /// Minimum slow start duration, in seconds, by which warm-up times are divided; prevents a division by zero.
 const MIN_SLOW_START_SECONDS: f64 = 0.001;
 
-/// The load that an endpoint may get now.
+/// Load that an endpoint may get now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SlowStartBudget {
     /// Maximum load, in requests with one message.
@@ -26,7 +26,7 @@
 }
 
 impl SlowStartBudget {
-    /// The budget of an endpoint that is not warming up.
+    /// Budget of an endpoint that is not warming up.
     const UNLIMITED: SlowStartBudget = SlowStartBudget::Load(f64::MAX);
 }
 
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -13,10 +13,11 @@
 /// Variable part of the straggler threshold, in mean response times, which is divided by the number of
 /// requests in flight.
 const STRAGGLER_SHARED_LATENCY_FACTOR: f64 = 4.0;
-/// Divisor of the recovery delay that gives the minimum straggler threshold.
+/// The minimum straggler threshold is the time from a circuit's opening to its half-open trial, divided by
+/// this number.
 const MIN_STRAGGLER_THRESHOLD_DIVISOR: u32 = 4;
 
-/// The request that is most overdue.
+/// Request that is most overdue.
 struct Straggler {
     /// Time taken divided by the time allowed; at least 1.
     overdue_ratio: f64,
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -26,7 +26,8 @@
 }
 
 impl DestinationQueue {
-    /// Returns the first latency objective that ends after `now` of each queue class that has one.
+    /// Returns, for each queue class, the end of the first latency objective that ends after `now`. Classes
+    /// without one are left out.
     pub fn next_objectives(&self, now: Duration) -> impl Iterator<Item = (&QueueClass, Duration)> {
         self.classes.iter().filter_map(move |(queue_class, entries)| {
             let after_now = ObjectiveOrder::end_of(now);
@@ -59,8 +60,8 @@
         self.len -= 1;
     }
 
-    /// Returns the messages in segments, without those that are blocked by a message with the same ordering
-    /// key.
+    /// Returns the messages in segments, without those that wait for an earlier message with the same
+    /// ordering key.
     pub(super) fn segments(&self, now: Duration) -> impl Iterator<Item = QueueSegment<'_>> {
         let unblocked = self.classes.iter().filter(|(queue_class, _)| !queue_class.blocked);
         unblocked.flat_map(move |(queue_class, entries)| {
@@ -69,12 +70,18 @@
     }
 
     /// Returns the messages whose deadline is at or before `last`.
-    pub(super) fn deadlines_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
+    pub(super) fn messages_with_deadline_up_to(
+        &self,
+        last: Duration,
+    ) -> impl Iterator<Item = MessageKey> + '_ {
         subjects_due_by(&self.deadlines, last)
     }
 
     /// Returns the messages whose idempotency key expires at or before `last`.
-    pub(super) fn key_expiries_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
+    pub(super) fn messages_with_key_expiry_up_to(
+        &self,
+        last: Duration,
+    ) -> impl Iterator<Item = MessageKey> + '_ {
         subjects_due_by(&self.key_expiries, last)
     }
 
@@ -97,7 +104,7 @@
         }
     }
 
-    /// Returns the first and the last message of each priority class, by latency objective.
+    /// Returns the messages with the first and the last latency objective of each priority class.
     fn objective_ranges(&self) -> Vec<ObjectiveRange> {
         let mut ranges: BTreeMap<PriorityClass, ObjectiveRange> = BTreeMap::new();
         for (queue_class, entries) in &self.classes {
--- a/src/queue/indices.rs
+++ b/src/queue/indices.rs
@@ -20,11 +20,12 @@
     pub time_left_when_available: Option<Duration>,
     /// Number of queued messages.
     pub len: usize,
-    /// First and last message of each priority class with queued messages, in ascending order of the classes.
+    /// Messages with the first and the last latency objective of each priority class with queued messages, in
+    /// ascending order of the classes.
     pub objective_ranges: Vec<ObjectiveRange>,
 }
 
-/// First and last message of a priority class in a destination queue, by latency objective.
+/// Messages of a priority class in a destination queue whose latency objectives end first and last.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ObjectiveRange {
     pub priority: PriorityClass,
@@ -32,14 +33,15 @@
     pub last: QueuedMessage,
 }
 
-/// Destination queue, ordered by its first message.
+/// Index entry of a destination queue, ordered by the end of the earliest latency objective in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ByFirstMessage {
     pub first: QueuedMessage,
     pub destination: DestinationId,
 }
 
-/// Destination queue, ordered by its length and then by its last message.
+/// Index entry of a destination queue, ordered by its number of messages, and then by the end of the latest
+/// latency objective in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ByLength {
     pub len: usize,
@@ -47,25 +49,28 @@
     pub destination: DestinationId,
 }
 
-/// Destination queue, ordered by the time between the availability of an endpoint and the earliest deadline.
+/// Index entry of a destination queue, ordered by the time from the availability of the first endpoint to the
+/// earliest deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ByTimeLeft {
     pub time_left: Duration,
     pub destination: DestinationId,
 }
 
-/// Destination queues in all orders that the policy uses.
+/// Index entries of all destination queues, sorted in each order that the policy uses.
 #[derive(Default)]
 pub(super) struct Indices {
     /// Destinations by earliest deadline.
     pub deadlines: BTreeSet<Due<DestinationId>>,
     /// Destinations by earliest expiry of an idempotency key.
     pub key_expiries: BTreeSet<Due<DestinationId>>,
-    /// Destinations by [`IndexEntries::time_left_when_available`].
+    /// Destinations by the time that is left until the earliest deadline once an endpoint may receive a
+    /// request.
     pub by_time_left: BTreeSet<ByTimeLeft>,
-    /// Destinations by first message, for each priority class. Empty sets are kept.
+    /// Destinations by the earliest latency objective, for each priority class. Empty sets are kept.
     pub by_first_message: BTreeMap<PriorityClass, BTreeSet<ByFirstMessage>>,
-    /// Destinations by length of the entire queue, for each priority class. Empty sets are kept.
+    /// Destinations by number of queued messages of all classes, for each priority class. Empty sets are
+    /// kept.
     pub by_length: BTreeMap<PriorityClass, BTreeSet<ByLength>>,
 }
 
--- a/src/queue/message_queue.rs
+++ b/src/queue/message_queue.rs
@@ -18,7 +18,7 @@
     pub(super) destinations: BTreeMap<DestinationId, DestinationQueue>,
     pub(super) schedule: WakeSchedule,
     /// Destinations whose entries in the indices are out of date.
-    pub(super) stale: BTreeSet<DestinationId>,
+    pub(super) stale_destinations: BTreeSet<DestinationId>,
     pub(super) indices: Indices,
 }
 
@@ -30,7 +30,7 @@
             DestinationQueue::default()
         });
         queue.insert(key, position);
-        self.stale.insert(destination);
+        self.stale_destinations.insert(destination);
     }
 
     /// Removes a message that was queued at the given position.
@@ -38,14 +38,14 @@
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         queue.remove(key, position);
         if queue.len > 0 {
-            self.stale.insert(destination);
+            self.stale_destinations.insert(destination);
         } else {
             self.remove_destination(destination);
         }
     }
 
     fn remove_destination(&mut self, destination: DestinationId) {
-        self.stale.remove(&destination);
+        self.stale_destinations.remove(&destination);
         if let Some(queue) = self.destinations.remove(&destination) {
             self.schedule.remove(destination, queue.wake_state);
             self.indices.remove(destination, &queue.indexed_entries);
@@ -57,8 +57,8 @@
         self.destinations.get(&destination)
     }
 
-    /// Returns the queued messages of a destination in segments, without those that are blocked by a message
-    /// with the same ordering key.
+    /// Returns the queued messages of a destination in segments, without those that wait for an
+    /// earlier message with the same ordering key.
     pub fn segments(
         &self,
         destination: DestinationId,
@@ -71,7 +71,7 @@
     /// messages to be sent.
     pub fn mark_changed(&mut self, destination: DestinationId) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
-        self.stale.insert(destination);
+        self.stale_destinations.insert(destination);
         self.schedule.wake(destination, &mut queue.wake_state);
     }
 
@@ -88,8 +88,8 @@
     }
 
     /// Wakes all destinations whose wake time has passed.
-    pub fn wake_due(&mut self, now: Duration) {
-        while let Some(destination) = self.schedule.first_due(now) {
+    pub fn wake_due_destinations(&mut self, now: Duration) {
+        while let Some(destination) = self.schedule.first_due_destination(now) {
             let Some(queue) = self.destinations.get_mut(&destination) else { return };
             self.schedule.wake(destination, &mut queue.wake_state);
         }
@@ -103,8 +103,8 @@
     /// Removes and returns the destinations whose index entries are out of date. The caller passes each of
     /// them to [`MessageQueue::update_indices`] before the indices are read.
     #[must_use]
-    pub fn take_stale(&mut self) -> BTreeSet<DestinationId> {
-        std::mem::take(&mut self.stale)
+    pub fn take_stale_destinations(&mut self) -> BTreeSet<DestinationId> {
+        std::mem::take(&mut self.stale_destinations)
     }
 
     /// Updates the index entries of a destination. `available_at` is the time at which its first endpoint may
@@ -127,16 +127,16 @@
         let mut expiring = BTreeSet::new();
         let last_deadline = now.saturating_add(response_time);
         for due in self.indices.deadlines.iter().take_while(|due| due.at <= last_deadline) {
-            expiring.extend(self.destinations[&due.subject].deadlines_up_to(last_deadline));
+            expiring.extend(self.destinations[&due.subject].messages_with_deadline_up_to(last_deadline));
         }
         for due in self.indices.key_expiries.iter().take_while(|due| due.at <= now) {
-            expiring.extend(self.destinations[&due.subject].key_expiries_up_to(now));
+            expiring.extend(self.destinations[&due.subject].messages_with_key_expiry_up_to(now));
         }
         for entry in self.indices.by_time_left.iter().take_while(|entry| entry.time_left <= response_time) {
             let queue = &self.destinations[&entry.destination];
             let available_at = queue.indexed_entries.available_at;
-            expiring.extend(queue.deadlines_up_to(available_at.saturating_add(response_time)));
-            expiring.extend(queue.key_expiries_up_to(available_at));
+            expiring.extend(queue.messages_with_deadline_up_to(available_at.saturating_add(response_time)));
+            expiring.extend(queue.messages_with_key_expiry_up_to(available_at));
         }
         expiring
     }
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -4,12 +4,13 @@
 //!
 //! Each destination with queued messages has a [`DestinationQueue`]. The indices over all destinations hold a
 //! few entries per destination and none per message. A destination queue that changes is marked as stale, and
-//! its entries are updated before the indices are next read. The policy defines priorities and thresholds.
+//! its index entries are updated before the indices are next read. The policy defines priorities and
+//! thresholds.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | `position` | sort keys of queued messages |
-//! | `segment` | messages of one class that are all late or all in time |
+//! | `segment` | messages with equal properties whose latency objectives have all passed or all not passed |
 //! | `destination_queue` | queue of one destination |
 //! | `indices` | indices over all destination queues |
 //! | `wake_schedule` | destinations to check now, and wake times of the others |
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -6,10 +6,10 @@
 
 use crate::message_key::MessageKey;
 
-/// Properties that, in addition to the latency objective, determine the next message of a destination.
+/// Properties by which the queue of a destination is grouped; fields are compared in their order. Within a
+/// group, messages are ordered by latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueClass {
-    /// Priority class; compared first.
     pub priority: PriorityClass,
     /// Number of attempts that were answered with an error.
     pub errors: u32,
@@ -30,10 +30,10 @@
     pub over_quota: bool,
 }
 
-/// Sort key of a message in its queue. The message is removed with the same key.
+/// Values that determine the place of a message in the queue. The message is removed from the queue with the
+/// values that it was inserted with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuePosition {
-    /// Queue class of the message.
     pub queue_class: QueueClass,
     /// Time until which a delivery meets the latency objective, since the host's start time.
     pub objective_ends_at: Duration,
@@ -46,13 +46,13 @@
 }
 
 impl QueuePosition {
-    /// Returns the sort key within the queue class.
+    /// Returns the sort key among messages with the same [`QueueClass`].
     pub(super) fn objective_order(&self) -> ObjectiveOrder {
         ObjectiveOrder { objective_ends_at: self.objective_ends_at, arrival_number: self.arrival_number }
     }
 }
 
-/// Sort key within a queue class: latency objective, then arrival number.
+/// Sort key among messages with the same [`QueueClass`]: end of the latency objective, then arrival number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ObjectiveOrder {
     pub objective_ends_at: Duration,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Queued messages of one queue class.
+/// Queued messages of a destination with the same [`QueueClass`].
 pub(super) type ClassEntries = BTreeMap<ObjectiveOrder, MessageKey>;
 
 /// Queued message, ordered by latency objective across all classes and destinations.
--- a/src/queue/segment.rs
+++ b/src/queue/segment.rs
@@ -1,15 +1,15 @@
-//! Messages of one queue class that are all late or all in time.
+//! Groups of queued messages that the scheduler treats alike: equal [`QueueClass`], and latency objectives
+//! that have either all passed (late) or all not passed (in time).
 
 use std::ops::Bound;
 use std::time::Duration;
 
 use super::position::{ClassEntries, ObjectiveOrder, QueueClass, QueuedMessage};
 
-/// Messages of one queue class of a destination whose latency objectives have either all passed or all not
-/// passed.
+/// Queued messages of a destination with the same [`QueueClass`] whose latency objectives have either all
+/// passed or all not passed.
 #[derive(Clone, Copy)]
 pub(crate) struct QueueSegment<'q> {
-    /// Queue class of the messages.
     pub queue_class: QueueClass,
     /// Whether the latency objectives have passed.
     pub late: bool,
@@ -18,7 +18,8 @@
 }
 
 impl<'q> QueueSegment<'q> {
-    /// Returns the segment of the late messages of a queue class, followed by the segment of those in time.
+    /// Returns the segment of the messages whose latency objective has passed, followed by the segment of the
+    /// other messages. All have the given queue class.
     pub(super) fn late_and_in_time(
         queue_class: QueueClass,
         entries: &'q ClassEntries,
@@ -28,7 +29,7 @@
     }
 
     /// Returns the messages in the order of their latency objectives.
-    pub fn entries(&self) -> impl Iterator<Item = QueuedMessage> + 'q {
+    pub fn messages(&self) -> impl Iterator<Item = QueuedMessage> + 'q {
         let last_late = ObjectiveOrder::end_of(self.now);
         let bounds = if self.late {
             (Bound::Unbounded, Bound::Included(last_late))
--- a/src/queue/wake_schedule.rs
+++ b/src/queue/wake_schedule.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the first destination whose wake time has passed.
-    pub(super) fn first_due(&self, now: Duration) -> Option<DestinationId> {
+    pub(super) fn first_due_destination(&self, now: Duration) -> Option<DestinationId> {
         let first = self.wake_times.first().filter(|due| due.at <= now)?;
         Some(first.subject)
     }
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -27,8 +27,8 @@
     failure_times: Vec<Duration>,
     /// Time at which the circuit becomes, or became, half-open; `None` while the circuit is closed.
     open_until: Option<Duration>,
-    /// Time of the last change to `failure_times` or `open_until` other than by [`CircuitBreaker::reset`].
-    changed_at: Duration,
+    /// Time of the last failure, opening or closing, except by [`CircuitBreaker::reset`].
+    last_failure_or_state_change: Duration,
     /// Half-open trial in flight; `None` if there is none.
     trial: Option<AttemptKey>,
     /// Maximum number of requests in flight after a recovery; `None` if not limited.
@@ -70,8 +70,8 @@
     }
 
     /// Returns the time of the last failure, opening or closing.
-    pub(crate) fn changed_at(&self) -> Duration {
-        self.changed_at
+    pub(crate) fn last_failure_or_state_change(&self) -> Duration {
+        self.last_failure_or_state_change
     }
 
     pub(crate) fn failure_count(&self) -> usize {
@@ -83,28 +83,29 @@
         self.failure_times.push(now);
         self.failure_times.retain(|failed_at| now.saturating_sub(*failed_at) <= window);
         self.failure_times.drain(..self.failure_times.len().saturating_sub(max_kept));
-        self.changed_at = now;
+        self.last_failure_or_state_change = now;
     }
 
     /// Opens the circuit until the given time, which replaces any previous one.
     pub(crate) fn open(&mut self, now: Duration, until: Duration) {
         self.open_until = Some(until);
-        self.changed_at = now;
+        self.last_failure_or_state_change = now;
     }
 
     /// Opens the circuit until the given time, unless it is already open for longer.
     pub(crate) fn extend_open(&mut self, now: Duration, until: Duration) {
         self.open_until = self.open_until.max(Some(until));
-        self.changed_at = now;
+        self.last_failure_or_state_change = now;
     }
 
     /// Closes the circuit and removes its failures.
     pub(crate) fn close(&mut self, now: Duration) {
         self.reset();
-        self.changed_at = now;
+        self.last_failure_or_state_change = now;
     }
 
-    /// Closes the circuit and removes its failures, without a change of [`CircuitBreaker::changed_at`].
+    /// Closes the circuit and removes its failures, without a change of
+    /// [`CircuitBreaker::last_failure_or_state_change`].
     pub(crate) fn reset(&mut self) {
         self.failure_times.clear();
         self.open_until = None;
@@ -227,9 +228,10 @@
         self.consecutive_timeouts
     }
 
-    /// Returns the latest of the last use, the last change and the time until which requests are postponed.
+    /// Returns the time until which the circuit counts as in use: the latest of the last request, the last
+    /// failure or change of state, and the time until which requests are postponed.
     pub(crate) fn in_use_until(&self) -> Duration {
-        let used = self.last_sent.max(self.changed_at).max(self.pacing.postponed_until());
+        let used = self.last_sent.max(self.last_failure_or_state_change).max(self.pacing.postponed_until());
         used.max(self.retry_after_until).max(self.open_until.unwrap_or_default())
     }
 }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -132,8 +132,9 @@
         self.last_fault = Some(at);
     }
 
-    /// Removes loads and faults that are older than their retention times, except the last load.
-    pub(crate) fn remove_stale(
+    /// Removes the recorded loads, except the last one, and the last fault if they are older than their
+    /// retention times.
+    pub(crate) fn remove_outdated_load_and_fault(
         &mut self,
         now: Duration,
         load_retention: Duration,
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -284,8 +284,8 @@
     }
 
     /// Returns the endpoints whose records were deleted since the last call.
-    pub(crate) fn take_deleted(&mut self) -> Vec<EndpointId> {
-        self.removed.take_deleted()
+    pub(crate) fn take_deleted_endpoints(&mut self) -> Vec<EndpointId> {
+        self.removed.take_deleted_endpoints()
     }
 }
 
--- a/src/state/message_table.rs
+++ b/src/state/message_table.rs
@@ -1,5 +1,5 @@
-//! Table of the messages without a final answer. Ids, which are text, are looked up once at the policy's
-//! interface; the policy uses keys internally.
+//! Table of the messages without a final answer. Message ids, which are text, are looked up once for each
+//! call of the host; all other code uses message keys.
 
 use std::collections::HashMap;
 use std::ops::Index;
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -22,9 +22,10 @@
 #[derive(Default)]
 pub(crate) struct OrderingQueues {
     queues: BTreeMap<OrderingKey, OrderingQueue>,
-    /// Keys whose queues became empty since idle queues were last removed.
+    /// Keys whose queues became empty since the last call of [`OrderingQueues::remove_idle`].
     emptied: Vec<OrderingKey>,
-    /// Keys with empty queues, by the end of their hold-off.
+    /// Keys with empty queues, by the time from which the queue may be removed: the end of the delay after an
+    /// attempt with an unknown outcome.
     remove_at: BTreeSet<(Duration, OrderingKey)>,
 }
 
--- a/src/state/removed_endpoints.rs
+++ b/src/state/removed_endpoints.rs
@@ -48,7 +48,7 @@
         self.deleted.push(endpoint);
     }
 
-    pub(super) fn take_deleted(&mut self) -> Vec<EndpointId> {
+    pub(super) fn take_deleted_endpoints(&mut self) -> Vec<EndpointId> {
         std::mem::take(&mut self.deleted)
     }
 }
--- a/tests/policy/circuit_breaker.rs
+++ b/tests/policy/circuit_breaker.rs
@@ -21,12 +21,15 @@
 #[test]
 fn open_circuit_sends_one_half_open_trial_at_a_time() {
     let mut test = with_open_circuit();
-    assert!(test.started_after(ms(500)).is_empty(), "the circuit is open: all are queued");
+    assert!(
+        test.started_after(ms(500)).is_empty(),
+        "expected all messages to stay queued while the circuit is open"
+    );
     let trial = test.started_after(ms(600));
-    assert_eq!(trial.len(), 1, "one queued message is the half-open trial");
-    assert!(test.started_after(ms(3000)).is_empty(), "no further trial while one is in flight");
+    assert_eq!(trial.len(), 1, "expected one queued message as the half-open trial");
+    assert!(test.started_after(ms(3000)).is_empty(), "expected no further trial while one is in flight");
     test.finish_attempt(&trial[0], 1, AttemptOutcome::NoConnection);
-    assert!(test.started_after(ms(900)).is_empty(), "a failed trial reopens the circuit");
+    assert!(test.started_after(ms(900)).is_empty(), "expected the failed trial to reopen the circuit");
     assert_eq!(test.started_after(ms(200)).len(), 1);
 }
 
@@ -49,11 +52,11 @@
     let mut test = with_open_circuit();
     let trial = test.started_after(ms(1100));
     test.complete_attempt(&trial[0], 1);
-    assert_eq!(test.host.events.len(), 1, "only the opening is reported");
+    assert_eq!(test.host.events.len(), 1, "expected no report but the opening of the circuit");
 }
 
 #[test]
-fn recovery_ramp_starts_with_one_request_at_a_time() {
+fn recovered_circuit_allows_one_request_in_flight_at_first() {
     let mut test = with_open_circuit();
     let trial = test.started_after(ms(1100));
     test.complete_attempt(&trial[0], 1);
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn hanging_request_sent_before_the_recovery_does_not_hold_back_the_ramp() {
+fn unanswered_request_sent_before_the_recovery_does_not_delay_later_requests() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     for name in ["stuck", "a", "b", "c"] {
         test.submit(name, NON_IDEMPOTENT, 9);
@@ -74,7 +77,11 @@
     assert_eq!(trial.len(), 1);
     test.advance(ms(100));
     test.complete_attempt(&trial[0], 1);
-    assert_eq!(test.started_after(ms(300)).len(), 1, "one older request is still in flight");
+    assert_eq!(
+        test.started_after(ms(300)).len(),
+        1,
+        "expected one new request, although an older one is in flight"
+    );
 }
 
 #[test]
@@ -130,7 +137,11 @@
     assert_eq!(test.started_after(ms(100_000)), ["kept"]);
     test.complete_attempt("kept", 0);
     test.run_after(ms(150_000));
-    assert_eq!(test.policy.state_size().circuits, 1, "only the circuit that was used since then is kept");
+    assert_eq!(
+        test.policy.state_size().circuits,
+        1,
+        "expected only the record of the circuit used since then"
+    );
     test.submit("again", IDEMPOTENT, 3);
     assert_eq!(test.started_after(ms(0)), ["again"]);
 }
--- a/tests/policy/discovery.rs
+++ b/tests/policy/discovery.rs
@@ -18,7 +18,11 @@
     test.replace_endpoints(&[listed(2, 8, SHARED_CIRCUIT)]);
     test.submit("a", IDEMPOTENT, 9);
     assert!(test.started_after(ms(0)).is_empty());
-    assert_eq!(test.run_after(ms(20_000)), [fail("a")], "no active endpoint until the deadline");
+    assert_eq!(
+        test.run_after(ms(20_000)),
+        [fail("a")],
+        "expected a failure at the deadline without an active endpoint"
+    );
 }
 
 #[test]
@@ -41,7 +45,7 @@
         test.apply_endpoint_list(n % 2 == 0, &replacement, EndpointState::Active);
         assert!(
             test.policy.knows_destination(DestinationId(9)),
-            "the destination is kept while its endpoint is replaced"
+            "expected the destination to be kept while its endpoint is replaced"
         );
         test.submit(&name, IDEMPOTENT, 9);
         assert_eq!(test.started_after(ms(1000)), [name.as_str()]);
@@ -52,7 +56,7 @@
     let kept = [size.endpoints, size.circuits, size.destinations];
     assert!(
         kept.iter().all(|kept| *kept < 80),
-        "records kept of endpoints, circuits and destinations: {kept:?}"
+        "expected fewer than 80 records each of endpoints, circuits and destinations: {kept:?}"
     );
 }
 
@@ -71,7 +75,10 @@
     while deleted < 10_000 {
         test.run_after(if runs == 0 { ms(0) } else { ms(30_000) });
         let in_this_run = test.policy.take_removed_endpoints().len();
-        assert!(in_this_run <= 1_000, "{in_this_run} endpoints removed in one run of due work");
+        assert!(
+            in_this_run <= 1_000,
+            "expected at most 1,000 removals in one run of due work, not {in_this_run}"
+        );
         deleted += in_this_run;
         runs += 1;
         assert!(runs < 20, "{deleted} of 10,000 endpoints removed after {runs} runs");
@@ -102,7 +109,7 @@
 }
 
 #[test]
-fn failed_polls_back_off() {
+fn failed_polls_of_the_endpoint_list_are_repeated_with_backoff() {
     let settings = Settings { max_poll_interval: Some(ms(10_000)), ..settings() };
     let mut test = PolicyTest::without_endpoint_list(settings);
     test.run_after(ms(0));
@@ -114,8 +121,14 @@
             test.policy.discovery_failed(test.now);
         }
     }
-    assert!((5..=12).contains(&polled.len()), "polled after {polled:?} tenths of a second");
-    assert!(polled[0] >= 4, "the first poll is delayed");
+    assert!(
+        (5..=12).contains(&polled.len()),
+        "expected 5 to 12 polls in a minute: after {polled:?} tenths of a second"
+    );
+    assert!(
+        polled[0] >= 4,
+        "expected no poll within 0.4 s of the first failure: {polled:?} tenths of a second"
+    );
     test.replace_endpoints(ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     assert_eq!(test.started_after(ms(0)), ["a"]);
--- a/tests/policy/endpoint_selection.rs
+++ b/tests/policy/endpoint_selection.rs
@@ -22,7 +22,7 @@
     }
     assert!(
         lost <= 4 && served >= 10,
-        "{lost} attempts lost, {served} of the other class completed at endpoint 1"
+        "expected 4 or fewer lost attempts, and 10 or more completions at endpoint 1: {lost}, {served}"
     );
 }
 
@@ -42,7 +42,10 @@
         to_small += u32::from(attempt.endpoint == EndpointId(2));
         test.complete_attempt(&name, 0);
     }
-    assert!((2..=30).contains(&to_small), "{to_small} of 100 at the endpoint with the lower rate");
+    assert!(
+        (2..=30).contains(&to_small),
+        "expected 2 to 30 of 100 requests at the endpoint with the lower rate, not {to_small}"
+    );
 }
 
 #[test]
@@ -82,7 +85,11 @@
         to_east += u32::from(attempt.endpoint == EndpointId(2));
         test.complete_attempt(&attempt.message, 0);
     }
-    assert!(to_east > 25, "{to_east} of 40: both endpoints are drawn together in one of two selections");
+    // Both endpoints are drawn together in half of the selections.
+    assert!(
+        to_east > 25,
+        "expected more than 25 of 40 requests in the zone with the lower fee, not {to_east}"
+    );
 }
 
 #[test]
@@ -99,5 +106,6 @@
         test.complete_attempt(&attempt.message, 0);
         to_slow += u32::from(n >= 20 && slow);
     }
-    assert!(to_slow < 75, "{to_slow} of 200: only the slow endpoint is drawn in a quarter of the selections");
+    // Only the slow endpoint is drawn in a quarter of the selections.
+    assert!(to_slow < 75, "expected fewer than 75 of 200 requests at the slow endpoint, not {to_slow}");
 }
--- a/tests/policy/eviction.rs
+++ b/tests/policy/eviction.rs
@@ -42,11 +42,22 @@
         test.submit(name, IDEMPOTENT, destination);
         test.advance(ms(10));
     }
-    assert!(test.run_after(ms(0)).is_empty(), "capacity for one more message is left");
+    assert!(
+        test.run_after(ms(0)).is_empty(),
+        "expected no rejection while capacity for one more message is left"
+    );
     test.submit("f", IDEMPOTENT, 8);
     let commands = test.run_after(ms(0));
-    assert_eq!(finished(&commands), ["f"], "of equally long queues, the message with the latest objective");
+    assert_eq!(
+        finished(&commands),
+        ["f"],
+        "expected the latest objective of two equally long queues to be rejected"
+    );
     test.advance(ms(2_500));
     test.submit("g", IDEMPOTENT, 9);
-    assert_eq!(finished(&test.run_after(ms(0))), ["a"], "the message that is late by the longest time");
+    assert_eq!(
+        finished(&test.run_after(ms(0))),
+        ["a"],
+        "expected the rejection of the message that is late by the longest time"
+    );
 }
--- a/tests/policy/fleet_pacing.rs
+++ b/tests/policy/fleet_pacing.rs
@@ -28,10 +28,11 @@
     ] {
         let started = started_after_common_rejection(outcome);
         let most = started.windows(3).map(|span| span.iter().sum::<usize>()).max().unwrap();
-        assert!(most <= 18 + 4, "{most} requests within 3 s to an endpoint that accepts 18: {started:?}");
+        // The endpoint accepts 18 requests within 3 s.
+        assert!(most <= 18 + 4, "expected at most 22 requests within 3 s, not {most}: {started:?}");
         assert!(
             started.iter().sum::<usize>() >= 25,
-            "most messages were retried before their deadline: {started:?}"
+            "expected 25 or more retries before the deadline: {started:?}"
         );
     }
 }
@@ -54,7 +55,10 @@
 #[test]
 fn fair_share_grows_with_traffic_taken_over_from_other_forwarders() {
     let (usual, busy) = (pacing_interval_with_recent(1), pacing_interval_with_recent(12));
-    assert!(usual >= 10.0 && busy < 2.0, "pacing intervals of {usual} s and {busy} s");
+    assert!(
+        usual >= 10.0 && busy < 2.0,
+        "expected pacing intervals from 10 s and below 2 s, not {usual} s and {busy} s"
+    );
 }
 
 /// Returns how many requests a fleet of 60 sends in each second to an endpoint that is listed with 6 requests
@@ -88,12 +92,12 @@
     let most = started[1..].iter().max().unwrap();
     assert!(
         started[0] <= 18 + 12 && *most <= 12,
-        "requests to an endpoint that accepts 6 a second: {started:?}"
+        "expected at most 30 requests in the first second and 12 in each later one: {started:?}"
     );
     assert_eq!(
         started[..10].iter().sum::<usize>(),
         60,
-        "no message waits longer than a time slot: {started:?}"
+        "expected all messages to be sent within the length of a time slot, 10 s: {started:?}"
     );
 }
 
@@ -120,7 +124,7 @@
     let (usual, busy) = (started_in_a_minute(3), started_in_a_minute(30));
     assert!(
         (2..=4).contains(&usual) && busy >= 20,
-        "{usual} of 3 and {busy} of 30 messages started in a minute"
+        "expected 2 to 4 of 3 messages and 20 or more of 30 in a minute, not {usual} and {busy}"
     );
 }
 
@@ -131,7 +135,11 @@
         test.replace_endpoints(&[listed(1, 9, OWN_CIRCUIT).weight(Some(weight))]);
         test.submit("a", IDEMPOTENT, 9);
         let started = (0..199).find_map(|_| test.started_after(ms(100)).pop());
-        assert_eq!(started.as_deref(), Some("a"), "listed with weight {weight}");
+        assert_eq!(
+            started.as_deref(),
+            Some("a"),
+            "expected an attempt although the listed weight is {weight}"
+        );
     }
 }
 
@@ -150,7 +158,7 @@
     assert_eq!(
         started[first..(first + 100).min(190)].iter().sum::<usize>(),
         1,
-        "attempts per tenth of a second: {started:?}"
+        "expected one attempt in the 10 s from the first; attempts per tenth of a second: {started:?}"
     );
 }
 
@@ -173,7 +181,7 @@
     test.reject_attempt("a", 0, None);
     assert!(
         (0..150).any(|_| !test.started_after(ms(100)).is_empty()),
-        "the fair share is one request in 100 s"
+        "expected a retry within 15 s, although the fair share is one request in 100 s"
     );
 }
 
@@ -185,7 +193,7 @@
     test.complete_attempt("first", 0);
     for n in 0..4 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
-        assert!(test.started_after(ms(500)).is_empty(), "the share of requests is used up");
+        assert!(test.started_after(ms(500)).is_empty(), "expected no request before the next time slot");
     }
     assert_eq!(test.started_after(ms(13_100)).len(), 4);
 }
--- a/tests/policy/idempotency.rs
+++ b/tests/policy/idempotency.rs
@@ -51,7 +51,7 @@
         let timeouts = test.host.timeouts[name];
         assert_eq!(
             timeouts.start_within, timeouts.response_within,
-            "only the response timeout limits the start: {name}"
+            "expected no limit of the start of {name} but the response timeout"
         );
     }
     test.advance(ms(4000));
@@ -61,7 +61,7 @@
     test.finish_attempt("with key", 0, AttemptOutcome::TimedOut);
     assert_eq!(test.started_after(ms(0)), ["with key"]);
     let start_within = test.host.timeouts["with key"].start_within;
-    assert_eq!(start_within, ms(1000), "4 s of the idempotency window of 5 s have passed");
+    assert_eq!(start_within, ms(1000), "expected the rest of the idempotency window: 4 s of 5 s have passed");
     test.policy.begin_shutdown(test.now + ms(1500));
     test.submit("late", IDEMPOTENT, 8);
     assert_eq!(test.started_after(ms(100)), ["late"]);
--- a/tests/policy/load_reports.rs
+++ b/tests/policy/load_reports.rs
@@ -28,7 +28,7 @@
         test.complete_attempt("b", 0);
     }
     let again = (0..40).any(|_| !test.started_after(ms(50)).is_empty());
-    assert!(again, "the first retry is within the latency objective");
+    assert!(again, "expected the first retry within the latency objective");
     test.report_load(1, left, limit);
     test.reject_attempt("a", 1, None);
     test.longest_pacing_interval()
@@ -42,7 +42,10 @@
 #[test]
 fn rejection_without_a_limit_is_retried_late() {
     let interval = pacing_interval_after_two_rejections(0.0, 0.0, true);
-    assert!(interval > 2.5, "the destination may be down");
+    assert!(
+        interval > 2.5,
+        "expected a pacing interval above 2.5 s, because the destination may be down: {interval} s"
+    );
 }
 
 #[test]
@@ -50,7 +53,7 @@
     for (left, limit) in [(0.1, 6.0), (0.9, 6.0), (0.0, 0.0)] {
         assert!(
             pacing_interval_after_two_rejections(left, limit, false) > 3.0,
-            "share {left} of a limit of {limit} requests a second is left"
+            "expected an interval above 3 s at share {left} left of {limit} requests a second"
         );
     }
 }
@@ -69,13 +72,17 @@
         test.complete_attempt("b", 0);
         assert!(
             ends_pacing || test.longest_pacing_interval() > 0.9 * before,
-            "rejected requests may count against the limit"
+            "expected an interval above 90% of {before} s, as rejected requests may count against the limit"
         );
         test.run_after(ms(2000));
         for n in 0..3 {
             test.submit(&format!("e{n}"), IDEMPOTENT, 9);
         }
-        assert_eq!(test.started_after(ms(0)).len() > 1, ends_pacing, "share of the limit left: {left}");
+        assert_eq!(
+            test.started_after(ms(0)).len() > 1,
+            ends_pacing,
+            "expected several attempts at once only if pacing has ended; share of the limit left: {left}"
+        );
     }
 }
 
@@ -103,5 +110,8 @@
 #[test]
 fn report_of_a_lower_limit_widens_the_pacing_interval() {
     let (low, high) = (pacing_interval_at_limit(0.5), pacing_interval_at_limit(6.0));
-    assert!(low > 1.5 * high, "intervals {low} s and {high} s");
+    assert!(
+        low > 1.5 * high,
+        "expected an interval of more than 1.5 times {high} s at the lower limit, not {low} s"
+    );
 }
--- a/tests/policy/restore.rs
+++ b/tests/policy/restore.rs
@@ -30,7 +30,7 @@
 fn message_with_an_idempotency_key_is_retried_after_a_restart_while_the_key_is_valid() {
     assert!(starts_one_attempt(restored_after_attempt(WITH_KEY, false, 100)));
     let expired = restored_after_attempt(WITH_KEY, false, 5000);
-    assert_eq!(expired, [fail("a")], "the idempotency key has expired");
+    assert_eq!(expired, [fail("a")], "expected a failure, because the idempotency key has expired");
 }
 
 #[test]
@@ -52,7 +52,7 @@
         test.submit_with_deadline("restored", NON_IDEMPOTENT, 9, test.now + ms(8000));
         test.restore("restored", &[]);
         let started = (0..41).any(|_| test.started_after(ms(100)) == ["restored"]);
-        assert!(started, "seed {seed}: not started in about half of the remaining time");
+        assert!(started, "seed {seed}: expected an attempt within about half of the remaining time");
     }
 }
 
@@ -69,5 +69,8 @@
         |span| fleet.iter_mut().map(|member| member.started_after(span).len()).sum::<usize>();
     let first = started_in(ms(1000));
     let rest = (0..10).map(|_| started_in(ms(1000))).sum::<usize>();
-    assert!(first <= 12 && rest >= 30, "{first} of 180 messages in the first second, {rest} in the next ten");
+    assert!(
+        first <= 12 && rest >= 30,
+        "expected 12 or fewer of 180 messages in 1 s, and 30 or more in the next 10 s: {first}, {rest}"
+    );
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -15,5 +15,5 @@
             attempts += 1;
         }
     }
-    assert!((3..=5).contains(&attempts), "{attempts} attempts in a second");
+    assert!((3..=5).contains(&attempts), "expected 3 to 5 attempts in a second, not {attempts}");
 }
--- a/tests/policy/retry_after.rs
+++ b/tests/policy/retry_after.rs
@@ -31,7 +31,11 @@
     assert_eq!(test.started_after(ms(0)).len(), 8);
     test.policy.retry_after_received(test.now, EndpointId(1), ms(30_000));
     let commands = test.run_after(ms(0));
-    assert_eq!(finished(&commands).len(), 12, "the deadline of 20 s ends before the wait");
+    assert_eq!(
+        finished(&commands).len(),
+        12,
+        "expected answers to all messages whose deadline ends before the Retry-After"
+    );
     // A message submitted during the wait is finished as well.
     test.submit("late", IDEMPOTENT, 9);
     assert_eq!(finished(&test.run_after(ms(0))), ["late"]);
@@ -73,14 +77,18 @@
     }
     assert!(
         test.started_after(ms(1990)).is_empty(),
-        "the record of the circuit does not expire before the wait ends"
+        "expected no attempt before the Retry-After ends, whose circuit must keep its record"
     );
     let trial = test.started_after(ms(10));
     assert_eq!(trial.len(), 1);
     test.advance(ms(100));
     test.complete_attempt(&trial[0], 1);
     let started = test.started_after(ms(0));
-    assert!(started.len() < 30, "a full batch would overload a destination that is warming up");
+    assert!(
+        started.len() < 30,
+        "expected fewer than 30 messages in the first batch after the trial, not {}",
+        started.len()
+    );
 }
 
 #[test]
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -14,13 +14,20 @@
     assert_eq!(test.started_after(ms(0)), ["a"]);
     test.update_endpoints(&[listed(1, 8, SHARED_CIRCUIT)], EndpointState::Active);
     test.finish_attempt("a", 0, AttemptOutcome::NoConnection);
-    assert!(test.started_after(ms(5000)).is_empty(), "the endpoint belongs to another destination now");
+    assert!(
+        test.started_after(ms(5000)).is_empty(),
+        "expected no attempt, because the endpoint belongs to another destination"
+    );
     test.update_endpoints(&[listed(1, 9, SHARED_CIRCUIT)], EndpointState::Active);
-    assert_eq!(test.started_after(ms(1000)), ["a"], "the endpoint belongs to the destination again");
+    assert_eq!(
+        test.started_after(ms(1000)),
+        ["a"],
+        "expected an attempt, because the endpoint belongs to the destination again"
+    );
     test.withdraw("never seen");
     test.complete_attempt("never seen", 3);
     let commands = test.run_after(ms(100_000_000));
-    assert_eq!(commands, [fail("nowhere")], "the clock jumped past the deadline");
+    assert_eq!(commands, [fail("nowhere")], "expected a failure after the clock jumped past the deadline");
     test.finish_attempt("a", 1, AttemptOutcome::TimedOut);
     assert_eq!(test.run_after(ms(0)), [fail("a")]);
     for n in 0..5000 {
@@ -29,7 +36,7 @@
     let commands = test.run_after(ms(0));
     let rejected = commands.iter().filter(|command| matches!(command, HostCommand::Reject { .. })).count();
     let kept = test.policy.state_size().messages;
-    assert_eq!(5000 - rejected, kept, "each message is queued, sent or rejected");
+    assert_eq!(5000 - rejected, kept, "expected each message to be queued, sent or rejected");
 }
 
 #[test]
@@ -44,7 +51,7 @@
 #[test]
 fn out_of_range_settings_do_not_stop_a_forwarder() {
     let zero = Some(ms(0));
-    let absurd = Settings {
+    let out_of_range = Settings {
         classes: vec![MessageClass {
             name: IDEMPOTENT.into(),
             priority_weight: Some(f64::NAN),
@@ -60,9 +67,12 @@
         listed_weights: ListedWeights::ApproximateRates,
         ..Default::default()
     };
-    let mut test = PolicyTest::new(absurd, ONE_ENDPOINT);
+    let mut test = PolicyTest::new(out_of_range, ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
     let commands = test.run_after(ms(100));
-    assert!(commands.is_empty(), "no request may be in flight, so the message stays queued: {commands:?}");
+    assert!(
+        commands.is_empty(),
+        "expected the message to stay queued, because no request may be in flight: {commands:?}"
+    );
     assert_eq!(test.run_after(ms(30_000)), [fail("a")]);
 }
--- a/tests/policy/scheduling.rs
+++ b/tests/policy/scheduling.rs
@@ -10,7 +10,7 @@
     for n in 0..40 {
         test.submit(&format!("e{n}"), IDEMPOTENT, 9);
     }
-    assert_eq!(test.started_after(ms(0)).len(), 32, "eight requests of four messages");
+    assert_eq!(test.started_after(ms(0)).len(), 32, "expected eight requests of four messages");
 }
 
 #[test]
@@ -58,7 +58,7 @@
         test.submit(&format!("silent{n}"), class, 9);
     }
     test.submit("quick", IDEMPOTENT, 8);
-    assert_eq!(test.started_after(ms(0)).len(), 8, "the limit of requests in flight");
+    assert_eq!(test.started_after(ms(0)).len(), 8, "expected attempts up to the limit of requests in flight");
     test.run_after(ms(200));
     test.complete_attempt("quick", 0);
     for n in 0..4 {
@@ -70,7 +70,10 @@
     let cancelled = |command: &HostCommand| matches!(command, HostCommand::Cancel { message, .. } if message.starts_with("silent"));
     assert!(commands.iter().any(cancelled), "expected the cancellation of a silent attempt: {commands:?}");
     let non_idempotent = |command: &HostCommand| matches!(command, HostCommand::Cancel { message, .. } if ["silent1", "silent3"].contains(&message.as_str()));
-    assert!(!commands.iter().any(non_idempotent), "cancelling a non-idempotent attempt would lose it");
+    assert!(
+        !commands.iter().any(non_idempotent),
+        "expected no cancellation of a non-idempotent attempt, which would lose its message: {commands:?}"
+    );
 }
 
 #[test]
@@ -89,7 +92,8 @@
         low += usize::from(started[0].starts_with("low"));
         test.complete_attempt(&started[0], 0);
     }
-    assert!((8..40).contains(&low), "{low} of 200 requests; squared weights of 1 and 3 give a tenth");
+    // The squares of the weights 1 and 3 give the low class a tenth of the requests.
+    assert!((8..40).contains(&low), "expected 8 to 39 of 200 requests for the low priority class, not {low}");
 }
 
 #[test]
@@ -103,6 +107,10 @@
     let deadline = test.now + ms(300);
     test.submit_with_deadline("short", IDEMPOTENT, 9, deadline);
     let progress = test.policy.message_progress(&id("short")).unwrap();
-    assert_eq!(progress.objective_ends_at, deadline, "the objective ends at the deadline");
-    assert_eq!(test.started_after(ms(0)), ["short"], "some responses take less than the mean");
+    assert_eq!(progress.objective_ends_at, deadline, "expected the latency objective to end at the deadline");
+    assert_eq!(
+        test.started_after(ms(0)),
+        ["short"],
+        "expected an attempt, because some responses take less than the mean"
+    );
 }
--- a/tests/policy/shutdown.rs
+++ b/tests/policy/shutdown.rs
@@ -16,5 +16,9 @@
     test.submit("non-idempotent", NON_IDEMPOTENT, 9);
     test.submit("idempotent", IDEMPOTENT, 9);
     let started = test.started_after(ms(0));
-    assert_eq!(started, ["idempotent"], "the non-idempotent message is kept for the next start");
+    assert_eq!(
+        started,
+        ["idempotent"],
+        "expected the non-idempotent message to be kept for the next start of the program"
+    );
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -30,5 +30,8 @@
 
 #[test]
 fn second_connection_reset_without_a_completion_starts_slow_start() {
-    assert!(started_after_resets(2) < 8, "two resets may indicate an outage");
+    assert!(
+        started_after_resets(2) < 8,
+        "expected fewer than eight messages after two resets, which may indicate an outage"
+    );
 }
--- a/tests/policy/wake_ups.rs
+++ b/tests/policy/wake_ups.rs
@@ -24,12 +24,16 @@
     test.complete_with_retry_after(1, 9, ms(4000));
     test.submit_many(1, 9);
     assert!(test.started_after(ms(0)).is_empty());
-    assert_eq!(test.host.timers.last(), Some(&ms(4000)), "one timer is set for the end of the wait");
+    assert_eq!(test.host.timers.last(), Some(&ms(4000)), "expected a timer for the end of the Retry-After");
     assert!(test.started_after(ms(3900)).is_empty());
     // Another endpoint of the destination admits requests now.
     test.update_endpoints(&[listed(2, 9, OWN_CIRCUIT)], EndpointState::Active);
     assert_eq!(test.started_after(ms(0)), ["e0000"]);
     test.reject_attempt("e0000", 0, Some(ms(1000)));
-    assert!(test.started_after(ms(50)).is_empty(), "both endpoints wait");
-    assert_eq!(test.started_after(ms(100)), ["e0000"], "the wait of one endpoint is over");
+    assert!(test.started_after(ms(50)).is_empty(), "expected no attempt while both endpoints wait");
+    assert_eq!(
+        test.started_after(ms(100)),
+        ["e0000"],
+        "expected an attempt once the wait of one endpoint is over"
+    );
 }
