--- a/crates/forwarder/src/connections/connection.rs
+++ b/crates/forwarder/src/connections/connection.rs
@@ -44,14 +44,15 @@
 impl Connection {
     /// Connects to an address.
     ///
-    /// The permit is released when the connection closes. An error means that nothing was sent: connecting
-    /// timed out or was refused, or this machine has no descriptor left.
+    /// The permit counts the connection against a limit and is released when the connection closes. `None`
+    /// without a limit. An error means that nothing was sent: connecting timed out or was refused, or this
+    /// machine has no descriptor left.
     pub(crate) async fn open(
-        to: SocketAddr,
+        address: SocketAddr,
         connect_timeout: Duration,
         permit: Option<OwnedSemaphorePermit>,
     ) -> Result<Self, AttemptResult> {
-        let stream = connect(to, connect_timeout).await?;
+        let stream = connect(address, connect_timeout).await?;
         let progress = Arc::<ExchangeProgress>::default();
         let observed = ObservedStream::new(stream, progress.clone());
         let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(observed).await;
@@ -157,8 +158,8 @@
 }
 
 /// Opens a TCP stream. An error means that no connection was established.
-async fn connect(to: SocketAddr, connect_timeout: Duration) -> Result<TcpStream, AttemptResult> {
-    let stream = match timeout(connect_timeout, TcpStream::connect(to)).await {
+async fn connect(address: SocketAddr, connect_timeout: Duration) -> Result<TcpStream, AttemptResult> {
+    let stream = match timeout(connect_timeout, TcpStream::connect(address)).await {
         Err(_) => return Err(AttemptResult::ConnectTimedOut),
         Ok(Err(error)) if is_resource_exhausted(&error) => return Err(AttemptResult::NotSent),
         Ok(Err(_)) => return Err(AttemptResult::ConnectionRefused),
--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -27,7 +27,7 @@
 /// A pool of connections to endpoints. Clones share one pool.
 ///
 /// An idle connection is closed before its endpoint would close it, and is reused only for the same endpoint
-/// because an address may pass to another one.
+/// because its address may be assigned to another endpoint.
 ///
 /// No lock is held across an await. Code that takes both locks takes `idle_permits` before
 /// `idle_connections`.
@@ -64,17 +64,17 @@
         }
     }
 
-    /// Returns the endpoint's most recently used idle connection, or opens a new one to `to`.
+    /// Returns the endpoint's most recently used idle connection, or opens a new one to `address`.
     pub(crate) async fn acquire(
         &self,
         endpoint: EndpointId,
-        to: SocketAddr,
+        address: SocketAddr,
     ) -> Result<Connection, AttemptResult> {
         if let Some(connection) = self.take_idle(endpoint) {
             return Ok(connection);
         }
         let permit = self.acquire_permit().await?;
-        Connection::open(to, self.connect_timeout, Some(permit)).await
+        Connection::open(address, self.connect_timeout, Some(permit)).await
     }
 
     /// Returns the most recently used idle connection that is still reusable, and closes the others that it
--- a/crates/forwarder/src/connections/reuse_history.rs
+++ b/crates/forwarder/src/connections/reuse_history.rs
@@ -7,12 +7,13 @@
 
 /// A connection that was idle for less than this time is always reused.
 const ALWAYS_REUSED_IDLE: Duration = Duration::from_millis(50);
-/// Reuses after an idle time below `ALWAYS_REUSED_IDLE` are not recorded.
+/// The maximum number of recorded reuses. Reuses after an idle time below `ALWAYS_REUSED_IDLE` are not
+/// recorded.
 const MAX_RECORDED_REUSES: usize = 64;
-/// The number of failures among the recorded reuses from which reuse is limited. Resets of a single
+/// The minimum number of failures among the recorded reuses at which reuse is limited. Resets of a single
 /// connection or endpoint cause fewer failures.
 const FAILURES_TO_LIMIT_REUSE: usize = 6;
-/// The number of failures at which the limit on reuse ends.
+/// The maximum number of failures among the recorded reuses at which the limit on reuse ends.
 const FAILURES_TO_LIFT_LIMIT: usize = 1;
 /// The period after which the idle limit set by a failure doubles. The limit starts at half of the idle time
 /// of the failed connection.
@@ -37,7 +38,7 @@
 }
 
 impl ReuseFailure {
-    /// Returns the idle limit that follows from this failure alone.
+    /// Returns the idle time below which a connection may be reused, considering only this failure.
     fn reusable_idle_time(&self) -> Duration {
         let elapsed = self.at.elapsed().as_secs_f64();
         let doublings = (elapsed / IDLE_LIMIT_DOUBLING_PERIOD.as_secs_f64()).min(MAX_DOUBLINGS);
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -75,15 +75,15 @@
     }
 }
 
-/// All endpoints that were named and not forgotten. Each operation takes constant time, independent of the
-/// number of endpoints.
+/// All endpoints that have an id and are not forgotten. Each operation takes constant time, independent of
+/// the number of endpoints.
 #[derive(Default)]
 pub struct EndpointTable {
     /// The endpoints by the number in their id.
     rows: IndexMap<u32, EndpointRow, DefaultHashBuilder>,
     /// The index of the same endpoints by name.
     names: HashTable<NameEntry>,
-    hashes: DefaultHashBuilder,
+    hash_builder: DefaultHashBuilder,
     next_number: u32,
     located_count: usize,
 }
@@ -93,9 +93,9 @@
     ///
     /// An endpoint keeps its id until it is forgotten. An id is never assigned again.
     pub fn id_for_name(&mut self, name: &str) -> EndpointId {
-        let EndpointTable { rows, names, hashes, next_number, .. } = self;
+        let EndpointTable { rows, names, hash_builder, next_number, .. } = self;
         let name_of = |id: &EndpointId| rows.get(&id.0).map_or("", |row| row.name.as_str());
-        let hash = hashes.hash_one(name) as u32;
+        let hash = hash_builder.hash_one(name) as u32;
         if let Some(known) = names.find(NameEntry::index_hash(hash), |entry| name_of(&entry.id) == name) {
             return known.id;
         }
@@ -143,7 +143,7 @@
     pub fn forget(&mut self, id: EndpointId) {
         let Some(row) = self.rows.swap_remove(&id.0) else { return };
         self.located_count -= usize::from(row.address.get().is_some());
-        let hash = self.hashes.hash_one(row.name.as_str()) as u32;
+        let hash = self.hash_builder.hash_one(row.name.as_str()) as u32;
         if let Ok(entry) = self.names.find_entry(NameEntry::index_hash(hash), |entry| entry.id == id) {
             entry.remove();
         }
--- a/crates/forwarder/src/event_loop/attempt_results.rs
+++ b/crates/forwarder/src/event_loop/attempt_results.rs
@@ -17,7 +17,7 @@
     }
 
     /// Postpones requests to an endpoint that are still waiting for a connection, because the policy can't
-    /// recall them.
+    /// postpone them itself.
     fn postpone_requests(&self, endpoint: EndpointId, until: Duration) {
         for endpoint in self.policy.endpoints_sharing_circuit(endpoint) {
             self.connections.set_retry_after(endpoint, self.clock.instant_at(until));
--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -1,4 +1,4 @@
-//! Collects the commands of the delivery policy, and sorts them by kind for the event loop.
+//! Collects the commands of the delivery policy, and separates them by type for the event loop.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     StartAttempt(AttemptCommand),
     Cancel(AttemptKey),
     GiveFinalAnswer(DeliveryNotice),
-    /// Sets a timer that fires after this time.
+    /// Sets a timer. The value is its delay from the run of due work that takes the command.
     SetTimer(Duration),
 }
 
@@ -30,7 +30,7 @@
     pub number: AttemptNumber,
 }
 
-/// An attempt that has its number and is ready to start.
+/// A numbered attempt that is ready to start.
 pub(super) struct OutgoingAttempt {
     pub message: OutgoingMessage,
     pub number: AttemptNumber,
@@ -44,10 +44,11 @@
     commands: Vec<Command>,
 }
 
-/// Commands by kind, each kind in the order in which the policy issued them.
+/// The policy's commands, separated by type. Commands of one type are in the order in which the policy issued
+/// them.
 #[derive(Default)]
 pub(super) struct CommandBatch {
-    /// The times from now after which timers fire.
+    /// The delays of new timers, counted from the run of due work that takes this batch.
     pub timers: Vec<Duration>,
     pub attempts: Vec<AttemptCommand>,
     pub cancellations: Vec<AttemptKey>,
@@ -113,8 +114,8 @@
         self.commands.push(Command::SetTimer(after));
     }
 
-    // The remaining commands have no effect on sockets: endpoints have no health checks, forwarders do not
-    // exchange gossip, and the watch on the endpoint list is always open.
+    // The remaining commands have no effect in this forwarder: endpoints have no health checks, forwarders do
+    // not exchange gossip, and the watch on the endpoint list is always open.
     fn start_health_check(&mut self, _: EndpointId) {}
     fn send_gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn watch_endpoint_list(&mut self, _: bool) {}
--- a/crates/forwarder/src/event_loop/due_work.rs
+++ b/crates/forwarder/src/event_loop/due_work.rs
@@ -12,8 +12,8 @@
 use super::log_writer::LogWrite;
 use super::EventLoop;
 
-/// The maximum delay of the next due work after an attempt or a submission failed for a local reason. A delay
-/// prevents a busy loop while the disk is full.
+/// The maximum time to the next run of due work after an attempt or a submission failed for a local reason.
+/// The delay prevents a busy loop while the disk is full.
 const LOCAL_FAILURE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The attempts of one run of due work, divided by whether they may start.
@@ -47,7 +47,7 @@
         self.withdraw_messages(withdrawn);
     }
 
-    /// Separates attempts that may start from the others. An attempt may not start if the write-ahead log
+    /// Separates attempts that may start from the others. An attempt must not start if the write-ahead log
     /// does not contain it, its message was withdrawn, or its endpoint has no address.
     fn split_startable(
         &self,
@@ -65,7 +65,7 @@
     }
 
     /// Finishes attempts that could not start with the result `NotSent`. The policy handles them in the next
-    /// due work.
+    /// run of due work.
     fn return_unstarted(&mut self, attempts: Vec<OutgoingAttempt>, now: Duration) {
         for attempt in attempts {
             self.finish_attempt(attempt.message.id, attempt.number, AttemptResult::NotSent, now);
--- a/crates/forwarder/src/event_loop/mod.rs
+++ b/crates/forwarder/src/event_loop/mod.rs
@@ -54,7 +54,7 @@
     pub settings: Settings,
     /// The minimum interval between two runs of due work.
     pub tick: Duration,
-    /// The maximum bytes of pending messages in memory.
+    /// The maximum total size of pending messages in memory, in bytes.
     pub max_message_bytes: u64,
 }
 
@@ -62,7 +62,7 @@
 pub struct EventLoopParts {
     /// The clock that converts between the policy's time and instants.
     pub clock: Clock,
-    /// The write-ahead log, owned by the event loop from now on.
+    /// The write-ahead log, which the event loop takes over.
     pub log: WriteAheadLog,
     /// The pool of connections to endpoints.
     pub connections: ConnectionPool,
@@ -121,7 +121,7 @@
     }
 }
 
-/// The maximum number of messages in one request, by kind of endpoint.
+/// The maximum number of messages in one request, by the name of the endpoint kind.
 struct BatchLimits(BTreeMap<String, usize>);
 
 impl From<&Settings> for BatchLimits {
@@ -135,7 +135,7 @@
 }
 
 impl BatchLimits {
-    /// Returns the limit of a kind, or 1 if the settings do not name the kind.
+    /// Returns the limit of an endpoint kind, or 1 if the settings do not name the kind.
     fn of_kind(&self, kind: &str) -> usize {
         self.0.get(kind).copied().unwrap_or(1)
     }
@@ -143,7 +143,8 @@
 
 #[derive(Default)]
 struct LogThrottles {
-    /// Limits lines about submissions without capacity, and about failed appends to the write-ahead log.
+    /// Limits log lines about submissions rejected for lack of capacity, and about failed appends to the
+    /// write-ahead log.
     capacity: LogThrottle,
     malformed_message: LogThrottle,
     malformed_list: LogThrottle,
--- a/crates/forwarder/src/event_loop/new_submission.rs
+++ b/crates/forwarder/src/event_loop/new_submission.rs
@@ -5,7 +5,7 @@
 use reeddock_wal::AcceptedMessage;
 use tokio::sync::oneshot;
 
-/// A message that was submitted since the last due work and whose client has no response yet.
+/// A message that was submitted since the last run of due work and whose client has no response yet.
 pub(super) struct NewSubmission {
     pub id: MessageId,
     /// The record of the message for the write-ahead log.
--- a/crates/forwarder/src/event_loop/pending_messages.rs
+++ b/crates/forwarder/src/event_loop/pending_messages.rs
@@ -18,9 +18,9 @@
 pub(super) struct PendingEntry {
     pub body: Bytes,
     pub idempotency_key: Option<Arc<str>>,
-    /// Bytes that the message occupies in memory and in the write-ahead log.
+    /// The number of bytes that the message occupies in memory and in the write-ahead log.
     pub size: u64,
-    /// The number of attempts that have a number.
+    /// How many attempts of the message were numbered so far. The next attempt gets this number.
     pub attempts: u32,
 }
 
@@ -61,7 +61,7 @@
         self.finished_ids.contains(id)
     }
 
-    /// Returns the bytes that all pending messages occupy.
+    /// Returns the number of bytes that all pending messages occupy in memory and in the write-ahead log.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
--- a/crates/forwarder/src/event_loop/state.rs
+++ b/crates/forwarder/src/event_loop/state.rs
@@ -23,13 +23,14 @@
     endpoints: EndpointTable,
     /// The part of the endpoint list that is being received.
     list_progress: Option<ListProgress>,
-    /// Submissions since the last due work, whose clients have no response yet.
+    /// Submissions since the last run of due work, whose clients have no response yet.
     submissions: Vec<NewSubmission>,
     pending: PendingMessages,
     /// The attempts in flight, each with the channel that cancels it.
     in_flight: BTreeMap<AttemptKey, oneshot::Sender<()>>,
+    /// The times at which timers fire, as times of the policy's clock.
     timers: BTreeSet<Duration>,
-    /// Records for the write-ahead log that the next due work appends.
+    /// Records for the write-ahead log that the next run of due work appends.
     unwritten: Vec<Record>,
     /// The number of sent notices that the platform has not acknowledged.
     unacknowledged_notices: usize,
@@ -88,7 +89,7 @@
     }
 }
 
-/// Submissions that wait for the next due work.
+/// Submissions that wait for the next run of due work.
 impl EventLoopState {
     pub(super) fn add_submission(&mut self, submission: NewSubmission) {
         self.submissions.push(submission);
@@ -98,7 +99,8 @@
         self.submissions.iter().any(|submission| submission.id == *id)
     }
 
-    /// Returns the bytes that the submissions occupy once they are accepted.
+    /// Returns the number of bytes that the submissions occupy in memory and in the write-ahead log once they
+    /// are accepted.
     pub(super) fn submitted_bytes(&self) -> u64 {
         self.submissions.iter().map(|submission| submission.accepted.reserved_bytes()).sum()
     }
@@ -108,7 +110,8 @@
         Some(self.submissions.remove(position))
     }
 
-    /// Marks the messages of all submissions since the last due work as pending, and returns the submissions.
+    /// Marks the messages of all submissions since the last run of due work as pending, and returns the
+    /// submissions.
     pub(super) fn accept_submissions(&mut self) -> Vec<NewSubmission> {
         let submissions = std::mem::take(&mut self.submissions);
         for NewSubmission { id, accepted, .. } in &submissions {
@@ -174,8 +177,8 @@
     }
 
     /// Finishes messages that were not delivered, and returns the notices for the platform. A message
-    /// submitted since the last due work has neither notice nor record, because its client receives the
-    /// answer as the response.
+    /// submitted since the last run of due work has neither notice nor record, because its client receives
+    /// the answer as the response.
     pub(super) fn give_final_answers(&mut self, answers: Vec<DeliveryNotice>) -> Vec<DeliveryNotice> {
         let mut notices = Vec::new();
         for notice in answers {
--- a/crates/forwarder/src/event_loop/submissions.rs
+++ b/crates/forwarder/src/event_loop/submissions.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether memory and disk have capacity for one more message, in addition to the submissions
-    /// since the last due work.
+    /// since the last run of due work.
     fn has_capacity_for(&mut self, accepted: &AcceptedMessage) -> bool {
         let new_bytes = self.state.submitted_bytes() + accepted.reserved_bytes();
         let memory_bytes = self.state.pending().bytes() + new_bytes;
--- a/crates/forwarder/src/events.rs
+++ b/crates/forwarder/src/events.rs
@@ -34,14 +34,14 @@
     RetryAfter {
         /// The endpoint that sent the header.
         endpoint: EndpointId,
-        /// The time from now during which no request may be sent to the endpoint.
+        /// How long no request may be sent to the endpoint, counted from the handling of this event.
         retry_after: Duration,
     },
     /// A response contained a load report. Results of the attempts in the response are separate events.
     LoadReported {
         /// The endpoint that sent the report.
         endpoint: EndpointId,
-        /// The limit of the endpoint's circuit, and its remaining capacity.
+        /// The rate limit that the endpoint reports, and the unused share of it.
         report: LoadReport,
     },
     /// Events of a watch in their order, at most `MAX_LIST_EVENTS_PER_CHUNK` of them (`list_reader`).
--- a/crates/forwarder/src/http_progress.rs
+++ b/crates/forwarder/src/http_progress.rs
@@ -45,19 +45,19 @@
     begun: bool,
     head: HeadScanner,
     /// Bytes of the body that are not sent yet.
-    body_left: usize,
+    body_bytes_left: usize,
 }
 
 impl RequestProgress {
-    /// Starts tracking a new request whose body has `body` bytes, none of them sent yet.
-    pub fn begin(&mut self, body: usize) {
-        *self = RequestProgress { body_left: body, ..RequestProgress::default() };
+    /// Starts tracking a new request whose body has `body_bytes` bytes, none of them sent yet.
+    pub fn begin(&mut self, body_bytes: usize) {
+        *self = RequestProgress { body_bytes_left: body_bytes, ..RequestProgress::default() };
     }
 
     /// Records bytes that the operating system has accepted.
     pub fn record_sent(&mut self, bytes: &[u8]) {
         self.begun |= !bytes.is_empty();
-        self.body_left = self.body_left.saturating_sub(self.head.skip(bytes).len());
+        self.body_bytes_left = self.body_bytes_left.saturating_sub(self.head.skip(bytes).len());
     }
 
     /// Returns whether at least one byte of the request was sent.
@@ -67,7 +67,7 @@
 
     /// Returns whether the last byte of the request was sent, so that the request may have been executed.
     pub fn is_complete(&self) -> bool {
-        self.head.finished && self.body_left == 0
+        self.head.finished && self.body_bytes_left == 0
     }
 }
 
--- a/crates/forwarder/src/idle_permits.rs
+++ b/crates/forwarder/src/idle_permits.rs
@@ -1,4 +1,4 @@
-//! Tracks which kinds of endpoint have capacity for idle connections. Pure state without I/O.
+//! Tracks which endpoint kinds (machine types) have capacity for idle connections. Pure state without I/O.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use reeddock::EndpointId;
 use tokio::time::Instant;
 
-/// A kind that rejected a connection is assumed to have no capacity for idle connections for this long.
+/// How long an endpoint kind is assumed to have no capacity for idle connections after one of its endpoints
+/// rejected a connection.
 ///
 /// The value is a multiple of the usual idle timeout of endpoints, so that a fleet of forwarders does not use
 /// up all connections again after each timeout.
@@ -20,23 +21,23 @@
 /// others.
 #[derive(Default)]
 pub struct IdlePermits {
-    /// For each endpoint number, the index of the endpoint's kind in `kinds`. Both have 32 bits to save
-    /// memory, as there may be hundreds of thousands of endpoints.
+    /// For each endpoint number, the index of the endpoint's kind in `kinds`. Numbers and indexes have 32
+    /// bits to save memory, as there may be hundreds of thousands of endpoints.
     kind_index: HashMap<u32, u32>,
     kinds: Vec<Kind>,
 }
 
-/// A kind of endpoint, identified by its name in the endpoint list.
+/// An endpoint kind, identified by the machine type that the endpoint list gives.
 struct Kind {
     name: Box<str>,
     /// The number of known endpoints of this kind. An entry with zero endpoints is reused for another kind.
     endpoints: usize,
-    /// The time at which an endpoint of this kind last rejected a connection.
+    /// The time at which an endpoint of this kind last rejected a connection. `None` if none did.
     last_rejection: Option<Instant>,
 }
 
 impl IdlePermits {
-    /// Records the kind that the endpoint list gives for an endpoint.
+    /// Records the endpoint kind (machine type) that the endpoint list gives for an endpoint.
     pub fn endpoint_listed(&mut self, endpoint: EndpointId, kind: &str) {
         if self.kind_of(endpoint).is_some_and(|listed| &*listed.name == kind) {
             return;
@@ -47,7 +48,7 @@
         self.kind_index.insert(endpoint.0, index as u32);
     }
 
-    /// Forgets an endpoint, and its kind together with the last endpoint of the kind.
+    /// Forgets an endpoint. A kind whose last endpoint is forgotten is forgotten too.
     pub fn forget(&mut self, endpoint: EndpointId) {
         let index = self.kind_index.remove(&endpoint.0);
         if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Records that an endpoint rejected a connection.
+    /// Records that an endpoint rejected a connection, which disallows idle connections to all endpoints of
+    /// its kind.
     pub fn connection_rejected(&mut self, endpoint: EndpointId, now: Instant) {
         let index = self.kind_index.get(&endpoint.0).copied();
         if let Some(kind) = index.and_then(|index| self.kinds.get_mut(index as usize)) {
@@ -74,7 +76,8 @@
         self.kinds.get(*index as usize)
     }
 
-    /// Returns the index of a kind. A new kind takes an unused entry, or a new one if there is none.
+    /// Returns the index of a kind in `kinds`. A new kind replaces an entry without endpoints, or is appended
+    /// if there is none.
     fn index_of_kind(&mut self, name: &str) -> usize {
         let in_use = |kind: &Kind| kind.endpoints > 0 && &*kind.name == name;
         if let Some(index) = self.kinds.iter().position(in_use) {
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -16,7 +16,7 @@
 //! | [`request_sender`] | sends requests to endpoints and interprets the responses |
 //! | [`connections`] | the pool of connections to endpoints |
 //! | [`http_progress`] | the progress of an HTTP exchange on a connection |
-//! | [`idle_permits`] | which kinds of endpoint have capacity for idle connections |
+//! | [`idle_permits`] | which endpoint kinds have capacity for idle connections |
 //! | [`discovery`] | the watch on the endpoint list |
 //! | [`watch_schedule`] | the times at which a lost watch is reopened |
 //! | `list_reader` | decodes the body of a watch |
--- a/crates/forwarder/src/limits.rs
+++ b/crates/forwarder/src/limits.rs
@@ -6,11 +6,11 @@
 /// The resources of the machine that a forwarder may use.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
-    /// Bytes of memory.
+    /// The memory that the forwarder may use, in bytes.
     pub memory_bytes: u64,
-    /// The maximum number of open file descriptors.
+    /// The number of file descriptors that the forwarder may have open.
     pub descriptors: usize,
-    /// Bytes of disk space in the state folder.
+    /// The disk space that the forwarder may use in the state folder, in bytes.
     pub disk_bytes: u64,
 }
 
@@ -20,7 +20,7 @@
     /// The maximum number of served client connections. Submissions on further connections are answered with
     /// 503.
     pub served_clients: usize,
-    /// The maximum number of accepted client connections.
+    /// The maximum number of open client connections, including those beyond `served_clients`.
     pub accepted_clients: usize,
     /// The number of open client connections above which each connection is closed after its response, so
     /// that idle clients don't occupy all connections.
@@ -31,7 +31,7 @@
     pub endpoint_connections: usize,
     /// The maximum number of events that are queued for the event loop, submissions included.
     pub queued_events: usize,
-    /// The maximum bytes of pending messages in memory.
+    /// The maximum total size of pending messages in memory, in bytes.
     pub message_bytes: u64,
 }
 
@@ -53,30 +53,31 @@
     }
 }
 
-/// File descriptors that client connections and requests may not use, so that the endpoint list, notices and
-/// the write-ahead log always have descriptors.
+/// Numbers of file descriptors that are reserved for other purposes than client connections and requests, so
+/// that the endpoint list, notices and the write-ahead log always have descriptors.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorReserve {
-    /// Standard input, output and error.
+    /// Descriptors of standard input, output and error.
     pub standard_streams: usize,
-    /// The runtime's event queue, wake-ups and signals.
+    /// Descriptors that the async runtime uses for its event queue, wake-ups and signals.
     pub runtime: usize,
-    /// The listening socket for clients.
+    /// Descriptor of the listening socket for clients.
     pub listener: usize,
-    /// The write-ahead log: its lock file, the open segments, one segment that is read or created, and the
-    /// state folder.
+    /// Descriptors for the write-ahead log: its lock file, the open segments, one segment that is read or
+    /// created, and the state folder.
     pub log: usize,
-    /// The configuration file while it is reloaded.
+    /// Descriptor of the configuration file while it is reloaded.
     pub configuration: usize,
-    /// The watch on the endpoint list, and a previous connection that is being closed.
+    /// Descriptors of the connection for the watch on the endpoint list, and of a previous one that is being
+    /// closed.
     pub watch: usize,
-    /// The connection for notices, and a previous connection that is being closed.
+    /// Descriptors of the connection for notices, and of a previous one that is being closed.
     pub notices: usize,
     /// Descriptors that libraries open in addition.
     pub margin: usize,
 }
 
-/// The descriptors that [`Limits::derive`] subtracts.
+/// The reserve that [`Limits::derive`] subtracts from the forwarder's file descriptors.
 pub const DESCRIPTOR_RESERVE: DescriptorReserve = DescriptorReserve {
     standard_streams: 3,
     runtime: 8,
@@ -88,7 +89,8 @@
     margin: 7,
 };
 
-/// The minimum number of descriptors outside the reserve, assumed even if fewer are configured.
+/// The minimum number of descriptors for client connections and requests, assumed even if the reserve leaves
+/// fewer.
 const MIN_FREE_DESCRIPTORS: usize = 8;
 /// The maximum number of events that are queued for the event loop, which handles at most 256 in one step.
 const EVENT_QUEUE_CAPACITY: usize = 1024;
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -38,8 +38,8 @@
     while queue.recv_many(&mut batch, MAX_NOTICES_PER_REQUEST).await > 0 {
         let mut parts = VecDeque::from([std::mem::take(&mut batch)]);
         while let Some(mut part) = parts.pop_front() {
-            let delivery = sender.deliver(&part).await;
-            if delivery == Delivery::Malformed && part.len() > 1 {
+            let outcome = sender.deliver(&part).await;
+            if outcome == NoticesOutcome::Malformed && part.len() > 1 {
                 // At least one of the notices is malformed. Each half is sent separately so that the valid
                 // ones are delivered.
                 let second_half = part.split_off(part.len() / 2);
@@ -47,7 +47,7 @@
                 parts.push_front(part);
                 continue;
             }
-            if delivery == Delivery::Malformed {
+            if outcome == NoticesOutcome::Malformed {
                 log_dropped(&part);
             }
             let acknowledged = part.into_iter().map(|notice| notice.id).collect();
@@ -68,7 +68,7 @@
 
 /// The outcome of a request with notices.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Delivery {
+enum NoticesOutcome {
     /// The platform has acknowledged all notices.
     Acknowledged,
     /// The platform responded that the request is malformed. A repetition would have the same result.
@@ -97,7 +97,7 @@
 
 impl NoticeSender {
     /// Sends notices until the platform has acknowledged them or responded that they are malformed.
-    async fn deliver(&mut self, notices: &[DeliveryNotice]) -> Delivery {
+    async fn deliver(&mut self, notices: &[DeliveryNotice]) -> NoticesOutcome {
         let mut backoff = INITIAL_BACKOFF;
         loop {
             if self.address.has_changed().unwrap_or(false) {
@@ -113,7 +113,7 @@
                 }
             };
             let error = match sent {
-                Ok(delivery) => return delivery,
+                Ok(outcome) => return outcome,
                 Err(error) => error,
             };
             if let Some(suppressed) = self.log_throttle.admit() {
@@ -134,10 +134,10 @@
     platform: SocketAddr,
     open_connection: &mut Option<Connection>,
     notices: &[DeliveryNotice],
-) -> Result<Delivery, NoticeError> {
+) -> Result<NoticesOutcome, NoticeError> {
     match timeout(RESPONSE_TIMEOUT, send(platform, open_connection, notices)).await {
-        Ok(Ok(StatusCode::BAD_REQUEST)) => Ok(Delivery::Malformed),
-        Ok(Ok(status)) if status.is_success() => Ok(Delivery::Acknowledged),
+        Ok(Ok(StatusCode::BAD_REQUEST)) => Ok(NoticesOutcome::Malformed),
+        Ok(Ok(status)) if status.is_success() => Ok(NoticesOutcome::Acknowledged),
         Ok(Ok(status)) => Err(NoticeError::UnexpectedStatus(status)),
         Ok(Err(error)) => Err(error),
         Err(_) => Err(NoticeError::ResponseTimeout),
--- a/crates/forwarder/src/request_sender/sender.rs
+++ b/crates/forwarder/src/request_sender/sender.rs
@@ -33,8 +33,8 @@
 /// Sends requests to endpoints. Dropping the future of a request closes its connection and cancels the
 /// request.
 ///
-/// Clones share one pool of connections and one set of background tasks. The tasks are aborted with the last
-/// clone.
+/// Clones share one pool of connections and one set of background tasks. The tasks are aborted when the last
+/// clone is dropped.
 #[derive(Clone)]
 pub struct RequestSender {
     connections: ConnectionPool,
@@ -53,7 +53,8 @@
     }
 }
 
-/// The tasks that read the rest of responses whose results are known. No task holds a clone of this value.
+/// The tasks that read the rest of responses whose results are known. No task holds a clone of this value, so
+/// that dropping the last clone aborts the tasks.
 #[derive(Clone, Default)]
 struct ResponseRemainders(Arc<Mutex<JoinSet<()>>>);
 
@@ -183,7 +184,8 @@
         Ok(SentBatch { positions, messages, response_deadline })
     }
 
-    /// Returns a connection on which nothing was sent to the pool.
+    /// Returns an unused connection to the pool. Nothing was sent on it since it was taken from the pool or
+    /// opened.
     async fn return_unused(&self, mut connection: Connection) {
         self.request.send_state.revert_to_awaiting_connection();
         if connection.ready().await {
--- a/crates/forwarder/src/request_sender/supervisor.rs
+++ b/crates/forwarder/src/request_sender/supervisor.rs
@@ -195,7 +195,7 @@
     }
 
     /// Sends the load report and the `Retry-After` of a response to the event loop. Must be called before the
-    /// results are reported.
+    /// attempt results of the response are reported.
     async fn report_endpoint_state(&self, request: &RequestResult) {
         let endpoint = self.endpoint;
         if let Some(report) = request.load_report {
@@ -210,10 +210,9 @@
         let _ = self.event_loop.send(Event::RetryAfter { endpoint: self.endpoint, retry_after }).await;
     }
 
-    /// Replaces a completion after the response deadline with a timeout, because the endpoint knows the
-    /// deadline.
+    /// Replaces the result `Completed` with `TimedOut` if it is received after the response deadline.
     ///
-    /// A late result that proves that the message was not executed remains valid.
+    /// Other late results remain valid, because they may prove that the message was not executed.
     fn apply_response_deadline(&self, finished: MessageResult, now: Instant) -> MessageResult {
         let late =
             self.messages.get(finished.position).is_some_and(|message| message.response_deadline <= now);
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -22,12 +22,13 @@
 /// a whole request interval.
 const MAX_QUICK_RETRIES: u32 = 2;
 
-/// The time spans of the schedule.
+/// The limits and timeouts of the schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTimings {
-    /// The time after which the forwarder must have received a change that discovery has.
+    /// The time within which the forwarder must receive a change after discovery has it.
     pub max_staleness: Duration,
-    /// Like `max_staleness`, counted from a change of discovery's address.
+    /// The time after a change of discovery's address within which the forwarder must have received the
+    /// changes that discovery has.
     pub max_staleness_after_move: Duration,
     /// The part of `max_staleness` that is reserved for the response to a request.
     pub max_response_time: Duration,
@@ -208,7 +209,7 @@
         window.end.min(now + pause)
     }
 
-    /// Returns the start of the one request of an interval.
+    /// Returns the start of the only request that a forwarder sends in an interval after its quick retries.
     fn regular_request_time(
         &self,
         now: Duration,
@@ -216,7 +217,7 @@
         TimeWindow { start, end }: TimeWindow,
     ) -> Duration {
         match loss {
-            // The response timeout has already served as the delay.
+            // No further delay is needed, because the response timeout has passed.
             WatchLoss::ResponseTimeout => now,
             WatchLoss::UnexpectedStatus { retry_after: Some(retry_after), .. } => {
                 let wait = (*retry_after).min(self.timings.request_interval() / 2);
@@ -260,10 +261,12 @@
         TimeWindow { start: window.start.max(now), ..window }
     }
 
-    /// Returns this forwarder's time in a window: its phase, if the phase lies in the window.
+    /// Returns the time in a window at which this forwarder starts a request: the time of its phase, if it
+    /// lies in the window.
     ///
     /// Forwarders whose phase lies outside the window are spread over the window in reverse order of their
-    /// phases. In the same order, a forwarder that just missed its phase would miss it in each interval.
+    /// phases. If the order were the same, a forwarder that just missed its phase would miss it in each
+    /// interval.
     fn time_in_window(&self, TimeWindow { start, end }: TimeWindow) -> Duration {
         let width = end.saturating_sub(start);
         let to_phase = self.next_phase_time(start).saturating_sub(start);
--- a/crates/forwarder/tests/loopback/batches.rs
+++ b/crates/forwarder/tests/loopback/batches.rs
@@ -68,9 +68,13 @@
         let frames = request.body.lines().filter_map(|line| line.split_once(" - "));
         let ids: Vec<_> = frames.map(|(id, _)| id).collect();
         assert_eq!(ids, ["third", "first", "second"]);
-        // The remaining part of its attempt timeout of 1 s, not the 500 ms of the notes.
+        // The request has the time limit of its first message, the rest of 1 s, and not the 500 ms of the
+        // others.
         let budget: f64 = request.headers["x-budget"].parse().unwrap();
-        assert!(budget > 0.5 && budget <= 1.0, "{budget}");
+        assert!(
+            budget > 0.5 && budget <= 1.0,
+            "expected a time limit above 0.5 s and up to 1 s, found {budget} s"
+        );
         forwarder.kill();
     });
 }
@@ -101,13 +105,16 @@
         let lines: BTreeSet<&str> = lines.collect();
         assert!(
             lines.iter().all(|l| ["m1 key-of-m1 10", "m2 key-of-m2 10", "n1 - 10"].contains(l)),
-            "{lines:?}"
+            "expected only the lines of m1, m2 and n1 with their keys, found {lines:?}"
         );
-        assert!(lines.len() + singles.len() >= 3, "{lines:?}");
+        assert!(lines.len() + singles.len() >= 3, "expected three messages, found {lines:?} and {singles:?}");
         for request in singles {
             let key = request.headers.get("idempotency-key").map(String::as_str);
             let expected = [("m1", Some("key-of-m1")), ("m2", Some("key-of-m2")), ("n1", None)];
-            assert!(expected.contains(&(request.id(), key)), "{request:?}");
+            assert!(
+                expected.contains(&(request.id(), key)),
+                "unexpected message or idempotency key in {request:?}"
+            );
         }
         forwarder.kill();
     });
@@ -153,7 +160,10 @@
             let ids = ids_in(&request);
             for (earlier_ids, earlier) in &requests {
                 if ids.intersection(earlier_ids).next().is_some() {
-                    assert!(!is_open(earlier), "{ids:?} {earlier_ids:?}");
+                    assert!(
+                        !is_open(earlier),
+                        "messages {ids:?} were sent while the request with {earlier_ids:?} was in flight"
+                    );
                     retried.extend(ids.intersection(earlier_ids).cloned());
                 }
             }
--- a/crates/forwarder/tests/loopback/client_connections.rs
+++ b/crates/forwarder/tests/loopback/client_connections.rs
@@ -25,7 +25,7 @@
             };
             stream.write_all(sent.as_bytes()).await.unwrap();
             if n % 4 == 0 {
-                assert_eq!(read_message(&mut stream).await.unwrap().status(), 202, "{n}");
+                assert_eq!(read_message(&mut stream).await.unwrap().status(), 202, "response to client {n}");
             }
             connected.push((Instant::now(), stream));
             sleep(ms(30)).await;
@@ -35,7 +35,7 @@
             let _ = timeout(ms(5000), stream.read_to_end(&mut rest))
                 .await
                 .expect("expected the connection to be closed");
-            assert!(since.elapsed() < ms(4500), "{:?}", since.elapsed());
+            assert!(since.elapsed() < ms(4500), "connection was closed only after {:?}", since.elapsed());
         }
         forwarder.kill();
     });
--- a/crates/forwarder/tests/loopback/deadlines.rs
+++ b/crates/forwarder/tests/loopback/deadlines.rs
@@ -74,7 +74,8 @@
         let (sender, mut events) = mpsc::channel(4);
         let request = request(endpoint.address, &[("a", LONG_TIMEOUT), ("b", LONG_TIMEOUT)]);
         let (mut attempts, _cancels) = pending_attempts(&request, LONG_TIMEOUT);
-        // For example, the idempotency key expires long before the response deadline.
+        // Message "a" must start within 100 ms, as if its idempotency key expired long before the response
+        // deadline.
         attempts[0].start_deadline = Instant::now() + ms(100);
         tokio::spawn(run_request(request_sender_with_long_connect_timeout(), request, attempts, sender));
         let (id, result) = next_result(&mut events).await;
@@ -99,7 +100,8 @@
         assert_eq!(next_result(&mut events).await, ("first".into(), AttemptResult::Completed));
         let both = request(endpoint.address, &[("late", LONG_TIMEOUT), ("in-time", LONG_TIMEOUT)]);
         let (mut attempts, _cancels) = pending_attempts(&both, LONG_TIMEOUT);
-        // For example, the idempotency key expired while the write-ahead log was written.
+        // The start deadline of "late" has passed, as if its idempotency key expired while the write-ahead
+        // log was written.
         attempts[0].start_deadline = Instant::now();
         run_request(request_sender, both, attempts, sender).await;
         let mut results = BTreeMap::from([next_result(&mut events).await, next_result(&mut events).await]);
--- a/crates/forwarder/tests/loopback/notices.rs
+++ b/crates/forwarder/tests/loopback/notices.rs
@@ -42,7 +42,7 @@
         test_bed.wait_for_notice("\"a\"").await;
         let first = Instant::now();
         wait_for("the second notice", || (notices_of_a(&test_bed) == 2).then_some(())).await;
-        assert!(first.elapsed() < ms(900), "{:?}", first.elapsed());
+        assert!(first.elapsed() < ms(900), "second notice came only after {:?}", first.elapsed());
         forwarder.kill();
     });
 }
@@ -88,7 +88,10 @@
         let notices = test_bed.platform.received().into_iter().filter(|m| m.start_line.contains("finals"));
         let read: String = notices.filter(|m| !m.body.contains("\"bad\"")).map(|m| m.body).collect();
         for id in ids.into_iter().filter(|id| *id != "bad") {
-            assert!(read.contains(&format!(r#"{{"id":"{id}","status":"undeliverable"}}"#)), "{id} in {read}");
+            assert!(
+                read.contains(&format!(r#"{{"id":"{id}","status":"undeliverable"}}"#)),
+                "expected the notice about {id} in {read}"
+            );
         }
         forwarder.kill();
     });
--- a/crates/forwarder/tests/loopback/responses.rs
+++ b/crates/forwarder/tests/loopback/responses.rs
@@ -44,7 +44,7 @@
             assert_eq!(
                 (test_bed.notices(), test_bed.endpoint.received().len()),
                 (String::new(), n + 1),
-                "{id}"
+                "expected one request and no notice for {id}"
             );
         }
         // Every connection is closed except the one whose response was valid.
@@ -123,7 +123,7 @@
         assert_eq!(forwarder.submit("often", "note").await, 202);
         let retried = || test_bed.endpoint.received().into_iter().filter(|m| m.id() == "often").nth(1);
         wait_for("the retry of the idempotent message", retried).await;
-        assert_eq!(test_bed.endpoint.count_of("once"), 1);
+        assert_eq!(test_bed.endpoint.count_single_requests("once"), 1);
         forwarder.kill();
     });
 }
--- a/crates/forwarder/tests/loopback/restarts.rs
+++ b/crates/forwarder/tests/loopback/restarts.rs
@@ -24,7 +24,7 @@
         wait_for("the retry of the idempotent message", || test_bed.endpoint.received().get(2).cloned())
             .await;
         sleep(ms(200)).await;
-        assert_eq!(test_bed.endpoint.count_of("non-idempotent"), 1);
+        assert_eq!(test_bed.endpoint.count_single_requests("non-idempotent"), 1);
         assert!(!test_bed.notices().contains("repeatable"));
         forwarder.kill();
     });
@@ -130,7 +130,7 @@
     run_test(async {
         let mut test_bed = TestBed::new(|_| ScriptedResponse::NeverRespond).await;
         let forwarder = test_bed.start_forwarder().await;
-        // In flight at the kill, with settings that allow a retry.
+        // The attempt of this message is in flight at the kill, and the settings at that time allow a retry.
         assert_eq!(forwarder.submit("in-flight", "note").await, 202);
         test_bed.endpoint.wait_for_request().await;
         forwarder.kill();
@@ -148,7 +148,7 @@
         // longer configured.
         for id in ["in-flight", "unknown"] {
             let notice = format!(r#"{{"id":"{id}","status":"undeliverable"}}"#);
-            assert!(test_bed.notices().contains(&notice), "{id}");
+            assert!(test_bed.notices().contains(&notice), "expected a notice about {id}");
         }
         assert_eq!(test_bed.endpoint.received_ids()[before..], ["untried"]);
         forwarder.kill();
@@ -232,8 +232,12 @@
         let requests: Vec<String> = received.iter().map(|m| m.id().to_owned() + &m.body).collect();
         for id in &ids {
             let sent = requests.iter().any(|request| request.contains(id.as_str()));
-            assert_eq!(sent, id != "order-unsure", "{id}");
-            assert_eq!(test_bed.notices().contains(id.as_str()), id == "order-unsure", "{id}");
+            assert_eq!(sent, id != "order-unsure", "whether {id} was sent");
+            assert_eq!(
+                test_bed.notices().contains(id.as_str()),
+                id == "order-unsure",
+                "whether a notice about {id} was sent"
+            );
         }
         forwarder.kill();
     });
--- a/crates/forwarder/tests/loopback/retry_after.rs
+++ b/crates/forwarder/tests/loopback/retry_after.rs
@@ -18,7 +18,8 @@
         let endpoint = StubServer::start(|_| ScriptedResponse::ok()).await;
         let mut request_sender = request_sender(ms(1000));
         let connections = request_sender.connections().clone();
-        // Set by the response to another request while this request is waiting for its connection.
+        // The `Retry-After` comes from the response to another request while this request waits for its
+        // connection.
         connections.set_retry_after(ENDPOINT, Instant::now() + ms(300));
         let early = request_sender.call(request_to(&endpoint, "early")).await.unwrap();
         assert_eq!(
--- a/crates/forwarder/tests/loopback/streamed_lists.rs
+++ b/crates/forwarder/tests/loopback/streamed_lists.rs
@@ -218,8 +218,14 @@
             .await;
         let start = Instant::now();
         let reported = wait_for_malformed_list(&forwarder).await;
-        assert!(reported.starts_with("ok; no target list yet: it can't be read: byte "), "{reported}");
-        assert!(reported.contains("instances[100]: missing field `instanceId`"), "{reported}");
+        assert!(
+            reported.starts_with("ok; no target list yet: it can't be read: byte "),
+            "health check responded {reported}"
+        );
+        assert!(
+            reported.contains("instances[100]: missing field `instanceId`"),
+            "health check responded {reported}"
+        );
         // The delay is between half and one and a half times its mean.
         let mut watch = discovery.next_watch().await;
         let delay = start.elapsed();
@@ -232,7 +238,10 @@
         // The applied list stays in effect after a malformed one.
         watch.write_line("{\"generation\":9,\"instances\":7}").await;
         let reported = wait_for_malformed_list(&forwarder).await;
-        assert!(reported.starts_with("ok; the newest target list can't be read: byte "), "{reported}");
+        assert!(
+            reported.starts_with("ok; the newest target list can't be read: byte "),
+            "health check responded {reported}"
+        );
         deliver(&forwarder, &test_bed.endpoint, "under-it").await;
         forwarder.kill();
     });
--- a/crates/forwarder/tests/loopback/submissions.rs
+++ b/crates/forwarder/tests/loopback/submissions.rs
@@ -52,7 +52,7 @@
             (good.replace("X-Budget: 5", "X-Budget: 1e300"), 202),
             (HEALTH_CHECK.into(), 200),
         ] {
-            assert_eq!(forwarder.request(&request).await.status(), expected, "{request}");
+            assert_eq!(forwarder.request(&request).await.status(), expected, "status for {request}");
         }
         test_bed.endpoint.wait_for_request().await;
         assert_eq!(test_bed.endpoint.received().len(), 1, "expected only the accepted message");
@@ -129,12 +129,12 @@
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
         let mut stream = TcpStream::connect(forwarder.address).await.unwrap();
-        // Rejected because of its head, while the rest of its body exceeds the buffers of the operating
-        // system.
+        // The submission is rejected because of the length in its head. The rest of its body exceeds the
+        // buffers of the operating system.
         let request = submission("a", "note", 5.0, &"x".repeat(2_000_000));
         stream.write_all(request.as_bytes()).await.expect("expected the whole body to be read");
         let response = read_to_end(&mut stream).await.expect("connection was reset");
-        assert!(response.starts_with("HTTP/1.1 413"), "{response}");
+        assert!(response.starts_with("HTTP/1.1 413"), "expected status 413, found {response}");
         forwarder.kill();
     });
 }
--- a/crates/forwarder/tests/loopback/support/http.rs
+++ b/crates/forwarder/tests/loopback/support/http.rs
@@ -25,7 +25,7 @@
 }
 
 impl HttpMessage {
-    /// Returns the id of the message in a single request, or an empty text for a batch.
+    /// Returns the id of the message in a request with only one message, or an empty text for a batch.
     pub fn id(&self) -> &str {
         self.headers.get("x-call-id").map_or("", String::as_str)
     }
--- a/crates/forwarder/tests/loopback/support/mod.rs
+++ b/crates/forwarder/tests/loopback/support/mod.rs
@@ -28,13 +28,13 @@
 }
 
 /// Calls `observe` repeatedly until it returns a value. Fails the test after 20 s.
-pub async fn wait_for<T>(what: &str, mut observe: impl FnMut() -> Option<T>) -> T {
+pub async fn wait_for<T>(awaited: &str, mut observe: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(observed) = observe() {
             return observed;
         }
-        assert!(start.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "timed out waiting for {awaited}");
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/forwarder/tests/loopback/support/stub_server.rs
+++ b/crates/forwarder/tests/loopback/support/stub_server.rs
@@ -86,13 +86,14 @@
         self.received.lock().unwrap().clone()
     }
 
-    /// Returns the message ids of all requests so far. The id of a batch is empty.
+    /// Returns the message id of each request so far, in the order of the requests. The id is empty for a
+    /// batch.
     pub fn received_ids(&self) -> Vec<String> {
         self.received().iter().map(|request| request.id().to_owned()).collect()
     }
 
-    /// Returns the number of single requests with this message.
-    pub fn count_of(&self, id: &str) -> usize {
+    /// Returns the number of requests that carried only this message.
+    pub fn count_single_requests(&self, id: &str) -> usize {
         self.received().iter().filter(|request| request.id() == id).count()
     }
 
@@ -106,9 +107,12 @@
         wait_for("a request", || self.received().pop()).await
     }
 
-    /// Waits for a single request with this message and returns the first one.
+    /// Waits for a request that carries only this message, and returns the first one.
     pub async fn wait_for_message(&self, id: &str) -> HttpMessage {
-        wait_for(id, || self.received().into_iter().find(|request| request.id() == id)).await
+        wait_for(&format!("a request with only message {id:?}"), || {
+            self.received().into_iter().find(|request| request.id() == id)
+        })
+        .await
     }
 
     /// Waits until exactly `count` requests were received.
--- a/crates/forwarder/tests/loopback/support/test_bed.rs
+++ b/crates/forwarder/tests/loopback/support/test_bed.rs
@@ -179,7 +179,8 @@
 
     /// Waits until the notices contain this text.
     pub async fn wait_for_notice(&self, text: &str) {
-        wait_for("a notice", || self.notices().contains(text).then_some(())).await
+        wait_for(&format!("a notice that contains {text:?}"), || self.notices().contains(text).then_some(()))
+            .await
     }
 
     /// Waits until the write-ahead log has neither a pending message nor an unacknowledged notice.
--- a/crates/forwarder/tests/loopback/watch.rs
+++ b/crates/forwarder/tests/loopback/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list, on loopback sockets with shorter periods than the defaults.
+//! The watch on the endpoint list, on loopback sockets with shorter timings than the defaults.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,14 +16,15 @@
 
 use crate::support::{chunk, endpoint_list, ms, read_message, run_test, CHUNKED_RESPONSE_HEAD};
 
-const BETWEEN_EMPTY_LINES: Duration = ms(50);
+const EMPTY_LINE_INTERVAL: Duration = ms(50);
 /// The generation of the change that the first watch does not receive.
 const MISSED_GENERATION: u64 = 2;
-/// The number of phases of the forwarder's period with which each script runs.
+/// The number of seeds with which each script runs. The seed selects the forwarder's phase in the request
+/// interval.
 const SEEDS: u64 = 6;
 
-/// Returns two fifths of the default periods, and a shorter interval between empty lines.
-const fn short_periods() -> WatchTimings {
+/// Returns timings that are shorter than the defaults, so that the tests take less time.
+const fn short_timings() -> WatchTimings {
     WatchTimings {
         max_staleness: ms(2400),
         max_staleness_after_move: ms(1600),
@@ -145,7 +146,7 @@
     while start.elapsed() < span {
         up_to_date_until.set_now();
         let _ = stream.write_all(chunk("\n").as_bytes()).await;
-        sleep(BETWEEN_EMPTY_LINES).await;
+        sleep(EMPTY_LINE_INTERVAL).await;
     }
 }
 
@@ -153,28 +154,28 @@
 async fn wait_until_received(discovery: &ScriptedDiscovery, seed: u64) {
     let (sender, mut events) = mpsc::channel(16);
     let address = watch::Sender::new(discovery.address);
-    let schedule = WatchSchedule::new(short_periods(), seed);
-    let following = tokio::spawn(watch_endpoint_list(address.subscribe(), 1, schedule, sender));
+    let schedule = WatchSchedule::new(short_timings(), seed);
+    let watching = tokio::spawn(watch_endpoint_list(address.subscribe(), 1, schedule, sender));
     while matches!(events.recv().await.expect("expected the watch to continue"), Event::WatchLost) {}
-    following.abort();
+    watching.abort();
 }
 
-/// Runs each script with several phases concurrently. Checks that the change is received in time and without
+/// Runs each script concurrently with several seeds. Checks that the change is received in time and without
 /// unnecessary requests.
 async fn check_change_is_received_in_time(scripts: &[&[Behaviour]]) {
-    let plays = scripts.iter().flat_map(|script| (0..SEEDS).map(move |seed| (*script, seed)));
-    let plays = plays.map(|(script, seed)| async move {
+    let runs = scripts.iter().flat_map(|script| (0..SEEDS).map(move |seed| (*script, seed)));
+    let runs = runs.map(|(script, seed)| async move {
         let discovery = ScriptedDiscovery::start(script).await;
         wait_until_received(&discovery, seed).await;
         let late = discovery.up_to_date_until.elapsed();
-        assert!(late <= short_periods().max_staleness, "{script:?}, seed {seed}: received after {late:?}");
+        assert!(late <= short_timings().max_staleness, "{script:?}, seed {seed}: received after {late:?}");
         assert!(
             discovery.requests() <= script.len() + 1,
-            "{script:?}, seed {seed}: {} requests",
+            "{script:?}, seed {seed}: expected at most one request more than the script has, found {}",
             discovery.requests()
         );
     });
-    join_all(plays).await;
+    join_all(runs).await;
 }
 
 const SENDS_CHANGE: Behaviour = Behaviour::SendsChangeAfter(ms(200));
@@ -209,20 +210,20 @@
 fn change_is_received_in_time_after_discovery_recovers() {
     let failures =
         [Behaviour::Refuses, Behaviour::RefusesWithRetryAfter, Behaviour::DoesNotRespond, Behaviour::Closes];
-    let plays = failures.into_iter().flat_map(|failure| (0..SEEDS).map(move |seed| (failure, seed)));
-    let plays = plays.map(|(failure, seed)| async move {
+    let runs = failures.into_iter().flat_map(|failure| (0..SEEDS).map(move |seed| (failure, seed)));
+    let runs = runs.map(|(failure, seed)| async move {
         let discovery = ScriptedDiscovery::start(&[failure]).await;
         let recovers = async {
-            // Varies the phase of the forwarder's period.
+            // Each seed has another time between the start of the forwarder and the recovery of discovery.
             sleep(ms(1500 + 331 * seed)).await;
             discovery.script.send_replace(vec![SENDS_CHANGE]);
             Instant::now()
         };
         let ((), recovered) = tokio::join!(wait_until_received(&discovery, seed), recovers);
         let late = recovered.elapsed();
-        assert!(late <= short_periods().max_staleness, "{failure:?}, seed {seed}: received after {late:?}");
+        assert!(late <= short_timings().max_staleness, "{failure:?}, seed {seed}: received after {late:?}");
     });
     run_test(async {
-        join_all(plays).await;
+        join_all(runs).await;
     });
 }
--- a/crates/forwarder/tests/units.rs
+++ b/crates/forwarder/tests/units.rs
@@ -28,7 +28,7 @@
             let mut status_line = StatusLine::default();
             status_line.record_received(&response.as_bytes()[..split]);
             status_line.record_received(&response.as_bytes()[split..]);
-            assert_eq!(status_line.is_ok(), ok, "{response:?} {split}");
+            assert_eq!(status_line.is_ok(), ok, "{response:?} received in two parts, split at byte {split}");
         }
     }
 }
@@ -40,7 +40,7 @@
         let mut progress = RequestProgress::default();
         progress.begin(9);
         progress.record_sent(&request[..split]);
-        assert!(!progress.is_complete(), "{split}");
+        assert!(!progress.is_complete(), "request is complete after {split} bytes");
         progress.record_sent(&request[split..]);
         assert!(progress.is_complete());
     }
@@ -64,7 +64,7 @@
         assert_eq!(planned, descriptors);
         assert!(
             limits.served_clients < limits.accepted_clients,
-            "connections above the served limit are accepted so that they can be answered with 503"
+            "expected to accept connections above the served limit, to answer them with 503"
         );
     }
 }
@@ -74,7 +74,7 @@
     let clock = Clock::start();
     let before = clock.now() - Duration::from_secs(60);
     let read = clock.from_unix_micros(clock.to_unix_micros(before));
-    assert!(before - read < Duration::from_micros(2), "{before:?} {read:?}");
+    assert!(before - read < Duration::from_micros(2), "time {before:?} was read as {read:?}");
 }
 
 #[test]
@@ -101,8 +101,12 @@
     for (bytes, millis) in table {
         let list = MalformedList { fault: "x".into(), bytes };
         let mean = Duration::from_millis(millis);
-        assert_eq!(list.backoff(0.5), mean, "{bytes}");
-        assert_eq!((list.backoff(0.0), list.backoff(1.0)), (mean / 2, mean + mean / 2), "{bytes}");
+        assert_eq!(list.backoff(0.5), mean, "mean backoff after {bytes} bytes");
+        assert_eq!(
+            (list.backoff(0.0), list.backoff(1.0)),
+            (mean / 2, mean + mean / 2),
+            "minimum and maximum backoff after {bytes} bytes"
+        );
         assert_eq!(list.backoff(f64::INFINITY), list.backoff(1.0));
         // The mean traffic stays below the limit, unless the backoff has its maximum.
         let bytes_per_second = bytes as f64 / list.backoff(0.5).as_secs_f64();
@@ -110,7 +114,7 @@
             list.backoff(0.5) >= MAX_MEAN_BACKOFF
                 || bytes < 2000
                 || bytes_per_second <= MAX_MEAN_BYTES_PER_SECOND as f64 * 1.01,
-            "{bytes}"
+            "backoff after {bytes} bytes allows {bytes_per_second} bytes per second"
         );
     }
 }
@@ -134,13 +138,17 @@
         assert_eq!(
             table.set_location(*id, location(1)),
             LocationChange::Same,
-            "a forgotten endpoint is unknown"
+            "expected a forgotten endpoint to be unknown"
         );
     }
     assert_eq!(table.located_count(), 500);
     for (n, id) in ids.iter().enumerate() {
         let new_id = table.id_for_name(&format!("{long_name}-{n}"));
-        assert_eq!(new_id == *id, n % 2 == 1, "{n}");
+        assert_eq!(
+            new_id == *id,
+            n % 2 == 1,
+            "expected endpoint {n} to keep its id exactly if it was not forgotten"
+        );
         assert!(new_id == *id || !ids.contains(&new_id));
     }
     let kept = ids[1];
@@ -171,9 +179,13 @@
     assert_eq!(
         allows_idle(&permits, 0),
         [true, false, true, true],
-        "another endpoint of the kind is still listed"
+        "expected the rejection to stay in effect while another endpoint of the kind is listed"
     );
     permits.forget(EndpointId(2));
     permits.endpoint_listed(EndpointId(2), "small");
-    assert_eq!(allows_idle(&permits, 0), [true; 4], "a kind without listed endpoints is forgotten");
+    assert_eq!(
+        allows_idle(&permits, 0),
+        [true; 4],
+        "expected a kind without listed endpoints to be forgotten"
+    );
 }
--- a/crates/forwarder/tests/watch_schedule.rs
+++ b/crates/forwarder/tests/watch_schedule.rs
@@ -120,7 +120,7 @@
         let missing_since = up_to_date_until.unwrap_or(start);
         assert!(
             next + MAX_RESPONSE_TIME <= missing_since + MAX_STALENESS,
-            "{outcome:?}: {missing_since:?}, next at {next:?}"
+            "{outcome:?}: change missing since {missing_since:?} is received too late, next request at {next:?}"
         );
         // The deadline since the list was last up to date must allow two requests, unless the first request
         // ends too late for another.
@@ -131,7 +131,7 @@
         if let Some(deadline) = deadline.filter(|at| first && ended + MAX_RESPONSE_TIME < *at) {
             assert!(
                 next + MAX_RESPONSE_TIME <= deadline,
-                "{outcome:?}: next at {next:?}, deadline {deadline:?}"
+                "{outcome:?}: next request at {next:?} is too late for the deadline {deadline:?}"
             );
         }
         self.now = next;
@@ -142,7 +142,8 @@
 fn next_request_meets_staleness_limit_after_any_sequence_of_losses() {
     const REQUESTS: u32 = 5;
     for number in 0..OUTCOMES.len().pow(REQUESTS) {
-        // Each sequence has another phase, and starts at another point in the request interval.
+        // The forwarder has another phase in each sequence, and starts at another point in the request
+        // interval.
         let seed = number as u64;
         let mut watch = SimulatedWatch::new(seed, Duration::from_millis(seed * 37 % 10_000));
         for request in 0..REQUESTS {
@@ -164,7 +165,10 @@
         watch.request(RequestOutcome::IdleAfter(Duration::from_secs(20)));
         let idle_since = watch.up_to_date_until.unwrap();
         watch.request(second_outcome);
-        assert!(watch.now + MAX_RESPONSE_TIME <= idle_since + MAX_STALENESS, "{seed} {second_outcome:?}");
+        assert!(
+            watch.now + MAX_RESPONSE_TIME <= idle_since + MAX_STALENESS,
+            "seed {seed}: next request after {second_outcome:?} is too late"
+        );
     }
 }
 
@@ -178,7 +182,11 @@
         watch.now += LATE;
         watch.request(RequestOutcome::NoResponse);
         let deadline = watch.up_to_date_until.unwrap() + MAX_STALENESS;
-        assert!(watch.now + MAX_RESPONSE_TIME <= deadline + LATE, "{seed}: {:?}, {deadline:?}", watch.now);
+        assert!(
+            watch.now + MAX_RESPONSE_TIME <= deadline + LATE,
+            "seed {seed}: request at {:?} is too late for the deadline {deadline:?}",
+            watch.now
+        );
     }
 }
 
@@ -191,7 +199,10 @@
         let changed_at = watch.now;
         watch.schedule.discovery_address_changed(changed_at);
         watch.request(RequestOutcome::NoResponse);
-        assert!(watch.now + MAX_RESPONSE_TIME <= changed_at + MAX_STALENESS_AFTER_MOVE, "{seed}");
+        assert!(
+            watch.now + MAX_RESPONSE_TIME <= changed_at + MAX_STALENESS_AFTER_MOVE,
+            "seed {seed}: second request is too late"
+        );
     }
 }
 
@@ -211,7 +222,7 @@
                 if matches!(outcome, RequestOutcome::IdleAfter(_)) { 3000 } else { 5500 };
             assert!(
                 mean_interval >= Duration::from_millis(min_mean_interval_ms),
-                "{outcome:?} {mean_interval:?}"
+                "{outcome:?}: mean interval between requests is only {mean_interval:?}"
             );
         }
     }
@@ -326,10 +337,14 @@
         // The minimum capacity that serves each forwarder once per `MAX_STALENESS`.
         let served_per_second = (fleet as usize).div_ceil(6);
         let recovered = recovery_times(fleet, served_per_second);
-        assert_eq!(recovered.len() as u64, fleet, "of {fleet}");
+        assert_eq!(
+            recovered.len() as u64,
+            fleet,
+            "expected all forwarders of a fleet of {fleet} to have a watch again"
+        );
         assert!(
             recovered.last().is_some_and(|last| *last < Duration::from_secs(35)),
-            "{:?}",
+            "last of {fleet} forwarders has a watch after {:?}, expected less than 35 s",
             recovered.last()
         );
     }
--- a/crates/protocol/src/attempt_result.rs
+++ b/crates/protocol/src/attempt_result.rs
@@ -7,8 +7,9 @@
 
 /// The result of one delivery attempt on its connection.
 ///
-/// A batch request carries one attempt for each of its messages, and each attempt has its own result. A message can be
-/// sent again only if it was not executed or if repeated execution is safe. Logs contain the `Display` text.
+/// A batch request carries one attempt for each of its messages, and each attempt has its own result. A
+/// message can be sent again only if it was not executed or if repeated execution is safe. Logs contain the
+/// `Display` text.
 ///
 /// | Result | Event on the connection | Message executed? |
 /// | --- | --- | --- |
@@ -46,11 +47,13 @@
     AttemptsExhausted,
     /// The request was not forwarded because the message already has its final answer.
     AlreadyFinished,
-    /// The endpoint could not parse the request, or it was too large. The message was the only one in the request.
+    /// The endpoint could not parse the request, or it was too large. The message was the only one in the
+    /// request.
     Malformed,
     /// The endpoint could not parse a batch, or it was too large. The faulty message is unknown.
     BatchMalformed,
-    /// The endpoint responded with a status that the protocol does not define and may have executed the message.
+    /// The endpoint responded with a status that the protocol does not define and may have executed the
+    /// message.
     UnexpectedStatus,
     /// The connection was refused or could not be established.
     ConnectionRefused,
@@ -66,13 +69,14 @@
     TimedOut,
     /// The forwarder cancelled the attempt by closing its connection.
     Cancelled,
-    /// The request was not sent because the endpoint set a `Retry-After` while the connection was being established.
+    /// The request was not sent because the endpoint set a `Retry-After` while the connection was being
+    /// established.
     RetryAfterActive,
-    /// The request was not sent because the endpoint list marked the endpoint as draining or gone while the connection
-    /// was being established.
+    /// The request was not sent because the endpoint list marked the endpoint as draining or gone while the
+    /// connection was being established.
     EndpointDraining,
-    /// The request was not sent because no file descriptor was available, the write-ahead log could not be written, or
-    /// the attempt was cancelled first.
+    /// The request was not sent because no file descriptor was available, the write-ahead log could not be
+    /// written, or the attempt was cancelled first.
     NotSent,
 }
 
--- a/crates/protocol/src/client_response.rs
+++ b/crates/protocol/src/client_response.rs
@@ -14,7 +14,8 @@
 pub enum ClientResponse {
     /// 202: the message was accepted, and the forwarder is responsible for its final answer.
     Accepted,
-    /// 429: the message was rejected because of overload and was not executed. The client can submit it again.
+    /// 429: the message was rejected because of overload and was not executed. The client can submit it
+    /// again.
     Rejected {
         /// Recommended wait before the client submits it again. `None` if no wait is recommended.
         retry_after: Option<Duration>,
@@ -44,7 +45,8 @@
     NotFound,
     /// 200 to a health check: the forwarder accepts messages.
     Healthy {
-        /// One-line description of a fault of the endpoint list, sent in the response body. `None` without a fault.
+        /// One-line description of a fault of the endpoint list, sent in the response body. `None` without a
+        /// fault.
         list_fault: Option<String>,
     },
     /// 503 to a health check: the process is shutting down.
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,5 +1,5 @@
-//! Errors of decoding input. Clients receive the `Display` text in the body of a 400 response, and operators find it in
-//! the log.
+//! Errors of decoding input. Clients receive the `Display` text in the body of a 400 response, and operators
+//! find it in the log.
 
 use std::fmt;
 
@@ -94,7 +94,7 @@
     /// A value is not valid JSON or has the wrong type for its key.
     #[error("{label}{source}")]
     InvalidValue {
-        /// The key followed by a colon and a space; empty if the location identifies the value.
+        /// `key: `, `generation: ` or `reset: `, which names the invalid value; empty for any other value.
         label: &'static str,
         /// The error of the JSON decoder.
         source: serde_json::Error,
--- a/crates/protocol/src/headers.rs
+++ b/crates/protocol/src/headers.rs
@@ -11,18 +11,22 @@
 pub(crate) const DESTINATION: &str = "x-route-to";
 /// The ordering key of a message, in the form `NAME=NUMBER` or `NUMBER`.
 pub(crate) const ORDERING_KEY: &str = "x-route-hash";
-/// In a submission, the time left until the message's deadline. In a request, the response timeout. Both in seconds.
+/// In a submission, the time left until the message's deadline. In a request, the response timeout. Both in
+/// seconds.
 pub(crate) const TIME_LEFT: &str = "x-budget";
 /// The key with which a destination detects repeated deliveries of a message.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Marks a 503 response to a request that was not forwarded because all request slots of this forwarder were in use.
+/// Marks a 503 response to a request that was not forwarded because all request slots of this forwarder were
+/// in use.
 pub(crate) const EGRESS_FULL: &str = "x-egress-full";
 pub(crate) const LOAD_REPORT: &str = "x-load-report";
 
-/// Upper limit for parsed times, in seconds. Larger values are reduced to it so that adding times cannot overflow.
+/// Upper limit for parsed times, in seconds. Larger values are reduced to it so that adding times cannot
+/// overflow.
 const MAX_SECONDS: f64 = 1e9;
 
-/// Returns the value of a header without surrounding white space. `None` if the header is absent or not visible ASCII.
+/// Returns the value of a header without surrounding white space. `None` if the header is absent or not
+/// visible ASCII.
 pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let value = headers.get(name)?;
     value.to_str().ok().map(str::trim)
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Typed values for the HTTP messages that a forwarder exchanges, with their decoders and encoders. Names on the wire
-//! are used only in this package. The package performs no I/O and makes no delivery decisions.
+//! Typed values for the HTTP messages that a forwarder exchanges, with their decoders and encoders. Names on
+//! the wire are used only in this package. The package performs no I/O and makes no delivery decisions.
 //!
 //! | Direction | Module | Types |
 //! | --- | --- | --- |
--- a/crates/protocol/src/list/decoder.rs
+++ b/crates/protocol/src/list/decoder.rs
@@ -11,8 +11,8 @@
 use super::{ListEvent, ListLimits};
 use crate::{ListError, ListFault, ListLocation};
 
-/// An incremental decoder for a watch response, which takes chunks of bytes of any size. A part may span several lines,
-/// none of which is empty. The decoder must not be used after an error.
+/// An incremental decoder for a watch response, which takes chunks of bytes of any size. A part may span
+/// several lines, none of which is empty. The decoder must not be used after an error.
 pub struct ListDecoder {
     limits: ListLimits,
     position: Position,
@@ -57,8 +57,8 @@
         self.offset
     }
 
-    /// Returns the next event and advances `input` past the bytes that were read. `None` if `input` is empty and no
-    /// event is left.
+    /// Returns the next event and advances `input` past the bytes that were read. `None` if `input` is empty
+    /// and no event is left.
     pub fn next_event(&mut self, input: &mut &[u8]) -> Result<Option<ListEvent>, ListError> {
         loop {
             if let Some(event) = self.ready.pop_front() {
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Consumes one byte between values. The first byte of a value is not consumed, but starts the scan of the value.
+    /// Consumes one byte between values. The first byte of a value is not consumed, but starts the scan of
+    /// the value.
     fn read_delimiter(&mut self, input: &mut &[u8]) -> Result<(), ListError> {
         let Some((byte, rest)) = input.split_first() else { return Ok(()) };
         let byte = *byte;
@@ -144,8 +145,8 @@
         })
     }
 
-    /// Tracks line ends. An empty line within a part is an error, because discovery sends empty lines only between
-    /// parts and the rest of the part would never arrive.
+    /// Tracks line ends. An empty line within a part is an error, because discovery sends empty lines only
+    /// between parts and the rest of the part would never arrive.
     fn track_lines(&mut self, bytes: &[u8]) -> Result<(), ListError> {
         for byte in bytes {
             match byte {
--- a/crates/protocol/src/list/entry.rs
+++ b/crates/protocol/src/list/entry.rs
@@ -14,8 +14,8 @@
 pub struct ListEntry {
     /// Name that discovery gives the endpoint, identical for all forwarders and across restarts.
     pub name: String,
-    /// Address that the endpoint listens on. `None` only if the endpoint is [`Removed`](EndpointState::Removed) and the
-    /// entry has no valid address.
+    /// Address that the endpoint listens on. `None` only if the endpoint is
+    /// [`Removed`](EndpointState::Removed) and the entry has no valid address.
     pub address: Option<SocketAddr>,
     /// Destination that the endpoint serves.
     pub destination: DestinationId,
@@ -25,7 +25,8 @@
     pub weight: Option<f64>,
     /// Zone of the endpoint; empty if not given.
     pub zone: String,
-    /// Name of the endpoint kind in the settings; empty if not given.
+    /// Machine type of the endpoint, which is the name of an endpoint kind in the settings; empty if not
+    /// given.
     pub kind: String,
 }
 
--- a/crates/protocol/src/list/event.rs
+++ b/crates/protocol/src/list/event.rs
@@ -9,7 +9,7 @@
     PartStarted {
         /// Version of the list after the part is applied.
         generation: u64,
-        /// Whether the part is the full list rather than its changes.
+        /// Whether the part is the full list. Otherwise the part contains only changes.
         is_full_list: bool,
     },
     /// The part has an entry for this endpoint.
@@ -27,8 +27,8 @@
     pub max_entries: usize,
     /// Maximum size of an entry, a key or the value of a known key, in bytes.
     pub max_value_bytes: usize,
-    /// Maximum size of the entries that precede `generation` or `reset`, in bytes. These entries are buffered until
-    /// both are known.
+    /// Maximum size of the entries that precede `generation` or `reset`, in bytes. These entries are buffered
+    /// until both are known.
     pub max_buffered_bytes: usize,
 }
 
--- a/crates/protocol/src/list/grammar.rs
+++ b/crates/protocol/src/list/grammar.rs
@@ -50,7 +50,8 @@
         matches!(self, Position::Entry | Position::InEntry | Position::EntryOrEnd | Position::AfterEntry)
     }
 
-    /// Returns whether `byte` starts a key, a value or an entry at this position. `key` is the key of the value.
+    /// Returns whether `byte` starts a key, a value or an entry at this position. `key` is the key of the
+    /// value.
     pub fn starts_value(self, key: Key, byte: u8) -> bool {
         match self {
             Position::KeyOrEnd | Position::Key => byte == b'"',
--- a/crates/protocol/src/list/mod.rs
+++ b/crates/protocol/src/list/mod.rs
@@ -1,7 +1,7 @@
 //! The endpoint list that discovery sends: the watch request and the decoders of its response.
 //!
-//! A watch response is a sequence of parts, each a JSON object. [`ListDecoder`] decodes it incrementally from chunks of
-//! bytes, one entry at a time. [`ListPart`] is a complete part in memory.
+//! A watch response is a sequence of parts, each a JSON object. [`ListDecoder`] decodes it incrementally from
+//! chunks of bytes, one entry at a time. [`ListPart`] is a complete part in memory.
 
 mod decoder;
 mod entry;
@@ -52,8 +52,8 @@
     }
 }
 
-/// Builds a watch request, whose response carries the changes after a generation of the endpoint list until the
-/// connection ends.
+/// Builds a watch request, whose response carries the changes after a generation of the endpoint list until
+/// the connection ends.
 pub fn watch_request(discovery: SocketAddr, after_generation: u64) -> http::Result<Request<Full<Bytes>>> {
     Request::get(format!("/v1/servers?stream=1&index={after_generation}"))
         .header("host", discovery.to_string())
--- a/crates/protocol/src/list/part_progress.rs
+++ b/crates/protocol/src/list/part_progress.rs
@@ -17,13 +17,13 @@
     is_started: bool,
     /// Entries that were decoded before the part was started.
     buffered: VecDeque<ListEntry>,
-    /// Size of the buffered entries on the wire.
+    /// Total size of the buffered entries on the wire.
     buffered_bytes: usize,
 }
 
 impl PartProgress {
-    /// Starts the part once its `generation` and `reset` are known: returns [`ListEvent::PartStarted`] and then the
-    /// buffered entries through `ready`.
+    /// Starts the part once its `generation` and `reset` are known: returns [`ListEvent::PartStarted`] and
+    /// then the buffered entries through `ready`.
     pub fn start_if_known(&mut self, ready: &mut VecDeque<ListEvent>) {
         let (Some(generation), Some(is_full_list), false) =
             (self.generation, self.is_full_list, self.is_started)
@@ -35,7 +35,8 @@
         ready.extend(self.buffered.drain(..).map(ListEvent::EndpointUpdated));
     }
 
-    /// Counts an entry of `bytes` bytes and appends it to `ready`, or buffers it if the part is not started yet.
+    /// Counts an entry of `bytes` bytes and appends it to `ready`, or buffers it if the part is not started
+    /// yet.
     pub fn add_entry(
         &mut self,
         entry: ListEntry,
--- a/crates/protocol/src/list/value_scan.rs
+++ b/crates/protocol/src/list/value_scan.rs
@@ -1,6 +1,7 @@
 //! Scanner that finds the end of a JSON value in chunks of bytes of any size.
 
-/// A scanner for one JSON value. Brackets outside of strings are counted. The value is validated when it is decoded.
+/// A scanner for one JSON value. Brackets outside of strings are counted. The value is validated when it is
+/// decoded.
 #[derive(Default)]
 pub(super) struct ValueScan {
     /// The first bytes of the value, up to the limit.
@@ -52,8 +53,8 @@
         self.length > limit
     }
 
-    /// Scans the bytes of `chunk` that belong to the value and keeps the first `limit` bytes of the value. The first
-    /// byte of the value must not be white space.
+    /// Scans the bytes of `chunk` that belong to the value and keeps the first `limit` bytes of the value.
+    /// The first byte of the value must not be white space.
     pub fn consume(&mut self, chunk: &[u8], limit: usize) -> ScanResult {
         let scanned = self.find_end(chunk);
         let capacity = limit.saturating_sub(self.kept.len());
--- a/crates/protocol/src/notice.rs
+++ b/crates/protocol/src/notice.rs
@@ -1,5 +1,5 @@
-//! Encoding of delivery notices, which report to the platform the final answers of accepted messages that were not
-//! delivered.
+//! Encoding of delivery notices, which report to the platform the final answers of accepted messages that
+//! were not delivered.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -71,8 +71,9 @@
     post_request(endpoint, "/events/bundle", response_timeout).body(Full::new(body.freeze()))
 }
 
-/// Splits messages, in order, into batches of at most `max_batch` messages and [`MAX_BODY_BYTES`] bytes. Returns the
-/// number of messages in each batch. A message that exceeds the size limit gets a batch of its own.
+/// Splits messages, in order, into batches of at most `max_batch` messages and [`MAX_BODY_BYTES`] bytes.
+/// Returns the number of messages in each batch. A message that exceeds the size limit gets a batch of its
+/// own.
 #[must_use]
 pub fn split_into_batches(messages: &[OutgoingMessage], max_batch: usize) -> Vec<usize> {
     let mut counts: Vec<usize> = Vec::new();
@@ -92,8 +93,8 @@
     counts
 }
 
-/// Starts a POST request to an endpoint. The timeout is rounded up to whole milliseconds, so that the endpoint's
-/// timeout is never shorter than the forwarder's.
+/// Starts a POST request to an endpoint. The timeout is rounded up to whole milliseconds, so that the
+/// endpoint's timeout is never shorter than the forwarder's.
 fn post_request(endpoint: SocketAddr, path: &str, response_timeout: Duration) -> http::request::Builder {
     let millis = response_timeout.as_micros().div_ceil(1000);
     let seconds = format!("{}.{:03}", millis / 1000, millis % 1000);
--- a/crates/protocol/src/response.rs
+++ b/crates/protocol/src/response.rs
@@ -9,9 +9,9 @@
 use crate::headers::{header_text, parse_seconds, EGRESS_FULL, LOAD_REPORT};
 use crate::{AttemptResult, OutgoingMessage};
 
-/// Load report field with the remaining share of the limit.
+/// Load report field with the unused share of the rate limit, from 0 to 1.
 const REPORT_LEFT: &str = "x0";
-/// Load report field with the limit, in requests per second.
+/// Load report field with the rate limit, in requests per second.
 const REPORT_LIMIT: &str = "x1";
 
 /// Returns the `Retry-After` of a response. `None` if it is absent, malformed or zero.
@@ -21,8 +21,8 @@
     parse_seconds(text).filter(|wait| !wait.is_zero())
 }
 
-/// Returns the load report of a response: the limit of the endpoint's circuit and the remaining share of it. Other
-/// fields are ignored. `None` if one of the two values is missing or not a number.
+/// Returns the load report of a response: the endpoint's rate limit and the unused share of it. Other fields
+/// are ignored. `None` if one of the two values is missing, negative or not a finite number.
 #[must_use]
 pub fn parse_load_report(response: &response::Parts) -> Option<LoadReport> {
     let report = header_text(&response.headers, LOAD_REPORT)?;
@@ -35,8 +35,8 @@
     fields.filter(|(field, _)| *field == name).find_map(|(_, value)| value.parse().ok())
 }
 
-/// Returns whether the endpoint accepts no further connections: the response to the first request of a connection is a
-/// 503 that closes the connection.
+/// Returns whether the endpoint accepts no further connections: the response to the first request of a
+/// connection is a 503 that closes the connection.
 #[must_use]
 pub fn rejects_connection(response: &response::Parts) -> bool {
     if response.status != StatusCode::SERVICE_UNAVAILABLE {
@@ -113,8 +113,8 @@
     messages.iter().map(result).collect::<Option<Vec<_>>>().unwrap_or_else(malformed)
 }
 
-/// Parses the result in the first line with this message id and a second word. `None` if there is no such line or the
-/// word is unknown.
+/// Parses the result in the first line with this message id and a second word. `None` if there is no such
+/// line or the word is unknown.
 fn parse_batch_line(response: &response::Parts, lines: &str, message_id: &str) -> Option<AttemptResult> {
     let status = lines.lines().find_map(|line| {
         let mut words = line.split_ascii_whitespace();
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -47,7 +47,8 @@
         if let Some(key) = idempotency_key {
             check_id(IDEMPOTENCY_KEY, key)?;
         }
-        // If several headers are invalid, the order of these checks determines which error the client receives.
+        // If several headers are invalid, the order of these checks determines which error the client
+        // receives.
         let destination = parse_destination(required(headers, DESTINATION)?);
         let class = required(headers, MESSAGE_CLASS)?;
         let ordering_key = parse_ordering_key(headers)?;
@@ -77,8 +78,8 @@
     value.ok_or(SubmissionError::MissingHeader { header })
 }
 
-/// Checks that a message id or an idempotency key consists of at most [`MAX_ID_BYTES`] visible ASCII characters. White
-/// space in them would corrupt the lines of batches and notices.
+/// Checks that a message id or an idempotency key consists of at most [`MAX_ID_BYTES`] visible ASCII
+/// characters. White space in them would corrupt the lines of batches and notices.
 fn check_id(header: &'static str, text: &str) -> Result<(), SubmissionError> {
     let too_long = text.len() > MAX_ID_BYTES;
     if too_long || text.bytes().any(|byte| !byte.is_ascii_graphic()) {
--- a/crates/protocol/tests/list_decoder.rs
+++ b/crates/protocol/tests/list_decoder.rs
@@ -46,7 +46,7 @@
 }
 
 fn error_of(text: &str) -> String {
-    decode(&[text.as_bytes()]).error.expect("an error")
+    decode(&[text.as_bytes()]).error.expect("expected an error, but all bytes were decoded")
 }
 
 /// Returns the events that a decoder yields for a complete part.
@@ -127,7 +127,7 @@
     ];
     for order in [[0, 1, 2, 3], [2, 1, 0, 3], [0, 2, 3, 1], [3, 2, 0, 1], [1, 2, 3, 0], [2, 3, 1, 0]] {
         let line = format!("{{{}}}", order.map(|n| parts[n]).join(","));
-        assert_eq!(decode_line(&line), Decoded::without_error(events_of_line(&line)), "{line}");
+        assert_eq!(decode_line(&line), Decoded::without_error(events_of_line(&line)), "result for {line}");
     }
 }
 
@@ -136,7 +136,7 @@
     for line in
         [r#"{"generation":9}"#, r#"{"instances":[],"generation":9}"#, r#"{"reset":true,"generation":9}"#]
     {
-        assert_eq!(decode_line(line), Decoded::without_error(events_of_line(line)), "{line}");
+        assert_eq!(decode_line(line), Decoded::without_error(events_of_line(line)), "result for {line}");
     }
 }
 
@@ -196,7 +196,7 @@
     let cut = format!("{{\"generation\":1,\"instances\":[{ENTRY},{ENTRY}");
     for end in 1..cut.len() {
         let text = format!("{}\n\n", &cut[..end]);
-        assert!(error_of(&text).contains("found an empty line"), "{text}");
+        assert!(error_of(&text).contains("found an empty line"), "error for {text}");
     }
 }
 
@@ -320,7 +320,7 @@
                 accepted += 1;
                 let mut expected = events_of(part);
                 expected.push(ListEvent::Heartbeat);
-                assert_eq!(decoded, Decoded::without_error(expected), "{text}");
+                assert_eq!(decoded, Decoded::without_error(expected), "result for {text}");
             }
             Err(reason) => {
                 refused += 1;
@@ -328,5 +328,8 @@
             }
         }
     }
-    assert!(accepted > 2000 && refused > 2000, "{accepted} {refused}");
+    assert!(
+        accepted > 2000 && refused > 2000,
+        "accepted {accepted} parts and refused {refused}, expected more than 2000 of each"
+    );
 }
--- a/crates/protocol/tests/list_part.rs
+++ b/crates/protocol/tests/list_part.rs
@@ -28,7 +28,7 @@
     for (good, bad) in
         [("10.1.0.18:9000", "host:9000"), ("Terminating", "Sleeping"), (":41", ":-1"), ("}]}", "")]
     {
-        assert!(ListPart::decode(PART.replace(good, bad).as_bytes()).is_err(), "{bad}");
+        assert!(ListPart::decode(PART.replace(good, bad).as_bytes()).is_err(), "expected an error for {bad}");
     }
 }
 
--- a/crates/protocol/tests/responses.rs
+++ b/crates/protocol/tests/responses.rs
@@ -94,7 +94,7 @@
 #[test]
 fn incomplete_or_malformed_load_report_is_ignored() {
     for line in ["", "x0=0.4", "x0=,x1=25", "x0=-1,x1=25", "x0=0.4,x1=inf", "x0=NaN,x1=25", "x0:0.4;x1:25"] {
-        assert_eq!(load_report(line), None, "{line}");
+        assert_eq!(load_report(line), None, "load report {line}");
     }
     assert_eq!(parse_load_report(&head(200, None)), None);
 }
@@ -166,7 +166,11 @@
         (429, Some(("Connection", "close")), false),
         (200, Some(("Connection", "close")), false),
     ] {
-        assert_eq!(rejects_connection(&head(status, header)), expected, "{status} {header:?}");
+        assert_eq!(
+            rejects_connection(&head(status, header)),
+            expected,
+            "response with status {status} and header {header:?}"
+        );
     }
 }
 
