--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -38,7 +38,7 @@
     send_restrictions: Arc<Mutex<SendRestrictions>>,
     idle_permits: Arc<Mutex<IdlePermits>>,
     /// One permit for each open connection, idle ones included.
-    permits: Arc<Semaphore>,
+    connection_permits: Arc<Semaphore>,
     connect_timeout: Duration,
     max_idle_time: Duration,
 }
@@ -57,7 +57,7 @@
             reuse_history: Arc::default(),
             send_restrictions: Arc::default(),
             idle_permits: Arc::default(),
-            permits: Arc::new(Semaphore::new(max_connections)),
+            connection_permits: Arc::new(Semaphore::new(max_connections)),
             connect_timeout,
             // The margin covers the time between the endpoint's response and the arrival of the next request.
             max_idle_time: endpoint_idle_timeout - endpoint_idle_timeout / 8,
@@ -95,11 +95,11 @@
     /// Acquires the permit for a new connection. At the limit, the connection that was idle longest is
     /// closed.
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
-        let mut permit = self.permits.clone().try_acquire_owned();
+        let mut permit = self.connection_permits.clone().try_acquire_owned();
         if permit.is_err() && self.close_oldest_idle() {
             // The permit is released when the connection's task has processed its abort.
             tokio::task::yield_now().await;
-            permit = self.permits.clone().try_acquire_owned();
+            permit = self.connection_permits.clone().try_acquire_owned();
         }
         permit.map_err(|_| AttemptResult::NotSent)
     }
--- a/crates/forwarder/src/ingress/serving.rs
+++ b/crates/forwarder/src/ingress/serving.rs
@@ -97,14 +97,15 @@
     }
 }
 
-/// Closes a connection after a request that has begun.
+/// Closes a connection, after waiting at most `LAST_REQUEST_TIMEOUT` for a request that has begun or is
+/// expected.
 async fn close(
     http: &mut HttpConnection,
     connection: &ClientConnection,
     reason: CloseReason,
 ) -> hyper::Result<()> {
-    // Part of a request head may have been received, or a request may be on its way from a client that
-    // connected just before the shutdown.
+    // Waits for the rest of a request head, or for the first request of a client that connected just before
+    // the shutdown.
     let first_request_expected = reason == CloseReason::ShuttingDown && !connection.has_received_request();
     if first_request_expected || connection.next_request_begun() {
         if let Ok(ended) = timeout(LAST_REQUEST_TIMEOUT, &mut *http).await {
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -109,7 +109,7 @@
     #[error(
         "expected generation and reset before instances, or at most {limit} bytes of instances before them"
     )]
-    EntriesBeforeHeader {
+    BufferedEntriesTooLarge {
         /// The limit, [`ListLimits::max_buffered_bytes`](crate::ListLimits::max_buffered_bytes).
         limit: usize,
     },
--- a/crates/protocol/src/list/part_progress.rs
+++ b/crates/protocol/src/list/part_progress.rs
@@ -51,7 +51,7 @@
         }
         self.buffered_bytes += bytes;
         if self.buffered_bytes > limits.max_buffered_bytes {
-            return Err(ListFault::EntriesBeforeHeader { limit: limits.max_buffered_bytes });
+            return Err(ListFault::BufferedEntriesTooLarge { limit: limits.max_buffered_bytes });
         }
         self.buffered.push_back(entry);
         Ok(())
