--- a/crates/forwarder/src/connections/pool.rs
+++ b/crates/forwarder/src/connections/pool.rs
@@ -27,7 +27,7 @@
 /// A pool of connections to endpoints. Clones share one pool.
 ///
 /// An idle connection is closed before its endpoint would close it, and is reused only for the same endpoint
-/// because an address may pass to another one.
+/// because its address may be assigned to another endpoint.
 ///
 /// No lock is held across an await. Code that takes both locks takes `idle_permits` before
 /// `idle_connections`.
@@ -38,7 +38,7 @@
     send_restrictions: Arc<Mutex<SendRestrictions>>,
     idle_permits: Arc<Mutex<IdlePermits>>,
     /// One permit for each open connection, idle ones included.
-    permits: Arc<Semaphore>,
+    connection_permits: Arc<Semaphore>,
     connect_timeout: Duration,
     max_idle_time: Duration,
 }
@@ -57,24 +57,24 @@
             reuse_history: Arc::default(),
             send_restrictions: Arc::default(),
             idle_permits: Arc::default(),
-            permits: Arc::new(Semaphore::new(max_connections)),
+            connection_permits: Arc::new(Semaphore::new(max_connections)),
             connect_timeout,
             // The margin covers the time between the endpoint's response and the arrival of the next request.
             max_idle_time: endpoint_idle_timeout - endpoint_idle_timeout / 8,
         }
     }
 
-    /// Returns the endpoint's most recently used idle connection, or opens a new one to `to`.
+    /// Returns the endpoint's most recently used idle connection, or opens a new one to `address`.
     pub(crate) async fn acquire(
         &self,
         endpoint: EndpointId,
-        to: SocketAddr,
+        address: SocketAddr,
     ) -> Result<Connection, AttemptResult> {
         if let Some(connection) = self.take_idle(endpoint) {
             return Ok(connection);
         }
         let permit = self.acquire_permit().await?;
-        Connection::open(to, self.connect_timeout, Some(permit)).await
+        Connection::open(address, self.connect_timeout, Some(permit)).await
     }
 
     /// Returns the most recently used idle connection that is still reusable, and closes the others that it
@@ -95,11 +95,11 @@
     /// Acquires the permit for a new connection. At the limit, the connection that was idle longest is
     /// closed.
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AttemptResult> {
-        let mut permit = self.permits.clone().try_acquire_owned();
+        let mut permit = self.connection_permits.clone().try_acquire_owned();
         if permit.is_err() && self.close_oldest_idle() {
             // The permit is released when the connection's task has processed its abort.
             tokio::task::yield_now().await;
-            permit = self.permits.clone().try_acquire_owned();
+            permit = self.connection_permits.clone().try_acquire_owned();
         }
         permit.map_err(|_| AttemptResult::NotSent)
     }
