--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -22,7 +22,7 @@
             ResultLine::check(
                 "the last change is in force everywhere",
                 converged,
-                format!("waited up to {} s", self.scenario.changes.settle_within_s),
+                format!("waited up to {} s", self.scenario.changes.settle_timeout_s),
             ),
             self.check_hollow_lists(&authoritative),
             self.check_skipped_changes(authoritative.generation),
--- a/crates/scale-test/src/control_plane.rs
+++ b/crates/scale-test/src/control_plane.rs
@@ -108,7 +108,7 @@
         number: usize,
     ) -> Result<ControlListener, ScaleTestError> {
         let listen_error = |e: io::Error| ScaleTestError::aborted("the control side can't listen", e);
-        let address = crate::ports::free().map_err(listen_error)?;
+        let address = crate::ports::free_address().map_err(listen_error)?;
         let socket = bind(address).map_err(listen_error)?;
         let listener = ControlListener {
             address,
--- a/crates/scale-test/src/fault_schedule.rs
+++ b/crates/scale-test/src/fault_schedule.rs
@@ -8,7 +8,7 @@
 
 use crate::control_plane::Reachability;
 use crate::error::ScaleTestError;
-use crate::labels::Occasion;
+use crate::labels::OperatingCondition;
 use crate::lock::lock;
 use crate::outages::{affected_forwarders, zones_in_region};
 use crate::scenario::{Fault, FaultKind};
@@ -49,32 +49,32 @@
         let forwarders = affected_forwarders(&self.scenario, fault);
         let kind = fault.kind();
         match *fault {
-            Fault::RollingRestart { gap_s, down_s, .. } => {
-                self.restart_in_turn(kind, &forwarders, gap_s, down_s).await
+            Fault::RollingRestart { stagger_s, down_s, .. } => {
+                self.restart_in_turn(kind, &forwarders, stagger_s, down_s).await
             }
             Fault::ZoneOutage { down_s, .. } | Fault::RackOutage { down_s, .. } => {
                 let restarts = forwarders.iter().map(|n| self.restart(kind, *n, Shutdown::Immediate, down_s));
                 join_all(restarts).await.into_iter().collect()
             }
-            Fault::ControlRestart { down_s, forgets, .. } => {
+            Fault::ControlRestart { down_s, discards_changes, .. } => {
                 self.run_listener_outage(ListenerOutage {
                     kind,
                     forwarders,
                     listeners: (0..self.listeners.len()).collect(),
                     reachability: Reachability::Closed,
                     duration: Duration::from_secs_f64(down_s),
-                    forgets_changes: forgets,
+                    forgets_changes: discards_changes,
                 })
                 .await;
                 Ok(())
             }
-            Fault::RegionPartition { lasts_s, region, .. } => {
+            Fault::RegionPartition { duration_s, region, .. } => {
                 self.run_listener_outage(ListenerOutage {
                     kind,
                     listeners: self.listeners_of_region(region, &forwarders),
                     forwarders,
                     reachability: Reachability::Partitioned,
-                    duration: Duration::from_secs_f64(lasts_s),
+                    duration: Duration::from_secs_f64(duration_s),
                     forgets_changes: false,
                 })
                 .await;
@@ -156,7 +156,7 @@
                 forwarder.start()?;
             }
             self.end_outages(kind, &[number]);
-            self.wait_for_list(forwarder, Occasion::Fault(kind)).await;
+            self.wait_for_list(forwarder, OperatingCondition::Fault(kind)).await;
             return Ok(());
         }
         if let Some(hollow) = self.hollow_forwarders.get(number as usize - self.real_forwarders.len()) {
--- a/crates/scale-test/src/labels.rs
+++ b/crates/scale-test/src/labels.rs
@@ -31,28 +31,28 @@
 
 /// A phase of a run.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Phase {
+pub enum RunPhase {
     /// After the list was in force everywhere.
-    AfterStart,
+    AfterStartup,
     /// Until then.
-    Start,
+    Startup,
 }
 
-impl Phase {
+impl RunPhase {
     /// The name in results.
     pub fn name(self) -> &'static str {
         match self {
-            Phase::AfterStart => "after the start",
-            Phase::Start => "at the start",
+            RunPhase::AfterStartup => "after the start",
+            RunPhase::Startup => "at the start",
         }
     }
 }
 
 /// The circumstances under which a latency was measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Occasion {
+pub enum OperatingCondition {
     /// No fault concerned the forwarder.
-    Calm,
+    Normal,
     /// The forwarder was started for the first time.
     FirstStart,
     /// A hollow forwarder was restarted.
@@ -61,26 +61,26 @@
     Fault(FaultKind),
 }
 
-impl Occasion {
+impl OperatingCondition {
     /// The name in results.
     pub fn name(self) -> &'static str {
         match self {
-            Occasion::Calm => "calm",
-            Occasion::FirstStart => "first start",
-            Occasion::Restart => "restart",
-            Occasion::Fault(kind) => kind.name(),
+            OperatingCondition::Normal => "calm",
+            OperatingCondition::FirstStart => "first start",
+            OperatingCondition::Restart => "restart",
+            OperatingCondition::Fault(kind) => kind.name(),
         }
     }
 }
 
-impl Ord for Occasion {
-    fn cmp(&self, other: &Occasion) -> Ordering {
+impl Ord for OperatingCondition {
+    fn cmp(&self, other: &OperatingCondition) -> Ordering {
         self.name().cmp(other.name())
     }
 }
 
-impl PartialOrd for Occasion {
-    fn partial_cmp(&self, other: &Occasion) -> Option<Ordering> {
+impl PartialOrd for OperatingCondition {
+    fn partial_cmp(&self, other: &OperatingCondition) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
@@ -110,13 +110,13 @@
     }
 }
 
-impl Serialize for Phase {
+impl Serialize for RunPhase {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(self.name())
     }
 }
 
-impl Serialize for Occasion {
+impl Serialize for OperatingCondition {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(self.name())
     }
--- a/crates/scale-test/src/latency_results.rs
+++ b/crates/scale-test/src/latency_results.rs
@@ -7,7 +7,7 @@
 use crate::latency::LatencyHistogram;
 use crate::lock::lock;
 use crate::outages::OutageAttribution;
-use crate::report::{Occasion, ResultLine, Role, Since};
+use crate::report::{OperatingCondition, ResultLine, Role, Since};
 use crate::test_bed::{ProbeRecord, TestBed};
 
 impl TestBed {
@@ -33,21 +33,22 @@
 
     /// From each start until the full list was in force.
     fn list_latency_results(&self) -> Vec<ResultLine> {
-        let mut histograms: BTreeMap<(Role, Occasion), LatencyHistogram> = BTreeMap::new();
+        let mut histograms: BTreeMap<(Role, OperatingCondition), LatencyHistogram> = BTreeMap::new();
         for start in lock(&self.start_records).iter() {
             histograms.entry((Role::Real, start.occasion)).or_default().record(start.list_latency);
         }
         for hollow in &self.hollow_forwarders {
             let hollow = lock(hollow);
             for (start, latency) in hollow.state().list_latencies().iter().enumerate() {
-                let occasion = if start == 0 { Occasion::FirstStart } else { Occasion::Restart };
+                let occasion =
+                    if start == 0 { OperatingCondition::FirstStart } else { OperatingCondition::Restart };
                 histograms.entry((Role::Hollow, occasion)).or_default().record(*latency);
             }
         }
         let mut lines = Vec::new();
         for ((role, occasion), histogram) in histograms {
             let latency = histogram.summary();
-            if occasion == Occasion::FirstStart {
+            if occasion == OperatingCondition::FirstStart {
                 let role = role.name();
                 lines.push(ResultLine::figure(format!("{role}.list_p50_s"), latency.p50_ms / 1e3));
                 lines.push(ResultLine::figure(format!("{role}.list_worst_s"), latency.worst_ms / 1e3));
@@ -78,14 +79,14 @@
         for ProbeRecord { forwarder, generation, result } in lock(&self.probe_records).iter() {
             let attribution =
                 attributions.entry(*forwarder).or_insert_with(|| outages.attribution(*forwarder));
-            latencies.add(Role::Real, attribution, *generation, result.arrived);
+            latencies.add(Role::Real, attribution, *generation, result.arrived_at);
             // Changes come in order: while an earlier destination was rejected, this one was not in force either.
             let earlier = last_rejections.get(forwarder).copied();
             let made = self.list.made_at(*generation);
-            let unknown_since = result.last_rejected.into_iter().chain(earlier).chain(made).max();
-            let unknown_since = unknown_since.unwrap_or(result.arrived);
-            last_rejections.extend(result.last_rejected.map(|rejected| (*forwarder, rejected)));
-            resolution.record(result.arrived.saturating_duration_since(unknown_since));
+            let unknown_since = result.last_rejected_at.into_iter().chain(earlier).chain(made).max();
+            let unknown_since = unknown_since.unwrap_or(result.arrived_at);
+            last_rejections.extend(result.last_rejected_at.map(|rejected| (*forwarder, rejected)));
+            resolution.record(result.arrived_at.saturating_duration_since(unknown_since));
         }
         resolution
     }
@@ -105,7 +106,7 @@
 /// Latencies of changes, kept apart by role, occasion and the moment from which they count.
 struct ChangeLatencies<'a> {
     list: &'a AuthoritativeList,
-    histograms: BTreeMap<(Role, Occasion, Since), LatencyHistogram>,
+    histograms: BTreeMap<(Role, OperatingCondition, Since), LatencyHistogram>,
 }
 
 impl ChangeLatencies<'_> {
@@ -118,7 +119,8 @@
     fn add(&mut self, role: Role, attribution: &mut OutageAttribution, generation: u64, in_force: Instant) {
         let Some(made) = self.list.made_at(generation) else { return };
         let outage = attribution.outage(made, in_force);
-        let occasion = outage.map_or(Occasion::Calm, |outage| Occasion::Fault(outage.kind));
+        let occasion =
+            outage.map_or(OperatingCondition::Normal, |outage| OperatingCondition::Fault(outage.kind));
         let since_change = in_force.saturating_duration_since(made);
         self.histograms.entry((role, occasion, Since::Change)).or_default().record(since_change);
         if let Some(outage) = outage {
@@ -133,7 +135,7 @@
         let mut calm_p99_ms = BTreeMap::new();
         for ((role, occasion, since), histogram) in self.histograms {
             let latency = histogram.summary();
-            if occasion == Occasion::Calm {
+            if occasion == OperatingCondition::Normal {
                 calm_p99_ms.insert(role, latency.p99_ms);
                 let name = role.name();
                 lines.push(ResultLine::figure(format!("{name}.change_p50_ms"), latency.p50_ms));
--- a/crates/scale-test/src/measurements.rs
+++ b/crates/scale-test/src/measurements.rs
@@ -6,7 +6,7 @@
 use crate::control_plane::ControlListener;
 use crate::metered_stream::TrafficTotals;
 use crate::process_usage::{thread_processor_s, ResourceUsage};
-use crate::report::{Phase, ResultLine, Role, TrafficRates};
+use crate::report::{ResultLine, Role, RunPhase, TrafficRates};
 use crate::test_bed::{TestBed, CONTROL_THREAD};
 
 /// All counters at one moment.
@@ -73,7 +73,7 @@
     /// What each role exchanged, and the processor time of this program's threads, between two snapshots.
     pub(crate) fn exchange_results(
         &self,
-        phase: Phase,
+        phase: RunPhase,
         before: &Snapshot,
         after: &Snapshot,
     ) -> Vec<ResultLine> {
--- a/crates/scale-test/src/outages.rs
+++ b/crates/scale-test/src/outages.rs
@@ -87,11 +87,11 @@
 pub(crate) fn affected_forwarders(scenario: &Scenario, fault: &Fault) -> Vec<u32> {
     let all = 0..scenario.forwarders();
     match fault {
-        Fault::RollingRestart { one_in, .. } => all.filter(|n| n % one_in == 0).collect(),
+        Fault::RollingRestart { every_nth, .. } => all.filter(|n| n % every_nth == 0).collect(),
         Fault::ControlRestart { .. } => all.collect(),
         Fault::ZoneOutage { zone, .. } => all.filter(|n| scenario.zone_of(*n) == *zone).collect(),
-        Fault::RackOutage { zone, machines, .. } => {
-            all.filter(|n| scenario.zone_of(*n) == *zone).take(*machines as usize).collect()
+        Fault::RackOutage { zone, forwarder_count, .. } => {
+            all.filter(|n| scenario.zone_of(*n) == *zone).take(*forwarder_count as usize).collect()
         }
         Fault::RegionPartition { region, .. } => all.filter(|n| scenario.region_of(*n) == *region).collect(),
     }
--- a/crates/scale-test/src/ports.rs
+++ b/crates/scale-test/src/ports.rs
@@ -30,7 +30,7 @@
 static CLAIMED_BLOCKS: Mutex<Vec<Block>> = Mutex::new(Vec::new());
 
 /// An address on loopback that nobody listens on, and that this process does not return again.
-pub fn free() -> io::Result<SocketAddr> {
+pub fn free_address() -> io::Result<SocketAddr> {
     let mut blocks = lock(&CLAIMED_BLOCKS);
     loop {
         let Some(block) = blocks.last_mut().filter(|block| block.next < block.end) else {
--- a/crates/scale-test/src/probe.rs
+++ b/crates/scale-test/src/probe.rs
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeResult {
     /// When the last probe that was rejected began; none where the first one was accepted.
-    pub(crate) last_rejected: Option<Instant>,
+    pub(crate) last_rejected_at: Option<Instant>,
     /// When the first request arrived.
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
 }
 
 /// A destination that is probed for.
@@ -52,7 +52,7 @@
 ) -> ProbeResult {
     let start = Instant::now();
     let interval = || (start.elapsed() / 10).clamp(PROBE_INTERVAL_MIN, PROBE_INTERVAL_MAX);
-    let mut last_rejected = None;
+    let mut last_rejected_at = None;
     let mut expected_requests = FuturesUnordered::new();
     for number in 0_u64.. {
         let probe_began = Instant::now();
@@ -61,7 +61,7 @@
         let wait = match client.submit(&message_id, target.destination).await {
             SubmitResult::Accepted => ACCEPTED_PROBE_WAIT,
             SubmitResult::Rejected => {
-                last_rejected = Some(probe_began);
+                last_rejected_at = Some(probe_began);
                 interval()
             }
             SubmitResult::NoAnswer => interval(),
@@ -74,11 +74,11 @@
             }
             std::future::pending().await
         });
-        if let Ok(arrived) = arrival.await {
-            return ProbeResult { last_rejected, arrived };
+        if let Ok(arrived_at) = arrival.await {
+            return ProbeResult { last_rejected_at, arrived_at };
         }
         // No request comes of messages that were rejected.
-        if last_rejected.is_some_and(|rejected| rejected >= probe_began) {
+        if last_rejected_at.is_some_and(|rejected| rejected >= probe_began) {
             expected_requests.clear();
         }
     }
--- a/crates/scale-test/src/real_forwarder.rs
+++ b/crates/scale-test/src/real_forwarder.rs
@@ -59,7 +59,7 @@
         std::fs::create_dir_all(folder.join("state")).map_err(folder_error)?;
         Ok(RealForwarder {
             number,
-            listen: crate::ports::free().map_err(folder_error)?,
+            listen: crate::ports::free_address().map_err(folder_error)?,
             folder,
             template,
             control_plane,
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::error::ScaleTestError;
-pub use crate::labels::{Occasion, Phase, Role, Since};
+pub use crate::labels::{OperatingCondition, Role, RunPhase, Since};
 pub use crate::latency::LatencySummary;
 pub use crate::process_usage::ForwarderUsage;
 use crate::scenario::Scenario;
@@ -40,7 +40,7 @@
         /// The role of the forwarders.
         role: Role,
         /// Why they were started.
-        occasion: Occasion,
+        occasion: OperatingCondition,
         /// The distribution over all starts.
         #[serde(rename = "spans")]
         latency: LatencySummary,
@@ -50,7 +50,7 @@
         /// The role of the forwarders.
         role: Role,
         /// Whether the change was made in calm operation or is attributed to a fault.
-        occasion: Occasion,
+        occasion: OperatingCondition,
         /// From when the latency counts.
         since: Since,
         /// The distribution over all changes and forwarders.
@@ -67,7 +67,7 @@
     #[serde(rename = "hand_in")]
     Submissions {
         /// The phase of the run.
-        phase: Phase,
+        phase: RunPhase,
         /// The latency until an answer of any kind came.
         #[serde(rename = "spans")]
         latency: LatencySummary,
@@ -94,7 +94,7 @@
         /// The role.
         role: Role,
         /// The phase of the run.
-        phase: Phase,
+        phase: RunPhase,
         /// The number of forwarders that share the traffic.
         forwarders: u32,
         /// The length of the phase, in seconds.
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -16,7 +16,7 @@
 use crate::lock::lock;
 use crate::probe::{probe_client, probe_until_delivered, ProbeTarget};
 use crate::real_forwarder::RealForwarder;
-use crate::report::{Occasion, Phase, ResultLine, Results};
+use crate::report::{OperatingCondition, ResultLine, Results, RunPhase};
 use crate::resource_budget::ResourceBudget;
 use crate::scenario::Scenario;
 use crate::task::AbortOnDrop;
@@ -42,7 +42,7 @@
 /// Runs a scenario. Nothing that it started runs on after it, however it ends.
 pub async fn run(scenario: Scenario, options: Options) -> Result<Results, ScaleTestError> {
     ResourceBudget::needed_by(&scenario).check_against_machine()?;
-    let limit = Duration::from_secs_f64(scenario.limit_s);
+    let limit = Duration::from_secs_f64(scenario.time_limit_s);
     let test_bed = Arc::new(TestBed::set_up(scenario, options).await?);
     let memory_exceeded = test_bed.clone().watch_memory();
     let outcome = tokio::select! {
@@ -51,7 +51,7 @@
     };
     test_bed.tear_down().await;
     outcome.unwrap_or_else(|_| {
-        let limit_s = test_bed.scenario.limit_s;
+        let limit_s = test_bed.scenario.time_limit_s;
         Err(ScaleTestError::aborted("the run", format!("not over within limit_s = {limit_s}")))
     })
 }
@@ -74,7 +74,7 @@
         let converged = self.wait_for_convergence().await;
         let after = self.snapshot().await;
         self.probing.store(false, Ordering::Relaxed);
-        lines.extend(self.exchange_results(Phase::AfterStart, &before, &after));
+        lines.extend(self.exchange_results(RunPhase::AfterStartup, &before, &after));
         lines.extend(self.process_results(&before, &after).await);
         lines.extend(self.latency_results());
         lines.extend(self.check_results(converged).await);
@@ -83,7 +83,7 @@
 
     /// Starts all forwarders and waits until each has the list.
     async fn start_forwarders(&self) -> Result<(), ScaleTestError> {
-        let limit = Duration::from_secs_f64(self.scenario.list.start_within_s);
+        let limit = Duration::from_secs_f64(self.scenario.list.start_timeout_s);
         for forwarder in &self.real_forwarders {
             forwarder.lock().await.start()?;
         }
@@ -97,7 +97,7 @@
     /// not queue behind hollow ones, which share few threads.
     async fn wait_for_first_lists(&self) {
         let real = self.real_forwarders.iter();
-        join_all(real.map(|forwarder| self.wait_for_list(forwarder, Occasion::FirstStart))).await;
+        join_all(real.map(|forwarder| self.wait_for_list(forwarder, OperatingCondition::FirstStart))).await;
         for hollow in &self.hollow_forwarders {
             self.start_hollow(&mut lock(hollow));
         }
@@ -118,7 +118,7 @@
         for forwarder in &self.real_forwarders {
             last_log_line = forwarder.lock().await.last_log_line();
         }
-        let limit_s = self.scenario.list.start_within_s;
+        let limit_s = self.scenario.list.start_timeout_s;
         ScaleTestError::aborted(
             format!("the list was not in force everywhere within {limit_s} s"),
             format!(
@@ -141,7 +141,7 @@
     pub(crate) async fn wait_for_list(
         &self,
         forwarder: &tokio::sync::Mutex<RealForwarder>,
-        occasion: Occasion,
+        occasion: OperatingCondition,
     ) {
         let (address, started_at, number) = {
             let forwarder = forwarder.lock().await;
@@ -152,7 +152,7 @@
         let target = ProbeTarget { destination: last, address: self.endpoints.address(last, 0) };
         let mut client = probe_client(address);
         let result = probe_until_delivered(&mut client, &self.endpoints, &id, target).await;
-        let list_latency = result.arrived.duration_since(started_at);
+        let list_latency = result.arrived_at.duration_since(started_at);
         lock(&self.start_records).push(StartRecord { occasion, list_latency });
     }
 
@@ -207,12 +207,12 @@
     async fn make_changes(self: Arc<TestBed>, probes: Vec<mpsc::UnboundedSender<ProbeOrder>>) {
         let changes = &self.scenario.changes;
         let mut rng = Pcg32::seed_from_u64(self.scenario.seed);
-        let mut tick = interval(Duration::from_secs_f64(changes.every_s));
-        let count = (changes.lasts_s / changes.every_s).ceil() as u64;
+        let mut tick = interval(Duration::from_secs_f64(changes.interval_s));
+        let count = (changes.duration_s / changes.interval_s).ceil() as u64;
         let mut listed = self.scenario.list.endpoints;
         for number in 1..=count {
             tick.tick().await;
-            if number % u64::from(changes.probe_every) != 0 {
+            if number % u64::from(changes.probe_every_nth) != 0 {
                 // The last endpoint of the first list stays where it is: starts are probed by it.
                 let index = rng.random_range(0..self.scenario.list.endpoints - 1);
                 self.list.put(index, self.endpoints.address(index, number));
@@ -256,7 +256,7 @@
     /// Starts a client at each real forwarder, from before this is up.
     async fn start_traffic(self: &Arc<TestBed>) -> Vec<AbortOnDrop> {
         let mut tasks = Vec::new();
-        if self.scenario.traffic.per_forwarder_per_s > 0.0 {
+        if self.scenario.traffic.messages_per_forwarder_per_s > 0.0 {
             for forwarder in &self.real_forwarders {
                 let forwarder = forwarder.lock().await;
                 let client = Client::new(forwarder.address(), CLIENT_RESPONSE_TIMEOUT);
@@ -269,7 +269,8 @@
     /// Submits messages at one forwarder without end.
     async fn submit_traffic(self: Arc<TestBed>, forwarder: u32, mut client: Client) {
         let mut rng = Pcg32::seed_from_u64(self.scenario.seed ^ (u64::from(forwarder) << 40));
-        let mut tick = interval(Duration::from_secs_f64(1.0 / self.scenario.traffic.per_forwarder_per_s));
+        let mut tick =
+            interval(Duration::from_secs_f64(1.0 / self.scenario.traffic.messages_per_forwarder_per_s));
         tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
         for number in 0_u64.. {
             tick.tick().await;
@@ -277,14 +278,14 @@
             let sent = Instant::now();
             let result = client.submit(&format!("traffic-{forwarder}-{number}"), destination).await;
             let started = self.started.load(Ordering::Relaxed);
-            let phase = if started { Phase::AfterStart } else { Phase::Start };
+            let phase = if started { RunPhase::AfterStartup } else { RunPhase::Startup };
             lock(&self.submissions).entry(phase).or_default().record(result, sent.elapsed());
         }
     }
 
     /// Waits until the last change is in force everywhere; false if it is not in time.
     async fn wait_for_convergence(&self) -> bool {
-        let limit = Duration::from_secs_f64(self.scenario.changes.settle_within_s);
+        let limit = Duration::from_secs_f64(self.scenario.changes.settle_timeout_s);
         let generation = self.list.generation();
         let probes = self.new_destinations() * self.real_forwarders.len();
         let converged = || {
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -23,11 +23,13 @@
     /// The name under which results refer to the scenario.
     pub name: String,
     /// What the scenario is for.
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// The seed from which changes and traffic are drawn.
     pub seed: u64,
     /// The longest that the whole run may take, in seconds; a longer one is aborted.
-    pub limit_s: f64,
+    #[serde(rename = "limit_s")]
+    pub time_limit_s: f64,
     /// The forwarders.
     pub fleet: Fleet,
     /// The endpoint list at the start.
@@ -75,7 +77,8 @@
     #[serde(default = "default_concurrent_full_lists", rename = "whole_at_once")]
     pub concurrent_full_lists: u32,
     /// How long it may take until the list is in force at each forwarder, in seconds.
-    pub start_within_s: f64,
+    #[serde(rename = "start_within_s")]
+    pub start_timeout_s: f64,
 }
 
 /// Changes of the endpoint list during the run.
@@ -83,14 +86,18 @@
 #[serde(deny_unknown_fields)]
 pub struct Changes {
     /// Time between two changes, in seconds.
-    pub every_s: f64,
+    #[serde(rename = "every_s")]
+    pub interval_s: f64,
     /// Each so-many-th change lists a new destination, by which real forwarders are probed; the others move an
     /// endpoint.
-    pub probe_every: u32,
+    #[serde(rename = "probe_every")]
+    pub probe_every_nth: u32,
     /// How long changes go on, in seconds.
-    pub lasts_s: f64,
+    #[serde(rename = "lasts_s")]
+    pub duration_s: f64,
     /// How long the last change may take to be in force everywhere, in seconds.
-    pub settle_within_s: f64,
+    #[serde(rename = "settle_within_s")]
+    pub settle_timeout_s: f64,
 }
 
 /// The resource limits that each real forwarder is configured with.
@@ -116,7 +123,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
     /// Messages per second at each real forwarder; 0 for none.
-    pub per_forwarder_per_s: f64,
+    #[serde(rename = "per_forwarder_per_s")]
+    pub messages_per_forwarder_per_s: f64,
 }
 
 /// A fault that is carried out. `at_s` is its time in seconds after the end of the start.
@@ -128,9 +136,11 @@
         /// When the first one is stopped.
         at_s: f64,
         /// Each so-many-th forwarder is restarted.
-        one_in: u32,
+        #[serde(rename = "one_in")]
+        every_nth: u32,
         /// Time from one forwarder's stop to the next one's, in seconds.
-        gap_s: f64,
+        #[serde(rename = "gap_s")]
+        stagger_s: f64,
         /// Time from a forwarder's end to its next start, in seconds.
         down_s: f64,
     },
@@ -141,7 +151,8 @@
         /// How long it is down, in seconds.
         down_s: f64,
         /// Whether it comes up without the changes from before, so that it has to send full lists.
-        forgets: bool,
+        #[serde(rename = "forgets")]
+        discards_changes: bool,
     },
     /// All forwarders of a zone are killed and restarted at once.
     #[serde(rename = "zone")]
@@ -163,7 +174,8 @@
         /// The zone of the rack.
         zone: u32,
         /// How many forwarders the rack has.
-        machines: u32,
+        #[serde(rename = "machines")]
+        forwarder_count: u32,
     },
     /// A network partition: the control plane can't be reached from a region, and no connection is reset before the
     /// partition ends.
@@ -172,7 +184,8 @@
         /// When it begins.
         at_s: f64,
         /// How long it lasts, in seconds.
-        lasts_s: f64,
+        #[serde(rename = "lasts_s")]
+        duration_s: f64,
         /// The region.
         region: u32,
     },
--- a/crates/scale-test/src/scenario/validation.rs
+++ b/crates/scale-test/src/scenario/validation.rs
@@ -45,12 +45,12 @@
     /// Finds the first key whose value can't be used.
     pub(super) fn validate(&self) -> Result<(), InvalidKey> {
         check_count("version", self.version, VERSION, VERSION)?;
-        check_duration("limit_s", self.limit_s)?;
+        check_duration("limit_s", self.time_limit_s)?;
         self.fleet.validate()?;
         self.list.validate()?;
         self.validate_changes()?;
         self.process_limits.validate()?;
-        check_range("traffic.per_forwarder_per_s", self.traffic.per_forwarder_per_s, 0.0, 2_000.0)?;
+        check_range("traffic.per_forwarder_per_s", self.traffic.messages_per_forwarder_per_s, 0.0, 2_000.0)?;
         for (index, fault) in self.faults.iter().enumerate() {
             self.validate_fault(index, fault)?;
         }
@@ -59,22 +59,22 @@
 
     fn validate_changes(&self) -> Result<(), InvalidKey> {
         let changes = &self.changes;
-        check_duration("changes.every_s", changes.every_s)?;
-        check_duration("changes.lasts_s", changes.lasts_s)?;
-        check_duration("changes.settle_within_s", changes.settle_within_s)?;
-        check_count("changes.probe_every", changes.probe_every, 1, 1_000)?;
-        check_range("changes.lasts_s by every_s", changes.lasts_s / changes.every_s, 1.0, MAX_CHANGES)
+        check_duration("changes.every_s", changes.interval_s)?;
+        check_duration("changes.lasts_s", changes.duration_s)?;
+        check_duration("changes.settle_within_s", changes.settle_timeout_s)?;
+        check_count("changes.probe_every", changes.probe_every_nth, 1, 1_000)?;
+        check_range("changes.lasts_s by every_s", changes.duration_s / changes.interval_s, 1.0, MAX_CHANGES)
     }
 
     fn validate_fault(&self, index: usize, fault: &Fault) -> Result<(), InvalidKey> {
         let key = |name: &str| format!("trouble[{index}].{name}");
         let check_down = |down_s: f64| check_range(&key("down_s"), down_s, 0.0, MAX_DOWN_S);
         let check_zone = |zone: u32| check_count(&key("zone"), zone, 0, self.fleet.zones - 1);
-        check_range(&key("at_s"), fault.at_s(), 0.0, self.changes.lasts_s)?;
+        check_range(&key("at_s"), fault.at_s(), 0.0, self.changes.duration_s)?;
         match fault {
-            Fault::RollingRestart { one_in, gap_s, down_s, .. } => {
-                check_count(&key("one_in"), *one_in, 1, MAX_HOLLOW)?;
-                check_range(&key("gap_s"), *gap_s, 0.0, MAX_DOWN_S)?;
+            Fault::RollingRestart { every_nth, stagger_s, down_s, .. } => {
+                check_count(&key("one_in"), *every_nth, 1, MAX_HOLLOW)?;
+                check_range(&key("gap_s"), *stagger_s, 0.0, MAX_DOWN_S)?;
                 check_down(*down_s)
             }
             Fault::ControlRestart { down_s, .. } => check_down(*down_s),
@@ -82,13 +82,13 @@
                 check_down(*down_s)?;
                 check_zone(*zone)
             }
-            Fault::RackOutage { down_s, zone, machines, .. } => {
+            Fault::RackOutage { down_s, zone, forwarder_count, .. } => {
                 check_down(*down_s)?;
                 check_zone(*zone)?;
-                check_count(&key("machines"), *machines, 1, MAX_HOLLOW)
+                check_count(&key("machines"), *forwarder_count, 1, MAX_HOLLOW)
             }
-            Fault::RegionPartition { lasts_s, region, .. } => {
-                check_range(&key("lasts_s"), *lasts_s, 0.0, MAX_PARTITION_S)?;
+            Fault::RegionPartition { duration_s, region, .. } => {
+                check_range(&key("lasts_s"), *duration_s, 0.0, MAX_PARTITION_S)?;
                 check_count(&key("region"), *region, 0, self.fleet.regions - 1)
             }
         }
@@ -111,7 +111,7 @@
     fn validate(&self) -> Result<(), InvalidKey> {
         check_count("list.targets", self.endpoints, 2, MAX_ENDPOINTS)?;
         check_count("list.whole_at_once", self.concurrent_full_lists, 1, MAX_HOLLOW)?;
-        check_duration("list.start_within_s", self.start_within_s)
+        check_duration("list.start_within_s", self.start_timeout_s)
     }
 }
 
--- a/crates/scale-test/src/test_bed.rs
+++ b/crates/scale-test/src/test_bed.rs
@@ -16,7 +16,7 @@
 use crate::error::ScaleTestError;
 use crate::hollow_forwarder::HollowForwarder;
 use crate::hollow_state::HollowState;
-use crate::labels::{Occasion, Phase};
+use crate::labels::{OperatingCondition, RunPhase};
 use crate::latency::LatencyHistogram;
 use crate::lock::lock;
 use crate::metered_stream::TrafficCounters;
@@ -74,7 +74,7 @@
 /// How long one start of a real forwarder took until the list was in force.
 pub(crate) struct StartRecord {
     /// Why it was started.
-    pub(crate) occasion: Occasion,
+    pub(crate) occasion: OperatingCondition,
     /// The time from the start of the process.
     pub(crate) list_latency: Duration,
 }
@@ -122,7 +122,7 @@
     pub(crate) outages: Mutex<Outages>,
     pub(crate) start_records: Mutex<Vec<StartRecord>>,
     pub(crate) probe_records: Mutex<Vec<ProbeRecord>>,
-    pub(crate) submissions: Mutex<BTreeMap<Phase, SubmissionStats>>,
+    pub(crate) submissions: Mutex<BTreeMap<RunPhase, SubmissionStats>>,
     /// Whether the list is in force everywhere.
     pub(crate) started: AtomicBool,
     /// Whether the result of a probe still counts.
--- a/crates/scale-test/tests/output_keys.rs
+++ b/crates/scale-test/tests/output_keys.rs
@@ -6,7 +6,7 @@
 
 use reeddock_scale_test::fit::{least_squares, FittedFigure};
 use reeddock_scale_test::report::{
-    ForwarderUsage, LatencySummary, Occasion, Phase, ResultLine, Role, Since, TrafficRates,
+    ForwarderUsage, LatencySummary, OperatingCondition, ResultLine, Role, RunPhase, Since, TrafficRates,
 };
 use reeddock_scale_test::scenario::{FaultKind, Scenario};
 use serde::Serialize;
@@ -184,9 +184,9 @@
 fn lines_of_latencies_have_these_keys_and_labels() {
     let latency = latency();
     let spans = latency_json();
-    let (role, occasion, since) = (Role::Hollow, Occasion::Calm, Since::Change);
+    let (role, occasion, since) = (Role::Hollow, OperatingCondition::Normal, Since::Change);
     assert_eq!(
-        written(ResultLine::ListInForce { role, occasion: Occasion::FirstStart, latency }),
+        written(ResultLine::ListInForce { role, occasion: OperatingCondition::FirstStart, latency }),
         json!({"line": "list_in_force", "role": "hollow", "occasion": "first start", "spans": spans})
     );
     assert_eq!(
@@ -204,7 +204,7 @@
 
 #[test]
 fn lines_of_messages_and_traffic_have_these_keys() {
-    let phase = Phase::Start;
+    let phase = RunPhase::Startup;
     assert_eq!(
         written(ResultLine::Submissions {
             phase,
@@ -268,10 +268,11 @@
 fn labels_are_written_with_these_words() {
     let roles = written([Role::ControlPlane, Role::Hollow, Role::Real]);
     assert_eq!(roles, json!(["control side", "hollow", "real"]));
-    let phases = written([Phase::AfterStart, Phase::Start]);
+    let phases = written([RunPhase::AfterStartup, RunPhase::Startup]);
     assert_eq!(phases, json!(["after the start", "at the start"]));
     assert_eq!(written([Since::Change, Since::Reachable]), json!(["change", "reachable"]));
-    let occasions = written([Occasion::Calm, Occasion::FirstStart, Occasion::Restart]);
+    let occasions =
+        written([OperatingCondition::Normal, OperatingCondition::FirstStart, OperatingCondition::Restart]);
     assert_eq!(occasions, json!(["calm", "first start", "restart"]));
     let kinds = [
         FaultKind::ControlRestart,
@@ -281,7 +282,7 @@
         FaultKind::ZoneOutage,
     ];
     let expected = json!(["control_restart", "rack", "region_cut", "rolling_restart", "zone"]);
-    assert_eq!(written(kinds.map(Occasion::Fault)), expected);
+    assert_eq!(written(kinds.map(OperatingCondition::Fault)), expected);
 }
 
 #[test]
--- a/crates/scale-test/tests/ports.rs
+++ b/crates/scale-test/tests/ports.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn no_port_is_given_out_twice_and_blocks_follow_each_other() {
-    let given: Vec<u16> = (0..300).map(|_| ports::free().unwrap().port()).collect();
+    let given: Vec<u16> = (0..300).map(|_| ports::free_address().unwrap().port()).collect();
     let distinct: BTreeSet<u16> = given.iter().copied().collect();
     assert_eq!(distinct.len(), 300);
     // The block's claim is held, and its ports are free to take.
@@ -34,7 +34,8 @@
                 }
             });
         }
-        let refusals = (0..PORTS_TRIED).filter_map(|_| TcpListener::bind(ports::free().unwrap()).err());
+        let refusals =
+            (0..PORTS_TRIED).filter_map(|_| TcpListener::bind(ports::free_address().unwrap()).err());
         let refused = refusals.count();
         tried_all.store(true, Ordering::Relaxed);
         refused
--- a/crates/scale-test/tests/runs.rs
+++ b/crates/scale-test/tests/runs.rs
@@ -22,8 +22,8 @@
     let mut scenario = small();
     scenario.fleet.real = 0;
     scenario.fleet.hollow = 10;
-    scenario.changes.every_s = 0.02;
-    scenario.changes.lasts_s = 0.4;
+    scenario.changes.interval_s = 0.02;
+    scenario.changes.duration_s = 0.4;
     scenario.faults.clear();
     scenario
 }
@@ -96,7 +96,7 @@
 #[test]
 fn the_last_change_of_all_is_found_where_it_is_lost() {
     let mut scenario = hollow_only();
-    scenario.changes.settle_within_s = 0.3;
+    scenario.changes.settle_timeout_s = 0.3;
     // The list is of generation 1, and twenty changes follow.
     let lost = LostChange { listener: 0, generation: 21 };
     let results = run_with_defects(scenario, SeededDefects { dropped_change: None, lost_change: Some(lost) });
@@ -107,7 +107,7 @@
 fn a_change_that_never_reaches_a_real_forwarder_is_found() {
     let mut scenario = hollow_only();
     scenario.fleet.real = 1;
-    scenario.changes.settle_within_s = 1.0;
+    scenario.changes.settle_timeout_s = 1.0;
     // Each fourth change lists a new destination: generations 5, 9, and so on.
     let lost = LostChange { listener: 0, generation: 9 };
     let results = run_with_defects(scenario, SeededDefects { dropped_change: None, lost_change: Some(lost) });
