--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks what has to hold at the end of a run.
+//! Checks at the end of a run.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +9,14 @@
 use crate::report::ResultLine;
 use crate::test_bed::TestBed;
 
-/// The most new destinations that each real forwarder is probed for at the end.
-const FINAL_PROBES: usize = 64;
-/// The most differences that the detail of a check shows.
+/// Maximum number of new destinations that are submitted to each real forwarder at the end.
+const MAX_FINAL_SUBMISSIONS: usize = 64;
+/// Maximum number of differences between lists that the detail of a check names.
 const MAX_REPORTED_DIFFERENCES: usize = 3;
 
 impl TestBed {
-    /// The verdicts of all checks; `converged` says whether the last change came into force in time.
+    /// Returns the outcomes of all checks. `converged` is whether the last change was in force at all
+    /// forwarders before the timeout.
     pub(crate) async fn check_results(&self, converged: bool) -> Vec<ResultLine> {
         let authoritative = self.list.snapshot();
         vec![
@@ -49,7 +50,7 @@
         ResultLine::check("hollow forwarders have the control side's list", differing == 0, detail.trim_end())
     }
 
-    /// Each change after a hollow forwarder's first list came into force there.
+    /// Checks that each hollow forwarder applied all changes after its first list.
     fn check_skipped_changes(&self, generation: u64) -> ResultLine {
         let mut missing = 0;
         for hollow in &self.hollow_forwarders {
@@ -76,10 +77,10 @@
         )
     }
 
-    /// Submits a message at each real forwarder for each of the destinations that were listed last.
+    /// Checks that each real forwarder accepts messages for the most recently listed destinations.
     async fn check_new_destinations(&self, endpoints: usize) -> ResultLine {
         let first_new = self.scenario.list.endpoints as usize;
-        let first = first_new.max(endpoints.saturating_sub(FINAL_PROBES));
+        let first = first_new.max(endpoints.saturating_sub(MAX_FINAL_SUBMISSIONS));
         let mut accepted = 0;
         let mut submitted = 0;
         for forwarder in &self.real_forwarders {
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -1,42 +1,42 @@
-//! Why a run has no result. Each error is shown as one line.
+//! Errors that leave a run without results. Each error is one line of text.
 
 use std::fmt::Display;
 
-/// Why there is no result.
+/// An error that leaves a run without results.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleTestError {
-    /// The scenario or the command line is invalid.
+    /// The scenario file or the command line is invalid.
     #[error("{place}: expected {expected}, found {found}")]
     InvalidInput {
-        /// The file, line, key or option concerned.
+        /// The file, line, key or option at fault.
         place: String,
-        /// What would have been accepted.
+        /// The input that is accepted.
         expected: String,
-        /// What was there instead.
+        /// The input that was read.
         found: String,
     },
-    /// The scenario needs more than this machine has.
-    #[error("{place}: needs {needed}, and {limit}")]
-    OverBudget {
-        /// The part of the scenario that needs it.
+    /// The scenario needs more memory or descriptors than this machine provides.
+    #[error("{place}: needs {needed}, but {limit}")]
+    InsufficientResources {
+        /// The tables of the scenario that set the sizes.
         place: String,
-        /// How much is needed, with its unit.
+        /// The amount needed, with its unit.
         needed: String,
-        /// The limit that it goes beyond, as a clause.
+        /// The limit that is exceeded, as a clause.
         limit: String,
     },
-    /// The run was aborted.
+    /// A run that had valid input could not be completed.
     #[error("{operation}: {reason}")]
     Aborted {
-        /// What was being done.
+        /// The operation that failed, or how it failed.
         operation: String,
-        /// Why it could not go on.
+        /// The cause.
         reason: String,
     },
 }
 
 impl ScaleTestError {
-    /// An error about input that can't be used.
+    /// Returns an error for invalid input.
     pub fn invalid_input(place: impl Display, expected: impl Display, found: impl Display) -> ScaleTestError {
         ScaleTestError::InvalidInput {
             place: place.to_string(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// An error that ends the run.
+    /// Returns an error that ends the run.
     pub fn aborted(operation: impl Display, reason: impl Display) -> ScaleTestError {
         ScaleTestError::Aborted { operation: operation.to_string(), reason: reason.to_string() }
     }
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -1,4 +1,4 @@
-//! Fits slopes of figures over sizes: least squares, with the standard error of the slope.
+//! Fits straight lines to metrics over run sizes by least squares, with the standard error of the slope.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,28 @@
 use crate::scenario::Scenario;
 use crate::tables::empty_table;
 
-/// The least number of points for which a slope has an error.
+/// Minimum number of points for which the standard error of a slope is defined.
 const MIN_POINTS: usize = 3;
 
-/// A straight line through measured points.
+/// A straight line fitted to measured points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LineFit {
     /// The number of points.
     pub points: usize,
     /// The line's value at 0.
     pub intercept: f64,
-    /// The line's growth for a step of 1.
+    /// The increase of the line per unit of size.
     pub slope: f64,
-    /// Standard error of the slope.
-    pub slope_error: f64,
-    /// Standard deviation of the points about the line.
-    pub deviation: f64,
+    /// The standard error of the slope.
+    #[serde(rename = "slope_error")]
+    pub slope_std_error: f64,
+    /// The standard deviation of the points from the line, with `points - 2` degrees of freedom.
+    #[serde(rename = "deviation")]
+    pub residual_std_dev: f64,
 }
 
-/// Fits `y = intercept + slope x`. None for fewer than three points, or where all have one `x`.
+/// Fits `y = intercept + slope * x` to points `(x, y)`. Returns `None` for fewer than three points, or if all
+/// points have the same `x`.
 pub fn least_squares(points: &[(f64, f64)]) -> Option<LineFit> {
     let count = points.len() as f64;
     if points.len() < MIN_POINTS {
@@ -44,39 +47,42 @@
     let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / spread;
     let intercept = mean_y - slope * mean_x;
     let residual: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
-    let deviation = (residual / (count - 2.0)).sqrt();
-    let slope_error = deviation / spread.sqrt();
-    Some(LineFit { points: points.len(), intercept, slope, slope_error, deviation })
+    let residual_std_dev = (residual / (count - 2.0)).sqrt();
+    let slope_std_error = residual_std_dev / spread.sqrt();
+    Some(LineFit { points: points.len(), intercept, slope, slope_std_error, residual_std_dev })
 }
 
 impl LineFit {
-    /// The line's value at `x`.
+    /// Returns the line's value at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// One figure over one kind of size.
+/// A metric over one kind of size, and the line fitted to its values.
 #[derive(Clone, Debug, Serialize)]
-pub struct FittedFigure {
-    /// The name of the figure.
-    pub figure: String,
-    /// The kind of size that was varied.
-    pub over: &'static str,
+pub struct FittedMetric {
+    /// The name of the metric.
+    #[serde(rename = "figure")]
+    pub metric: String,
+    /// The kind of size that was varied: `targets` (endpoints) or `forwarders`.
+    #[serde(rename = "over")]
+    pub size_kind: &'static str,
     /// The sizes, in the order of the runs.
     pub sizes: Vec<u32>,
-    /// The figure at each size.
+    /// The metric at each size.
     pub values: Vec<f64>,
-    /// The line through the values.
+    /// The line fitted to the values.
     pub line: LineFit,
-    /// The planned size, for which the line is evaluated.
+    /// The size that the scenario plans for, at which the line is evaluated.
     #[serde(rename = "target")]
     pub planned_size: u32,
     /// The line's value at the planned size.
     #[serde(rename = "at_target")]
     pub at_planned_size: f64,
-    /// The planned size as a multiple of the largest size.
-    pub factor: f64,
+    /// The planned size divided by the largest size; above 1, the line is extrapolated.
+    #[serde(rename = "factor")]
+    pub extrapolation_factor: f64,
 }
 
 /// The kind of size that a series of runs varies.
@@ -87,7 +93,7 @@
 }
 
 impl SizeKind {
-    /// The name in results.
+    /// Returns the name that appears in results.
     fn name(self) -> &'static str {
         match self {
             SizeKind::Endpoints => "targets",
@@ -95,7 +101,7 @@
         }
     }
 
-    /// The scenario at one size of the series.
+    /// Returns a copy of the scenario with this size.
     fn resized(self, scenario: &Scenario, size: u32) -> Scenario {
         let mut resized = scenario.clone();
         match self {
@@ -105,7 +111,7 @@
         resized
     }
 
-    /// The size over which is fitted: endpoints, or hollow and real forwarders together.
+    /// Returns the number of endpoints, or of hollow and real forwarders together.
     fn size_of(self, scenario: &Scenario) -> u32 {
         match self {
             SizeKind::Endpoints => scenario.list.endpoints,
@@ -114,7 +120,7 @@
     }
 }
 
-/// A series of runs that differ in one size.
+/// A series of runs that differ only in one size.
 struct Series {
     kind: SizeKind,
     scenarios: Vec<Scenario>,
@@ -128,22 +134,22 @@
     }
 }
 
-/// One figure at one size.
+/// The value of a metric at one size.
 struct Point {
     size: u32,
     value: f64,
 }
 
-/// All runs of a fit, and what was fitted.
+/// The results of all runs of a fit, and the fitted lines.
 pub struct FitResults {
-    /// The results of each run, in order.
+    /// The results of each run, in the order of the runs.
     pub runs: Vec<Results>,
-    /// The figures that a line could be fitted to.
-    pub fitted: Vec<FittedFigure>,
+    /// The metrics that have enough values for a line.
+    pub fitted: Vec<FittedMetric>,
 }
 
-/// Runs a scenario at each size of its two series. `on_run` is called with the size and the results of each run as
-/// it ends.
+/// Runs a scenario at each size of its two series, and fits a line to each metric. Calls `on_run` after each
+/// run with a description of the size and the results.
 pub async fn fit(
     scenario: &Scenario,
     options: &Options,
@@ -152,7 +158,7 @@
     let Some(sizes) = &scenario.fit else {
         return Err(ScaleTestError::invalid_input(
             "the scenario",
-            "a table [fit] with lines of sizes",
+            "a table [fit] with series of sizes",
             "none",
         ));
     };
@@ -160,7 +166,7 @@
         Series::new(SizeKind::Endpoints, scenario, &sizes.endpoints, sizes.planned_endpoints),
         Series::new(SizeKind::Forwarders, scenario, &sizes.hollow, sizes.planned_forwarders),
     ];
-    // No run begins where the last one could not.
+    // Checks all sizes before the first run, so that the last run cannot fail for lack of resources.
     for resized in all_series.iter().flat_map(|series| &series.scenarios) {
         ResourceBudget::needed_by(resized).check_against_machine()?;
     }
@@ -171,55 +177,56 @@
             let size = series.kind.size_of(&resized);
             let results = run(resized, options.clone()).await?;
             on_run(&format!("{} {size}", series.kind.name()), &results);
-            for (name, value) in results.figures() {
+            for (name, value) in results.metrics() {
                 points.entry(name.to_owned()).or_default().push(Point { size, value });
             }
             outcome.runs.push(results);
         }
         let fitted = points
             .into_iter()
-            .filter_map(|(figure, points)| fit_figure(figure, series.kind, &points, series.planned_size));
+            .filter_map(|(metric, points)| fit_metric(metric, series.kind, &points, series.planned_size));
         outcome.fitted.extend(fitted);
     }
     Ok(outcome)
 }
 
-fn fit_figure(figure: String, kind: SizeKind, points: &[Point], planned_size: u32) -> Option<FittedFigure> {
+fn fit_metric(metric: String, kind: SizeKind, points: &[Point], planned_size: u32) -> Option<FittedMetric> {
     let coordinates: Vec<(f64, f64)> =
         points.iter().map(|point| (f64::from(point.size), point.value)).collect();
     let line = least_squares(&coordinates)?;
     let largest = points.iter().map(|point| point.size).max()?;
-    Some(FittedFigure {
-        figure,
-        over: kind.name(),
+    Some(FittedMetric {
+        metric,
+        size_kind: kind.name(),
         sizes: points.iter().map(|point| point.size).collect(),
         values: points.iter().map(|point| point.value).collect(),
         line,
         planned_size,
         at_planned_size: line.at(f64::from(planned_size)),
-        factor: f64::from(planned_size) / f64::from(largest),
+        extrapolation_factor: f64::from(planned_size) / f64::from(largest),
     })
 }
 
-/// The slopes as a table. A value beyond the largest size measured is marked as extrapolated, with its factor.
-pub fn slope_table(fitted: &[FittedFigure]) -> String {
-    let columns = ["figure", "over", "sizes", "slope", "± error", "intercept", "at the target", ""];
+/// Returns the fitted lines as a text table. Values beyond the largest measured size are marked as
+/// extrapolated.
+pub fn slope_table(fitted: &[FittedMetric]) -> String {
+    let columns = ["metric", "over", "sizes", "slope", "± std. error", "intercept", "at planned size", ""];
     let mut rows = empty_table(&columns);
     for fit in fitted {
         let sizes: Vec<String> = fit.sizes.iter().map(u32::to_string).collect();
-        let reach = match fit.factor {
+        let extrapolation = match fit.extrapolation_factor {
             factor if factor > 1.0 => format!("extrapolated by {factor:.1}"),
-            _ => "within what was measured".to_owned(),
+            _ => "within the measured sizes".to_owned(),
         };
         rows.add_row([
-            fit.figure.clone(),
-            fit.over.to_owned(),
+            fit.metric.clone(),
+            fit.size_kind.to_owned(),
             sizes.join(" "),
             format!("{:.4e}", fit.line.slope),
-            format!("{:.1e}", fit.line.slope_error),
+            format!("{:.1e}", fit.line.slope_std_error),
             format!("{:.4}", fit.line.intercept),
             format!("{:.4} at {}", fit.at_planned_size, fit.planned_size),
-            reach,
+            extrapolation,
         ]);
     }
     format!("{rows}\n")
--- a/crates/scale-test/src/labels.rs
+++ b/crates/scale-test/src/labels.rs
@@ -1,5 +1,4 @@
-//! The labels under which results are kept apart. Their names are part of the JSON output, and they are ordered by
-//! name.
+//! Labels of results. Results are sorted by the labels' names, which are part of the JSON output.
 
 use std::cmp::Ordering;
 
@@ -7,39 +6,39 @@
 
 use crate::scenario::FaultKind;
 
-/// A role of a run.
+/// The part of the system to which a result applies.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Role {
-    /// The control plane.
+pub enum Component {
+    /// The stub control plane.
     ControlPlane,
-    /// Hollow forwarders.
-    Hollow,
-    /// Real forwarders.
-    Real,
+    /// The hollow forwarders, which only keep the endpoint list.
+    HollowForwarders,
+    /// The real forwarders, which are processes of the daemon.
+    RealForwarders,
 }
 
-impl Role {
-    /// The name in results.
+impl Component {
+    /// Returns the name that appears in results.
     pub fn name(self) -> &'static str {
         match self {
-            Role::ControlPlane => "control side",
-            Role::Hollow => "hollow",
-            Role::Real => "real",
+            Component::ControlPlane => "control side",
+            Component::HollowForwarders => "hollow",
+            Component::RealForwarders => "real",
         }
     }
 }
 
-/// A phase of a run.
+/// A phase of a run, separated by the moment at which the first endpoint list is in force at all forwarders.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum RunPhase {
-    /// After the list was in force everywhere.
+    /// After the first endpoint list is in force at all forwarders.
     AfterStartup,
-    /// Until then.
+    /// Until the first endpoint list is in force at all forwarders.
     Startup,
 }
 
 impl RunPhase {
-    /// The name in results.
+    /// Returns the name that appears in results.
     pub fn name(self) -> &'static str {
         match self {
             RunPhase::AfterStartup => "after the start",
@@ -48,21 +47,21 @@
     }
 }
 
-/// The circumstances under which a latency was measured.
+/// The condition of a forwarder under which a latency was measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OperatingCondition {
-    /// No fault concerned the forwarder.
+    /// No fault affected the forwarder.
     Normal,
     /// The forwarder was started for the first time.
     FirstStart,
-    /// A hollow forwarder was restarted.
+    /// The hollow forwarder was restarted; restarts of real forwarders are [`OperatingCondition::Fault`].
     Restart,
-    /// A fault concerned the forwarder.
+    /// A fault of this kind affected the forwarder.
     Fault(FaultKind),
 }
 
 impl OperatingCondition {
-    /// The name in results.
+    /// Returns the name that appears in results.
     pub fn name(self) -> &'static str {
         match self {
             OperatingCondition::Normal => "calm",
@@ -85,26 +84,26 @@
     }
 }
 
-/// The moment from which the latency of a change counts.
+/// The moment from which the latency of an endpoint list change is measured.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Since {
-    /// The change was made.
-    Change,
-    /// The forwarder could be reached again after a fault.
-    Reachable,
+pub enum LatencyStart {
+    /// The control plane made the change.
+    ListChange,
+    /// The forwarder became reachable again after a fault, or the change was made if that was later.
+    ForwarderReachable,
 }
 
-impl Since {
-    /// The name in results.
+impl LatencyStart {
+    /// Returns the name that appears in results.
     pub fn name(self) -> &'static str {
         match self {
-            Since::Change => "change",
-            Since::Reachable => "reachable",
+            LatencyStart::ListChange => "change",
+            LatencyStart::ForwarderReachable => "reachable",
         }
     }
 }
 
-impl Serialize for Role {
+impl Serialize for Component {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(self.name())
     }
@@ -122,7 +121,7 @@
     }
 }
 
-impl Serialize for Since {
+impl Serialize for LatencyStart {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(self.name())
     }
--- a/crates/scale-test/src/latency_results.rs
+++ b/crates/scale-test/src/latency_results.rs
@@ -1,4 +1,4 @@
-//! Latencies of a run from its records: of lists after starts, of changes, and of submissions.
+//! Computes the latencies of endpoint lists, list changes and submissions from the records of a run.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -7,11 +7,11 @@
 use crate::latency::LatencyHistogram;
 use crate::lock::lock;
 use crate::outages::OutageAttribution;
-use crate::report::{OperatingCondition, ResultLine, Role, Since};
+use crate::report::{Component, LatencyStart, OperatingCondition, ResultLine};
 use crate::test_bed::{ProbeRecord, TestBed};
 
 impl TestBed {
-    /// All latencies, and what came of the messages.
+    /// Returns all latencies of the run and the numbers of submissions, requests and delivery notices.
     pub(crate) fn latency_results(&self) -> Vec<ResultLine> {
         let mut lines = self.list_latency_results();
         lines.extend(self.change_latency_results());
@@ -31,34 +31,37 @@
         lines
     }
 
-    /// From each start until the full list was in force.
+    /// Returns the latencies from each start of a forwarder until its full list was in force.
     fn list_latency_results(&self) -> Vec<ResultLine> {
-        let mut histograms: BTreeMap<(Role, OperatingCondition), LatencyHistogram> = BTreeMap::new();
+        let mut histograms: BTreeMap<(Component, OperatingCondition), LatencyHistogram> = BTreeMap::new();
         for start in lock(&self.start_records).iter() {
-            histograms.entry((Role::Real, start.occasion)).or_default().record(start.list_latency);
+            histograms
+                .entry((Component::RealForwarders, start.occasion))
+                .or_default()
+                .record(start.list_latency);
         }
         for hollow in &self.hollow_forwarders {
             let hollow = lock(hollow);
             for (start, latency) in hollow.state().list_latencies().iter().enumerate() {
-                let occasion =
+                let condition =
                     if start == 0 { OperatingCondition::FirstStart } else { OperatingCondition::Restart };
-                histograms.entry((Role::Hollow, occasion)).or_default().record(*latency);
+                histograms.entry((Component::HollowForwarders, condition)).or_default().record(*latency);
             }
         }
         let mut lines = Vec::new();
-        for ((role, occasion), histogram) in histograms {
+        for ((component, condition), histogram) in histograms {
             let latency = histogram.summary();
-            if occasion == OperatingCondition::FirstStart {
-                let role = role.name();
-                lines.push(ResultLine::figure(format!("{role}.list_p50_s"), latency.p50_ms / 1e3));
-                lines.push(ResultLine::figure(format!("{role}.list_worst_s"), latency.worst_ms / 1e3));
+            if condition == OperatingCondition::FirstStart {
+                let component = component.name();
+                lines.push(ResultLine::metric(format!("{component}.list_p50_s"), latency.p50_ms / 1e3));
+                lines.push(ResultLine::metric(format!("{component}.list_worst_s"), latency.max_ms / 1e3));
             }
-            lines.push(ResultLine::ListInForce { role, occasion, latency });
+            lines.push(ResultLine::ListInForce { component, condition, latency });
         }
         lines
     }
 
-    /// From each change until it was in force at each forwarder.
+    /// Returns the latencies from each list change until the change was in force, over all forwarders.
     fn change_latency_results(&self) -> Vec<ResultLine> {
         let mut latencies = ChangeLatencies::new(&self.list);
         let resolution = self.add_real_changes(&mut latencies);
@@ -70,7 +73,8 @@
         lines
     }
 
-    /// Adds the changes that real forwarders were probed by, and returns the resolution of their latencies.
+    /// Adds the list changes that were probed at real forwarders, and returns the resolution of their
+    /// latencies.
     fn add_real_changes(&self, latencies: &mut ChangeLatencies) -> LatencyHistogram {
         let outages = lock(&self.outages);
         let mut attributions = BTreeMap::new();
@@ -79,8 +83,9 @@
         for ProbeRecord { forwarder, generation, result } in lock(&self.probe_records).iter() {
             let attribution =
                 attributions.entry(*forwarder).or_insert_with(|| outages.attribution(*forwarder));
-            latencies.add(Role::Real, attribution, *generation, result.arrived_at);
-            // Changes come in order: while an earlier destination was rejected, this one was not in force either.
+            latencies.add(Component::RealForwarders, attribution, *generation, result.arrived_at);
+            // Changes take effect in order: while a destination listed earlier was still rejected, this
+            // change was not in force either.
             let earlier = last_rejections.get(forwarder).copied();
             let made = self.list.made_at(*generation);
             let unknown_since = result.last_rejected_at.into_iter().chain(earlier).chain(made).max();
@@ -97,16 +102,16 @@
             let hollow = lock(hollow);
             let mut attribution = outages.attribution(hollow.number());
             for change in hollow.state().applied() {
-                latencies.add(Role::Hollow, &mut attribution, change.generation, change.at);
+                latencies.add(Component::HollowForwarders, &mut attribution, change.generation, change.at);
             }
         }
     }
 }
 
-/// Latencies of changes, kept apart by role, occasion and the moment from which they count.
+/// Latency histograms of list changes.
 struct ChangeLatencies<'a> {
     list: &'a AuthoritativeList,
-    histograms: BTreeMap<(Role, OperatingCondition, Since), LatencyHistogram>,
+    histograms: BTreeMap<(Component, OperatingCondition, LatencyStart), LatencyHistogram>,
 }
 
 impl ChangeLatencies<'_> {
@@ -114,37 +119,51 @@
         ChangeLatencies { list, histograms: BTreeMap::new() }
     }
 
-    /// Adds a change that came into force at a forwarder then. One that is attributed to an outage also counts from
-    /// when the forwarder could be reached again.
-    fn add(&mut self, role: Role, attribution: &mut OutageAttribution, generation: u64, in_force: Instant) {
+    /// Records a list change that was in force at a forwarder at `in_force`. A change that is attributed to
+    /// an outage is also recorded with its latency since the forwarder was reachable again.
+    fn add(
+        &mut self,
+        component: Component,
+        attribution: &mut OutageAttribution,
+        generation: u64,
+        in_force: Instant,
+    ) {
         let Some(made) = self.list.made_at(generation) else { return };
         let outage = attribution.outage(made, in_force);
-        let occasion =
+        let condition =
             outage.map_or(OperatingCondition::Normal, |outage| OperatingCondition::Fault(outage.kind));
         let since_change = in_force.saturating_duration_since(made);
-        self.histograms.entry((role, occasion, Since::Change)).or_default().record(since_change);
+        self.histograms
+            .entry((component, condition, LatencyStart::ListChange))
+            .or_default()
+            .record(since_change);
         if let Some(outage) = outage {
             let reachable = outage.ended.map_or(in_force, |ended| ended.max(made));
             let since_reachable = in_force.saturating_duration_since(reachable);
-            self.histograms.entry((role, occasion, Since::Reachable)).or_default().record(since_reachable);
+            self.histograms
+                .entry((component, condition, LatencyStart::ForwarderReachable))
+                .or_default()
+                .record(since_reachable);
         }
     }
 
     fn into_results(self) -> Vec<ResultLine> {
         let mut lines = Vec::new();
-        let mut calm_p99_ms = BTreeMap::new();
-        for ((role, occasion, since), histogram) in self.histograms {
+        let mut normal_p99_ms = BTreeMap::new();
+        for ((component, condition, measured_from), histogram) in self.histograms {
             let latency = histogram.summary();
-            if occasion == OperatingCondition::Normal {
-                calm_p99_ms.insert(role, latency.p99_ms);
-                let name = role.name();
-                lines.push(ResultLine::figure(format!("{name}.change_p50_ms"), latency.p50_ms));
-                lines.push(ResultLine::figure(format!("{name}.change_p99_ms"), latency.p99_ms));
+            if condition == OperatingCondition::Normal {
+                normal_p99_ms.insert(component, latency.p99_ms);
+                let name = component.name();
+                lines.push(ResultLine::metric(format!("{name}.change_p50_ms"), latency.p50_ms));
+                lines.push(ResultLine::metric(format!("{name}.change_p99_ms"), latency.p99_ms));
             }
-            lines.push(ResultLine::ChangeInForce { role, occasion, since, latency });
+            lines.push(ResultLine::ChangeInForce { component, condition, measured_from, latency });
         }
-        if let (Some(real), Some(hollow)) = (calm_p99_ms.get(&Role::Real), calm_p99_ms.get(&Role::Hollow)) {
-            lines.push(ResultLine::figure("change_p99.real_over_hollow", real / hollow));
+        if let (Some(real), Some(hollow)) =
+            (normal_p99_ms.get(&Component::RealForwarders), normal_p99_ms.get(&Component::HollowForwarders))
+        {
+            lines.push(ResultLine::metric("change_p99.real_over_hollow", real / hollow));
         }
         lines
     }
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,34 +1,34 @@
 //! Scale tests of the forwarder: a stub control plane, real forwarders and many hollow ones, all on loopback.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`scenario`] | the scenario file, read strictly |
-//! | [`run`] | one run from start to end |
-//! | `test_bed` | all parts of a run, and what it records |
-//! | `fault_schedule` | carries out the faults of the scenario |
-//! | [`endpoint_list`] | the authoritative endpoint list |
-//! | `control_plane` | serves the endpoint list by the published protocol |
-//! | [`list_decoder`] | decodes lines of the endpoint list entry by entry |
-//! | `hollow_forwarder` | forwarders that only keep the endpoint list |
-//! | [`hollow_state`] | what a hollow forwarder knows of the endpoint list |
-//! | `real_forwarder` | processes of the daemon |
-//! | `stub_endpoints` | endpoints that accept every request |
-//! | `client` | submits messages |
-//! | `probe` | finds out when a change is in force at a real forwarder |
-//! | [`outages`] | to which fault a delayed change is attributed |
-//! | `measurements` | figures from counters |
-//! | `latency_results` | latencies from records |
-//! | `checks` | what has to hold at the end |
-//! | [`report`] | results as JSON lines |
-//! | [`tables`] | results as tables |
-//! | [`fit`] | slopes of figures over sizes |
-//! | [`error`] | why a run has no result |
-//! | `labels`, `latency` | labels of results, and distributions |
-//! | `resource_budget` | compares a scenario's needs with the machine |
-//! | `process_usage` | what processes and threads use |
-//! | [`ports`] | ports that stay free |
-//! | `metered_stream` | streams whose bytes are counted |
-//! | `runtime_thread`, `task`, `lock` | threads, tasks and mutexes |
+//! | [`scenario`] | parses and validates the scenario file |
+//! | [`run`] | carries out a run |
+//! | `test_bed` | holds the components and the records of a run |
+//! | `fault_schedule` | injects the faults of the scenario |
+//! | [`endpoint_list`] | the control plane's endpoint list |
+//! | `control_plane` | serves the endpoint list over the discovery protocol |
+//! | [`list_decoder`] | decodes the endpoint list incrementally |
+//! | `hollow_forwarder` | simulated forwarders that only keep the endpoint list |
+//! | [`hollow_state`] | the endpoint list as a hollow forwarder has it |
+//! | `real_forwarder` | forwarders that run as daemon processes |
+//! | `stub_endpoints` | endpoints that accept all requests |
+//! | `client` | submits messages to a forwarder |
+//! | `probe` | measures when a list change takes effect at a real forwarder |
+//! | [`outages`] | attributes delayed list changes to faults |
+//! | `measurements` | metrics computed from counters |
+//! | `latency_results` | latencies computed from the records of a run |
+//! | `checks` | checks at the end of a run |
+//! | [`report`] | results in memory and as JSON lines |
+//! | [`tables`] | results as text tables |
+//! | [`fit`] | fits lines to metrics over run sizes |
+//! | [`error`] | errors that leave a run without results |
+//! | `labels`, `latency` | labels of results, and latency histograms |
+//! | `resource_budget` | compares the resources that a scenario needs with those of the machine |
+//! | `process_usage` | processor time and memory of processes and threads |
+//! | [`ports`] | loopback ports outside the ephemeral range |
+//! | `metered_stream` | streams that count their bytes |
+//! | `runtime_thread`, `task`, `lock` | helpers for threads, tasks and mutexes |
 
 mod checks;
 mod client;
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -7,16 +7,16 @@
 
 use clap::{Args, Parser, Subcommand};
 use reeddock_scale_test::error::ScaleTestError;
-use reeddock_scale_test::fit::{fit, slope_table, FittedFigure};
+use reeddock_scale_test::fit::{fit, slope_table, FittedMetric};
 use reeddock_scale_test::report::Results;
 use reeddock_scale_test::run::{run, Options};
 use reeddock_scale_test::scenario::Scenario;
 use reeddock_scale_test::tables::tables;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Plays real and hollow forwarders against a control side on loopback, and measures them.
+/// Runs real and hollow forwarders against a stub control plane on loopback, and measures them.
 ///
-/// Exit codes: 0 if every check passed, 1 if one failed, 2 if there is no result.
+/// Exit codes: 0 if all checks passed, 1 if a check failed, 2 if there is no result.
 #[derive(Parser)]
 #[command(name = "reeddock-scale-test", version, args_conflicts_with_subcommands = true)]
 struct CommandLine {
@@ -28,29 +28,28 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a scenario at the sizes of its table [fit], and fit slopes.
+    /// Run a scenario at each size of its table [fit], and fit a line to each metric.
     Fit(RunArguments),
 }
 
 #[derive(Args)]
 struct RunArguments {
     scenario: PathBuf,
-    /// Results are appended here, one JSON object a line.
+    /// Append results to this file, one JSON object per line.
     #[arg(long, value_name = "FILE")]
     jsonl: Option<PathBuf>,
-    /// The program reeddock; the one beside this program where it is left out.
+    /// The reeddock program [default: reeddock in the directory of this program].
     #[arg(long, value_name = "PROGRAM")]
     forwarder: Option<PathBuf>,
 }
 
-/// Threads for clients and for all tasks without a thread of their own.
-const MAIN_THREADS: usize = 2;
-/// How long tasks that are left may take to end.
+/// Threads of the runtime for clients and for tasks without a dedicated thread.
+const CLIENT_THREADS: usize = 2;
+/// Time limit for remaining tasks to end after a run.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
-/// The exit code of a run without a result.
-const EXIT_NO_RESULT: u8 = 2;
+const EXIT_CODE_NO_RESULT: u8 = 2;
 
-/// Whether every check of all runs passed.
+/// Whether all checks of all runs passed.
 #[derive(Clone, Copy)]
 enum Outcome {
     AllPassed,
@@ -73,7 +72,7 @@
         Err(help_or_version) if !help_or_version.use_stderr() => help_or_version.exit(),
         Err(error) => {
             eprintln!("reeddock-scale-test: {}", usage_error_line(&error.to_string()));
-            return ExitCode::from(EXIT_NO_RESULT);
+            return ExitCode::from(EXIT_CODE_NO_RESULT);
         }
     };
     match run_on_runtime(command_line) {
@@ -81,40 +80,41 @@
         Ok(Outcome::SomeFailed) => ExitCode::from(1),
         Err(error) => {
             eprintln!("reeddock-scale-test: {}", error.to_string().replace('\n', " "));
-            ExitCode::from(EXIT_NO_RESULT)
+            ExitCode::from(EXIT_CODE_NO_RESULT)
         }
     }
 }
 
 fn run_on_runtime(command_line: CommandLine) -> Result<Outcome, ScaleTestError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(MAIN_THREADS)
+        .worker_threads(CLIENT_THREADS)
         .thread_name("clients")
         .enable_all()
         .build()
-        .map_err(|e| ScaleTestError::aborted("the runtime can't be started", e))?;
+        .map_err(|e| ScaleTestError::aborted("cannot start the async runtime", e))?;
     let outcome = runtime.block_on(run_until_signal(command_line));
-    // What an aborted run leaves, child processes too, ends with its tasks.
+    // Dropping the remaining tasks of an aborted run ends its child processes.
     runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     outcome
 }
 
-/// What is wrong with the command line, in one line, without the help text below it.
+/// Returns the error about the command line as one line, without the usage text.
 fn usage_error_line(error: &str) -> String {
     let message = error.split("Usage:").next().unwrap_or(error).trim_start_matches("error: ");
     let words: Vec<&str> = message.split_whitespace().collect();
     format!("command line: {}; see --help", words.join(" "))
 }
 
-/// Runs until it is over or a signal comes.
+/// Runs the command until it completes or SIGINT or SIGTERM arrives.
 async fn run_until_signal(command_line: CommandLine) -> Result<Outcome, ScaleTestError> {
-    let listen = |kind| signal(kind).map_err(|e| ScaleTestError::aborted("signals can't be waited for", e));
+    let listen =
+        |kind| signal(kind).map_err(|e| ScaleTestError::aborted("cannot install a signal handler", e));
     let mut interrupt = listen(SignalKind::interrupt())?;
     let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
         outcome = run_command(command_line) => outcome,
-        _ = interrupt.recv() => Err(ScaleTestError::aborted("the run", "interrupted")),
-        _ = terminate.recv() => Err(ScaleTestError::aborted("the run", "stopped by a signal")),
+        _ = interrupt.recv() => Err(ScaleTestError::aborted("the run", "interrupted by SIGINT")),
+        _ = terminate.recv() => Err(ScaleTestError::aborted("the run", "terminated by SIGTERM")),
     }
 }
 
@@ -141,7 +141,7 @@
 async fn run_fit(arguments: RunArguments) -> Result<Outcome, ScaleTestError> {
     let scenario = Scenario::read(&arguments.scenario)?;
     let report_run = |size: &str, results: &Results| {
-        let verdict = if results.all_passed() { "every check passed" } else { "a check FAILED" };
+        let verdict = if results.all_passed() { "all checks passed" } else { "a check FAILED" };
         eprintln!("{size}: {verdict}");
     };
     let results = fit(&scenario, &arguments.options(), report_run).await?;
@@ -153,11 +153,10 @@
     Ok(Outcome::of(&results.runs))
 }
 
-/// Appends one JSON object a line for each fitted figure.
-fn append_slopes(file: &Path, fitted: &[FittedFigure]) -> Result<(), ScaleTestError> {
-    let write_error = |e: std::io::Error| {
-        ScaleTestError::aborted(format!("slopes can't be written to {}", file.display()), e)
-    };
+/// Appends the fitted lines to a file, one JSON object per line.
+fn append_slopes(file: &Path, fitted: &[FittedMetric]) -> Result<(), ScaleTestError> {
+    let write_error =
+        |e: std::io::Error| ScaleTestError::aborted(format!("cannot write slopes to {}", file.display()), e);
     let mut output = std::fs::File::options().create(true).append(true).open(file).map_err(write_error)?;
     for figure in fitted {
         let text = serde_json::json!({"line": "slope", "slope": figure});
@@ -166,15 +165,15 @@
     Ok(())
 }
 
-/// Prints to standard output, whose reader may have closed the pipe.
+/// Prints to standard output. Errors are ignored, because the reader can close the pipe early.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
 impl RunArguments {
     fn options(&self) -> Options {
-        let beside_this_program =
+        let program_in_same_directory =
             || std::env::current_exe().ok().map(|program| program.with_file_name("reeddock"));
-        Options { program: self.forwarder.clone().or_else(beside_this_program), ..Options::default() }
+        Options { program: self.forwarder.clone().or_else(program_in_same_directory), ..Options::default() }
     }
 }
--- a/crates/scale-test/src/measurements.rs
+++ b/crates/scale-test/src/measurements.rs
@@ -1,4 +1,4 @@
-//! Figures of a run from its counters: traffic, processor time and memory.
+//! Computes metrics of traffic, processor time and memory from the counters of a run.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,19 +6,19 @@
 use crate::control_plane::ControlListener;
 use crate::metered_stream::TrafficTotals;
 use crate::process_usage::{thread_processor_s, ResourceUsage};
-use crate::report::{ResultLine, Role, RunPhase, TrafficRates};
+use crate::report::{Component, ResultLine, RunPhase, TrafficRates};
 use crate::test_bed::{TestBed, CONTROL_THREAD};
 
-/// All counters at one moment.
+/// The values of all counters at one moment.
 pub(crate) struct Snapshot {
     at: Instant,
-    /// Traffic of all listeners, at the control plane's end.
+    /// Traffic of all listeners, as counted by the control plane.
     control_traffic: TrafficTotals,
-    /// Traffic of real forwarders, at the control plane's end.
+    /// Traffic of real forwarders, as counted by the control plane.
     real_traffic: TrafficTotals,
-    /// Traffic of hollow forwarders, at their own end.
+    /// Traffic of hollow forwarders, as counted by the hollow forwarders.
     hollow_traffic: TrafficTotals,
-    /// Processor time of this program's threads by name, in seconds.
+    /// Processor time of this program's threads by thread name, in seconds.
     thread_processor_s: BTreeMap<String, f64>,
     /// Processor time of each real forwarder, in seconds.
     real_processor_s: Vec<f64>,
@@ -29,7 +29,7 @@
         self.thread_processor_s.get(name).copied().unwrap_or_default()
     }
 
-    /// Seconds since an earlier snapshot.
+    /// Returns the seconds since an earlier snapshot.
     fn seconds_since(&self, earlier: &Snapshot) -> f64 {
         self.at.duration_since(earlier.at).as_secs_f64()
     }
@@ -40,7 +40,7 @@
 }
 
 impl TestBed {
-    /// Reads all counters.
+    /// Returns the current values of all counters.
     pub(crate) async fn snapshot(&self) -> Snapshot {
         let mut real_processor_s = Vec::new();
         for forwarder in &self.real_forwarders {
@@ -56,21 +56,22 @@
         }
     }
 
-    /// What the start has cost, from the counters at its end.
+    /// Returns the metrics of the startup phase, computed from the counters at its end.
     pub(crate) fn start_results(&self, started: &Snapshot, start_s: f64) -> Vec<ResultLine> {
         let full_list_bytes = self.control_plane.full_list_bytes() as f64;
         let mut lines = vec![
-            ResultLine::figure("list.whole_bytes", full_list_bytes),
-            ResultLine::figure("start.seconds", start_s),
-            ResultLine::figure("start.control_processor_s", started.thread_s(CONTROL_THREAD)),
-            ResultLine::figure("start.control_sent_bytes", started.control_traffic.sent_bytes as f64),
+            ResultLine::metric("list.whole_bytes", full_list_bytes),
+            ResultLine::metric("start.seconds", start_s),
+            ResultLine::metric("start.control_processor_s", started.thread_s(CONTROL_THREAD)),
+            ResultLine::metric("start.control_sent_bytes", started.control_traffic.sent_bytes as f64),
         ];
         let mean_processor_s = mean(&started.real_processor_s);
-        lines.extend(mean_processor_s.map(|mean| ResultLine::figure("start.real_processor_s", mean)));
+        lines.extend(mean_processor_s.map(|mean| ResultLine::metric("start.real_processor_s", mean)));
         lines
     }
 
-    /// What each role exchanged, and the processor time of this program's threads, between two snapshots.
+    /// Returns the traffic of each component, and the processor time of this program's threads, between two
+    /// snapshots.
     pub(crate) fn exchange_results(
         &self,
         phase: RunPhase,
@@ -79,29 +80,34 @@
     ) -> Vec<ResultLine> {
         let seconds = after.seconds_since(before);
         let fleet = &self.scenario.fleet;
-        // Real forwarders' traffic is counted at the control plane's end.
+        // The control plane counts the traffic of real forwarders, so sent and received are swapped.
         let real_traffic = (after.real_traffic - before.real_traffic).at_other_end();
         let exchanges = [
-            (Role::ControlPlane, self.scenario.forwarders(), after.control_traffic - before.control_traffic),
-            (Role::Real, fleet.real, real_traffic),
-            (Role::Hollow, fleet.hollow, after.hollow_traffic - before.hollow_traffic),
+            (
+                Component::ControlPlane,
+                self.scenario.forwarders(),
+                after.control_traffic - before.control_traffic,
+            ),
+            (Component::RealForwarders, fleet.real, real_traffic),
+            (Component::HollowForwarders, fleet.hollow, after.hollow_traffic - before.hollow_traffic),
         ];
         let mut lines = Vec::new();
-        for (role, forwarders, traffic) in exchanges {
+        for (component, forwarders, traffic) in exchanges {
             let rates = traffic_rates(traffic, seconds);
-            lines.push(ResultLine::Exchange { role, phase, forwarders, seconds, rates });
-            lines.extend(rate_figures(role, forwarders, rates));
+            lines.push(ResultLine::Exchange { component, phase, forwarders, seconds, rates });
+            lines.extend(rate_metrics(component, forwarders, rates));
         }
         for (name, used_s) in &after.thread_processor_s {
             let core_share = (used_s - before.thread_s(name)) / seconds;
             lines.push(ResultLine::Thread { name: name.clone(), core_share });
         }
         let control_s = after.thread_s(CONTROL_THREAD) - before.thread_s(CONTROL_THREAD);
-        lines.push(ResultLine::figure("control.core_share", control_s / seconds));
+        lines.push(ResultLine::metric("control.core_share", control_s / seconds));
         lines
     }
 
-    /// What the real forwarders' processes and this program have used; shares of a core between two snapshots.
+    /// Returns the resource usage of this program and of real forwarders; core shares are those between two
+    /// snapshots.
     pub(crate) async fn process_results(&self, before: &Snapshot, after: &Snapshot) -> Vec<ResultLine> {
         let seconds = after.seconds_since(before);
         let processor_s = after.real_processor_s.iter().zip(&before.real_processor_s);
@@ -117,10 +123,10 @@
         }
         let ResourceUsage { resident_bytes, resident_peak_bytes, .. } = ResourceUsage::of_this_process();
         lines.push(ResultLine::Program { resident_bytes, resident_peak_bytes });
-        lines.extend(mean(&core_shares).map(|share| ResultLine::figure("real.core_share", share)));
-        lines.extend(mean(&resident_mb).map(|resident| ResultLine::figure("real.resident_mb", resident)));
+        lines.extend(mean(&core_shares).map(|share| ResultLine::metric("real.core_share", share)));
+        lines.extend(mean(&resident_mb).map(|resident| ResultLine::metric("real.resident_mb", resident)));
         if !self.real_forwarders.is_empty() {
-            lines.push(ResultLine::figure("real.resident_peak_mb", resident_peak_mb));
+            lines.push(ResultLine::metric("real.resident_peak_mb", resident_peak_mb));
         }
         lines
     }
@@ -135,19 +141,19 @@
     }
 }
 
-/// The control plane's rates in all; those of forwarders for each of them.
-fn rate_figures(role: Role, forwarders: u32, rates: TrafficRates) -> Vec<ResultLine> {
-    if role == Role::ControlPlane {
+/// Returns the total rates of the control plane, or the mean rate per forwarder.
+fn rate_metrics(component: Component, forwarders: u32, rates: TrafficRates) -> Vec<ResultLine> {
+    if component == Component::ControlPlane {
         return vec![
-            ResultLine::figure("control.sent_bytes_per_s", rates.sent_bytes_per_s),
-            ResultLine::figure("control.messages_per_s", rates.messages_per_s),
+            ResultLine::metric("control.sent_bytes_per_s", rates.sent_bytes_per_s),
+            ResultLine::metric("control.messages_per_s", rates.messages_per_s),
         ];
     }
     if forwarders == 0 {
         return Vec::new();
     }
-    let name = format!("{}.received_bytes_per_s", role.name());
-    vec![ResultLine::figure(name, rates.received_bytes_per_s / f64::from(forwarders))]
+    let name = format!("{}.received_bytes_per_s", component.name());
+    vec![ResultLine::metric(name, rates.received_bytes_per_s / f64::from(forwarders))]
 }
 
 fn mean(values: &[f64]) -> Option<f64> {
--- a/crates/scale-test/src/ports.rs
+++ b/crates/scale-test/src/ports.rs
@@ -1,8 +1,8 @@
-//! Ports below the range that systems assign to outgoing connections, so that one which is released for a while, as
-//! in a restart, is still free when it is wanted again.
+//! Loopback ports below the ephemeral range. The system does not assign them to outgoing connections, so that
+//! a port released during a restart is still free afterwards.
 //!
-//! They are claimed in blocks. The process that holds a block listens on its first port until it ends, so that runs
-//! side by side never so much as try each other's ports.
+//! Ports are claimed in blocks. A process claims a block by listening on the block's first port until the
+//! process ends, so that concurrent runs use different ports.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -12,57 +12,56 @@
 
 use crate::lock::lock;
 
-/// The first port of the first block.
-const FIRST_PORT: u16 = 16_000;
-const BLOCKS: u16 = 120;
-/// Ports of a block, with the one that claims it.
-const BLOCK_SIZE: u16 = 128;
+const LOWEST_PORT: u16 = 16_000;
+const BLOCK_COUNT: u16 = 120;
+/// Number of ports in a block, including the port that claims the block.
+const PORTS_PER_BLOCK: u16 = 128;
 
 /// A claimed block of ports.
-struct Block {
-    /// Held so that no other process takes the block.
+struct PortBlock {
+    /// Listener on the first port, which keeps other processes from claiming the block.
     _claim: TcpListener,
-    next: u16,
-    end: u16,
+    next_port: u16,
+    end_port: u16,
 }
 
-/// The blocks of this process; the last one is in use.
-static CLAIMED_BLOCKS: Mutex<Vec<Block>> = Mutex::new(Vec::new());
+/// The blocks that this process has claimed. Ports come from the last one.
+static CLAIMED_BLOCKS: Mutex<Vec<PortBlock>> = Mutex::new(Vec::new());
 
-/// An address on loopback that nobody listens on, and that this process does not return again.
+/// Returns a loopback address that is not in use, and that later calls in this process do not return again.
 pub fn free_address() -> io::Result<SocketAddr> {
     let mut blocks = lock(&CLAIMED_BLOCKS);
     loop {
-        let Some(block) = blocks.last_mut().filter(|block| block.next < block.end) else {
+        let Some(block) = blocks.last_mut().filter(|block| block.next_port < block.end_port) else {
             blocks.push(claim_block()?);
             continue;
         };
-        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, block.next));
-        block.next += 1;
-        // Other programs may have taken it.
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, block.next_port));
+        block.next_port += 1;
+        // A program that ignores block claims can use the port.
         if can_bind(address) {
             return Ok(address);
         }
     }
 }
 
-/// Whether an address can be bound.
+/// Returns whether an address can be bound.
 ///
-/// The socket never listens: a process that another thread starts meanwhile holds a copy of it until its `exec`, and a
-/// copy that listens would keep the address in use for the caller to whom it was just reported as free.
+/// The socket never listens: a process that another thread forks meanwhile holds a copy of the socket until
+/// `exec`, and a listening copy would keep the address in use after this function returns.
 fn can_bind(address: SocketAddr) -> bool {
     let Ok(socket) = TcpSocket::new_v4() else { return false };
     socket.set_reuseaddr(true).is_ok() && socket.bind(address).is_ok()
 }
 
-fn claim_block() -> io::Result<Block> {
-    for block in 0..BLOCKS {
-        let first = FIRST_PORT + block * BLOCK_SIZE;
+fn claim_block() -> io::Result<PortBlock> {
+    for block in 0..BLOCK_COUNT {
+        let first = LOWEST_PORT + block * PORTS_PER_BLOCK;
         if let Ok(claim) = TcpListener::bind((Ipv4Addr::LOCALHOST, first)) {
-            return Ok(Block { _claim: claim, next: first + 1, end: first + BLOCK_SIZE });
+            return Ok(PortBlock { _claim: claim, next_port: first + 1, end_port: first + PORTS_PER_BLOCK });
         }
     }
-    let last = FIRST_PORT + BLOCKS * BLOCK_SIZE;
-    let message = format!("no free block of ports from {FIRST_PORT} to {last}");
+    let last = LOWEST_PORT + BLOCK_COUNT * PORTS_PER_BLOCK;
+    let message = format!("no unclaimed block of ports from {LOWEST_PORT} to {last}");
     Err(io::Error::new(io::ErrorKind::AddrInUse, message))
 }
--- a/crates/scale-test/src/probe.rs
+++ b/crates/scale-test/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes, from outside, when a change of the endpoint list is in force at a real forwarder.
+//! Measures when an endpoint list change is in force at a real forwarder, by submitting messages.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::{Duration, Instant};
@@ -9,57 +9,57 @@
 use crate::client::{Client, SubmitResult};
 use crate::stub_endpoints::StubEndpoints;
 
-/// How long the answer to a probe is waited for. It is longer than clients wait: a forwarder that is slow to answer
-/// has not rejected the probe.
+/// Response timeout of a probe. The timeout is longer than that of clients, so that a slow response is not
+/// taken for a missing one.
 const PROBE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Probes come at a tenth of the time waited so far, within these bounds.
-const PROBE_INTERVAL_MIN: Duration = Duration::from_millis(5);
-const PROBE_INTERVAL_MAX: Duration = Duration::from_millis(100);
-/// How long the request of an accepted message is waited for before the next probe.
-const ACCEPTED_PROBE_WAIT: Duration = Duration::from_secs(1);
+/// Bounds of the interval between probes, which is a tenth of the time since the first probe.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time within which the request of an accepted message is expected; another probe follows.
+const ACCEPTED_PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When the first message for a destination arrived where the list says, as far as probes show.
+/// The times that probes for a destination determined.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeResult {
-    /// When the last probe that was rejected began; none where the first one was accepted.
+    /// When the last rejected probe was sent; `None` if no probe was rejected.
     pub(crate) last_rejected_at: Option<Instant>,
-    /// When the first request arrived.
+    /// When the first request arrived at the listed endpoint.
     pub(crate) arrived_at: Instant,
 }
 
-/// A destination that is probed for.
+/// A destination to probe.
 #[derive(Clone, Copy)]
 pub(crate) struct ProbeTarget {
     /// The number of the destination.
     pub(crate) destination: u32,
-    /// The address at which its requests are to arrive.
+    /// The address of the endpoint at which requests for the destination are expected.
     pub(crate) address: SocketAddrV4,
 }
 
-/// A client for probes of one forwarder.
+/// Returns a client that probes one forwarder.
 pub(crate) fn probe_client(forwarder: SocketAddr) -> Client {
     Client::new(forwarder, PROBE_RESPONSE_TIMEOUT)
 }
 
-/// Submits messages for a destination until the request of one of them arrives. A forwarder without a list may accept
-/// messages for any destination, so that only an arrival proves that the destination is known. `id` begins the ids
-/// of all messages.
+/// Submits messages for a destination until the request of one of them arrives. Acceptance alone does not
+/// prove that the destination is known, because a forwarder without an endpoint list accepts messages for any
+/// destination. `id_prefix` is the prefix of all message ids.
 pub(crate) async fn probe_until_delivered(
     client: &mut Client,
     endpoints: &StubEndpoints,
-    id: &str,
+    id_prefix: &str,
     target: ProbeTarget,
 ) -> ProbeResult {
     let start = Instant::now();
-    let interval = || (start.elapsed() / 10).clamp(PROBE_INTERVAL_MIN, PROBE_INTERVAL_MAX);
+    let interval = || (start.elapsed() / 10).clamp(MIN_PROBE_INTERVAL, MAX_PROBE_INTERVAL);
     let mut last_rejected_at = None;
     let mut expected_requests = FuturesUnordered::new();
     for number in 0_u64.. {
         let probe_began = Instant::now();
-        let message_id = format!("{id}-{number}");
+        let message_id = format!("{id_prefix}-{number}");
         expected_requests.push(endpoints.expect_request(&message_id, target.address));
         let wait = match client.submit(&message_id, target.destination).await {
-            SubmitResult::Accepted => ACCEPTED_PROBE_WAIT,
+            SubmitResult::Accepted => ACCEPTED_PROBE_TIMEOUT,
             SubmitResult::Rejected => {
                 last_rejected_at = Some(probe_began);
                 interval()
@@ -77,10 +77,10 @@
         if let Ok(arrived_at) = arrival.await {
             return ProbeResult { last_rejected_at, arrived_at };
         }
-        // No request comes of messages that were rejected.
+        // Rejected messages cause no request.
         if last_rejected_at.is_some_and(|rejected| rejected >= probe_began) {
             expected_requests.clear();
         }
     }
-    unreachable!("the loop has no end")
+    unreachable!("probes are repeated until a request arrives")
 }
--- a/crates/scale-test/src/process_usage.rs
+++ b/crates/scale-test/src/process_usage.rs
@@ -1,23 +1,23 @@
-//! What processes and threads use, by the system's own counters.
+//! Processor time and memory of processes and threads, read from procfs.
 
 use std::collections::BTreeMap;
 
 use procfs::process::{Process, Stat};
 use serde::Serialize;
 
-/// What a process has used.
+/// The processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ResourceUsage {
-    /// Processor time, in seconds.
+    /// User and system time, in seconds.
     pub(crate) processor_s: f64,
-    /// Resident memory now, in bytes.
+    /// Current resident memory, in bytes.
     pub(crate) resident_bytes: u64,
-    /// The most resident memory so far, in bytes.
+    /// Peak resident memory, in bytes.
     pub(crate) resident_peak_bytes: u64,
 }
 
 impl ResourceUsage {
-    /// What a process has used; none once it has ended.
+    /// Returns the usage of a process, or `None` if the process has ended.
     pub(crate) fn of_process(pid: i32) -> Option<ResourceUsage> {
         let process = Process::new(pid).ok()?;
         let status = process.status().ok()?;
@@ -28,12 +28,12 @@
         })
     }
 
-    /// What this process has used.
+    /// Returns the usage of this process; zero if procfs cannot be read.
     pub(crate) fn of_this_process() -> ResourceUsage {
         i32::try_from(std::process::id()).ok().and_then(ResourceUsage::of_process).unwrap_or_default()
     }
 
-    /// The usage of two processes that ran one after the other.
+    /// Returns the combined usage of two processes, of which `next` ran after `self`.
     pub(crate) fn followed_by(self, next: ResourceUsage) -> ResourceUsage {
         ResourceUsage {
             processor_s: self.processor_s + next.processor_s,
@@ -43,22 +43,22 @@
     }
 }
 
-/// What all processes of one real forwarder have used.
+/// The resource usage of all processes of one real forwarder.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ForwarderUsage {
-    /// The forwarder's number.
+    /// The number of the forwarder in the fleet, from 0.
     pub forwarder: u32,
-    /// How often it was started.
+    /// The number of processes started for the forwarder.
     pub starts: u64,
-    /// Processor time of all its processes, in seconds.
+    /// The user and system time of all processes, in seconds.
     pub processor_s: f64,
-    /// Resident memory of the process that runs now, in bytes.
+    /// The resident memory of the current process, in bytes; 0 if none is running.
     pub resident_bytes: u64,
-    /// The most resident memory that any of its processes had, in bytes.
+    /// The highest peak resident memory of all processes, in bytes.
     pub resident_peak_bytes: u64,
 }
 
-/// Processor time of this process's threads in seconds, those of one name together.
+/// Returns the processor time of this process's threads, in seconds, added up by thread name.
 pub(crate) fn thread_processor_s() -> BTreeMap<String, f64> {
     let mut threads = BTreeMap::new();
     let Ok(tasks) = Process::myself().and_then(|me| me.tasks()) else { return threads };
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,4 +1,5 @@
-//! The results of a run, and their form as JSON lines. `rename` keeps the keys that the output has always had.
+//! The results of a run, which are written as JSON lines. `rename` attributes keep the keys of the output
+//! format.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -9,7 +10,7 @@
 use serde::Serialize;
 
 use crate::error::ScaleTestError;
-pub use crate::labels::{OperatingCondition, Role, RunPhase, Since};
+pub use crate::labels::{Component, LatencyStart, OperatingCondition, RunPhase};
 pub use crate::latency::LatencySummary;
 pub use crate::process_usage::ForwarderUsage;
 use crate::scenario::Scenario;
@@ -18,179 +19,187 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
 pub enum ResultLine {
-    /// What was run, and where.
+    /// The scenario and the environment of the run.
     Run {
-        /// The scenario as it was read.
+        /// The scenario, with defaults filled in.
         scenario: Box<Scenario>,
         /// The version of this program.
         version: &'static str,
-        /// The cores that this process may use.
+        /// The number of cores that are available to this process.
         cores: usize,
     },
-    /// A sample of a running real process, taken each second.
+    /// The resource usage of a running real forwarder, sampled once a second.
     Sample {
-        /// The time since the run began, in seconds.
+        /// The time of the sample since the run began, in seconds.
         at_s: f64,
-        /// What the forwarder has used.
+        /// The resources that the forwarder has used so far.
         #[serde(rename = "used")]
         usage: ForwarderUsage,
     },
-    /// The latency from a start until the full list was in force.
+    /// The latency from a start of a forwarder until its full endpoint list was in force.
     ListInForce {
-        /// The role of the forwarders.
-        role: Role,
-        /// Why they were started.
-        occasion: OperatingCondition,
-        /// The distribution over all starts.
+        /// The kind of forwarders.
+        #[serde(rename = "role")]
+        component: Component,
+        /// The reason for which the forwarders were started.
+        #[serde(rename = "occasion")]
+        condition: OperatingCondition,
+        /// The latencies of all starts.
         #[serde(rename = "spans")]
         latency: LatencySummary,
     },
-    /// The latency from a change until it was in force.
+    /// The latency from an endpoint list change until the change was in force.
     ChangeInForce {
-        /// The role of the forwarders.
-        role: Role,
-        /// Whether the change was made in calm operation or is attributed to a fault.
-        occasion: OperatingCondition,
-        /// From when the latency counts.
-        since: Since,
-        /// The distribution over all changes and forwarders.
+        /// The kind of forwarders.
+        #[serde(rename = "role")]
+        component: Component,
+        /// Normal operation, or the fault to which the latencies are attributed.
+        #[serde(rename = "occasion")]
+        condition: OperatingCondition,
+        /// The moment from which the latencies are measured.
+        #[serde(rename = "since")]
+        measured_from: LatencyStart,
+        /// The latencies of all changes at hollow forwarders, or of probed changes at real ones.
         #[serde(rename = "spans")]
         latency: LatencySummary,
     },
-    /// The resolution of change latencies of real forwarders: from a probe's last rejection to its arrival.
+    /// The resolution of the change latencies of real forwarders: from the last moment at which the change
+    /// was known not to be in force until the first request arrived.
     ProbeResolution {
-        /// The distribution over all probes.
+        /// The resolutions of all probes.
         #[serde(rename = "spans")]
         latency: LatencySummary,
     },
-    /// Submissions of clients.
+    /// Messages that clients submitted in one phase.
     #[serde(rename = "hand_in")]
     Submissions {
         /// The phase of the run.
         phase: RunPhase,
-        /// The latency until an answer of any kind came.
+        /// The latencies of submissions that got a response, whether accepted or rejected.
         #[serde(rename = "spans")]
         latency: LatencySummary,
-        /// Messages that were accepted.
+        /// The number of accepted messages.
         #[serde(rename = "taken_on")]
         accepted: u64,
-        /// Messages that were rejected.
+        /// The number of rejected messages.
         #[serde(rename = "refused")]
         rejected: u64,
-        /// Submissions without an answer in time.
+        /// The number of submissions without a response before the timeout.
         unanswered: u64,
     },
-    /// What came of all messages, those of probes too.
+    /// Deliveries of all messages, including those of probes.
     #[serde(rename = "ends")]
     Deliveries {
-        /// Requests that came to stub endpoints.
+        /// The number of requests that stub endpoints received.
         #[serde(rename = "calls")]
         requests: u64,
-        /// Delivery notices that came to the control plane.
+        /// The number of delivery notices that the control plane received.
         notices: u64,
     },
-    /// What a role exchanged with the control plane, counted from its own end.
+    /// The traffic between the control plane and the forwarders, as sent and received by one component.
     Exchange {
-        /// The role.
-        role: Role,
+        /// The component whose traffic this is.
+        #[serde(rename = "role")]
+        component: Component,
         /// The phase of the run.
         phase: RunPhase,
-        /// The number of forwarders that share the traffic.
+        /// The number of forwarders whose traffic is added up.
         forwarders: u32,
-        /// The length of the phase, in seconds.
+        /// The duration of the phase, in seconds.
         seconds: f64,
-        /// The mean rates over the phase.
+        /// The mean rates over the phase, added up over all forwarders.
         #[serde(rename = "figures")]
         rates: TrafficRates,
     },
-    /// What a real forwarder has used in the whole run.
+    /// The resource usage of a real forwarder over the whole run.
     Process {
-        /// The usage of all its processes.
+        /// The usage of all processes of the forwarder.
         #[serde(rename = "used")]
         usage: ForwarderUsage,
     },
-    /// Processor time of the threads of one name in this program, after the start.
+    /// The processor time of all threads of this program that share a name, after the startup phase.
     #[serde(rename = "part")]
     Thread {
         /// The name of the threads.
         #[serde(rename = "part")]
         name: String,
-        /// Processor time as a share of one core.
+        /// The processor time divided by the elapsed time; 1 is one full core.
         core_share: f64,
     },
-    /// Memory of this program.
+    /// The memory of this program.
     Program {
-        /// Resident memory at the end, in bytes.
+        /// The resident memory at the end of the run, in bytes.
         resident_bytes: u64,
-        /// The most resident memory, in bytes.
+        /// The peak resident memory, in bytes.
         resident_peak_bytes: u64,
     },
-    /// A single figure, over which slopes can be fitted.
-    Figure {
-        /// The name, with its unit.
+    /// A single number, to which a line over run sizes can be fitted.
+    #[serde(rename = "figure")]
+    Metric {
+        /// The name, which ends with the unit unless the value is a ratio.
         name: String,
         /// The value.
         value: f64,
     },
-    /// A condition that has to hold at the end of the run.
+    /// The outcome of a check at the end of the run.
     Check {
-        /// The condition.
+        /// The condition that is checked.
         #[serde(rename = "check")]
         name: &'static str,
-        /// Whether it holds.
+        /// Whether the condition holds.
         passed: bool,
-        /// What was found.
+        /// The counts or names found by the check.
         detail: String,
     },
 }
 
 impl ResultLine {
-    /// A single figure.
-    pub(crate) fn figure(name: impl Into<String>, value: f64) -> ResultLine {
-        ResultLine::Figure { name: name.into(), value }
+    /// Returns a [`ResultLine::Metric`].
+    pub(crate) fn metric(name: impl Into<String>, value: f64) -> ResultLine {
+        ResultLine::Metric { name: name.into(), value }
     }
 
-    /// The verdict of a check.
+    /// Returns a [`ResultLine::Check`].
     pub(crate) fn check(name: &'static str, passed: bool, detail: impl Display) -> ResultLine {
         ResultLine::Check { name, passed, detail: detail.to_string() }
     }
 }
 
-/// Mean rates of traffic.
+/// Mean traffic rates over a phase.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TrafficRates {
-    /// Bytes received per second.
+    /// The bytes received per second.
     pub received_bytes_per_s: f64,
-    /// Bytes sent per second.
+    /// The bytes sent per second.
     pub sent_bytes_per_s: f64,
-    /// Requests and lines of the endpoint list per second.
+    /// The requests and endpoint list lines per second, sent and received.
     pub messages_per_s: f64,
 }
 
-/// The verdict of a check.
+/// The outcome of a check.
 #[derive(Clone, Copy, Debug)]
 pub struct Verdict<'a> {
     /// Whether the condition holds.
     pub passed: bool,
-    /// What was found.
+    /// The counts or names found by the check.
     pub detail: &'a str,
 }
 
-/// All results of a run.
+/// The results of a run.
 #[derive(Clone, Debug)]
 pub struct Results {
-    /// The results, in the order in which they are written.
+    /// The results, in the order of the output.
     pub lines: Vec<ResultLine>,
 }
 
 impl Results {
-    /// Whether every check passed.
+    /// Returns whether all checks passed.
     pub fn all_passed(&self) -> bool {
         self.lines.iter().all(|line| !matches!(line, ResultLine::Check { passed: false, .. }))
     }
 
-    /// The verdict of the check of this name.
-    pub fn check(&self, check: &str) -> Option<Verdict<'_>> {
+    /// Returns the outcome of the check named `check`, or `None` if the run has no check of that name.
+    pub fn check_verdict(&self, check: &str) -> Option<Verdict<'_>> {
         self.lines.iter().find_map(|line| match line {
             ResultLine::Check { name, passed, detail } if *name == check => {
                 Some(Verdict { passed: *passed, detail })
@@ -199,20 +208,19 @@
         })
     }
 
-    /// The single figures, by name.
-    pub fn figures(&self) -> BTreeMap<&str, f64> {
-        let figure = |line| match line {
-            &ResultLine::Figure { ref name, value } => Some((name.as_str(), value)),
+    /// Returns the values of all [`ResultLine::Metric`] lines by name.
+    pub fn metrics(&self) -> BTreeMap<&str, f64> {
+        let metric = |line| match line {
+            &ResultLine::Metric { ref name, value } => Some((name.as_str(), value)),
             _ => None,
         };
-        self.lines.iter().filter_map(figure).collect()
+        self.lines.iter().filter_map(metric).collect()
     }
 
-    /// Appends all lines to a file, each as a JSON object.
+    /// Appends all results to a file, one JSON object per line.
     pub fn append_to(&self, file: &Path) -> Result<(), ScaleTestError> {
-        let write_error = |e: io::Error| {
-            ScaleTestError::aborted(format!("results can't be written to {}", file.display()), e)
-        };
+        let write_error =
+            |e: io::Error| ScaleTestError::aborted(format!("cannot write results to {}", file.display()), e);
         let file = File::options().create(true).append(true).open(file).map_err(write_error)?;
         let mut writer = BufWriter::new(file);
         for line in &self.lines {
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -1,7 +1,6 @@
-//! The scenario file: what a run is to do, read strictly and checked for sizes that make sense.
+//! Parses and validates scenario files, which describe the fleet, the load and the faults of a run.
 //!
-//! Field names follow the code's terms; `rename` keeps the keys and the type names that the file format and its
-//! error lines have always had.
+//! `rename` attributes keep the keys of the file format, and the type names in its error messages.
 
 mod validation;
 
@@ -11,104 +10,104 @@
 
 use crate::error::ScaleTestError;
 
-/// The only version of the file format that is read.
+/// The only supported version of the file format.
 pub const VERSION: u32 = 1;
 
-/// One scale run.
+/// The content of a scenario file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The version of the file format.
+    /// The version of the file format; only [`VERSION`] is accepted.
     pub version: u32,
-    /// The name under which results refer to the scenario.
+    /// The name of the scenario in results.
     pub name: String,
-    /// What the scenario is for.
+    /// The purpose of the scenario.
     #[serde(rename = "about")]
     pub description: String,
-    /// The seed from which changes and traffic are drawn.
+    /// The seed of the random draws of list changes and traffic.
     pub seed: u64,
-    /// The longest that the whole run may take, in seconds; a longer one is aborted.
+    /// The time limit of the whole run, in seconds. A longer run is aborted.
     #[serde(rename = "limit_s")]
     pub time_limit_s: f64,
-    /// The forwarders.
+    /// The number of forwarders, zones and regions.
     pub fleet: Fleet,
-    /// The endpoint list at the start.
-    pub list: List,
+    /// The endpoint list at the start of the run.
+    pub list: InitialList,
     /// Changes of the endpoint list during the run.
-    pub changes: Changes,
+    pub changes: ListChanges,
     /// The resource limits of each real forwarder.
     #[serde(default, rename = "process")]
     pub process_limits: ProcessLimits,
-    /// Messages that clients submit.
+    /// The rate of messages from clients.
     #[serde(default)]
     pub traffic: Traffic,
-    /// The faults that are carried out.
+    /// The faults to inject.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
-    /// The sizes of a fit; needed only by the command `fit`.
+    /// The sizes of the runs of the command `fit`; `None` if the scenario has no such sizes.
     pub fit: Option<FitSizes>,
 }
 
-/// The forwarders, numbered consecutively, real ones first. Number `n` is in zone `n mod zones`.
+/// The forwarders, numbered consecutively from 0, real ones first. Forwarder `n` is in zone `n mod zones`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Real forwarders: processes of the daemon.
+    /// The number of real forwarders, which are processes of the daemon.
     pub real: u32,
-    /// Hollow forwarders, all in this program.
+    /// The number of hollow forwarders, which run in this program and only keep the endpoint list.
     pub hollow: u32,
-    /// Threads that hollow forwarders share.
+    /// The number of threads that run hollow forwarders.
     #[serde(default = "default_hollow_threads")]
     pub hollow_threads: u32,
-    /// Number of zones.
+    /// The number of zones.
     pub zones: u32,
-    /// Number of regions; zone `z` belongs to region `z mod regions`.
+    /// The number of regions; zone `z` belongs to region `z mod regions`.
     pub regions: u32,
 }
 
-/// The endpoint list at the start.
+/// The endpoint list at the start of the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct List {
-    /// Endpoints, each with a destination of its own.
+#[serde(deny_unknown_fields, rename = "List")]
+pub struct InitialList {
+    /// The number of endpoints, each of which serves its own destination.
     #[serde(rename = "targets")]
     pub endpoints: u32,
-    /// Full lists that the control plane sends concurrently; further ones wait.
+    /// The maximum number of full lists that the control plane sends concurrently; further ones are queued.
     #[serde(default = "default_concurrent_full_lists", rename = "whole_at_once")]
     pub concurrent_full_lists: u32,
-    /// How long it may take until the list is in force at each forwarder, in seconds.
+    /// The time within which the list must be in force at all forwarders, in seconds after the first start.
     #[serde(rename = "start_within_s")]
     pub start_timeout_s: f64,
 }
 
 /// Changes of the endpoint list during the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct Changes {
-    /// Time between two changes, in seconds.
+#[serde(deny_unknown_fields, rename = "Changes")]
+pub struct ListChanges {
+    /// The time between two changes, in seconds.
     #[serde(rename = "every_s")]
     pub interval_s: f64,
-    /// Each so-many-th change lists a new destination, by which real forwarders are probed; the others move an
-    /// endpoint.
+    /// Every n-th change lists a new destination, for which real forwarders are probed. The other changes
+    /// give an endpoint a new address.
     #[serde(rename = "probe_every")]
     pub probe_every_nth: u32,
-    /// How long changes go on, in seconds.
+    /// The time over which changes are made, in seconds.
     #[serde(rename = "lasts_s")]
     pub duration_s: f64,
-    /// How long the last change may take to be in force everywhere, in seconds.
+    /// The time within which the last change must be in force at all forwarders, in seconds.
     #[serde(rename = "settle_within_s")]
     pub settle_timeout_s: f64,
 }
 
-/// The resource limits that each real forwarder is configured with.
+/// The resource limits in the configuration of each real forwarder.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename = "Process")]
 pub struct ProcessLimits {
-    /// Memory, in MiB.
+    /// The memory limit, in MiB.
     pub memory_mb: u32,
-    /// File descriptors.
+    /// The maximum number of open file descriptors.
     pub descriptors: u32,
-    /// Disk space, in MiB.
+    /// The disk space limit, in MiB.
     pub disk_mb: u32,
 }
 
@@ -118,80 +117,81 @@
     }
 }
 
-/// Messages that clients submit at real forwarders.
+/// The rate of messages that clients submit to real forwarders.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Messages per second at each real forwarder; 0 for none.
+    /// The messages per second submitted to each real forwarder; 0 for no traffic.
     #[serde(rename = "per_forwarder_per_s")]
     pub messages_per_forwarder_per_s: f64,
 }
 
-/// A fault that is carried out. `at_s` is its time in seconds after the end of the start.
+/// A fault to inject. Its `at_s` is the time at which it begins, in seconds after the end of the startup
+/// phase.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields, rename = "Trouble")]
 pub enum Fault {
-    /// Some forwarders are restarted one after the other, each by SIGTERM and 3.7 s later SIGKILL.
+    /// Restarts some forwarders one after the other. Real ones get SIGTERM, and SIGKILL 3.7 s later.
     RollingRestart {
-        /// When the first one is stopped.
+        /// When the first forwarder is stopped.
         at_s: f64,
-        /// Each so-many-th forwarder is restarted.
+        /// Forwarders whose number is divisible by this are restarted.
         #[serde(rename = "one_in")]
         every_nth: u32,
-        /// Time from one forwarder's stop to the next one's, in seconds.
+        /// The time between the stops of two forwarders, in seconds.
         #[serde(rename = "gap_s")]
         stagger_s: f64,
-        /// Time from a forwarder's end to its next start, in seconds.
+        /// The time from the end of a forwarder until its restart, in seconds.
         down_s: f64,
     },
-    /// The control plane ends and restarts.
+    /// Stops and restarts the control plane.
     ControlRestart {
-        /// When it ends.
+        /// When the control plane is stopped.
         at_s: f64,
-        /// How long it is down, in seconds.
+        /// How long the control plane is down, in seconds.
         down_s: f64,
-        /// Whether it comes up without the changes from before, so that it has to send full lists.
+        /// Whether the restarted control plane has lost its change history, so that it has to send full
+        /// lists.
         #[serde(rename = "forgets")]
         discards_changes: bool,
     },
-    /// All forwarders of a zone are killed and restarted at once.
+    /// Kills and restarts all forwarders of a zone simultaneously.
     #[serde(rename = "zone")]
     ZoneOutage {
         /// When they are killed.
         at_s: f64,
         /// How long they are down, in seconds.
         down_s: f64,
-        /// The zone.
+        /// The number of the zone, from 0.
         zone: u32,
     },
-    /// Some forwarders of a zone are killed and restarted at once.
+    /// Kills and restarts some forwarders of a zone simultaneously.
     #[serde(rename = "rack")]
     RackOutage {
         /// When they are killed.
         at_s: f64,
         /// How long they are down, in seconds.
         down_s: f64,
-        /// The zone of the rack.
+        /// The number of the zone of the rack, from 0.
         zone: u32,
-        /// How many forwarders the rack has.
+        /// The number of forwarders in the rack; they are the first ones of the zone.
         #[serde(rename = "machines")]
         forwarder_count: u32,
     },
-    /// A network partition: the control plane can't be reached from a region, and no connection is reset before the
-    /// partition ends.
+    /// Partitions a region from the control plane. Connections are not reset before the partition ends.
     #[serde(rename = "region_cut")]
     RegionPartition {
-        /// When it begins.
+        /// When the partition begins.
         at_s: f64,
-        /// How long it lasts, in seconds.
+        /// The duration of the partition, in seconds.
         #[serde(rename = "lasts_s")]
         duration_s: f64,
-        /// The region.
+        /// The number of the region, from 0.
         region: u32,
     },
 }
 
-/// The kind of a fault, ordered by its name in results.
+/// The kind of a fault. Kinds are ordered by their names in results.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum FaultKind {
     /// [`Fault::ControlRestart`]
@@ -206,21 +206,21 @@
     ZoneOutage,
 }
 
-/// The sizes of a fit: two series, of which one is run after the other. Sizes that a series does not vary stay as
-/// the scenario has them.
+/// The sizes of the runs of a fit, in two series that are run one after the other. Each series varies one
+/// size, and takes the other one from the scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename = "Fit")]
 pub struct FitSizes {
-    /// The series over endpoints.
+    /// The numbers of endpoints of the first series; empty if there is no such series.
     #[serde(default, rename = "targets")]
     pub endpoints: Vec<u32>,
-    /// The series over hollow forwarders.
+    /// The numbers of hollow forwarders of the second series; empty if there is no such series.
     #[serde(default)]
     pub hollow: Vec<u32>,
-    /// The number of endpoints for which the fitted lines are evaluated.
+    /// The number of endpoints at which the lines of the first series are evaluated.
     #[serde(rename = "target_targets")]
     pub planned_endpoints: u32,
-    /// The number of forwarders for which the fitted lines are evaluated.
+    /// The number of forwarders, real and hollow, at which the lines of the second series are evaluated.
     #[serde(rename = "target_forwarders")]
     pub planned_forwarders: u32,
 }
@@ -234,7 +234,7 @@
 }
 
 impl Scenario {
-    /// Reads a scenario file and checks it.
+    /// Reads, parses and validates a scenario file.
     pub fn read(file: &Path) -> Result<Scenario, ScaleTestError> {
         let name = file.display();
         let text = std::fs::read_to_string(file)
@@ -242,7 +242,7 @@
         Scenario::parse(&name.to_string(), &text)
     }
 
-    /// Parses the text of a scenario and checks it; `place` names the text in errors.
+    /// Parses and validates the text of a scenario; `place` is the name of the text in errors.
     pub fn parse(place: &str, text: &str) -> Result<Scenario, ScaleTestError> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| {
             let line = e.span().map_or(0, |span| line_number(text, span.start));
@@ -259,29 +259,29 @@
         Ok(scenario)
     }
 
-    /// The number of all forwarders, real and hollow.
+    /// Returns the number of forwarders, real and hollow.
     pub fn forwarders(&self) -> u32 {
         self.fleet.real.saturating_add(self.fleet.hollow)
     }
 
-    /// The zone of a forwarder.
+    /// Returns the zone of a forwarder.
     pub fn zone_of(&self, forwarder: u32) -> u32 {
         forwarder % self.fleet.zones
     }
 
-    /// The region of a forwarder.
+    /// Returns the region of a forwarder.
     pub fn region_of(&self, forwarder: u32) -> u32 {
         self.zone_of(forwarder) % self.fleet.regions
     }
 }
 
-/// The line number, counted from 1, of a byte in a text.
+/// Returns the line number, from 1, of a byte offset in a text.
 fn line_number(text: &str, byte: usize) -> usize {
     text[..byte.min(text.len())].matches('\n').count() + 1
 }
 
 impl Fault {
-    /// When the fault begins, in seconds after the end of the start.
+    /// Returns when the fault begins, in seconds after the end of the startup phase.
     pub fn at_s(&self) -> f64 {
         match self {
             Fault::RollingRestart { at_s, .. }
@@ -292,7 +292,7 @@
         }
     }
 
-    /// The kind of this fault.
+    /// Returns the kind of this fault.
     pub fn kind(&self) -> FaultKind {
         match self {
             Fault::RollingRestart { .. } => FaultKind::RollingRestart,
@@ -305,7 +305,7 @@
 }
 
 impl FaultKind {
-    /// The name in scenario files and in results.
+    /// Returns the name that appears in scenario files and in results.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::ControlRestart => "control_restart",
--- a/crates/scale-test/src/scenario/validation.rs
+++ b/crates/scale-test/src/scenario/validation.rs
@@ -1,23 +1,24 @@
-//! Checks the values of a scenario. Keys are named as they stand in the file.
+//! Validates the values of a scenario. Errors name the keys of the scenario file.
 
-use super::{Fault, FitSizes, Fleet, List, ProcessLimits, Scenario, VERSION};
+use super::{Fault, FitSizes, Fleet, InitialList, ProcessLimits, Scenario, VERSION};
 
-// Sizes that no run on one machine goes beyond.
+// Limits of a run on one machine.
 const MAX_REAL: u32 = 100;
 const MAX_HOLLOW: u32 = 2_000;
 const MAX_ENDPOINTS: u32 = 1_000_000;
 const MAX_CHANGES: f64 = 100_000.0;
 const MAX_DURATION_S: f64 = 7_200.0;
 const MIN_DURATION_S: f64 = 0.001;
-/// The longest that a fault keeps a process down, and the longest gap between restarts.
-const MAX_DOWN_S: f64 = 600.0;
+/// Maximum time that a fault keeps a process down, and maximum time between two restarts of a rolling
+/// restart.
+const MAX_DOWNTIME_S: f64 = 600.0;
 const MAX_PARTITION_S: f64 = 3_600.0;
-/// The least number of different sizes in a series of a fit.
+/// Minimum number of different sizes in a series of a fit.
 const MIN_FIT_SIZES: usize = 4;
 
-/// A key whose value can't be used.
+/// A key with an invalid value.
 pub(super) struct InvalidKey {
-    /// The key in the file.
+    /// The key in the scenario file.
     pub(super) key: String,
     /// The values that are accepted.
     pub(super) expected: String,
@@ -25,16 +26,16 @@
     pub(super) found: String,
 }
 
-/// Accepts a value from `least` to `most`, both included.
-fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), InvalidKey> {
-    if value.is_finite() && value >= least && value <= most {
+/// Returns an error unless the value is from `min` to `max`, both included.
+fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), InvalidKey> {
+    if value.is_finite() && value >= min && value <= max {
         return Ok(());
     }
-    Err(InvalidKey { key: key.to_owned(), expected: format!("{least} to {most}"), found: value.to_string() })
+    Err(InvalidKey { key: key.to_owned(), expected: format!("{min} to {max}"), found: value.to_string() })
 }
 
-fn check_count(key: &str, value: u32, least: u32, most: u32) -> Result<(), InvalidKey> {
-    check_range(key, f64::from(value), f64::from(least), f64::from(most))
+fn check_count(key: &str, value: u32, min: u32, max: u32) -> Result<(), InvalidKey> {
+    check_range(key, f64::from(value), f64::from(min), f64::from(max))
 }
 
 fn check_duration(key: &str, seconds: f64) -> Result<(), InvalidKey> {
@@ -42,7 +43,7 @@
 }
 
 impl Scenario {
-    /// Finds the first key whose value can't be used.
+    /// Returns an error for the first key with an invalid value.
     pub(super) fn validate(&self) -> Result<(), InvalidKey> {
         check_count("version", self.version, VERSION, VERSION)?;
         check_duration("limit_s", self.time_limit_s)?;
@@ -68,22 +69,22 @@
 
     fn validate_fault(&self, index: usize, fault: &Fault) -> Result<(), InvalidKey> {
         let key = |name: &str| format!("trouble[{index}].{name}");
-        let check_down = |down_s: f64| check_range(&key("down_s"), down_s, 0.0, MAX_DOWN_S);
+        let check_downtime = |down_s: f64| check_range(&key("down_s"), down_s, 0.0, MAX_DOWNTIME_S);
         let check_zone = |zone: u32| check_count(&key("zone"), zone, 0, self.fleet.zones - 1);
         check_range(&key("at_s"), fault.at_s(), 0.0, self.changes.duration_s)?;
         match fault {
             Fault::RollingRestart { every_nth, stagger_s, down_s, .. } => {
                 check_count(&key("one_in"), *every_nth, 1, MAX_HOLLOW)?;
-                check_range(&key("gap_s"), *stagger_s, 0.0, MAX_DOWN_S)?;
-                check_down(*down_s)
+                check_range(&key("gap_s"), *stagger_s, 0.0, MAX_DOWNTIME_S)?;
+                check_downtime(*down_s)
             }
-            Fault::ControlRestart { down_s, .. } => check_down(*down_s),
+            Fault::ControlRestart { down_s, .. } => check_downtime(*down_s),
             Fault::ZoneOutage { down_s, zone, .. } => {
-                check_down(*down_s)?;
+                check_downtime(*down_s)?;
                 check_zone(*zone)
             }
             Fault::RackOutage { down_s, zone, forwarder_count, .. } => {
-                check_down(*down_s)?;
+                check_downtime(*down_s)?;
                 check_zone(*zone)?;
                 check_count(&key("machines"), *forwarder_count, 1, MAX_HOLLOW)
             }
@@ -107,7 +108,7 @@
     }
 }
 
-impl List {
+impl InitialList {
     fn validate(&self) -> Result<(), InvalidKey> {
         check_count("list.targets", self.endpoints, 2, MAX_ENDPOINTS)?;
         check_count("list.whole_at_once", self.concurrent_full_lists, 1, MAX_HOLLOW)?;
@@ -130,7 +131,7 @@
         if self.endpoints.is_empty() && self.hollow.is_empty() {
             return Err(InvalidKey {
                 key: "fit".to_owned(),
-                expected: "a line of sizes in fit.targets or fit.hollow".to_owned(),
+                expected: "a series of sizes in fit.targets or fit.hollow".to_owned(),
                 found: "none".to_owned(),
             });
         }
@@ -139,9 +140,9 @@
     }
 }
 
-/// Accepts an empty series, or one with enough different sizes.
-fn check_series(key: &str, sizes: &[u32], most: u32) -> Result<(), InvalidKey> {
-    sizes.iter().try_for_each(|size| check_count(key, *size, 1, most))?;
+/// Returns an error unless a series is empty or has at least [`MIN_FIT_SIZES`] different sizes.
+fn check_series(key: &str, sizes: &[u32], max: u32) -> Result<(), InvalidKey> {
+    sizes.iter().try_for_each(|size| check_count(key, *size, 1, max))?;
     let mut distinct = sizes.to_vec();
     distinct.sort_unstable();
     distinct.dedup();
--- a/crates/scale-test/src/tables.rs
+++ b/crates/scale-test/src/tables.rs
@@ -1,4 +1,4 @@
-//! Results as tables for people.
+//! Formats results as text tables.
 
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
@@ -7,7 +7,7 @@
 use crate::process_usage::ForwarderUsage;
 use crate::report::{ResultLine, Results, TrafficRates};
 
-/// All tables of a run's results.
+/// Returns all results of a run as text tables.
 pub fn tables(results: &Results) -> String {
     let mut tables = Tables::new();
     for line in &results.lines {
@@ -16,19 +16,18 @@
     tables.into_text()
 }
 
-/// An empty table with these columns.
+/// Returns an empty table with the given column headings.
 pub(crate) fn empty_table(columns: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header(columns);
     table
 }
 
-/// The tables of a run, as they are filled.
 struct Tables {
     latencies: Table,
     traffic: Table,
     processes: Table,
-    figures: Table,
+    metrics: Table,
     checks: Table,
 }
 
@@ -36,9 +35,23 @@
     fn new() -> Tables {
         Tables {
             latencies: empty_table(&[
-                "time", "role", "occasion", "since", "count", "p50 ms", "p99 ms", "worst ms",
+                "latency",
+                "component",
+                "condition",
+                "since",
+                "count",
+                "p50 ms",
+                "p99 ms",
+                "max ms",
+            ]),
+            traffic: empty_table(&[
+                "component",
+                "phase",
+                "forwarders",
+                "received B/s",
+                "sent B/s",
+                "messages/s",
             ]),
-            traffic: empty_table(&["role", "phase", "forwarders", "in B/s", "out B/s", "messages/s"]),
             processes: empty_table(&[
                 "forwarder",
                 "starts",
@@ -46,48 +59,48 @@
                 "resident MB",
                 "peak resident MB",
             ]),
-            figures: empty_table(&["figure", "value"]),
-            checks: empty_table(&["check", "verdict", "detail"]),
+            metrics: empty_table(&["metric", "value"]),
+            checks: empty_table(&["check", "result", "detail"]),
         }
     }
 
     fn into_text(self) -> String {
-        let tables = [self.latencies, self.traffic, self.processes, self.figures, self.checks];
+        let tables = [self.latencies, self.traffic, self.processes, self.metrics, self.checks];
         tables.map(|table| format!("{table}\n")).join("\n")
     }
 
     fn add(&mut self, line: &ResultLine) {
         match line {
-            ResultLine::ListInForce { role, occasion, latency } => {
-                self.add_latency(["list in force", role.name(), occasion.name(), "start"], latency);
+            ResultLine::ListInForce { component, condition, latency } => {
+                self.add_latency(["list in force", component.name(), condition.name(), "start"], latency);
             }
-            ResultLine::ChangeInForce { role, occasion, since, latency } => {
-                let labels = ["change in force", role.name(), occasion.name(), since.name()];
+            ResultLine::ChangeInForce { component, condition, measured_from, latency } => {
+                let labels = ["change in force", component.name(), condition.name(), measured_from.name()];
                 self.add_latency(labels, latency);
             }
             ResultLine::ProbeResolution { latency } => {
-                self.add_latency(["sure to", "real", "probes", "last refusal"], latency);
+                self.add_latency(["probe resolution", "real", "probes", "last rejection"], latency);
             }
             ResultLine::Submissions { phase, latency, accepted, rejected, unanswered } => {
-                self.add_latency(["hand-in answered", "real", phase.name(), "request"], latency);
+                self.add_latency(["submission answered", "real", phase.name(), "request"], latency);
                 let counts = format!("{accepted} accepted, {rejected} rejected, {unanswered} unanswered");
-                self.add_figure(format!("hand-ins {}", phase.name()), counts);
+                self.add_metric(format!("submissions {}", phase.name()), counts);
             }
             ResultLine::Deliveries { requests, notices } => {
-                self.add_figure("calls to targets", requests.to_string());
-                self.add_figure("notices", notices.to_string());
+                self.add_metric("requests to endpoints", requests.to_string());
+                self.add_metric("delivery notices", notices.to_string());
             }
-            ResultLine::Exchange { role, phase, forwarders, rates, .. } => {
-                self.add_traffic([role.name(), phase.name()], *forwarders, rates);
+            ResultLine::Exchange { component, phase, forwarders, rates, .. } => {
+                self.add_traffic([component.name(), phase.name()], *forwarders, rates);
             }
             ResultLine::Process { usage } => self.add_process(usage),
             ResultLine::Thread { name, core_share } => {
-                self.add_figure(format!("core share of {name}"), format!("{core_share:.4}"));
+                self.add_metric(format!("core share of {name}"), format!("{core_share:.4}"));
             }
             ResultLine::Program { resident_peak_bytes, .. } => {
-                self.add_figure("this program, peak resident MB", megabytes(*resident_peak_bytes));
+                self.add_metric("this program, peak resident MB", megabytes(*resident_peak_bytes));
             }
-            ResultLine::Figure { name, value } => self.add_figure(name.clone(), format!("{value:.4}")),
+            ResultLine::Metric { name, value } => self.add_metric(name.clone(), format!("{value:.4}")),
             ResultLine::Check { name, passed, detail } => {
                 let verdict = if *passed { "passed" } else { "FAILED" };
                 self.checks.add_row([*name, verdict, detail]);
@@ -96,17 +109,17 @@
         }
     }
 
-    /// The labels stand for what was measured, the role, the occasion and the moment from which it counts.
+    /// Adds a row; `labels` are the latency, the component, the condition and the moment it is measured from.
     fn add_latency(&mut self, labels: [&str; 4], latency: &LatencySummary) {
         let mut row: Vec<String> = labels.map(str::to_owned).into();
         row.push(latency.count.to_string());
-        let milliseconds = [latency.p50_ms, latency.p99_ms, latency.worst_ms];
+        let milliseconds = [latency.p50_ms, latency.p99_ms, latency.max_ms];
         row.extend(milliseconds.map(|value| format!("{value:.1}")));
         self.latencies.add_row(row);
     }
 
-    fn add_figure(&mut self, name: impl Into<String>, value: String) {
-        self.figures.add_row([name.into(), value]);
+    fn add_metric(&mut self, name: impl Into<String>, value: String) {
+        self.metrics.add_row([name.into(), value]);
     }
 
     fn add_traffic(&mut self, labels: [&str; 2], forwarders: u32, rates: &TrafficRates) {
--- a/crates/scale-test/tests/output_keys.rs
+++ b/crates/scale-test/tests/output_keys.rs
@@ -4,9 +4,10 @@
 use std::collections::BTreeSet;
 use std::process::Command;
 
-use reeddock_scale_test::fit::{least_squares, FittedFigure};
+use reeddock_scale_test::fit::{least_squares, FittedMetric};
 use reeddock_scale_test::report::{
-    ForwarderUsage, LatencySummary, OperatingCondition, ResultLine, Role, RunPhase, Since, TrafficRates,
+    Component, ForwarderUsage, LatencyStart, LatencySummary, OperatingCondition, ResultLine, RunPhase,
+    TrafficRates,
 };
 use reeddock_scale_test::scenario::{FaultKind, Scenario};
 use serde::Serialize;
@@ -153,7 +154,7 @@
 }
 
 fn latency() -> LatencySummary {
-    LatencySummary { count: 1, p50_ms: 2.5, p99_ms: 3.5, worst_ms: 4.5 }
+    LatencySummary { count: 1, p50_ms: 2.5, p99_ms: 3.5, max_ms: 4.5 }
 }
 
 fn usage() -> ForwarderUsage {
@@ -184,13 +185,14 @@
 fn lines_of_latencies_have_these_keys_and_labels() {
     let latency = latency();
     let spans = latency_json();
-    let (role, occasion, since) = (Role::Hollow, OperatingCondition::Normal, Since::Change);
+    let (component, condition, measured_from) =
+        (Component::HollowForwarders, OperatingCondition::Normal, LatencyStart::ListChange);
     assert_eq!(
-        written(ResultLine::ListInForce { role, occasion: OperatingCondition::FirstStart, latency }),
+        written(ResultLine::ListInForce { component, condition: OperatingCondition::FirstStart, latency }),
         json!({"line": "list_in_force", "role": "hollow", "occasion": "first start", "spans": spans})
     );
     assert_eq!(
-        written(ResultLine::ChangeInForce { role, occasion, since, latency }),
+        written(ResultLine::ChangeInForce { component, condition, measured_from, latency }),
         json!({
             "line": "change_in_force", "role": "hollow", "occasion": "calm", "since": "change",
             "spans": spans,
@@ -224,7 +226,13 @@
     );
     let rates = TrafficRates { received_bytes_per_s: 1.5, sent_bytes_per_s: 2.5, messages_per_s: 3.5 };
     assert_eq!(
-        written(ResultLine::Exchange { role: Role::Real, phase, forwarders: 1, seconds: 2.5, rates }),
+        written(ResultLine::Exchange {
+            component: Component::RealForwarders,
+            phase,
+            forwarders: 1,
+            seconds: 2.5,
+            rates
+        }),
         json!({
             "line": "exchange", "role": "real", "phase": "at the start", "forwarders": 1, "seconds": 2.5,
             "figures": {"received_bytes_per_s": 1.5, "sent_bytes_per_s": 2.5, "messages_per_s": 3.5},
@@ -255,7 +263,7 @@
 #[test]
 fn lines_of_figures_and_checks_have_these_keys() {
     assert_eq!(
-        written(ResultLine::Figure { name: "a".to_owned(), value: 1.5 }),
+        written(ResultLine::Metric { name: "a".to_owned(), value: 1.5 }),
         json!({"line": "figure", "name": "a", "value": 1.5})
     );
     assert_eq!(
@@ -266,14 +274,18 @@
 
 #[test]
 fn labels_are_written_with_these_words() {
-    let roles = written([Role::ControlPlane, Role::Hollow, Role::Real]);
-    assert_eq!(roles, json!(["control side", "hollow", "real"]));
+    let components =
+        written([Component::ControlPlane, Component::HollowForwarders, Component::RealForwarders]);
+    assert_eq!(components, json!(["control side", "hollow", "real"]));
     let phases = written([RunPhase::AfterStartup, RunPhase::Startup]);
     assert_eq!(phases, json!(["after the start", "at the start"]));
-    assert_eq!(written([Since::Change, Since::Reachable]), json!(["change", "reachable"]));
-    let occasions =
+    assert_eq!(
+        written([LatencyStart::ListChange, LatencyStart::ForwarderReachable]),
+        json!(["change", "reachable"])
+    );
+    let conditions =
         written([OperatingCondition::Normal, OperatingCondition::FirstStart, OperatingCondition::Restart]);
-    assert_eq!(occasions, json!(["calm", "first start", "restart"]));
+    assert_eq!(conditions, json!(["calm", "first start", "restart"]));
     let kinds = [
         FaultKind::ControlRestart,
         FaultKind::RackOutage,
@@ -288,15 +300,15 @@
 #[test]
 fn fitted_figure_has_these_keys() {
     let line = least_squares(&[(1.0, 1.0), (2.0, 2.0), (3.0, 4.0)]).unwrap();
-    let figure = FittedFigure {
-        figure: "a".to_owned(),
-        over: "b",
+    let metric = FittedMetric {
+        metric: "a".to_owned(),
+        size_kind: "b",
         sizes: vec![1],
         values: vec![1.5],
         line,
         planned_size: 2,
         at_planned_size: 2.5,
-        factor: 3.5,
+        extrapolation_factor: 3.5,
     };
     let expected = [
         "at_target",
@@ -313,7 +325,7 @@
         "target",
         "values",
     ];
-    let paths = key_paths(&written(figure));
+    let paths = key_paths(&written(metric));
     assert!(paths.iter().eq(&expected), "{paths:?}");
 }
 
--- a/crates/scale-test/tests/slopes.rs
+++ b/crates/scale-test/tests/slopes.rs
@@ -14,7 +14,7 @@
     near(fit.slope, 0.25);
     near(fit.intercept, 3.0);
     near(fit.at(320_000.0), 80_003.0);
-    assert!(fit.slope_error < 1e-9 && fit.deviation < 1e-6, "{fit:?}");
+    assert!(fit.slope_std_error < 1e-9 && fit.residual_std_dev < 1e-6, "{fit:?}");
 }
 
 #[test]
@@ -23,8 +23,8 @@
     let fit = least_squares(&[(1.0, 1.0), (2.0, 2.0), (3.0, 4.0), (4.0, 5.0)]).unwrap();
     near(fit.slope, 1.4);
     near(fit.intercept, -0.5);
-    near(fit.deviation, (0.2_f64 / 2.0).sqrt());
-    near(fit.slope_error, (0.1_f64 / 5.0).sqrt());
+    near(fit.residual_std_dev, (0.2_f64 / 2.0).sqrt());
+    near(fit.slope_std_error, (0.1_f64 / 5.0).sqrt());
 }
 
 #[test]
