--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -40,15 +40,15 @@
     }
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if spread <= 0.0 {
+    let x_squares: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    if x_squares <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / spread;
+    let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / x_squares;
     let intercept = mean_y - slope * mean_x;
-    let residual: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
-    let residual_std_dev = (residual / (count - 2.0)).sqrt();
-    let slope_std_error = residual_std_dev / spread.sqrt();
+    let residual_squares: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
+    let residual_std_dev = (residual_squares / (count - 2.0)).sqrt();
+    let slope_std_error = residual_std_dev / x_squares.sqrt();
     Some(LineFit { points: points.len(), intercept, slope, slope_std_error, residual_std_dev })
 }
 
--- a/crates/scale-test/src/latency_results.rs
+++ b/crates/scale-test/src/latency_results.rs
@@ -86,12 +86,13 @@
             latencies.add(Component::RealForwarders, attribution, *generation, result.arrived_at);
             // Changes take effect in order: while a destination listed earlier was still rejected, this
             // change was not in force either.
-            let earlier = last_rejections.get(forwarder).copied();
-            let made = self.list.made_at(*generation);
-            let unknown_since = result.last_rejected_at.into_iter().chain(earlier).chain(made).max();
-            let unknown_since = unknown_since.unwrap_or(result.arrived_at);
+            let earlier_rejection_at = last_rejections.get(forwarder).copied();
+            let made_at = self.list.made_at(*generation);
+            let last_known_absent_at =
+                result.last_rejected_at.into_iter().chain(earlier_rejection_at).chain(made_at).max();
+            let last_known_absent_at = last_known_absent_at.unwrap_or(result.arrived_at);
             last_rejections.extend(result.last_rejected_at.map(|rejected| (*forwarder, rejected)));
-            resolution.record(result.arrived_at.saturating_duration_since(unknown_since));
+            resolution.record(result.arrived_at.saturating_duration_since(last_known_absent_at));
         }
         resolution
     }
@@ -119,27 +120,27 @@
         ChangeLatencies { list, histograms: BTreeMap::new() }
     }
 
-    /// Records a list change that was in force at a forwarder at `in_force`. A change that is attributed to
-    /// an outage is also recorded with its latency since the forwarder was reachable again.
+    /// Records a list change that was in force at a forwarder at `in_force_at`. A change that is attributed
+    /// to an outage is also recorded with its latency since the forwarder was reachable again.
     fn add(
         &mut self,
         component: Component,
         attribution: &mut OutageAttribution,
         generation: u64,
-        in_force: Instant,
+        in_force_at: Instant,
     ) {
-        let Some(made) = self.list.made_at(generation) else { return };
-        let outage = attribution.outage(made, in_force);
+        let Some(made_at) = self.list.made_at(generation) else { return };
+        let outage = attribution.outage(made_at, in_force_at);
         let condition =
             outage.map_or(OperatingCondition::Normal, |outage| OperatingCondition::Fault(outage.kind));
-        let since_change = in_force.saturating_duration_since(made);
+        let since_change = in_force_at.saturating_duration_since(made_at);
         self.histograms
             .entry((component, condition, LatencyStart::ListChange))
             .or_default()
             .record(since_change);
         if let Some(outage) = outage {
-            let reachable = outage.ended.map_or(in_force, |ended| ended.max(made));
-            let since_reachable = in_force.saturating_duration_since(reachable);
+            let reachable_at = outage.ended.map_or(in_force_at, |ended| ended.max(made_at));
+            let since_reachable = in_force_at.saturating_duration_since(reachable_at);
             self.histograms
                 .entry((component, condition, LatencyStart::ForwarderReachable))
                 .or_default()
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -11,13 +11,13 @@
 use crate::error::ScaleTestError;
 
 /// The only supported version of the file format.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// The content of a scenario file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The version of the file format; only [`VERSION`] is accepted.
+    /// The version of the file format; only [`FORMAT_VERSION`] is accepted.
     pub version: u32,
     /// The name of the scenario in results.
     pub name: String,
@@ -94,7 +94,8 @@
     /// The time over which changes are made, in seconds.
     #[serde(rename = "lasts_s")]
     pub duration_s: f64,
-    /// The time within which the last change must be in force at all forwarders, in seconds.
+    /// The time within which the last change must be in force at all forwarders, in seconds after all changes
+    /// and faults have ended.
     #[serde(rename = "settle_within_s")]
     pub settle_timeout_s: f64,
 }
--- a/crates/scale-test/src/scenario/validation.rs
+++ b/crates/scale-test/src/scenario/validation.rs
@@ -1,10 +1,10 @@
 //! Validates the values of a scenario. Errors name the keys of the scenario file.
 
-use super::{Fault, FitSizes, Fleet, InitialList, ProcessLimits, Scenario, VERSION};
+use super::{Fault, FitSizes, Fleet, InitialList, ProcessLimits, Scenario, FORMAT_VERSION};
 
 // Limits of a run on one machine.
-const MAX_REAL: u32 = 100;
-const MAX_HOLLOW: u32 = 2_000;
+const MAX_REAL_FORWARDERS: u32 = 100;
+const MAX_HOLLOW_FORWARDERS: u32 = 2_000;
 const MAX_ENDPOINTS: u32 = 1_000_000;
 const MAX_CHANGES: f64 = 100_000.0;
 const MAX_DURATION_S: f64 = 7_200.0;
@@ -45,7 +45,7 @@
 impl Scenario {
     /// Returns an error for the first key with an invalid value.
     pub(super) fn validate(&self) -> Result<(), InvalidKey> {
-        check_count("version", self.version, VERSION, VERSION)?;
+        check_count("version", self.version, FORMAT_VERSION, FORMAT_VERSION)?;
         check_duration("limit_s", self.time_limit_s)?;
         self.fleet.validate()?;
         self.list.validate()?;
@@ -74,7 +74,7 @@
         check_range(&key("at_s"), fault.at_s(), 0.0, self.changes.duration_s)?;
         match fault {
             Fault::RollingRestart { every_nth, stagger_s, down_s, .. } => {
-                check_count(&key("one_in"), *every_nth, 1, MAX_HOLLOW)?;
+                check_count(&key("one_in"), *every_nth, 1, MAX_HOLLOW_FORWARDERS)?;
                 check_range(&key("gap_s"), *stagger_s, 0.0, MAX_DOWNTIME_S)?;
                 check_downtime(*down_s)
             }
@@ -86,7 +86,7 @@
             Fault::RackOutage { down_s, zone, forwarder_count, .. } => {
                 check_downtime(*down_s)?;
                 check_zone(*zone)?;
-                check_count(&key("machines"), *forwarder_count, 1, MAX_HOLLOW)
+                check_count(&key("machines"), *forwarder_count, 1, MAX_HOLLOW_FORWARDERS)
             }
             Fault::RegionPartition { duration_s, region, .. } => {
                 check_range(&key("lasts_s"), *duration_s, 0.0, MAX_PARTITION_S)?;
@@ -99,9 +99,14 @@
 impl Fleet {
     fn validate(&self) -> Result<(), InvalidKey> {
         let forwarders = self.real.saturating_add(self.hollow);
-        check_count("fleet.real", self.real, 0, MAX_REAL)?;
-        check_count("fleet.hollow", self.hollow, 0, MAX_HOLLOW)?;
-        check_count("fleet.real and fleet.hollow", forwarders, 1, MAX_REAL + MAX_HOLLOW)?;
+        check_count("fleet.real", self.real, 0, MAX_REAL_FORWARDERS)?;
+        check_count("fleet.hollow", self.hollow, 0, MAX_HOLLOW_FORWARDERS)?;
+        check_count(
+            "fleet.real and fleet.hollow",
+            forwarders,
+            1,
+            MAX_REAL_FORWARDERS + MAX_HOLLOW_FORWARDERS,
+        )?;
         check_count("fleet.hollow_threads", self.hollow_threads, 1, 64)?;
         check_count("fleet.zones", self.zones, 1, 100)?;
         check_count("fleet.regions", self.regions, 1, self.zones)
@@ -111,7 +116,7 @@
 impl InitialList {
     fn validate(&self) -> Result<(), InvalidKey> {
         check_count("list.targets", self.endpoints, 2, MAX_ENDPOINTS)?;
-        check_count("list.whole_at_once", self.concurrent_full_lists, 1, MAX_HOLLOW)?;
+        check_count("list.whole_at_once", self.concurrent_full_lists, 1, MAX_HOLLOW_FORWARDERS)?;
         check_duration("list.start_within_s", self.start_timeout_s)
     }
 }
@@ -127,7 +132,7 @@
 impl FitSizes {
     fn validate(&self) -> Result<(), InvalidKey> {
         check_series("fit.targets", &self.endpoints, MAX_ENDPOINTS)?;
-        check_series("fit.hollow", &self.hollow, MAX_HOLLOW)?;
+        check_series("fit.hollow", &self.hollow, MAX_HOLLOW_FORWARDERS)?;
         if self.endpoints.is_empty() && self.hollow.is_empty() {
             return Err(InvalidKey {
                 key: "fit".to_owned(),
--- a/crates/scale-test/tests/endpoint_list.rs
+++ b/crates/scale-test/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: serialized, decoded in chunks of any length, and applied.
+//! The endpoint list is serialized, decoded in chunks and applied without loss of entries or changes.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
     SocketAddrV4::new([127, 0, 0, 1].into(), 9000 + index as u16)
 }
 
-fn decode(text: &[u8], chunk: usize) -> Result<Vec<ListEvent>, DecodeError> {
+fn decode(text: &[u8], chunk_bytes: usize) -> Result<Vec<ListEvent>, DecodeError> {
     let mut events = Vec::new();
     let mut decoder = ListDecoder::default();
-    for bytes in text.chunks(chunk) {
+    for bytes in text.chunks(chunk_bytes) {
         decoder.decode(bytes, |event| events.push(event))?;
     }
     Ok(events)
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn lines_are_decoded_alike_in_chunks_of_any_length() {
+fn decoding_does_not_depend_on_chunk_length() {
     let list = Arc::new(AuthoritativeList::new(3, address));
     let mut text = b"\n".to_vec();
     text.extend(full_list(&list));
@@ -57,13 +57,13 @@
         entry(3, 3),
         ListEvent::LineFinished,
     ];
-    for chunk in [1, 2, 3, 7, 64, 1000, text.len()] {
-        assert_eq!(decode(&text, chunk).as_ref(), Ok(&expected), "chunks of {chunk}");
+    for chunk_bytes in [1, 2, 3, 7, 64, 1000, text.len()] {
+        assert_eq!(decode(&text, chunk_bytes).as_ref(), Ok(&expected), "chunks of {chunk_bytes} bytes");
     }
 }
 
 #[test]
-fn braces_quotes_and_spaces_within_a_line_mislead_nobody() {
+fn braces_and_quotes_in_strings_do_not_affect_decoding() {
     let text = br#"{"generation": 5, "reset": false, "note": "]}{[\"", "instances": [
         {"instanceId": "s-0000000a", "hostPort": "", "zone": "}\\", "cell": 4, "lifecycle": "Gone"} ] , "more": 1}
 "#;
@@ -76,9 +76,13 @@
 }
 
 #[test]
-fn what_cannot_be_decoded_is_an_error() {
-    let head = |text: &[u8]| matches!(decode(text, 9), Err(DecodeError::Head(_)));
-    assert!(head(b"nonsense\n") && head(b"{\"generation\":1}\n") && head(b"{\"reset\":true,\"instances\":["));
+fn invalid_lines_are_rejected() {
+    let is_head_error = |text: &[u8]| matches!(decode(text, 9), Err(DecodeError::Head(_)));
+    assert!(
+        is_head_error(b"nonsense\n")
+            && is_head_error(b"{\"generation\":1}\n")
+            && is_head_error(b"{\"reset\":true,\"instances\":[")
+    );
     let line = |entry: &str| format!("{{\"generation\":1,\"instances\":[{entry}]}}\n");
     for entry in [
         r#"{"instanceId":"x","hostPort":"127.0.0.1:1","cell":1,"lifecycle":"Ready"}"#,
@@ -87,39 +91,43 @@
     ] {
         assert!(matches!(decode(line(entry).as_bytes(), 9), Err(DecodeError::Entry(_))), "{entry}");
     }
-    let endless = line(&format!(r#"{{"instanceId":"{}"#, "s".repeat(20_000)));
-    assert_eq!(decode(endless.as_bytes(), 100), Err(DecodeError::TooLong));
+    let too_long = line(&format!(r#"{{"instanceId":"{}"#, "s".repeat(20_000)));
+    assert_eq!(decode(too_long.as_bytes(), 100), Err(DecodeError::TooLong));
 }
 
 #[test]
-fn an_endpoint_takes_sixteen_bytes_at_a_hollow_forwarder() {
+fn hollow_forwarder_needs_sixteen_bytes_per_endpoint() {
     assert_eq!(HOLLOW_BYTES_PER_ENDPOINT, 16);
 }
 
 #[test]
-fn names_stand_for_indices() {
+fn instance_name_is_parsed_back_to_its_index() {
     assert_eq!(index_of(&instance_name(319_999)), Some(319_999));
     assert_eq!((index_of("s-12"), index_of("t-00000001"), index_of("s-0000000g")), (None, None, None));
 }
 
 #[test]
-fn a_full_list_drops_what_it_does_not_name_and_an_incomplete_one_drops_nothing() {
-    let (long, short) =
+fn full_list_removes_unlisted_endpoints_only_when_complete() {
+    let (long_list, short_list) =
         (Arc::new(AuthoritativeList::new(5, address)), Arc::new(AuthoritativeList::new(3, address)));
     let mut state = HollowState::new(None);
-    apply(&mut state, &full_list(&long));
-    let authoritative = long.snapshot();
+    apply(&mut state, &full_list(&long_list));
+    let authoritative = long_list.snapshot();
     assert_eq!(state.differences(&authoritative), []);
-    let text = full_list(&short);
+    let text = full_list(&short_list);
     apply(&mut state, &text[..text.len() / 2]);
-    assert_eq!(state.differences(&authoritative), [], "the old one stands");
+    assert_eq!(
+        state.differences(&authoritative),
+        [],
+        "an incomplete full list must not replace the previous one"
+    );
     apply(&mut state, &text);
-    let authoritative = short.snapshot();
+    let authoritative = short_list.snapshot();
     assert_eq!(state.differences(&authoritative), []);
 }
 
 #[test]
-fn a_line_that_skips_a_change_is_noticed_though_a_later_change_hides_it() {
+fn skipped_change_is_reported_even_if_a_later_change_overwrites_it() {
     let list = Arc::new(AuthoritativeList::new(3, address));
     let mut state = HollowState::new(None);
     apply(&mut state, &full_list(&list));
@@ -132,14 +140,14 @@
 }
 
 #[test]
-fn changes_are_retained_until_they_are_forgotten() {
+fn changes_are_retained_until_forgotten() {
     let list = AuthoritativeList::new(3, address);
-    let made: Vec<u64> = (0..3).map(|index| list.put(index, address(9))).collect();
-    assert_eq!(made, [2, 3, 4]);
+    let generations_made: Vec<u64> = (0..3).map(|index| list.put(index, address(9))).collect();
+    assert_eq!(generations_made, [2, 3, 4]);
     let generations = |after| list.changes_after(after, 2).map(|c| c.iter().map(|c| c.generation).collect());
     assert_eq!(generations(1), Some(vec![2, 3]));
     assert_eq!(generations(4), Some(vec![]));
-    assert_eq!(generations(5), None, "a generation that was never made");
+    assert_eq!(generations(5), None, "changes after a generation that does not exist");
     list.forget_changes();
     assert_eq!((generations(3), generations(4)), (None, Some(vec![])));
 }
--- a/crates/scale-test/tests/output_keys.rs
+++ b/crates/scale-test/tests/output_keys.rs
@@ -1,5 +1,5 @@
-//! Names that operators and scripts see: keys and labels of the JSON lines, keys of the scenario file, options of the
-//! command line. What is renamed in the code must not rename these.
+//! Renames in the code must not change the names that operators and scripts use: keys and labels of JSON
+//! lines, keys of scenario files, and command line options.
 
 use std::collections::BTreeSet;
 use std::process::Command;
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// A scenario file with every key and every kind of fault.
+/// A scenario file with all keys and all kinds of faults.
 const FULL_SCENARIO: &str = r#"
 version = 1
 name = "full"
@@ -86,7 +86,7 @@
 target_forwarders = 1000
 "#;
 
-/// The paths of the keys in that file, but for those of faults, as they are written again.
+/// Paths of the keys of [`FULL_SCENARIO`] in JSON, without the keys of faults.
 const SCENARIO_KEYS: [&str; 32] = [
     "about",
     "changes",
@@ -122,30 +122,30 @@
     "version",
 ];
 
-/// The paths of all keys in a value; `[]` stands for the items of a list.
+/// Returns the paths of all keys in a value; `[]` stands for the items of a list.
 fn key_paths(value: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     collect_key_paths(value, "", &mut paths);
     paths
 }
 
-fn collect_key_paths(value: &Value, place: &str, paths: &mut BTreeSet<String>) {
+fn collect_key_paths(value: &Value, parent: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
             for (key, field) in fields {
-                let path = if place.is_empty() { key.clone() } else { format!("{place}.{key}") };
+                let path = if parent.is_empty() { key.clone() } else { format!("{parent}.{key}") };
                 collect_key_paths(field, &path, paths);
                 paths.insert(path);
             }
         }
         Value::Array(items) => {
-            items.iter().for_each(|item| collect_key_paths(item, &format!("{place}[]"), paths));
+            items.iter().for_each(|item| collect_key_paths(item, &format!("{parent}[]"), paths));
         }
         _ => {}
     }
 }
 
-fn written(value: impl Serialize) -> Value {
+fn to_json(value: impl Serialize) -> Value {
     serde_json::to_value(value).unwrap()
 }
 
@@ -161,54 +161,54 @@
     ForwarderUsage { forwarder: 1, starts: 2, processor_s: 3.5, resident_bytes: 4, resident_peak_bytes: 5 }
 }
 
-/// The JSON form of [`latency`].
+/// Returns the JSON form of [`latency`].
 fn latency_json() -> Value {
     json!({"count": 1, "p50_ms": 2.5, "p99_ms": 3.5, "worst_ms": 4.5})
 }
 
-/// The JSON form of [`usage`].
+/// Returns the JSON form of [`usage`].
 fn usage_json() -> Value {
     json!({"forwarder": 1, "starts": 2, "processor_s": 3.5, "resident_bytes": 4, "resident_peak_bytes": 5})
 }
 
 #[test]
-fn run_line_has_these_keys_beside_the_scenario() {
-    let line = written(ResultLine::Run { scenario: Box::new(full_scenario()), version: "1", cores: 2 });
+fn run_line_keeps_its_keys() {
+    let line = to_json(ResultLine::Run { scenario: Box::new(full_scenario()), version: "1", cores: 2 });
     assert_eq!(line["line"], "run");
-    assert_eq!(line["scenario"], written(full_scenario()));
+    assert_eq!(line["scenario"], to_json(full_scenario()));
     let keys: Vec<&String> = line.as_object().unwrap().keys().collect();
     let sorted: BTreeSet<&str> = keys.into_iter().map(String::as_str).collect();
     assert!(sorted.iter().eq(&["cores", "line", "scenario", "version"]), "{sorted:?}");
 }
 
 #[test]
-fn lines_of_latencies_have_these_keys_and_labels() {
+fn latency_lines_keep_their_keys_and_labels() {
     let latency = latency();
     let spans = latency_json();
     let (component, condition, measured_from) =
         (Component::HollowForwarders, OperatingCondition::Normal, LatencyStart::ListChange);
     assert_eq!(
-        written(ResultLine::ListInForce { component, condition: OperatingCondition::FirstStart, latency }),
+        to_json(ResultLine::ListInForce { component, condition: OperatingCondition::FirstStart, latency }),
         json!({"line": "list_in_force", "role": "hollow", "occasion": "first start", "spans": spans})
     );
     assert_eq!(
-        written(ResultLine::ChangeInForce { component, condition, measured_from, latency }),
+        to_json(ResultLine::ChangeInForce { component, condition, measured_from, latency }),
         json!({
             "line": "change_in_force", "role": "hollow", "occasion": "calm", "since": "change",
             "spans": spans,
         })
     );
     assert_eq!(
-        written(ResultLine::ProbeResolution { latency }),
+        to_json(ResultLine::ProbeResolution { latency }),
         json!({"line": "probe_resolution", "spans": spans})
     );
 }
 
 #[test]
-fn lines_of_messages_and_traffic_have_these_keys() {
+fn message_and_traffic_lines_keep_their_keys() {
     let phase = RunPhase::Startup;
     assert_eq!(
-        written(ResultLine::Submissions {
+        to_json(ResultLine::Submissions {
             phase,
             latency: latency(),
             accepted: 1,
@@ -221,12 +221,12 @@
         })
     );
     assert_eq!(
-        written(ResultLine::Deliveries { requests: 1, notices: 2 }),
+        to_json(ResultLine::Deliveries { requests: 1, notices: 2 }),
         json!({"line": "ends", "calls": 1, "notices": 2})
     );
     let rates = TrafficRates { received_bytes_per_s: 1.5, sent_bytes_per_s: 2.5, messages_per_s: 3.5 };
     assert_eq!(
-        written(ResultLine::Exchange {
+        to_json(ResultLine::Exchange {
             component: Component::RealForwarders,
             phase,
             forwarders: 1,
@@ -241,50 +241,50 @@
 }
 
 #[test]
-fn lines_of_resources_have_these_keys() {
+fn resource_lines_keep_their_keys() {
     assert_eq!(
-        written(ResultLine::Sample { at_s: 1.5, usage: usage() }),
+        to_json(ResultLine::Sample { at_s: 1.5, usage: usage() }),
         json!({"line": "sample", "at_s": 1.5, "used": usage_json()})
     );
     assert_eq!(
-        written(ResultLine::Process { usage: usage() }),
+        to_json(ResultLine::Process { usage: usage() }),
         json!({"line": "process", "used": usage_json()})
     );
     assert_eq!(
-        written(ResultLine::Thread { name: "clients".to_owned(), core_share: 0.5 }),
+        to_json(ResultLine::Thread { name: "clients".to_owned(), core_share: 0.5 }),
         json!({"line": "part", "part": "clients", "core_share": 0.5})
     );
     assert_eq!(
-        written(ResultLine::Program { resident_bytes: 1, resident_peak_bytes: 2 }),
+        to_json(ResultLine::Program { resident_bytes: 1, resident_peak_bytes: 2 }),
         json!({"line": "program", "resident_bytes": 1, "resident_peak_bytes": 2})
     );
 }
 
 #[test]
-fn lines_of_figures_and_checks_have_these_keys() {
+fn metric_and_check_lines_keep_their_keys() {
     assert_eq!(
-        written(ResultLine::Metric { name: "a".to_owned(), value: 1.5 }),
+        to_json(ResultLine::Metric { name: "a".to_owned(), value: 1.5 }),
         json!({"line": "figure", "name": "a", "value": 1.5})
     );
     assert_eq!(
-        written(ResultLine::Check { name: "a", passed: true, detail: "b".to_owned() }),
+        to_json(ResultLine::Check { name: "a", passed: true, detail: "b".to_owned() }),
         json!({"line": "check", "check": "a", "passed": true, "detail": "b"})
     );
 }
 
 #[test]
-fn labels_are_written_with_these_words() {
+fn labels_keep_their_words() {
     let components =
-        written([Component::ControlPlane, Component::HollowForwarders, Component::RealForwarders]);
+        to_json([Component::ControlPlane, Component::HollowForwarders, Component::RealForwarders]);
     assert_eq!(components, json!(["control side", "hollow", "real"]));
-    let phases = written([RunPhase::AfterStartup, RunPhase::Startup]);
+    let phases = to_json([RunPhase::AfterStartup, RunPhase::Startup]);
     assert_eq!(phases, json!(["after the start", "at the start"]));
     assert_eq!(
-        written([LatencyStart::ListChange, LatencyStart::ForwarderReachable]),
+        to_json([LatencyStart::ListChange, LatencyStart::ForwarderReachable]),
         json!(["change", "reachable"])
     );
     let conditions =
-        written([OperatingCondition::Normal, OperatingCondition::FirstStart, OperatingCondition::Restart]);
+        to_json([OperatingCondition::Normal, OperatingCondition::FirstStart, OperatingCondition::Restart]);
     assert_eq!(conditions, json!(["calm", "first start", "restart"]));
     let kinds = [
         FaultKind::ControlRestart,
@@ -294,11 +294,11 @@
         FaultKind::ZoneOutage,
     ];
     let expected = json!(["control_restart", "rack", "region_cut", "rolling_restart", "zone"]);
-    assert_eq!(written(kinds.map(OperatingCondition::Fault)), expected);
+    assert_eq!(to_json(kinds.map(OperatingCondition::Fault)), expected);
 }
 
 #[test]
-fn fitted_figure_has_these_keys() {
+fn fitted_metric_keeps_its_keys() {
     let line = least_squares(&[(1.0, 1.0), (2.0, 2.0), (3.0, 4.0)]).unwrap();
     let metric = FittedMetric {
         metric: "a".to_owned(),
@@ -325,19 +325,19 @@
         "target",
         "values",
     ];
-    let paths = key_paths(&written(metric));
+    let paths = key_paths(&to_json(metric));
     assert!(paths.iter().eq(&expected), "{paths:?}");
 }
 
 #[test]
-fn scenario_with_everything_set_is_read_and_written_with_these_keys() {
-    let mut paths = key_paths(&written(full_scenario()));
+fn scenario_keeps_its_keys() {
+    let mut paths = key_paths(&to_json(full_scenario()));
     paths.retain(|path| !path.starts_with("trouble[]"));
     assert!(paths.iter().eq(&SCENARIO_KEYS), "{paths:?}");
 }
 
 #[test]
-fn faults_are_written_as_they_are_read() {
+fn faults_keep_their_keys_and_kinds() {
     let expected = json!([
         {"kind": "rolling_restart", "at_s": 0.5, "one_in": 10, "gap_s": 0.1, "down_s": 0.3},
         {"kind": "control_restart", "at_s": 2.0, "down_s": 0.3, "forgets": true},
@@ -345,7 +345,7 @@
         {"kind": "rack", "at_s": 3.5, "down_s": 0.2, "zone": 5, "machines": 3},
         {"kind": "region_cut", "at_s": 3.5, "lasts_s": 2.0, "region": 1},
     ]);
-    assert_eq!(written(full_scenario())["trouble"], expected);
+    assert_eq!(to_json(full_scenario())["trouble"], expected);
 }
 
 fn help(arguments: &[&str]) -> String {
@@ -355,10 +355,11 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// The names in the lines below a heading of a help text: those of options without what they take.
+/// Returns the names of the options, without their values, or of the subcommands below a heading of a help
+/// text.
 fn help_names(help: &str, heading: &str) -> Vec<String> {
-    let below = help.lines().skip_while(|line| *line != heading).skip(1);
-    let lines = below.take_while(|line| line.is_empty() || line.starts_with(' '));
+    let lines_below = help.lines().skip_while(|line| *line != heading).skip(1);
+    let lines = lines_below.take_while(|line| line.is_empty() || line.starts_with(' '));
     let name = |line: &str| match heading {
         "Options:" => {
             let long = line.trim_start().starts_with('-').then(|| line.find("--")).flatten()?;
@@ -372,9 +373,9 @@
 }
 
 #[test]
-fn program_has_these_subcommands_and_options() {
-    let whole = help(&[]);
-    assert_eq!(help_names(&whole, "Commands:"), ["fit", "help"]);
-    assert_eq!(help_names(&whole, "Options:"), ["--forwarder", "--help", "--jsonl", "--version"]);
+fn program_keeps_its_subcommands_and_options() {
+    let main_help = help(&[]);
+    assert_eq!(help_names(&main_help, "Commands:"), ["fit", "help"]);
+    assert_eq!(help_names(&main_help, "Options:"), ["--forwarder", "--help", "--jsonl", "--version"]);
     assert_eq!(help_names(&help(&["fit"]), "Options:"), ["--forwarder", "--help", "--jsonl"]);
 }
--- a/crates/scale-test/tests/ports.rs
+++ b/crates/scale-test/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports of runs side by side.
+//! Concurrent runs must not get the same ports, or ports that are still in use.
 
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -6,27 +6,26 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-use reeddock_scale_test::ports;
+use reeddock_scale_test::ports::free_address;
 
 #[test]
-fn no_port_is_given_out_twice_and_blocks_follow_each_other() {
-    let given: Vec<u16> = (0..300).map(|_| ports::free_address().unwrap().port()).collect();
-    let distinct: BTreeSet<u16> = given.iter().copied().collect();
+fn ports_are_distinct_across_blocks_and_skip_claimed_first_ports() {
+    let ports: Vec<u16> = (0..300).map(|_| free_address().unwrap().port()).collect();
+    let distinct: BTreeSet<u16> = ports.iter().copied().collect();
     assert_eq!(distinct.len(), 300);
-    // The block's claim is held, and its ports are free to take.
-    let claims = distinct.iter().filter(|port| (*port - 16_000) % 128 == 0);
-    assert_eq!(claims.count(), 0);
-    assert!(TcpListener::bind(("127.0.0.1", given[0])).is_ok());
+    // The first port of a block is in use by the claim; the other ports can be bound.
+    let claimed = distinct.iter().filter(|port| (*port - 16_000) % 128 == 0);
+    assert_eq!(claimed.count(), 0);
+    assert!(TcpListener::bind(("127.0.0.1", ports[0])).is_ok());
 }
 
-/// Ports that are tried while processes start: with a check that listens, a few of them were refused in each run.
 const PORTS_TRIED: usize = 2_000;
 const STARTING_THREADS: usize = 8;
 
 #[test]
-fn a_free_port_can_be_listened_on_at_once_while_other_threads_start_processes() {
+fn free_address_can_be_bound_while_other_threads_start_processes() {
     let tried_all = AtomicBool::new(false);
-    let refused = thread::scope(|scope| {
+    let failed_binds = thread::scope(|scope| {
         for _ in 0..STARTING_THREADS {
             scope.spawn(|| {
                 while !tried_all.load(Ordering::Relaxed) {
@@ -34,11 +33,10 @@
                 }
             });
         }
-        let refusals =
-            (0..PORTS_TRIED).filter_map(|_| TcpListener::bind(ports::free_address().unwrap()).err());
-        let refused = refusals.count();
+        let bind_errors = (0..PORTS_TRIED).filter_map(|_| TcpListener::bind(free_address().unwrap()).err());
+        let failed_binds = bind_errors.count();
         tried_all.store(true, Ordering::Relaxed);
-        refused
+        failed_binds
     });
-    assert_eq!(refused, 0);
+    assert_eq!(failed_binds, 0);
 }
--- a/crates/scale-test/tests/program.rs
+++ b/crates/scale-test/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program: bad input, and what it leaves behind.
+//! The program rejects invalid input with one line of text, and leaves no processes behind.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -11,15 +11,15 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_reeddock-scale-test");
 const FORWARDER: &str = env!("CARGO_BIN_EXE_reeddock-scale-test-forwarder");
 
-fn scenarios() -> PathBuf {
+fn scenario_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/scale")
 }
 
-fn small() -> String {
-    std::fs::read_to_string(scenarios().join("small.toml")).unwrap()
+fn small_scenario_text() -> String {
+    std::fs::read_to_string(scenario_folder().join("small.toml")).unwrap()
 }
 
-fn line(output: &Output) -> String {
+fn error_line(output: &Output) -> String {
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -27,20 +27,21 @@
     text
 }
 
-/// What the program says of a scenario in which something stands for something else.
-fn rejection(arguments: &[&str], from: &str, to: &str) -> String {
-    let text = small();
-    assert!(text.contains(from), "{from}");
+/// Returns the error for the small scenario with one occurrence of `original` replaced by
+/// `replacement`.
+fn rejection(arguments: &[&str], original: &str, replacement: &str) -> String {
+    let text = small_scenario_text();
+    assert!(text.contains(original), "small.toml does not contain {original:?}");
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("bad.toml");
-    std::fs::write(&file, text.replacen(from, to, 1)).unwrap();
+    std::fs::write(&file, text.replacen(original, replacement, 1)).unwrap();
     let output = Command::new(PROGRAM).args(arguments).arg(&file).args(["--forwarder", FORWARDER]).output();
-    line(&output.unwrap())
+    error_line(&output.unwrap())
 }
 
 #[test]
-fn bad_scenarios_are_refused_in_a_line_with_place_and_expectation() {
-    for (from, to, expected) in [
+fn invalid_scenario_is_rejected_with_place_and_expected_value() {
+    for (original, replacement, expected) in [
         ("hollow = 40", "hollow = 40\nhallow = 1", ["line 11", "unknown field `hallow`"]),
         (
             "forgets = true",
@@ -69,33 +70,41 @@
         ),
         ("descriptors = 256", "descriptors = 1048576", ["fleet: needs", "ulimit -n"]),
     ] {
-        let from_real =
-            if to.starts_with("memory_mb") || to.starts_with("descriptors") { "real = 2" } else { "" };
-        // Many real forwarders, so that they go beyond every machine and limit.
-        let text = if from_real.is_empty() { rejection(&[], from, to) } else { rejection_of_many(from, to) };
-        assert!(expected.iter().all(|expected| text.contains(expected)), "{to}: {text}");
+        let original_fleet_size =
+            if replacement.starts_with("memory_mb") || replacement.starts_with("descriptors") {
+                "real = 2"
+            } else {
+                ""
+            };
+        // With 100 real forwarders, the needs exceed the memory and the descriptor limit of any test machine.
+        let text = if original_fleet_size.is_empty() {
+            rejection(&[], original, replacement)
+        } else {
+            rejection_with_100_forwarders(original, replacement)
+        };
+        assert!(expected.iter().all(|expected| text.contains(expected)), "{replacement}: {text}");
     }
 }
 
-fn rejection_of_many(from: &str, to: &str) -> String {
-    let text = small().replacen("real = 2", "real = 100", 1).replacen(from, to, 1);
+fn rejection_with_100_forwarders(original: &str, replacement: &str) -> String {
+    let text = small_scenario_text().replacen("real = 2", "real = 100", 1).replacen(original, replacement, 1);
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("bad.toml");
-    // Memory is checked first.
-    let text = if to.starts_with("descriptors") {
+    // Memory is checked before descriptors, so the memory that is needed is reduced.
+    let text = if replacement.starts_with("descriptors") {
         text.replacen("memory_mb = 64", "memory_mb = 8", 1)
     } else {
         text
     };
     std::fs::write(&file, text).unwrap();
-    line(&Command::new(PROGRAM).arg(&file).args(["--forwarder", FORWARDER]).output().unwrap())
+    error_line(&Command::new(PROGRAM).arg(&file).args(["--forwarder", FORWARDER]).output().unwrap())
 }
 
 #[test]
-fn missing_files_and_programs_are_errors() {
-    let run = |arguments: &[&str]| line(&Command::new(PROGRAM).args(arguments).output().unwrap());
+fn missing_files_and_arguments_are_rejected() {
+    let run = |arguments: &[&str]| error_line(&Command::new(PROGRAM).args(arguments).output().unwrap());
     assert!(run(&["no-such.toml"]).contains("no-such.toml: expected a scenario file"));
-    let file = scenarios().join("small.toml");
+    let file = scenario_folder().join("small.toml");
     let text = run(&[file.to_str().unwrap(), "--forwarder", "/no/such/program"]);
     assert!(
         text.contains("--forwarder: expected the built program reeddock") && text.contains("/no/such"),
@@ -106,13 +115,13 @@
 }
 
 #[test]
-fn a_run_over_its_limit_is_aborted() {
+fn run_is_aborted_at_its_time_limit() {
     let message = rejection(&[], "limit_s = 60", "limit_s = 0.5");
     assert!(message.contains("the run: not over within limit_s = 0.5"), "{message}");
 }
 
 #[test]
-fn a_fit_needs_four_sizes() {
+fn fit_requires_four_different_sizes() {
     let fit = "\n[fit]\ntargets = [100, 200, 200, 300]\ntarget_targets = 320000\ntarget_forwarders = 1000\n";
     let message = rejection(&["fit"], "[process]", &format!("{fit}[process]"));
     assert!(
@@ -124,47 +133,50 @@
 }
 
 #[test]
-fn all_scenarios_of_the_folder_can_be_read() {
-    for entry in std::fs::read_dir(scenarios()).unwrap() {
+fn scenarios_in_the_repository_are_valid() {
+    for entry in std::fs::read_dir(scenario_folder()).unwrap() {
         let path = entry.unwrap().path();
         reeddock_scale_test::scenario::Scenario::read(&path).unwrap();
     }
 }
 
-/// Ended with the test, however that goes.
-struct Running(Child);
+/// Kills the process when the test ends, also after a failed assertion.
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn children(of: i32) -> BTreeSet<i32> {
+fn children(parent: i32) -> BTreeSet<i32> {
     let stats = all_processes().unwrap().filter_map(|p| p.ok()?.stat().ok());
-    stats.filter(|stat| stat.ppid == of).map(|stat| stat.pid).collect()
+    stats.filter(|stat| stat.ppid == parent).map(|stat| stat.pid).collect()
 }
 
 #[test]
-fn a_run_that_is_interrupted_ends_its_processes() {
+fn interrupted_run_ends_its_child_processes() {
     for signal in [Signal::INT, Signal::TERM] {
         let mut command = Command::new(PROGRAM);
-        command.arg(scenarios().join("small.toml")).args(["--forwarder", FORWARDER]);
-        let mut running = Running(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
+        command.arg(scenario_folder().join("small.toml")).args(["--forwarder", FORWARDER]);
+        let mut running = KillOnDrop(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
         let pid = running.0.id() as i32;
-        let until = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         while children(pid).len() < 2 {
-            assert!(Instant::now() < until, "its forwarders never came");
+            assert!(Instant::now() < deadline, "the forwarders were not started within 10 s");
             std::thread::sleep(Duration::from_millis(5));
         }
         let started = children(pid);
         kill_process(Pid::from_raw(pid).unwrap(), signal).unwrap();
         assert_eq!(running.0.wait().unwrap().code(), Some(2));
-        // One that is killed may take a moment to go.
+        // Killed processes end asynchronously.
         let alive = |child: &i32| Process::new(*child).is_ok_and(|p| p.stat().is_ok_and(|s| s.state != 'Z'));
         while started.iter().any(alive) {
-            assert!(Instant::now() < until, "{started:?}");
+            assert!(
+                Instant::now() < deadline,
+                "processes still running after 10 s, of those started: {started:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/scale-test/tests/runs.rs
+++ b/crates/scale-test/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Whole runs of the small form, sound and with a seeded defect that its checks have to find.
+//! Complete runs of the small scenario, without defects and with a seeded defect that the checks must report.
 
 use std::path::{Path, PathBuf};
 
@@ -17,7 +17,7 @@
     Scenario::read(&file).unwrap()
 }
 
-/// Only hollow forwarders, few changes, and no fault.
+/// Returns a scenario without real forwarders and faults, and with few changes.
 fn hollow_only_scenario() -> Scenario {
     let mut scenario = small_scenario();
     scenario.fleet.real = 0;
@@ -34,12 +34,12 @@
     runtime.unwrap().block_on(run(scenario, Options { program, defects })).unwrap()
 }
 
-fn verdict(results: &Results, check: &str) -> bool {
-    results.check_verdict(check).unwrap_or_else(|| panic!("no check {check:?}")).passed
+fn passed(results: &Results, check: &str) -> bool {
+    results.check_verdict(check).unwrap_or_else(|| panic!("results contain no check named {check:?}")).passed
 }
 
 #[test]
-fn the_small_form_passes_every_check_through_every_kind_of_fault() {
+fn small_scenario_passes_all_checks_through_all_kinds_of_faults() {
     let results = run_with_defects(small_scenario(), SeededDefects::default());
     assert!(results.all_passed(), "{}", tables(&results));
     let conditions: Vec<&str> = results
@@ -56,8 +56,9 @@
         })
         .collect();
     assert_eq!(conditions, ["control_restart", "rack", "region_cut", "rolling_restart", "zone"]);
-    let restarted = |line: &ResultLine| matches!(line, ResultLine::Process { usage } if usage.starts == 2);
-    assert!(results.lines.iter().any(restarted), "a real forwarder was restarted");
+    let is_restarted_process =
+        |line: &ResultLine| matches!(line, ResultLine::Process { usage } if usage.starts == 2);
+    assert!(results.lines.iter().any(is_restarted_process), "no real forwarder was restarted");
     let metrics = results.metrics();
     for name in ["change_p99.real_over_hollow", "real.resident_peak_mb", "list.whole_bytes"] {
         assert!(metrics.get(name).is_some_and(|value| *value > 0.0), "{name}: {metrics:?}");
@@ -66,21 +67,21 @@
 }
 
 #[test]
-fn a_sound_run_of_hollow_forwarders_alone_passes() {
+fn run_without_real_forwarders_passes() {
     let results = run_with_defects(hollow_only_scenario(), SeededDefects::default());
     assert!(results.all_passed(), "{}", tables(&results));
 }
 
 #[test]
-fn a_hollow_forwarder_that_drops_a_change_is_found() {
+fn change_dropped_by_a_hollow_forwarder_is_reported() {
     let dropped = DroppedChange { hollow_forwarder: 3, generation: 9 };
     let results = run_with_defects(
         hollow_only_scenario(),
         SeededDefects { dropped_change: Some(dropped), lost_change: None },
     );
-    assert!(verdict(&results, LAST_CHANGE_IN_FORCE), "it says that it is up to date");
+    assert!(passed(&results, LAST_CHANGE_IN_FORCE), "the forwarder must report the last change as in force");
     assert!(
-        !verdict(&results, HOLLOW_LISTS_MATCH) && !verdict(&results, NO_CHANGE_MISSING),
+        !passed(&results, HOLLOW_LISTS_MATCH) && !passed(&results, NO_CHANGE_MISSING),
         "{}",
         tables(&results)
     );
@@ -89,43 +90,43 @@
 }
 
 #[test]
-fn a_change_that_the_control_side_loses_is_found() {
+fn change_lost_by_the_control_plane_is_reported() {
     let zone = 2;
     let lost = LostChange { listener: zone, generation: 9 };
     let results = run_with_defects(
         hollow_only_scenario(),
         SeededDefects { dropped_change: None, lost_change: Some(lost) },
     );
-    assert!(!verdict(&results, HOLLOW_LISTS_MATCH), "{}", tables(&results));
+    assert!(!passed(&results, HOLLOW_LISTS_MATCH), "{}", tables(&results));
     let detail = results.check_verdict(HOLLOW_LISTS_MATCH).unwrap().detail;
-    // Forwarders 2 and 9 stand in zone 2.
+    // Forwarders 2 and 9 are in zone 2.
     assert!(detail.starts_with("2 of 10 differ"), "{detail}");
 }
 
 #[test]
-fn the_last_change_of_all_is_found_where_it_is_lost() {
+fn loss_of_the_last_change_is_reported() {
     let mut scenario = hollow_only_scenario();
     scenario.changes.settle_timeout_s = 0.3;
-    // The list is of generation 1, and twenty changes follow.
+    // The first list has generation 1, and 20 changes follow.
     let lost = LostChange { listener: 0, generation: 21 };
     let results = run_with_defects(scenario, SeededDefects { dropped_change: None, lost_change: Some(lost) });
     assert!(
-        !verdict(&results, LAST_CHANGE_IN_FORCE) && !verdict(&results, HOLLOW_LISTS_MATCH),
+        !passed(&results, LAST_CHANGE_IN_FORCE) && !passed(&results, HOLLOW_LISTS_MATCH),
         "{}",
         tables(&results)
     );
 }
 
 #[test]
-fn a_change_that_never_reaches_a_real_forwarder_is_found() {
+fn change_that_does_not_reach_a_real_forwarder_is_reported() {
     let mut scenario = hollow_only_scenario();
     scenario.fleet.real = 1;
     scenario.changes.settle_timeout_s = 1.0;
-    // Each fourth change lists a new destination: generations 5, 9, and so on.
+    // Every fourth change lists a new destination: generations 5, 9, and so on.
     let lost = LostChange { listener: 0, generation: 9 };
     let results = run_with_defects(scenario, SeededDefects { dropped_change: None, lost_change: Some(lost) });
     assert!(
-        !verdict(&results, NEW_DESTINATIONS_KNOWN) && verdict(&results, HOLLOW_LISTS_MATCH),
+        !passed(&results, NEW_DESTINATIONS_KNOWN) && passed(&results, HOLLOW_LISTS_MATCH),
         "{}",
         tables(&results)
     );
