--- a/crates/scale-test/src/checks.rs
+++ b/crates/scale-test/src/checks.rs
@@ -15,7 +15,7 @@
 const MAX_REPORTED_DIFFERENCES: usize = 3;
 
 impl TestBed {
-    /// Returns the outcomes of all checks. `converged` is whether the last change was in force at all
+    /// Returns the outcomes of all checks. `converged` is whether the last change was in effect at all
     /// forwarders before the timeout.
     pub(crate) async fn check_results(&self, converged: bool) -> Vec<ResultLine> {
         let authoritative = self.list.snapshot();
--- a/crates/scale-test/src/control_plane.rs
+++ b/crates/scale-test/src/control_plane.rs
@@ -109,14 +109,9 @@
         control_plane: Arc<ControlPlane>,
         number: usize,
     ) -> Result<ControlListener, ScaleTestError> {
-<<<<<<< ours
-        let listen_error = |e: io::Error| ScaleTestError::aborted("the control side can't listen", e);
-        let address = crate::ports::free_address().map_err(listen_error)?;
-=======
         let listen_error =
             |e: io::Error| ScaleTestError::aborted("opening a listener of the control plane", e);
-        let address = crate::ports::free().map_err(listen_error)?;
->>>>>>> theirs
+        let address = crate::ports::free_address().map_err(listen_error)?;
         let socket = bind(address).map_err(listen_error)?;
         let listener = ControlListener {
             address,
--- a/crates/scale-test/src/fault_schedule.rs
+++ b/crates/scale-test/src/fault_schedule.rs
@@ -50,13 +50,8 @@
         let forwarders = affected_forwarders(&self.scenario, fault);
         let kind = fault.kind();
         match *fault {
-<<<<<<< ours
             Fault::RollingRestart { stagger_s, down_s, .. } => {
-                self.restart_in_turn(kind, &forwarders, stagger_s, down_s).await
-=======
-            Fault::RollingRestart { gap_s, down_s, .. } => {
-                self.rolling_restart(kind, &forwarders, gap_s, down_s).await
->>>>>>> theirs
+                self.rolling_restart(kind, &forwarders, stagger_s, down_s).await
             }
             Fault::ZoneOutage { down_s, .. } | Fault::RackOutage { down_s, .. } => {
                 let restarts = forwarders.iter().map(|n| self.restart(kind, *n, Shutdown::Immediate, down_s));
--- a/crates/scale-test/src/labels.rs
+++ b/crates/scale-test/src/labels.rs
@@ -28,12 +28,12 @@
     }
 }
 
-/// A phase of a run, separated by the moment at which the first endpoint list is in force at all forwarders.
+/// A phase of a run, separated by the moment at which the first endpoint list is in effect at all forwarders.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum RunPhase {
-    /// After the first endpoint list is in force at all forwarders.
+    /// After the first endpoint list is in effect at all forwarders.
     AfterStartup,
-    /// Until the first endpoint list is in force at all forwarders.
+    /// Until the first endpoint list is in effect at all forwarders.
     Startup,
 }
 
--- a/crates/scale-test/src/latency_results.rs
+++ b/crates/scale-test/src/latency_results.rs
@@ -31,7 +31,7 @@
         lines
     }
 
-    /// Returns the latencies from each start of a forwarder until its full list was in force.
+    /// Returns the latencies from each start of a forwarder until its full list was in effect.
     fn list_latency_results(&self) -> Vec<ResultLine> {
         let mut histograms: BTreeMap<(Component, OperatingCondition), LatencyHistogram> = BTreeMap::new();
         for start in lock(&self.start_records).iter() {
@@ -56,12 +56,12 @@
                 lines.push(ResultLine::metric(format!("{component}.list_p50_s"), latency.p50_ms / 1e3));
                 lines.push(ResultLine::metric(format!("{component}.list_worst_s"), latency.max_ms / 1e3));
             }
-            lines.push(ResultLine::ListInForce { component, condition, latency });
+            lines.push(ResultLine::ListInEffect { component, condition, latency });
         }
         lines
     }
 
-    /// Returns the latencies from each list change until the change was in force, over all forwarders.
+    /// Returns the latencies from each list change until the change was in effect, over all forwarders.
     fn change_latency_results(&self) -> Vec<ResultLine> {
         let mut latencies = ChangeLatencies::new(&self.list);
         let resolution = self.add_real_changes(&mut latencies);
@@ -85,7 +85,7 @@
                 attributions.entry(*forwarder).or_insert_with(|| outages.attribution(*forwarder));
             latencies.add(Component::RealForwarders, attribution, *generation, result.arrived_at);
             // Changes take effect in order: while a destination listed earlier was still rejected, this
-            // change was not in force either.
+            // change was not in effect either.
             let earlier_rejection_at = last_rejections.get(forwarder).copied();
             let made_at = self.list.made_at(*generation);
             let last_known_absent_at =
@@ -103,11 +103,12 @@
             let hollow = lock(hollow);
             let mut attribution = outages.attribution(hollow.number());
             for change in hollow.state().applied() {
-<<<<<<< ours
-                latencies.add(Component::HollowForwarders, &mut attribution, change.generation, change.at);
-=======
-                latencies.add(Role::Hollow, &mut attribution, change.generation, change.applied_at);
->>>>>>> theirs
+                latencies.add(
+                    Component::HollowForwarders,
+                    &mut attribution,
+                    change.generation,
+                    change.applied_at,
+                );
             }
         }
     }
@@ -124,46 +125,31 @@
         ChangeLatencies { list, histograms: BTreeMap::new() }
     }
 
-<<<<<<< ours
-    /// Records a list change that was in force at a forwarder at `in_force_at`. A change that is attributed
+    /// Records a list change that was in effect at a forwarder at `in_effect_at`. A change that is attributed
     /// to an outage is also recorded with its latency since the forwarder was reachable again.
     fn add(
         &mut self,
         component: Component,
         attribution: &mut OutageAttribution,
         generation: u64,
-        in_force_at: Instant,
+        in_effect_at: Instant,
     ) {
         let Some(made_at) = self.list.made_at(generation) else { return };
-        let outage = attribution.outage(made_at, in_force_at);
+        let outage = attribution.attribute(made_at, in_effect_at);
         let condition =
             outage.map_or(OperatingCondition::Normal, |outage| OperatingCondition::Fault(outage.kind));
-        let since_change = in_force_at.saturating_duration_since(made_at);
+        let since_change = in_effect_at.saturating_duration_since(made_at);
         self.histograms
             .entry((component, condition, LatencyStart::ListChange))
             .or_default()
             .record(since_change);
         if let Some(outage) = outage {
-            let reachable_at = outage.ended.map_or(in_force_at, |ended| ended.max(made_at));
-            let since_reachable = in_force_at.saturating_duration_since(reachable_at);
+            let reachable_at = outage.ended_at.map_or(in_effect_at, |ended| ended.max(made_at));
+            let since_reachable = in_effect_at.saturating_duration_since(reachable_at);
             self.histograms
                 .entry((component, condition, LatencyStart::ForwarderReachable))
                 .or_default()
                 .record(since_reachable);
-=======
-    /// Adds a change that came into force at a forwarder then. One that is attributed to an outage also counts from
-    /// when the forwarder could be reached again.
-    fn add(&mut self, role: Role, attribution: &mut OutageAttribution, generation: u64, in_force: Instant) {
-        let Some(made) = self.list.made_at(generation) else { return };
-        let outage = attribution.attribute(made, in_force);
-        let occasion = outage.map_or(Occasion::Calm, |outage| Occasion::Fault(outage.kind));
-        let since_change = in_force.saturating_duration_since(made);
-        self.histograms.entry((role, occasion, Since::Change)).or_default().record(since_change);
-        if let Some(outage) = outage {
-            let reachable = outage.ended_at.map_or(in_force, |ended| ended.max(made));
-            let since_reachable = in_force.saturating_duration_since(reachable);
-            self.histograms.entry((role, occasion, Since::Reachable)).or_default().record(since_reachable);
->>>>>>> theirs
         }
     }
 
@@ -178,7 +164,7 @@
                 lines.push(ResultLine::metric(format!("{name}.change_p50_ms"), latency.p50_ms));
                 lines.push(ResultLine::metric(format!("{name}.change_p99_ms"), latency.p99_ms));
             }
-            lines.push(ResultLine::ChangeInForce { component, condition, measured_from, latency });
+            lines.push(ResultLine::ChangeInEffect { component, condition, measured_from, latency });
         }
         if let (Some(real), Some(hollow)) =
             (normal_p99_ms.get(&Component::RealForwarders), normal_p99_ms.get(&Component::HollowForwarders))
--- a/crates/scale-test/src/measurements.rs
+++ b/crates/scale-test/src/measurements.rs
@@ -6,13 +6,8 @@
 use crate::control_plane::ControlListener;
 use crate::metered_stream::TrafficTotals;
 use crate::process_usage::{thread_processor_s, ResourceUsage};
-<<<<<<< ours
 use crate::report::{Component, ResultLine, RunPhase, TrafficRates};
-use crate::test_bed::{TestBed, CONTROL_THREAD};
-=======
-use crate::report::{Phase, ResultLine, Role, TrafficRates};
 use crate::test_bed::{TestBed, CONTROL_THREAD_NAME};
->>>>>>> theirs
 
 /// The values of all counters at one moment.
 pub(crate) struct Snapshot {
@@ -65,17 +60,10 @@
     pub(crate) fn start_results(&self, started: &Snapshot, start_s: f64) -> Vec<ResultLine> {
         let full_list_bytes = self.control_plane.full_list_bytes() as f64;
         let mut lines = vec![
-<<<<<<< ours
             ResultLine::metric("list.whole_bytes", full_list_bytes),
             ResultLine::metric("start.seconds", start_s),
-            ResultLine::metric("start.control_processor_s", started.thread_s(CONTROL_THREAD)),
+            ResultLine::metric("start.control_processor_s", started.thread_s(CONTROL_THREAD_NAME)),
             ResultLine::metric("start.control_sent_bytes", started.control_traffic.sent_bytes as f64),
-=======
-            ResultLine::figure("list.whole_bytes", full_list_bytes),
-            ResultLine::figure("start.seconds", start_s),
-            ResultLine::figure("start.control_processor_s", started.thread_s(CONTROL_THREAD_NAME)),
-            ResultLine::figure("start.control_sent_bytes", started.control_traffic.sent_bytes as f64),
->>>>>>> theirs
         ];
         let mean_processor_s = mean(&started.real_processor_s);
         lines.extend(mean_processor_s.map(|mean| ResultLine::metric("start.real_processor_s", mean)));
@@ -113,13 +101,8 @@
             let core_share = (used_s - before.thread_s(name)) / seconds;
             lines.push(ResultLine::Thread { name: name.clone(), core_share });
         }
-<<<<<<< ours
-        let control_s = after.thread_s(CONTROL_THREAD) - before.thread_s(CONTROL_THREAD);
-        lines.push(ResultLine::metric("control.core_share", control_s / seconds));
-=======
         let control_s = after.thread_s(CONTROL_THREAD_NAME) - before.thread_s(CONTROL_THREAD_NAME);
-        lines.push(ResultLine::figure("control.core_share", control_s / seconds));
->>>>>>> theirs
+        lines.push(ResultLine::metric("control.core_share", control_s / seconds));
         lines
     }
 
--- a/crates/scale-test/src/probe.rs
+++ b/crates/scale-test/src/probe.rs
@@ -1,4 +1,4 @@
-//! Measures when an endpoint list change is in force at a real forwarder, by submitting messages.
+//! Measures when an endpoint list change is in effect at a real forwarder, by submitting messages.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::{Duration, Instant};
--- a/crates/scale-test/src/real_forwarder.rs
+++ b/crates/scale-test/src/real_forwarder.rs
@@ -61,11 +61,7 @@
         std::fs::create_dir_all(folder.join("state")).map_err(folder_error)?;
         Ok(RealForwarder {
             number,
-<<<<<<< ours
-            listen: crate::ports::free_address().map_err(folder_error)?,
-=======
-            listen_address: crate::ports::free().map_err(folder_error)?,
->>>>>>> theirs
+            listen_address: crate::ports::free_address().map_err(folder_error)?,
             folder,
             template,
             control_plane,
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -36,8 +36,9 @@
         #[serde(rename = "used")]
         usage: ForwarderUsage,
     },
-    /// The latency from a start of a forwarder until its full endpoint list was in force.
-    ListInForce {
+    /// The latency from a start of a forwarder until its full endpoint list was in effect.
+    #[serde(rename = "list_in_force")]
+    ListInEffect {
         /// The kind of forwarders.
         #[serde(rename = "role")]
         component: Component,
@@ -48,8 +49,9 @@
         #[serde(rename = "spans")]
         latency: LatencySummary,
     },
-    /// The latency from an endpoint list change until the change was in force.
-    ChangeInForce {
+    /// The latency from an endpoint list change until the change was in effect.
+    #[serde(rename = "change_in_force")]
+    ChangeInEffect {
         /// The kind of forwarders.
         #[serde(rename = "role")]
         component: Component,
@@ -64,7 +66,7 @@
         latency: LatencySummary,
     },
     /// The resolution of the change latencies of real forwarders: from the last moment at which the change
-    /// was known not to be in force until the first request arrived.
+    /// was known not to be in effect until the first request arrived.
     ProbeResolution {
         /// The resolutions of all probes.
         #[serde(rename = "spans")]
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -73,13 +73,8 @@
         self.run_changes(&mut lines, began).await?;
         let converged = self.wait_for_convergence().await;
         let after = self.snapshot().await;
-<<<<<<< ours
-        self.probing.store(false, Ordering::Relaxed);
-        lines.extend(self.exchange_results(RunPhase::AfterStartup, &before, &after));
-=======
         self.probing_active.store(false, Ordering::Relaxed);
-        lines.extend(self.exchange_results(Phase::AfterStart, &before, &after));
->>>>>>> theirs
+        lines.extend(self.exchange_results(RunPhase::AfterStartup, &before, &after));
         lines.extend(self.process_results(&before, &after).await);
         lines.extend(self.latency_results());
         lines.extend(self.check_results(converged).await);
@@ -220,14 +215,9 @@
         let mut listed = self.scenario.list.endpoints;
         for number in 1..=count {
             tick.tick().await;
-<<<<<<< ours
             if number % u64::from(changes.probe_every_nth) != 0 {
-                // The last endpoint of the first list stays where it is: starts are probed by it.
-=======
-            if number % u64::from(changes.probe_every) != 0 {
                 // The last endpoint of the first list doesn't move, because `wait_for_list` probes its
                 // address.
->>>>>>> theirs
                 let index = rng.random_range(0..self.scenario.list.endpoints - 1);
                 self.list.put(index, self.endpoints.address(index, number));
                 continue;
@@ -291,13 +281,8 @@
             let destination = rng.random_range(0..self.scenario.list.endpoints);
             let sent = Instant::now();
             let result = client.submit(&format!("traffic-{forwarder}-{number}"), destination).await;
-<<<<<<< ours
-            let started = self.started.load(Ordering::Relaxed);
-            let phase = if started { RunPhase::AfterStartup } else { RunPhase::Startup };
-=======
             let started = self.start_complete.load(Ordering::Relaxed);
-            let phase = if started { Phase::AfterStart } else { Phase::Start };
->>>>>>> theirs
+            let phase = if started { RunPhase::AfterStartup } else { RunPhase::Startup };
             lock(&self.submissions).entry(phase).or_default().record(result, sent.elapsed());
         }
     }
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -75,7 +75,7 @@
     /// The maximum number of full lists that the control plane sends concurrently; further ones are queued.
     #[serde(default = "default_concurrent_full_lists", rename = "whole_at_once")]
     pub concurrent_full_lists: u32,
-    /// The time within which the list must be in force at all forwarders, in seconds after the first start.
+    /// The time within which the list must be in effect at all forwarders, in seconds after the first start.
     #[serde(rename = "start_within_s")]
     pub start_timeout_s: f64,
 }
@@ -94,8 +94,8 @@
     /// The time over which changes are made, in seconds.
     #[serde(rename = "lasts_s")]
     pub duration_s: f64,
-    /// The time within which the last change must be in force at all forwarders, in seconds after all changes
-    /// and faults have ended.
+    /// The time within which the last change must be in effect at all forwarders, in seconds after all
+    /// changes and faults have ended.
     #[serde(rename = "settle_within_s")]
     pub settle_timeout_s: f64,
 }
--- a/crates/scale-test/src/tables.rs
+++ b/crates/scale-test/src/tables.rs
@@ -71,11 +71,11 @@
 
     fn add(&mut self, line: &ResultLine) {
         match line {
-            ResultLine::ListInForce { component, condition, latency } => {
-                self.add_latency(["list in force", component.name(), condition.name(), "start"], latency);
+            ResultLine::ListInEffect { component, condition, latency } => {
+                self.add_latency(["list in effect", component.name(), condition.name(), "start"], latency);
             }
-            ResultLine::ChangeInForce { component, condition, measured_from, latency } => {
-                let labels = ["change in force", component.name(), condition.name(), measured_from.name()];
+            ResultLine::ChangeInEffect { component, condition, measured_from, latency } => {
+                let labels = ["change in effect", component.name(), condition.name(), measured_from.name()];
                 self.add_latency(labels, latency);
             }
             ResultLine::ProbeResolution { latency } => {
--- a/crates/scale-test/src/test_bed.rs
+++ b/crates/scale-test/src/test_bed.rs
@@ -73,15 +73,9 @@
 
 /// One start of a real forwarder and its duration.
 pub(crate) struct StartRecord {
-<<<<<<< ours
-    /// Why it was started.
-    pub(crate) occasion: OperatingCondition,
-    /// The time from the start of the process.
-=======
     /// Why the forwarder was started.
-    pub(crate) occasion: Occasion,
+    pub(crate) occasion: OperatingCondition,
     /// Time from the start of the process until the endpoint list was in effect.
->>>>>>> theirs
     pub(crate) list_latency: Duration,
 }
 
@@ -128,19 +122,11 @@
     pub(crate) outages: Mutex<Outages>,
     pub(crate) start_records: Mutex<Vec<StartRecord>>,
     pub(crate) probe_records: Mutex<Vec<ProbeRecord>>,
-<<<<<<< ours
     pub(crate) submissions: Mutex<BTreeMap<RunPhase, SubmissionStats>>,
-    /// Whether the list is in force everywhere.
-    pub(crate) started: AtomicBool,
-    /// Whether the result of a probe still counts.
-    pub(crate) probing: AtomicBool,
-=======
-    pub(crate) submissions: Mutex<BTreeMap<Phase, SubmissionStats>>,
     /// Whether all forwarders have had the endpoint list since the first start.
     pub(crate) start_complete: AtomicBool,
     /// Whether results of probes are still recorded.
     pub(crate) probing_active: AtomicBool,
->>>>>>> theirs
     pub(crate) hollow_threads: Vec<RuntimeThread>,
     _control_thread: RuntimeThread,
     _endpoints_thread: RuntimeThread,
--- a/crates/scale-test/tests/endpoint_list.rs
+++ b/crates/scale-test/tests/endpoint_list.rs
@@ -101,18 +101,12 @@
 }
 
 #[test]
-<<<<<<< ours
 fn instance_name_is_parsed_back_to_its_index() {
-    assert_eq!(index_of(&instance_name(319_999)), Some(319_999));
-    assert_eq!((index_of("s-12"), index_of("t-00000001"), index_of("s-0000000g")), (None, None, None));
-=======
-fn names_stand_for_indices() {
     assert_eq!(instance_index(&instance_name(319_999)), Some(319_999));
     assert_eq!(
         (instance_index("s-12"), instance_index("t-00000001"), instance_index("s-0000000g")),
         (None, None, None)
     );
->>>>>>> theirs
 }
 
 #[test]
--- a/crates/scale-test/tests/output_keys.rs
+++ b/crates/scale-test/tests/output_keys.rs
@@ -188,11 +188,11 @@
     let (component, condition, measured_from) =
         (Component::HollowForwarders, OperatingCondition::Normal, LatencyStart::ListChange);
     assert_eq!(
-        to_json(ResultLine::ListInForce { component, condition: OperatingCondition::FirstStart, latency }),
+        to_json(ResultLine::ListInEffect { component, condition: OperatingCondition::FirstStart, latency }),
         json!({"line": "list_in_force", "role": "hollow", "occasion": "first start", "spans": spans})
     );
     assert_eq!(
-        to_json(ResultLine::ChangeInForce { component, condition, measured_from, latency }),
+        to_json(ResultLine::ChangeInEffect { component, condition, measured_from, latency }),
         json!({
             "line": "change_in_force", "role": "hollow", "occasion": "calm", "since": "change",
             "spans": spans,
--- a/crates/scale-test/tests/runs.rs
+++ b/crates/scale-test/tests/runs.rs
@@ -46,7 +46,7 @@
         .lines
         .iter()
         .filter_map(|line| match line {
-            ResultLine::ChangeInForce {
+            ResultLine::ChangeInEffect {
                 component: Component::HollowForwarders,
                 condition,
                 measured_from: LatencyStart::ForwarderReachable,
@@ -79,7 +79,7 @@
         hollow_only_scenario(),
         SeededDefects { dropped_change: Some(dropped), lost_change: None },
     );
-    assert!(passed(&results, LAST_CHANGE_IN_FORCE), "the forwarder must report the last change as in force");
+    assert!(passed(&results, LAST_CHANGE_IN_FORCE), "the forwarder must report the last change as in effect");
     assert!(
         !passed(&results, HOLLOW_LISTS_MATCH) && !passed(&results, NO_CHANGE_MISSING),
         "{}",
