--- a/crates/scale-test/src/control_plane.rs
+++ b/crates/scale-test/src/control_plane.rs
@@ -111,7 +111,7 @@
     ) -> Result<ControlListener, ScaleTestError> {
         let listen_error =
             |e: io::Error| ScaleTestError::aborted("opening a listener of the control plane", e);
-        let address = crate::ports::free().map_err(listen_error)?;
+        let address = crate::ports::free_address().map_err(listen_error)?;
         let socket = bind(address).map_err(listen_error)?;
         let listener = ControlListener {
             address,
