--- a/crates/daemon/examples/long_list.rs
+++ b/crates/daemon/examples/long_list.rs
@@ -20,22 +20,22 @@
 
 /// Interval at which the client submits messages.
 const SUBMISSION_INTERVAL: Duration = Duration::from_millis(10);
-/// Number of list changes that are sent one by one, and the interval between them.
+/// Number of list changes that are sent one by one.
 const CHANGES: u64 = 200;
+/// Interval between list changes that are sent one by one.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval of list changes in the idle phase, which corresponds to the published rate of 6,100 changes a
-/// day.
+/// Interval of list changes in the idle phase, which corresponds to about 6,100 changes a day.
 const IDLE_CHANGE_INTERVAL: Duration = Duration::from_secs(14);
 const IDLE_CHANGES: u32 = 1;
 /// Interval at which discovery sends an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Maximum duration of a step; the measurement fails after it.
+/// Maximum duration of a step of the measurement; a longer step is a failure.
 const STEP_TIMEOUT: Duration = Duration::from_secs(120);
 /// Generation of the full list. Changes have the generations that follow.
 const LIST_GENERATION: u64 = 41;
 /// Generation of the first change in the idle phase.
 const IDLE_GENERATION: u64 = 1000;
-/// Approximate size of the pieces in which a list is written.
+/// Size above which a piece of a list is written.
 const PIECE_BYTES: usize = 60_000;
 
 fn main() -> BoxResult<()> {
@@ -116,7 +116,7 @@
     }
 }
 
-/// The measured forwarder, which is killed when dropped. Its folder is removed as well.
+/// The measured forwarder. Dropping the value kills the process and removes its folder.
 struct ForwarderProcess {
     child: Child,
     folder: PathBuf,
@@ -470,7 +470,8 @@
     Ok(())
 }
 
-/// Measures the resources of a forwarder without messages, with list changes at the published rate.
+/// Measures the processor time and memory of a forwarder that receives no messages and a list change every
+/// [`IDLE_CHANGE_INTERVAL`].
 fn measure_idle(forwarder: &ForwarderProcess, watch: &Watch) -> BoxResult<()> {
     let (before, start) = (forwarder.processor_time()?, Instant::now());
     for number in 0..IDLE_CHANGES {
--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Summary of an endpoint list whose entries were passed on.
+/// Summary of an endpoint list whose entries were passed to a callback while the file was read.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointListSummary {
     /// Generation of the list, from which a watch continues.
@@ -64,8 +64,8 @@
     pub entry_count: usize,
 }
 
-/// Reads a file and calls `on_entry` for each entry of its endpoint list. Entries before an error have been
-/// passed on when the error is returned.
+/// Reads a file and calls `on_entry` for each entry of its endpoint list. If an error is returned, `on_entry`
+/// was already called for the entries before the error.
 pub fn read(file: &Path, on_entry: &mut dyn FnMut(ListEntry)) -> Result<Contents, ConfigError> {
     let opened =
         File::open(file).map_err(|source| ConfigError::Unreadable { file: file.to_owned(), source })?;
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -17,17 +17,19 @@
 use crate::config_file::{self, EndpointListSummary, Sections};
 use crate::error::ConfigError;
 
-/// Maximum duration of a graceful shutdown; a planned stop is followed by a kill after at least 3.7 s.
+/// Maximum duration of a graceful shutdown, shorter than the 3.7 s after which a planned stop kills the process at
+/// the earliest.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(3500);
-/// Duration for which new connections are accepted during a shutdown, while clients still connect.
+/// Duration from the start of a shutdown for which new connections are accepted, because clients still
+/// connect.
 const ACCEPT_GRACE: Duration = Duration::from_millis(800);
 /// Connect timeout if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle timeout of connections to endpoints if the settings have none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Maximum entries of a cached endpoint list that are buffered until the list is applied. A longer list is
-/// read from the file again.
+/// Maximum number of entries of a cached endpoint list that are buffered until the list is applied. A longer
+/// list is read from the file again.
 const MAX_ENTRIES_IN_MEMORY: usize = 10_000;
 /// Maximum size of a file that is reloaded on the event loop. A larger file is read in a separate thread, so
 /// that the event loop is not blocked.
--- a/crates/daemon/src/wal_command/mod.rs
+++ b/crates/daemon/src/wal_command/mod.rs
@@ -34,7 +34,7 @@
     Age,
 }
 
-/// A value of `--by` by which messages cannot be counted.
+/// An unknown value of `--by`.
 #[derive(Debug, Error)]
 #[error("{0:?}: expected category, destination or age")]
 pub struct UnknownGroup(String);
--- a/crates/daemon/tests/config_errors.rs
+++ b/crates/daemon/tests/config_errors.rs
@@ -29,15 +29,18 @@
 fn one_line_error(command: &mut Command) -> String {
     let spawned = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
     let mut process = KillOnDrop(spawned.unwrap());
-    // A forwarder that serves despite the error would not end, so that the wait has a limit.
+    // The wait is limited, because a forwarder that serves despite the error would not end.
     let status = wait_for("the end of the process", || process.0.try_wait().unwrap());
     let (mut output, mut error) = (String::new(), String::new());
     process.0.stdout.take().unwrap().read_to_string(&mut output).unwrap();
     process.0.stderr.take().unwrap().read_to_string(&mut error).unwrap();
-    assert_eq!(status.code(), FAILURE_CODE, "{error}");
-    assert_eq!(output, "");
-    assert!(error.starts_with("reeddock: ") && error.ends_with('\n'), "{error:?}");
-    assert_eq!(error.lines().count(), 1, "{error}");
+    assert_eq!(status.code(), FAILURE_CODE, "exit code; standard error: {error}");
+    assert_eq!(output, "", "standard output");
+    assert!(
+        error.starts_with("reeddock: ") && error.ends_with('\n'),
+        "expected one line that starts with `reeddock: `, found {error:?}"
+    );
+    assert_eq!(error.lines().count(), 1, "lines on standard error: {error}");
     error
 }
 
@@ -82,7 +85,7 @@
             let name = key.replace('/', ".");
             let expected =
                 format!("reeddock: {}: missing or malformed key {name}: {expected_value}\n", file.display());
-            assert_eq!(error_of_check_and_serve(&file), expected, "{config}");
+            assert_eq!(error_of_check_and_serve(&file), expected, "error for {config}");
         }
     }
 }
@@ -109,7 +112,10 @@
     let folder = TempFolder::new("config-errors");
     for file in [folder.path().join("missing.json"), folder.path().to_owned()] {
         let error = error_of_check_and_serve(&file);
-        assert!(error.starts_with(&format!("reeddock: cannot read {}: ", file.display())), "{error}");
+        assert!(
+            error.starts_with(&format!("reeddock: cannot read {}: ", file.display())),
+            "expected an error that names the file: {error}"
+        );
     }
 }
 
@@ -117,7 +123,7 @@
 fn error_stays_on_one_line_with_line_break_in_file_name() {
     let folder = TempFolder::new("config-errors");
     let error = error_of_check_and_serve(&folder.path().join("two\nlines.json"));
-    assert!(error.contains("two lines.json: "), "{error}");
+    assert!(error.contains("two lines.json: "), "expected the file name in one line: {error}");
 }
 
 #[test]
@@ -138,6 +144,6 @@
     ] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_reeddock"));
         command.args(arguments).env_remove("EDGE_CONFIG").env_remove("EDGE_STATE");
-        assert_eq!(one_line_error(&mut command), expected, "{arguments:?}");
+        assert_eq!(one_line_error(&mut command), expected, "error for {arguments:?}");
     }
 }
--- a/crates/daemon/tests/deployment_shape.rs
+++ b/crates/daemon/tests/deployment_shape.rs
@@ -105,6 +105,6 @@
         let mut settings = reporting_settings();
         *settings.pointer_mut(pointer).unwrap() = value.clone();
         let error = check_settings(&settings).expect_one_line_error(&format!("{pointer} {value}"));
-        assert!(error.contains(&format!("settings.{key}: ")), "{pointer}: {error}");
+        assert!(error.contains(&format!("settings.{key}: ")), "error for {pointer} {value}: {error}");
     }
 }
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -35,11 +35,11 @@
 
 const DESCRIPTORS: usize = 256;
 const IDLE_CLIENTS: usize = 400;
-/// Clients that connect at the same time; fewer than the 128 connections of the listener's backlog.
+/// Number of clients that connect at the same time; less than the 128 connections of the listener's backlog.
 const SIMULTANEOUS_CLIENTS: usize = 100;
 /// Maximum time from the recovery of discovery until the list is sent.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
-/// Destinations with one endpoint each, to which the forwarder keeps an idle connection.
+/// Ids of the destinations. Each has one endpoint, to which the forwarder keeps an idle connection.
 const DESTINATIONS: RangeInclusive<u64> = 3..=42;
 const LOG_FILE: &str = "log";
 
@@ -239,9 +239,9 @@
         result
     });
     let max_open = max_open.unwrap_or_else(|panic| resume_unwind(panic));
-    assert!(max_open <= DESCRIPTORS - DESCRIPTOR_RESERVE.margin, "{max_open} descriptors");
+    assert!(max_open <= DESCRIPTORS - DESCRIPTOR_RESERVE.margin, "{max_open} descriptors were open");
     let log = forwarder.log();
-    assert!(!log.contains("no descriptor"), "{log}");
+    assert!(!log.contains("no descriptor"), "the forwarder ran out of descriptors: {log}");
 }
 
 /// Checks that messages, notices and the list are processed while clients use all their slots. Returns the
@@ -276,7 +276,11 @@
     let recovered_at = Instant::now();
     state.discovery_responds.store(true, Ordering::SeqCst);
     let sent_at = wait_for("a watch", || *state.list_sent_at.lock().unwrap());
-    assert!(sent_at - recovered_at < LIST_TIMEOUT, "{:?}", sent_at - recovered_at);
+    assert!(
+        sent_at - recovered_at < LIST_TIMEOUT,
+        "the list was sent {:?} after the recovery of discovery",
+        sent_at - recovered_at
+    );
     forwarder.submit("update-after-it", "update", 99);
     wait_until_received("update-after-it");
     max_open
--- a/crates/daemon/tests/json_keys.rs
+++ b/crates/daemon/tests/json_keys.rs
@@ -1,5 +1,5 @@
-//! Keys and words of the lines that `reeddock wal --json` prints. Scripts read them, and a field that is renamed in
-//! the code must not rename its key.
+//! Keys and words of the lines that `reeddock wal --json` prints. Scripts read them, and a field that is
+//! renamed in the code must not rename its key.
 
 #[path = "support/temp_folder.rs"]
 mod temp_folder;
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use temp_folder::TempFolder;
 
-/// The place of a byte inside the first record of a segment.
+/// Offset of a byte inside the first record of a segment.
 const BYTE_OF_FIRST_RECORD: usize = 40;
 
 fn accepted(id: &str) -> Record {
@@ -33,7 +33,7 @@
     Record::AttemptStarted { id: id.into(), number, endpoint: format!("t{number}"), started_at_unix_us: 5 }
 }
 
-fn ended(id: &str, number: u32, proves_not_executed: bool) -> Record {
+fn attempt_finished(id: &str, number: u32, proves_not_executed: bool) -> Record {
     Record::AttemptFinished { id: id.into(), number, proves_not_executed }
 }
 
@@ -41,7 +41,8 @@
     Record::Finished { id: id.into(), notice: Some(FinalAnswer::Rejected { retry_after }) }
 }
 
-/// A log with a pending message, three notices, and a first message of which corruption leaves the id only.
+/// Writes a log with a pending message, three notices, and a first message of which corruption leaves only
+/// the id.
 fn write_corrupt_log(folder: &Path) {
     let mut log = WriteAheadLog::open(folder, 100_000, SyncPolicy::Never).unwrap();
     let mut records: Vec<Record> =
@@ -49,9 +50,9 @@
     records.extend([
         started("lost-1", 0),
         started("order-1", 0),
-        ended("order-1", 0, true),
+        attempt_finished("order-1", 0, true),
         started("order-1", 1),
-        ended("order-1", 1, false),
+        attempt_finished("order-1", 1, false),
         started("order-1", 2),
         rejected("late-1", Some(Duration::from_millis(1500))),
         rejected("full-1", None),
@@ -65,18 +66,18 @@
     std::fs::write(&segment, &bytes).unwrap();
 }
 
-/// The lines that the program prints of that log.
+/// Returns the lines that `reeddock wal --json` prints for that log.
 fn printed_lines() -> Vec<String> {
     let folder = TempFolder::new("json-keys");
     write_corrupt_log(folder.path());
     let mut command = Command::new(env!("CARGO_BIN_EXE_reeddock"));
     command.args(["wal", "--json", "--state", folder.path().to_str().unwrap()]);
     let output = command.output().unwrap();
-    assert!(output.status.success(), "{output:?}");
+    assert!(output.status.success(), "`reeddock wal --json` failed: {output:?}");
     String::from_utf8(output.stdout).unwrap().lines().map(str::to_owned).collect()
 }
 
-/// The only line that has this key.
+/// Returns the only line that has this key.
 fn only_line_with(key: &str) -> Value {
     let lines = printed_lines();
     let values = lines.iter().map(|line| serde_json::from_str::<Value>(line).unwrap());
@@ -117,7 +118,7 @@
         ("owed", json!("order-1")),
         ("tenant", json!("shop")),
     ] {
-        assert_eq!(message[key], value, "{key}");
+        assert_eq!(message[key], value, "value of the key {key}");
     }
 }
 
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn notices_and_orphans_are_printed_as_ever() {
+fn notices_and_orphans_are_printed_with_fixed_keys_and_words() {
     let mut lines = printed_lines();
     lines.retain(|line| !line.contains("\"owed\"") && !line.contains("\"damaged\""));
     lines.sort_unstable();
@@ -156,8 +157,8 @@
 fn keys_are_printed_in_alphabetical_order() {
     for line in printed_lines() {
         let value: Value = serde_json::from_str(&line).unwrap();
-        let places: Vec<Option<usize>> =
+        let offsets: Vec<Option<usize>> =
             sorted_keys(&value).into_iter().map(|key| line.find(&format!("\"{key}\":"))).collect();
-        assert!(places.is_sorted(), "{line}");
+        assert!(offsets.is_sorted(), "keys are not in alphabetical order: {line}");
     }
 }
--- a/crates/daemon/tests/list_log.rs
+++ b/crates/daemon/tests/list_log.rs
@@ -76,7 +76,7 @@
 
 /// Returns the health check's response of the forwarder that logged this `serving` line.
 fn health_response(serving: &str) -> String {
-    health_check(listening_address(serving).expect("an address"))
+    health_check(listening_address(serving).expect("the line has no listening address"))
 }
 
 fn count_lines(lines: &[String], text: &str) -> usize {
@@ -90,7 +90,10 @@
     assert_eq!(count_lines(&lines, ENDPOINT_LISTED), 100);
     assert_eq!(count_lines(&lines, LIST_APPLIED), 1);
     let response = health_response(lines.last().unwrap());
-    assert!(response.starts_with("HTTP/1.1 200 ") && response.ends_with("\r\n\r\nok\n"), "{response}");
+    assert!(
+        response.starts_with("HTTP/1.1 200 ") && response.ends_with("\r\n\r\nok\n"),
+        "response to the health check: {response}"
+    );
 }
 
 #[test]
@@ -99,7 +102,10 @@
     let lines = forwarder.read_log_until(SERVING);
     assert_eq!(count_lines(&lines, NO_CACHED_LIST), 1);
     let response = health_response(lines.last().unwrap());
-    assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
-    assert!(response.ends_with("\r\n\r\nok; no target list yet: discovery has told none\n"), "{response}");
+    assert!(response.starts_with("HTTP/1.1 200 "), "response to the health check: {response}");
+    assert!(
+        response.ends_with("\r\n\r\nok; no target list yet: discovery has told none\n"),
+        "response to the health check: {response}"
+    );
     forwarder.read_log_until(NO_LIST_FOR_DELIVERY);
 }
--- a/crates/daemon/tests/reload.rs
+++ b/crates/daemon/tests/reload.rs
@@ -31,7 +31,7 @@
         }
         sleep(Duration::from_millis(10));
     }
-    panic!("no request was received");
+    panic!("discovery received no request within 10 s");
 }
 
 fn write_config(file: &Path, discovery: SocketAddr) {
--- a/crates/daemon/tests/restarts.rs
+++ b/crates/daemon/tests/restarts.rs
@@ -42,15 +42,15 @@
 /// Validity of an idempotency key in the classes with a short window. Retries start only within the window.
 const SHORT_WINDOW: Duration = Duration::from_secs(1);
 const LONG_WINDOW: Duration = Duration::from_secs(60);
-/// Tolerance of measured times: the margin of time limits on sockets, plus the delay of the endpoint's thread
-/// on a busy machine.
+/// Tolerance of measured times: 50 ms for the margin of time limits on sockets, plus 150 ms for the delay of the
+/// endpoint's thread on a busy machine.
 const TOLERANCE: Duration = Duration::from_millis(50 + 150);
 const FORWARDERS: usize = 10;
 const MESSAGES_PER_FORWARDER: usize = 300;
-/// Minimum messages pending after the kill. On a busy machine some attempts time out before, which ends their
-/// messages.
+/// Minimum number of messages that are pending in each forwarder after its kill. On a busy machine, some
+/// attempts time out before the kill and finish their messages.
 const MIN_PENDING: usize = MESSAGES_PER_FORWARDER / 2;
-/// More kills than are possible within a window.
+/// More kills than are possible within [`SHORT_WINDOW`].
 const UNLIMITED_KILLS: usize = 1000;
 
 /// Behaviour of the endpoint after it has recorded a request.
@@ -201,7 +201,7 @@
         let address = address.recv_timeout(READY_TIMEOUT).expect("the forwarder did not log its address");
         let response = health_check(address);
         let ready_after = started.elapsed();
-        assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
+        assert!(response.starts_with("HTTP/1.1 200 "), "response to the health check: {response}");
         assert!(ready_after < READY_TIMEOUT, "ready after {ready_after:?}");
         ForwarderProcess { process, address, ready_after }
     }
@@ -283,7 +283,10 @@
         }
     });
     let pending: Vec<usize> = folders.iter().map(ForwarderFolder::pending_count).collect();
-    assert!(pending.iter().all(|pending| *pending >= MIN_PENDING), "{pending:?}");
+    assert!(
+        pending.iter().all(|pending| *pending >= MIN_PENDING),
+        "pending messages by forwarder: {pending:?}"
+    );
     stubs.state.set(EndpointBehaviour::Completes);
     let restarted: Vec<ForwarderProcess> = std::thread::scope(|scope| {
         let starts: Vec<_> = folders.iter().map(|folder| scope.spawn(|| folder.start())).collect();
@@ -312,7 +315,7 @@
     forwarder.submit(&messages);
     wait_for("an attempt of each message", || (stubs.state.attempts().len() == messages.len()).then_some(()));
     forwarder.kill();
-    // The window of the latest attempt has to end before the restart.
+    // The restart waits until the short window, which starts at an attempt, has ended for every attempt.
     let last_attempt = stubs.state.attempts().iter().map(|attempt| attempt.at).max().unwrap();
     sleep((last_attempt + SHORT_WINDOW).saturating_duration_since(Instant::now()));
     stubs.state.set(EndpointBehaviour::Completes);
@@ -321,10 +324,10 @@
     let short = ["short", "short-in-zone"];
     assert_eq!(stubs.state.notified_ids(), short.map(str::to_owned).into());
     for id in short {
-        assert_eq!(stubs.state.attempts_of(id).len(), 1, "{id}");
+        assert_eq!(stubs.state.attempts_of(id).len(), 1, "attempts of {id}");
     }
     let long = stubs.state.attempts_of("long");
-    assert_eq!(long.len(), 2, "a retry within the long window");
+    assert_eq!(long.len(), 2, "attempts of the message with the long window, expected one retry");
     assert!(long[1].completed);
 }
 
@@ -341,7 +344,7 @@
     let mut forwarder = folder.start();
     forwarder.submit(&[(id.clone(), class)]);
     let first_attempt = wait_for("the first attempt", || state.attempts_of(&id).first().cloned()).at;
-    // The observation lasts longer than the window, so that a late retry would be seen.
+    // The observation lasts longer than the window, so that a late retry is detected.
     let may_retry = || first_attempt.elapsed() < 3 * SHORT_WINDOW && !state.notified_ids().contains(&id);
     let mut kills = 0;
     while kills < max_kills && may_retry() {
@@ -357,7 +360,11 @@
     folder.wait_until_all_finished();
     let elapsed: Vec<Duration> =
         state.attempts_of(&id).iter().map(|attempt| attempt.at - first_attempt).collect();
-    println!("{id}: {} attempts, {kills} kills, the last after {:?}", elapsed.len(), elapsed.iter().max());
+    println!(
+        "{id}: {} attempts, {kills} kills, the last attempt after {:?}",
+        elapsed.len(),
+        elapsed.iter().max()
+    );
     forwarder.kill();
     elapsed
 }
@@ -371,6 +378,9 @@
         [("short", 1), ("short", UNLIMITED_KILLS), ("short-in-zone", 1), ("short-in-zone", UNLIMITED_KILLS)]
     {
         let attempt_times = attempt_times_with_kills(&folder, &stubs, class, max_kills);
-        assert!(attempt_times.iter().all(|time| *time <= SHORT_WINDOW + TOLERANCE), "{attempt_times:?}");
+        assert!(
+            attempt_times.iter().all(|time| *time <= SHORT_WINDOW + TOLERANCE),
+            "retry after the window: {attempt_times:?}"
+        );
     }
 }
--- a/crates/daemon/tests/support/check_command.rs
+++ b/crates/daemon/tests/support/check_command.rs
@@ -21,17 +21,17 @@
 
 impl CheckResult {
     /// Asserts that the check succeeded, and returns its standard output.
-    pub fn expect_success(&self, what: &str) -> String {
-        assert!(self.0.status.success(), "{what}: {}", String::from_utf8_lossy(&self.0.stderr));
+    pub fn expect_success(&self, case: &str) -> String {
+        assert!(self.0.status.success(), "{case}: {}", String::from_utf8_lossy(&self.0.stderr));
         String::from_utf8_lossy(&self.0.stdout).into_owned()
     }
 
     /// Asserts that the check failed with one line that names the file, and returns the line.
-    pub fn expect_one_line_error(&self, what: &str) -> String {
+    pub fn expect_one_line_error(&self, case: &str) -> String {
         let error = String::from_utf8_lossy(&self.0.stderr).into_owned();
-        assert_eq!(self.0.status.code(), Some(1), "{what}: {error}");
-        assert_eq!(error.lines().count(), 1, "{what}: {error}");
-        assert!(error.starts_with("reeddock: ") && error.contains(CONFIG_FILE), "{what}: {error}");
+        assert_eq!(self.0.status.code(), Some(1), "{case}: {error}");
+        assert_eq!(error.lines().count(), 1, "{case}: {error}");
+        assert!(error.starts_with("reeddock: ") && error.contains(CONFIG_FILE), "{case}: {error}");
         error
     }
 }
--- a/crates/daemon/tests/wal_command.rs
+++ b/crates/daemon/tests/wal_command.rs
@@ -63,10 +63,16 @@
     let folder = TempFolder::new("wal-command");
     let _writer = write_log(folder.path());
     let CommandResult { text, code } = run_ledger(folder.path(), &["--verify"]);
-    assert_eq!(code, Some(0), "{text}");
-    assert!(text.starts_with("sound: 1 segments") && text.contains("2 owed, 1 notices untold"), "{text}");
+    assert_eq!(code, Some(0), "exit code of --verify: {text}");
+    assert!(
+        text.starts_with("sound: 1 segments") && text.contains("2 owed, 1 notices untold"),
+        "output of --verify: {text}"
+    );
     let CommandResult { text, .. } = run_ledger(folder.path(), &["--by", "category"]);
-    assert!(text.contains("category order: 1 owed") && text.contains("1 may have run"), "{text}");
+    assert!(
+        text.contains("category order: 1 owed") && text.contains("1 may have run"),
+        "output of --by category: {text}"
+    );
     assert!(run_ledger(folder.path(), &["--by", "destination"]).text.contains("destination 8: 1 owed"));
     assert!(run_ledger(folder.path(), &["--by", "age"]).text.contains("time is up: 2 owed"));
     let CommandResult { text, .. } = run_ledger(folder.path(), &["--json"]);
@@ -75,9 +81,12 @@
     assert_eq!((&lines[0]["owed"], &lines[0]["may_have_run"]), (&"order-1".into(), &true.into()));
     assert_eq!((&lines[2]["untold"], &lines[2]["end"]), (&"note-2".into(), &"broken_off".into()));
     let CommandResult { text, code } = run_ledger(folder.path(), &[]);
-    assert!(code == Some(0) && text.contains("order-1 order for destination 7"), "{text}");
+    assert!(
+        code == Some(0) && text.contains("order-1 order for destination 7"),
+        "exit code {code:?}: {text}"
+    );
     let notice = "note-2 finished, its notice not acknowledged by the platform: failed\n";
-    assert!(text.contains(notice), "{text}");
+    assert!(text.contains(notice), "expected a line about the notice: {text}");
 }
 
 #[test]
@@ -89,8 +98,11 @@
     bytes[40] ^= 1;
     std::fs::write(&segment, &bytes).unwrap();
     let CommandResult { text, code } = run_ledger(folder.path(), &["--verify"]);
-    assert_eq!(code, Some(1), "{text}");
-    assert!(text.contains("damaged: ledger-000000000001") && text.contains("unknown: order-1"), "{text}");
+    assert_eq!(code, Some(1), "exit code of --verify on a corrupt log: {text}");
+    assert!(
+        text.contains("damaged: ledger-000000000001") && text.contains("unknown: order-1"),
+        "output of --verify on a corrupt log: {text}"
+    );
     assert_eq!(std::fs::read(&segment).unwrap(), bytes, "the command modified the log");
 }
 
@@ -104,6 +116,9 @@
         (["--sync", "0"], "expected never, each, or seconds above 0 and at most 3600"),
     ] {
         let CommandResult { text, code } = run_ledger(folder.path(), &arguments);
-        assert!(code == Some(1) && text.contains(expected) && text.lines().count() == 1, "{text}");
+        assert!(
+            code == Some(1) && text.contains(expected) && text.lines().count() == 1,
+            "exit code {code:?} of {arguments:?}: {text}"
+        );
     }
 }
--- a/crates/daemon/tests/wal_command_names.rs
+++ b/crates/daemon/tests/wal_command_names.rs
@@ -39,8 +39,8 @@
     for arguments in [&["--verify"][..], &["--by", "destination"], &["--by", "age"], &["--by", "colour"]] {
         let by_wal = run_reeddock("wal", folder.path(), arguments);
         let by_ledger = run_reeddock("ledger", folder.path(), arguments);
-        assert!(!by_wal.stdout.is_empty() || !by_wal.stderr.is_empty(), "{arguments:?}");
-        assert_eq!(by_wal, by_ledger, "{arguments:?}");
+        assert!(!by_wal.stdout.is_empty() || !by_wal.stderr.is_empty(), "no output of wal {arguments:?}");
+        assert_eq!(by_wal, by_ledger, "output of {arguments:?} by both names");
     }
 }
 
--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -1,4 +1,5 @@
-//! Lenient access to the values of a JSON object: a value that is null or of the wrong type is treated as absent.
+//! Lenient access to the values of a JSON object: a value that is null or of the wrong type is treated as
+//! absent.
 
 use std::time::Duration;
 
@@ -35,7 +36,7 @@
         self.get(key).and_then(Value::as_array).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the string at a key.
+    /// Returns the string at a key; `None` if absent.
     pub fn text(self, key: &str) -> Option<&'a str> {
         self.get(key).and_then(Value::as_str)
     }
@@ -45,17 +46,17 @@
         self.text(key).unwrap_or_default().to_owned()
     }
 
-    /// Returns the non-negative integer at a key.
+    /// Returns the non-negative integer at a key; `None` if absent.
     pub fn integer(self, key: &str) -> Option<u64> {
         self.get(key).and_then(Value::as_u64)
     }
 
-    /// Returns the number at a key.
+    /// Returns the number at a key; `None` if absent.
     pub fn number(self, key: &str) -> Option<f64> {
         self.get(key).and_then(Value::as_f64)
     }
 
-    /// Returns the time at a key, which is an integer in microseconds.
+    /// Returns the duration at a key, an integer in microseconds; `None` if absent.
     pub fn micros(self, key: &str) -> Option<Duration> {
         self.integer(key).map(Duration::from_micros)
     }
--- a/crates/settings/src/network.rs
+++ b/crates/settings/src/network.rs
@@ -1,4 +1,4 @@
-//! Connection timeouts and the interval at which input is processed. The delivery policy does not use them.
+//! Connection timeouts and the interval at which input is processed. The delivery policy uses neither.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 /// Network settings of a forwarder. A field is `None` if the setting is absent or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NetworkSettings {
-    /// `tickUs`: minimum time between two deliveries of input to the delivery policy, so that concurrent input is
-    /// processed together.
+    /// `tickUs`: minimum time between two deliveries of input to the delivery policy, so that concurrent
+    /// input is processed together.
     pub tick: Option<Duration>,
     /// `policyLimits.connectTimeoutUs`: time after which an attempt to connect fails.
     pub connect_timeout: Option<Duration>,
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Parses whether messages of a class may be executed repeatedly. Deduplication without a window is treated as absent
-/// because it guarantees nothing.
+/// Parses whether messages of a class may be executed repeatedly. Deduplication without a window is treated
+/// as absent because it guarantees nothing.
 fn parse_idempotency(class: Section) -> Option<Idempotency> {
     match class.text("effect")? {
         "idempotent" => Some(Idempotency::Idempotent),
@@ -91,7 +91,8 @@
     TenantQuota { tenant: tenant.text_or_empty("name"), messages_per_second: tenant.number("quotaPerS") }
 }
 
-/// Reads the limits on messages, requests and attempts of a forwarder, and on the `Retry-After` of rejections.
+/// Reads the limits on messages, requests and attempts of a forwarder, and on the `Retry-After` of
+/// rejections.
 fn read_limits(settings: &Map<String, Value>, parsed: &mut Settings) {
     let settings = Section::from(settings);
     let limits = settings.section("policyLimits");
@@ -138,7 +139,7 @@
     parsed.zone_fees = zones.iter().zip(fees).filter_map(|(zone, fee)| parse_zone_fee(zone, fee)).collect();
 }
 
-/// Parses the fee of one zone. `None` if the fee is not a number.
+/// Parses the fee of one zone. Returns `None` if the fee is not a number.
 fn parse_zone_fee(zone: &Value, fee: &Value) -> Option<ZoneFee> {
     let zone = zone.as_str().unwrap_or_default().to_owned();
     fee.as_f64().map(|fee| ZoneFee { zone, fee })
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,5 +1,5 @@
-//! Features that a deployment uses, each read from its own keys of the configuration. Unlike the other modules, this
-//! module refuses invalid values with an error that names the key.
+//! Features that a deployment uses, each read from its own keys of the configuration. Unlike the other
+//! modules, this module rejects invalid values with an error that names the key.
 
 use std::fmt;
 
@@ -11,18 +11,18 @@
 /// Features that a deployment uses, independent of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeploymentShape {
-    /// Whether responses carry the limit of the endpoint's circuit and its remaining share: `report.how` is `piggyback`
-    /// and `report.fields` contains `x0` and `x1`.
+    /// Whether responses carry the limit of the endpoint's circuit and its remaining share: `report.how` is
+    /// `piggyback` and `report.fields` contains `x0` and `x1`.
     pub responses_carry_load_reports: bool,
     /// Accuracy of the request rates in the endpoint list: `weights`.
     pub listed_rates: ListedRates,
-    /// Whether the endpoint list is polled instead of pushed: `discovery` is `subscribe`, and `guarantees.mustAskInUs`
-    /// limits the time between polls.
+    /// Whether the endpoint list is polled instead of pushed: `discovery` is `subscribe`, and
+    /// `guarantees.mustAskInUs` limits the time between polls.
     pub endpoint_list_is_polled: bool,
     /// Whether a message may have two attempts in flight: `policyLimits.mayDuplicate`.
     pub hedging_allowed: bool,
-    /// Whether requests to endpoints with their own circuit have a price by zone: `familyInfo.zoneFee`, which has one
-    /// value for each of `areas`, contains a value above 0.
+    /// Whether requests to endpoints with their own circuit have a price by zone: `familyInfo.zoneFee`, which
+    /// has one value for each of `areas`, contains a value above 0.
     pub has_zone_fees: bool,
 }
 
@@ -37,8 +37,8 @@
     Exact,
 }
 
-/// The keys of the settings that define a [`DeploymentShape`]. Other keys are ignored, and null values are treated as
-/// absent.
+/// The keys of the settings that define a [`DeploymentShape`]. Other keys are ignored, and null values are
+/// treated as absent.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct Keys {
@@ -79,19 +79,20 @@
 #[derive(Default, Deserialize)]
 #[serde(default, expecting = "a JSON object")]
 struct Report {
-    how: How,
+    #[serde(rename = "how")]
+    delivery: ReportDelivery,
     fields: Vec<String>,
 }
 
 /// How load reports are received.
 #[derive(Default, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
-enum How {
-    /// In responses.
+enum ReportDelivery {
+    /// Endpoints add load reports to their responses.
     Piggyback,
-    /// On request.
+    /// Endpoints send load reports on request.
     Pull,
-    /// Load reports are not sent.
+    /// Endpoints send no load reports.
     #[default]
     Silent,
 }
@@ -118,7 +119,11 @@
 }
 
 impl DeploymentShape {
-    /// Reads the features from the settings of a configuration. Returns an error for the first invalid key.
+    /// Reads the features from the settings of a configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] with the first invalid key.
     pub fn from_settings(settings: &Map<String, Value>) -> Result<DeploymentShape, SettingsError> {
         let keys = Keys::read(settings)?;
         let zones = keys.zones.unwrap_or_default();
@@ -152,7 +157,7 @@
     /// Returns whether responses carry a limit and its remaining share.
     fn has_limits(&self) -> bool {
         let has_field = |name: &str| self.fields.iter().any(|field| field == name);
-        self.how == How::Piggyback && has_field("x0") && has_field("x1")
+        self.delivery == ReportDelivery::Piggyback && has_field("x0") && has_field("x1")
     }
 }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn invalid_value_of_a_deployment_feature_is_refused_with_its_key() {
+fn invalid_value_of_a_deployment_feature_is_rejected_with_its_key() {
     for (pointer, value, expected) in [
         ("/az", json!("north"), "az: expected one of the zones in areas"),
         ("/familyInfo/zoneFee", json!([0.01, -1.0]), "familyInfo.zoneFee[1]: expected a fee of 0 or more"),
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -13,7 +13,8 @@
 use crate::instance::{Instance, RegisteredLists};
 use crate::AdapterError;
 
-/// The forwarders of a simulation. They share only the registered endpoint lists, as the simulator's wire defines.
+/// The forwarders of a simulation. They share only the registered endpoint lists, as the simulator's wire
+/// defines.
 #[derive(Default)]
 pub struct SimulationAdapter {
     instances: BTreeMap<u64, Instance>,
@@ -21,27 +22,36 @@
 }
 
 impl SimulationAdapter {
-    /// Applies a batch and returns its reply. Both are one line of JSON. Returns an error if the batch is invalid.
+    /// Applies a batch and returns its reply. Batch and reply are one line of JSON each.
+    ///
+    /// # Errors
+    ///
+    /// [`AdapterError`] if the batch is invalid.
     pub fn process_batch(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Value = serde_json::from_str(line)?;
         let clock = batch.get("wallUs").and_then(Value::as_u64).ok_or(AdapterError::MissingClock)?;
         let now = Duration::from_micros(clock);
         let serial = batch.get("serial").filter(|s| s.is_u64()).ok_or(AdapterError::MissingSerial)?;
-        let parts =
+        let instance_batches =
             batch.get("forwarders").and_then(Value::as_array).ok_or(AdapterError::MissingForwarders)?;
         let mut replies = Vec::new();
-        for part in parts {
-            replies.extend(self.process_part(part, now)?);
+        for instance_batch in instance_batches {
+            replies.extend(self.process_instance(instance_batch, now)?);
         }
         Ok(json!({"serial": serial, "forwarders": replies}).to_string())
     }
 
-    /// Applies the part of a batch for one instance and returns the commands of the instance. `None` if there are none.
+    /// Applies the events of a batch for one instance and returns the commands of the instance; `None` if
+    /// there are none.
     ///
     /// A panic of the delivery policy is reported in the reply with the number of its instance.
-    fn process_part(&mut self, part: &Value, now: Duration) -> Result<Option<Value>, AdapterError> {
-        let number = part.get("i").and_then(Value::as_u64).ok_or(AdapterError::MissingInstance)?;
-        let events = part.get("in").and_then(Value::as_array).ok_or(AdapterError::MissingEvents)?;
+    fn process_instance(
+        &mut self,
+        instance_batch: &Value,
+        now: Duration,
+    ) -> Result<Option<Value>, AdapterError> {
+        let number = instance_batch.get("i").and_then(Value::as_u64).ok_or(AdapterError::MissingInstance)?;
+        let events = instance_batch.get("in").and_then(Value::as_array).ok_or(AdapterError::MissingEvents)?;
         let mut commands = Commands::default();
         let apply = || self.apply_events(number, events, now, &mut commands);
         match catch_unwind(AssertUnwindSafe(apply)) {
--- a/crates/sim-adapter/src/commands.rs
+++ b/crates/sim-adapter/src/commands.rs
@@ -11,7 +11,8 @@
 pub(crate) struct Commands(Vec<Value>);
 
 impl Commands {
-    /// Returns the commands of an instance whose delivery policy panicked, which replace all earlier commands.
+    /// Returns the commands of an instance whose delivery policy panicked, which replace all earlier
+    /// commands.
     pub fn panicked(message: &str) -> Commands {
         Commands(vec![json!(["Panic", message])])
     }
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -22,14 +22,14 @@
     /// The batch has no valid serial number, which its reply repeats.
     #[error("batch: expected a whole number in serial")]
     MissingSerial,
-    /// The batch has no array of parts, one for each forwarder.
+    /// The batch has no array `forwarders`, in which each element is for one instance.
     #[error("batch: expected an array in forwarders")]
     MissingForwarders,
-    /// A part of the batch has no valid instance number.
-    #[error("batch: expected an instance number in key i of each part")]
+    /// An element of `forwarders` has no valid instance number.
+    #[error("batch: expected an instance number in key i of each element of forwarders")]
     MissingInstance,
-    /// A part of the batch has no array of events.
-    #[error("batch: expected an array of events in key in of each part")]
+    /// An element of `forwarders` has no array of events.
+    #[error("batch: expected an array of events in key in of each element of forwarders")]
     MissingEvents,
     /// An event is not an array.
     #[error("event: expected an array")]
@@ -56,10 +56,10 @@
         /// Number of the instance.
         instance: u64,
     },
-    /// `Sync` has an unknown kind.
+    /// A `Sync` event has an unknown kind.
     #[error("Sync: unknown kind {0:?}, expected C, D, F or X")]
     UnknownSyncKind(String),
-    /// `Sync` refers to the number of a list that was not registered.
+    /// A `Sync` event has the number of a list that was not registered.
     #[error("Sync: list {0} is not registered")]
     UnknownList(u64),
     /// An entry of a registered list is not an array.
@@ -68,7 +68,7 @@
     /// An entry of a registered list has an unknown endpoint state.
     #[error("Register entry: unknown state {0:?}, expected active, leaving or left")]
     UnknownEndpointState(String),
-    /// `Settled` has an unknown outcome.
+    /// A `Settled` event has an unknown outcome.
     #[error(
         "Settled: unknown outcome {0:?}, expected delivered, app_error, shed, expired, dial_failed, dropped, revoked or unused"
     )]
--- a/crates/sim-adapter/src/event.rs
+++ b/crates/sim-adapter/src/event.rs
@@ -18,7 +18,7 @@
     DiscoveryFailed,
     /// `Sync` of another kind: the full endpoint list or its changes were received.
     EndpointList {
-        /// Whether it is the full list.
+        /// Whether the full list was received, not its changes.
         is_full_list: bool,
         /// Number that the list was registered under.
         list: u64,
@@ -59,7 +59,7 @@
     pub attempt: AttemptNumber,
     pub endpoint: EndpointId,
     pub outcome: AttemptOutcome,
-    /// Whether the message is finished with this attempt.
+    /// Whether the attempt finished its message.
     pub message_finished: bool,
     /// Values of the load report in the response; `None` if it has none.
     pub load_report: Option<&'a [Value]>,
--- a/crates/sim-adapter/src/event_fields.rs
+++ b/crates/sim-adapter/src/event_fields.rs
@@ -45,7 +45,7 @@
         self.optional_text(index).ok_or_else(|| self.invalid_value(index))
     }
 
-    /// Returns `None` if the value is absent or has the wrong type.
+    /// Returns the string at an index; `None` if the value is absent or has the wrong type.
     pub fn optional_text(&self, index: usize) -> Option<&'a str> {
         self.get(index)?.as_str()
     }
@@ -54,27 +54,27 @@
         self.optional_integer(index)?.ok_or_else(|| self.invalid_value(index))
     }
 
-    /// Returns `None` if the value is absent, and an error if it has the wrong type.
+    /// Returns the integer at an index; `None` if the value is absent, and an error if it has the wrong type.
     pub fn optional_integer(&self, index: usize) -> Result<Option<u64>, AdapterError> {
         let Some(value) = self.get(index) else { return Ok(None) };
         value.as_u64().map(Some).ok_or_else(|| self.invalid_value(index))
     }
 
-    fn small_integer(&self, index: usize) -> Result<u32, AdapterError> {
+    fn integer_u32(&self, index: usize) -> Result<u32, AdapterError> {
         u32::try_from(self.integer(index)?).map_err(|_| self.invalid_value(index))
     }
 
-    /// Returns `None` if the value is absent or has the wrong type.
+    /// Returns the number at an index; `None` if the value is absent or has the wrong type.
     pub fn optional_number(&self, index: usize) -> Option<f64> {
         self.get(index)?.as_f64()
     }
 
-    /// Returns `false` if the value is absent or has the wrong type.
+    /// Returns the boolean at an index; `false` if the value is absent or has the wrong type.
     pub fn flag(&self, index: usize) -> bool {
         self.get(index).and_then(Value::as_bool).unwrap_or_default()
     }
 
-    /// Returns `None` if the value is absent or has the wrong type.
+    /// Returns the array at an index; `None` if the value is absent or has the wrong type.
     pub fn optional_array(&self, index: usize) -> Option<&'a [Value]> {
         self.get(index)?.as_array().map(Vec::as_slice)
     }
@@ -87,7 +87,7 @@
         self.get(index).and_then(Value::as_object).ok_or_else(|| self.invalid_value(index))
     }
 
-    /// Returns a time that is given in microseconds.
+    /// Returns the duration at an index, which is in microseconds on the wire.
     pub fn duration_from_micros(&self, index: usize) -> Result<Duration, AdapterError> {
         self.integer(index).map(Duration::from_micros)
     }
@@ -97,7 +97,7 @@
     }
 
     pub fn endpoint(&self, index: usize) -> Result<EndpointId, AdapterError> {
-        self.small_integer(index).map(EndpointId)
+        self.integer_u32(index).map(EndpointId)
     }
 
     pub fn destination(&self, index: usize) -> Result<DestinationId, AdapterError> {
@@ -105,10 +105,10 @@
     }
 
     pub fn attempt(&self, index: usize) -> Result<AttemptNumber, AdapterError> {
-        self.small_integer(index).map(AttemptNumber)
+        self.integer_u32(index).map(AttemptNumber)
     }
 
     pub fn peer(&self, index: usize) -> Result<PeerId, AdapterError> {
-        self.small_integer(index).map(PeerId)
+        self.integer_u32(index).map(PeerId)
     }
 }
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -17,7 +17,7 @@
 /// A simulated forwarder.
 pub(crate) struct Instance {
     policy: DeliveryPolicy,
-    /// Positions of the values in load reports. `None` if responses carry no load reports.
+    /// Positions of the values in load reports; `None` if responses carry no load reports.
     load_report_fields: Option<LoadReportFields>,
 }
 
@@ -85,8 +85,8 @@
         self.policy.attempt_finished(now, &ended, commands);
     }
 
-    /// Passes the load report of a response to the delivery policy. Must be called before the outcome of the response
-    /// is passed.
+    /// Passes the load report of a response to the delivery policy. Must be called before the outcome of the
+    /// response is passed.
     fn apply_load_report(&mut self, endpoint: EndpointId, values: Option<&[Value]>) {
         let Some((fields, values)) = self.load_report_fields.zip(values) else { return };
         if let Some(report) = fields.parse_report(values) {
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -16,7 +16,8 @@
         .to_string()
 }
 
-/// Returns events that attach an instance and register two lists under the same number, the second with endpoint 7.
+/// Returns events that attach an instance and register two lists under the same number, the second with
+/// endpoint 7.
 fn attach_events() -> Value {
     json!([
         ["Attach", u64::MAX, settings()],
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn event_for_a_retired_instance_is_refused() {
+fn event_for_a_retired_instance_is_rejected() {
     let mut adapter = adapter_with_instance();
     adapter.process_batch(&batch(2, json!([["Retire"]]))).unwrap();
     let error = adapter.process_batch(&batch(3, json!([["Alarm", "wake"]]))).unwrap_err();
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn malformed_batch_is_refused_with_a_one_line_error() {
+fn malformed_batch_is_rejected_with_a_one_line_error() {
     let mut adapter = adapter_with_instance();
     let bad_entry = json!([-4, 1, 9, 0, "active", "z", "k"]);
     for (line, expected) in [
@@ -116,7 +117,7 @@
         ),
     ] {
         let error = adapter.process_batch(line).unwrap_err().to_string();
-        assert!(!error.is_empty() && !error.contains('\n'), "{line}");
-        assert_eq!(error, expected, "{line}");
+        assert!(!error.is_empty() && !error.contains('\n'), "error is empty or has several lines for {line}: {error:?}");
+        assert_eq!(error, expected, "error for {line}");
     }
 }
--- a/crates/wal/examples/owed.rs
+++ b/crates/wal/examples/owed.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of many pending messages: memory, disk space, the duration of a start, and finishing them while new
-//! ones arrive. Each command prints one JSON line, and needs a process of its own because the memory of the process is
-//! measured.
+//! Measures the cost of many pending messages: memory, disk space, the duration of a start, and finishing
+//! them while new ones arrive. Each command prints one JSON line, and needs a process of its own because the
+//! memory of the process is measured.
 //!
 //!     cargo run --release -p reeddock-wal --example owed -- fill FOLDER COUNT BODY_BYTES [DESTINATIONS]
 //!     cargo run --release -p reeddock-wal --example owed -- start FOLDER COUNT BODY_BYTES
@@ -14,9 +14,9 @@
 use reeddock_wal::{AcceptedMessage, Record, SyncPolicy, WriteAheadLog};
 
 /// Number of messages in one append.
-const GROUP: u64 = 16;
+const MESSAGES_PER_APPEND: u64 = 16;
 /// Default number of destinations of the messages.
-const DESTINATIONS: u64 = 320_000;
+const DEFAULT_DESTINATIONS: u64 = 320_000;
 
 fn id(number: u64) -> String {
     format!("{number:08x}-4c1e-4a2b-9d3f-{number:012x}")
@@ -35,8 +35,8 @@
     }
 }
 
-/// Returns a value of `/proc/self/status` in bytes; 0 if the system does not have it.
-fn process_memory(key: &str) -> u64 {
+/// Returns a value of `/proc/self/status` in bytes; 0 if the system does not have the value.
+fn process_memory_bytes(key: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix(key)?.strip_prefix(':'));
     let kilobytes = line.and_then(|l| l.split_whitespace().next()).and_then(|n| n.parse::<u64>().ok());
@@ -51,39 +51,39 @@
 
 /// Accepts `count` messages.
 fn fill(log: &mut WriteAheadLog, count: u64, body: &Bytes, destinations: u64) {
-    for first in (0..count).step_by(GROUP as usize) {
-        let group: Vec<Record> = (first..count.min(first + GROUP))
+    for first in (0..count).step_by(MESSAGES_PER_APPEND as usize) {
+        let records: Vec<Record> = (first..count.min(first + MESSAGES_PER_APPEND))
             .map(|n| Record::Accepted(message(n, body, destinations)))
             .collect();
-        log.append(&group, Duration::ZERO).expect("there is room");
+        log.append(&records, Duration::ZERO).expect("the folder has space for the records");
     }
 }
 
-/// Finishes all pending messages, oldest first, and accepts `new_per_finished` new ones for each. Returns the number of
-/// finished messages.
-fn drain(log: &mut WriteAheadLog, count: u64, body: &Bytes, new_per_finished: f64) -> u64 {
-    let (mut oldest, mut newest, mut new_due) = (0, count, 0.0);
+/// Finishes all pending messages, oldest first, and accepts `new_per_finished` new ones for each. Returns the
+/// number of finished messages.
+fn finish_all(log: &mut WriteAheadLog, count: u64, body: &Bytes, new_per_finished: f64) -> u64 {
+    let (mut oldest, mut newest, mut new_messages_due) = (0, count, 0.0);
     let started = Instant::now();
     while oldest < newest {
-        let mut group = Vec::new();
-        let last = newest.min(oldest + GROUP);
+        let mut records = Vec::new();
+        let last = newest.min(oldest + MESSAGES_PER_APPEND);
         for number in oldest..last {
-            group.push(Record::AttemptStarted {
+            records.push(Record::AttemptStarted {
                 id: id(number),
                 number: 0,
                 endpoint: "target".into(),
                 started_at_unix_us: 1,
             });
-            group.push(Record::Finished { id: id(number), notice: None });
-            new_due += new_per_finished;
+            records.push(Record::Finished { id: id(number), notice: None });
+            new_messages_due += new_per_finished;
         }
         oldest = last;
-        while new_due >= 1.0 {
-            group.push(Record::Accepted(message(newest, body, DESTINATIONS)));
+        while new_messages_due >= 1.0 {
+            records.push(Record::Accepted(message(newest, body, DEFAULT_DESTINATIONS)));
             newest += 1;
-            new_due -= 1.0;
+            new_messages_due -= 1.0;
         }
-        log.append(&group, started.elapsed()).expect("there is room");
+        log.append(&records, started.elapsed()).expect("the folder has space for the records");
     }
     oldest
 }
@@ -103,7 +103,7 @@
         let last = words.get(4);
         match words.first().map(String::as_str) {
             Some("fill") => {
-                let destinations = last.and_then(|word| word.parse().ok()).unwrap_or(DESTINATIONS);
+                let destinations = last.and_then(|word| word.parse().ok()).unwrap_or(DEFAULT_DESTINATIONS);
                 Ok(Command::Fill { destinations: destinations.max(1) })
             }
             Some("start") => Ok(Command::Start),
@@ -126,7 +126,7 @@
                 0
             }
             Command::Start => 0,
-            Command::Drain { new_per_finished } => drain(log, count, body, *new_per_finished),
+            Command::Drain { new_per_finished } => finish_all(log, count, body, *new_per_finished),
         }
     }
 }
@@ -156,14 +156,15 @@
 fn run(arguments: &Arguments) {
     let Arguments { name, command, folder, count, body_bytes } = arguments;
     let body = Bytes::from(vec![7; *body_bytes as usize]);
-    // Pending messages may take two fifths of the folder, so that its limit is more than 2.5 times their size.
-    let message_size = message(0, &body, DESTINATIONS).reserved_bytes();
-    let folder_bytes = count * message_size * 27 / 10 + 64_000_000;
-    std::fs::create_dir_all(folder).expect("the folder can be made");
-    let memory_before = process_memory("VmRSS");
+    // Pending messages take at most two fifths of the folder's limit, so that the limit has to be more than
+    // 2.5 times their size.
+    let message_bytes = message(0, &body, DEFAULT_DESTINATIONS).reserved_bytes();
+    let folder_bytes = count * message_bytes * 27 / 10 + 64_000_000;
+    std::fs::create_dir_all(folder).expect("the folder can be created");
+    let memory_before = process_memory_bytes("VmRSS");
     let open_started = Instant::now();
-    let mut log =
-        WriteAheadLog::open(folder, folder_bytes, SyncPolicy::Never).expect("the write-ahead log opens");
+    let mut log = WriteAheadLog::open(folder, folder_bytes, SyncPolicy::Never)
+        .expect("the write-ahead log can be opened");
     let open_seconds = open_started.elapsed().as_secs_f64();
     let work_started = Instant::now();
     let finished = command.run(&mut log, *count, &body);
@@ -173,8 +174,8 @@
         log.index().counts().messages,
         work_started.elapsed().as_secs_f64(),
         disk_bytes(folder),
-        process_memory("VmRSS").saturating_sub(memory_before),
-        process_memory("VmHWM"),
+        process_memory_bytes("VmRSS").saturating_sub(memory_before),
+        process_memory_bytes("VmHWM"),
     );
 }
 
--- a/crates/wal/src/appending.rs
+++ b/crates/wal/src/appending.rs
@@ -1,5 +1,5 @@
-//! Appends records to the log. An append writes all of its records or none, except on a full disk, where it writes the
-//! records of pending messages without the new messages.
+//! Appends records to the log. An append writes all of its records or none, except on a full disk, where it
+//! writes the records of pending messages without the new messages.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -15,8 +15,8 @@
 /// The outcome of an append that returned no error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendOutcome {
-    /// Whether the new messages among the records were accepted. If not, there was no space for them, and only the
-    /// records of other messages were written.
+    /// Whether the new messages among the records were accepted. If not, there was no space for them, and
+    /// only the records of other messages were written.
     pub messages_accepted: bool,
 }
 
@@ -29,15 +29,17 @@
 }
 
 impl WriteAheadLog {
-    /// Writes records, and then runs one compaction step. The records survive the end of the process after a return
-    /// without error; after an error none of them takes effect. If no space is left, no message is accepted, and the
-    /// disk reserve is released for records of messages that are already pending.
+    /// Writes records, and then runs one compaction step. The records survive the end of the process after a
+    /// return without error; after an error none of them takes effect. If no space is left, no message is
+    /// accepted, and the disk reserve is released for records of messages that are already pending.
     ///
-    /// `now` is the time on any monotonic clock, and decides when syncs are due and when warnings are repeated.
+    /// `now` is the time on any monotonic clock, and decides when syncs are due and when warnings are
+    /// repeated.
     ///
     /// # Errors
     ///
-    /// [`WalError::Io`] if a file operation fails, or if there is no space even for records of pending messages.
+    /// [`WalError::Io`] if a file operation fails, or if there is no space even for records of pending
+    /// messages.
     pub fn append(&mut self, records: &[Record], now: Duration) -> Result<AppendOutcome, WalError> {
         if records.is_empty() {
             return Ok(AppendOutcome { messages_accepted: true });
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Writes the records that concern no new message, and releases the disk reserve if they do not fit otherwise.
+    /// Writes the records that concern no new message, and releases the disk reserve if they do not fit
+    /// otherwise.
     fn append_on_full_disk(&mut self, records: &[Record], now: Duration) -> Result<AppendOutcome, WalError> {
         self.pending_bytes_when_full = Some(self.index.pending_bytes());
         let required = without_new_messages(records);
@@ -89,7 +92,8 @@
         Ok(())
     }
 
-    /// Writes records, syncs them if a sync is due, and applies them to the index. Returns the bytes written.
+    /// Writes records, syncs them if a sync is due, and applies them to the index. Returns the number of
+    /// bytes written.
     fn write_and_sync(&mut self, records: &[Record], now: Duration) -> Result<u64, WalError> {
         self.write_retractions()?;
         let mut encoded = self.encode(records);
@@ -202,7 +206,8 @@
         Ok(undo)
     }
 
-    /// Undoes a failed append. If that fails too, seals the segment, so that nothing is appended after a torn write.
+    /// Undoes a failed append. If that fails too, seals the segment, so that nothing is appended after a torn
+    /// write.
     fn undo_append(&mut self, undo: AppendUndo) {
         let AppendUndo { segment, size_before } = undo;
         let file = segment::file_name(segment);
@@ -238,7 +243,8 @@
     }
 }
 
-/// Returns all records except new messages and their attempts; these are written even if no message can be accepted.
+/// Returns all records except new messages and their attempts; these are written even if no message can be
+/// accepted.
 fn without_new_messages(records: &[Record]) -> Vec<Record> {
     let accepted: BTreeSet<&str> = records
         .iter()
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -1,5 +1,6 @@
-//! Compaction: copies the live records of the first segment to the end of the log, in one bounded step after each
-//! append, and then removes the segment. [`CompactionPlan`](crate::compaction_plan::CompactionPlan) decides when.
+//! Compaction: copies the live records of the first segment to the end of the log, in one bounded step after
+//! each append, and then removes the segment. [`CompactionPlan`](crate::compaction_plan::CompactionPlan)
+//! decides when.
 
 use std::io;
 use std::time::Duration;
@@ -17,18 +18,18 @@
 
 /// Minimum interval between log entries about failures of compaction.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
-/// Minimum ratio of a segment's size to its live records for a compaction on a full disk.
+/// Minimum ratio of a segment's size to the size of its live records for a compaction on a full disk.
 const FULL_DISK_MIN_SIZE_RATIO: u64 = 4;
-/// Maximum number of compaction steps for each pending message that make room for one append, in addition to
+/// Maximum number of compaction steps per pending message that free space for one append, in addition to
 /// [`MAX_BASE_STEPS`].
 const MAX_STEPS_PER_PENDING_MESSAGE: usize = 4;
-/// Maximum number of compaction steps that make room for one append if no message is pending.
+/// Maximum number of compaction steps that free space for one append if no message is pending.
 const MAX_BASE_STEPS: usize = 1000;
 
 /// The live records that one step copies.
 struct CopyBatch {
     records: Vec<Record>,
-    /// Size that is deducted from the plan's copy credit.
+    /// Size of the copied records in bytes, which is deducted from the plan's copy credit.
     bytes: u64,
     /// Whether the segment has no live record after these records.
     reaches_end: bool,
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Runs one bounded compaction step after an append of `appended` bytes, and replenishes the disk reserve. Failures
-    /// do not affect the append.
+    /// Runs one bounded compaction step after an append of `appended` bytes, and replenishes the disk
+    /// reserve. Failures do not affect the append.
     pub(crate) fn compact_after_append(&mut self, appended: u64, now: Duration) {
         if let CompactionStep::Copy { segment, bytes } = self.step_after_append(appended) {
             match self.compact(segment, bytes) {
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Returns the step that is due. After the disk was full, a segment is compacted only if its removal frees far more
-    /// space than its copies take, so that copies do not fill the disk again.
+    /// Returns the step that is due. After the disk was full, a segment is compacted only if its removal
+    /// frees far more space than its copies take, so that copies do not fill the disk again.
     fn step_after_append(&mut self, appended: u64) -> CompactionStep {
-        let planned = self.plan.after_append(appended, self.index.pending_bytes());
+        let planned = self.plan.plan_step_after_append(appended, self.index.pending_bytes());
         let was_full =
             self.pending_bytes_when_full.is_some() || self.reserve_bytes < self.plan.reserve_bytes();
         let forced = self.plan.forced_step();
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Copies about `bytes` bytes of live records of the first segment to the end of the log, and removes the segment
-    /// if it has no more live records. Returns the bytes copied.
+    /// Copies about `bytes` bytes of live records of the first segment to the end of the log, and removes the
+    /// segment if it has no more live records. Returns the bytes copied.
     fn compact(&mut self, segment: u64, bytes: u64) -> Result<u64, WalError> {
         let batch = self.gather_live_records(segment, bytes)?;
         if !batch.records.is_empty() {
@@ -113,7 +114,8 @@
         Ok(batch.bytes)
     }
 
-    /// Reads at least `bytes` bytes of live records of a segment from the compaction offset on, as far as there are any.
+    /// Reads at least `bytes` bytes of live records of a segment from the compaction offset on, as far as
+    /// there are any.
     fn gather_live_records(&mut self, segment: u64, bytes: u64) -> Result<CopyBatch, WalError> {
         let mut batch = CopyBatch { records: Vec::new(), bytes: 0, reaches_end: true };
         let mut next = self.index.first_live_record(segment, self.compaction_offset);
@@ -157,8 +159,9 @@
         Ok(())
     }
 
-    /// Removes the first segment, which has no live record. The copies are synced and the manifest is replaced first:
-    /// otherwise a loss of the machine could restore the segment without the later one that finished its messages.
+    /// Removes the first segment, which has no live record. The copies are synced and the manifest is
+    /// replaced first: otherwise a loss of the machine could restore the segment without the later one that
+    /// finished its messages.
     fn drop_first_segment(&mut self, segment: u64) -> Result<(), WalError> {
         self.sync_all()?;
         self.write_manifest(segment + 1)?;
@@ -173,7 +176,8 @@
         Ok(())
     }
 
-    /// Moves a segment with corrupt parts into quarantine, and removes the oldest quarantined files above the limit.
+    /// Moves a segment with corrupt parts into quarantine, and removes the oldest quarantined files above the
+    /// limit.
     fn quarantine_segment(&mut self, segment: u64) -> Result<(), WalError> {
         let file = segment::file_name(segment);
         let quarantined = Quarantine::name_for(&file);
--- a/crates/wal/src/compaction_plan.rs
+++ b/crates/wal/src/compaction_plan.rs
@@ -1,18 +1,19 @@
 //! Decides what compaction does next and what fits into the folder, from sizes alone and without I/O.
 //!
-//! Records are appended to the last segment. Compaction copies the live records of the first segment to the end of the
-//! log, and then removes the segment. Segments are removed only in the order of their numbers: a `Finished` record
-//! always follows the `Accepted` record of its message, so that no `Finished` record is removed before its `Accepted`
-//! record.
+//! Records are appended to the last segment. Compaction copies the live records of the first segment to the
+//! end of the log, and then removes the segment. Segments are removed only in the order of their numbers: a
+//! `Finished` record always follows the `Accepted` record of its message, so that no `Finished` record is
+//! removed before its `Accepted` record.
 //!
 //! # Invariants
 //!
 //! - All files together take at most [`CompactionPlan::max_bytes`], counted in whole blocks.
-//! - Pending messages take at most two fifths of that limit. Compaction starts at [`CompactionPlan::start_threshold`]
-//!   and copies [`COPIED_PER_APPENDED_BYTE`] bytes for each byte appended, so that it passes all segments before the
-//!   folder is full: while two fifths of the limit are copied, appends add two fifteenths and one segment.
-//! - Attempt records and final records of pending messages always have space: it is reserved when the message is
-//!   accepted (`AcceptedMessage::reserved_bytes`), and backed by the disk reserve.
+//! - Pending messages take at most two fifths of that limit. Compaction starts at
+//!   [`CompactionPlan::start_threshold`] and copies [`COPIED_PER_APPENDED_BYTE`] bytes for each byte
+//!   appended, so that it passes all segments before the folder is full: while two fifths of the limit are
+//!   copied, appends add two fifteenths and one segment.
+//! - Attempt records and final records of pending messages always have space: it is reserved when the message
+//!   is accepted (`AcceptedMessage::reserved_bytes`), and backed by the disk reserve.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +28,8 @@
 /// Divisor of the folder's limit that gives the size of a segment, between [`MIN_SEGMENT_BYTES`] and
 /// [`MAX_SEGMENT_BYTES`].
 const FOLDER_SEGMENT_DIVISOR: u64 = 24;
-/// Lower bound of [`CompactionPlan::max_segment_bytes`], which limits the overhead of headers and block rounding.
+/// Lower bound of [`CompactionPlan::max_segment_bytes`], which limits the overhead of headers and block
+/// rounding.
 const MIN_SEGMENT_BYTES: u64 = 4 * 1024;
 /// Upper bound of [`CompactionPlan::max_segment_bytes`], which limits the time to remove a file.
 const MAX_SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
@@ -59,7 +61,7 @@
 /// The next step of compaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompactionStep {
-    /// Nothing is to be compacted.
+    /// No compaction is due or possible.
     Idle,
     /// Live records of the first segment are copied to the end of the log.
     Copy {
@@ -100,14 +102,14 @@
         self.reserve_bytes
     }
 
-    /// Returns the maximum bytes that may be reserved for pending messages and unacknowledged notices: two fifths of
-    /// the folder's limit.
+    /// Returns the maximum bytes that may be reserved for pending messages and unacknowledged notices: two
+    /// fifths of the folder's limit.
     pub fn max_pending_bytes(&self) -> u64 {
         self.max_bytes * 2 / 5
     }
 
-    /// Returns the size of all files, in bytes, at which compaction starts: eleven twentieths of the folder's limit, or
-    /// less if the files are much larger than what is pending, because a start reads all files.
+    /// Returns the size of all files, in bytes, at which compaction starts: eleven twentieths of the folder's
+    /// limit, or less if the files are much larger than what is pending, because a start reads all files.
     pub fn start_threshold(&self, pending_bytes: u64) -> u64 {
         (self.max_bytes * 11 / 20).min(2 * pending_bytes + 4 * self.max_segment_bytes)
     }
@@ -168,9 +170,9 @@
         self.segment_sizes.last_key_value().map(|(number, _)| *number)
     }
 
-    /// Returns the step after an append of `bytes` bytes. `pending_bytes` is the space that is reserved for pending
-    /// messages and notices.
-    pub fn after_append(&mut self, bytes: u64, pending_bytes: u64) -> CompactionStep {
+    /// Returns the step that is due after an append of `bytes` bytes. `pending_bytes` is the space that is
+    /// reserved for pending messages and notices.
+    pub fn plan_step_after_append(&mut self, bytes: u64, pending_bytes: u64) -> CompactionStep {
         if self.used_bytes() < self.start_threshold(pending_bytes) {
             self.copy_credit = 0;
             return CompactionStep::Idle;
--- a/crates/wal/src/disk_reserve.rs
+++ b/crates/wal/src/disk_reserve.rs
@@ -1,14 +1,15 @@
-//! The disk reserve: a file of zeros that occupies space for the final records of pending messages. The file is removed
-//! when the disk is full, and filled again when there is space.
+//! The disk reserve: a file of zeros that occupies space for the final records of pending messages. The file
+//! is removed when the disk is full, and filled again when there is space.
 
 use crate::compaction_plan::{round_up_to_blocks, BLOCK_BYTES};
 use crate::write_ahead_log::WriteAheadLog;
 
 /// Name of the disk reserve's file.
 pub(crate) const RESERVE_FILE: &str = "ledger.reserve";
-/// Maximum growth of the disk reserve after one append, which bounds the delay of the append.
+/// Maximum number of bytes by which the disk reserve grows after one append, which bounds the delay of the
+/// append.
 const REPLENISH_STEP_BYTES: u64 = 64 * 1024;
-/// Blocks of the current manifest and of the next one.
+/// Number of blocks that the current manifest and the next one take, one each.
 const MANIFEST_BLOCKS: u64 = 2;
 
 impl WriteAheadLog {
--- a/crates/wal/src/file_storage.rs
+++ b/crates/wal/src/file_storage.rs
@@ -11,7 +11,8 @@
 
 /// Name of the file whose lock the writing process holds.
 const LOCK_FILE: &str = "lock";
-/// Maximum number of files that are kept open: the last segment, segments that are copied from, and the disk reserve.
+/// Maximum number of files that are kept open: the last segment, segments that are copied from, and the disk
+/// reserve.
 const MAX_OPEN_FILES: usize = 4;
 
 /// A folder on disk.
@@ -28,14 +29,16 @@
     ///
     /// # Errors
     ///
-    /// [`WalError::AlreadyOpen`] if the lock can't be acquired, and [`WalError::Io`] if the lock file can't be created.
+    /// [`WalError::AlreadyOpen`] if the lock can't be acquired, and [`WalError::Io`] if the lock file can't
+    /// be created.
     pub fn open_for_writing(path: &Path) -> Result<FileStorage, WalError> {
         let lock = File::create(path.join(LOCK_FILE))?;
         lock.try_lock().map_err(|_| WalError::AlreadyOpen)?;
         Ok(FileStorage { path: path.to_owned(), open_files: BTreeMap::new(), _lock: Some(lock) })
     }
 
-    /// Returns a folder for reading, without a lock. Another process may write to the folder at the same time.
+    /// Returns a folder for reading, without a lock. Another process may write to the folder at the same
+    /// time.
     pub fn open_for_reading(path: &Path) -> FileStorage {
         FileStorage { path: path.to_owned(), open_files: BTreeMap::new(), _lock: None }
     }
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -1,8 +1,8 @@
-//! The frame of a record. The header has a marker, the record's length, the record's checksum, and a checksum of the
-//! preceding ten bytes. All numbers are little-endian.
+//! The frame of a record. The header has a marker, the record's length, the record's checksum, and a checksum
+//! of the preceding ten bytes. All numbers are little-endian.
 //!
-//! The header's checksum distinguishes a corrupt length from a record that a torn write cut short. The marker lets the
-//! scan find the next frame after a corrupt part.
+//! The header's checksum distinguishes a corrupt length from a record that a torn write cut short. The marker
+//! lets the scan find the next frame after a corrupt part.
 
 use serde::Serialize;
 
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns the encoded record in the frame at the start of `bytes`; `None` if the frame is incomplete or a checksum does
-/// not match.
+/// Returns the encoded record in the frame at the start of `bytes`; `None` if the frame is incomplete or a
+/// checksum does not match.
 pub(crate) fn payload(bytes: &[u8]) -> Option<&[u8]> {
     let header = FrameHeader::parse(bytes)?;
     let record = bytes.get(FRAME_HEADER_BYTES..header.frame_bytes())?;
--- a/crates/wal/src/inspection.rs
+++ b/crates/wal/src/inspection.rs
@@ -26,12 +26,13 @@
     }
 }
 
-/// Reads the write-ahead log of a folder without a lock and without changing any file. A forwarder may write the log at
-/// the same time.
+/// Reads the write-ahead log of a folder without a lock and without changing any file. A forwarder may write
+/// the log at the same time.
 ///
 /// # Errors
 ///
-/// [`WalError::Io`] if a file can't be read, and [`WalError::UnsupportedVersion`] if a later program wrote the log.
+/// [`WalError::Io`] if a file can't be read, and [`WalError::UnsupportedVersion`] if a later program wrote
+/// the log.
 pub fn inspect(folder: &Path) -> Result<Inspection, WalError> {
     let storage = FileStorage::open_for_reading(folder);
     let mut retries = 0;
--- a/crates/wal/src/manifest.rs
+++ b/crates/wal/src/manifest.rs
@@ -1,7 +1,8 @@
 //! The manifest: a small file that holds the format version and the number of the first segment in use.
 //!
-//! The manifest is replaced after the live records of a segment are copied and before the segment is removed. Without
-//! the manifest, a loss of the machine could restore a removed segment without the later one that finished its messages.
+//! The manifest is replaced after the live records of a segment are copied and before the segment is removed.
+//! Without the manifest, a loss of the machine could restore a removed segment without the later one that
+//! finished its messages.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -20,8 +21,8 @@
 /// Maximum number of bytes that are read from the file; a valid manifest is shorter.
 const MAX_MANIFEST_BYTES: u64 = 4096;
 
-/// The content of the manifest. The order of the fields is their order on disk. Every format version starts with the
-/// version.
+/// The content of the manifest. The order of the fields is their order on disk. Every format version starts
+/// with the version.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Manifest {
     version: u16,
@@ -58,7 +59,8 @@
 ///
 /// # Errors
 ///
-/// [`WalError::UnsupportedVersion`] if a later program wrote the manifest, and [`WalError::Io`].
+/// [`WalError::UnsupportedVersion`] if a later program wrote the manifest, and [`WalError::Io`] if the file
+/// can't be read.
 pub(crate) fn read(storage: &dyn Storage, files: &BTreeMap<String, u64>) -> Result<StoredManifest, WalError> {
     if !files.contains_key(MANIFEST_FILE) {
         return Ok(StoredManifest::Missing);
--- a/crates/wal/src/memory_storage.rs
+++ b/crates/wal/src/memory_storage.rs
@@ -1,5 +1,5 @@
-//! A folder in memory that injects faults, for tests: failures after any operation, torn writes, a full disk, failed
-//! renames, truncations and removals, and the loss of unsynced bytes.
+//! A folder in memory that injects faults, for tests: failures after any operation, torn writes, a full disk,
+//! failed renames, truncations and removals, and the loss of unsynced bytes.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -17,12 +17,12 @@
 /// The faults that a folder in memory injects; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Number of changing operations after which all further ones fail, as if the process was killed; `None` for no
-    /// limit.
+    /// Number of changing operations after which all further ones fail, as if the process was killed; `None`
+    /// for no limit.
     pub fails_after_operations: Option<u64>,
     /// Number of bytes that the first failing operation still writes if that operation is an append.
     pub torn_write_bytes: usize,
-    /// Maximum total size of all files; `None` for no limit.
+    /// Maximum total size of all files in bytes; `None` for no limit.
     pub capacity_bytes: Option<u64>,
     /// Whether all renames fail.
     pub renames_fail: bool,
@@ -70,8 +70,8 @@
         self.lock().operation_count
     }
 
-    /// Returns descriptions of the changing operations before the limit of [`Faults::fails_after_operations`], in their
-    /// order.
+    /// Returns descriptions of the changing operations before the limit of
+    /// [`Faults::fails_after_operations`], in their order.
     pub fn operation_log(&self) -> Vec<String> {
         self.lock().operation_log.clone()
     }
@@ -91,8 +91,8 @@
         })))
     }
 
-    /// Returns a copy of the folder as it is after a loss of the machine: without unsynced bytes and names, and without
-    /// faults.
+    /// Returns a copy of the folder as it is after a loss of the machine: without unsynced bytes and names,
+    /// and without faults.
     pub fn after_machine_loss(&self) -> MemoryStorage {
         let mut files = self.lock().synced_directory.clone();
         for content in files.values_mut() {
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Creates or replaces a file regardless of faults. The content survives a loss of the machine after the next sync of
-    /// the directory.
+    /// Creates or replaces a file regardless of faults. The content survives a loss of the machine after the
+    /// next sync of the directory.
     pub fn write_file(&self, name: &str, bytes: &[u8]) {
         let content = FileContent { bytes: bytes.to_vec(), synced: bytes.len() };
         self.lock().files.insert(name.to_owned(), content);
@@ -127,8 +127,8 @@
 }
 
 impl Folder {
-    /// Counts a changing operation. Returns true for the first operation after the limit, which may be a torn append;
-    /// fails for all later ones.
+    /// Counts a changing operation. Returns true for the first operation after the limit, which may be a torn
+    /// append; fails for all later ones.
     fn begin_operation(&mut self, description: String) -> io::Result<bool> {
         if self.faults.fails_after_operations.is_some_and(|limit| self.operation_count >= limit) {
             let at_limit = self.faults.fails_after_operations == Some(self.operation_count);
--- a/crates/wal/src/opening.rs
+++ b/crates/wal/src/opening.rs
@@ -1,5 +1,5 @@
-//! Opens a write-ahead log: recovers the state, removes files that a killed process left, and migrates the oldest
-//! format.
+//! Opens a write-ahead log: recovers the state, removes files that a killed process left, and migrates the
+//! oldest format.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -20,21 +20,22 @@
 use crate::storage::Storage;
 use crate::write_ahead_log::{SyncPolicy, WriteAheadLog};
 
-/// Maximum number of corrupt places that are logged at a start; `reeddock wal --verify` lists more.
+/// Maximum number of corrupt places that are logged when a log is opened; `reeddock wal --verify` lists more.
 const MAX_LOGGED_CORRUPTIONS: usize = 10;
-/// Maximum number of orphans (messages of which only the id is known) that are named in the log at a start.
+/// Maximum number of orphans (messages of which only the id is known) that are logged when a log is opened.
 const MAX_LOGGED_ORPHANS: usize = 20;
 /// Maximum number of records that a migration writes in one append.
 const MIGRATION_RECORDS_PER_APPEND: usize = 64;
 
 impl WriteAheadLog {
-    /// Opens the write-ahead log of a folder for writing, and locks the folder. All files together take at most
-    /// `max_bytes`.
+    /// Opens the write-ahead log of a folder for writing, and locks the folder. All files together take at
+    /// most `max_bytes`.
     ///
     /// # Errors
     ///
-    /// [`WalError::AlreadyOpen`] if another process has the log open for writing, [`WalError::UnsupportedVersion`] if a
-    /// later program wrote it, and [`WalError::Io`]. Corruption is no error: see [`WriteAheadLog::verification`].
+    /// [`WalError::AlreadyOpen`] if another process has the log open for writing,
+    /// [`WalError::UnsupportedVersion`] if a later program wrote the log, and [`WalError::Io`] if a file
+    /// operation fails. Corruption is not an error; it is reported by [`WriteAheadLog::verification`].
     pub fn open(folder: &Path, max_bytes: u64, sync: SyncPolicy) -> Result<WriteAheadLog, WalError> {
         let storage = FileStorage::open_for_writing(folder)?;
         WriteAheadLog::open_in(Box::new(storage), max_bytes, sync)
@@ -91,8 +92,8 @@
         Ok(log)
     }
 
-    /// Removes files that a killed process left: a manifest that has not replaced the current one, and superseded
-    /// segments.
+    /// Removes files that a killed process left: a manifest that has not replaced the current one, and
+    /// superseded segments.
     fn remove_leftovers(
         &mut self,
         files: &BTreeMap<String, u64>,
@@ -164,8 +165,8 @@
         );
     }
 
-    /// Migrates the single file of the oldest format to segments, and removes the file. A file with corrupt parts is
-    /// quarantined.
+    /// Migrates the single file of the oldest format to segments, and removes the file. A file with corrupt
+    /// parts is quarantined.
     fn migrate_single_file(&mut self, bytes: &[u8]) -> Result<(), WalError> {
         let recovered = std::mem::take(&mut self.index);
         let records = records_to_migrate(&recovered, bytes)?;
@@ -190,8 +191,8 @@
 
 /// Returns a checkpoint for each pending message, then a record for each unacknowledged notice.
 ///
-/// If a message with an unacknowledged notice was accepted again under the same id, only the checkpoint is returned, as
-/// in compaction.
+/// If a message with an unacknowledged notice was accepted again under the same id, only the checkpoint is
+/// returned, as in compaction.
 fn records_to_migrate(index: &PendingIndex, bytes: &[u8]) -> Result<Vec<Record>, WalError> {
     let pending = index.pending().into_iter().map(|message| message.id.clone());
     let notified = index.unacknowledged_notices().map(|notice| notice.id);
--- a/crates/wal/src/pending_index.rs
+++ b/crates/wal/src/pending_index.rs
@@ -1,5 +1,5 @@
-//! The index of the write-ahead log: the pending messages and unacknowledged notices that result from its records. The
-//! index holds the locations of bodies; the bodies themselves stay on disk.
+//! The index of the write-ahead log: the pending messages and unacknowledged notices that result from its
+//! records. The index holds the locations of bodies; the bodies themselves stay on disk.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,9 +11,10 @@
 use crate::record::{AcceptedMessage, AttemptState, Checkpoint, Record, RecordedAttempt};
 use crate::record_view::{AcceptedView, CheckpointView, RecordView};
 
-/// Disk space that is reserved for a notice until the platform has acknowledged it.
+/// Disk space in bytes that is reserved for a notice until the platform has acknowledged it.
 const NOTICE_RESERVED_BYTES: u64 = 160;
-/// Maximum number of orphans (messages of which only the id is known) that are listed; further ones are counted.
+/// Maximum number of orphans (messages of which only the id is known) that are listed; further ones are
+/// counted.
 const MAX_LISTED_ORPHANS: usize = 1000;
 
 /// An accepted message that is not finished.
@@ -33,12 +34,12 @@
     pub deadline_unix_us: u64,
     /// Attempts so far, in the order of their numbers.
     pub attempts: Vec<RecordedAttempt>,
-    /// Whether records of further attempts may have been lost to corruption, so that the message may have been executed
-    /// at an unknown time by an unknown endpoint.
+    /// Whether records of further attempts may have been lost to corruption, so that the message may have
+    /// been executed at an unknown time by an unknown endpoint.
     pub records_lost: bool,
-    /// Disk space that is reserved for the message until it is finished.
+    /// Disk space in bytes that is reserved for the message until it is finished.
     pub reserved_bytes: u64,
-    /// Number of the message in the order of acceptance.
+    /// Number of the message in the order of acceptance, from 1.
     acceptance_number: u64,
     location: RecordLocation,
 }
@@ -86,12 +87,13 @@
 /// All pending messages and unacknowledged notices of a write-ahead log.
 #[derive(Default)]
 pub struct PendingIndex {
-    /// Not a hash map, because an append would wait while a growing hash map moves all entries.
+    /// Pending messages by id. A hash map would delay each append during which it grows and moves all
+    /// entries.
     pending: BTreeMap<MessageId, Box<PendingMessage>>,
     notices: BTreeMap<MessageId, UnacknowledgedNotice>,
     live_records: LiveRecords,
     last_acceptance_number: u64,
-    /// Disk space that is reserved for all pending messages and notices.
+    /// Disk space in bytes that is reserved for all pending messages and notices.
     pending_bytes: u64,
     /// Interned names of classes, tenants and endpoints.
     names: BTreeSet<Arc<str>>,
@@ -139,8 +141,8 @@
         PendingCounts { messages: self.pending.len(), notices: self.notices.len() }
     }
 
-    /// Returns the ids of messages whose `Accepted` record was lost, so that nothing else is known of them. Such
-    /// messages may still be pending.
+    /// Returns the ids of messages whose `Accepted` record was lost, so that nothing else is known of them.
+    /// An orphan may still be pending.
     pub fn orphans(&self) -> impl Iterator<Item = &MessageId> {
         self.orphans.iter()
     }
@@ -173,8 +175,8 @@
         Some(Record::Finished { id: id.0.to_string(), notice: Some(notice.answer) })
     }
 
-    /// Marks all messages that are pending at this point of the log, because lost records may be records of their
-    /// attempts.
+    /// Sets `records_lost` of all messages that are pending at this point of the log, because the lost
+    /// records may be records of their attempts.
     pub(crate) fn mark_records_lost(&mut self) {
         self.pending.values_mut().for_each(|message| message.records_lost = true);
     }
--- a/crates/wal/src/quarantine.rs
+++ b/crates/wal/src/quarantine.rs
@@ -6,7 +6,7 @@
 
 /// Prefix that is added to the names of quarantined files.
 const NAME_PREFIX: &str = "damaged-";
-/// Divisor of the folder's limit that gives the maximum size of the quarantine.
+/// Divisor of the folder's limit that gives the maximum size of the quarantine in bytes.
 const FOLDER_SHARE_DIVISOR: u64 = 16;
 
 /// The quarantined files of a folder, with their lengths in bytes.
@@ -21,7 +21,7 @@
         Quarantine { files: quarantined.map(|(name, size)| (name.clone(), *size)).collect() }
     }
 
-    /// Returns the name of a file in quarantine.
+    /// Returns the name that a file gets when it is moved into quarantine.
     pub fn name_for(file: &str) -> String {
         format!("{NAME_PREFIX}{file}")
     }
@@ -36,8 +36,8 @@
         self.files.values().map(|size| round_up_to_blocks(*size)).sum()
     }
 
-    /// Drops the oldest file if the quarantine exceeds its share of `folder_bytes`, and returns its name. The caller
-    /// removes the file from disk.
+    /// Drops the oldest file if the quarantine exceeds its share of `folder_bytes`, and returns its name. The
+    /// caller removes the file from disk.
     pub fn pop_excess(&mut self, folder_bytes: u64) -> Option<String> {
         if self.used_bytes() <= folder_bytes / FOLDER_SHARE_DIVISOR {
             return None;
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -68,8 +68,8 @@
     Checkpoint(Checkpoint),
 }
 
-/// A pending message with its attempts, copied from a segment that is being compacted. A checkpoint replaces all earlier
-/// records of the message.
+/// A pending message with its attempts, copied from a segment that is being compacted. A checkpoint replaces
+/// all earlier records of the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Checkpoint {
     /// Message as in its `Accepted` record.
--- a/crates/wal/src/record_view.rs
+++ b/crates/wal/src/record_view.rs
@@ -1,5 +1,5 @@
-//! Records as they are encoded on disk. Views borrow from the encoded bytes, because opening a log may read millions of
-//! records.
+//! Records as they are encoded on disk. Views borrow from the encoded bytes, because opening a log may read
+//! millions of records.
 
 use bytes::Bytes;
 use reeddock_protocol::FinalAnswer;
@@ -7,7 +7,7 @@
 
 use crate::record::{AcceptedMessage, Record, RecordedAttempt};
 
-/// Disk space that is reserved for the attempt records of a pending message.
+/// Disk space in bytes that is reserved for the attempt records of a pending message.
 const ATTEMPTS_RESERVED_BYTES: u64 = 512;
 
 /// A record as postcard encodes it.
@@ -42,7 +42,8 @@
     Checkpoint(CheckpointView<AcceptedView<'a>>),
 }
 
-/// The fields of a message that format versions 1 and 2 share. The order of the fields is their order on disk.
+/// The fields of a message that format versions 1 and 2 share. The order of the fields is their order on
+/// disk.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct AcceptedFieldsView<'a> {
     pub id: &'a str,
@@ -72,14 +73,14 @@
     pub records_lost: bool,
 }
 
-/// Writes the body at once, while serde's default for slices writes byte by byte.
+/// Writes the body at once. The default of serde for slices writes byte by byte.
 fn serialize_bytes<S: Serializer>(body: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(body)
 }
 
 impl<'a> RecordView<'a> {
-    /// Decodes a record of any format version and converts it to the current one. Returns `None` if the bytes are no
-    /// record.
+    /// Decodes a record of any format version and converts it to the current one. Returns `None` if the bytes
+    /// can't be decoded as a record.
     pub fn decode(bytes: &'a [u8]) -> Option<RecordView<'a>> {
         Some(match postcard::from_bytes(bytes).ok()? {
             RecordView::AcceptedV1(fields) => RecordView::Accepted(fields.without_idempotency_key()),
@@ -93,7 +94,8 @@
         })
     }
 
-    /// Returns the message that the record carries; `None` if it is neither an accepted message nor a checkpoint.
+    /// Returns the message that the record carries; `None` if the record is neither `Accepted` nor
+    /// `Checkpoint`.
     pub fn accepted(&self) -> Option<AcceptedMessage> {
         match self {
             RecordView::Accepted(accepted) => Some(accepted.to_owned()),
@@ -110,7 +112,8 @@
 }
 
 impl AcceptedView<'_> {
-    /// Returns the disk space that is reserved for the message and its attempt records until it is finished, in bytes.
+    /// Returns the disk space that is reserved for the message and its attempt records until it is finished,
+    /// in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         let fields = &self.fields;
         let optional = |text: Option<&str>| text.map_or(0, str::len);
@@ -135,7 +138,8 @@
 }
 
 impl AcceptedMessage {
-    /// Returns the disk space that is reserved for the message and its attempt records until it is finished, in bytes.
+    /// Returns the disk space that is reserved for the message and its attempt records until it is finished,
+    /// in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         self.view().reserved_bytes()
     }
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -41,7 +41,8 @@
     pub superseded_segments: Vec<u64>,
     /// Number of the first segment in use.
     pub first_segment: u64,
-    /// Content of the single file of the oldest format; `None` if there is none, or if the folder is migrated.
+    /// Content of the single file of the oldest format; `None` if there is none, or if the folder is already
+    /// migrated.
     pub single_file: Option<Vec<u8>>,
     /// Whether a manifest exists, even if it is corrupt.
     pub has_manifest: bool,
@@ -53,7 +54,8 @@
 ///
 /// # Errors
 ///
-/// [`WalError::UnsupportedVersion`] if the manifest or any segment has a later version, and [`WalError::Io`].
+/// [`WalError::UnsupportedVersion`] if the manifest or any segment has a later version, and [`WalError::Io`]
+/// if a file can't be read.
 pub(crate) fn read(storage: &dyn Storage) -> Result<RecoveredState, WalError> {
     let files = storage.files()?;
     let manifest = manifest::read(storage, &files)?;
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Reads the single file of the oldest format. Any segments next to the file were left by an interrupted migration.
+    /// Reads the single file of the oldest format. Any segments next to the file were left by an interrupted
+    /// migration.
     fn read_single_file(&mut self, storage: &dyn Storage) -> Result<(), WalError> {
         self.superseded_segments = std::mem::take(&mut self.segments).into_keys().collect();
         let mut bytes = Vec::new();
@@ -122,8 +125,8 @@
                 lowest.unwrap_or(1)
             }
         };
-        let counted = self.segments.split_off(&self.first_segment);
-        let superseded = std::mem::replace(&mut self.segments, counted);
+        let in_use = self.segments.split_off(&self.first_segment);
+        let superseded = std::mem::replace(&mut self.segments, in_use);
         self.superseded_segments = superseded.into_keys().collect();
         if self.segments.is_empty() && self.first_segment > 1 {
             // Compaction never removes the last segment, so that at least one must exist.
@@ -170,8 +173,8 @@
             SegmentHeader::Incomplete | SegmentHeader::Corrupt => {
                 self.add_corruption(number, Corruption::new(&file, 0, SEGMENT_HEADER_BYTES as u64));
             }
-            // A segment of an older version is not appended to, because the older program would report the new
-            // records as corruption.
+            // A segment of an older version is not appended to, because the older program would report the
+            // new records as corruption.
             SegmentHeader::Supported { version } if is_last => self.last_segment_is_older = version < VERSION,
             SegmentHeader::Supported { .. } | SegmentHeader::Unsupported { .. } => {}
         }
@@ -211,8 +214,8 @@
         }
     }
 
-    /// Reports a corrupt part, and marks all messages that are pending at this point of the log, because their records
-    /// may have been in the corrupt part.
+    /// Reports a corrupt part, and marks all messages that are pending at this point of the log, because
+    /// their records may have been in the corrupt part.
     fn add_corruption(&mut self, segment: u64, corruption: Corruption) {
         self.verification.add(corruption);
         self.index.mark_records_lost();
--- a/crates/wal/src/segment_scan.rs
+++ b/crates/wal/src/segment_scan.rs
@@ -9,14 +9,15 @@
 
 /// Bytes that are read at once; bounds the number of system calls and the memory.
 const READ_BYTES: usize = 256 * 1024;
-/// Bytes at the start of a corrupt part that are searched for a hint, if no frame header gives the part's length.
+/// Bytes at the start of a corrupt part that are searched for a hint, if no frame header gives the part's
+/// length.
 const HINT_SEARCH_BYTES: usize = 256;
 /// Minimum length of a hint; shorter runs of printable bytes are common in binary data.
 const MIN_HINT_BYTES: usize = 4;
 /// Maximum length of a hint; longer runs of text are cut, so that bodies are not printed.
 const MAX_HINT_BYTES: usize = 64;
 
-/// An item of a segment. Offsets and lengths are in bytes of the file.
+/// A part of a segment that a scan returns. Offsets and lengths are in bytes of the file.
 #[derive(Debug)]
 pub(crate) enum ScanItem {
     /// A frame whose checksums match. [`SegmentScan::record`] decodes the record until the next item is read.
@@ -103,7 +104,8 @@
         &self.buffer[self.position..]
     }
 
-    /// Returns the record of the last item; `None` if the record can't be decoded although its checksum matches.
+    /// Returns the record of the last item; `None` if the record can't be decoded although its checksum
+    /// matches.
     pub fn record(&self) -> Option<RecordView<'_>> {
         RecordView::decode(self.buffer.get(self.last_record.clone())?)
     }
--- a/crates/wal/src/single_file.rs
+++ b/crates/wal/src/single_file.rs
@@ -1,5 +1,5 @@
-//! The oldest format: a single file of frames with length and checksum, without a file header. The file is migrated to
-//! segments by the first start of a program that writes segments.
+//! The oldest format: a single file of frames with length and checksum, without a file header. The file is
+//! migrated to segments by the first start of a program that writes segments.
 
 use crate::live_records::RecordLocation;
 use crate::pending_index::PendingIndex;
@@ -11,7 +11,8 @@
 pub(crate) const FILE_NAME: &str = "ledger";
 /// Size of a frame's header: length and checksum.
 const FRAME_HEADER_BYTES: usize = 8;
-/// Maximum length of a record; a frame with a greater length is corrupt. A record with a body of 64 KiB is shorter.
+/// Maximum length of a record; a frame with a greater length is corrupt. A record with a body of 64 KiB is
+/// shorter.
 const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// A valid frame with its length in bytes.
@@ -50,14 +51,16 @@
         while position < bytes.len() && parse_frame(&bytes[position..]).is_none() {
             position += 1;
         }
-        // A torn write can't be distinguished from corruption, because the length has no checksum in this format.
+        // A torn write can't be distinguished from corruption, because the length has no checksum in this
+        // format.
         index.mark_records_lost();
         corruptions.push(Corruption::new(FILE_NAME, start as u64, (position - start) as u64));
     }
     corruptions
 }
 
-/// Reads the message whose record is at a location; returns `None` if the record is corrupt or carries no message.
+/// Reads the message whose record is at a location; returns `None` if the record is corrupt or carries no
+/// message.
 pub(crate) fn read_message(bytes: &[u8], location: RecordLocation) -> Option<AcceptedMessage> {
     parse_frame(bytes.get(location.offset as usize..)?)?.record.accepted()
 }
--- a/crates/wal/src/storage.rs
+++ b/crates/wal/src/storage.rs
@@ -6,13 +6,14 @@
 /// One folder of files, without subfolders.
 ///
 /// [`FileStorage`](crate::FileStorage) is a folder on disk.
-/// [`MemoryStorage`](crate::memory_storage::MemoryStorage) is a folder in memory that injects faults, for tests.
+/// [`MemoryStorage`](crate::memory_storage::MemoryStorage) is a folder in memory that injects faults, for
+/// tests.
 pub trait Storage: Send {
     /// Returns the names of all files with their lengths in bytes.
     fn files(&self) -> io::Result<BTreeMap<String, u64>>;
 
-    /// Appends to a file, and creates the file if it does not exist. After an error any number of the bytes may have been
-    /// written.
+    /// Appends to a file, and creates the file if it does not exist. After an error any number of the bytes
+    /// may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Shortens a file to a length in bytes.
--- a/crates/wal/src/verification.rs
+++ b/crates/wal/src/verification.rs
@@ -12,7 +12,7 @@
     pub file: String,
     /// Offset of the part in the file, in bytes.
     pub offset: u64,
-    /// Length of the part; 0 if the whole file is missing.
+    /// Length of the part in bytes; 0 if the whole file is missing.
     pub bytes: u64,
     /// Longest run of printable text in the part, probably an id; empty if there is none.
     pub hint: String,
@@ -50,8 +50,8 @@
 /// The result of reading a whole write-ahead log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// Bytes of a torn write at the end of the last segment. A killed process usually leaves a torn write, which is not
-    /// corruption.
+    /// Bytes of a torn write at the end of the last segment. A killed process usually leaves a torn write,
+    /// which is not corruption.
     pub torn_bytes: u64,
     /// The first corrupt places, in the order in which they were found.
     pub corruptions: Vec<Corruption>,
@@ -59,7 +59,7 @@
     pub unlisted_corruptions: u64,
     /// Number of segments that were read.
     pub segments: u64,
-    /// Size of all segments, or of the single file of the oldest format.
+    /// Size of all segments, or of the single file of the oldest format, in bytes.
     pub bytes: u64,
     /// Number of records with matching checksums in segments; 0 for the single file of the oldest format.
     pub records: u64,
--- a/crates/wal/tests/processes.rs
+++ b/crates/wal/tests/processes.rs
@@ -1,7 +1,7 @@
 //! Guards against records that are lost when a process is killed at a random moment.
 //!
-//! These tests have a test program of their own, because a child process briefly inherits the file locks of its parent,
-//! so that other tests in the same program could find their folders locked.
+//! These tests have a test program of their own, because a child process briefly inherits the file locks of
+//! its parent, so that other tests in the same program could find their folders locked.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Write};
@@ -16,7 +16,8 @@
 
 use support::{accepted, finished, started};
 
-/// Environment variable with the folder of the child process; without the variable, the child's test does nothing.
+/// Environment variable with the folder of the child process; without the variable, the child's test does
+/// nothing.
 const FOLDER_VARIABLE: &str = "REEDDOCK_WAL_TEST_FOLDER";
 const FOLDER_BYTES: u64 = 200_000;
 /// First words of the lines that the child process prints; the id of a message follows.
@@ -57,7 +58,8 @@
             .spawn()
             .unwrap();
         let lines = BufReader::new(child.stdout.take().unwrap());
-        // The process is killed after `kill_after` lines; the lines that it printed before it ended are read too.
+        // The process is killed after `kill_after` lines; the lines that it printed before it ended are read
+        // too.
         let kill_after = random.random_range(1..900);
         let mut printed = 0;
         for line in lines.lines() {
@@ -75,21 +77,21 @@
         child.wait().unwrap();
         assert!(printed >= kill_after, "round {round}: the child process ended before it was killed");
         let Inspection { index, verification } = inspect(folder.path()).unwrap();
-        assert!(verification.is_sound(), "round {round}: {verification:?}");
+        assert!(verification.is_sound(), "round {round}: corruption reported: {verification:?}");
         let found: BTreeSet<String> =
             index.pending().iter().map(|message| message.id.0.to_string()).collect();
-        // The last group may have been written without its line.
+        // The last append may have been written before its line was printed.
         let missing: Vec<_> = pending.difference(&found).collect();
-        let more: Vec<_> = found.difference(&pending).collect();
+        let unexpected: Vec<_> = found.difference(&pending).collect();
         assert!(
-            missing.len() <= 1 && more.len() <= 1,
-            "round {round}: {missing:?} missing, {more:?} unexpected"
+            missing.len() <= 1 && unexpected.len() <= 1,
+            "round {round}: {missing:?} missing, {unexpected:?} unexpected"
         );
         assert!(index.pending().iter().all(|message| message.attempts.len() == 1 && !message.records_lost));
         pending = found;
         // The next round opens the same folder.
         let size: u64 =
             std::fs::read_dir(folder.path()).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum();
-        assert!(size <= FOLDER_BYTES, "{size}");
+        assert!(size <= FOLDER_BYTES, "{size} bytes in the folder, limit {FOLDER_BYTES}");
     }
 }
--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -3,7 +3,8 @@
 use bytes::Bytes;
 use reeddock_wal::{AcceptedMessage, Record};
 
-/// Returns the record of a message with all optional fields; the body repeats the id up to `body_bytes` bytes.
+/// Returns the record of a message with all optional fields; the body repeats the id up to `body_bytes`
+/// bytes.
 pub fn accepted(id: &str, body_bytes: usize) -> Record {
     Record::Accepted(AcceptedMessage {
         id: id.into(),
--- a/crates/wal/tests/wal/compaction.rs
+++ b/crates/wal/tests/wal/compaction.rs
@@ -19,7 +19,7 @@
         assert!(log.used_bytes() <= LARGE_FOLDER_BYTES);
     }
     // Finished messages do not fill the folder.
-    assert!(log.used_bytes() < 300_000, "{}", log.used_bytes());
+    assert!(log.used_bytes() < 300_000, "{} bytes used, expected less than 300000", log.used_bytes());
     assert_eq!(reopen(&memory).index().counts(), PendingCounts { messages: 0, notices: 0 });
 }
 
@@ -38,7 +38,11 @@
             log.append(&[finished(&done)], NOW).unwrap();
         }
         let found = reopen(&memory);
-        assert_eq!(pending_ids(&found), pending, "after {n}, in the order of acceptance");
+        assert_eq!(
+            pending_ids(&found),
+            pending,
+            "pending messages after message {n}, in the order of acceptance"
+        );
         assert!(found.index().pending().iter().all(|message| message.attempts.len() == 1));
     }
 }
--- a/crates/wal/tests/wal/corruption.rs
+++ b/crates/wal/tests/wal/corruption.rs
@@ -32,7 +32,10 @@
     }
     // A finished message is either still finished or counts as possibly executed.
     if let Some(done) = log.index().get(&MessageId("cccc-done".into())) {
-        assert!(done.records_lost || !done.attempts.is_empty(), "{place}");
+        assert!(
+            done.records_lost || !done.attempts.is_empty(),
+            "{place}: cccc-done is pending, but counts as never executed"
+        );
     }
 }
 
@@ -52,27 +55,27 @@
             }
         }
     }
-    assert!(flips > 1500, "{flips}");
+    assert!(flips > 1500, "{flips} bits were flipped, expected more than 1500");
 }
 
 #[test]
 fn unreadable_bytes_after_the_last_record_are_kept_and_not_appended_to() {
-    for noise in [vec![0; 700], (0..700).map(|n| (n * 7 % 251) as u8).collect::<Vec<u8>>()] {
+    for unreadable in [vec![0; 700], (0..700).map(|n| (n * 7 % 251) as u8).collect::<Vec<u8>>()] {
         let (memory, model) = mixed_records();
         let mut bytes = memory.bytes(FIRST_SEGMENT);
-        bytes.extend(&noise);
+        bytes.extend(&unreadable);
         memory.write_file(FIRST_SEGMENT, &bytes);
         let mut log = open(&memory);
         assert!(!log.verification().is_sound());
         assert_eq!(log.index().counts().messages, model.pending.len());
         log.append(&[accepted("later", 10)], NOW).unwrap();
-        assert_eq!(memory.bytes(FIRST_SEGMENT), bytes, "the segment is unchanged");
+        assert_eq!(memory.bytes(FIRST_SEGMENT), bytes, "the segment with unreadable bytes was changed");
         assert!(reopen(&memory).index().get(&MessageId("later".into())).is_some());
         // The segment is quarantined when it has no more live records.
         let mut load = Load::new(3, 300);
         load.model = Model { pending: model.pending.clone(), notices: Default::default() };
         load.model.pending.insert("later".into(), Vec::new());
-        load.play(&mut log, 600).unwrap();
+        load.append_groups(&mut log, 600).unwrap();
         assert!(memory.files().unwrap().contains_key(&format!("damaged-{FIRST_SEGMENT}")));
     }
 }
--- a/crates/wal/tests/wal/crashes.rs
+++ b/crates/wal/tests/wal/crashes.rs
@@ -11,18 +11,20 @@
 use crate::model::Model;
 use crate::support::accepted;
 
-const GROUPS: usize = 200;
+/// Number of groups of records that a test appends.
+const GROUP_COUNT: usize = 200;
 const BODY_BYTES: usize = 300;
 
-/// Makes the storage through which the log accesses its folder.
+/// Creates the storage through which the log accesses its folder.
 type MakeStorage = fn(MemoryStorage) -> Box<dyn Storage>;
 
 fn direct_storage(memory: MemoryStorage) -> Box<dyn Storage> {
     Box::new(memory)
 }
 
-/// Appends the load until operations fail, and compares the state that the next start reads with the reference model.
-fn crash(
+/// Appends the load until operations fail, and compares the state that the next start reads with the
+/// reference model.
+fn check_state_after_crash(
     fails_after_operations: u64,
     torn_write_bytes: usize,
     sync: SyncPolicy,
@@ -36,65 +38,71 @@
     });
     let mut load = Load::new(7, BODY_BYTES);
     let opened = WriteAheadLog::open_in(make_storage(memory.clone()), FOLDER_BYTES, sync);
-    let played = match opened {
-        Ok(mut log) => load.play(&mut log, GROUPS),
+    let appended = match opened {
+        Ok(mut log) => load.append_groups(&mut log, GROUP_COUNT),
         Err(_) => Ok(()),
     };
-    let (before, after) = match played {
+    let (before, after) = match appended {
         Ok(()) => (load.model.clone(), load.model.clone()),
         Err(failed) => (failed.before, failed.after),
     };
-    let left = if sync == SyncPolicy::EachAppend { memory.after_machine_loss() } else { memory.after_kill() };
+    let remaining =
+        if sync == SyncPolicy::EachAppend { memory.after_machine_loss() } else { memory.after_kill() };
     let mut log =
-        WriteAheadLog::open_in(Box::new(left.clone()), FOLDER_BYTES, sync).map_err(|e| e.to_string())?;
+        WriteAheadLog::open_in(Box::new(remaining.clone()), FOLDER_BYTES, sync).map_err(|e| e.to_string())?;
     if !log.verification().is_sound() {
         return Err(format!("corruption reported after a crash: {:?}", log.verification().corruptions));
     }
-    Model::of(log.index()).is_between(&before, &after)?;
+    Model::from_index(log.index()).check_between(&before, &after)?;
     // The log accepts and keeps further messages.
     let mut next = Load::new(8, BODY_BYTES);
-    next.model = Model::of(log.index());
+    next.model = Model::from_index(log.index());
     log.append(&[accepted("later", 10)], Default::default()).map_err(|e| e.to_string())?;
     next.model.pending.insert("later".into(), Vec::new());
     drop(log);
-    let again =
-        WriteAheadLog::open_in(Box::new(left.after_kill()), FOLDER_BYTES, sync).map_err(|e| e.to_string())?;
-    Model::of(again.index()).is_between(&next.model, &next.model)
+    let reopened = WriteAheadLog::open_in(Box::new(remaining.after_kill()), FOLDER_BYTES, sync)
+        .map_err(|e| e.to_string())?;
+    Model::from_index(reopened.index()).check_between(&next.model, &next.model)
 }
 
-/// Returns the number of operations of the whole load, and how many of them are renames and removals by compaction.
-fn operations(sync: SyncPolicy) -> (u64, usize) {
+/// Returns the number of operations of the whole load, and how many of them are renames and removals by
+/// compaction.
+fn count_operations(sync: SyncPolicy) -> (u64, usize) {
     let memory = MemoryStorage::default();
     let mut log = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, sync).unwrap();
-    let opened = memory.operation_count();
-    Load::new(7, BODY_BYTES).play(&mut log, GROUPS).unwrap();
-    assert!(opened > 0);
+    let operations_to_open = memory.operation_count();
+    Load::new(7, BODY_BYTES).append_groups(&mut log, GROUP_COUNT).unwrap();
+    assert!(operations_to_open > 0);
     let log = memory.operation_log();
-    let of_compaction = log.iter().filter(|line| line.starts_with("rename") || line.starts_with("remove"));
-    (memory.operation_count(), of_compaction.count())
+    let by_compaction = log.iter().filter(|line| line.starts_with("rename") || line.starts_with("remove"));
+    (memory.operation_count(), by_compaction.count())
 }
 
 #[test]
 fn kill_after_any_operation_or_within_an_append_loses_and_restores_no_message() {
-    let (all, of_compaction) = operations(SyncPolicy::Never);
-    assert!(all > 220 && of_compaction > 15, "{all} operations, {of_compaction} of compaction");
-    for at in 0..all {
+    let (total, by_compaction) = count_operations(SyncPolicy::Never);
+    assert!(total > 220 && by_compaction > 15, "{total} operations, {by_compaction} of them by compaction");
+    for operation_count in 0..total {
         for torn_write_bytes in [0, 13, 150] {
-            crash(at, torn_write_bytes, SyncPolicy::Never, direct_storage)
-                .unwrap_or_else(|e| panic!("after {at}, torn at {torn_write_bytes}: {e}"));
+            check_state_after_crash(operation_count, torn_write_bytes, SyncPolicy::Never, direct_storage)
+                .unwrap_or_else(|error| {
+                    panic!("kill after {operation_count} operations, torn write of {torn_write_bytes} bytes: {error}")
+                });
         }
     }
 }
 
 #[test]
 fn machine_loss_after_any_operation_keeps_synced_records() {
-    let (all, _) = operations(SyncPolicy::EachAppend);
-    for at in 0..all {
-        crash(at, 30, SyncPolicy::EachAppend, direct_storage).unwrap_or_else(|e| panic!("after {at}: {e}"));
+    let (total, _) = count_operations(SyncPolicy::EachAppend);
+    for operation_count in 0..total {
+        check_state_after_crash(operation_count, 30, SyncPolicy::EachAppend, direct_storage)
+            .unwrap_or_else(|e| panic!("machine loss after {operation_count} operations: {e}"));
     }
 }
 
-/// A storage that delays one kind of operation until the next removal of a segment, so that their order is swapped.
+/// A storage that delays one kind of operation until the next removal of a segment, so that their order is
+/// swapped.
 struct ReorderingStorage {
     inner: MemoryStorage,
     /// Returns whether an operation on a file is delayed.
@@ -172,7 +180,8 @@
     }
 }
 
-/// Guards against crash tests that detect nothing: with two operations in the wrong order, some crash must fail.
+/// Guards against crash tests that detect nothing: with two operations in the wrong order, at least one crash
+/// test must fail.
 #[test]
 fn crash_tests_detect_operations_in_the_wrong_order() {
     let manifest_after_removal: MakeStorage = |inner| {
@@ -183,9 +192,13 @@
         let delays = |operation, name: &str| operation == Operation::Append && name.starts_with("ledger-");
         Box::new(ReorderingStorage { inner, delays, delayed: Vec::new() })
     };
-    let (all, _) = operations(SyncPolicy::Never);
+    let (total, _) = count_operations(SyncPolicy::Never);
     for reordered in [manifest_after_removal, copies_after_removal] {
-        let detected = (0..all).filter(|at| crash(*at, 0, SyncPolicy::Never, reordered).is_err()).count();
-        assert!(detected > 0, "no crash between the two operations is detected");
+        let detected = (0..total)
+            .filter(|operation_count| {
+                check_state_after_crash(*operation_count, 0, SyncPolicy::Never, reordered).is_err()
+            })
+            .count();
+        assert!(detected > 0, "no crash test failed, although two operations were in the wrong order");
     }
 }
--- a/crates/wal/tests/wal/full_disk.rs
+++ b/crates/wal/tests/wal/full_disk.rs
@@ -19,10 +19,10 @@
         match log.append(&[accepted(&id, 300)], NOW) {
             Ok(outcome) if outcome.messages_accepted => pending.push(id),
             Ok(_) => return pending,
-            Err(error) => panic!("{capacity_bytes}: {error}"),
+            Err(error) => panic!("disk of {capacity_bytes} bytes: append of {id} failed: {error}"),
         }
     }
-    panic!("{capacity_bytes}: never full");
+    panic!("disk of {capacity_bytes} bytes: 200 messages were accepted, expected a full disk");
 }
 
 #[test]
@@ -32,19 +32,25 @@
         memory.set_faults(Faults { capacity_bytes: Some(capacity_bytes), ..Faults::default() });
         let mut log = open(&memory);
         let mut pending = accept_until_full(&mut log, capacity_bytes);
-        assert!(pending.len() > 3, "{capacity_bytes}: {} pending", pending.len());
-        assert_eq!(log.free_bytes(), 0, "bytes are free on a full disk");
+        assert!(
+            pending.len() > 3,
+            "disk of {capacity_bytes} bytes: {} messages accepted, expected more than 3",
+            pending.len()
+        );
+        assert_eq!(log.free_bytes(), 0, "free bytes on a full disk");
         for id in &pending {
-            log.append(&[started(id, 0)], NOW)
-                .unwrap_or_else(|error| panic!("{capacity_bytes}: start {id}: {error}"));
+            log.append(&[started(id, 0)], NOW).unwrap_or_else(|error| {
+                panic!("disk of {capacity_bytes} bytes: start of an attempt of {id} failed: {error}")
+            });
         }
         // Messages finish oldest first or newest first; the newest ones free nothing in the first segment.
         if capacity_bytes % 2_000 == 0 {
             pending.reverse();
         }
         for id in &pending {
-            log.append(&[finished(id)], NOW)
-                .unwrap_or_else(|error| panic!("{capacity_bytes}: finish {id}: {error}"));
+            log.append(&[finished(id)], NOW).unwrap_or_else(|error| {
+                panic!("disk of {capacity_bytes} bytes: finish of {id} failed: {error}")
+            });
         }
         assert_eq!(reopen(&memory).index().counts(), PendingCounts { messages: 0, notices: 0 });
         // When there is space, the disk reserve is filled again and messages are accepted.
@@ -63,30 +69,36 @@
         let Ok(mut log) = opened else { continue };
         let mut load = Load::new(5, 200);
         for _ in 0..120 {
-            let group = load.group(&log);
+            let group = load.next_group(&log);
             match log.append(&group, NOW) {
                 Ok(outcome) => apply_written(&mut load.model, &group, outcome),
-                Err(error) => assert_eq!(error.kind(), io::ErrorKind::StorageFull, "{capacity_bytes}"),
+                Err(error) => {
+                    assert_eq!(error.kind(), io::ErrorKind::StorageFull, "disk of {capacity_bytes} bytes")
+                }
             }
         }
         let after = reopen(&memory);
-        assert!(after.verification().is_sound(), "{capacity_bytes}: {:?}", after.verification());
-        Model::of(after.index())
-            .is_between(&load.model, &load.model)
-            .unwrap_or_else(|error| panic!("{capacity_bytes}: {error}"));
+        assert!(
+            after.verification().is_sound(),
+            "disk of {capacity_bytes} bytes: corruption reported: {:?}",
+            after.verification()
+        );
+        Model::from_index(after.index())
+            .check_between(&load.model, &load.model)
+            .unwrap_or_else(|error| panic!("disk of {capacity_bytes} bytes: {error}"));
     }
 }
 
-/// Appends a load, its later part with faults, and compares the pending messages after the next start with the
-/// reference model.
-fn play_with_faults(faults: impl Fn(&MemoryStorage) -> Faults, what: &str) {
+/// Appends a load, its later part with faults, and compares the pending messages after the next start with
+/// the reference model.
+fn check_load_with_faults(faults: impl Fn(&MemoryStorage) -> Faults, failing_operations: &str) {
     let memory = MemoryStorage::default();
     let mut log = open(&memory);
     let mut load = Load::new(11, 300);
-    load.play(&mut log, 60).unwrap();
+    load.append_groups(&mut log, 60).unwrap();
     memory.set_faults(faults(&memory));
     for _ in 0..100 {
-        let group = load.group(&log);
+        let group = load.next_group(&log);
         if let Ok(outcome) = log.append(&group, NOW) {
             apply_written(&mut load.model, &group, outcome);
         }
@@ -94,17 +106,17 @@
     memory.set_faults(Faults::default());
     let found: BTreeSet<String> = pending_ids(&reopen(&memory)).into_iter().collect();
     let expected: BTreeSet<String> = load.model.pending.keys().cloned().collect();
-    assert_eq!(found, expected, "{what}");
+    assert_eq!(found, expected, "pending messages after failed {failing_operations}");
 }
 
 #[test]
 fn failed_rename_truncation_or_removal_loses_nothing() {
-    play_with_faults(|_| Faults { renames_fail: true, ..Faults::default() }, "renames");
+    check_load_with_faults(|_| Faults { renames_fail: true, ..Faults::default() }, "renames");
     let full_without_truncation = |memory: &MemoryStorage| Faults {
         truncations_fail: true,
         capacity_bytes: Some(memory.total_bytes() + 2_000),
         ..Faults::default()
     };
-    play_with_faults(full_without_truncation, "truncations");
-    play_with_faults(|_| Faults { removals_fail: true, ..Faults::default() }, "removals");
+    check_load_with_faults(full_without_truncation, "truncations");
+    check_load_with_faults(|_| Faults { removals_fail: true, ..Faults::default() }, "removals");
 }
--- a/crates/wal/tests/wal/harness.rs
+++ b/crates/wal/tests/wal/harness.rs
@@ -31,15 +31,16 @@
     log.index().pending().iter().map(|message| message.id.0.to_string()).collect()
 }
 
-/// Applies the records that an append wrote to the model; each record of the group is about a different message.
+/// Applies the records that an append wrote to the model. Each record of the group has to be about a
+/// different message.
 pub fn apply_written(model: &mut Model, group: &[Record], outcome: AppendOutcome) {
     let written =
         group.iter().filter(|record| outcome.messages_accepted || !matches!(record, Record::Accepted(_)));
     written.for_each(|record| model.apply(record));
 }
 
-/// Returns the folder of a log with various records, and the model of its state: an attempt in flight, an attempt that
-/// was not executed, a finished message, a message without attempts, and an acknowledged notice.
+/// Returns the folder of a log with various records, and the model of its state: an attempt in flight, an
+/// attempt that was not executed, a finished message, a message without attempts, and an acknowledged notice.
 pub fn mixed_records() -> (MemoryStorage, Model) {
     let memory = MemoryStorage::default();
     let mut log = open(&memory);
--- a/crates/wal/tests/wal/load.rs
+++ b/crates/wal/tests/wal/load.rs
@@ -10,7 +10,8 @@
 use crate::model::Model;
 use crate::support::{accepted, finished, started};
 
-/// A generator of groups of records; each record of a group is about a different message.
+/// A generator of groups of records. A group is appended in one append, and each of its records is about a
+/// different message.
 pub struct Load {
     random: Pcg32,
     accepted_count: u32,
@@ -19,14 +20,14 @@
     pub model: Model,
 }
 
-/// A failed append of a group.
+/// The failure of an append, with the states that the log may have after it.
 #[derive(Debug, thiserror::Error)]
-#[error("a group could not be appended: {error}")]
-pub struct PlayError {
+#[error("cannot append a group of records: {error}")]
+pub struct AppendGroupsError {
     pub error: WalError,
-    /// Model without the group.
+    /// Model without the records of the failed append.
     pub before: Model,
-    /// Model with the group.
+    /// Model with the records of the failed append.
     pub after: Model,
 }
 
@@ -36,19 +37,20 @@
     }
 
     /// Returns the next group without applying it to the model.
-    pub fn group(&mut self, log: &WriteAheadLog) -> Vec<Record> {
+    pub fn next_group(&mut self, log: &WriteAheadLog) -> Vec<Record> {
         let mut group = Vec::new();
         let mut used: Vec<String> = Vec::new();
         for _ in 0..self.random.random_range(1..5) {
-            let Some(record) = self.record(log, &used) else { continue };
+            let Some(record) = self.draw_record(log, &used) else { continue };
             used.push(id_of(&record).to_owned());
             group.push(record);
         }
         group
     }
 
-    /// Returns a record about none of the used messages; `None` if the drawn message does not fit into the log.
-    fn record(&mut self, log: &WriteAheadLog, used: &[String]) -> Option<Record> {
+    /// Returns a record about a message that is not in `used`; `None` if the drawn message does not fit into
+    /// the log.
+    fn draw_record(&mut self, log: &WriteAheadLog, used: &[String]) -> Option<Record> {
         let ids: Vec<String> = self.model.pending.keys().filter(|id| !used.contains(id)).cloned().collect();
         let drawn = (!ids.is_empty()).then(|| ids[self.random.random_range(0..ids.len())].clone());
         let notified = self.model.notices.keys().find(|id| !used.contains(id)).cloned();
@@ -76,14 +78,18 @@
         (message.reserved_bytes() * 4 <= log.free_bytes()).then_some(record)
     }
 
-    /// Appends a number of groups, and applies each to the model.
-    pub fn play(&mut self, log: &mut WriteAheadLog, groups: usize) -> Result<(), Box<PlayError>> {
+    /// Appends a number of groups, and applies each to the model. Stops at the first failed append.
+    pub fn append_groups(
+        &mut self,
+        log: &mut WriteAheadLog,
+        groups: usize,
+    ) -> Result<(), Box<AppendGroupsError>> {
         for n in 0..groups {
-            let group = self.group(log);
+            let group = self.next_group(log);
             let before = self.model.clone();
             group.iter().for_each(|record| self.model.apply(record));
             if let Err(error) = log.append(&group, Duration::from_millis(n as u64)) {
-                return Err(Box::new(PlayError { error, before, after: self.model.clone() }));
+                return Err(Box::new(AppendGroupsError { error, before, after: self.model.clone() }));
             }
         }
         Ok(())
@@ -95,6 +101,6 @@
         Record::Accepted(message) => &message.id,
         Record::AttemptStarted { id, .. } | Record::AttemptFinished { id, .. } => id,
         Record::Finished { id, .. } | Record::NoticeAcknowledged { id } => id,
-        Record::Checkpoint(_) => unreachable!("only the write-ahead log writes these"),
+        Record::Checkpoint(_) => unreachable!("the load draws no checkpoints"),
     }
 }
--- a/crates/wal/tests/wal/model.rs
+++ b/crates/wal/tests/wal/model.rs
@@ -32,17 +32,17 @@
             }
             Record::Finished { id, notice } => {
                 self.pending.remove(id);
-                if let Some(end) = notice {
-                    self.notices.insert(id.clone(), *end);
+                if let Some(answer) = notice {
+                    self.notices.insert(id.clone(), *answer);
                 }
             }
             Record::NoticeAcknowledged { id } => drop(self.notices.remove(id)),
-            Record::Checkpoint(_) => unreachable!("only the write-ahead log writes these"),
+            Record::Checkpoint(_) => unreachable!("tests append no checkpoints"),
         }
     }
 
-    /// Returns the state in an index; panics if records of a message were lost.
-    pub fn of(index: &PendingIndex) -> Model {
+    /// Returns the model of the state in an index. Panics if records of a message were lost.
+    pub fn from_index(index: &PendingIndex) -> Model {
         let pending = index.pending().into_iter().map(|message| {
             assert!(!message.records_lost, "records of {} were lost", message.id.0);
             (message.id.0.to_string(), message.attempts.iter().map(|attempt| attempt.state).collect())
@@ -51,15 +51,16 @@
         Model { pending: pending.collect(), notices: notices.collect() }
     }
 
-    /// Checks that each message and each notice is as before a group of records or as after it.
-    pub fn is_between(&self, before: &Model, after: &Model) -> Result<(), String> {
-        each_is_between("message", &self.pending, &before.pending, &after.pending)?;
-        each_is_between("notice", &self.notices, &before.notices, &after.notices)
+    /// Checks that each message and each notice is as in `before` or as in `after`, the models around an
+    /// append.
+    pub fn check_between(&self, before: &Model, after: &Model) -> Result<(), String> {
+        check_each_between("message", &self.pending, &before.pending, &after.pending)?;
+        check_each_between("notice", &self.notices, &before.notices, &after.notices)
     }
 }
 
-fn each_is_between<T: PartialEq + std::fmt::Debug>(
-    what: &str,
+fn check_each_between<T: PartialEq + std::fmt::Debug>(
+    kind: &str,
     found: &BTreeMap<String, T>,
     before: &BTreeMap<String, T>,
     after: &BTreeMap<String, T>,
@@ -67,7 +68,7 @@
     for id in before.keys().chain(after.keys()).chain(found.keys()) {
         let (found, before, after) = (found.get(id), before.get(id), after.get(id));
         if found != before && found != after {
-            return Err(format!("{what} {id} is {found:?}, expected {before:?} or {after:?}"));
+            return Err(format!("{kind} {id} is {found:?}, expected {before:?} or {after:?}"));
         }
     }
     Ok(())
--- a/crates/wal/tests/wal/old_formats.rs
+++ b/crates/wal/tests/wal/old_formats.rs
@@ -163,14 +163,14 @@
     assert_eq!(pending_with_keys(&log), before);
     let segment = memory.bytes(FIRST_SEGMENT);
     log.append(&[accepted("new", 30)], NOW).unwrap();
-    assert_eq!(memory.bytes(FIRST_SEGMENT), segment, "a program of version 1 can still read the segment");
+    assert_eq!(memory.bytes(FIRST_SEGMENT), segment, "the segment of version 1 was changed");
     assert_eq!(memory.bytes("ledger-000000000002")[8..10], 2u16.to_le_bytes());
     let new = ("new".to_string(), 0, Some("key of new".to_string()));
     assert_eq!(pending_with_keys(&reopen(&memory)), [before[0].clone(), before[1].clone(), new]);
 }
 
-/// Returns a single file of twenty messages with an attempt each, every third of them finished, and the model of its
-/// state.
+/// Returns a single file of twenty messages with an attempt each, every third of them finished, and the model
+/// of its state.
 fn single_file() -> (Vec<u8>, Model) {
     let mut model = Model::default();
     let mut bytes = Vec::new();
@@ -202,11 +202,15 @@
     for stop in 0..=operations {
         let memory = start_until(Some(stop)).after_kill();
         let log = open(&memory);
-        assert_eq!(Model::of(log.index()), model, "killed after {stop}");
-        assert!(log.verification().is_sound(), "killed after {stop}: {:?}", log.verification());
+        assert_eq!(Model::from_index(log.index()), model, "killed after {stop} operations");
+        assert!(
+            log.verification().is_sound(),
+            "killed after {stop} operations, corruption reported: {:?}",
+            log.verification()
+        );
         let first = log.index().pending()[0].clone();
         assert_eq!(log.read_message(&first).unwrap().body.len(), 30);
-        assert!(!memory.files().unwrap().contains_key(SINGLE_FILE), "killed after {stop}");
+        assert!(!memory.files().unwrap().contains_key(SINGLE_FILE), "killed after {stop} operations");
     }
 }
 
@@ -233,8 +237,8 @@
     bytes[18..22].copy_from_slice(&checksum.to_le_bytes());
     memory.write_file(FIRST_SEGMENT, &bytes);
     let operations = memory.operation_count();
-    let refused = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
-    let line = refused.err().unwrap().to_string();
-    assert_eq!(line, format!("{FIRST_SEGMENT} has format version 9, expected version 2 or earlier"));
+    let opened = WriteAheadLog::open_in(Box::new(memory.clone()), FOLDER_BYTES, SyncPolicy::Never);
+    let error = opened.err().unwrap().to_string();
+    assert_eq!(error, format!("{FIRST_SEGMENT} has format version 9, expected version 2 or earlier"));
     assert_eq!(memory.operation_count(), operations);
 }
--- a/crates/wal/tests/wal/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -43,11 +43,11 @@
         let mut load = Load::new(seed, body_bytes);
         for step in steps {
             match step {
-                Step::AppendGroups(groups) => load.play(&mut log, groups).unwrap(),
+                Step::AppendGroups(groups) => load.append_groups(&mut log, groups).unwrap(),
                 Step::FinishAll => {
-                    let ends: Vec<Record> = load.model.pending.keys().map(|id| finished(id)).collect();
-                    ends.iter().for_each(|record| load.model.apply(record));
-                    log.append(&ends, Default::default()).unwrap();
+                    let records: Vec<Record> = load.model.pending.keys().map(|id| finished(id)).collect();
+                    records.iter().for_each(|record| load.model.apply(record));
+                    log.append(&records, Default::default()).unwrap();
                 }
                 Step::Kill | Step::LoseMachine => {
                     drop(log);
@@ -56,8 +56,8 @@
                     prop_assert!(log.verification().is_sound());
                 }
             }
-            prop_assert_eq!(&Model::of(log.index()), &load.model);
-            prop_assert!(log.used_bytes() <= folder_bytes, "{} of {}", log.used_bytes(), folder_bytes);
+            prop_assert_eq!(&Model::from_index(log.index()), &load.model);
+            prop_assert!(log.used_bytes() <= folder_bytes, "{} bytes used, limit {}", log.used_bytes(), folder_bytes);
             prop_assert!(memory.total_bytes() <= folder_bytes);
             for pending in log.index().pending() {
                 let accepted = log.read_message(pending).unwrap();
--- a/crates/wal/tests/wal/reopening.rs
+++ b/crates/wal/tests/wal/reopening.rs
@@ -47,14 +47,15 @@
 fn pending_messages_are_restored_in_order_with_their_attempts() {
     let folder = tempfile::tempdir().unwrap();
     let mut log = open(&folder);
-    let returned = Record::AttemptFinished { id: "b".into(), number: 0, proves_not_executed: true };
-    let records = [accepted("b"), accepted("a"), accepted("c"), started("b", 0), returned, started("b", 1)];
+    let attempt_finished = Record::AttemptFinished { id: "b".into(), number: 0, proves_not_executed: true };
+    let records =
+        [accepted("b"), accepted("a"), accepted("c"), started("b", 0), attempt_finished, started("b", 1)];
     log.append(&records, NOW).unwrap();
     log.append(&[finished("a")], NOW).unwrap();
     log.append(&[Record::Finished { id: "c".into(), notice: Some(FinalAnswer::Failed) }], NOW).unwrap();
     let second = WriteAheadLog::open(folder.path(), FOLDER_BYTES, SyncPolicy::Never);
-    let locked = "cannot lock the folder: another process has its write-ahead log open for writing";
-    assert_eq!(second.err().unwrap().to_string(), locked);
+    let expected = "cannot lock the folder: another process has its write-ahead log open for writing";
+    assert_eq!(second.err().unwrap().to_string(), expected);
     drop(log);
 
     let mut log = open(&folder);
@@ -76,18 +77,21 @@
     let folder = tempfile::tempdir().unwrap();
     open(&folder).append(&[accepted("whole")], NOW).unwrap();
     let segment = folder.path().join(FIRST_SEGMENT);
-    let whole = fs::metadata(&segment).unwrap().len();
+    let whole_bytes = fs::metadata(&segment).unwrap().len();
     open(&folder).append(&[accepted("torn")], NOW).unwrap();
-    for length in (whole + 1)..fs::metadata(&segment).unwrap().len() {
+    for length in (whole_bytes + 1)..fs::metadata(&segment).unwrap().len() {
         let copy = tempfile::tempdir().unwrap();
         copy_files(folder.path(), copy.path());
         let torn = OpenOptions::new().write(true).open(copy.path().join(FIRST_SEGMENT)).unwrap();
         torn.set_len(length).unwrap();
         let mut log = open(&copy);
-        assert!(log.verification().is_sound() && log.verification().torn_bytes > 0, "{length}");
+        assert!(
+            log.verification().is_sound() && log.verification().torn_bytes > 0,
+            "segment cut to {length} bytes"
+        );
         log.append(&[accepted("later")], NOW).unwrap();
         drop(log);
-        assert_eq!(pending_ids(&open(&copy)), ["whole", "later"], "{length}");
+        assert_eq!(pending_ids(&open(&copy)), ["whole", "later"], "segment cut to {length} bytes");
     }
 }
 
--- a/crates/wal/tests/wal/state_before_rename.rs
+++ b/crates/wal/tests/wal/state_before_rename.rs
@@ -1,4 +1,4 @@
-//! Guards against a changed encoding of state folders, which an earlier build wrote.
+//! Guards against a changed encoding: state folders that an earlier build wrote must stay readable.
 //! `tests/fixtures/state-before-rename/README.md` describes how the folders were written.
 
 use std::collections::BTreeMap;
@@ -20,19 +20,20 @@
 #[derive(Clone, Copy)]
 struct Fixture {
     name: &'static str,
-    messages: u64,
+    message_count: u64,
     /// Whether messages have idempotency keys, which the single file does not have.
     has_idempotency_keys: bool,
 }
 
-const APPENDED: Fixture = Fixture { name: "appended", messages: 60, has_idempotency_keys: true };
-const COMPACTED: Fixture = Fixture { name: "compacted", messages: 400, has_idempotency_keys: true };
-const SINGLE_FILE: Fixture = Fixture { name: "single-file", messages: 60, has_idempotency_keys: false };
+const APPENDED: Fixture = Fixture { name: "appended", message_count: 60, has_idempotency_keys: true };
+const COMPACTED: Fixture = Fixture { name: "compacted", message_count: 400, has_idempotency_keys: true };
+const SINGLE_FILE: Fixture = Fixture { name: "single-file", message_count: 60, has_idempotency_keys: false };
 
-/// The first number of each four pending messages of `compacted`, in the order in which the old build lists them.
+/// First message number of each run of four pending messages in the fixture `compacted`, in the order of the
+/// earlier build.
 ///
-/// The order differs from the order of acceptance, because the numbers of acceptance start from 1 again if earlier
-/// segments were removed, while checkpoints keep their numbers.
+/// The order differs from the order of acceptance, because the numbers of acceptance start from 1 again if
+/// earlier segments were removed, while checkpoints keep their numbers.
 const COMPACTED_ORDER: [u64; 8] = [0, 300, 50, 100, 150, 200, 350, 250];
 
 /// An attempt of a message in a fixture.
@@ -48,7 +49,7 @@
         Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/state-before-rename").join(self.name)
     }
 
-    /// Returns a copy of the folder that may be written to.
+    /// Returns a copy of the folder that a test can change.
     fn copy(&self) -> TempDir {
         let copy = tempfile::tempdir().unwrap();
         for (name, bytes) in files(&self.folder()) {
@@ -57,14 +58,14 @@
         copy
     }
 
-    /// Returns whether the program that wrote the fixture finished the message and acknowledged its notice after the
-    /// records of [`history`].
-    fn is_cleared(&self, n: u64) -> bool {
-        self.messages > 100 && n >= 10 && n % 50 != n % 10
+    /// Returns whether the program that wrote the fixture finished the message and acknowledged its notice
+    /// after the records of [`history`].
+    fn is_finished_and_acknowledged(&self, n: u64) -> bool {
+        self.message_count > 100 && n >= 10 && n % 50 != n % 10
     }
 
     fn message(&self, n: u64) -> AcceptedMessage {
-        let body: Vec<u8> = (0..(n % 5) * 20).map(|at| (at * 7 + n) as u8).collect();
+        let body: Vec<u8> = (0..(n % 5) * 20).map(|index| (index * 7 + n) as u8).collect();
         AcceptedMessage {
             id: format!("fixture-{n:03}"),
             class: if n.is_multiple_of(2) { "order" } else { "notice" }.into(),
@@ -78,27 +79,28 @@
         }
     }
 
-    /// Returns the pending messages with their attempts, in the order in which the build that wrote them lists them.
+    /// Returns the pending messages with their attempts, in the order of the earlier build.
     fn pending(&self) -> Vec<(AcceptedMessage, Vec<AttemptFields>)> {
         let numbers: Vec<u64> = match self.name {
             "compacted" => COMPACTED_ORDER.iter().flat_map(|first| *first..first + 4).collect(),
-            _ => (0..self.messages).filter(|n| n % 10 < 4).collect(),
+            _ => (0..self.message_count).filter(|n| n % 10 < 4).collect(),
         };
         numbers.into_iter().map(|n| (self.message(n), attempts(n))).collect()
     }
 
     /// Returns the notices that the platform has not acknowledged, in the order of their ids.
     fn unacknowledged(&self) -> Vec<(String, FinalAnswer)> {
-        let ends = (0..self.messages).filter(|n| !self.is_cleared(*n)).filter_map(|n| {
-            let end = match n % 10 {
-                5 => FinalAnswer::Rejected { retry_after: Some(Duration::from_millis(1500 + n)) },
-                6 => FinalAnswer::Rejected { retry_after: None },
-                7 => FinalAnswer::Failed,
-                _ => return None,
-            };
-            Some((format!("fixture-{n:03}"), end))
-        });
-        ends.collect()
+        let notices =
+            (0..self.message_count).filter(|n| !self.is_finished_and_acknowledged(*n)).filter_map(|n| {
+                let answer = match n % 10 {
+                    5 => FinalAnswer::Rejected { retry_after: Some(Duration::from_millis(1500 + n)) },
+                    6 => FinalAnswer::Rejected { retry_after: None },
+                    7 => FinalAnswer::Failed,
+                    _ => return None,
+                };
+                Some((format!("fixture-{n:03}"), answer))
+            });
+        notices.collect()
     }
 }
 
@@ -175,11 +177,11 @@
     pending: &[(AcceptedMessage, Vec<AttemptFields>)],
     notified: &[(String, FinalAnswer)],
 ) {
-    assert!(log.verification().is_sound(), "{:?}", log.verification());
+    assert!(log.verification().is_sound(), "corruption reported: {:?}", log.verification());
     assert_eq!(log.verification().torn_bytes, 0);
     let found = log.index().pending();
     let expected: Vec<&str> = pending.iter().map(|(message, _)| message.id.as_str()).collect();
-    assert_eq!(pending_ids(log), expected, "in the order of the build that wrote them");
+    assert_eq!(pending_ids(log), expected, "pending messages, in the order of the earlier build");
     for (found, (message, attempts)) in found.iter().zip(pending) {
         assert_eq!(&log.read_message(found).unwrap(), message);
         assert_eq!(&*found.class, message.class);
@@ -187,8 +189,8 @@
         assert_eq!((found.ordering_key, found.destination), (message.ordering_key, message.destination));
         assert_eq!(found.deadline_unix_us, message.deadline_unix_us);
         assert_eq!(found.reserved_bytes, message.reserved_bytes());
-        assert!(!found.records_lost, "{}", message.id);
-        assert_eq!(&fields_of_attempts(found), attempts, "{}", message.id);
+        assert!(!found.records_lost, "records of {} were lost", message.id);
+        assert_eq!(&fields_of_attempts(found), attempts, "attempts of {}", message.id);
     }
     assert_eq!(notices(log.index()), notified);
     let counts = PendingCounts { messages: pending.len(), notices: notified.len() };
@@ -257,12 +259,12 @@
     for fixture in [APPENDED, COMPACTED, SINGLE_FILE] {
         let copy = fixture.copy();
         let Inspection { index, verification } = inspect(copy.path()).unwrap();
-        assert!(verification.is_sound(), "{}: {verification:?}", fixture.name);
+        assert!(verification.is_sound(), "{}: corruption reported: {verification:?}", fixture.name);
         let ids: Vec<String> = index.pending().iter().map(|p| p.id.0.to_string()).collect();
         let expected: Vec<String> = fixture.pending().into_iter().map(|(message, _)| message.id).collect();
-        assert_eq!(ids, expected, "{}", fixture.name);
-        assert_eq!(notices(&index), fixture.unacknowledged(), "{}", fixture.name);
-        assert_eq!(files(copy.path()), files(&fixture.folder()), "{}", fixture.name);
+        assert_eq!(ids, expected, "pending messages of {}", fixture.name);
+        assert_eq!(notices(&index), fixture.unacknowledged(), "notices of {}", fixture.name);
+        assert_eq!(files(copy.path()), files(&fixture.folder()), "files of {}", fixture.name);
     }
 }
 
@@ -271,10 +273,10 @@
     for fixture in [APPENDED, COMPACTED] {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        for n in 0..fixture.messages {
+        for n in 0..fixture.message_count {
             log.append(&[Record::Accepted(fixture.message(n))], NOW).unwrap();
             log.append(&history(n), NOW).unwrap();
-            if fixture.is_cleared(n) {
+            if fixture.is_finished_and_acknowledged(n) {
                 let id = fixture.message(n).id;
                 let finished = Record::Finished { id: id.clone(), notice: None };
                 log.append(&[finished, Record::NoticeAcknowledged { id }], NOW).unwrap();
@@ -283,7 +285,7 @@
         drop(log);
         let (written, expected) = (files(folder.path()), files(&fixture.folder()));
         let names = |files: &BTreeMap<String, Vec<u8>>| files.keys().cloned().collect::<Vec<_>>();
-        assert_eq!(names(&written), names(&expected), "{}", fixture.name);
+        assert_eq!(names(&written), names(&expected), "file names of {}", fixture.name);
         for (name, bytes) in &expected {
             assert!(&written[name] == bytes, "{}: {name} differs", fixture.name);
         }
