--- a/crates/daemon/src/config_file.rs
+++ b/crates/daemon/src/config_file.rs
@@ -18,18 +18,18 @@
 /// Key of the cached endpoint list in the file.
 const ENDPOINT_LIST_KEY: &str = "known";
 
-/// A configuration file without the entries of its endpoint list.
+/// A configuration file as read, with a summary in place of its endpoint list.
 #[derive(Default)]
-pub struct Contents {
-    /// All sections except the endpoint list.
-    pub sections: Sections,
+pub struct ConfigFile {
+    pub sections: ConfigSections,
     /// Summary of the endpoint list; `None` if the file has no list.
     pub endpoint_list: Option<EndpointListSummary>,
 }
 
-/// The sections of a configuration as unvalidated JSON; null for an absent section.
+/// The sections of a configuration file, except the endpoint list, as unvalidated JSON; null for an absent
+/// section.
 #[derive(Default)]
-pub struct Sections {
+pub struct ConfigSections {
     /// Address that clients connect to.
     pub listen: Value,
     /// Address of discovery, which also receives delivery notices.
@@ -42,7 +42,7 @@
     pub settings: Value,
 }
 
-impl Sections {
+impl ConfigSections {
     /// Returns the section with this key, or `None` for an unknown key, whose value is ignored.
     fn get_mut(&mut self, key: &str) -> Option<&mut Value> {
         match key {
@@ -66,18 +66,18 @@
 
 /// Reads a file and calls `on_entry` for each entry of its endpoint list. If an error is returned, `on_entry`
 /// was already called for the entries before the error.
-pub fn read(file: &Path, on_entry: &mut dyn FnMut(ListEntry)) -> Result<Contents, ConfigError> {
+pub fn read(file: &Path, on_entry: &mut dyn FnMut(ListEntry)) -> Result<ConfigFile, ConfigError> {
     let opened =
         File::open(file).map_err(|source| ConfigError::Unreadable { file: file.to_owned(), source })?;
     let reader = BufReader::with_capacity(READ_BUFFER_BYTES, opened);
     parse(reader, on_entry).map_err(|error| config_error(file, error))
 }
 
-fn parse(reader: impl io::Read, on_entry: &mut dyn FnMut(ListEntry)) -> serde_json::Result<Contents> {
+fn parse(reader: impl io::Read, on_entry: &mut dyn FnMut(ListEntry)) -> serde_json::Result<ConfigFile> {
     let mut json = serde_json::Deserializer::from_reader(reader);
-    let contents = ConfigurationSeed { on_entry }.deserialize(&mut json)?;
+    let config = ConfigurationSeed { on_entry }.deserialize(&mut json)?;
     json.end()?;
-    Ok(contents)
+    Ok(config)
 }
 
 fn config_error(file: &Path, source: serde_json::Error) -> ConfigError {
@@ -95,33 +95,33 @@
 }
 
 impl<'de> DeserializeSeed<'de> for ConfigurationSeed<'_> {
-    type Value = Contents;
+    type Value = ConfigFile;
 
-    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Contents, D::Error> {
+    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<ConfigFile, D::Error> {
         deserializer.deserialize_map(self)
     }
 }
 
 impl<'de> Visitor<'de> for ConfigurationSeed<'_> {
-    type Value = Contents;
+    type Value = ConfigFile;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a JSON object with the configuration")
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Contents, A::Error> {
-        let mut contents = Contents::default();
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<ConfigFile, A::Error> {
+        let mut config = ConfigFile::default();
         while let Some(key) = map.next_key::<String>()? {
             if key == ENDPOINT_LIST_KEY {
                 let seed = EndpointListSeed { on_entry: &mut *self.on_entry };
-                contents.endpoint_list = map.next_value_seed(seed)?;
-            } else if let Some(section) = contents.sections.get_mut(&key) {
+                config.endpoint_list = map.next_value_seed(seed)?;
+            } else if let Some(section) = config.sections.get_mut(&key) {
                 *section = map.next_value()?;
             } else {
                 map.next_value::<IgnoredAny>()?;
             }
         }
-        Ok(contents)
+        Ok(config)
     }
 }
 
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -14,11 +14,10 @@
 use serde_json::{Map, Value};
 use tokio::sync::watch;
 
-use crate::config_file::{self, EndpointListSummary, Sections};
+use crate::config_file::{self, ConfigSections, EndpointListSummary};
 use crate::error::ConfigError;
 
-/// Maximum duration of a graceful shutdown, shorter than the 3.7 s after which a planned stop kills the process at
-/// the earliest.
+/// Maximum duration of a graceful shutdown. A planned stop kills the process after 3.7 s at the earliest.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(3500);
 /// Duration from the start of a shutdown for which new connections are accepted, because clients still
 /// connect.
@@ -65,7 +64,7 @@
 }
 
 impl ReloadableConfig {
-    fn new(discovery: SocketAddr, sections: &Sections) -> ReloadableConfig {
+    fn new(discovery: SocketAddr, sections: &ConfigSections) -> ReloadableConfig {
         let section = |name, value: &Value| RestartOnlySection { name, value: value.clone() };
         let restart_only = [
             section("listen", &sections.listen),
@@ -91,8 +90,8 @@
     /// Reads and validates a configuration file for a forwarder with the state folder `state`.
     pub fn read(file: &Path, state: PathBuf, sync: SyncPolicy) -> Result<StartConfig, ConfigError> {
         let mut entries = EntryBuffer::default();
-        let contents = config_file::read(file, &mut |entry| entries.push(entry))?;
-        let reader = SectionReader { file, sections: &contents.sections };
+        let config = config_file::read(file, &mut |entry| entries.push(entry))?;
+        let reader = SectionReader { file, sections: &config.sections };
         let settings = reader.settings()?;
         let shape = reader.shape(settings)?;
         let network = NetworkSettings::from_settings(settings);
@@ -104,7 +103,7 @@
             state_folder: state,
             resources: reader.resource_limits()?,
             settings: parse_policy_settings(reader.seed()?, settings),
-            cached_list: cached_list(file, contents.endpoint_list, entries),
+            cached_list: cached_list(file, config.endpoint_list, entries),
             tick: network.tick.unwrap_or_default(),
             sync,
             connect_timeout: network.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
@@ -112,7 +111,7 @@
             shutdown_grace: SHUTDOWN_GRACE,
             accept_grace: ACCEPT_GRACE,
         };
-        let reloadable = ReloadableConfig::new(discovery, &contents.sections);
+        let reloadable = ReloadableConfig::new(discovery, &config.sections);
         Ok(StartConfig { options, discovery_updates, shape, reloadable })
     }
 }
@@ -180,7 +179,7 @@
 /// Parses typed values from the sections of one file.
 struct SectionReader<'c> {
     file: &'c Path,
-    sections: &'c Sections,
+    sections: &'c ConfigSections,
 }
 
 impl<'c> SectionReader<'c> {
--- a/crates/daemon/tests/cached_list.rs
+++ b/crates/daemon/tests/cached_list.rs
@@ -7,7 +7,7 @@
 
 use check_command::{check, CheckResult};
 
-/// Runs `reeddock check` on a configuration that contains this text between its other keys.
+/// Runs `reeddock check` on a configuration that contains the text `list` between its other keys.
 fn check_with_list(list: &str) -> CheckResult {
     check(&format!(
         r#"{{"listen":"127.0.0.1:0","unheard":{{"of":[1]}},"discovery":"127.0.0.1:1","seed":"1f",
@@ -21,8 +21,8 @@
     )
 }
 
-fn list_of(entries: usize) -> String {
-    let entries: Vec<String> = (0..entries).map(entry).collect();
+fn list_with_entries(entry_count: usize) -> String {
+    let entries: Vec<String> = (0..entry_count).map(entry).collect();
     format!(r#""known":{{"generation":41,"reset":true,"instances":[{}]}},"#, entries.join(","))
 }
 
@@ -33,10 +33,10 @@
     for (name, list, expected) in [
         ("none", String::new(), "cached endpoint list: 0 endpoints, generation 0\n"),
         ("null", r#""known":null,"#.to_owned(), "cached endpoint list: 0 endpoints, generation 0\n"),
-        ("empty", list_of(0), "cached endpoint list: 0 endpoints, generation 41\n"),
-        ("short", list_of(2), "cached endpoint list: 2 endpoints, generation 41\n"),
+        ("empty", list_with_entries(0), "cached endpoint list: 0 endpoints, generation 41\n"),
+        ("short", list_with_entries(2), "cached endpoint list: 2 endpoints, generation 41\n"),
         ("reordered", reordered, "cached endpoint list: 2 endpoints, generation 41\n"),
-        ("long", list_of(20_000), "cached endpoint list: 20000 endpoints, generation 41\n"),
+        ("long", list_with_entries(20_000), "cached endpoint list: 20000 endpoints, generation 41\n"),
     ] {
         let output = check_with_list(&list).expect_success(name);
         assert!(output.contains(expected), "{name}: {output}");
@@ -45,8 +45,8 @@
 
 #[test]
 fn malformed_list_is_rejected_with_place_in_one_line() {
-    let unknown_state =
-        list_of(3).replace("\"cell\":2,\"lifecycle\":\"Ready\"", "\"cell\":2,\"lifecycle\":\"Sleeping\"");
+    let unknown_state = list_with_entries(3)
+        .replace("\"cell\":2,\"lifecycle\":\"Ready\"", "\"cell\":2,\"lifecycle\":\"Sleeping\"");
     for (name, list, expected) in [
         ("lifecycle", unknown_state, "known: instances[2]: unknown lifecycle \"Sleeping\""),
         ("generation", r#""known":{"instances":[]},"#.into(), "known: missing field `generation`"),
--- a/crates/daemon/tests/restarts.rs
+++ b/crates/daemon/tests/restarts.rs
@@ -42,8 +42,8 @@
 /// Validity of an idempotency key in the classes with a short window. Retries start only within the window.
 const SHORT_WINDOW: Duration = Duration::from_secs(1);
 const LONG_WINDOW: Duration = Duration::from_secs(60);
-/// Tolerance of measured times: 50 ms for the margin of time limits on sockets, plus 150 ms for the delay of the
-/// endpoint's thread on a busy machine.
+/// Tolerance of measured times: 50 ms for the margin of time limits on sockets, plus 150 ms for the delay of
+/// the endpoint's thread on a busy machine.
 const TOLERANCE: Duration = Duration::from_millis(50 + 150);
 const FORWARDERS: usize = 10;
 const MESSAGES_PER_FORWARDER: usize = 300;
@@ -79,11 +79,11 @@
 }
 
 impl StubState {
-    fn set(&self, behaviour: EndpointBehaviour) {
+    fn set_behaviour(&self, behaviour: EndpointBehaviour) {
         self.behaviour.store(behaviour as u8, Ordering::SeqCst);
     }
 
-    fn is(&self, behaviour: EndpointBehaviour) -> bool {
+    fn has_behaviour(&self, behaviour: EndpointBehaviour) -> bool {
         self.behaviour.load(Ordering::SeqCst) == behaviour as u8
     }
 
@@ -116,13 +116,13 @@
 }
 
 fn handle_as_endpoint(state: &StubState, request: &Request, stream: &mut TcpStream) -> Connection {
-    let completed = state.is(EndpointBehaviour::Completes);
+    let completed = state.has_behaviour(EndpointBehaviour::Completes);
     let attempt = ReceivedAttempt { id: request.id.clone(), at: Instant::now(), completed };
     state.attempts.lock().unwrap().push(attempt);
     if completed {
         return Connection::keep_if_written(stream.write_all(OK_RESPONSE));
     }
-    match state.is(EndpointBehaviour::ClosesConnection) {
+    match state.has_behaviour(EndpointBehaviour::ClosesConnection) {
         true => Connection::Close,
         false => Connection::Keep,
     }
@@ -138,7 +138,7 @@
 impl Stubs {
     fn start(behaviour: EndpointBehaviour) -> Stubs {
         let state = StubState::default();
-        state.set(behaviour);
+        state.set_behaviour(behaviour);
         let platform = start_stub(&state, handle_as_platform);
         let endpoint = start_stub(&state, handle_as_endpoint);
         Stubs { state, platform, endpoint }
@@ -287,7 +287,7 @@
         pending.iter().all(|pending| *pending >= MIN_PENDING),
         "pending messages by forwarder: {pending:?}"
     );
-    stubs.state.set(EndpointBehaviour::Completes);
+    stubs.state.set_behaviour(EndpointBehaviour::Completes);
     let restarted: Vec<ForwarderProcess> = std::thread::scope(|scope| {
         let starts: Vec<_> = folders.iter().map(|folder| scope.spawn(|| folder.start())).collect();
         starts.into_iter().map(|start| start.join().unwrap()).collect()
@@ -318,7 +318,7 @@
     // The restart waits until the short window, which starts at an attempt, has ended for every attempt.
     let last_attempt = stubs.state.attempts().iter().map(|attempt| attempt.at).max().unwrap();
     sleep((last_attempt + SHORT_WINDOW).saturating_duration_since(Instant::now()));
-    stubs.state.set(EndpointBehaviour::Completes);
+    stubs.state.set_behaviour(EndpointBehaviour::Completes);
     let _forwarder = folder.start();
     folder.wait_until_all_finished();
     let short = ["short", "short-in-zone"];
--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -5,30 +5,31 @@
 
 use serde_json::{Map, Value};
 
-/// An object in the settings. An absent object is treated as empty.
+/// An object in the settings. Reading a key treats a value of the wrong type as absent, and an absent object
+/// has no keys.
 #[derive(Clone, Copy)]
-pub(crate) struct Section<'a>(Option<&'a Map<String, Value>>);
+pub(crate) struct LenientObject<'a>(Option<&'a Map<String, Value>>);
 
-impl<'a> From<&'a Map<String, Value>> for Section<'a> {
-    fn from(object: &'a Map<String, Value>) -> Section<'a> {
-        Section(Some(object))
+impl<'a> From<&'a Map<String, Value>> for LenientObject<'a> {
+    fn from(object: &'a Map<String, Value>) -> LenientObject<'a> {
+        LenientObject(Some(object))
     }
 }
 
-impl<'a> From<&'a Value> for Section<'a> {
-    fn from(value: &'a Value) -> Section<'a> {
-        Section(value.as_object())
+impl<'a> From<&'a Value> for LenientObject<'a> {
+    fn from(value: &'a Value) -> LenientObject<'a> {
+        LenientObject(value.as_object())
     }
 }
 
-impl<'a> Section<'a> {
+impl<'a> LenientObject<'a> {
     fn get(self, key: &str) -> Option<&'a Value> {
         self.0?.get(key)
     }
 
     /// Returns the object at a key; empty if absent.
-    pub fn section(self, key: &str) -> Section<'a> {
-        Section(self.get(key).and_then(Value::as_object))
+    pub fn object(self, key: &str) -> LenientObject<'a> {
+        LenientObject(self.get(key).and_then(Value::as_object))
     }
 
     /// Returns the array at a key; empty if absent.
--- a/crates/settings/src/network.rs
+++ b/crates/settings/src/network.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::lenient::Section;
+use crate::lenient::LenientObject;
 
 /// Maximum tick. Longer ticks are treated as absent because they would delay responses to clients too much.
 const MAX_TICK: Duration = Duration::from_millis(100);
@@ -25,8 +25,8 @@
     /// Reads the network settings. Values of the wrong type are treated as absent.
     #[must_use]
     pub fn from_settings(settings: &Map<String, Value>) -> NetworkSettings {
-        let settings = Section::from(settings);
-        let limits = settings.section("policyLimits");
+        let settings = LenientObject::from(settings);
+        let limits = settings.object("policyLimits");
         NetworkSettings {
             tick: settings.micros("tickUs").filter(|tick| *tick <= MAX_TICK),
             connect_timeout: limits.micros("connectTimeoutUs"),
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -6,7 +6,7 @@
 };
 use serde_json::{Map, Value};
 
-use crate::lenient::Section;
+use crate::lenient::LenientObject;
 use crate::LoadReportFields;
 
 /// Parses the settings of the delivery policy. Values of the wrong type are treated as absent.
@@ -24,26 +24,26 @@
 
 /// Reads the number of forwarders in the fleet and this forwarder's zone.
 fn read_fleet(settings: &Map<String, Value>, parsed: &mut Settings) {
-    let settings = Section::from(settings);
+    let settings = LenientObject::from(settings);
     parsed.forwarders = settings.integer("balancers");
     parsed.zone = settings.text_or_empty("az");
 }
 
 /// Reads message classes, endpoint kinds, tenants and the decay of late messages' weight.
 fn read_traffic(settings: &Map<String, Value>, parsed: &mut Settings) {
-    let settings = Section::from(settings);
+    let settings = LenientObject::from(settings);
     parsed.classes = settings.list("classes").iter().map(parse_message_class).collect();
     parsed.endpoint_kinds = parse_endpoint_kinds(settings);
     parsed.tenants = settings.list("realms").iter().map(parse_tenant_quota).collect();
     parsed.over_quota_weight = settings.number("overShareWorth");
-    parsed.late_decay = match settings.section("familyInfo").text("decay") {
+    parsed.late_decay = match settings.object("familyInfo").text("decay") {
         Some("halving") => LateDecay::Exponential,
         _ => LateDecay::Linear,
     };
 }
 
 fn parse_message_class(class: &Value) -> MessageClass {
-    let class = Section::from(class);
+    let class = LenientObject::from(class);
     MessageClass {
         name: class.text_or_empty("name"),
         idempotency: parse_idempotency(class),
@@ -57,7 +57,7 @@
 
 /// Parses whether messages of a class may be executed repeatedly. Deduplication without a window is treated
 /// as absent because it guarantees nothing.
-fn parse_idempotency(class: Section) -> Option<Idempotency> {
+fn parse_idempotency(class: LenientObject) -> Option<Idempotency> {
     match class.text("effect")? {
         "idempotent" => Some(Idempotency::Idempotent),
         "at_most_once" => Some(Idempotency::NonIdempotent),
@@ -74,8 +74,8 @@
 }
 
 /// Parses the endpoint kinds. Their names and other values are in parallel arrays with the same indices.
-fn parse_endpoint_kinds(settings: Section) -> Vec<EndpointKind> {
-    let family = settings.section("familyInfo");
+fn parse_endpoint_kinds(settings: LenientObject) -> Vec<EndpointKind> {
+    let family = settings.object("familyInfo");
     let batches = family.list("batchByKind");
     let circuits_per_endpoint = family.list("kindApart");
     let kind = |(index, name): (usize, &Value)| EndpointKind {
@@ -87,16 +87,16 @@
 }
 
 fn parse_tenant_quota(tenant: &Value) -> TenantQuota {
-    let tenant = Section::from(tenant);
+    let tenant = LenientObject::from(tenant);
     TenantQuota { tenant: tenant.text_or_empty("name"), messages_per_second: tenant.number("quotaPerS") }
 }
 
 /// Reads the limits on messages, requests and attempts of a forwarder, and on the `Retry-After` of
 /// rejections.
 fn read_limits(settings: &Map<String, Value>, parsed: &mut Settings) {
-    let settings = Section::from(settings);
-    let limits = settings.section("policyLimits");
-    parsed.max_in_flight = settings.section("familyInfo").integer("maxCalls");
+    let settings = LenientObject::from(settings);
+    let limits = settings.object("policyLimits");
+    parsed.max_in_flight = settings.object("familyInfo").integer("maxCalls");
     parsed.max_pending_messages = limits.integer("openCap");
     parsed.max_attempts = limits.integer("attemptsCap");
     parsed.hedging_allowed = limits.flag("mayDuplicate");
@@ -106,7 +106,7 @@
 
 /// Reads the operators' guarantees about slow start, overload and ordering keys.
 fn read_guarantees(settings: &Map<String, Value>, parsed: &mut Settings) {
-    let guarantees = Section::from(settings).section("guarantees");
+    let guarantees = LenientObject::from(settings).object("guarantees");
     parsed.slow_start_floor = guarantees.number("coldFrom");
     parsed.slow_start_duration = guarantees.micros("warmWithinUs");
     parsed.overload_capacity_multiple = guarantees.number("fallMultiple");
@@ -117,9 +117,9 @@
 /// Reads how the endpoint list is received, and which rates the list and responses carry.
 fn read_discovery(settings: &Map<String, Value>, parsed: &mut Settings) {
     parsed.responses_carry_load_reports = LoadReportFields::from_settings(settings).is_some();
-    let settings = Section::from(settings);
+    let settings = LenientObject::from(settings);
     let is_polled = settings.text("discovery") == Some("subscribe");
-    let max_poll_interval = settings.section("guarantees").micros("mustAskInUs");
+    let max_poll_interval = settings.object("guarantees").micros("mustAskInUs");
     parsed.max_poll_interval = max_poll_interval.filter(|_| is_polled);
     parsed.listed_weights = match settings.text("weights") {
         Some("nominal") => ListedWeights::Rates,
@@ -130,12 +130,12 @@
 
 /// Reads the prices of requests and connections.
 fn read_prices(settings: &Map<String, Value>, parsed: &mut Settings) {
-    let settings = Section::from(settings);
-    let tariffs = settings.section("tariffs");
+    let settings = LenientObject::from(settings);
+    let tariffs = settings.object("tariffs");
     parsed.cross_zone_price = tariffs.number("crossZone");
     parsed.connection_price = tariffs.number("handshake");
     let zones = settings.list("areas");
-    let fees = settings.section("familyInfo").list("zoneFee");
+    let fees = settings.object("familyInfo").list("zoneFee");
     parsed.zone_fees = zones.iter().zip(fees).filter_map(|(zone, fee)| parse_zone_fee(zone, fee)).collect();
 }
 
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -41,14 +41,14 @@
 /// treated as absent.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
-struct Keys {
+struct DeploymentKeys {
     discovery: Option<Discovery>,
     weights: Option<Weights>,
-    report: Option<Report>,
-    policy_limits: Option<Limits>,
+    report: Option<LoadReportFormat>,
+    policy_limits: Option<PolicyLimits>,
     guarantees: Option<Guarantees>,
     #[serde(rename = "familyInfo")]
-    family: Option<Family>,
+    family: Option<FamilyInfo>,
     #[serde(rename = "areas")]
     zones: Option<Vec<String>>,
     #[serde(rename = "az")]
@@ -75,19 +75,19 @@
     Live,
 }
 
-/// The load reports that endpoints send.
+/// How endpoints send load reports, and which fields these have.
 #[derive(Default, Deserialize)]
 #[serde(default, expecting = "a JSON object")]
-struct Report {
+struct LoadReportFormat {
     #[serde(rename = "how")]
-    delivery: ReportDelivery,
+    delivery: LoadReportDelivery,
     fields: Vec<String>,
 }
 
 /// How load reports are received.
 #[derive(Default, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
-enum ReportDelivery {
+enum LoadReportDelivery {
     /// Endpoints add load reports to their responses.
     Piggyback,
     /// Endpoints send load reports on request.
@@ -99,7 +99,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default, expecting = "a JSON object")]
-struct Limits {
+struct PolicyLimits {
     #[serde(rename = "mayDuplicate")]
     hedging_allowed: Option<bool>,
 }
@@ -113,7 +113,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default, expecting = "a JSON object")]
-struct Family {
+struct FamilyInfo {
     #[serde(rename = "zoneFee")]
     zone_fees: Vec<f64>,
 }
@@ -125,7 +125,7 @@
     ///
     /// [`SettingsError`] with the first invalid key.
     pub fn from_settings(settings: &Map<String, Value>) -> Result<DeploymentShape, SettingsError> {
-        let keys = Keys::read(settings)?;
+        let keys = DeploymentKeys::read(settings)?;
         let zones = keys.zones.unwrap_or_default();
         check_zone(keys.zone.as_deref(), &zones)?;
         let zone_fees = keys.family.unwrap_or_default().zone_fees;
@@ -144,8 +144,8 @@
     }
 }
 
-impl Keys {
-    fn read(settings: &Map<String, Value>) -> Result<Keys, SettingsError> {
+impl DeploymentKeys {
+    fn read(settings: &Map<String, Value>) -> Result<DeploymentKeys, SettingsError> {
         serde_path_to_error::deserialize(settings).map_err(|error| SettingsError::InvalidValue {
             key: error.path().to_string(),
             source: error.into_inner(),
@@ -153,11 +153,11 @@
     }
 }
 
-impl Report {
+impl LoadReportFormat {
     /// Returns whether responses carry a limit and its remaining share.
     fn has_limits(&self) -> bool {
         let has_field = |name: &str| self.fields.iter().any(|field| field == name);
-        self.delivery == ReportDelivery::Piggyback && has_field("x0") && has_field("x1")
+        self.delivery == LoadReportDelivery::Piggyback && has_field("x0") && has_field("x1")
     }
 }
 
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Processing of batches of events for several instances.
+//! Processing of batches of events for several forwarders.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -8,16 +8,16 @@
 use serde_json::{json, Value};
 
 use crate::commands::Commands;
-use crate::event::InstanceEvent;
+use crate::event::ForwarderEvent;
 use crate::event_fields::EventFields;
-use crate::instance::{Instance, RegisteredLists};
+use crate::forwarder::{RegisteredLists, SimulatedForwarder};
 use crate::AdapterError;
 
 /// The forwarders of a simulation. They share only the registered endpoint lists, as the simulator's wire
 /// defines.
 #[derive(Default)]
 pub struct SimulationAdapter {
-    instances: BTreeMap<u64, Instance>,
+    forwarders: BTreeMap<u64, SimulatedForwarder>,
     lists: RegisteredLists,
 }
 
@@ -32,26 +32,28 @@
         let clock = batch.get("wallUs").and_then(Value::as_u64).ok_or(AdapterError::MissingClock)?;
         let now = Duration::from_micros(clock);
         let serial = batch.get("serial").filter(|s| s.is_u64()).ok_or(AdapterError::MissingSerial)?;
-        let instance_batches =
+        let forwarder_batches =
             batch.get("forwarders").and_then(Value::as_array).ok_or(AdapterError::MissingForwarders)?;
         let mut replies = Vec::new();
-        for instance_batch in instance_batches {
-            replies.extend(self.process_instance(instance_batch, now)?);
+        for forwarder_batch in forwarder_batches {
+            replies.extend(self.process_forwarder_batch(forwarder_batch, now)?);
         }
         Ok(json!({"serial": serial, "forwarders": replies}).to_string())
     }
 
-    /// Applies the events of a batch for one instance and returns the commands of the instance; `None` if
+    /// Applies the events of a batch for one forwarder and returns the commands of the forwarder; `None` if
     /// there are none.
     ///
-    /// A panic of the delivery policy is reported in the reply with the number of its instance.
-    fn process_instance(
+    /// A panic of the delivery policy is reported in the reply with the number of its forwarder.
+    fn process_forwarder_batch(
         &mut self,
-        instance_batch: &Value,
+        forwarder_batch: &Value,
         now: Duration,
     ) -> Result<Option<Value>, AdapterError> {
-        let number = instance_batch.get("i").and_then(Value::as_u64).ok_or(AdapterError::MissingInstance)?;
-        let events = instance_batch.get("in").and_then(Value::as_array).ok_or(AdapterError::MissingEvents)?;
+        let number =
+            forwarder_batch.get("i").and_then(Value::as_u64).ok_or(AdapterError::MissingForwarderNumber)?;
+        let events =
+            forwarder_batch.get("in").and_then(Value::as_array).ok_or(AdapterError::MissingEvents)?;
         let mut commands = Commands::default();
         let apply = || self.apply_events(number, events, now, &mut commands);
         match catch_unwind(AssertUnwindSafe(apply)) {
@@ -72,8 +74,8 @@
         for event in events {
             self.apply_event(number, &EventFields::try_from(event)?, now, commands)?;
         }
-        if let Some(instance) = self.instances.get_mut(&number) {
-            instance.run_due_work(now, commands);
+        if let Some(forwarder) = self.forwarders.get_mut(&number) {
+            forwarder.run_due_work(now, commands);
         }
         Ok(())
     }
@@ -92,20 +94,19 @@
             }
             "Attach" => {
                 let settings = fields.object(1)?;
-                let instance = Instance::new(fields.integer(0)?, settings, now, commands);
-                self.instances.insert(number, instance);
+                let forwarder = SimulatedForwarder::new(fields.integer(0)?, settings, now, commands);
+                self.forwarders.insert(number, forwarder);
             }
             "Retire" => {
-                self.instances.remove(&number);
-                // Commands that the instance gave earlier in this batch are no longer valid.
+                self.forwarders.remove(&number);
+                // Commands that the forwarder gave earlier in this batch are no longer valid.
                 commands.clear();
             }
             _ => {
-                let instance = self.instances.get_mut(&number).ok_or_else(|| AdapterError::NotAttached {
-                    event: fields.name.to_owned(),
-                    instance: number,
+                let forwarder = self.forwarders.get_mut(&number).ok_or_else(|| {
+                    AdapterError::UnknownForwarder { event: fields.name.to_owned(), forwarder: number }
                 })?;
-                instance.apply_event(InstanceEvent::try_from(fields)?, &self.lists, now, commands)?;
+                forwarder.apply_event(ForwarderEvent::try_from(fields)?, &self.lists, now, commands)?;
             }
         }
         Ok(())
--- a/crates/sim-adapter/src/commands.rs
+++ b/crates/sim-adapter/src/commands.rs
@@ -11,7 +11,7 @@
 pub(crate) struct Commands(Vec<Value>);
 
 impl Commands {
-    /// Returns the commands of an instance whose delivery policy panicked, which replace all earlier
+    /// Returns the commands of a forwarder whose delivery policy panicked, which replace all earlier
     /// commands.
     pub fn panicked(message: &str) -> Commands {
         Commands(vec![json!(["Panic", message])])
@@ -64,8 +64,8 @@
     }
 
     fn send_gossip(&mut self, peer: Option<PeerId>, gossip: &[u8]) {
-        let to = peer.map_or(json!("all"), |peer| json!(peer.0));
-        self.0.push(json!(["WritePeer", to, STANDARD.encode(gossip)]));
+        let recipient = peer.map_or(json!("all"), |peer| json!(peer.0));
+        self.0.push(json!(["WritePeer", recipient, STANDARD.encode(gossip)]));
     }
 
     fn watch_endpoint_list(&mut self, on: bool) {
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -22,12 +22,12 @@
     /// The batch has no valid serial number, which its reply repeats.
     #[error("batch: expected a whole number in serial")]
     MissingSerial,
-    /// The batch has no array `forwarders`, in which each element is for one instance.
+    /// The batch has no array `forwarders`, whose elements hold the events for one forwarder each.
     #[error("batch: expected an array in forwarders")]
     MissingForwarders,
-    /// An element of `forwarders` has no valid instance number.
-    #[error("batch: expected an instance number in key i of each element of forwarders")]
-    MissingInstance,
+    /// An element of `forwarders` has no valid forwarder number.
+    #[error("batch: expected a forwarder number in key i of each element of forwarders")]
+    MissingForwarderNumber,
     /// An element of `forwarders` has no array of events.
     #[error("batch: expected an array of events in key in of each element of forwarders")]
     MissingEvents,
@@ -40,32 +40,34 @@
     /// An event has a name that the wire does not define.
     #[error("unknown event {0:?}")]
     UnknownEvent(String),
-    /// A value of an event is missing or has the wrong type.
-    #[error("{event}: value {number} is missing or malformed")]
+    /// A value of an event or of an entry of an endpoint list is missing or has the wrong type.
+    #[error(
+        "{event}: value at position {position}, counted from 1 without the name, is missing or malformed"
+    )]
     InvalidValue {
-        /// Name of the event.
+        /// Name of the event, or `Register entry` for an entry of an endpoint list.
         event: String,
-        /// Position of the value in the event, from 1.
-        number: usize,
+        /// Position of the value, counted from 1 without the name of the event.
+        position: usize,
     },
-    /// An event is for an instance that was not attached or was retired.
-    #[error("{event}: instance {instance} is not attached")]
-    NotAttached {
+    /// An event is for a forwarder that no `Attach` event created, or that a `Retire` event removed.
+    #[error("{event}: forwarder {forwarder} does not exist, expected an Attach event for it before")]
+    UnknownForwarder {
         /// Name of the event.
         event: String,
-        /// Number of the instance.
-        instance: u64,
+        /// Number of the forwarder.
+        forwarder: u64,
     },
     /// A `Sync` event has an unknown kind.
     #[error("Sync: unknown kind {0:?}, expected C, D, F or X")]
     UnknownSyncKind(String),
-    /// A `Sync` event has the number of a list that was not registered.
-    #[error("Sync: list {0} is not registered")]
+    /// A `Sync` event has the number of an endpoint list that was not registered.
+    #[error("Sync: endpoint list {0} is not registered, expected a Register event for it before")]
     UnknownList(u64),
-    /// An entry of a registered list is not an array.
-    #[error("Register: expected each entry to be an array")]
+    /// An entry of the endpoint list in a `Register` event is not an array.
+    #[error("Register: expected each entry of the endpoint list to be an array")]
     EntryNotArray,
-    /// An entry of a registered list has an unknown endpoint state.
+    /// An entry of the endpoint list in a `Register` event has an unknown endpoint state.
     #[error("Register entry: unknown state {0:?}, expected active, leaving or left")]
     UnknownEndpointState(String),
     /// A `Settled` event has an unknown outcome.
--- a/crates/sim-adapter/src/event.rs
+++ b/crates/sim-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Decoding of events for one instance and of entries of registered endpoint lists.
+//! Decoding of events for one forwarder and of entries of registered endpoint lists.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use crate::event_fields::EventFields;
 use crate::AdapterError;
 
-/// An event for an attached instance.
-pub(crate) enum InstanceEvent<'a> {
+/// An event for a forwarder that an `Attach` event created.
+pub(crate) enum ForwarderEvent<'a> {
     /// `Sync` of kind `X`: fetching the endpoint list failed.
     DiscoveryFailed,
     /// `Sync` of another kind: the full endpoint list or its changes were received.
     EndpointList {
-        /// Whether the full list was received, not its changes.
+        /// Whether the full endpoint list was received; `false` if only its changes were.
         is_full_list: bool,
-        /// Number that the list was registered under.
+        /// Number under which the endpoint list or its changes were registered.
         list: u64,
     },
     /// `Demand`: a client submitted a message.
@@ -65,39 +65,39 @@
     pub load_report: Option<&'a [Value]>,
 }
 
-impl<'a> TryFrom<&EventFields<'a>> for InstanceEvent<'a> {
+impl<'a> TryFrom<&EventFields<'a>> for ForwarderEvent<'a> {
     type Error = AdapterError;
 
-    fn try_from(fields: &EventFields<'a>) -> Result<InstanceEvent<'a>, AdapterError> {
+    fn try_from(fields: &EventFields<'a>) -> Result<ForwarderEvent<'a>, AdapterError> {
         Ok(match fields.name {
             "Sync" => parse_sync(fields)?,
-            "Demand" => InstanceEvent::Submitted(parse_message(fields)?),
-            "Settled" => InstanceEvent::AttemptFinished(FinishedAttempt::try_from(fields)?),
-            "Left" => InstanceEvent::Withdrawn(fields.message(0)?),
-            "Alarm" => InstanceEvent::TimerFired,
-            "HealthResult" => InstanceEvent::HealthChecked {
+            "Demand" => ForwarderEvent::Submitted(parse_message(fields)?),
+            "Settled" => ForwarderEvent::AttemptFinished(FinishedAttempt::try_from(fields)?),
+            "Left" => ForwarderEvent::Withdrawn(fields.message(0)?),
+            "Alarm" => ForwarderEvent::TimerFired,
+            "HealthResult" => ForwarderEvent::HealthChecked {
                 healthy: fields.text(1)? == "delivered",
                 endpoint: fields.endpoint(0)?,
                 load_report: fields.optional_array(3),
             },
-            "FromPeer" => InstanceEvent::GossipReceived {
+            "FromPeer" => ForwarderEvent::GossipReceived {
                 gossip: STANDARD.decode(fields.text(1)?).map_err(|_| fields.invalid_value(1))?,
                 peer: fields.peer(0)?,
             },
             "Accepted" => {
-                InstanceEvent::ResponseStarted { message: fields.message(0)?, attempt: fields.attempt(3)? }
+                ForwarderEvent::ResponseStarted { message: fields.message(0)?, attempt: fields.attempt(3)? }
             }
             other => return Err(AdapterError::UnknownEvent(other.to_owned())),
         })
     }
 }
 
-fn parse_sync<'a>(fields: &EventFields<'a>) -> Result<InstanceEvent<'a>, AdapterError> {
+fn parse_sync<'a>(fields: &EventFields<'a>) -> Result<ForwarderEvent<'a>, AdapterError> {
     match fields.text(0)? {
-        "X" => Ok(InstanceEvent::DiscoveryFailed),
+        "X" => Ok(ForwarderEvent::DiscoveryFailed),
         // `D` carries the changes of the list, `F` and `C` carry the full list.
         kind @ ("D" | "F" | "C") => {
-            Ok(InstanceEvent::EndpointList { is_full_list: kind != "D", list: fields.integer(2)? })
+            Ok(ForwarderEvent::EndpointList { is_full_list: kind != "D", list: fields.integer(2)? })
         }
         other => Err(AdapterError::UnknownSyncKind(other.to_owned())),
     }
@@ -145,7 +145,7 @@
     }
 }
 
-/// Parses an entry of a registered list.
+/// Parses an entry of a registered endpoint list.
 pub(crate) fn parse_list_entry(entry: &Value) -> Result<EndpointUpdate<'_>, AdapterError> {
     let fields = EventFields::from_list_entry(entry)?;
     let state = match fields.text(4)? {
--- a/crates/sim-adapter/src/event_fields.rs
+++ b/crates/sim-adapter/src/event_fields.rs
@@ -1,4 +1,4 @@
-//! Access by index to the values of an event or list entry, which is a JSON array.
+//! Access by index to the values of an event or of an endpoint list entry, which is a JSON array.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,8 @@
 
 use crate::AdapterError;
 
-/// The name and the values of an event or list entry. Indices of values start at 0 and exclude the name.
+/// The name and the values of an event, or of an entry of an endpoint list. Indices of values start at 0 and
+/// exclude the name.
 pub(crate) struct EventFields<'a> {
     pub name: &'a str,
     values: &'a [Value],
@@ -26,7 +27,7 @@
 }
 
 impl<'a> EventFields<'a> {
-    /// Reads an entry of a registered list, an array without a name.
+    /// Reads an entry of a registered endpoint list, an array without a name.
     pub fn from_list_entry(entry: &'a Value) -> Result<EventFields<'a>, AdapterError> {
         let values = entry.as_array().ok_or(AdapterError::EntryNotArray)?;
         Ok(EventFields { name: "Register entry", values })
@@ -38,7 +39,7 @@
 
     /// Returns the error for a value that is missing or malformed.
     pub fn invalid_value(&self, index: usize) -> AdapterError {
-        AdapterError::InvalidValue { event: self.name.to_owned(), number: index + 1 }
+        AdapterError::InvalidValue { event: self.name.to_owned(), position: index + 1 }
     }
 
     pub fn text(&self, index: usize) -> Result<&'a str, AdapterError> {
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/forwarder.rs
@@ -8,23 +8,28 @@
 use serde_json::{Map, Value};
 
 use crate::commands::Commands;
-use crate::event::{parse_list_entry, FinishedAttempt, InstanceEvent};
+use crate::event::{parse_list_entry, FinishedAttempt, ForwarderEvent};
 use crate::AdapterError;
 
 /// Endpoint lists by the number that they were registered under.
 pub(crate) type RegisteredLists = BTreeMap<u64, Vec<Value>>;
 
 /// A simulated forwarder.
-pub(crate) struct Instance {
+pub(crate) struct SimulatedForwarder {
     policy: DeliveryPolicy,
     /// Positions of the values in load reports; `None` if responses carry no load reports.
     load_report_fields: Option<LoadReportFields>,
 }
 
-impl Instance {
+impl SimulatedForwarder {
     /// Creates a forwarder. Commands that the delivery policy gives at its start are added to `commands`.
-    pub fn new(seed: u64, settings: &Map<String, Value>, now: Duration, commands: &mut Commands) -> Instance {
-        Instance {
+    pub fn new(
+        seed: u64,
+        settings: &Map<String, Value>,
+        now: Duration,
+        commands: &mut Commands,
+    ) -> SimulatedForwarder {
+        SimulatedForwarder {
             policy: DeliveryPolicy::new(now, parse_policy_settings(seed, settings), commands),
             load_report_fields: LoadReportFields::from_settings(settings),
         }
@@ -33,27 +38,29 @@
     /// Passes an event to the delivery policy.
     pub fn apply_event(
         &mut self,
-        event: InstanceEvent,
+        event: ForwarderEvent,
         lists: &RegisteredLists,
         now: Duration,
         commands: &mut Commands,
     ) -> Result<(), AdapterError> {
         match event {
-            InstanceEvent::DiscoveryFailed => self.policy.discovery_failed(now),
-            InstanceEvent::EndpointList { is_full_list, list } => {
+            ForwarderEvent::DiscoveryFailed => self.policy.discovery_failed(now),
+            ForwarderEvent::EndpointList { is_full_list, list } => {
                 let entries = lists.get(&list).ok_or(AdapterError::UnknownList(list))?;
                 self.apply_endpoint_list(is_full_list, entries)?;
             }
-            InstanceEvent::Submitted(message) => self.policy.submit(now, message, commands),
-            InstanceEvent::AttemptFinished(attempt) => self.finish_attempt(&attempt, now, commands),
-            InstanceEvent::Withdrawn(message) => self.policy.withdraw(&message, commands),
-            InstanceEvent::TimerFired => self.policy.timer_fired(now),
-            InstanceEvent::HealthChecked { endpoint, healthy, load_report } => {
+            ForwarderEvent::Submitted(message) => self.policy.submit(now, message, commands),
+            ForwarderEvent::AttemptFinished(attempt) => self.finish_attempt(&attempt, now, commands),
+            ForwarderEvent::Withdrawn(message) => self.policy.withdraw(&message, commands),
+            ForwarderEvent::TimerFired => self.policy.timer_fired(now),
+            ForwarderEvent::HealthChecked { endpoint, healthy, load_report } => {
                 self.apply_load_report(endpoint, load_report);
                 self.policy.health_checked(now, endpoint, healthy);
             }
-            InstanceEvent::GossipReceived { peer, gossip } => self.policy.gossip_received(now, peer, &gossip),
-            InstanceEvent::ResponseStarted { message, attempt } => {
+            ForwarderEvent::GossipReceived { peer, gossip } => {
+                self.policy.gossip_received(now, peer, &gossip)
+            }
+            ForwarderEvent::ResponseStarted { message, attempt } => {
                 self.policy.response_started(now, &message, attempt, commands);
             }
         }
--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -9,7 +9,7 @@
 mod error;
 mod event;
 mod event_fields;
-mod instance;
+mod forwarder;
 
 pub use adapter::SimulationAdapter;
 pub use error::AdapterError;
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -10,14 +10,14 @@
            "kinds": ["k"], "familyInfo": {"maxCalls": 4}, "unheard": {"of": 1}})
 }
 
-/// Returns a batch with events for instance 3. Its time in seconds equals its serial number.
+/// Returns a batch with events for forwarder 3. Its time in seconds equals its serial number.
 fn batch(serial: u64, events: Value) -> String {
     json!({"wallUs": 1_000_000 * serial, "serial": serial, "forwarders": [{"i": 3, "in": events}]})
         .to_string()
 }
 
-/// Returns events that attach an instance and register two lists under the same number, the second with
-/// endpoint 7.
+/// Returns events that create a forwarder and register two endpoint lists under the same number, the second
+/// with endpoint 7.
 fn attach_events() -> Value {
     json!([
         ["Attach", u64::MAX, settings()],
@@ -28,8 +28,8 @@
     ])
 }
 
-/// Returns an adapter to which instance 3 is attached.
-fn adapter_with_instance() -> SimulationAdapter {
+/// Returns an adapter in which an `Attach` event created forwarder 3.
+fn adapter_with_forwarder() -> SimulationAdapter {
     let mut adapter = SimulationAdapter::default();
     adapter.process_batch(&batch(1, attach_events())).unwrap();
     adapter
@@ -39,7 +39,7 @@
 fn list_number_can_be_reused_within_a_batch_and_large_integers_are_exact() {
     let message =
         json!(["Demand", MESSAGE, "c", null, 9007199254740991u64, 10_000_001, null, 9, false, false, false]);
-    let reply = adapter_with_instance().process_batch(&batch(2, json!([message]))).unwrap();
+    let reply = adapter_with_forwarder().process_batch(&batch(2, json!([message]))).unwrap();
     let reply: Value = serde_json::from_str(&reply).unwrap();
     assert_eq!(reply["forwarders"][0]["cmds"][0], json!(["Try", MESSAGE, 2_000_000, 7]));
 }
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn instance_can_retire_and_attach_in_one_batch_and_unknown_messages_are_ignored() {
-    let mut adapter = adapter_with_instance();
+fn forwarder_can_retire_and_attach_in_one_batch_and_unknown_messages_are_ignored() {
+    let mut adapter = adapter_with_forwarder();
     let mut events = vec![json!(["Left", MESSAGE]), json!(["Sync", "X", 0, null]), json!(["Retire"])];
     events.extend(attach_events().as_array().unwrap().clone());
     adapter.process_batch(&batch(2, json!(events))).unwrap();
@@ -64,11 +64,14 @@
 }
 
 #[test]
-fn event_for_a_retired_instance_is_rejected() {
-    let mut adapter = adapter_with_instance();
+fn event_for_a_retired_forwarder_is_rejected() {
+    let mut adapter = adapter_with_forwarder();
     adapter.process_batch(&batch(2, json!([["Retire"]]))).unwrap();
     let error = adapter.process_batch(&batch(3, json!([["Alarm", "wake"]]))).unwrap_err();
-    assert_eq!(error.to_string(), "Alarm: instance 3 is not attached");
+    assert_eq!(
+        error.to_string(),
+        "Alarm: forwarder 3 does not exist, expected an Attach event for it before"
+    );
 }
 
 #[test]
@@ -95,7 +98,7 @@
 
 #[test]
 fn malformed_batch_is_rejected_with_a_one_line_error() {
-    let mut adapter = adapter_with_instance();
+    let mut adapter = adapter_with_forwarder();
     let bad_entry = json!([-4, 1, 9, 0, "active", "z", "k"]);
     for (line, expected) in [
         ("{", "batch is not JSON: EOF while parsing an object at line 1 column 1"),
@@ -105,15 +108,15 @@
             "batch: expected a whole number of microseconds in wallUs",
         ),
         (&batch(2, json!([["Nonsense"]])), "unknown event \"Nonsense\""),
-        (&batch(2, json!([["Demand", MESSAGE]])), "Demand: value 2 is missing or malformed"),
+        (&batch(2, json!([["Demand", MESSAGE]])), "Demand: value at position 2, counted from 1 without the name, is missing or malformed"),
         (
             &batch(2, json!([["Settled", MESSAGE, 0, 1, 7, "odd", false, null, null]])),
             "Settled: unknown outcome \"odd\", expected delivered, app_error, shed, expired, dial_failed, dropped, revoked or unused",
         ),
-        (&batch(2, json!([["Sync", "D", 1, 15]])), "Sync: list 15 is not registered"),
+        (&batch(2, json!([["Sync", "D", 1, 15]])), "Sync: endpoint list 15 is not registered, expected a Register event for it before"),
         (
             &batch(2, json!([["Register", 0, [bad_entry]], ["Sync", "D", 1, 0]])),
-            "Register entry: value 1 is missing or malformed",
+            "Register entry: value at position 1, counted from 1 without the name, is missing or malformed",
         ),
     ] {
         let error = adapter.process_batch(line).unwrap_err().to_string();
--- a/crates/wal/src/appending.rs
+++ b/crates/wal/src/appending.rs
@@ -108,7 +108,7 @@
         encoded: &mut EncodedRecords,
         now: Duration,
     ) -> Result<u64, WalError> {
-        let undo = self.append_or_retract(records, encoded)?;
+        let undo = self.append_or_queue_retractions(records, encoded)?;
         if self.sync_is_due(now) {
             if let Err(error) = self.sync_all() {
                 self.undo_append(undo);
@@ -144,7 +144,7 @@
             return Ok(());
         }
         let mut encoded = self.encode(records);
-        let written = self.append_or_retract(records, &mut encoded);
+        let written = self.append_or_queue_retractions(records, &mut encoded);
         if written.is_ok() {
             self.apply_to_index(records, &encoded);
         }
@@ -157,7 +157,7 @@
     }
 
     /// Appends records. If the append fails and can't be undone, queues retractions for its new messages.
-    fn append_or_retract(
+    fn append_or_queue_retractions(
         &mut self,
         records: &[Record],
         encoded: &mut EncodedRecords,
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -160,7 +160,7 @@
     }
 
     /// Removes the first segment, which has no live record. The copies are synced and the manifest is
-    /// replaced first: otherwise a loss of the machine could restore the segment without the later one that
+    /// replaced first: otherwise a crash of the machine could restore the segment without the later one that
     /// finished its messages.
     fn drop_first_segment(&mut self, segment: u64) -> Result<(), WalError> {
         self.sync_all()?;
--- a/crates/wal/src/compaction_plan.rs
+++ b/crates/wal/src/compaction_plan.rs
@@ -17,8 +17,8 @@
 
 use std::collections::BTreeMap;
 
-/// Block size to which file sizes are rounded up, as file systems allocate space in blocks.
-pub const BLOCK_BYTES: u64 = 512;
+/// Size of a disk block. File sizes are rounded up to whole blocks, as file systems allocate space.
+pub const DISK_BLOCK_BYTES: u64 = 512;
 /// Bytes copied for each byte appended during compaction; see the invariants of the module.
 pub const COPIED_PER_APPENDED_BYTE: u64 = 3;
 /// Minimum copy limit of a step, so that compaction makes progress after short appends.
@@ -38,8 +38,8 @@
 const MAX_RESERVE_BYTES: u64 = 8 * MAX_SEGMENT_BYTES;
 
 /// Returns a length rounded up to whole blocks, in bytes.
-pub fn round_up_to_blocks(bytes: u64) -> u64 {
-    bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
+pub fn round_up_to_disk_blocks(bytes: u64) -> u64 {
+    bytes.div_ceil(DISK_BLOCK_BYTES) * DISK_BLOCK_BYTES
 }
 
 /// The sizes of all files in a folder, and the compaction decisions that result from them.
@@ -79,7 +79,7 @@
             max_bytes,
             max_segment_bytes: (max_bytes / FOLDER_SEGMENT_DIVISOR)
                 .clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES),
-            reserve_bytes: round_up_to_blocks((max_bytes / RESERVE_DIVISOR).min(MAX_RESERVE_BYTES)),
+            reserve_bytes: round_up_to_disk_blocks((max_bytes / RESERVE_DIVISOR).min(MAX_RESERVE_BYTES)),
             first_number: 1,
             segment_sizes: BTreeMap::new(),
             auxiliary_bytes: 0,
@@ -141,12 +141,13 @@
 
     /// Returns the size of all files in bytes, each rounded up to whole blocks.
     pub fn used_bytes(&self) -> u64 {
-        self.segment_sizes.values().map(|size| round_up_to_blocks(*size)).sum::<u64>() + self.auxiliary_bytes
+        self.segment_sizes.values().map(|size| round_up_to_disk_blocks(*size)).sum::<u64>()
+            + self.auxiliary_bytes
     }
 
     /// Returns whether an append of `bytes` bytes fits, even if it starts a new segment.
     pub fn fits(&self, bytes: u64) -> bool {
-        self.used_bytes() + round_up_to_blocks(bytes) + BLOCK_BYTES <= self.max_bytes
+        self.used_bytes() + round_up_to_disk_blocks(bytes) + DISK_BLOCK_BYTES <= self.max_bytes
     }
 
     /// Returns whether an append of `bytes` bytes must start a new segment.
--- a/crates/wal/src/disk_reserve.rs
+++ b/crates/wal/src/disk_reserve.rs
@@ -1,7 +1,7 @@
 //! The disk reserve: a file of zeros that occupies space for the final records of pending messages. The file
 //! is removed when the disk is full, and filled again when there is space.
 
-use crate::compaction_plan::{round_up_to_blocks, BLOCK_BYTES};
+use crate::compaction_plan::{round_up_to_disk_blocks, DISK_BLOCK_BYTES};
 use crate::write_ahead_log::WriteAheadLog;
 
 /// Name of the disk reserve's file.
@@ -10,7 +10,7 @@
 /// append.
 const REPLENISH_STEP_BYTES: u64 = 64 * 1024;
 /// Number of blocks that the current manifest and the next one take, one each.
-const MANIFEST_BLOCKS: u64 = 2;
+const MANIFEST_DISK_BLOCKS: u64 = 2;
 
 impl WriteAheadLog {
     /// Fills the disk reserve as far as there is space.
@@ -47,8 +47,8 @@
 
     /// Sets the plan's size of all files except segments.
     pub(crate) fn update_auxiliary_bytes(&mut self) {
-        let reserve = round_up_to_blocks(self.reserve_bytes);
-        let manifests = MANIFEST_BLOCKS * BLOCK_BYTES;
+        let reserve = round_up_to_disk_blocks(self.reserve_bytes);
+        let manifests = MANIFEST_DISK_BLOCKS * DISK_BLOCK_BYTES;
         self.plan.set_auxiliary_bytes(self.quarantine.used_bytes() + reserve + manifests);
     }
 }
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -4,7 +4,7 @@
 //! # Invariants
 //!
 //! - Records survive the end of the process once [`WriteAheadLog::append`] has returned. [`SyncPolicy`] sets
-//!   when they also survive a loss of the machine.
+//!   when they also survive a crash of the machine.
 //! - Records are appended to the last of a sequence of numbered segments. The first segment is compacted in
 //!   bounded steps after appends, and then removed. The manifest names the first segment in use. The manifest
 //!   is replaced after the copies are written and before the compacted segment is removed.
--- a/crates/wal/src/manifest.rs
+++ b/crates/wal/src/manifest.rs
@@ -1,7 +1,7 @@
 //! The manifest: a small file that holds the format version and the number of the first segment in use.
 //!
 //! The manifest is replaced after the live records of a segment are copied and before the segment is removed.
-//! Without the manifest, a loss of the machine could restore a removed segment without the later one that
+//! Without the manifest, a crash of the machine could restore a removed segment without the later one that
 //! finished its messages.
 
 use std::collections::BTreeMap;
--- a/crates/wal/src/memory_storage.rs
+++ b/crates/wal/src/memory_storage.rs
@@ -10,8 +10,8 @@
 #[derive(Clone, Debug, Default)]
 struct FileContent {
     bytes: Vec<u8>,
-    /// Number of bytes, from the start, that survive a loss of the machine.
-    synced: usize,
+    /// Number of bytes, from the start, that survive a crash of the machine.
+    synced_bytes: usize,
 }
 
 /// The faults that a folder in memory injects; none by default.
@@ -35,7 +35,7 @@
 #[derive(Default)]
 struct Folder {
     files: BTreeMap<String, FileContent>,
-    /// Files that remain after a loss of the machine, with bytes that may be unsynced.
+    /// Files that remain after a crash of the machine, with bytes that may be unsynced.
     synced_directory: BTreeMap<String, FileContent>,
     faults: Faults,
     operation_count: u64,
@@ -91,12 +91,12 @@
         })))
     }
 
-    /// Returns a copy of the folder as it is after a loss of the machine: without unsynced bytes and names,
+    /// Returns a copy of the folder as it is after a crash of the machine: without unsynced bytes and names,
     /// and without faults.
-    pub fn after_machine_loss(&self) -> MemoryStorage {
+    pub fn after_machine_crash(&self) -> MemoryStorage {
         let mut files = self.lock().synced_directory.clone();
         for content in files.values_mut() {
-            content.bytes.truncate(content.synced);
+            content.bytes.truncate(content.synced_bytes);
         }
         MemoryStorage(Arc::new(Mutex::new(Folder {
             synced_directory: files.clone(),
@@ -113,10 +113,10 @@
         }
     }
 
-    /// Creates or replaces a file regardless of faults. The content survives a loss of the machine after the
+    /// Creates or replaces a file regardless of faults. The content survives a crash of the machine after the
     /// next sync of the directory.
     pub fn write_file(&self, name: &str, bytes: &[u8]) {
-        let content = FileContent { bytes: bytes.to_vec(), synced: bytes.len() };
+        let content = FileContent { bytes: bytes.to_vec(), synced_bytes: bytes.len() };
         self.lock().files.insert(name.to_owned(), content);
     }
 
@@ -175,7 +175,7 @@
         }
         let content = folder.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         content.bytes.truncate(length as usize);
-        content.synced = content.synced.min(length as usize);
+        content.synced_bytes = content.synced_bytes.min(length as usize);
         Ok(())
     }
 
@@ -203,9 +203,9 @@
             return Err(injected_fault());
         }
         let content = folder.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
-        content.synced = content.bytes.len();
+        content.synced_bytes = content.bytes.len();
         let content = content.clone();
-        // The file survives a loss of the machine only if the directory was synced with its name.
+        // The file survives a crash of the machine only if the directory was synced with its name.
         if let Some(kept) = folder.synced_directory.get_mut(name) {
             *kept = content;
         }
--- a/crates/wal/src/opening.rs
+++ b/crates/wal/src/opening.rs
@@ -85,7 +85,7 @@
                 log.write_manifest(recovered.first_segment)?;
             }
             log.remove_migrated_single_file(&files)?;
-            log.truncate_torn_write(recovered.torn_at);
+            log.truncate_torn_write(recovered.torn_write_offset);
         }
         log.last_segment_sealed |= recovered.last_segment_is_older || log.last_segment_is_corrupt();
         log.fill_reserve();
@@ -122,8 +122,8 @@
     }
 
     /// Cuts off the torn write that a killed process left at the end of the last segment.
-    fn truncate_torn_write(&mut self, torn_at: Option<u64>) {
-        let (Some(offset), Some(last)) = (torn_at, self.plan.last_segment()) else { return };
+    fn truncate_torn_write(&mut self, torn_write_offset: Option<u64>) {
+        let (Some(offset), Some(last)) = (torn_write_offset, self.plan.last_segment()) else { return };
         if self.corrupt_segments.contains(&last) {
             return;
         }
--- a/crates/wal/src/quarantine.rs
+++ b/crates/wal/src/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::compaction_plan::round_up_to_blocks;
+use crate::compaction_plan::round_up_to_disk_blocks;
 
 /// Prefix that is added to the names of quarantined files.
 const NAME_PREFIX: &str = "damaged-";
@@ -33,7 +33,7 @@
 
     /// Returns the size of all quarantined files in bytes, each rounded up to whole blocks.
     pub fn used_bytes(&self) -> u64 {
-        self.files.values().map(|size| round_up_to_blocks(*size)).sum()
+        self.files.values().map(|size| round_up_to_disk_blocks(*size)).sum()
     }
 
     /// Drops the oldest file if the quarantine exceeds its share of `folder_bytes`, and returns its name. The
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -36,7 +36,7 @@
     /// Numbers of segments with unreadable parts.
     pub corrupt_segments: BTreeSet<u64>,
     /// Offset of the torn write at the end of the last segment, in bytes; `None` if there is no torn write.
-    pub torn_at: Option<u64>,
+    pub torn_write_offset: Option<u64>,
     /// Numbers of segments that were compacted but not removed yet, or were left by an interrupted migration.
     pub superseded_segments: Vec<u64>,
     /// Number of the first segment in use.
@@ -91,7 +91,7 @@
             verification: VerificationReport::default(),
             segments,
             corrupt_segments: BTreeSet::new(),
-            torn_at: None,
+            torn_write_offset: None,
             superseded_segments: Vec::new(),
             first_segment: 1,
             single_file: None,
@@ -167,7 +167,7 @@
             SegmentHeader::Incomplete if is_last => {
                 // The write that created the segment was torn before its first record.
                 self.verification.torn_bytes += self.segments.get(&number).copied().unwrap_or_default();
-                self.torn_at = Some(0);
+                self.torn_write_offset = Some(0);
                 return Ok(());
             }
             SegmentHeader::Incomplete | SegmentHeader::Corrupt => {
@@ -204,7 +204,7 @@
                 }
                 ScanItem::Torn { offset, bytes } if position == SegmentPosition::Last => {
                     self.verification.torn_bytes += bytes;
-                    self.torn_at = Some(offset);
+                    self.torn_write_offset = Some(offset);
                 }
                 ScanItem::Torn { offset, bytes } => {
                     self.add_corruption(number, Corruption::new(&file, offset, bytes));
--- a/crates/wal/src/storage.rs
+++ b/crates/wal/src/storage.rs
@@ -25,10 +25,11 @@
     /// Removes a file; fails with `NotFound` if there is none.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes the bytes written to a file survive a loss of the machine.
+    /// Syncs a file, so that the bytes written to it survive a crash of the machine or a power failure.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes created, renamed and removed names survive a loss of the machine.
+    /// Syncs the folder, so that creations, renames and removals of files survive a crash of the machine or a
+    /// power failure.
     fn sync_directory(&mut self) -> io::Result<()>;
 
     /// Returns a reader from the start of a file.
--- a/crates/wal/src/write_ahead_log.rs
+++ b/crates/wal/src/write_ahead_log.rs
@@ -19,16 +19,16 @@
 /// messages are accepted again, which prevents a failing write for each submission.
 const FULL_DISK_RETRY_DIVISOR: u64 = 16;
 
-/// When appended records are synced to disk (`fdatasync`). Synced records survive a loss of the machine;
+/// When appended records are synced to disk (`fdatasync`). Synced records survive a crash of the machine;
 /// other records survive only the end of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SyncPolicy {
-    /// Records are not synced, and may be lost with the machine.
+    /// Records are not synced, and may be lost if the machine crashes.
     #[default]
     Never,
     /// Records are synced before the append returns. All records of one append share one sync.
     EachAppend,
-    /// Records are synced by the first append after this interval. A loss of the machine loses records
+    /// Records are synced by the first append after this interval. A crash of the machine loses records
     /// written since the last sync.
     Interval(Duration),
 }
@@ -74,7 +74,8 @@
         &self.index
     }
 
-    /// Returns the report on the corrupt parts and totals that were found when the log was opened.
+    /// Returns the report of the opening of the log: corrupt parts, the size of a torn write, and the numbers
+    /// of segments, bytes and records that were read.
     pub fn verification(&self) -> &VerificationReport {
         &self.verification
     }
--- a/crates/wal/tests/wal/compaction_plan.rs
+++ b/crates/wal/tests/wal/compaction_plan.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use reeddock_wal::compaction_plan::{
-    CompactionPlan, CompactionStep, BLOCK_BYTES, COPIED_PER_APPENDED_BYTE, MAX_STEP_BYTES, MIN_STEP_BYTES,
+    CompactionPlan, CompactionStep, COPIED_PER_APPENDED_BYTE, DISK_BLOCK_BYTES, MAX_STEP_BYTES,
+    MIN_STEP_BYTES,
 };
 
 #[test]
@@ -45,7 +46,7 @@
 fn compaction_passes_all_segments_before_the_folder_is_full() {
     for max_bytes in [200_000, 3_000_000, 1 << 30] {
         let mut plan = CompactionPlan::new(max_bytes);
-        plan.set_auxiliary_bytes(plan.reserve_bytes() + 4 * BLOCK_BYTES);
+        plan.set_auxiliary_bytes(plan.reserve_bytes() + 4 * DISK_BLOCK_BYTES);
         let pending_bytes = plan.max_pending_bytes();
         let (mut live, mut copied) = (BTreeMap::new(), 0);
         let mut left = pending_bytes;
--- a/crates/wal/tests/wal/crashes.rs
+++ b/crates/wal/tests/wal/crashes.rs
@@ -1,4 +1,4 @@
-//! Guards against lost or restored messages after a kill or a loss of the machine at any operation.
+//! Guards against lost or restored messages after a kill or a crash of the machine at any operation.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -47,7 +47,7 @@
         Err(failed) => (failed.before, failed.after),
     };
     let remaining =
-        if sync == SyncPolicy::EachAppend { memory.after_machine_loss() } else { memory.after_kill() };
+        if sync == SyncPolicy::EachAppend { memory.after_machine_crash() } else { memory.after_kill() };
     let mut log =
         WriteAheadLog::open_in(Box::new(remaining.clone()), FOLDER_BYTES, sync).map_err(|e| e.to_string())?;
     if !log.verification().is_sound() {
@@ -93,11 +93,11 @@
 }
 
 #[test]
-fn machine_loss_after_any_operation_keeps_synced_records() {
+fn machine_crash_after_any_operation_keeps_synced_records() {
     let (total, _) = count_operations(SyncPolicy::EachAppend);
     for operation_count in 0..total {
         check_state_after_crash(operation_count, 30, SyncPolicy::EachAppend, direct_storage)
-            .unwrap_or_else(|e| panic!("machine loss after {operation_count} operations: {e}"));
+            .unwrap_or_else(|e| panic!("machine crash after {operation_count} operations: {e}"));
     }
 }
 
@@ -123,7 +123,7 @@
 }
 
 impl ReorderingStorage {
-    /// Runs the delayed operations.
+    /// Passes the delayed operations to the inner storage, in the order in which they were requested.
     fn run_delayed(&mut self) -> io::Result<()> {
         for delayed in std::mem::take(&mut self.delayed) {
             match delayed {
--- a/crates/wal/tests/wal/main.rs
+++ b/crates/wal/tests/wal/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the write-ahead log: kills, machine losses, full disks, corruption, older formats and compaction.
+//! Tests of the write-ahead log: kills, machine crashes, full disks, corruption, older formats and compaction.
 
 mod compaction;
 mod compaction_plan;
--- a/crates/wal/tests/wal/random.rs
+++ b/crates/wal/tests/wal/random.rs
@@ -1,4 +1,4 @@
-//! Compares the log with the reference model after random appends, kills and losses of the machine.
+//! Compares the log with the reference model after random appends, kills and crashes of the machine.
 
 use proptest::prelude::*;
 use reeddock_wal::memory_storage::MemoryStorage;
@@ -13,7 +13,7 @@
     /// Appends a number of groups of the load.
     AppendGroups(usize),
     Kill,
-    LoseMachine,
+    CrashMachine,
     /// Finishes all pending messages in one append.
     FinishAll,
 }
@@ -22,7 +22,7 @@
     let one = prop_oneof![
         6 => (1..40usize).prop_map(Step::AppendGroups),
         1 => Just(Step::Kill),
-        1 => Just(Step::LoseMachine),
+        1 => Just(Step::CrashMachine),
         1 => Just(Step::FinishAll),
     ];
     prop::collection::vec(one, 1..25)
@@ -49,9 +49,9 @@
                     records.iter().for_each(|record| load.model.apply(record));
                     log.append(&records, Default::default()).unwrap();
                 }
-                Step::Kill | Step::LoseMachine => {
+                Step::Kill | Step::CrashMachine => {
                     drop(log);
-                    memory = if matches!(step, Step::Kill) { memory.after_kill() } else { memory.after_machine_loss() };
+                    memory = if matches!(step, Step::Kill) { memory.after_kill() } else { memory.after_machine_crash() };
                     log = WriteAheadLog::open_in(Box::new(memory.clone()), folder_bytes, SyncPolicy::EachAppend).unwrap();
                     prop_assert!(log.verification().is_sound());
                 }
--- a/crates/wal/tests/wal/reopening.rs
+++ b/crates/wal/tests/wal/reopening.rs
@@ -16,8 +16,8 @@
     WriteAheadLog::open(folder.path(), FOLDER_BYTES, SyncPolicy::Never).unwrap()
 }
 
-/// Returns the size of all files in bytes, each rounded up to whole blocks of 512 bytes.
-fn size_in_blocks(folder: &TempDir) -> u64 {
+/// Returns the size of all files in bytes, each rounded up to whole disk blocks of 512 bytes.
+fn size_rounded_up_to_disk_blocks(folder: &TempDir) -> u64 {
     let files = fs::read_dir(folder.path()).unwrap();
     files.map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512).sum()
 }
@@ -104,7 +104,7 @@
         let id = format!("e{n}");
         log.append(&[accepted(&id), started(&id, 0)], NOW).unwrap();
         log.append(&[finished(&id)], NOW).unwrap();
-        assert!(size_in_blocks(&folder) <= FOLDER_BYTES);
+        assert!(size_rounded_up_to_disk_blocks(&folder) <= FOLDER_BYTES);
     }
     drop(log);
     let log = open(&folder);
