--- a/benches/turns.rs
+++ b/benches/turns.rs
@@ -1,9 +1,9 @@
-//! Duration of one run of due work, by the number of queued messages, of destinations and of requests in flight.
-//! Benchmark names keep the older terms *turn* (run of due work), *held* (queued) and *slots* (maximum number of
-//! requests in flight), so that results stay comparable.
+//! Duration of one run of due work, by the number of queued messages, destinations and requests in flight.
+//! Benchmark names keep older terms for comparison: *turn* (run of due work), *held* (queued) and *slots*
+//! (maximum number of requests in flight).
 //!
-//! Messages stay queued for destinations that sent a Retry-After, while others receive messages. In each run,
-//! sixteen attempts finish and sixteen messages are submitted.
+//! Destinations that sent a Retry-After keep their messages queued. In each run, sixteen attempts finish and
+//! sixteen messages are submitted.
 
 mod load;
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -127,7 +127,8 @@
     /// Load above which a destination fails during its slow start, as a multiple of its current capacity; 2
     /// if `None`.
     pub overload_capacity_multiple: Option<f64>,
-    /// Duration of a load above `overload_capacity_multiple` after which a destination fails; 2 s if `None`.
+    /// Time that a destination withstands a load above `overload_capacity_multiple` times its current
+    /// capacity before it fails; 2 s if `None`.
     pub overload_window: Option<Duration>,
     /// Delay of the next message of an ordering key after an attempt with an unknown outcome; zero if `None`.
     pub ordering_hold_off: Option<Duration>,
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -28,7 +28,9 @@
         self.circuit_mut(scope).set_remaining_limit_share(limit.map(|_| report.remaining_limit_share));
     }
 
-    /// Returns this forwarder's long-term rate for an endpoint, in messages a second.
+    /// Returns the mean rate of messages submitted to this forwarder for a destination, in messages a second,
+    /// divided by the number of active endpoints. The result is at least this forwarder's equal share of the
+    /// endpoint's listed rate.
     ///
     /// The rates of all forwarders add up to no more than the capacity of the destination, however unevenly
     /// the traffic is spread over them.
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -36,7 +36,11 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         ) {
             let until = now + self.parameters.ordering_hold_off;
-            self.ordering_queues.hold_off(attempt.ordering_key, attempt.arrival_number, until);
+            self.ordering_queues.delay_following_messages(
+                attempt.ordering_key,
+                attempt.arrival_number,
+                until,
+            );
         }
         self.remove_from_ordering_queue(id, attempt.ordering_key, attempt.arrival_number);
         if message_finished {
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -8,12 +8,12 @@
 use crate::state::{Endpoint, Pacing, MIN_TIMER};
 
 /// Factor by which the pacing interval grows with each rejection.
-pub(super) const PACING_GROWTH: f64 = 1.6;
+pub(super) const PACING_INTERVAL_GROWTH_FACTOR: f64 = 1.6;
 /// Factor by which the pacing interval shrinks with each completion.
-const PACING_SHRINK: f64 = 0.93;
+const PACING_INTERVAL_SHRINK_FACTOR: f64 = 0.93;
 /// Factor by which the pacing interval shrinks with each completion under sparse traffic, where completions
 /// are rare.
-const SPARSE_PACING_SHRINK: f64 = 0.75;
+const SPARSE_TRAFFIC_SHRINK_FACTOR: f64 = 0.75;
 /// Factor by which an approximate listed rate may exceed the true rate. The first pacing interval
 /// after a rejection is this factor times the interval at this forwarder's share of the listed rate.
 pub(super) const APPROXIMATE_RATE_MARGIN: f64 = 1.5;
@@ -27,12 +27,12 @@
 const TIME_SLOT_OPEN_MIN_SECONDS: f64 = 0.1;
 
 impl DeliveryPolicy {
-    /// Returns the time at which this forwarder's next time slot at the endpoint begins; `None` if a request
-    /// may be sent now.
+    /// Returns when this forwarder's next time slot at the endpoint begins; `None` if a request may be sent
+    /// now.
     ///
-    /// Prevents a burst that reaches many forwarders at once from exceeding the rate limit of an endpoint.
-    /// Time slots apply to endpoints with a listed rate whose responses report no limit. Each slot admits one
-    /// request, phases are random, and unused slots are not saved.
+    /// Prevents bursts at many forwarders from exceeding the rate limit of an endpoint that has a listed rate
+    /// but reports no limit. Each slot admits one request; the slots of each forwarder have a random offset.
+    /// Unused slots do not accumulate.
     pub(super) fn next_time_slot(
         &self,
         scope: CircuitScope,
@@ -72,10 +72,12 @@
     /// Shrinks the pacing interval after a completed attempt. `remaining_limit_share` is the share of the
     /// rate limit that is left; `None` if it is not known.
     pub(super) fn shrink(&mut self, remaining_limit_share: Option<f64>, has_sparse_traffic: bool) {
-        let shrink = if has_sparse_traffic { SPARSE_PACING_SHRINK } else { PACING_SHRINK };
+        let shrink =
+            if has_sparse_traffic { SPARSE_TRAFFIC_SHRINK_FACTOR } else { PACING_INTERVAL_SHRINK_FACTOR };
         // The interval shrinks slowly while little is left of the limit, which rejected requests use up too.
         // Pacing ends when the whole limit is left.
-        let factor = remaining_limit_share.map_or(shrink, |left| PACING_SHRINK * (1.0 - left));
+        let factor =
+            remaining_limit_share.map_or(shrink, |left| PACING_INTERVAL_SHRINK_FACTOR * (1.0 - left));
         self.set_interval_seconds(self.interval_seconds() * factor);
     }
 }
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -24,7 +24,7 @@
 /// Minimum of the load above which a destination fails, as a multiple of its current capacity; prevents a
 /// slow start budget of zero.
 const MIN_OVERLOAD_CAPACITY_MULTIPLE: f64 = 0.1;
-/// Duration of overload after which a destination fails, unless the settings define the duration.
+/// Time that a destination withstands an overload before it fails, unless the settings define the time.
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 /// Minimum time from the opening of a circuit to its half-open trial, for classes with a very short latency
 /// objective.
--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -36,7 +36,7 @@
             let Some(destination) = self.endpoints.delete_endpoint(id) else { continue };
             self.circuits.remove(CircuitScope::Endpoint(id));
             self.queue.mark_changed(destination);
-            if self.endpoints.is_without_endpoints(destination)
+            if self.endpoints.destination_has_no_endpoints(destination)
                 && self.queue.destination_queue(destination).is_none()
             {
                 self.endpoints.delete_destination(destination);
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use super::capacity_share::{MIN_DESTINATION_CAPACITY, MIN_RATE};
-use super::pacing::{APPROXIMATE_RATE_MARGIN, PACING_GROWTH};
+use super::pacing::{APPROXIMATE_RATE_MARGIN, PACING_INTERVAL_GROWTH_FACTOR};
 use super::{duration_from_seconds, DeliveryPolicy};
 use crate::interface::EndpointId;
 use crate::state::{Attempt, CircuitBreaker, Pacing, PolicyParameters};
 
 /// Factor by which the pacing interval grows with a rejection that is not caused by a rate limit, but by a
 /// full queue or an outage.
-const UNEXPLAINED_REJECTION_GROWTH: f64 = 4.0;
+const UNEXPLAINED_REJECTION_GROWTH_FACTOR: f64 = 4.0;
 /// A rejection is attributed to a rate limit if less than this share of the limit was left. Load reports may
 /// be up to a second old.
 const LIMIT_USED_UP_THRESHOLD: f64 = 0.5;
@@ -25,7 +25,8 @@
     /// Endpoints that share the circuit.
     in_scope: Vec<EndpointId>,
     recovery_delay: Duration,
-    /// This forwarder's long-term rate for the endpoints of the circuit, in requests a second.
+    /// Sum of [`DeliveryPolicy::baseline_rate`] over the endpoints of the circuit, in requests with full
+    /// batches a second.
     baseline_rate: f64,
     /// This forwarder's share of the rate that the endpoints of the circuit accept, in requests a second.
     fair_share: f64,
@@ -136,11 +137,11 @@
         // With load reports, the first interval can be short, because the reports show when the destination
         // has capacity.
         let (max_first_interval, growth) = if !parameters.responses_carry_load_reports {
-            (parameters.longest_deadline, PACING_GROWTH)
+            (parameters.longest_deadline, PACING_INTERVAL_GROWTH_FACTOR)
         } else if limit_used_up {
-            (parameters.recovery_delay, PACING_GROWTH)
+            (parameters.recovery_delay, PACING_INTERVAL_GROWTH_FACTOR)
         } else {
-            (parameters.recovery_delay, UNEXPLAINED_REJECTION_GROWTH)
+            (parameters.recovery_delay, UNEXPLAINED_REJECTION_GROWTH_FACTOR)
         };
         let grown_interval =
             (self.interval_seconds() * growth).max(first_interval.min(max_first_interval.as_secs_f64()));
@@ -161,11 +162,12 @@
         };
         let baseline_rate = load.baseline_rate.max(MIN_RATE);
         let first_interval =
-            (PACING_GROWTH * mean_recent_interval).max(FIRST_INTERVAL_FACTOR / baseline_rate);
+            (PACING_INTERVAL_GROWTH_FACTOR * mean_recent_interval).max(FIRST_INTERVAL_FACTOR / baseline_rate);
         // A destination is assumed to accept at least half of its long-term rate, in as many requests or in
         // fewer with larger batches.
         let max_interval = (parameters.forwarders / MIN_DESTINATION_CAPACITY).min(2.0 / baseline_rate);
-        let interval = (self.interval_seconds() * PACING_GROWTH).max(first_interval).min(max_interval);
+        let interval =
+            (self.interval_seconds() * PACING_INTERVAL_GROWTH_FACTOR).max(first_interval).min(max_interval);
         self.set_interval_after_rejection(interval, now);
     }
 }
--- a/src/policy/request_selection.rs
+++ b/src/policy/request_selection.rs
@@ -75,12 +75,12 @@
         }
         let class_order = self.draw_class_order();
         let candidates = Candidates::from(admitted.endpoints);
-        let Some(lead) = self.lead_message(destination, &candidates, &class_order, now) else {
+        let Some(first_message) = self.first_message(destination, &candidates, &class_order, now) else {
             next_admission.include(Some(now + self.parameters.recovery_delay / RECHECK_DELAY_DIVISOR));
             return false;
         };
-        let chosen = self.choose_endpoint_for_lead(lead, &candidates, now);
-        let messages = self.fill_request(destination, lead, chosen, &class_order, now);
+        let chosen = self.choose_endpoint_for(first_message, &candidates, now);
+        let messages = self.fill_request(destination, first_message, chosen, &class_order, now);
         self.start_request(messages, chosen, now, host);
         true
     }
@@ -102,7 +102,7 @@
     }
 
     /// Returns the first message of the next request, which may be sent to any of the endpoints.
-    fn lead_message(
+    fn first_message(
         &self,
         destination: DestinationId,
         candidates: &Candidates,
@@ -117,22 +117,26 @@
         let repeatable = segments.iter().filter(|s| self.is_repeatable(s.queue_class.priority.class));
         let for_trial =
             repeatable.filter_map(|s| Some((s.queue_class.errors, first(s, &candidates.for_trial)?)));
-        let lead = (for_trial.min().map(|(_, ranked)| ranked))
+        let first_message = (for_trial.min().map(|(_, ranked)| ranked))
             .or_else(|| segments.iter().filter_map(|s| first(s, &candidates.for_regular_requests)).min())
             .or_else(|| segments.iter().filter_map(|s| first(s, &candidates.for_trial)).min());
-        lead.map(|ranked| ranked.key)
+        first_message.map(|ranked| ranked.key)
     }
 
-    /// Chooses the endpoint for the lead message. At least one of the candidates is eligible.
-    fn choose_endpoint_for_lead(
+    /// Chooses the endpoint for the first message. At least one of the candidates is eligible.
+    fn choose_endpoint_for(
         &mut self,
-        lead: MessageKey,
+        first_message: MessageKey,
         candidates: &Candidates,
         now: Duration,
     ) -> AdmittedEndpoint {
-        let class = self.messages[lead].class;
+        let class = self.messages[first_message].class;
         let eligible = |endpoints: &[AdmittedEndpoint]| -> Vec<AdmittedEndpoint> {
-            endpoints.iter().filter(|admitted| self.may_attempt(lead, admitted, now)).copied().collect()
+            endpoints
+                .iter()
+                .filter(|admitted| self.may_attempt(first_message, admitted, now))
+                .copied()
+                .collect()
         };
         let (for_trial, for_regular_requests) =
             (eligible(&candidates.for_trial), eligible(&candidates.for_regular_requests));
@@ -142,29 +146,29 @@
         self.choose_endpoint(&eligible, class, now)
     }
 
-    /// Returns the messages of a request: the lead message, and those that are sent with it as a batch.
+    /// Returns the messages of a request: the first message, and those that are sent with it as a batch.
     fn fill_request(
         &self,
         destination: DestinationId,
-        lead: MessageKey,
+        first_message: MessageKey,
         chosen: AdmittedEndpoint,
         class_order: &[u64],
         now: Duration,
     ) -> Vec<MessageKey> {
         let endpoint = &self.endpoints[chosen.endpoint];
         // A batch puts more load on an endpoint that is warming up than one message does.
-        let batch = if chosen.half_open_trial {
+        let max_messages = if chosen.half_open_trial {
             1
         } else {
             self.endpoints.max_batch(endpoint).min(self.slow_start_max_batch(chosen.scope, endpoint, now))
         };
-        let mut messages = vec![lead];
-        if batch > 1 {
-            let may = |key: &MessageKey| self.may_attempt(*key, &chosen, now);
+        let mut messages = vec![first_message];
+        if max_messages > 1 {
+            let is_eligible = |key: &MessageKey| self.may_attempt(*key, &chosen, now);
             let segments = self.queue.segments(destination, now);
             let ranked = segments.map(|segment| self.sendable_messages(&segment, class_order, now)).kmerge();
-            let others = ranked.map(|ranked| ranked.key).filter(|key| *key != lead);
-            messages.extend(others.take(batch - 1).filter(may));
+            let others = ranked.map(|ranked| ranked.key).filter(|key| *key != first_message);
+            messages.extend(others.take(max_messages - 1).filter(is_eligible));
         }
         messages
     }
--- a/src/policy/restore.rs
+++ b/src/policy/restore.rs
@@ -32,7 +32,11 @@
         if earliest.is_some() {
             // An earlier attempt may still be in execution.
             let until = now + self.parameters.ordering_hold_off;
-            self.ordering_queues.hold_off(message.ordering_key, message.arrival_number, until);
+            self.ordering_queues.delay_following_messages(
+                message.ordering_key,
+                message.arrival_number,
+                until,
+            );
         }
         self.requeue(key);
         if self.cannot_be_sent(key, now) {
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -37,10 +37,9 @@
 impl DeliveryPolicy {
     /// Returns whether the retry budget of an endpoint allows an attempt. Only retries need a token.
     ///
-    /// Without a token, a message that may have been executed is retried once no request was sent to the
-    /// endpoint for the time from a circuit's opening to its half-open trial. A message that was not executed
-    /// is retried after the mean interval between messages; in a large fleet or with much traffic, only
-    /// pacing delays it.
+    /// Without a token, a message that may have been executed is retried once the endpoint got no request for
+    /// `recovery_delay`. Any other message is retried after the mean interval between messages; in a large
+    /// fleet or with much traffic, only pacing delays it.
     pub(super) fn may_retry(&self, message: &Message, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         if message.attempts() == 0
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,8 +7,8 @@
 use crate::interface::CircuitScope;
 use crate::state::Endpoint;
 
-/// Assumed capacity of an endpoint after slow start, as a multiple of this forwarder's long-term rate. Above
-/// 1, because a destination has more capacity than its ordinary traffic needs.
+/// Assumed capacity of an endpoint after slow start, as a multiple of [`DeliveryPolicy::baseline_rate`].
+/// Above 1, because a destination has more capacity than its ordinary traffic needs.
 const SLOW_START_BASELINE_MULTIPLE: f64 = 1.5;
 /// Load of each further message in a request, relative to a request with one message.
 pub(super) const LOAD_PER_EXTRA_MESSAGE: f64 = 0.25;
@@ -16,7 +16,7 @@
 /// Minimum slow start duration, in seconds, by which warm-up times are divided; prevents a division by zero.
 const MIN_SLOW_START_SECONDS: f64 = 0.001;
 
-/// Load that an endpoint may get now.
+/// Load that slow start allows on an endpoint now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SlowStartBudget {
     /// Maximum load, in requests with one message.
@@ -31,9 +31,10 @@
 }
 
 impl DeliveryPolicy {
-    /// Returns the load that the endpoint may get now.
+    /// Returns the load that slow start allows on the endpoint now, in requests with one message.
     ///
-    /// Prevents overload of an endpoint that failed requests, or rejected all, and may be warming up.
+    /// Prevents overload of an endpoint that recently failed requests or was in an outage, and may still be
+    /// warming up.
     pub(super) fn slow_start_budget(
         &self,
         scope: CircuitScope,
@@ -95,15 +96,16 @@
     /// warming up. With many forwarders or a small destination, the delay is longer.
     pub(super) fn recovery_delay(&self, endpoint: &Endpoint, now: Duration) -> Duration {
         let parameters = &self.parameters;
-        let share = self.baseline_rate(endpoint, now).max(MIN_DESTINATION_CAPACITY / parameters.forwarders);
-        let trials = parameters.overload_capacity_multiple
+        let baseline =
+            self.baseline_rate(endpoint, now).max(MIN_DESTINATION_CAPACITY / parameters.forwarders);
+        let trials_per_window = parameters.overload_capacity_multiple
             * parameters.slow_start_floor
-            * share
+            * baseline
             * parameters.overload_window.as_secs_f64();
-        if trials >= 1.0 {
+        if trials_per_window >= 1.0 {
             return parameters.recovery_delay;
         }
-        let delay = duration_from_seconds(parameters.overload_window.as_secs_f64() / trials);
+        let delay = duration_from_seconds(parameters.overload_window.as_secs_f64() / trials_per_window);
         parameters.recovery_delay.max(delay.min(2 * parameters.slow_start_duration))
     }
 }
--- a/src/policy/stragglers.rs
+++ b/src/policy/stragglers.rs
@@ -17,7 +17,7 @@
 /// this number.
 const MIN_STRAGGLER_THRESHOLD_DIVISOR: u32 = 4;
 
-/// Request that is most overdue.
+/// Request in flight that has taken longer than its allowed time.
 struct Straggler {
     /// Time taken divided by the time allowed; at least 1.
     overdue_ratio: f64,
--- a/src/policy/timeouts.rs
+++ b/src/policy/timeouts.rs
@@ -15,7 +15,7 @@
 const NON_IDEMPOTENT_TIMEOUT_FACTOR: f64 = 2.0;
 /// Factor by which the response timeout grows with each consecutive timeout, so that a slow destination can
 /// still respond.
-const TIMEOUT_GROWTH: f64 = 1.5;
+const TIMEOUT_GROWTH_FACTOR: f64 = 1.5;
 /// Number of consecutive timeouts beyond which further timeouts do not increase the response timeout.
 const MAX_TIMEOUT_GROWTH_STEPS: u32 = 2;
 
@@ -52,7 +52,7 @@
         let mean = circuit.and_then(|circuit| circuit.mean_latency_seconds()).unwrap_or(0.0);
         let consecutive_timeouts =
             circuit.map_or(0, |circuit| circuit.consecutive_timeouts().min(MAX_TIMEOUT_GROWTH_STEPS));
-        let growth = TIMEOUT_GROWTH.powi(consecutive_timeouts as i32);
+        let growth = TIMEOUT_GROWTH_FACTOR.powi(consecutive_timeouts as i32);
         // Only one trial is in flight at a time, so a long timeout would delay the recovery.
         let ordinary = (RESPONSE_TIMEOUT_LATENCY_FACTOR, class.latency_objective);
         let (latency_factor, floor) =
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -5,7 +5,7 @@
 
 use super::indices::{IndexEntries, ObjectiveRange};
 use super::position::{
-    ClassEntries, Due, ObjectiveOrder, PriorityClass, QueueClass, QueuePosition, QueuedMessage,
+    ClassEntries, ObjectiveOrder, PriorityClass, QueueClass, QueuePosition, QueuedMessage, TimeIndexEntry,
 };
 use super::segment::QueueSegment;
 use super::wake_schedule::WakeState;
@@ -16,9 +16,9 @@
 pub(crate) struct DestinationQueue {
     pub(super) classes: BTreeMap<QueueClass, ClassEntries>,
     /// All messages by deadline.
-    pub(super) deadlines: BTreeSet<Due<MessageKey>>,
+    pub(super) deadlines: BTreeSet<TimeIndexEntry<MessageKey>>,
     /// Messages that may only be retried while their idempotency key is valid, by expiry of the key.
-    pub(super) key_expiries: BTreeSet<Due<MessageKey>>,
+    pub(super) key_expiries: BTreeSet<TimeIndexEntry<MessageKey>>,
     pub(super) len: usize,
     pub(super) wake_state: WakeState,
     /// Entries of this queue in the indices, as of the last update.
@@ -39,9 +39,9 @@
     pub(super) fn insert(&mut self, key: MessageKey, position: &QueuePosition) {
         let entries = self.classes.entry(position.queue_class).or_default();
         entries.insert(position.objective_order(), key);
-        self.deadlines.insert(Due::new(position.deadline, key));
+        self.deadlines.insert(TimeIndexEntry::new(position.deadline, key));
         if let Some(until) = position.key_valid_until {
-            self.key_expiries.insert(Due::new(until, key));
+            self.key_expiries.insert(TimeIndexEntry::new(until, key));
         }
         self.len += 1;
     }
@@ -53,9 +53,9 @@
                 self.classes.remove(&position.queue_class);
             }
         }
-        self.deadlines.remove(&Due::new(position.deadline, key));
+        self.deadlines.remove(&TimeIndexEntry::new(position.deadline, key));
         if let Some(until) = position.key_valid_until {
-            self.key_expiries.remove(&Due::new(until, key));
+            self.key_expiries.remove(&TimeIndexEntry::new(until, key));
         }
         self.len -= 1;
     }
@@ -74,7 +74,7 @@
         &self,
         last: Duration,
     ) -> impl Iterator<Item = MessageKey> + '_ {
-        subjects_due_by(&self.deadlines, last)
+        items_up_to(&self.deadlines, last)
     }
 
     /// Returns the messages whose idempotency key expires at or before `last`.
@@ -82,14 +82,14 @@
         &self,
         last: Duration,
     ) -> impl Iterator<Item = MessageKey> + '_ {
-        subjects_due_by(&self.key_expiries, last)
+        items_up_to(&self.key_expiries, last)
     }
 
     /// Returns the current entries of this queue for the indices. `available_at` is the time at which the
     /// first endpoint of the destination may receive a request.
     pub(super) fn index_entries(&self, available_at: Duration) -> IndexEntries {
-        let deadline = self.deadlines.first().map(|due| due.at);
-        let key_expiry = self.key_expiries.first().map(|due| due.at);
+        let deadline = self.deadlines.first().map(|entry| entry.at);
+        let key_expiry = self.key_expiries.first().map(|entry| entry.at);
         let time_left_when_available = match key_expiry {
             Some(until) if until <= available_at => Some(Duration::ZERO),
             _ => deadline.map(|at| at.saturating_sub(available_at)),
@@ -122,9 +122,9 @@
     }
 }
 
-fn subjects_due_by(
-    dues: &BTreeSet<Due<MessageKey>>,
+fn items_up_to(
+    entries: &BTreeSet<TimeIndexEntry<MessageKey>>,
     last: Duration,
 ) -> impl Iterator<Item = MessageKey> + '_ {
-    dues.iter().take_while(move |due| due.at <= last).map(|due| due.subject)
+    entries.iter().take_while(move |entry| entry.at <= last).map(|entry| entry.item)
 }
--- a/src/queue/indices.rs
+++ b/src/queue/indices.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::position::{Due, PriorityClass, QueuedMessage};
+use super::position::{PriorityClass, QueuedMessage, TimeIndexEntry};
 use crate::interface::DestinationId;
 
 /// Entries of a destination queue in the indices.
@@ -61,9 +61,9 @@
 #[derive(Default)]
 pub(super) struct Indices {
     /// Destinations by earliest deadline.
-    pub deadlines: BTreeSet<Due<DestinationId>>,
+    pub deadlines: BTreeSet<TimeIndexEntry<DestinationId>>,
     /// Destinations by earliest expiry of an idempotency key.
-    pub key_expiries: BTreeSet<Due<DestinationId>>,
+    pub key_expiries: BTreeSet<TimeIndexEntry<DestinationId>>,
     /// Destinations by the time that is left until the earliest deadline once an endpoint may receive a
     /// request.
     pub by_time_left: BTreeSet<ByTimeLeft>,
@@ -76,8 +76,8 @@
 
 impl Indices {
     pub(super) fn insert(&mut self, destination: DestinationId, entries: &IndexEntries) {
-        self.deadlines.extend(entries.deadline.map(|at| Due::new(at, destination)));
-        self.key_expiries.extend(entries.key_expiry.map(|at| Due::new(at, destination)));
+        self.deadlines.extend(entries.deadline.map(|at| TimeIndexEntry::new(at, destination)));
+        self.key_expiries.extend(entries.key_expiry.map(|at| TimeIndexEntry::new(at, destination)));
         let time_left = entries.time_left_when_available;
         self.by_time_left.extend(time_left.map(|time_left| ByTimeLeft { time_left, destination }));
         for ObjectiveRange { priority, first, last } in &entries.objective_ranges {
@@ -90,10 +90,10 @@
 
     pub(super) fn remove(&mut self, destination: DestinationId, entries: &IndexEntries) {
         if let Some(at) = entries.deadline {
-            self.deadlines.remove(&Due::new(at, destination));
+            self.deadlines.remove(&TimeIndexEntry::new(at, destination));
         }
         if let Some(at) = entries.key_expiry {
-            self.key_expiries.remove(&Due::new(at, destination));
+            self.key_expiries.remove(&TimeIndexEntry::new(at, destination));
         }
         if let Some(time_left) = entries.time_left_when_available {
             self.by_time_left.remove(&ByTimeLeft { time_left, destination });
--- a/src/queue/message_queue.rs
+++ b/src/queue/message_queue.rs
@@ -97,7 +97,7 @@
 
     /// Returns the earliest wake time of all sleeping destinations; `None` if there is none.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.schedule.wake_times.first().map(|due| due.at)
+        self.schedule.wake_times.first().map(|entry| entry.at)
     }
 
     /// Removes and returns the destinations whose index entries are out of date. The caller passes each of
@@ -126,11 +126,11 @@
     pub fn expiring_messages(&self, now: Duration, response_time: Duration) -> BTreeSet<MessageKey> {
         let mut expiring = BTreeSet::new();
         let last_deadline = now.saturating_add(response_time);
-        for due in self.indices.deadlines.iter().take_while(|due| due.at <= last_deadline) {
-            expiring.extend(self.destinations[&due.subject].messages_with_deadline_up_to(last_deadline));
+        for entry in self.indices.deadlines.iter().take_while(|entry| entry.at <= last_deadline) {
+            expiring.extend(self.destinations[&entry.item].messages_with_deadline_up_to(last_deadline));
         }
-        for due in self.indices.key_expiries.iter().take_while(|due| due.at <= now) {
-            expiring.extend(self.destinations[&due.subject].messages_with_key_expiry_up_to(now));
+        for entry in self.indices.key_expiries.iter().take_while(|entry| entry.at <= now) {
+            expiring.extend(self.destinations[&entry.item].messages_with_key_expiry_up_to(now));
         }
         for entry in self.indices.by_time_left.iter().take_while(|entry| entry.time_left <= response_time) {
             let queue = &self.destinations[&entry.destination];
@@ -144,8 +144,8 @@
     /// Returns the time at which the next message expires, given the expected response time; `None` if no
     /// message is queued.
     pub fn next_expiry(&self, response_time: Duration) -> Option<Duration> {
-        let deadline = self.indices.deadlines.first().map(|due| due.at.saturating_sub(response_time));
-        let key_expiry = self.indices.key_expiries.first().map(|due| due.at);
+        let deadline = self.indices.deadlines.first().map(|entry| entry.at.saturating_sub(response_time));
+        let key_expiry = self.indices.key_expiries.first().map(|entry| entry.at);
         deadline.into_iter().chain(key_expiry).min()
     }
 
--- a/src/queue/position.rs
+++ b/src/queue/position.rs
@@ -113,29 +113,30 @@
     pub last: QueuedMessage,
 }
 
-/// Message or destination with a due time, ordered by the time and then by the message or destination.
+/// Entry of an index by time: a time, and the message or destination that it belongs to. Entries are ordered
+/// by time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Due<T> {
+pub(super) struct TimeIndexEntry<T> {
     pub at: Duration,
-    pub subject: T,
+    pub item: T,
 }
 
-impl<T> Due<T> {
-    pub(super) fn new(at: Duration, subject: T) -> Due<T> {
-        Due { at, subject }
+impl<T> TimeIndexEntry<T> {
+    pub(super) fn new(at: Duration, item: T) -> TimeIndexEntry<T> {
+        TimeIndexEntry { at, item }
     }
 }
 
-impl<T: Ord> Ord for Due<T> {
+impl<T: Ord> Ord for TimeIndexEntry<T> {
     #[inline]
-    fn cmp(&self, other: &Due<T>) -> Ordering {
-        (self.at, &self.subject).cmp(&(other.at, &other.subject))
+    fn cmp(&self, other: &TimeIndexEntry<T>) -> Ordering {
+        (self.at, &self.item).cmp(&(other.at, &other.item))
     }
 }
 
-impl<T: Ord> PartialOrd for Due<T> {
+impl<T: Ord> PartialOrd for TimeIndexEntry<T> {
     #[inline]
-    fn partial_cmp(&self, other: &Due<T>) -> Option<Ordering> {
+    fn partial_cmp(&self, other: &TimeIndexEntry<T>) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
--- a/src/queue/wake_schedule.rs
+++ b/src/queue/wake_schedule.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::position::Due;
+use super::position::TimeIndexEntry;
 use crate::interface::DestinationId;
 
 /// State of a destination that determines whether a run of due work checks its messages.
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub(super) struct WakeSchedule {
     pub awake: BTreeSet<DestinationId>,
-    pub wake_times: BTreeSet<Due<DestinationId>>,
+    pub wake_times: BTreeSet<TimeIndexEntry<DestinationId>>,
 }
 
 impl WakeSchedule {
@@ -32,7 +32,7 @@
     pub(super) fn sleep(&mut self, destination: DestinationId, until: Option<Duration>) -> WakeState {
         self.awake.remove(&destination);
         let Some(until) = until else { return WakeState::AsleepUntilEvent };
-        self.wake_times.insert(Due::new(until, destination));
+        self.wake_times.insert(TimeIndexEntry::new(until, destination));
         WakeState::AsleepUntil(until)
     }
 
@@ -50,13 +50,13 @@
 
     /// Returns the first destination whose wake time has passed.
     pub(super) fn first_due_destination(&self, now: Duration) -> Option<DestinationId> {
-        let first = self.wake_times.first().filter(|due| due.at <= now)?;
-        Some(first.subject)
+        let first = self.wake_times.first().filter(|entry| entry.at <= now)?;
+        Some(first.item)
     }
 
     fn cancel_wake_time(&mut self, destination: DestinationId, wake_state: WakeState) {
         if let WakeState::AsleepUntil(until) = wake_state {
-            self.wake_times.remove(&Due::new(until, destination));
+            self.wake_times.remove(&TimeIndexEntry::new(until, destination));
         }
     }
 }
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CircuitState {
-    /// Requests are sent.
+    /// The circuit does not restrict requests.
     Closed,
     /// No request is sent before `until`.
     Open {
@@ -27,7 +27,8 @@
     failure_times: Vec<Duration>,
     /// Time at which the circuit becomes, or became, half-open; `None` while the circuit is closed.
     open_until: Option<Duration>,
-    /// Time of the last failure, opening or closing, except by [`CircuitBreaker::reset`].
+    /// Time at which the circuit last recorded a failure, opened or closed; [`CircuitBreaker::reset`] does
+    /// not set it.
     last_failure_or_state_change: Duration,
     /// Half-open trial in flight; `None` if there is none.
     trial: Option<AttemptKey>,
@@ -69,7 +70,7 @@
         self.open_until
     }
 
-    /// Returns the time of the last failure, opening or closing.
+    /// Returns the time at which the circuit last recorded a failure, opened or closed.
     pub(crate) fn last_failure_or_state_change(&self) -> Duration {
         self.last_failure_or_state_change
     }
@@ -138,7 +139,8 @@
 
 // Retry-After, rate limit and pacing.
 impl CircuitBreaker {
-    /// Returns the time before which a Retry-After or a pause allows no request.
+    /// Returns the time before which no request is sent, because of a Retry-After or because an attempt ended
+    /// without being sent.
     pub(crate) fn retry_after_until(&self) -> Duration {
         self.retry_after_until
     }
--- a/src/state/earliest_time.rs
+++ b/src/state/earliest_time.rs
@@ -7,7 +7,7 @@
 pub(crate) struct EarliestTime(Option<Duration>);
 
 impl EarliestTime {
-    /// Includes a time; `None` is ignored.
+    /// Lowers the earliest time to `at` if `at` is earlier; `None` is ignored.
     pub(crate) fn include(&mut self, at: Option<Duration>) {
         if let Some(at) = at {
             self.0 = Some(self.0.map_or(at, |earliest| earliest.min(at)));
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -195,8 +195,8 @@
         self.receiving_full_list = false;
     }
 
-    /// Applies an entry of the endpoint list. A new endpoint gets the given slot phase. Calls `changed` with
-    /// each destination whose endpoints changed.
+    /// Applies an entry of the endpoint list. `slot_phase` is the offset of the time slots of a new endpoint,
+    /// as a fraction of a time slot. Calls `changed` with each destination whose endpoints changed.
     pub(crate) fn apply_update(
         &mut self,
         update: &EndpointUpdate,
@@ -274,8 +274,8 @@
         Some(endpoint.destination)
     }
 
-    /// Returns whether a destination is known and has no endpoints.
-    pub(crate) fn is_without_endpoints(&self, id: DestinationId) -> bool {
+    /// Returns whether a destination has a record but no endpoints; false if the destination is unknown.
+    pub(crate) fn destination_has_no_endpoints(&self, id: DestinationId) -> bool {
         self.destinations.get(&id).is_some_and(|destination| destination.endpoints().is_empty())
     }
 
--- a/src/state/ordering.rs
+++ b/src/state/ordering.rs
@@ -1,5 +1,5 @@
 //! Queues of ordering keys, which determine the next message of each key, and how long an attempt with an
-//! unknown outcome delays the messages that follow (hold-off).
+//! unknown outcome delays the messages that follow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,11 +11,11 @@
 #[derive(Default)]
 struct OrderingQueue {
     by_arrival: BTreeMap<u64, MessageKey>,
-    /// End of the hold-off: before this time, only the message with arrival number `hold_off_started_by` is
-    /// sent.
-    hold_off_until: Duration,
-    /// Arrival number of the message whose attempt started the hold-off.
-    hold_off_started_by: u64,
+    /// End of the delay after an attempt with an unknown outcome. Before this time, only the message with
+    /// arrival number `delay_started_by` is sent.
+    delayed_until: Duration,
+    /// Arrival number of the message whose attempt started the delay.
+    delay_started_by: u64,
 }
 
 /// Queues of all ordering keys in use.
@@ -48,11 +48,16 @@
     }
 
     /// Delays the messages that follow the one with the given arrival number until the given time.
-    pub(crate) fn hold_off(&mut self, key: Option<OrderingKey>, arrival_number: u64, until: Duration) {
+    pub(crate) fn delay_following_messages(
+        &mut self,
+        key: Option<OrderingKey>,
+        arrival_number: u64,
+        until: Duration,
+    ) {
         let Some(queue) = key.and_then(|key| self.queues.get_mut(&key)) else { return };
         if queue.by_arrival.contains_key(&arrival_number) {
-            queue.hold_off_until = until;
-            queue.hold_off_started_by = arrival_number;
+            queue.delayed_until = until;
+            queue.delay_started_by = arrival_number;
         }
     }
 
@@ -63,25 +68,24 @@
         first.is_none_or(|(first, _)| *first == arrival_number)
     }
 
-    /// Returns whether a message is the first of its key and no hold-off delays it.
+    /// Returns whether a message is the first of its key and is not delayed by an attempt of another message.
     pub(crate) fn may_send(&self, key: Option<OrderingKey>, arrival_number: u64, now: Duration) -> bool {
         let queue = key.and_then(|key| self.queues.get(&key));
-        let may_proceed = |queue: &OrderingQueue| {
-            now >= queue.hold_off_until || queue.hold_off_started_by == arrival_number
-        };
+        let may_proceed =
+            |queue: &OrderingQueue| now >= queue.delayed_until || queue.delay_started_by == arrival_number;
         self.is_first(key, arrival_number) && queue.is_none_or(may_proceed)
     }
 
-    /// Removes the queues of keys that have no message and whose hold-off has ended.
+    /// Removes the queues of keys that have no message and whose delay has ended.
     pub(crate) fn remove_idle(&mut self, now: Duration) {
         for key in std::mem::take(&mut self.emptied) {
             if let Some(queue) = self.queues.get(&key) {
-                self.remove_at.insert((queue.hold_off_until, key));
+                self.remove_at.insert((queue.delayed_until, key));
             }
         }
         while let Some((_, key)) = self.remove_at.first().copied().filter(|(at, _)| *at <= now) {
             self.remove_at.pop_first();
-            let idle = |queue: &OrderingQueue| queue.by_arrival.is_empty() && now >= queue.hold_off_until;
+            let idle = |queue: &OrderingQueue| queue.by_arrival.is_empty() && now >= queue.delayed_until;
             if self.queues.get(&key).is_some_and(idle) {
                 self.queues.remove(&key);
             }
--- a/src/state/parameters.rs
+++ b/src/state/parameters.rs
@@ -66,7 +66,8 @@
     pub(crate) slow_start_duration: Duration,
     /// Load above which a destination fails during its slow start, as a multiple of its current capacity.
     pub(crate) overload_capacity_multiple: f64,
-    /// Duration of a load above `overload_capacity_multiple` after which a destination fails.
+    /// Time that a destination withstands a load above `overload_capacity_multiple` times its current
+    /// capacity before it fails.
     pub(crate) overload_window: Duration,
     /// Delay of the next message of an ordering key after an attempt with an unknown outcome.
     pub(crate) ordering_hold_off: Duration,
--- a/src/state/sequence.rs
+++ b/src/state/sequence.rs
@@ -1,4 +1,4 @@
-//! Sequence numbers.
+//! Sequence numbers, which give the order in which messages, requests and queue entries were created.
 
 /// Generator of sequence numbers, which start at 1.
 #[derive(Default)]
--- a/tests/policy/ordering.rs
+++ b/tests/policy/ordering.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn messages_of_an_ordering_key_are_sent_one_at_a_time_and_held_off_after_a_possible_execution() {
+fn messages_of_an_ordering_key_are_sent_one_at_a_time_and_delayed_after_a_possible_execution() {
     let mut test = PolicyTest::with_endpoints(ONE_ENDPOINT);
     for name in ["a", "b"] {
         test.submit_ordered(name, 9, OrderingKey(5));
@@ -31,7 +31,8 @@
     test.withdraw("e0001");
     test.complete_attempt("e0000", 0);
     assert_eq!(test.started_after(ms(10)), ["e0002"]);
-    // After a possible execution the ordering key holds off other messages; the same message may be retried.
+    // After a possible execution, other messages of the ordering key are delayed. The same message may be
+    // retried.
     test.finish_attempt("e0002", 0, AttemptOutcome::TimedOut);
     assert_eq!(test.policy.message_progress(&id("e0002")).unwrap().attempts, 1);
     let next = test.started_after(ms(1500));
--- a/tests/policy/support/host.rs
+++ b/tests/policy/support/host.rs
@@ -48,7 +48,7 @@
 pub struct RecordingHost {
     /// Commands since a test last took them.
     pub commands: Vec<HostCommand>,
-    /// All reported events.
+    /// Events that the policy has reported, oldest first.
     pub events: Vec<PolicyEvent>,
     /// Durations of all timers that were set.
     pub timers: Vec<Duration>,
