--- a/crates/forwarder/tests/loopback/restarts.rs
+++ b/crates/forwarder/tests/loopback/restarts.rs
@@ -232,11 +232,15 @@
         let requests: Vec<String> = received.iter().map(|m| m.id().to_owned() + &m.body).collect();
         for id in &ids {
             let sent = requests.iter().any(|request| request.contains(id.as_str()));
-            assert_eq!(sent, id != "order-unsure", "whether {id} was sent");
+            assert_eq!(
+                sent,
+                id != "order-unsure",
+                "expected every message except order-unsure to be sent, checked {id}"
+            );
             assert_eq!(
                 test_bed.notices().contains(id.as_str()),
                 id == "order-unsure",
-                "whether a notice about {id} was sent"
+                "expected a notice about order-unsure only, checked {id}"
             );
         }
         forwarder.kill();
--- a/crates/forwarder/tests/loopback/streamed_lists.rs
+++ b/crates/forwarder/tests/loopback/streamed_lists.rs
@@ -220,17 +220,20 @@
         let reported = wait_for_malformed_list(&forwarder).await;
         assert!(
             reported.starts_with("ok; no target list yet: it can't be read: byte "),
-            "health check responded {reported}"
+            "expected a fault before the first list with its byte, found {reported}"
         );
         assert!(
             reported.contains("instances[100]: missing field `instanceId`"),
-            "health check responded {reported}"
+            "expected the index and the missing key of the malformed entry, found {reported}"
         );
         // The delay is between half and one and a half times its mean.
         let mut watch = discovery.next_watch().await;
         let delay = start.elapsed();
         let mean = ms(bytes * 1000 / MAX_MEAN_BYTES_PER_SECOND);
-        assert!(delay >= mean / 2 && delay <= mean * 3 / 2 + ms(5000), "delay {delay:?}, mean {mean:?}");
+        assert!(
+            delay >= mean / 2 && delay <= mean * 3 / 2 + ms(5000),
+            "expected a delay around the mean {mean:?}, found {delay:?}"
+        );
         assert_eq!(watch.after, 1);
         watch.write_line(&endpoint_list(8, true, &[test_bed.endpoint_entry("Ready")])).await;
         wait_for_health(&forwarder, "ok\n").await;
@@ -240,7 +243,7 @@
         let reported = wait_for_malformed_list(&forwarder).await;
         assert!(
             reported.starts_with("ok; the newest target list can't be read: byte "),
-            "health check responded {reported}"
+            "expected a fault of the newest list with its byte, found {reported}"
         );
         deliver(&forwarder, &test_bed.endpoint, "under-it").await;
         forwarder.kill();
