--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -269,13 +269,13 @@
     /// interval.
     fn time_in_window(&self, TimeWindow { start, end }: TimeWindow) -> Duration {
         let width = end.saturating_sub(start);
-        let to_phase = self.next_phase_time(start).saturating_sub(start);
-        if to_phase <= width {
-            return start + to_phase;
+        let time_to_phase = self.next_phase_time(start).saturating_sub(start);
+        if time_to_phase <= width {
+            return start + time_to_phase;
         }
         let rest_of_interval = self.timings.request_interval().saturating_sub(width);
-        let part = (to_phase - width).as_secs_f64() / rest_of_interval.as_secs_f64();
-        start + width.mul_f64(1.0 - part.min(1.0))
+        let skipped_fraction = (time_to_phase - width).as_secs_f64() / rest_of_interval.as_secs_f64();
+        start + width.mul_f64(1.0 - skipped_fraction.min(1.0))
     }
 
     /// Returns the next time of this forwarder's phase after `after`.
--- a/crates/forwarder/tests/loopback/submissions.rs
+++ b/crates/forwarder/tests/loopback/submissions.rs
@@ -36,20 +36,20 @@
     run_test(async {
         let test_bed = TestBed::with_working_endpoint().await;
         let forwarder = test_bed.start_forwarder().await;
-        let good = submission("x", "note", 5.0, "");
+        let valid = submission("x", "note", 5.0, "");
         for (request, expected) in [
-            (good.replace("X-Call-Id: x", "X-Other: x"), 400),
-            (good.replace("X-Call-Id: x", "X-Call-Id: two words"), 400),
-            (good.replace("X-Call-Id: x", "X-Call-Id: x\r\nIdempotency-Key: two words"), 400),
-            (good.replace("X-Budget: 5", "X-Budget: soon"), 400),
-            (good.replace("X-Budget: 5", "X-Budget: -5"), 400),
-            (good.replace("X-Budget: 5", "X-Budget: inf"), 400),
-            (good.replace("dest=3", "dest=three"), 400),
-            (good.replace("X-Route-To: dest=3\r\n", ""), 400),
-            (good.replace("Content-Length: 0", "Content-Length: 65537"), 413),
-            (good.replace("POST /api", "POST /apis"), 404),
-            (good.replace("X-Call-Class: note", "X-Call-Class: unheard"), 422),
-            (good.replace("X-Budget: 5", "X-Budget: 1e300"), 202),
+            (valid.replace("X-Call-Id: x", "X-Other: x"), 400),
+            (valid.replace("X-Call-Id: x", "X-Call-Id: two words"), 400),
+            (valid.replace("X-Call-Id: x", "X-Call-Id: x\r\nIdempotency-Key: two words"), 400),
+            (valid.replace("X-Budget: 5", "X-Budget: soon"), 400),
+            (valid.replace("X-Budget: 5", "X-Budget: -5"), 400),
+            (valid.replace("X-Budget: 5", "X-Budget: inf"), 400),
+            (valid.replace("dest=3", "dest=three"), 400),
+            (valid.replace("X-Route-To: dest=3\r\n", ""), 400),
+            (valid.replace("Content-Length: 0", "Content-Length: 65537"), 413),
+            (valid.replace("POST /api", "POST /apis"), 404),
+            (valid.replace("X-Call-Class: note", "X-Call-Class: unheard"), 422),
+            (valid.replace("X-Budget: 5", "X-Budget: 1e300"), 202),
             (HEALTH_CHECK.into(), 200),
         ] {
             assert_eq!(forwarder.request(&request).await.status(), expected, "status for {request}");
@@ -111,9 +111,9 @@
         // Request smuggling: a body with two framings, where data after the first end could be parsed as a
         // request.
         let inner = submission("hidden", "order", 9.0, "");
-        let both = submission("c", "order", 9.0, &format!("0\r\n\r\n{inner}"));
-        let both = both.replace("X-Budget", "Transfer-Encoding: chunked\r\nX-Budget");
-        let mut stream = forwarder.connect_and_send(&both).await;
+        let two_framings = submission("c", "order", 9.0, &format!("0\r\n\r\n{inner}"));
+        let two_framings = two_framings.replace("X-Budget", "Transfer-Encoding: chunked\r\nX-Budget");
+        let mut stream = forwarder.connect_and_send(&two_framings).await;
         assert_eq!(read_message(&mut stream).await.unwrap().status(), 411);
         assert!(read_message(&mut stream).await.is_none(), "expected the connection to be closed");
         assert_eq!(forwarder.submit("last", "order").await, 202);
