--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -36,7 +36,7 @@
     /// The weight decreases linearly from the latency objective to the deadline.
     #[default]
     Linear,
-    /// The weight halves each time that another latency objective passes.
+    /// The weight halves in each further span as long as the latency objective.
     Exponential,
 }
 
--- a/src/policy/capacity_share.rs
+++ b/src/policy/capacity_share.rs
@@ -25,7 +25,7 @@
         self.endpoints.update_usage(&self.endpoints.endpoints_in_scope(scope), |usage| {
             usage.set_limit_per_second(limit)
         });
-        self.circuit_mut(scope).set_remaining_limit_share(limit.map(|_| report.remaining_limit_share));
+        self.circuit_mut(scope).set_unused_rate_limit_share(limit.map(|_| report.remaining_limit_share));
     }
 
     /// Returns the mean rate of messages submitted to this forwarder for a destination, in messages a second,
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -87,7 +87,7 @@
     fn has_idle_connection(&self, endpoint: &Endpoint, now: Duration) -> bool {
         let usage = endpoint.usage();
         usage.requests_in_flight() == 0
-            && usage.answered_at().is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
+            && usage.last_response_at().is_some_and(|at| now < at + self.parameters.connection_idle_timeout)
     }
 
     /// Excludes endpoints that are in backoff after failures of this class, unless all are.
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -115,7 +115,7 @@
             outcome,
             AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Rejected { .. }
         );
-        usage.set_answered_at(got_response.then_some(now));
+        usage.set_last_response_at(got_response.then_some(now));
         self.circuit_mut(attempt.scope);
         match outcome {
             AttemptOutcome::Cancelled | AttemptOutcome::Malformed => {}
@@ -148,8 +148,8 @@
         let Some(circuit) = self.circuits.get_mut(attempt.scope) else { return };
         let recovered = !circuit.is_closed();
         circuit.record_success(now);
-        let remaining_limit_share = circuit.remaining_limit_share();
-        circuit.pacing_mut().shrink(remaining_limit_share, parameters.has_sparse_traffic);
+        let unused_rate_limit_share = circuit.unused_rate_limit_share();
+        circuit.pacing_mut().shrink(unused_rate_limit_share, parameters.has_sparse_traffic);
         circuit.set_last_retry_after(circuit.last_retry_after() / 2);
         let latency = now.saturating_sub(attempt.started_at).as_secs_f64();
         circuit.record_completion(now, updated_mean(circuit.mean_latency_seconds(), latency));
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -13,7 +13,7 @@
 const PACING_INTERVAL_SHRINK_FACTOR: f64 = 0.93;
 /// Factor by which the pacing interval shrinks with each completion under sparse traffic, where completions
 /// are rare.
-const SPARSE_TRAFFIC_SHRINK_FACTOR: f64 = 0.75;
+const SPARSE_TRAFFIC_INTERVAL_SHRINK_FACTOR: f64 = 0.75;
 /// Factor by which an approximate listed rate may exceed the true rate. The first pacing interval
 /// after a rejection is this factor times the interval at this forwarder's share of the listed rate.
 pub(super) const APPROXIMATE_RATE_MARGIN: f64 = 1.5;
@@ -69,15 +69,18 @@
 }
 
 impl Pacing {
-    /// Shrinks the pacing interval after a completed attempt. `remaining_limit_share` is the share of the
+    /// Shrinks the pacing interval after a completed attempt. `unused_rate_limit_share` is the share of the
     /// rate limit that is left; `None` if it is not known.
-    pub(super) fn shrink(&mut self, remaining_limit_share: Option<f64>, has_sparse_traffic: bool) {
-        let shrink =
-            if has_sparse_traffic { SPARSE_TRAFFIC_SHRINK_FACTOR } else { PACING_INTERVAL_SHRINK_FACTOR };
+    pub(super) fn shrink(&mut self, unused_rate_limit_share: Option<f64>, has_sparse_traffic: bool) {
+        let shrink = if has_sparse_traffic {
+            SPARSE_TRAFFIC_INTERVAL_SHRINK_FACTOR
+        } else {
+            PACING_INTERVAL_SHRINK_FACTOR
+        };
         // The interval shrinks slowly while little is left of the limit, which rejected requests use up too.
         // Pacing ends when the whole limit is left.
         let factor =
-            remaining_limit_share.map_or(shrink, |left| PACING_INTERVAL_SHRINK_FACTOR * (1.0 - left));
+            unused_rate_limit_share.map_or(shrink, |left| PACING_INTERVAL_SHRINK_FACTOR * (1.0 - left));
         self.set_interval_seconds(self.interval_seconds() * factor);
     }
 }
--- a/src/policy/priority.rs
+++ b/src/policy/priority.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Returns the share of the weight that is left `late_seconds` after the objective. The share halves with
-/// each further latency objective that passes, down to the class's late weight.
+/// Returns the share of the weight that is left `late_seconds` after the objective. The share halves in
+/// each further span as long as the latency objective, down to the class's late weight.
 fn exponential_decay(class: &ClassParameters, late_seconds: f64) -> f64 {
     0.5_f64
         .powf(late_seconds / class.latency_objective.as_secs_f64().max(MIN_DECAY_SPAN_SECONDS))
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -106,7 +106,7 @@
     /// be down, whatever share of its limit is unused.
     fn is_explained_by_limit(&self) -> bool {
         self.failure_count() == 0
-            && self.remaining_limit_share().is_some_and(|left| left < LIMIT_USED_UP_THRESHOLD)
+            && self.unused_rate_limit_share().is_some_and(|left| left < LIMIT_USED_UP_THRESHOLD)
     }
 
     /// Returns whether a rejection indicates an outage: its Retry-After is long, or a circuit that is not
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -85,8 +85,8 @@
         items_up_to(&self.key_expiries, last)
     }
 
-    /// Returns the current entries of this queue for the indices. `available_at` is the time at which the
-    /// first endpoint of the destination may receive a request.
+    /// Returns the current entries of this queue for the indices. `available_at` is the earliest time at
+    /// which an endpoint of the destination may receive a request.
     pub(super) fn index_entries(&self, available_at: Duration) -> IndexEntries {
         let deadline = self.deadlines.first().map(|entry| entry.at);
         let key_expiry = self.key_expiries.first().map(|entry| entry.at);
--- a/src/queue/indices.rs
+++ b/src/queue/indices.rs
@@ -13,7 +13,7 @@
     pub deadline: Option<Duration>,
     /// Earliest expiry of an idempotency key that a message needs; `None` if no message needs one.
     pub key_expiry: Option<Duration>,
-    /// Time at which the first endpoint of the destination may receive a request.
+    /// Earliest time at which an endpoint of the destination may receive a request.
     pub available_at: Duration,
     /// Time from `available_at` to the earliest deadline; zero if an idempotency key expires at or before
     /// `available_at`, and `None` if the queue is empty.
@@ -49,8 +49,8 @@
     pub destination: DestinationId,
 }
 
-/// Index entry of a destination queue, ordered by the time from the availability of the first endpoint to the
-/// earliest deadline.
+/// Index entry of a destination queue, ordered by the time from the earliest availability of an endpoint to
+/// the earliest deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ByTimeLeft {
     pub time_left: Duration,
--- a/src/queue/message_queue.rs
+++ b/src/queue/message_queue.rs
@@ -107,8 +107,8 @@
         std::mem::take(&mut self.stale_destinations)
     }
 
-    /// Updates the index entries of a destination. `available_at` is the time at which its first endpoint may
-    /// receive a request.
+    /// Updates the index entries of a destination. `available_at` is the earliest time at which one of its
+    /// endpoints may receive a request.
     pub fn update_indices(&mut self, destination: DestinationId, available_at: Duration) {
         let Some(queue) = self.destinations.get_mut(&destination) else { return };
         let entries = queue.index_entries(available_at);
--- a/src/queue/wake_schedule.rs
+++ b/src/queue/wake_schedule.rs
@@ -27,7 +27,8 @@
 }
 
 impl WakeSchedule {
-    /// Puts an awake destination to sleep. Returns the new state for its queue.
+    /// Puts an awake destination to sleep until the given time, or until an event if `until` is `None`.
+    /// Returns the new state for its queue.
     #[must_use]
     pub(super) fn sleep(&mut self, destination: DestinationId, until: Option<Duration>) -> WakeState {
         self.awake.remove(&destination);
@@ -42,7 +43,7 @@
         self.awake.insert(destination);
     }
 
-    /// Removes a destination whose queue became empty in the given state.
+    /// Removes a destination whose queue has become empty. `wake_state` is the current state of the queue.
     pub(super) fn remove(&mut self, destination: DestinationId, wake_state: WakeState) {
         self.cancel_wake_time(destination, wake_state);
         self.awake.remove(&destination);
--- a/src/state/circuit.rs
+++ b/src/state/circuit.rs
@@ -46,7 +46,7 @@
     mean_latency_seconds: Option<f64>,
     last_completion: Duration,
     /// Unused share of the rate limit in the last load report; `None` if no limit is reported.
-    remaining_limit_share: Option<f64>,
+    unused_rate_limit_share: Option<f64>,
 }
 
 // Failures and circuit state.
@@ -160,12 +160,12 @@
     }
 
     /// Returns the unused share of the rate limit in the last load report; `None` if no limit is reported.
-    pub(crate) fn remaining_limit_share(&self) -> Option<f64> {
-        self.remaining_limit_share
+    pub(crate) fn unused_rate_limit_share(&self) -> Option<f64> {
+        self.unused_rate_limit_share
     }
 
-    pub(crate) fn set_remaining_limit_share(&mut self, share: Option<f64>) {
-        self.remaining_limit_share = share;
+    pub(crate) fn set_unused_rate_limit_share(&mut self, share: Option<f64>) {
+        self.unused_rate_limit_share = share;
     }
 
     pub(crate) fn pacing(&self) -> &Pacing {
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -41,7 +41,7 @@
     last_sent: Duration,
     /// Time of the last response, which leaves an idle connection; `None` if the last request ended without
     /// one.
-    answered_at: Option<Duration>,
+    last_response_at: Option<Duration>,
 }
 
 /// Load that a request puts on its endpoint. A request with one message has a load of 1.
@@ -104,12 +104,12 @@
 
     /// Returns the time of the last response, which leaves an idle connection; `None` if the last request
     /// ended without one.
-    pub(crate) fn answered_at(&self) -> Option<Duration> {
-        self.answered_at
+    pub(crate) fn last_response_at(&self) -> Option<Duration> {
+        self.last_response_at
     }
 
-    pub(crate) fn set_answered_at(&mut self, at: Option<Duration>) {
-        self.answered_at = at;
+    pub(crate) fn set_last_response_at(&mut self, at: Option<Duration>) {
+        self.last_response_at = at;
     }
 
     /// Records the failure of a message, given the index of its class.
@@ -156,7 +156,7 @@
     last_fault: None,
     recent_load: VecDeque::new(),
     last_sent: Duration::ZERO,
-    answered_at: None,
+    last_response_at: None,
 };
 
 impl Endpoint {
--- a/src/state/endpoint_directory.rs
+++ b/src/state/endpoint_directory.rs
@@ -49,12 +49,12 @@
         self.endpoints.get(&id)
     }
 
-    /// Returns the usage of an endpoint, which is created if absent.
+    /// Returns the usage of an endpoint, which is created if absent; `None` if the endpoint is unknown.
     pub(crate) fn usage_mut(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
         self.endpoints.get_mut(&id).map(Endpoint::usage_mut)
     }
 
-    /// Returns the usage of an endpoint; `None` if no usage is recorded.
+    /// Returns the usage of an endpoint; `None` if the endpoint is unknown or no usage is recorded.
     pub(crate) fn existing_usage_mut(&mut self, id: EndpointId) -> Option<&mut EndpointUsage> {
         self.endpoints.get_mut(&id).and_then(Endpoint::existing_usage_mut)
     }
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Returns the endpoints that share a circuit breaker, without removed endpoints of a destination.
+    /// Returns the endpoints that share a circuit breaker. The scope of a destination excludes the endpoints
+    /// that were removed from the endpoint list.
     pub(crate) fn endpoints_in_scope(&self, scope: CircuitScope) -> Vec<EndpointId> {
         match scope {
             CircuitScope::Endpoint(endpoint) => vec![endpoint],
--- a/tests/policy/load_reports.rs
+++ b/tests/policy/load_reports.rs
@@ -35,12 +35,12 @@
 }
 
 #[test]
-fn rejection_at_a_used_up_limit_is_retried_soon() {
+fn rejection_at_a_used_up_rate_limit_gets_a_short_pacing_interval() {
     assert!(pacing_interval_after_two_rejections(0.1, 6.0, true) < 2.0);
 }
 
 #[test]
-fn rejection_without_a_limit_is_retried_late() {
+fn rejection_without_a_rate_limit_gets_a_long_pacing_interval() {
     let interval = pacing_interval_after_two_rejections(0.0, 0.0, true);
     assert!(
         interval > 2.5,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn rejections_without_a_completion_between_them_are_retried_late_at_any_limit_left() {
+fn rejections_without_a_completion_between_them_get_a_long_pacing_interval_at_any_unused_share() {
     for (left, limit) in [(0.1, 6.0), (0.9, 6.0), (0.0, 0.0)] {
         assert!(
             pacing_interval_after_two_rejections(left, limit, false) > 3.0,
