--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -69,8 +69,8 @@
 }
 
 impl Pacing {
-    /// Shrinks the pacing interval after a completed attempt. `unused_rate_limit_share` is the share of the
-    /// rate limit that is left; `None` if it is not known.
+    /// Shrinks the pacing interval after a completed attempt. `unused_rate_limit_share` is `None` if no
+    /// rate limit is reported.
     pub(super) fn shrink(&mut self, unused_rate_limit_share: Option<f64>, has_sparse_traffic: bool) {
         let shrink = if has_sparse_traffic {
             SPARSE_TRAFFIC_INTERVAL_SHRINK_FACTOR
--- a/src/policy/rejection.rs
+++ b/src/policy/rejection.rs
@@ -48,7 +48,7 @@
         let wait = retry_after.unwrap_or(circuit.last_retry_after());
         let limit_used_up = circuit.is_explained_by_limit();
         // Concurrent requests that are rejected together count once.
-        let follows_last_change = attempt.started_at >= circuit.pacing().widened_at();
+        let follows_last_change = attempt.started_at >= circuit.pacing().last_widened_at();
         if parameters.has_sparse_traffic && follows_last_change {
             // Random delays prevent many forwarders that were rejected at the same time, or whose Retry-After
             // ends together, from sending again at once.
--- a/src/state/pacing.rs
+++ b/src/state/pacing.rs
@@ -8,7 +8,7 @@
     /// Minimum time between two requests; 0 if requests are not paced.
     interval_seconds: f64,
     /// Time of the last rejection that increased the interval.
-    widened_at: Duration,
+    last_widened_at: Duration,
     /// Time before which no request is sent, even if the interval has passed.
     postponed_until: Duration,
 }
@@ -20,8 +20,8 @@
     }
 
     /// Returns the time of the last rejection that increased the interval.
-    pub(crate) fn widened_at(&self) -> Duration {
-        self.widened_at
+    pub(crate) fn last_widened_at(&self) -> Duration {
+        self.last_widened_at
     }
 
     /// Returns the time before which no request is sent, even if the interval has passed.
@@ -37,7 +37,7 @@
     /// Sets the interval that a rejection has increased.
     pub(crate) fn set_interval_after_rejection(&mut self, interval_seconds: f64, now: Duration) {
         self.interval_seconds = interval_seconds;
-        self.widened_at = now;
+        self.last_widened_at = now;
     }
 
     /// Postpones the next request until the given time, which replaces the previous one.
--- a/tests/policy/load_reports.rs
+++ b/tests/policy/load_reports.rs
@@ -13,23 +13,23 @@
     assert_eq!(test.started_after(ms(0)).len(), 4);
 }
 
-/// Returns the pacing interval of a circuit, in seconds, after two rejections. If `answered` is set, a
-/// request completes between the rejections.
-fn pacing_interval_after_two_rejections(left: f64, limit: f64, answered: bool) -> f64 {
+/// Returns the pacing interval of a circuit, in seconds, after two rejections. If `completes_between` is
+/// set, a request completes between the rejections.
+fn pacing_interval_after_two_rejections(unused_share: f64, limit: f64, completes_between: bool) -> f64 {
     let mut test = with_load_reports(ONE_ENDPOINT);
     test.submit("a", IDEMPOTENT, 9);
-    if answered {
+    if completes_between {
         test.submit("b", IDEMPOTENT, 9);
     }
     test.run_after(ms(0));
-    test.report_load(1, left, limit);
+    test.report_load(1, unused_share, limit);
     test.reject_attempt("a", 0, None);
-    if answered {
+    if completes_between {
         test.complete_attempt("b", 0);
     }
     let again = (0..40).any(|_| !test.started_after(ms(50)).is_empty());
     assert!(again, "expected the first retry within the latency objective");
-    test.report_load(1, left, limit);
+    test.report_load(1, unused_share, limit);
     test.reject_attempt("a", 1, None);
     test.longest_pacing_interval()
 }
@@ -50,17 +50,17 @@
 
 #[test]
 fn rejections_without_a_completion_between_them_get_a_long_pacing_interval_at_any_unused_share() {
-    for (left, limit) in [(0.1, 6.0), (0.9, 6.0), (0.0, 0.0)] {
+    for (unused_share, limit) in [(0.1, 6.0), (0.9, 6.0), (0.0, 0.0)] {
         assert!(
-            pacing_interval_after_two_rejections(left, limit, false) > 3.0,
-            "expected an interval above 3 s at share {left} left of {limit} requests a second"
+            pacing_interval_after_two_rejections(unused_share, limit, false) > 3.0,
+            "expected an interval above 3 s; unused share {unused_share} of {limit} requests per second"
         );
     }
 }
 
 #[test]
 fn response_that_reports_free_capacity_ends_the_pacing() {
-    for (left, ends_pacing) in [(1.0, true), (0.0, false)] {
+    for (unused_share, ends_pacing) in [(1.0, true), (0.0, false)] {
         let mut test = with_load_reports(ONE_ENDPOINT);
         test.submit("a", IDEMPOTENT, 9);
         test.submit("b", IDEMPOTENT, 9);
@@ -68,7 +68,7 @@
         test.report_load(1, 0.0, 6.0);
         test.reject_attempt("a", 0, None);
         let before = test.longest_pacing_interval();
-        test.report_load(1, left, 6.0);
+        test.report_load(1, unused_share, 6.0);
         test.complete_attempt("b", 0);
         assert!(
             ends_pacing || test.longest_pacing_interval() > 0.9 * before,
@@ -81,7 +81,7 @@
         assert_eq!(
             test.started_after(ms(0)).len() > 1,
             ends_pacing,
-            "expected several attempts at once only if pacing has ended; share of the limit left: {left}"
+            "expected several attempts at once only if pacing has ended; unused limit share: {unused_share}"
         );
     }
 }
--- a/tests/policy/support/policy_test.rs
+++ b/tests/policy/support/policy_test.rs
@@ -175,10 +175,10 @@
 
     /// Reports a rate limit, in requests per second, and its unused share, as a response of the endpoint
     /// would.
-    pub fn report_load(&mut self, endpoint: u32, left: f64, limit: f64) {
+    pub fn report_load(&mut self, endpoint: u32, unused_share: f64, limit_per_second: f64) {
         self.policy.load_reported(
             EndpointId(endpoint),
-            LoadReport { remaining_limit_share: left, limit_per_second: limit },
+            LoadReport { remaining_limit_share: unused_share, limit_per_second },
         );
     }
 
