--- a/crates/experiments/src/random_scenario.rs
+++ b/crates/experiments/src/random_scenario.rs
@@ -103,11 +103,11 @@
             12 => Fault::ListFrozen {},
             13 => Fault::ForwardersKilled { forwarders: self.forwarder_selector() },
             14 => Fault::TrafficShift { forwarders: self.forwarder_selector(), share: self.share(0.3, 0.9) },
-            15 => Fault::TrafficBurst { factor: self.amount(1.3, 2.5) },
+            15 => Fault::TrafficBurst { rate_factor: self.amount(1.3, 2.5) },
             _ => {
                 let position = self.position(parts.programs.len());
                 let program = parts.programs[position].name.clone();
-                Fault::ProgramSurge { program, factor: self.amount(2.0, 5.0) }
+                Fault::ProgramSurge { program, rate_factor: self.amount(2.0, 5.0) }
             }
         }
     }
@@ -123,11 +123,13 @@
             2 => Fault::Hang { endpoints },
             3 => Fault::RejectsAll { endpoints },
             4 => Fault::FastErrors { endpoints, share: self.share(0.3, 1.0) },
-            5 => Fault::Slow { endpoints, factor: self.amount(1.5, 6.0) },
+            5 => Fault::Slow { endpoints, duration_factor: self.amount(1.5, 6.0) },
             6 => Fault::Pauses { endpoints, duration: self.span(0.1, 0.6), interval: self.span(1.0, 4.0) },
-            7 => {
-                Fault::HeavyTail { endpoints, share: self.share(0.01, 0.1), factor: self.uniform(4.0, 25.0) }
-            }
+            7 => Fault::HeavyTail {
+                endpoints,
+                share: self.share(0.01, 0.1),
+                duration_factor: self.uniform(4.0, 25.0),
+            },
             8 => {
                 let class = parts.classes[class.unwrap_or_default()].name.clone();
                 Fault::ClassFails { endpoints, class }
--- a/crates/experiments/src/report_plots.rs
+++ b/crates/experiments/src/report_plots.rs
@@ -1,7 +1,7 @@
 //! Plots of results.
 
 use reeddock_simulation::account::{DestinationLoad, SecondCounts};
-use reeddock_simulation::report::{LatencyStep, WatchedDestination};
+use reeddock_simulation::report::{LatencyBucket, WatchedDestination};
 use reeddock_simulation::Report;
 
 use crate::error::ExperimentError;
@@ -34,10 +34,10 @@
 
 /// Returns the share of the requested credit that was earned in each window; 1 if no credit was requested.
 fn credit_points(seconds: &[SecondCounts]) -> Vec<Point> {
-    let end = seconds.iter().rposition(|second| second.credit.asked > 0.0).map_or(0, |last| last + 1);
+    let end = seconds.iter().rposition(|second| second.credit.possible > 0.0).map_or(0, |last| last + 1);
     let windows = seconds[..end].windows(CREDIT_WINDOW_S.min(end.max(1)));
     let share = |window: &[SecondCounts]| {
-        let asked: f64 = window.iter().map(|second| second.credit.asked).sum();
+        let asked: f64 = window.iter().map(|second| second.credit.possible).sum();
         let earned: f64 = window.iter().map(|second| second.credit.earned).sum();
         if asked > 0.0 {
             earned / asked
@@ -52,7 +52,7 @@
 fn latency_distribution(reports: &[Report]) -> Result<String, ExperimentError> {
     let line = |report: &Report| Line {
         name: report.policy.clone(),
-        points: cumulative_share(&report.latency_steps),
+        points: cumulative_share(&report.latency_buckets),
     };
     LinePlot {
         title: "share completed by time since the first submission",
@@ -65,10 +65,10 @@
 
 /// Returns the share of messages completed by the end of each latency step, over the logarithm of the
 /// latency.
-fn cumulative_share(steps: &[LatencyStep]) -> Vec<Point> {
+fn cumulative_share(steps: &[LatencyBucket]) -> Vec<Point> {
     let total: u64 = steps.iter().map(|step| step.count).sum();
     let mut completed = 0;
-    let point = |step: &LatencyStep| {
+    let point = |step: &LatencyBucket| {
         completed += step.count;
         let share = completed as f64 / total.max(1) as f64;
         Point { x: (step.up_to_ms.max(1) as f64).log10(), y: share }
--- a/crates/experiments/src/sharing_study.rs
+++ b/crates/experiments/src/sharing_study.rs
@@ -358,7 +358,7 @@
             }),
             credit: statistics(&|run| run.credit),
             down_destination_credit: statistics(&|run| {
-                run.outage_traffic.credit_earned / run.outage_traffic.credit_asked.max(MIN_CREDIT)
+                run.outage_traffic.credit_earned / run.outage_traffic.credit_possible.max(MIN_CREDIT)
             }),
             down_share: statistics(&|run| {
                 run.outage_traffic.endpoint_seconds / (destinations as f64 * duration_s)
--- a/crates/experiments/src/text_report.rs
+++ b/crates/experiments/src/text_report.rs
@@ -100,8 +100,10 @@
         [("message class", &run.classes), ("program", &run.programs), ("destination", &run.destinations)];
     for (kind, groups) in group_lists {
         for group in groups.iter().take(MAX_LISTED_GROUPS) {
-            text +=
-                &format!("  {kind} {}: {:.3} of {:.0}\n", group.name, group.earned_share, group.credit_asked);
+            text += &format!(
+                "  {kind} {}: {:.3} of {:.0}\n",
+                group.name, group.earned_share, group.credit_possible
+            );
         }
     }
     if run.rules_broken > 0 {
--- a/crates/simulation/src/account/accounting.rs
+++ b/crates/simulation/src/account/accounting.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::counts::{AttemptCounts, Credit, DestinationLoad, LatencyStep, MessageOutcomes, SecondCounts};
+use super::counts::{AttemptCounts, Credit, DestinationLoad, LatencyBucket, MessageOutcomes, SecondCounts};
 use super::quota::QuotaBucket;
 use crate::ids::{DestinationIndex, SubmissionIndex};
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
@@ -125,10 +125,10 @@
                 weight *= OVER_QUOTA_WEIGHT;
             }
         }
-        self.classes[class].add_asked(weight);
-        self.programs[program].add_asked(weight);
-        self.destinations[destination.0].add_asked(weight);
-        self.counts_at(submitted_at).credit.add_asked(weight);
+        self.classes[class].add_possible(weight);
+        self.programs[program].add_possible(weight);
+        self.destinations[destination.0].add_possible(weight);
+        self.counts_at(submitted_at).credit.add_possible(weight);
         self.submissions.push(AccountedSubmission {
             class,
             program,
@@ -146,7 +146,7 @@
             self.submissions.get_mut(submission.0).filter(|accounted| !accounted.submitted_during_outage);
         let Some(accounted) = accounted else { return };
         accounted.submitted_during_outage = true;
-        self.credit_during_outage.add_asked(accounted.weight);
+        self.credit_during_outage.add_possible(accounted.weight);
     }
 
     /// Returns the credit of messages that were accepted while their destination was down.
@@ -214,8 +214,8 @@
 
     /// Returns the minimum earned share of any window of `seconds` seconds.
     pub(crate) fn min_share_over_window(&self, seconds: usize) -> f64 {
-        let last_asked = self.seconds.iter().rposition(|second| second.credit.asked > 0.0);
-        let asked = last_asked.map_or(0, |index| index + 1);
+        let last_submission = self.seconds.iter().rposition(|second| second.credit.possible > 0.0);
+        let submission_seconds = last_submission.map_or(0, |index| index + 1);
         let share = |window: &[SecondCounts]| {
             let mut sum = Credit::default();
             for second in window {
@@ -223,7 +223,7 @@
             }
             sum.share()
         };
-        let windows = self.seconds[..asked].windows(seconds.clamp(1, asked.max(1)));
+        let windows = self.seconds[..submission_seconds].windows(seconds.clamp(1, submission_seconds.max(1)));
         windows.map(share).fold(1.0, f64::min)
     }
 
@@ -233,10 +233,10 @@
     }
 
     /// Returns the non-empty buckets of the latency histogram.
-    pub(crate) fn latency_steps(&self) -> Vec<LatencyStep> {
+    pub(crate) fn latency_buckets(&self) -> Vec<LatencyBucket> {
         let recorded = self.latency.iter_recorded();
         recorded
-            .map(|value| LatencyStep { up_to_ms: value.value_iterated_to(), count: value.count_at_value() })
+            .map(|value| LatencyBucket { up_to_ms: value.value_iterated_to(), count: value.count_at_value() })
             .collect()
     }
 }
--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Credit {
     /// Sum of the priority weights of all submitted messages.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub possible: f64,
     /// Priority weight earned by completions; late completions may earn less than the weight.
     pub earned: f64,
 }
@@ -14,15 +15,15 @@
 impl Credit {
     /// Returns the earned share, from 0 to 1; 1 if no message was submitted.
     pub fn share(self) -> f64 {
-        if self.asked > 0.0 {
-            self.earned / self.asked
+        if self.possible > 0.0 {
+            self.earned / self.possible
         } else {
             1.0
         }
     }
 
-    pub(super) fn add_asked(&mut self, weight: f64) {
-        self.asked += weight;
+    pub(super) fn add_possible(&mut self, weight: f64) {
+        self.possible += weight;
     }
 
     pub(super) fn add_earned(&mut self, weight: f64) {
@@ -30,7 +31,7 @@
     }
 
     pub(super) fn add(&mut self, other: Credit) {
-        self.add_asked(other.asked);
+        self.add_possible(other.possible);
         self.add_earned(other.earned);
     }
 }
@@ -126,21 +127,21 @@
 /// One bucket of a latency histogram. The JSON form is a pair of upper bound and count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
-pub struct LatencyStep {
+pub struct LatencyBucket {
     /// Inclusive upper bound of the bucket, in milliseconds.
     pub up_to_ms: u64,
     /// Number of completed messages with a latency in this bucket.
     pub count: u64,
 }
 
-impl From<(u64, u64)> for LatencyStep {
-    fn from((up_to_ms, count): (u64, u64)) -> LatencyStep {
-        LatencyStep { up_to_ms, count }
+impl From<(u64, u64)> for LatencyBucket {
+    fn from((up_to_ms, count): (u64, u64)) -> LatencyBucket {
+        LatencyBucket { up_to_ms, count }
     }
 }
 
-impl From<LatencyStep> for (u64, u64) {
-    fn from(step: LatencyStep) -> (u64, u64) {
-        (step.up_to_ms, step.count)
+impl From<LatencyBucket> for (u64, u64) {
+    fn from(bucket: LatencyBucket) -> (u64, u64) {
+        (bucket.up_to_ms, bucket.count)
     }
 }
--- a/crates/simulation/src/account/mod.rs
+++ b/crates/simulation/src/account/mod.rs
@@ -5,4 +5,4 @@
 mod quota;
 
 pub(crate) use accounting::{Account, NewSubmission, WATCHED_DESTINATIONS};
-pub use counts::{AttemptCounts, Credit, DestinationLoad, LatencyStep, MessageOutcomes, SecondCounts};
+pub use counts::{AttemptCounts, Credit, DestinationLoad, LatencyBucket, MessageOutcomes, SecondCounts};
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -84,7 +84,7 @@
         endpoints: EndpointSelector,
         /// Factor by which the duration of work is multiplied.
         #[serde(rename = "times")]
-        factor: Amount,
+        duration_factor: Amount,
     },
     /// All work stops periodically.
     #[serde(rename = "pauses")]
@@ -109,7 +109,7 @@
         share: Share,
         /// Factor by which the duration of such a request is multiplied.
         #[serde(rename = "times")]
-        factor: Distribution,
+        duration_factor: Distribution,
     },
     /// Requests that contain a message of one class are answered with an error.
     #[serde(rename = "category_fails")]
@@ -175,7 +175,7 @@
     TrafficBurst {
         /// Factor by which the rate of arrivals is multiplied.
         #[serde(rename = "times")]
-        factor: Amount,
+        rate_factor: Amount,
     },
     /// One program sends more traffic.
     #[serde(rename = "surge")]
@@ -184,7 +184,7 @@
         program: String,
         /// Factor by which the program's rate of arrivals is multiplied.
         #[serde(rename = "times")]
-        factor: Amount,
+        rate_factor: Amount,
     },
 }
 
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -69,7 +69,8 @@
     #[serde(rename = "handed_in")]
     pub submitted: u64,
     /// Sum of the priority weights of the messages counted in `submitted`.
-    pub credit_asked: f64,
+    #[serde(rename = "credit_asked")]
+    pub credit_possible: f64,
     /// Priority weight earned by the messages counted in `submitted`.
     pub credit_earned: f64,
     /// Number of attempts that were sent to an endpoint while it was down.
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use crate::account::LatencyStep;
+pub use crate::account::LatencyBucket;
 use crate::account::{AttemptCounts, DestinationLoad, MessageOutcomes, SecondCounts};
 use crate::invariants::Violation;
 
@@ -17,7 +17,7 @@
     pub name: String,
     /// Sum of the priority weights of all submissions.
     #[serde(rename = "asked")]
-    pub credit_asked: f64,
+    pub credit_possible: f64,
     /// Share of this sum that was earned, from 0 to 1.
     #[serde(rename = "share")]
     pub earned_share: f64,
@@ -90,7 +90,8 @@
     #[serde(rename = "watched")]
     pub watched_destinations: Vec<WatchedDestination>,
     /// Histogram of the latencies, without empty buckets.
-    pub latency_steps: Vec<LatencyStep>,
+    #[serde(rename = "latency_steps")]
+    pub latency_buckets: Vec<LatencyBucket>,
     /// Number of submissions that did not end; 0 unless the simulation has a bug.
     #[serde(rename = "unfinished")]
     pub unfinished_submissions: usize,
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -59,8 +59,8 @@
     fn traffic_factor(&self, program: usize) -> f64 {
         let name = &self.scenario.programs[program].name;
         let factors = self.active_faults.keys().map(|index| match self.fault(*index) {
-            Fault::TrafficBurst { factor } => factor.get(),
-            Fault::ProgramSurge { program, factor } if program == name => factor.get(),
+            Fault::TrafficBurst { rate_factor } => rate_factor.get(),
+            Fault::ProgramSurge { program, rate_factor } if program == name => rate_factor.get(),
             _ => 1.0,
         });
         factors.product()
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -49,7 +49,7 @@
     pub(super) fn slowdown(&self, endpoint: EndpointIndex) -> f64 {
         let state = &self.endpoints[endpoint.0];
         let factors = state.active_faults.iter().map(|index| match self.fault(*index) {
-            Fault::Slow { factor, .. } => factor.get(),
+            Fault::Slow { duration_factor, .. } => duration_factor.get(),
             _ => 1.0,
         });
         let work_factor = self.layout.destinations[state.plan.destination.0].work_factor;
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -12,11 +12,11 @@
 const MIN_WORK_SECONDS: f64 = 1e-9;
 
 fn credit_part(name: String, credit: Credit) -> GroupCredit {
-    GroupCredit { name, credit_asked: rounded(credit.asked), earned_share: rounded(credit.share()) }
+    GroupCredit { name, credit_possible: rounded(credit.possible), earned_share: rounded(credit.share()) }
 }
 
 fn rounded_second(second: &SecondCounts) -> SecondCounts {
-    let credit = Credit { asked: rounded(second.credit.asked), earned: rounded(second.credit.earned) };
+    let credit = Credit { possible: rounded(second.credit.possible), earned: rounded(second.credit.earned) };
     SecondCounts { credit, ..*second }
 }
 
@@ -45,7 +45,7 @@
             down.endpoint_seconds += self.scenario.duration.0.saturating_sub(since).as_secs_f64();
         }
         let credit = self.account.credit_during_outage();
-        down.credit_asked = rounded(credit.asked);
+        down.credit_possible = rounded(credit.possible);
         down.credit_earned = rounded(credit.earned);
         down.endpoint_seconds = rounded(down.endpoint_seconds);
         Observed { recovery_loads, outage_traffic: down }
@@ -90,7 +90,7 @@
             violations: violations.first,
             seconds: account.seconds.iter().map(rounded_second).collect(),
             watched_destinations: watched,
-            latency_steps: account.latency_steps(),
+            latency_buckets: account.latency_buckets(),
             unfinished_submissions: self.unfinished_submissions,
             simulated_s: rounded(self.schedule.now().as_secs_f64()),
             events: self.schedule.scheduled(),
@@ -114,7 +114,7 @@
     fn worst_destinations(&self) -> Vec<GroupCredit> {
         let lost = |rank: &usize| {
             let credit = self.account.destination(*rank);
-            credit.asked - credit.earned
+            credit.possible - credit.earned
         };
         let mut ranks: Vec<usize> = (0..self.layout.destinations.len()).collect();
         ranks.sort_by(|a, b| lost(b).total_cmp(&lost(a)).then(a.cmp(b)));
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -39,10 +39,10 @@
         let mut work = longest + WORK_PER_EXTRA_MESSAGE * (works.iter().sum::<f64>() - longest);
         work *= self.slowdown(endpoint);
         for index in &self.endpoints[endpoint.0].active_faults {
-            if let Fault::HeavyTail { share, factor, .. } = self.fault(*index) {
+            if let Fault::HeavyTail { share, duration_factor, .. } = self.fault(*index) {
                 let is_long = share.occurs(&mut self.random.service);
                 // Always drawn, so that the outcome does not shift later draws.
-                let drawn = factor.draw(&mut self.random.service);
+                let drawn = duration_factor.draw(&mut self.random.service);
                 if is_long {
                     work *= drawn.max(1.0);
                 }
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -121,9 +121,9 @@
     let scenario = exact_scenario("", &[]);
     let [a, b] = [BuiltInPolicy::OneAttempt, BuiltInPolicy::UpperBound].map(|p| run(&scenario, 3, p));
     assert_eq!(a.submissions, b.submissions);
-    let asked = |r: &Report| r.seconds.iter().map(|s| s.credit.asked).collect::<Vec<_>>();
-    let last = asked(&a).len().min(asked(&b).len());
-    assert_eq!(asked(&a)[..last], asked(&b)[..last]);
+    let possible = |r: &Report| r.seconds.iter().map(|s| s.credit.possible).collect::<Vec<_>>();
+    let last = possible(&a).len().min(possible(&b).len());
+    assert_eq!(possible(&a)[..last], possible(&b)[..last]);
 }
 
 #[test]
