--- a/crates/simulation/src/account/accounting.rs
+++ b/crates/simulation/src/account/accounting.rs
@@ -9,7 +9,7 @@
 use crate::ids::{DestinationIndex, SubmissionIndex};
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
 
-/// Number of destinations whose load is recorded for each second, those with most traffic first.
+/// Number of destinations whose load is recorded for each second; they are those with the most traffic.
 pub(crate) const WATCHED_DESTINATIONS: usize = 6;
 
 /// Maximum latency in the histogram, in milliseconds: one day. Longer latencies are recorded as this value.
@@ -24,7 +24,7 @@
     programs: Vec<Credit>,
     destinations: Vec<Credit>,
     pub(crate) seconds: Vec<SecondCounts>,
-    /// Load of each watched destination, by second.
+    /// Loads of the watched destinations, by rank of traffic and by second.
     pub(crate) loads: Vec<Vec<DestinationLoad>>,
     pub(crate) ends: MessageOutcomes,
     pub(crate) attempts: AttemptCounts,
@@ -34,12 +34,12 @@
     pub(crate) work_done_seconds: f64,
     /// Work for requests that a forwarder still awaited when they were served, in seconds.
     pub(crate) useful_work_seconds: f64,
-    /// Sum over all requests of the time in flight, in seconds.
+    /// Total time of all requests in flight, in seconds.
     pub(crate) in_flight_seconds: f64,
     pub(crate) new_connections: u64,
     /// Number of repeated effects of messages that are idempotent or have an idempotency key.
     pub(crate) repeats_applied: u64,
-    /// Number of overloads of endpoints during slow start.
+    /// Number of times that an endpoint was overloaded during its slow start.
     pub(crate) overloads: u64,
     /// Credit of messages that were accepted while their destination was down.
     credit_during_outage: Credit,
@@ -212,7 +212,7 @@
         total
     }
 
-    /// Returns the minimum earned share of any window of `seconds` seconds.
+    /// Returns the minimum share of the possible credit that was earned in any window of `seconds` seconds.
     pub(crate) fn min_share_over_window(&self, seconds: usize) -> f64 {
         let last_submission = self.seconds.iter().rposition(|second| second.credit.possible > 0.0);
         let submission_seconds = last_submission.map_or(0, |index| index + 1);
--- a/crates/simulation/src/account/counts.rs
+++ b/crates/simulation/src/account/counts.rs
@@ -8,7 +8,8 @@
     /// Sum of the priority weights of all submitted messages.
     #[serde(rename = "asked")]
     pub possible: f64,
-    /// Priority weight earned by completions; late completions may earn less than the weight.
+    /// Priority weight earned by completed messages; a message completed late earns only a part of its
+    /// weight.
     pub earned: f64,
 }
 
@@ -39,7 +40,7 @@
 /// Counters of one second of simulated time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SecondCounts {
-    /// Credit of messages whose first submission was in this second.
+    /// Credit of messages that were first submitted in this second.
     pub credit: Credit,
     /// Number of attempts started.
     #[serde(rename = "dispatched")]
@@ -82,7 +83,7 @@
     /// Messages rejected by a forwarder that had accepted them.
     #[serde(rename = "shed")]
     pub rejected: u64,
-    /// Messages failed by their forwarder.
+    /// Messages that their forwarder answered as failed.
     #[serde(rename = "broken_off")]
     pub failed: u64,
     /// Messages withdrawn by their clients.
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -21,7 +21,7 @@
 /// Maximum of the parameters of a [`Distribution`].
 const MAX_PARAMETER: f64 = 1e9;
 
-/// Maximum sigma of a log-normal distribution; larger ones have a mean that rare extreme draws dominate.
+/// Maximum sigma of a log-normal distribution. With a larger sigma, rare extreme draws dominate the mean.
 const MAX_SIGMA: f64 = 3.0;
 
 /// A number of a scenario that is out of range.
@@ -31,7 +31,7 @@
     #[error("invalid share {0}: expected a number from 0 to 1")]
     Share(f64),
     /// The value is not an [`Amount`].
-    #[error("number {0} is out of range: expected a number over 0, 1000000 at most")]
+    #[error("invalid number {0}: expected a number over 0 and at most 1000000")]
     Amount(f64),
     /// The value is not a [`Span`].
     #[error("invalid duration {0}: expected seconds from 0 to {MAX_SPAN_S}")]
@@ -39,7 +39,7 @@
     /// Parameters of a [`Distribution`] that are out of range.
     #[error(
         "distribution parameters out of range: expected numbers from 0 to 1000000000, uniform = [low, high], \
-         a mean or median over 0, sigma 3 at most"
+         a mean or median over 0, and a sigma of at most 3"
     )]
     Distribution,
 }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -76,7 +76,7 @@
         #[serde(default = "default_error_share")]
         share: Share,
     },
-    /// All work takes longer.
+    /// The affected endpoints take longer for all work.
     #[serde(rename = "slow")]
     Slow {
         /// Endpoints that the fault affects.
@@ -86,7 +86,7 @@
         #[serde(rename = "times")]
         duration_factor: Amount,
     },
-    /// All work stops periodically.
+    /// The affected endpoints stop all work periodically.
     #[serde(rename = "pauses")]
     Pauses {
         /// Endpoints that the fault affects.
@@ -107,7 +107,7 @@
         endpoints: EndpointSelector,
         /// Share of requests that take longer.
         share: Share,
-        /// Factor by which the duration of such a request is multiplied.
+        /// Factor by which the duration of these requests is multiplied; a value below 1 counts as 1.
         #[serde(rename = "times")]
         duration_factor: Distribution,
     },
@@ -167,7 +167,7 @@
         /// Forwarders that receive the share.
         #[serde(rename = "which")]
         forwarders: ForwarderSelector,
-        /// Share of all traffic that is directed to them.
+        /// Share of all traffic that is directed to the selected forwarders.
         share: Share,
     },
     /// All programs send more traffic.
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ForwarderIncarnation {
     pub(crate) forwarder: ForwarderIndex,
-    /// Incremented at each start and each kill.
+    /// Number of the incarnation, incremented at each start and each kill of the forwarder.
     pub(crate) number: u32,
 }
 
@@ -20,12 +20,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIndex(pub usize);
 
-/// Index of one hand-over of a message to one forwarder.
+/// Index of a message that a forwarder accepted. Each acceptance of the same [submission](SubmissionIndex)
+/// gets an index of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageIndex(pub usize);
 
-/// Index of what a client wants delivered. Each time that the client submits it again after a rejection, it
-/// gets a further [`MessageIndex`].
+/// Index of a client's message, which stays the same when the client submits the message again. Each
+/// acceptance by a forwarder adds a [`MessageIndex`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SubmissionIndex(pub usize);
 
--- a/crates/simulation/src/invariants/answers.rs
+++ b/crates/simulation/src/invariants/answers.rs
@@ -29,7 +29,8 @@
         self.histories[message.0].answer = Some(GivenAnswer { answer, at: now });
     }
 
-    /// Records a violation if a message has a second final answer. A withdrawal next to an answer is allowed.
+    /// Records a violation if a message has a second final answer. A withdrawal in addition to an answer is
+    /// allowed.
     fn check_second_answer(
         &mut self,
         now: Duration,
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Returns why a message must not be rejected, if it may have been executed: the client may submit it
-    /// again.
+    /// Returns why a message must not be rejected, or `None` if a rejection is allowed. The client may submit
+    /// a rejected message again, which could repeat an effect.
     fn find_rejection_hazard(&self, now: Duration, history: &MessageHistory) -> Option<&'static str> {
         let first = history.first_possible_execution()?;
         match self.fleet.classes[history.message.class].idempotency {
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -34,7 +34,8 @@
 }
 
 impl InvariantChecker {
-    /// Records the start of an attempt, and checks all rules. `scopes` are those whose Retry-After applies.
+    /// Records the start of an attempt, and checks the rules for attempts. `scopes` are the scopes in which a
+    /// Retry-After forbids the attempt.
     pub(crate) fn record_attempt_start(
         &mut self,
         now: Duration,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Checks that a message has no final answer.
+/// Checks that a message for which an attempt starts has no final answer.
 fn check_not_answered(history: &MessageHistory, endpoint: EndpointIndex) -> Option<BrokenRule> {
     let given = history.answer?;
     let at = given.at.as_secs_f64();
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -138,8 +138,8 @@
         (self.answer.is_some() || self.exempt) && self.attempts.iter().all(|attempt| attempt.ended.is_some())
     }
 
-    /// Returns the end of the hold-off of the ordering key after attempts that may still run; zero without
-    /// any.
+    /// Returns the time until which the ordering key is held because attempts may still be running; zero if
+    /// there are no such attempts.
     pub(super) fn key_held_until(&self, hold_off: Duration) -> Duration {
         let ended = self.attempts.iter().filter_map(|attempt| attempt.ended);
         let uncertain = ended.filter(|ended| may_still_run(ended.outcome));
--- a/crates/simulation/src/invariants/violation.rs
+++ b/crates/simulation/src/invariants/violation.rs
@@ -22,7 +22,8 @@
     /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
-    /// Events of the message before the violation, oldest first. For an overload, the senders, largest first.
+    /// Events of the message before the violation, oldest first. For an overload, the work from each
+    /// forwarder, largest first.
     #[serde(rename = "led_by")]
     pub history: Vec<String>,
 }
--- a/crates/simulation/src/layout/draw.rs
+++ b/crates/simulation/src/layout/draw.rs
@@ -130,7 +130,8 @@
     }
 }
 
-/// Assigns kinds to random ranks of the skew, and sorts the destinations by descending traffic weight.
+/// Assigns the destinations of all kinds to random ranks of the Zipf distribution, and returns the
+/// destinations by descending traffic weight.
 fn rank_destinations(scenario: &Scenario, random: &mut RandomSource) -> Vec<RankedDestination> {
     let mut kinds: Vec<usize> = Vec::new();
     for (index, kind) in scenario.kinds.iter().enumerate() {
@@ -167,8 +168,8 @@
     }
 }
 
-/// Distributes zones and traffic over the forwarders. The even share of the traffic is divided equally; of
-/// the uneven share, each forwarder gets half of the remainder.
+/// Distributes zones and traffic over the forwarders. The even share of the traffic is divided equally. Of
+/// the uneven share, each forwarder gets half of the part that is left, and the last one gets the rest.
 fn plan_forwarders(fleet: &Fleet) -> Vec<ForwarderPlan> {
     let unevenness = fleet.unevenness.get();
     let count = fleet.forwarders as usize;
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -4,7 +4,8 @@
 
 /// Burst size of a token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 0.5;
-/// Maximum debt from rejected requests, in windows or bursts; limits how long a destination is blocked.
+/// Maximum debt from rejected requests, in full windows or bursts. Limits how long rejected requests block a
+/// destination.
 const MAX_DEBT: f64 = 2.0;
 
 /// A request limit and its current usage. Times are since the start of the run.
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Returns the number of requests that would be admitted now; negative after debt from rejected requests.
+    /// Returns the number of requests that would be admitted now; negative while rejected requests have left
+    /// a debt.
     pub fn available(&mut self, now: Duration) -> f64 {
         match self {
             RequestLimit::Unlimited => f64::MAX,
@@ -75,7 +77,7 @@
     per_s: f64,
     /// Maximum number of tokens.
     burst: f64,
-    /// Current number of tokens; negative after debt from rejected requests.
+    /// Current number of tokens; negative while rejected requests have left a debt.
     tokens: f64,
     refilled_at: Duration,
 }
@@ -111,7 +113,7 @@
     /// Maximum number of requests in each window.
     count: f64,
     length: Duration,
-    /// Requests counted in the current window; over `count` after debt from rejected requests.
+    /// Requests counted in the current window; over `count` while rejected requests have left a debt.
     used: f64,
     /// Start of the current window.
     started_at: Duration,
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -13,12 +13,12 @@
 pub enum OutageCause {
     /// A fault of the scenario.
     Fault,
-    /// An overload while the endpoint was cold after an earlier outage.
+    /// An overload of the endpoint during its slow start after an earlier outage.
     Overload,
 }
 
-/// Load of an endpoint that warmed up after an outage, in the worst overload window: the one with the largest
-/// ratio of received work to budget.
+/// Load of an endpoint during its slow start after an outage, in the worst overload window. The worst window
+/// has the largest ratio of `received_work` to `budget`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecoveryLoad {
     /// Index of the endpoint among those of all destinations.
@@ -29,7 +29,8 @@
     /// Messages a second for the destination at the baseline load, from all forwarders.
     #[serde(rename = "usual_per_s")]
     pub baseline_per_s: f64,
-    /// Whether the preceding outage was an overload of the endpoint while it was cold.
+    /// Whether the preceding outage was caused by an overload of the endpoint during an earlier slow start;
+    /// `false` if a fault caused the outage.
     #[serde(rename = "after_a_fall")]
     pub after_overload: bool,
     /// Seconds from the recovery to the end of the worst window; 0 if the endpoint received nothing.
@@ -37,13 +38,15 @@
     /// Work that reached the endpoint in the worst window, in requests of one message.
     #[serde(rename = "sum")]
     pub received_work: f64,
-    /// Work that the settings allow in the window, in requests of one message, without a margin for chance.
+    /// Work that the settings allow in the window, in requests of one message, without the margin for random
+    /// variation.
     #[serde(rename = "allowed")]
     pub allowed_work: f64,
-    /// Work above which the endpoint is overloaded, see
+    /// Work in the window above which the endpoint is overloaded, in requests of one message, see
     /// [`overload_budget`](crate::simulated_endpoint::overload_budget).
     pub budget: f64,
-    /// Part of the received work that came from forwarders that had seen a failure in the outage.
+    /// Part of the received work that came from forwarders that had seen a failure in the outage, in requests
+    /// of one message.
     #[serde(rename = "known")]
     pub informed_work: f64,
     /// Whether the received work overloaded the endpoint.
@@ -81,8 +84,8 @@
     /// Number of messages whose first attempt was sent to an endpoint that was down.
     #[serde(rename = "first_lost")]
     pub first_attempts_lost: u64,
-    /// Number of messages counted in `first_attempts_lost` for which some forwarder had already seen a
-    /// failure in that outage.
+    /// Number of messages counted in `first_attempts_lost` whose endpoint had already failed a request of any
+    /// forwarder in the same outage.
     #[serde(rename = "first_lost_to_known")]
     pub first_attempts_lost_to_known_outage: u64,
     /// Time that endpoints were down, in seconds, summed over all endpoints.
@@ -110,7 +113,7 @@
     pub observed: Observed,
 }
 
-/// Recovery of an endpoint and the worst load since then, during a run.
+/// Recovery of an endpoint, and the worst load of the endpoint since then.
 #[derive(Clone, Debug)]
 pub(crate) struct Recovery {
     /// End of the outage, since the start of the run.
--- a/crates/simulation/src/policies/baseline_host.rs
+++ b/crates/simulation/src/policies/baseline_host.rs
@@ -39,18 +39,19 @@
     state: EndpointState,
     circuit_per_endpoint: bool,
     max_batch: usize,
-    /// End of the Retry-After of this endpoint; used if the endpoints have separate circuits.
+    /// End of the endpoint's Retry-After, zero if none was received; used if the endpoints have separate
+    /// circuits.
     retry_after_ends: Duration,
 }
 
-/// Policy of a forwarder that decides by a baseline.
+/// Policy of a forwarder that gets its decisions from a baseline.
 pub(super) struct BaselineHost<B> {
     baseline: B,
     random: RandomSource,
     settings: Settings,
     messages: BTreeMap<MessageNumber, PendingMessage>,
-    numbers: BTreeMap<MessageId, MessageNumber>,
-    detached: BTreeMap<AttemptId, DetachedAttempt>,
+    message_numbers: BTreeMap<MessageId, MessageNumber>,
+    detached_attempts: BTreeMap<AttemptId, DetachedAttempt>,
     /// Messages without an attempt in flight, in the order in which they were queued.
     queue: VecDeque<MessageNumber>,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
@@ -60,8 +61,8 @@
     /// End of the Retry-After of destinations whose endpoints share a circuit.
     retry_after_ends: BTreeMap<DestinationId, Duration>,
     ordering_keys: OrderingKeys,
-    /// Requests in flight, each with the number of its unfinished attempts.
-    requests: BTreeMap<RequestId, u32>,
+    /// Number of unfinished attempts of each request in flight.
+    unfinished_attempts_by_request: BTreeMap<RequestId, u32>,
     last_request: RequestId,
     last_message: MessageNumber,
     timer_at: Option<Duration>,
@@ -75,15 +76,15 @@
             random: RandomSource::seed_from_u64(settings.seed),
             settings,
             messages: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            detached: BTreeMap::new(),
+            message_numbers: BTreeMap::new(),
+            detached_attempts: BTreeMap::new(),
             queue: VecDeque::new(),
             endpoints: BTreeMap::new(),
             by_destination: BTreeMap::new(),
             endpoints_with_retry_after: BTreeSet::new(),
             retry_after_ends: BTreeMap::new(),
             ordering_keys: OrderingKeys::default(),
-            requests: BTreeMap::new(),
+            unfinished_attempts_by_request: BTreeMap::new(),
             last_request: RequestId(0),
             last_message: MessageNumber(0),
             timer_at: None,
@@ -112,12 +113,13 @@
     /// Removes a message; its attempts in flight are kept as detached attempts.
     fn remove(&mut self, number: MessageNumber) -> Option<PendingMessage> {
         let message = self.messages.remove(&number)?;
-        self.numbers.remove(&message.id);
+        self.message_numbers.remove(&message.id);
         self.queue.retain(|queued| *queued != number);
         for attempt in &message.in_flight {
             let request = message.started.get(attempt.0 as usize).and_then(|started| started.request);
             let detached = DetachedAttempt { request, message: number, ordering_key: message.ordering_key };
-            self.detached.insert(AttemptId { message: message.id.clone(), attempt: *attempt }, detached);
+            self.detached_attempts
+                .insert(AttemptId { message: message.id.clone(), attempt: *attempt }, detached);
         }
         self.leave_ordering_queue(message.ordering_key, number);
         Some(message)
@@ -126,7 +128,7 @@
     /// Removes a message from the queue of its key if it has its final answer and no attempt in flight.
     fn leave_ordering_queue(&mut self, key: Option<OrderingKey>, number: MessageNumber) {
         let is_open = self.messages.contains_key(&number)
-            || self.detached.values().any(|detached| detached.message == number);
+            || self.detached_attempts.values().any(|detached| detached.message == number);
         if let Some(key) = key.filter(|_| !is_open) {
             self.ordering_keys.remove(key, number);
         }
@@ -166,7 +168,7 @@
     }
 
     /// Gives a final answer to messages that can no longer be sent, and to the newest queued messages while
-    /// the capacity is reached.
+    /// the maximum number of pending messages is reached.
     fn drop_undeliverable(&mut self, now: Duration, host: &mut dyn PolicyHost) {
         let is_undeliverable = |number: &&MessageNumber| {
             let message = self.messages.get(*number);
@@ -214,17 +216,17 @@
     /// Counts down the unfinished attempts of a request, and removes the request after the last.
     fn release_request(&mut self, request: Option<RequestId>) {
         let Some(request) = request else { return };
-        if let Some(unfinished) = self.requests.get_mut(&request) {
+        if let Some(unfinished) = self.unfinished_attempts_by_request.get_mut(&request) {
             *unfinished -= 1;
             if *unfinished == 0 {
-                self.requests.remove(&request);
+                self.unfinished_attempts_by_request.remove(&request);
             }
         }
     }
 
     /// Returns the queued messages in sending order; empty if the maximum number of requests is in flight.
     fn sending_order(&self) -> Vec<MessageNumber> {
-        if self.requests.len() >= self.max_in_flight() {
+        if self.unfinished_attempts_by_request.len() >= self.max_in_flight() {
             return Vec::new();
         }
         let sort_key = |number: &MessageNumber| {
@@ -249,7 +251,7 @@
             return None;
         }
         let mut candidates = self.candidates(message, now);
-        if self.requests.len() >= self.max_in_flight() {
+        if self.unfinished_attempts_by_request.len() >= self.max_in_flight() {
             candidates.retain(|endpoint| batches.has_free_place(*endpoint));
         }
         if candidates.is_empty() {
@@ -273,7 +275,7 @@
         let timeout = self.baseline.attempt_timeout(objective).min(message.deadline - now);
         let max_batch = self.endpoints.get(&endpoint).map_or(1, |known| known.max_batch);
         let request = batches.join_or_open(endpoint, max_batch, &mut self.last_request);
-        *self.requests.entry(request).or_default() += 1;
+        *self.unfinished_attempts_by_request.entry(request).or_default() += 1;
         message.in_flight.insert(AttemptNumber(message.attempts));
         message.attempts += 1;
         message.started.push(StartedAttempt { endpoint, at: now, request: Some(request) });
@@ -377,7 +379,7 @@
             possibly_executed_at: None,
         };
         self.messages.insert(number, message);
-        self.numbers.insert(submission.id.clone(), number);
+        self.message_numbers.insert(submission.id.clone(), number);
         self.queue.push_back(number);
     }
 
@@ -388,7 +390,7 @@
         previous: &[PreviousAttempt],
         host: &mut dyn PolicyHost,
     ) {
-        let Some(number) = self.numbers.get(id).copied() else { return };
+        let Some(number) = self.message_numbers.get(id).copied() else { return };
         let until = now + self.ordering_hold_off();
         let Some(message) = self.messages.get_mut(&number) else { return };
         message.restore(previous);
@@ -403,12 +405,12 @@
     fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost) {
         let FinishedAttempt { message: id, number, outcome, message_finished: finished } = *ended;
         let attempt = AttemptId { message: id.clone(), attempt: number };
-        if let Some(detached) = self.detached.remove(&attempt) {
+        if let Some(detached) = self.detached_attempts.remove(&attempt) {
             self.release_request(detached.request);
             self.hold_key(detached.ordering_key, detached.message, outcome, now);
             self.leave_ordering_queue(detached.ordering_key, detached.message);
         }
-        let Some(message_number) = self.numbers.get(id).copied() else { return };
+        let Some(message_number) = self.message_numbers.get(id).copied() else { return };
         let Some(message) = self.messages.get_mut(&message_number) else { return };
         message.in_flight.remove(&number);
         let Some(attempt) = message.started.get(number.0 as usize).copied() else { return };
@@ -431,7 +433,7 @@
     }
 
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost) {
-        let Some(number) = self.numbers.get(id).copied() else { return };
+        let Some(number) = self.message_numbers.get(id).copied() else { return };
         if let Some(message) = self.remove(number) {
             for attempt in &message.in_flight {
                 host.cancel_attempt(id, *attempt);
--- a/crates/simulation/src/policies/baseline_policy.rs
+++ b/crates/simulation/src/policies/baseline_policy.rs
@@ -16,7 +16,7 @@
 /// without a call to the policy.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Maximum number of attempts for a message with the default retries.
+/// Maximum number of attempts for a message in the default [`BaselinePolicy::retry_after`].
 const MAX_ATTEMPTS: u32 = 5;
 /// Maximum delay of the first retry; each further retry doubles the maximum.
 const FIRST_BACKOFF_S: f64 = 0.1;
@@ -123,8 +123,8 @@
     (!candidates.is_empty()).then(|| candidates[random.random_range(0..candidates.len())])
 }
 
-/// Returns the delay of the retry after this number of attempts: exponential, and drawn from the upper half
-/// of the interval.
+/// Returns the delay of the retry after this number of attempts: drawn from the upper half of a range whose
+/// maximum grows exponentially.
 pub(super) fn backoff(attempts: u32, random: &mut RandomSource) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
     let longest = (FIRST_BACKOFF_S * 2.0_f64.powi(doublings as i32)).min(MAX_BACKOFF_S);
--- a/crates/simulation/src/policies/baseline_sending.rs
+++ b/crates/simulation/src/policies/baseline_sending.rs
@@ -23,7 +23,7 @@
         &self.free_places
     }
 
-    /// Adds a message to the request to an endpoint, or opens the next request if that is full or missing.
+    /// Adds a message to the request to an endpoint, or to a new request if there is none or it is full.
     pub(super) fn join_or_open(
         &mut self,
         endpoint: EndpointId,
--- a/crates/simulation/src/policies/baselines.rs
+++ b/crates/simulation/src/policies/baselines.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Random endpoints, and retries with exponential, jittered backoff.
+/// Sends each message to a random endpoint, and retries with exponential, jittered backoff.
 pub(super) struct ExponentialBackoff;
 
 impl BaselinePolicy for ExponentialBackoff {}
@@ -51,7 +51,7 @@
     next_positions: BTreeMap<DestinationId, usize>,
 }
 
-/// Circuit of one endpoint: closed without `open_until`, half-open once that time has passed.
+/// Circuit of one endpoint: closed if `open_until` is `None`, open until that time, and half-open afterwards.
 #[derive(Default)]
 struct Circuit {
     consecutive_failures: u32,
@@ -106,8 +106,9 @@
 /// Messages whose latency objective ends first are sent first.
 #[derive(Default)]
 pub(super) struct UpperBound {
-    /// Number of requests sent to each destination at `sent_at`, which the world has not seen yet.
-    sent: BTreeMap<DestinationId, u32>,
+    /// Number of requests sent to each destination at `sent_at`, which the state of the world does not include
+    /// yet.
+    sent_requests: BTreeMap<DestinationId, u32>,
     sent_at: Duration,
 }
 
@@ -125,10 +126,10 @@
             return Some(*endpoint);
         }
         if now != self.sent_at {
-            self.sent.clear();
+            self.sent_requests.clear();
             self.sent_at = now;
         }
-        let sent = self.sent.entry(message.destination).or_default();
+        let sent = self.sent_requests.entry(message.destination).or_default();
         let accepting =
             candidates.iter().filter(|endpoint| world.would_accept(**endpoint, message.class, *sent));
         let cost = |endpoint: &EndpointId| (world.load(*endpoint) + 1.0) * world.slowdown(*endpoint);
--- a/crates/simulation/src/policies/built_in.rs
+++ b/crates/simulation/src/policies/built_in.rs
@@ -25,7 +25,7 @@
 }
 
 impl BuiltInPolicy {
-    /// All policies, in the order of tables.
+    /// All policies, in the order in which tables of results list them.
     pub const ALL: [BuiltInPolicy; 5] = [
         BuiltInPolicy::DeliveryPolicy,
         BuiltInPolicy::OneAttempt,
--- a/crates/simulation/src/policies/sharing.rs
+++ b/crates/simulation/src/policies/sharing.rs
@@ -12,15 +12,15 @@
 use crate::distribution::RandomSource;
 use crate::policy::Policy;
 
-/// Number of failures within [`FAILURE_WINDOW`] that open a circuit.
+/// Number of failed attempts at an endpoint within [`FAILURE_WINDOW`], of all members, that open its circuit.
 const FAILURES_TO_OPEN: usize = 3;
 /// Delay from a failure or a half-open trial to the next trial.
 const RECOVERY_DELAY: Duration = Duration::from_secs(5);
-/// Time after which a failure no longer counts.
+/// Time after which a failed attempt no longer counts towards [`FAILURES_TO_OPEN`].
 const FAILURE_WINDOW: Duration = Duration::from_secs(50);
-/// Time for which a circuit is kept after its last event stopped having an effect.
+/// Time for which a circuit keeps its state after it has become half-open and its failures no longer count.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(5);
-/// Maximum number of events kept for each endpoint.
+/// Maximum number of events kept for each endpoint; older events are dropped.
 const MAX_KEPT_EVENTS: usize = 64;
 /// Interval at which a forwarder with queued messages checks its circuits.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -182,12 +182,13 @@
     Box::new(BaselineHost::new(settings, SharingBreaker { exchange: exchange.clone(), member }))
 }
 
-/// Locks the exchange, also after a panic of another thread, because each event is added as a whole.
+/// Locks the exchange. A panic of another thread is ignored, because no event is ever added in part.
 fn lock(exchange: &SharedExchange) -> MutexGuard<'_, CircuitExchange> {
     exchange.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Random endpoint with a closed circuit, or else a half-open trial; retries with backoff.
+/// Sends each message to a random endpoint with a closed circuit, or as a half-open trial if there is none.
+/// Retries with backoff.
 struct SharingBreaker {
     exchange: SharedExchange,
     member: MemberId,
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -42,7 +42,8 @@
 /// The endpoint list, or changes of it, as a forwarder receives them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListUpdate {
-    /// Whether this is the complete list, so that endpoints without an entry are removed; changes otherwise.
+    /// Whether the entries are the complete list, so that endpoints without an entry are removed. Otherwise,
+    /// the entries are changes.
     pub complete: bool,
     /// Entries in the order of the list.
     pub endpoints: Vec<ListedEndpoint>,
@@ -68,9 +69,9 @@
 /// The true state of the world, which a forwarder cannot know. Only
 /// [`BuiltInPolicy::UpperBound`](crate::BuiltInPolicy::UpperBound) may use it.
 pub trait WorldView {
-    /// Returns whether a request sent now would be accepted and answered without an overload. Counts requests
-    /// in transit, and `sent_before` more to the destination that the world has not seen yet. `class` is the
-    /// index of the message class in the scenario.
+    /// Returns whether a request sent now would be accepted and answered without an overload. Requests in
+    /// transit count, and so do `sent_before` requests to the destination that are not in transit yet.
+    /// `class` is the index of the message class in the scenario.
     fn would_accept(&self, endpoint: EndpointId, class: usize, sent_before: u32) -> bool;
     /// Returns the number of unfinished requests at an endpoint, divided by the number of its workers.
     fn load(&self, endpoint: EndpointId) -> f64;
@@ -97,13 +98,13 @@
     fn attempt_finished(&mut self, now: Duration, ended: &FinishedAttempt, host: &mut dyn PolicyHost);
     /// Removes a message that its client withdrew.
     fn withdraw(&mut self, id: &MessageId, host: &mut dyn PolicyHost);
-    /// Notes that the timer which the policy set has fired.
+    /// Handles the expiry of the timer that the policy set.
     fn timer_fired(&mut self, now: Duration);
     /// Records the result of a health check.
     fn health_checked(&mut self, now: Duration, endpoint: EndpointId, healthy: bool);
     /// Handles gossip from another forwarder.
     fn gossip_received(&mut self, now: Duration, from: PeerId, gossip: &[u8]);
-    /// Gives the commands that are due. Called after all pending inputs were passed to the policy.
+    /// Passes the commands that are due to `host`. Called after all pending inputs were passed to the policy.
     fn run_due_work(&mut self, now: Duration, world: &dyn WorldView, host: &mut dyn PolicyHost);
 }
 
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -18,7 +18,7 @@
     /// Sum of the priority weights of all submissions.
     #[serde(rename = "asked")]
     pub credit_possible: f64,
-    /// Share of this sum that was earned, from 0 to 1.
+    /// Share of `credit_possible` that was earned, from 0 to 1.
     #[serde(rename = "share")]
     pub earned_share: f64,
 }
@@ -66,7 +66,7 @@
     /// Mean number of attempts that endpoints rejected, for each submission.
     #[serde(rename = "refusals_per_try")]
     pub rejections_per_submission: f64,
-    /// Share of the work of endpoints that completed no message.
+    /// Share of the endpoints' work that was spent on requests whose forwarder no longer waited for them.
     pub work_wasted: f64,
     /// Mean share of the fleet's maximum requests in flight that was used while messages arrived.
     #[serde(rename = "slots_used")]
@@ -76,7 +76,7 @@
     pub new_connections_per_submission: f64,
     /// Number of repeated effects of messages whose class allows repeats.
     pub repeats_applied: u64,
-    /// Number of times that an endpoint was overloaded while it was cold.
+    /// Number of times that an endpoint was overloaded during its slow start.
     #[serde(rename = "falls")]
     pub overloads: u64,
     /// Number of rule violations.
@@ -92,7 +92,7 @@
     /// Histogram of the latencies, without empty buckets.
     #[serde(rename = "latency_steps")]
     pub latency_buckets: Vec<LatencyBucket>,
-    /// Number of submissions that did not end; 0 unless the simulation has a bug.
+    /// Number of submissions that had not ended at the end of the run; 0 unless the simulation has a bug.
     #[serde(rename = "unfinished")]
     pub unfinished_submissions: usize,
     /// Simulated duration of the run, in seconds.
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -41,7 +41,7 @@
     /// Gossip between forwarders.
     #[serde(rename = "notes", default)]
     pub gossip: GossipSettings,
-    /// Slow start of endpoints after an outage, and their overload while they are cold.
+    /// Slow start of endpoints after an outage, and their overload during the slow start.
     #[serde(rename = "returning", default)]
     pub recovery: RecoverySettings,
     /// Message classes.
--- a/crates/simulation/src/scenario/validation.rs
+++ b/crates/simulation/src/scenario/validation.rs
@@ -12,7 +12,8 @@
 /// Maximum number of sections with the same header.
 const MAX_SECTIONS: usize = 1000;
 
-/// A place in the scenario file: how its first line begins, and the index among all such lines.
+/// A section of the scenario file: the text with which its first line begins, and its index among all lines
+/// that begin with this text.
 #[derive(Clone, Copy)]
 pub(super) struct Section {
     header: &'static str,
@@ -93,11 +94,12 @@
         count: usize,
     },
     /// A name occurs twice in sections of one kind.
-    #[error("duplicate name: expected a name that stands once only")]
+    #[error("duplicate name: expected a name that no other section of the same kind has")]
     RepeatedName,
     /// The latency objective of a class is zero or longer than its deadline.
     #[error(
-        "promised_s of \"{class}\" is {objective}: expected over 0, and its outer_limit_s {deadline} at most"
+        "promised_s of category \"{class}\" is {objective}: expected a number over 0 and \
+         at most its outer_limit_s {deadline}"
     )]
     LatencyObjective {
         /// Name of the message class.
@@ -124,10 +126,10 @@
         count: u32,
     },
     /// A fault names both destinations and a share of them, or neither.
-    #[error("whom: expected either destinations or a share")]
+    #[error("whom: expected either destinations or a share of them")]
     EndpointSelector,
     /// A fault names both forwarders and a share of them, or neither.
-    #[error("which: expected either forwarders or a share")]
+    #[error("which: expected either forwarders or a share of them")]
     ForwarderSelector,
     /// A fault names a message class that does not exist.
     #[error("unknown category \"{0}\": expected the name of a category of this scenario")]
--- a/crates/simulation/src/scenario/world.rs
+++ b/crates/simulation/src/scenario/world.rs
@@ -26,7 +26,7 @@
     /// Maximum number of attempts for one message.
     #[serde(rename = "dispatch_cap", default = "defaults::max_attempts")]
     pub max_attempts: u32,
-    /// Interval at whose multiples a forwarder handles its pending inputs.
+    /// Interval at which a forwarder handles its pending inputs; zero for handling without delay.
     #[serde(rename = "tick_s", default = "defaults::tick")]
     pub tick: Span,
     /// Maximum Retry-After that forwarders send to client programs; `None` if they send none.
@@ -39,10 +39,11 @@
     /// Share of the traffic that is distributed unevenly over forwarders; with 0 all get the same traffic.
     #[serde(rename = "uneven", default)]
     pub unevenness: Share,
-    /// Time after an endpoint is listed as draining within which attempts may still go to the endpoint.
+    /// Time after an endpoint is listed as draining during which attempts to the endpoint are still allowed.
     #[serde(rename = "drain_grace_s", default = "defaults::drain_grace")]
     pub drain_grace: Span,
-    /// Time for which an ordering key is held back after an attempt that may still be running.
+    /// Time for which the other messages of an ordering key are held after an attempt that may still be
+    /// running.
     #[serde(rename = "key_rest_s", default = "defaults::ordering_hold_off")]
     pub ordering_hold_off: Span,
     /// Tolerance after a deadline within which a final answer still counts as in time.
@@ -66,7 +67,7 @@
     /// Share of messages that arrive in groups for a single destination.
     #[serde(rename = "clumped", default)]
     pub grouped_share: Share,
-    /// Number of messages in such a group.
+    /// Number of messages in a group.
     #[serde(rename = "clump", default = "defaults::group_size")]
     pub group_size: Distribution,
 }
@@ -182,7 +183,8 @@
     }
 }
 
-/// Slow start of endpoints after an outage, and their overload while they are cold.
+/// Slow start of endpoints after an outage, and their overload during the slow start. An endpoint in slow
+/// start is called cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "a table of the recovery settings")]
 pub struct RecoverySettings {
@@ -192,10 +194,10 @@
     /// Time until an endpoint has its full capacity again; the share increases linearly.
     #[serde(rename = "warm_within_s")]
     pub slow_start_duration: Span,
-    /// Multiple of the current capacity that a cold endpoint may receive without an overload.
+    /// Maximum load of a cold endpoint without an overload, as a multiple of the endpoint's current capacity.
     #[serde(rename = "fall_multiple")]
     pub overload_capacity_multiple: Amount,
-    /// Length of the window over which received work is compared with `overload_capacity_multiple`.
+    /// Length of the window whose received work is compared with the maximum load.
     #[serde(rename = "tip_after_s")]
     pub overload_window: Span,
     /// Duration of the outage that an overload causes.
--- a/crates/simulation/src/simulated_endpoint.rs
+++ b/crates/simulation/src/simulated_endpoint.rs
@@ -1,5 +1,5 @@
-//! True state of a simulated endpoint: queue, requests in service, connections, active faults, warm-up after
-//! an outage and overload.
+//! True state of a simulated endpoint: queue, requests in service, connections, active faults, slow start
+//! after an outage and overload. An endpoint is cold during its slow start, and warm otherwise.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -37,9 +37,9 @@
     pub(crate) hung_responses: Vec<RequestIndex>,
     /// Active faults, by index in the scenario.
     pub(crate) active_faults: Vec<usize>,
-    /// Number of active outages: faults that count as outages, and an overload.
+    /// Number of active causes of an outage: faults that count as outages, and an overload.
     pub(crate) active_outages: u32,
-    /// End of the last outage.
+    /// End of the latest outage that has ended, since the start of the run; `None` if no outage has ended.
     recovered_at: Option<Duration>,
     /// All recoveries so far, each with the worst load after it.
     pub(crate) recoveries: Vec<Recovery>,
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -129,9 +129,9 @@
         }
         let is_first = attempt.number == 0;
         let is_known = self.invariants.is_outage_known(endpoint);
-        self.sent_to_down.attempts += 1;
-        self.sent_to_down.first_attempts_lost += u64::from(is_first);
-        self.sent_to_down.first_attempts_lost_to_known_outage += u64::from(is_first && is_known);
+        self.outage_traffic.attempts += 1;
+        self.outage_traffic.first_attempts_lost += u64::from(is_first);
+        self.outage_traffic.first_attempts_lost_to_known_outage += u64::from(is_first && is_known);
     }
 
     /// Adds an attempt to a request that has not been sent, and schedules the attempt's timeout.
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -16,9 +16,9 @@
 const MIN_DELAY: Duration = Duration::from_micros(1);
 /// Minimum delay from the kill of a forwarder to the next submission of its messages.
 const MIN_FAILOVER_DELAY: Duration = Duration::from_millis(1);
-/// Maximum factor by which a clump increases the messages of an arrival.
-const MAX_CLUMP_SIZE: f64 = 1e4;
-/// Maximum number of messages in one arrival, before the clump size is applied.
+/// Maximum factor by which a grouped arrival has more messages than another arrival.
+const MAX_GROUP_SIZE: f64 = 1e4;
+/// Maximum number of messages in one arrival, before multiplication by the group size.
 const MAX_ARRIVAL_MESSAGES: f64 = 1e5;
 /// Prevents the logarithm of zero.
 const MIN_LOG_ARGUMENT: f64 = 1e-12;
@@ -33,8 +33,8 @@
 
 /// How messages of a program are grouped into arrivals.
 struct ArrivalShape {
-    /// Probability that an arrival is a clump, which has more messages, all for one destination.
-    clump_probability: f64,
+    /// Probability that an arrival is grouped: its messages are more, and all for one destination.
+    group_probability: f64,
     /// Mean number of messages in an arrival.
     mean_messages: f64,
 }
@@ -46,7 +46,8 @@
     share: f64,
 }
 
-/// Returns the index selected by `drawn`, from 0 to 1, in cumulative weights.
+/// Returns the index that a random number `drawn` from 0 to 1 selects by weight; `sums` are cumulative
+/// weights.
 fn weighted_index(sums: &[f64], drawn: f64) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
     sums.partition_point(|sum| *sum <= drawn * total).min(sums.len().saturating_sub(1))
@@ -55,7 +56,7 @@
 impl World<'_> {
     // # Arrivals
 
-    /// Returns the factor on a program's baseline traffic from active faults.
+    /// Returns the factor by which active faults multiply a program's traffic.
     fn traffic_factor(&self, program: usize) -> f64 {
         let name = &self.scenario.programs[program].name;
         let factors = self.active_faults.keys().map(|index| match self.fault(*index) {
@@ -69,11 +70,12 @@
     /// Returns the grouping of a program's messages by the scenario's settings.
     fn arrival_shape(&self, program: usize) -> ArrivalShape {
         let traffic = &self.scenario.traffic;
-        let (clumped, clump_size) = (traffic.grouped_share.get(), traffic.group_size.mean().max(1.0));
-        let clump_probability = clumped / (clump_size * (1.0 - clumped) + clumped).max(MIN_DIVISOR);
+        let (grouped_share, group_size) = (traffic.grouped_share.get(), traffic.group_size.mean().max(1.0));
+        let group_probability =
+            grouped_share / (group_size * (1.0 - grouped_share) + grouped_share).max(MIN_DIVISOR);
         let arrival_size = self.scenario.programs[program].arrival_size.mean().max(1.0);
-        let mean_messages = arrival_size * (clump_probability * clump_size + 1.0 - clump_probability);
-        ArrivalShape { clump_probability, mean_messages }
+        let mean_messages = arrival_size * (group_probability * group_size + 1.0 - group_probability);
+        ArrivalShape { group_probability, mean_messages }
     }
 
     /// Draws the time of a program's next arrival.
@@ -85,8 +87,8 @@
             traffic.baseline_per_s.get() * traffic.load.get() * part * self.traffic_factor(program);
         let arrivals_per_s = messages_per_s / self.arrival_shape(program).mean_messages;
         let drawn: f64 = self.random.arrivals.random();
-        let gap = -(1.0 - drawn).max(MIN_LOG_ARGUMENT).ln() / arrivals_per_s.max(MIN_DIVISOR);
-        self.now() + duration_from_seconds(gap).max(MIN_DELAY)
+        let interval_s = -(1.0 - drawn).max(MIN_LOG_ARGUMENT).ln() / arrivals_per_s.max(MIN_DIVISOR);
+        self.now() + duration_from_seconds(interval_s).max(MIN_DELAY)
     }
 
     /// Submits the messages of an arrival, and schedules the next arrival of the program.
@@ -98,22 +100,23 @@
         let shape = self.arrival_shape(program);
         let scenario = self.scenario;
         let random = &mut self.random.arrivals;
-        let is_clump = random.random::<f64>() < shape.clump_probability;
-        let clump_size = scenario.traffic.group_size.draw(random).round().clamp(1.0, MAX_CLUMP_SIZE) as usize;
+        let is_grouped = random.random::<f64>() < shape.group_probability;
+        let group_size = scenario.traffic.group_size.draw(random).round().clamp(1.0, MAX_GROUP_SIZE) as usize;
         let arrival_size = scenario.programs[program].arrival_size.draw(random);
         let arrival_size = arrival_size.round().clamp(1.0, MAX_ARRIVAL_MESSAGES) as usize;
-        let messages = arrival_size * if is_clump { clump_size } else { 1 };
-        let mut clump_destination = None;
+        let messages = arrival_size * if is_grouped { group_size } else { 1 };
+        let mut group_destination = None;
         for _ in 0..messages {
-            // Always drawn, so that clumps do not shift later draws.
+            // The destination is drawn for each message of a group too, so that later draws don't depend on
+            // grouping.
             let drawn = DestinationIndex(weighted_index(
                 &self.cumulative_destination_weights,
                 self.random.arrivals.random(),
             ));
-            let destination = *clump_destination.get_or_insert(drawn);
+            let destination = *group_destination.get_or_insert(drawn);
             self.submit_new_message(program, destination);
-            if !is_clump {
-                clump_destination = None;
+            if !is_grouped {
+                group_destination = None;
             }
         }
         let next = self.next_arrival(program);
@@ -165,8 +168,8 @@
         }
     }
 
-    /// Draws the running forwarder for a submission, or `None` if all are down. An ordering key selects the
-    /// same forwarder while that forwarder runs.
+    /// Selects a running forwarder for a submission; returns `None` if all are down. An ordering key selects
+    /// the same forwarder while that forwarder runs.
     fn choose_forwarder(&mut self, ordering_key: Option<u64>) -> Option<ForwarderIndex> {
         let count = self.forwarders.len();
         let shift_draw: f64 = self.random.clients.random();
@@ -194,7 +197,8 @@
         })
     }
 
-    /// Returns the index of the forwarder selected by `drawn`, from 0 to 1, weighted by traffic.
+    /// Returns the index of the forwarder that a random number `drawn` from 0 to 1 selects, weighted by
+    /// traffic.
     fn forwarder_at(&self, drawn: f64) -> usize {
         let plans = &self.layout.forwarders;
         let mut left = drawn * plans.iter().map(|plan| plan.traffic_part).sum::<f64>();
--- a/crates/simulation/src/world/endpoints.rs
+++ b/crates/simulation/src/world/endpoints.rs
@@ -45,7 +45,7 @@
             || self.has_fault(endpoint, |fault| matches!(fault, Fault::ConnectionsRefused { .. }))
     }
 
-    /// Returns the current factor on the duration of work at an endpoint.
+    /// Returns the factor by which the duration of work at an endpoint is currently multiplied.
     pub(super) fn slowdown(&self, endpoint: EndpointIndex) -> f64 {
         let state = &self.endpoints[endpoint.0];
         let factors = state.active_faults.iter().map(|index| match self.fault(*index) {
@@ -112,7 +112,8 @@
         self.enqueue(request, endpoint);
     }
 
-    /// Takes a request from the limits of the endpoint and the destination. The error is the Retry-After.
+    /// Counts a request against the limits of the endpoint and the destination. Returns the Retry-After as
+    /// the error if a limit is used up.
     fn admit(&mut self, endpoint: EndpointIndex) -> Result<(), Duration> {
         let now = self.now();
         let destination = self.destination_of(endpoint);
--- a/crates/simulation/src/world/inbox.rs
+++ b/crates/simulation/src/world/inbox.rs
@@ -58,8 +58,8 @@
 
     /// Delivers endpoint list changes to a forwarder, or postpones them while the list is frozen.
     pub(super) fn deliver_list_changes(&mut self, forwarder: ForwarderIndex, changes: Vec<ListChange>) {
-        let freezes = |index: &usize| matches!(self.fault(*index), Fault::ListFrozen {});
-        if self.active_faults.keys().any(freezes) {
+        let freezes_list = |index: &usize| matches!(self.fault(*index), Fault::ListFrozen {});
+        if self.active_faults.keys().any(freezes_list) {
             self.frozen_list_changes.push(FrozenListChanges { forwarder, changes });
             return;
         }
--- a/crates/simulation/src/world/messages.rs
+++ b/crates/simulation/src/world/messages.rs
@@ -21,7 +21,7 @@
         self.invariants.record_acceptance(self.schedule.now(), accepted);
         self.schedule_withdrawal(message, program);
         if self.is_destination_down(destination) {
-            self.sent_to_down.submitted += 1;
+            self.outage_traffic.submitted += 1;
             self.account.record_submission_during_outage(submission);
         }
         let owner = self.incarnation_of(forwarder);
@@ -119,7 +119,7 @@
         self.handle_submission_rejection(self.messages[message.0].submission, retry_after);
     }
 
-    /// Fails a pending message.
+    /// Gives a pending message the final answer that it failed.
     pub(super) fn fail_message(&mut self, message: MessageIndex) {
         if !self.record_undelivered_answer(message, FinalAnswer::Failed) {
             return;
--- a/crates/simulation/src/world/outages.rs
+++ b/crates/simulation/src/world/outages.rs
@@ -37,7 +37,7 @@
         if state.active_outages == 0 {
             state.recover(now, cause);
             let since = state.down_since.take().unwrap_or(now);
-            self.sent_to_down.endpoint_seconds += now.saturating_sub(since).as_secs_f64();
+            self.outage_traffic.endpoint_seconds += now.saturating_sub(since).as_secs_f64();
         }
     }
 
--- a/crates/simulation/src/world/records.rs
+++ b/crates/simulation/src/world/records.rs
@@ -23,11 +23,11 @@
     pub(super) resubmissions_left: u32,
     /// Number of times that a destination applied the effect of the message.
     pub(super) times_applied: u32,
-    /// Whether the submission has its end.
+    /// Whether the submission has ended: no later event changes its result.
     pub(super) finished: bool,
 }
 
-/// A message that one forwarder accepted; a client's next submission is a new record.
+/// A message that one forwarder accepted. A repeated submission of the same message gets a new record.
 pub(super) struct MessageRecord {
     pub(super) id: MessageId,
     pub(super) submission: SubmissionIndex,
@@ -94,7 +94,7 @@
     pub(super) dropped: bool,
     /// Whether the request has a connection, which counts at the endpoint.
     pub(super) connected: bool,
-    /// Service time in seconds without pauses; 0 until serving starts.
+    /// Service time in seconds, excluding pauses from faults; 0 until serving starts.
     pub(super) work_seconds: f64,
     /// Whether the endpoint has started to serve the request.
     pub(super) serving_started: bool,
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -34,7 +34,8 @@
         let (forwarder, endpoint) = (record.sender.forwarder, record.endpoint);
         let one_way = self.draw_one_way_delay(forwarder, endpoint);
         let network = &self.scenario.network;
-        // Always drawn, so that the kind of connection does not shift later draws.
+        // The handshake is drawn for reused connections too, so that later draws don't depend on the
+        // connection.
         let handshake = network.handshake_ms.draw_millis(&mut self.random.network);
         self.account.attempts.requests += 1;
         self.requests[request.0].endpoint_incarnation = self.endpoints[endpoint.0].incarnation;
@@ -64,7 +65,7 @@
         if state.idle_connections.get_mut(&forwarder).and_then(Vec::pop).is_some() {
             return Connection::Reused;
         }
-        self.sent_to_down.connections += u64::from(state.is_down());
+        self.outage_traffic.connections += u64::from(state.is_down());
         if is_refused || max_connections.is_some_and(|max| state.connections >= max) {
             return Connection::Refused;
         }
@@ -84,7 +85,7 @@
         self.schedule.schedule(arrives_at, Event::RequestArrives(request));
     }
 
-    /// Finishes all attempts of a request whose outcome the forwarder still awaits.
+    /// Finishes those attempts of a request for whose outcome the forwarder still waits.
     pub(super) fn finish_request(&mut self, request: RequestIndex, outcome: AttemptOutcome) {
         for index in 0..self.requests[request.0].batch.len() {
             if self.requests[request.0].batch[index].awaited {
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Abandons a request of which no outcome is awaited. A request that is not being served yet is dropped
-    /// with the probability from the scenario.
+    /// Abandons a request for which the forwarder no longer waits. If the endpoint has not started to serve
+    /// the request, the request is dropped with the probability from the scenario.
     pub(super) fn abandon_request(&mut self, request: RequestIndex) {
         let endpoint = self.requests[request.0].endpoint;
         let serves_abandoned = self.kind_of(self.destination_of(endpoint)).abandoned_served_share;
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Removes the connection from a request. Returns whether there was one that the endpoint has not reset.
+    /// Removes the connection from a request. Returns whether the request had a connection that the endpoint
+    /// has not reset.
     fn take_connection(&mut self, request: RequestIndex) -> bool {
         let record = &mut self.requests[request.0];
         let was_connected = std::mem::take(&mut record.connected);
--- a/crates/simulation/src/world/results.rs
+++ b/crates/simulation/src/world/results.rs
@@ -34,7 +34,7 @@
     /// Returns observations of the true state, which no forwarder can make.
     pub(super) fn observed(&self) -> Observed {
         let mut recovery_loads = Vec::new();
-        let mut down = self.sent_to_down;
+        let mut down = self.outage_traffic;
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             let destination = endpoint.plan.destination;
             let baseline_per_s = self.layout.destinations[destination.0].baseline_per_s;
--- a/crates/simulation/src/world/run.rs
+++ b/crates/simulation/src/world/run.rs
@@ -16,13 +16,13 @@
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl World<'_> {
-    /// Runs the simulation until every submission has an end, and returns its report.
+    /// Runs the simulation until every submission has ended, and returns its report.
     pub(crate) fn run(mut self) -> Report {
         self.run_events();
         self.report()
     }
 
-    /// Runs the simulation until every submission has an end. Returns its report and observations of the true
+    /// Runs the simulation until every submission has ended. Returns its report and observations of the true
     /// state.
     pub(crate) fn run_observed(mut self) -> ObservedRun {
         self.run_events();
@@ -30,7 +30,7 @@
         ObservedRun { report: self.report(), observed }
     }
 
-    /// Handles events until the scenario's duration has passed and every submission has an end.
+    /// Handles events until the scenario's duration has passed and every submission has ended.
     fn run_events(&mut self) {
         self.schedule_initial_events();
         while let Some(ScheduledEvent { at, event }) = self.schedule.pop() {
--- a/crates/simulation/src/world/service.rs
+++ b/crates/simulation/src/world/service.rs
@@ -29,7 +29,7 @@
         self.schedule.schedule(served_at, Event::Served { endpoint, incarnation, request });
     }
 
-    /// Draws the service time of a request at its endpoint, in seconds without pauses.
+    /// Draws the service time of a request at its endpoint, in seconds, excluding pauses from faults.
     fn draw_work(&mut self, request: RequestIndex, endpoint: EndpointIndex) -> f64 {
         let batch = &self.requests[request.0].batch;
         let work_of =
@@ -41,7 +41,8 @@
         for index in &self.endpoints[endpoint.0].active_faults {
             if let Fault::HeavyTail { share, duration_factor, .. } = self.fault(*index) {
                 let is_long = share.occurs(&mut self.random.service);
-                // Always drawn, so that the outcome does not shift later draws.
+                // The factor is drawn for requests of usual duration too, so that later draws don't depend on
+                // `is_long`.
                 let drawn = duration_factor.draw(&mut self.random.service);
                 if is_long {
                     work *= drawn.max(1.0);
--- a/crates/simulation/src/world/state.rs
+++ b/crates/simulation/src/world/state.rs
@@ -75,8 +75,8 @@
     pub(super) frozen_list_changes: Vec<FrozenListChanges>,
     pub(super) invariants: InvariantChecker,
     pub(super) account: Account,
-    pub(super) sent_to_down: OutageTraffic,
-    /// Number of submissions without an end.
+    pub(super) outage_traffic: OutageTraffic,
+    /// Number of submissions that have not ended.
     pub(super) unfinished_submissions: usize,
     /// Number of programs that submit no more messages.
     pub(super) finished_programs: usize,
@@ -145,7 +145,7 @@
             frozen_list_changes: Vec::new(),
             invariants: invariant_checker(scenario),
             account: Account::new(scenario, layout.destinations.len()),
-            sent_to_down: OutageTraffic::default(),
+            outage_traffic: OutageTraffic::default(),
             unfinished_submissions: 0,
             finished_programs: 0,
             policy_runs: 0,
--- a/crates/simulation/src/world/true_state.rs
+++ b/crates/simulation/src/world/true_state.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns whether all limits allow one more full request in addition to those in transit and
-    /// `sent_before`.
+    /// `sent_before` requests that are not in transit yet.
     fn has_capacity(&self, endpoint: EndpointIndex, sent_before: u32) -> bool {
         let now = self.now();
         let state = &self.endpoints[endpoint.0];
--- a/crates/simulation/tests/simulation/defective_policy.rs
+++ b/crates/simulation/tests/simulation/defective_policy.rs
@@ -10,7 +10,7 @@
 use reeddock_simulation::policies::DeliveryPolicyAdapter;
 use reeddock_simulation::policy::{EndpointListUpdate, Policy, Submission, WorldView};
 
-/// One of this many messages is ignored by [`Defect::IgnoresSomeMessages`].
+/// Interval, in submitted messages, at which [`Defect::IgnoresSomeMessages`] ignores one.
 const IGNORED_INTERVAL: u32 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,18 +18,18 @@
     None,
     /// The policy receives rejections without their Retry-After.
     IgnoresRetryAfter,
-    /// Outcomes that leave an execution possible are reported as proof of none.
+    /// The policy receives outcomes after which the message may have been executed as failed connections.
     RepeatsNonIdempotent,
     AnswersTwice,
     /// One of every fifty messages is not passed to the policy.
     IgnoresSomeMessages,
-    /// All listed endpoints are reported as active.
+    /// The policy receives all listed endpoints as active.
     IgnoresDraining,
     /// Slow start is disabled, and the policy receives failed connections and timeouts as cancellations.
     OverloadsRecoveringEndpoints,
     /// The policy receives messages without their ordering keys.
     IgnoresOrderingKeys,
-    /// Each attempt has this timeout; otherwise no defect.
+    /// The policy has no defect, but each attempt has this timeout.
     ShortTimeout(Duration),
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A host that alters the commands of the policy by its defect.
+/// A host that alters the commands of the policy as the defect requires.
 struct AlteredHost<'h> {
     host: &'h mut dyn PolicyHost,
     defect: Defect,
--- a/crates/simulation/tests/simulation/recovery.rs
+++ b/crates/simulation/tests/simulation/recovery.rs
@@ -51,12 +51,15 @@
     for forwarders in [1, 3, 30] {
         let (mut endpoint, allowed) = recovering_endpoint(&scenario);
         let tolerated = (allowed + 2.0 * allowed.sqrt() + 2.0).floor() as usize;
-        assert!(tolerated as f64 > allowed + 2.0, "the square root increases the budget: {allowed}");
+        assert!(
+            tolerated as f64 > allowed + 2.0,
+            "the square root must increase the budget over the allowed work {allowed}"
+        );
         for request in 0..tolerated {
             let sender = ForwarderIndex(request % forwarders);
             assert!(
                 endpoint.receive_work(Duration::ZERO, 1.0, sender, &scenario.recovery).is_none(),
-                "request {request}"
+                "request {request} of {tolerated} must not overload the endpoint"
             );
         }
         let overload =
@@ -90,7 +93,11 @@
         invariants.check_overload(Duration::ZERO, EndpointIndex(0), &received, 1.0);
         invariants.into_violations().count
     };
-    assert_eq!(violation_count(20, 30), 0, "exactly two thirds are allowed");
+    assert_eq!(
+        violation_count(20, 30),
+        0,
+        "exactly two thirds of the work from aware forwarders are allowed"
+    );
     assert_eq!(violation_count(21, 30), 1);
     assert_eq!(violation_count(0, 30), 0);
 }
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -100,7 +100,7 @@
 what = { leaves = { whom = { share = 1, targets = 0.5 } } }
 "#;
 /// Outage of destinations with a small slow-start limit, so that a policy without slow start overloads them.
-const DOWN: &str = r#"
+const OUTAGE: &str = r#"
 [returning]
 cold_from = 0.1
 fall_multiple = 1.0
@@ -144,7 +144,7 @@
 
 #[test]
 fn overload_of_recovering_destination_is_reported() {
-    let report = run_defective(DOWN, Defect::OverloadsRecoveringEndpoints, Rule::NoOverload);
+    let report = run_defective(OUTAGE, Defect::OverloadsRecoveringEndpoints, Rule::NoOverload);
     let violation = report.violations.iter().find(|violation| violation.rule == Rule::NoOverload).unwrap();
     assert!(
         violation.history.iter().any(|line| line.contains("had seen a failure")),
--- a/crates/simulation/tests/simulation/world.rs
+++ b/crates/simulation/tests/simulation/world.rs
@@ -53,7 +53,7 @@
     Scenario::parse("exact.toml", &format!("{SCENARIO}{extra}"), &overrides).unwrap()
 }
 
-/// Asserts that each submission has an end, each attempt one outcome, and no rule was violated.
+/// Asserts that each submission has ended, that each attempt has one outcome, and that no rule was violated.
 fn assert_consistent(report: &Report) {
     assert_eq!(report.violations, []);
     assert_eq!(report.unfinished_submissions, 0);
@@ -155,7 +155,7 @@
     let dropped = run_delivery_policy(&exact_scenario(slow, &[("kind.0.runs_on", "0")]));
     assert!(
         dropped.work_wasted < served.work_wasted,
-        "{} against {}",
+        "work wasted: {} if abandoned requests are dropped, {} if they are served",
         dropped.work_wasted,
         served.work_wasted
     );
@@ -211,7 +211,8 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.extension().is_some_and(|e| e == "toml") {
-            let scenario = Scenario::read(&path).unwrap_or_else(|e| panic!("{e}"));
+            let scenario = Scenario::read(&path)
+                .unwrap_or_else(|e| panic!("scenario of the repository is invalid: {e}"));
             assert_eq!(Scenario::parse("again", &scenario.to_text(), &[]), Ok(scenario));
             read += 1;
         }
@@ -223,7 +224,7 @@
 fn scenario_error_contains_line_and_expected_value() {
     let error_of = |from: &str, to: &str| {
         let text = SCENARIO.replacen(from, to, 1);
-        assert_ne!(text, SCENARIO, "{from} is in the scenario");
+        assert_ne!(text, SCENARIO, "the scenario must contain {from:?}");
         Scenario::parse("exact.toml", &text, &[]).expect_err(to).to_string()
     };
     for (from, to, line, expected) in [
@@ -238,8 +239,8 @@
         ("queue_s = 2", "pace = { uniform = [3, 1] }", 37, "expected numbers"),
         ("queue_s = 2", "limit = { spans = 2 }", 37, "spans"),
         ("handshake_ms = 4", "handshake_ms = { log_normal = 3 }", 15, "expected a table of the distribution"),
-        ("promised_s = 2", "promised_s = 9", 17, "outer_limit_s 8 at most"),
-        ("name = \"order\"", "name = \"note\"", 23, "name that stands once"),
+        ("promised_s = 2", "promised_s = 9", 17, "at most its outer_limit_s 8"),
+        ("name = \"order\"", "name = \"note\"", 23, "name that no other section"),
     ] {
         let error = error_of(from, to);
         assert!(error.starts_with(&format!("exact.toml:{line}: ")), "{to}: {error}");
