--- a/src/policy/record_expiry.rs
+++ b/src/policy/record_expiry.rs
@@ -17,11 +17,11 @@
     /// records of these endpoints.
     #[must_use]
     pub fn take_removed_endpoints(&mut self) -> Vec<EndpointId> {
-        self.endpoints.take_deleted()
+        self.endpoints.take_deleted_endpoints()
     }
 
     /// Removes the records of removed endpoints, idle circuits and idle ordering keys.
-    pub(super) fn remove_expired(&mut self, now: Duration) {
+    pub(super) fn remove_expired_records(&mut self, now: Duration) {
         self.remove_expired_endpoints(now, self.parameters.longest_deadline + RECORD_EXPIRY_MARGIN);
         self.remove_idle_circuits(now, self.parameters.longest_deadline * IDLE_RETENTION_FACTOR);
         self.ordering_queues.remove_idle(now);
@@ -36,7 +36,7 @@
             let Some(destination) = self.endpoints.delete_endpoint(id) else { continue };
             self.circuits.remove(CircuitScope::Endpoint(id));
             self.queue.mark_changed(destination);
-            if self.endpoints.is_without_endpoints(destination)
+            if self.endpoints.destination_has_no_endpoints(destination)
                 && self.queue.destination_queue(destination).is_none()
             {
                 self.endpoints.delete_destination(destination);
@@ -80,10 +80,10 @@
         for id in endpoints.unwrap_or_default() {
             let Some(endpoint) = self.endpoints.get(id) else { continue };
             if let Some(circuit) = self.circuits.get_mut(self.endpoints.scope_of(id, endpoint)) {
-                circuit.expire_if_stale(now, &self.parameters);
+                circuit.reset_if_outdated(now, &self.parameters);
             }
             if let Some(usage) = self.endpoints.existing_usage_mut(id) {
-                usage.remove_stale(now, load_retention, fault_retention);
+                usage.remove_outdated_load_and_fault(now, load_retention, fault_retention);
             }
         }
     }
