--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -55,7 +55,7 @@
     }
 
     /// Checks the work that overloaded a recovering endpoint. Records a violation if more than two thirds of
-    /// the work came from forwarders that had seen the outage.
+    /// the work came from forwarders that had seen a failure in the outage.
     pub fn check_overload(
         &mut self,
         now: Duration,
--- a/crates/simulation/src/observed.rs
+++ b/crates/simulation/src/observed.rs
@@ -1,4 +1,4 @@
-//! Observations of a run that need the true state: the load of cold endpoints after each recovery, and the
+//! Observations of a run that need the true state: the load of endpoints in slow start, and the
 //! traffic to endpoints that were down. The [`Report`] does not contain these observations.
 
 use std::time::Duration;
