--- a/crates/simulation/src/account/accounting.rs
+++ b/crates/simulation/src/account/accounting.rs
@@ -4,12 +4,12 @@
 
 use hdrhistogram::Histogram;
 
-use super::counts::{AttemptCounts, Credit, DestinationLoad, LatencyStep, MessageOutcomes, SecondCounts};
+use super::counts::{AttemptCounts, Credit, DestinationLoad, LatencyBucket, MessageOutcomes, SecondCounts};
 use super::quota::QuotaBucket;
 use crate::ids::{DestinationIndex, SubmissionIndex};
 use crate::scenario::{Scenario, OVER_QUOTA_WEIGHT};
 
-/// Number of destinations whose load is recorded for each second, those with most traffic first.
+/// Number of destinations whose load is recorded for each second; they are those with the most traffic.
 pub(crate) const WATCHED_DESTINATIONS: usize = 6;
 
 /// Maximum latency in the histogram, in milliseconds: one day. Longer latencies are recorded as this value.
@@ -24,7 +24,7 @@
     programs: Vec<Credit>,
     destinations: Vec<Credit>,
     pub(crate) seconds: Vec<SecondCounts>,
-    /// Load of each watched destination, by second.
+    /// Loads of the watched destinations, by rank of traffic and by second.
     pub(crate) loads: Vec<Vec<DestinationLoad>>,
     pub(crate) ends: MessageOutcomes,
     pub(crate) attempts: AttemptCounts,
@@ -34,12 +34,12 @@
     pub(crate) work_done_seconds: f64,
     /// Work for requests that a forwarder still awaited when they were served, in seconds.
     pub(crate) useful_work_seconds: f64,
-    /// Sum over all requests of the time in flight, in seconds.
+    /// Total time of all requests in flight, in seconds.
     pub(crate) in_flight_seconds: f64,
     pub(crate) new_connections: u64,
     /// Number of repeated effects of messages that are idempotent or have an idempotency key.
     pub(crate) repeats_applied: u64,
-    /// Number of overloads of endpoints during slow start.
+    /// Number of times that an endpoint was overloaded during its slow start.
     pub(crate) overloads: u64,
     /// Credit of messages that were accepted while their destination was down.
     credit_during_outage: Credit,
@@ -125,10 +125,10 @@
                 weight *= OVER_QUOTA_WEIGHT;
             }
         }
-        self.classes[class].add_asked(weight);
-        self.programs[program].add_asked(weight);
-        self.destinations[destination.0].add_asked(weight);
-        self.counts_at(submitted_at).credit.add_asked(weight);
+        self.classes[class].add_possible(weight);
+        self.programs[program].add_possible(weight);
+        self.destinations[destination.0].add_possible(weight);
+        self.counts_at(submitted_at).credit.add_possible(weight);
         self.submissions.push(AccountedSubmission {
             class,
             program,
@@ -146,7 +146,7 @@
             self.submissions.get_mut(submission.0).filter(|accounted| !accounted.submitted_during_outage);
         let Some(accounted) = accounted else { return };
         accounted.submitted_during_outage = true;
-        self.credit_during_outage.add_asked(accounted.weight);
+        self.credit_during_outage.add_possible(accounted.weight);
     }
 
     /// Returns the credit of messages that were accepted while their destination was down.
@@ -212,10 +212,10 @@
         total
     }
 
-    /// Returns the minimum earned share of any window of `seconds` seconds.
+    /// Returns the minimum share of the possible credit that was earned in any window of `seconds` seconds.
     pub(crate) fn min_share_over_window(&self, seconds: usize) -> f64 {
-        let last_asked = self.seconds.iter().rposition(|second| second.credit.asked > 0.0);
-        let asked = last_asked.map_or(0, |index| index + 1);
+        let last_submission = self.seconds.iter().rposition(|second| second.credit.possible > 0.0);
+        let submission_seconds = last_submission.map_or(0, |index| index + 1);
         let share = |window: &[SecondCounts]| {
             let mut sum = Credit::default();
             for second in window {
@@ -223,7 +223,7 @@
             }
             sum.share()
         };
-        let windows = self.seconds[..asked].windows(seconds.clamp(1, asked.max(1)));
+        let windows = self.seconds[..submission_seconds].windows(seconds.clamp(1, submission_seconds.max(1)));
         windows.map(share).fold(1.0, f64::min)
     }
 
@@ -233,10 +233,10 @@
     }
 
     /// Returns the non-empty buckets of the latency histogram.
-    pub(crate) fn latency_steps(&self) -> Vec<LatencyStep> {
+    pub(crate) fn latency_buckets(&self) -> Vec<LatencyBucket> {
         let recorded = self.latency.iter_recorded();
         recorded
-            .map(|value| LatencyStep { up_to_ms: value.value_iterated_to(), count: value.count_at_value() })
+            .map(|value| LatencyBucket { up_to_ms: value.value_iterated_to(), count: value.count_at_value() })
             .collect()
     }
 }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -76,7 +76,7 @@
         #[serde(default = "default_error_share")]
         share: Share,
     },
-    /// All work takes longer.
+    /// The affected endpoints take longer for all work.
     #[serde(rename = "slow")]
     Slow {
         /// Endpoints that the fault affects.
@@ -84,9 +84,9 @@
         endpoints: EndpointSelector,
         /// Factor by which the duration of work is multiplied.
         #[serde(rename = "times")]
-        factor: Amount,
+        duration_factor: Amount,
     },
-    /// All work stops periodically.
+    /// The affected endpoints stop all work periodically.
     #[serde(rename = "pauses")]
     Pauses {
         /// Endpoints that the fault affects.
@@ -107,9 +107,9 @@
         endpoints: EndpointSelector,
         /// Share of requests that take longer.
         share: Share,
-        /// Factor by which the duration of such a request is multiplied.
+        /// Factor by which the duration of these requests is multiplied; a value below 1 counts as 1.
         #[serde(rename = "times")]
-        factor: Distribution,
+        duration_factor: Distribution,
     },
     /// Requests that contain a message of one class are answered with an error.
     #[serde(rename = "category_fails")]
@@ -167,7 +167,7 @@
         /// Forwarders that receive the share.
         #[serde(rename = "which")]
         forwarders: ForwarderSelector,
-        /// Share of all traffic that is directed to them.
+        /// Share of all traffic that is directed to the selected forwarders.
         share: Share,
     },
     /// All programs send more traffic.
@@ -175,7 +175,7 @@
     TrafficBurst {
         /// Factor by which the rate of arrivals is multiplied.
         #[serde(rename = "times")]
-        factor: Amount,
+        rate_factor: Amount,
     },
     /// One program sends more traffic.
     #[serde(rename = "surge")]
@@ -184,7 +184,7 @@
         program: String,
         /// Factor by which the program's rate of arrivals is multiplied.
         #[serde(rename = "times")]
-        factor: Amount,
+        rate_factor: Amount,
     },
 }
 
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -63,8 +63,10 @@
         let destination = self.submissions[self.messages[message.0].submission.0].destination;
         let description = match self.known_endpoint(id) {
             Some(endpoint) if self.destination_of(endpoint) == destination => return Some(endpoint),
-            Some(endpoint) => format!("sent to target {} of another destination", endpoint.0),
-            None => format!("sent to target {}, which no list has named", id.0),
+            Some(endpoint) => {
+                format!("attempt to endpoint {}, which belongs to another destination", endpoint.0)
+            }
+            None => format!("attempt to endpoint id {}, which does not exist", id.0),
         };
         self.invariants.record_violation(Rule::Interface, self.schedule.now(), Some(message), description);
         None
@@ -129,9 +131,9 @@
         }
         let is_first = attempt.number == 0;
         let is_known = self.invariants.is_outage_known(endpoint);
-        self.sent_to_down.attempts += 1;
-        self.sent_to_down.first_attempts_lost += u64::from(is_first);
-        self.sent_to_down.first_attempts_lost_to_known_outage += u64::from(is_first && is_known);
+        self.outage_traffic.attempts += 1;
+        self.outage_traffic.first_attempts_lost += u64::from(is_first);
+        self.outage_traffic.first_attempts_lost_to_known_outage += u64::from(is_first && is_known);
     }
 
     /// Adds an attempt to a request that has not been sent, and schedules the attempt's timeout.
@@ -163,7 +165,7 @@
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptRef) {
         let message = attempt.message;
         let Some(record) = self.messages[message.0].attempts.get(attempt.number) else {
-            let description = format!("called off dispatch {} that was never made", attempt.number);
+            let description = format!("cancelled attempt {}, which was never started", attempt.number);
             self.invariants.record_violation(
                 Rule::Interface,
                 self.schedule.now(),
