--- a/crates/simulation/src/invariants/answers.rs
+++ b/crates/simulation/src/invariants/answers.rs
@@ -18,7 +18,7 @@
         }
         let answer_due = self.histories[message.0].answer_due;
         if now > answer_due && answer != FinalAnswer::Withdrawn {
-            let description = format!("final answer {answer} was due by {:.6} s", answer_due.as_secs_f64());
+            let description = format!("{answer}, due by {:.6}", answer_due.as_secs_f64());
             self.record_violation(Rule::OneAnswer, now, Some(message), description);
         }
         if answer == FinalAnswer::Rejected {
@@ -39,11 +39,7 @@
         before: GivenAnswer,
     ) {
         if answer != FinalAnswer::Withdrawn && before.answer != FinalAnswer::Withdrawn {
-            let description = format!(
-                "final answer {answer} after final answer {} at {:.6} s",
-                before.answer,
-                before.at.as_secs_f64()
-            );
+            let description = format!("{answer} after {} at {:.6}", before.answer, before.at.as_secs_f64());
             self.record_violation(Rule::OneAnswer, now, Some(message), description);
         }
     }
@@ -54,10 +50,10 @@
         let first = history.first_possible_execution()?;
         match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
-            Idempotency::NonIdempotent => Some("non-idempotent message rejected though it may have run"),
-            Idempotency::WithKey { window, .. } => (now >= first + window).then_some(
-                "message with an idempotency key rejected after its window though it may have run",
-            ),
+            Idempotency::NonIdempotent => Some("effectful, shed though it may have run"),
+            Idempotency::WithKey { window, .. } => {
+                (now >= first + window).then_some("receipted, shed after its window though it may have run")
+            }
         }
     }
 
@@ -68,7 +64,7 @@
         if history.answer.is_some() || history.exempt || now < history.answer_due {
             return false;
         }
-        let description = format!("no final answer by {:.6} s", history.answer_due.as_secs_f64());
+        let description = format!("no final answer by {:.6}", history.answer_due.as_secs_f64());
         self.record_violation(Rule::OneAnswer, now, Some(message), description);
         true
     }
@@ -83,7 +79,7 @@
         *times += 1;
         if *times > 1 {
             let description =
-                format!("the destination applied the effect of submission {} again", accepted.submission.0);
+                format!("the destination applied first try {} a second time", accepted.submission.0);
             self.record_violation(Rule::NoDoubleEffect, now, Some(message), description);
         }
     }
--- a/crates/simulation/src/invariants/attempts.rs
+++ b/crates/simulation/src/invariants/attempts.rs
@@ -64,11 +64,11 @@
         match self.fleet.classes[history.message.class].idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => {
-                let description = "non-idempotent message sent again though it may have run";
+                let description = "effectful, sent again though it may have run";
                 Some(BrokenRule::new(Rule::NoDoubleEffect, description))
             }
             Idempotency::WithKey { window, .. } if now >= first + window => {
-                let description = "message with an idempotency key sent again after its window";
+                let description = "receipted, sent again after its window";
                 Some(BrokenRule::new(Rule::NoDoubleEffect, description))
             }
             Idempotency::WithKey { .. } => None,
@@ -83,19 +83,14 @@
         endpoint: EndpointIndex,
     ) -> Option<BrokenRule> {
         let Some(listed) = self.endpoint_lists[forwarder.0].get(&endpoint) else {
-            let description =
-                format!("endpoint {} was in no endpoint list that the forwarder received", endpoint.0);
+            let description = format!("target {} was in none of its lists", endpoint.0);
             return Some(BrokenRule::new(Rule::Drains, description));
         };
         if listed.state == EndpointState::Active || now <= listed.since + self.fleet.drain_grace {
             return None;
         }
         let since = listed.since.as_secs_f64();
-        let description = format!(
-            "endpoint {} was listed as {} at {since:.6} s, and the grace period has ended",
-            endpoint.0,
-            StateText(listed.state)
-        );
+        let description = format!("target {} is {}, told at {since:.6}", endpoint.0, StateText(listed.state));
         Some(BrokenRule::new(Rule::Drains, description))
     }
 
@@ -107,7 +102,7 @@
         scope: RetryAfterScope,
     ) -> Option<BrokenRule> {
         let until = self.retry_after.get(&RetryAfterId { forwarder, scope }).filter(|until| now < **until)?;
-        let description = format!("the Retry-After of {scope} applies until {:.6} s", until.as_secs_f64());
+        let description = format!("{scope} asked it to wait until {:.6}", until.as_secs_f64());
         Some(BrokenRule::new(Rule::RetryAfterHonored, description))
     }
 
@@ -130,7 +125,6 @@
 fn check_not_answered(history: &MessageHistory, endpoint: EndpointIndex) -> Option<BrokenRule> {
     let given = history.answer?;
     let at = given.at.as_secs_f64();
-    let description =
-        format!("attempt to endpoint {} after final answer {} at {at:.6} s", endpoint.0, given.answer);
+    let description = format!("sent to target {} after {} at {at:.6}", endpoint.0, given.answer);
     Some(BrokenRule::new(Rule::OneAnswer, description))
 }
--- a/crates/simulation/src/invariants/endpoints.rs
+++ b/crates/simulation/src/invariants/endpoints.rs
@@ -75,8 +75,7 @@
             forwarder: None,
             message: None,
             description: format!(
-                "endpoint {} was overloaded: received work {total:.2} exceeds budget {budget:.2}, and \
-                 {from_aware:.2} of the work came from forwarders that had seen a failure",
+                "target {} fell over: sent {total:.2} against {budget:.2}, {from_aware:.2} of it by forwarders that knew",
                 endpoint.0
             ),
             history: self.describe_senders(endpoint, received),
@@ -94,11 +93,11 @@
         senders.sort_by(|a, b| sent_by(b).total_cmp(&sent_by(a)).then(a.cmp(b)));
         let describe = |sender: &ForwarderIndex| {
             let knowledge = if self.knows_of_outage(*sender, endpoint) {
-                "had seen a failure of the endpoint"
+                "had seen a failure there"
             } else {
-                "had seen no failure of the endpoint"
+                "had seen nothing"
             };
-            format!("forwarder {}: sent work {:.2}, {knowledge}", sender.0, sent_by(sender))
+            format!("forwarder {}: {:.2} of work, {knowledge}", sender.0, sent_by(sender))
         };
         senders.iter().take(MAX_NAMED_SENDERS).map(describe).collect()
     }
--- a/crates/simulation/src/invariants/history.rs
+++ b/crates/simulation/src/invariants/history.rs
@@ -25,8 +25,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
             FinalAnswer::Completed => "completed",
-            FinalAnswer::Rejected => "rejected",
-            FinalAnswer::Failed => "failed",
+            FinalAnswer::Rejected => "shed",
+            FinalAnswer::Failed => "broken off",
             FinalAnswer::Withdrawn => "withdrawn",
         })
     }
@@ -158,16 +158,16 @@
     /// Returns a line for each event of the history, oldest first.
     pub(super) fn describe_events(&self) -> Vec<String> {
         let accepted = format!(
-            "accepted by forwarder {}, final answer due by {:.6} s",
+            "taken by forwarder {}, due by {:.6}",
             self.message.forwarder.0,
             self.answer_due.as_secs_f64()
         );
         let mut events = vec![HistoryEvent { at: self.accepted_at, text: accepted }];
         for (number, attempt) in self.attempts.iter().enumerate() {
-            let started = format!("attempt {number} to endpoint {} started", attempt.endpoint.0);
+            let started = format!("dispatch {number} to target {}", attempt.endpoint.0);
             events.push(HistoryEvent { at: attempt.started_at, text: started });
             if let Some(ended) = attempt.ended {
-                let text = format!("attempt {number} ended: {}", OutcomeText(ended.outcome));
+                let text = format!("dispatch {number} ended: {}", OutcomeText(ended.outcome));
                 events.push(HistoryEvent { at: ended.at, text });
             }
         }
--- a/crates/simulation/src/invariants/ordering.rs
+++ b/crates/simulation/src/invariants/ordering.rs
@@ -25,18 +25,11 @@
         });
         let mut earlier = queue.iter().take_while(|other| **other != message);
         if let Some(open) = earlier.find(|other| !history(other).is_finished()) {
-            return Some(format!(
-                "message {} of ordering key {key} was accepted before and is not finished",
-                open.0
-            ));
+            return Some(format!("envelope {} of key {key} was taken before and is not over", open.0));
         }
         let mut others = queue.iter().filter(|other| **other != message);
         let holding = others.find(|other| now < key_held_until(other))?;
         let until = key_held_until(holding).as_secs_f64();
-        Some(format!(
-            "ordering key {key} is held until {until:.6} s because an attempt for message {} may \
-             still be running",
-            holding.0
-        ))
+        Some(format!("key {key} rests until {until:.6} after an unsure end of envelope {}", holding.0))
     }
 }
--- a/crates/simulation/src/invariants/violation.rs
+++ b/crates/simulation/src/invariants/violation.rs
@@ -35,7 +35,7 @@
             write!(formatter, ", forwarder {forwarder}")?;
         }
         if let Some(message) = self.message {
-            write!(formatter, ", message {message}")?;
+            write!(formatter, ", envelope {message}")?;
         }
         write!(formatter, ": {}", self.description)?;
         self.history.iter().try_for_each(|line| write!(formatter, "\n    {line}"))
@@ -55,7 +55,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
             RetryAfterScope::Destination(rank) => write!(formatter, "destination {rank}"),
-            RetryAfterScope::Endpoint(endpoint) => write!(formatter, "endpoint {}", endpoint.0),
+            RetryAfterScope::Endpoint(endpoint) => write!(formatter, "target {}", endpoint.0),
         }
     }
 }
--- a/crates/simulation/src/policies/baselines.rs
+++ b/crates/simulation/src/policies/baselines.rs
@@ -106,7 +106,8 @@
 /// Messages whose latency objective ends first are sent first.
 #[derive(Default)]
 pub(super) struct UpperBound {
-    /// Number of requests sent to each destination at `sent_at` that are not yet in transit in the world.
+    /// Number of requests sent to each destination at `sent_at`, which the state of the world does not include
+    /// yet.
     sent_requests: BTreeMap<DestinationId, u32>,
     sent_at: Duration,
 }
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -63,10 +63,8 @@
         let destination = self.submissions[self.messages[message.0].submission.0].destination;
         let description = match self.known_endpoint(id) {
             Some(endpoint) if self.destination_of(endpoint) == destination => return Some(endpoint),
-            Some(endpoint) => {
-                format!("attempt to endpoint {}, which belongs to another destination", endpoint.0)
-            }
-            None => format!("attempt to endpoint id {}, which does not exist", id.0),
+            Some(endpoint) => format!("sent to target {} of another destination", endpoint.0),
+            None => format!("sent to target {}, which no list has named", id.0),
         };
         self.invariants.record_violation(Rule::Interface, self.schedule.now(), Some(message), description);
         None
@@ -165,7 +163,7 @@
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptRef) {
         let message = attempt.message;
         let Some(record) = self.messages[message.0].attempts.get(attempt.number) else {
-            let description = format!("cancelled attempt {}, which was never started", attempt.number);
+            let description = format!("called off dispatch {} that was never made", attempt.number);
             self.invariants.record_violation(
                 Rule::Interface,
                 self.schedule.now(),
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -124,8 +124,7 @@
         };
         let owned = message_index(id).filter(is_owned);
         if owned.is_none() {
-            let description =
-                format!("forwarder {} named message {:?}, which it does not own", forwarder.0, id.0);
+            let description = format!("forwarder {} names {:?}, which it was not given", forwarder.0, id.0);
             self.invariants.record_violation(Rule::Interface, self.schedule.now(), None, description);
         }
         owned
--- a/crates/simulation/tests/simulation/rules.rs
+++ b/crates/simulation/tests/simulation/rules.rs
@@ -116,7 +116,7 @@
     let violation = report.violations.iter().find(|violation| violation.rule == Rule::OneAnswer).unwrap();
     // The violation contains the message, the time and the history of the message.
     assert!(violation.message.is_some() && violation.forwarder.is_some() && violation.at_s > 0.0);
-    assert!(violation.history.first().unwrap().contains("accepted by forwarder"), "{:?}", violation.history);
+    assert!(violation.history.first().unwrap().contains("taken by forwarder"), "{:?}", violation.history);
     assert!(violation.history.iter().any(|line| line.contains("answered")), "{:?}", violation.history);
 }
 
@@ -131,10 +131,7 @@
     let report = run_defective(RESPONSES_LOST, Defect::RepeatsNonIdempotent, Rule::NoDoubleEffect);
     // The effects at the destination are checked independently of the outcomes at the forwarder.
     assert!(
-        report
-            .violations
-            .iter()
-            .any(|violation| violation.description.contains("applied the effect of submission")),
+        report.violations.iter().any(|violation| violation.description.contains("applied first try")),
         "{:?}",
         report.violations
     );
