--- a/crates/forwarder/src/event_loop/commands.rs
+++ b/crates/forwarder/src/event_loop/commands.rs
@@ -12,7 +12,7 @@
     StartAttempt(AttemptCommand),
     Cancel(AttemptKey),
     GiveFinalAnswer(DeliveryNotice),
-    /// Sets a timer. The value is its delay from the run of due work that takes the command.
+    /// Sets a timer. The value is its delay after the run of the policy's due work that issues the command.
     SetTimer(Duration),
 }
 
@@ -48,7 +48,7 @@
 /// them.
 #[derive(Default)]
 pub(super) struct CommandBatch {
-    /// The delays of new timers, counted from the run of due work that takes this batch.
+    /// The delay of each new timer after the run of the policy's due work that issued these commands.
     pub timers: Vec<Duration>,
     pub attempts: Vec<AttemptCommand>,
     pub cancellations: Vec<AttemptKey>,
--- a/crates/forwarder/src/event_loop/endpoint_list.rs
+++ b/crates/forwarder/src/event_loop/endpoint_list.rs
@@ -20,8 +20,8 @@
     generation: u64,
     /// Whether the part is the full list. Otherwise the part contains only changes.
     is_full_list: bool,
-    entries: usize,
-    new_endpoints: usize,
+    entry_count: usize,
+    new_endpoint_count: usize,
 }
 
 impl EventLoop {
@@ -69,11 +69,11 @@
     fn abort_endpoint_list(&mut self) {
         let Some(progress) = self.state.list_progress_mut().take() else { return };
         self.policy.abort_endpoint_list();
-        let ListProgress { generation, is_full_list, entries, .. } = progress;
+        let ListProgress { generation, is_full_list, entry_count, .. } = progress;
         tracing::warn!(
             generation,
             whole = is_full_list,
-            entries,
+            entries = entry_count,
             "endpoint list incomplete, endpoints not named in it stay"
         );
     }
@@ -117,7 +117,7 @@
             self.connections.endpoint_removed(endpoint);
         }
         if let Some(progress) = self.state.list_progress_mut() {
-            progress.entries += 1;
+            progress.entry_count += 1;
         }
         self.update_location(endpoint, &entry);
     }
@@ -138,12 +138,12 @@
     /// Logs the name and address of a new endpoint with its id, which identifies the endpoint in other log
     /// lines.
     fn log_new_endpoint(&mut self, endpoint: EndpointId, address: SocketAddr, entry: &ListEntry) {
-        let new_endpoints = self.state.list_progress_mut().as_mut().map_or(1, |progress| {
-            progress.new_endpoints += 1;
-            progress.new_endpoints
+        let new_endpoint_count = self.state.list_progress_mut().as_mut().map_or(1, |progress| {
+            progress.new_endpoint_count += 1;
+            progress.new_endpoint_count
         });
         let (name, destination) = (&entry.name, entry.destination.0);
-        if new_endpoints <= MAX_NEW_ENDPOINTS_LOGGED {
+        if new_endpoint_count <= MAX_NEW_ENDPOINTS_LOGGED {
             tracing::info!(?endpoint, name, %address, destination, "endpoint listed");
         } else {
             tracing::debug!(?endpoint, name, %address, destination, "endpoint listed");
@@ -157,7 +157,7 @@
             self.connections.endpoint_removed(*endpoint);
         }
         let Some(progress) = self.state.list_progress_mut().take() else { return };
-        if progress.is_full_list || progress.new_endpoints > MAX_NEW_ENDPOINTS_LOGGED {
+        if progress.is_full_list || progress.new_endpoint_count > MAX_NEW_ENDPOINTS_LOGGED {
             self.log_applied_list(&progress, dropped.len());
         }
         self.list_status.applied();
@@ -165,13 +165,13 @@
 
     /// Logs a part of the list that was applied completely.
     fn log_applied_list(&self, progress: &ListProgress, dropped: usize) {
-        let ListProgress { generation, is_full_list, entries, new_endpoints } = *progress;
+        let ListProgress { generation, is_full_list, entry_count, new_endpoint_count } = *progress;
         let endpoints = self.state.endpoints().located_count();
         tracing::info!(
             generation,
             whole = is_full_list,
-            entries,
-            new_endpoints,
+            entries = entry_count,
+            new_endpoints = new_endpoint_count,
             dropped,
             endpoints,
             "endpoint list applied"
--- a/crates/forwarder/src/ingress/accept.rs
+++ b/crates/forwarder/src/ingress/accept.rs
@@ -35,14 +35,24 @@
     clients: Arc<ClientConnections>,
     event_loop: mpsc::Sender<Event>,
 ) -> JoinSet<()> {
-    let slots = Arc::new(Semaphore::new(limits.accepted_clients));
+    let connection_permits = Arc::new(Semaphore::new(limits.accepted_clients));
     let linger_permits = Arc::new(Semaphore::new(limits.lingering_clients));
     let closing = clients.closing();
     let log_throttle = LogThrottle::default();
     let tasks = JoinSet::new();
-    Acceptor { listener, limits, clients, event_loop, slots, linger_permits, closing, log_throttle, tasks }
-        .run()
-        .await
+    Acceptor {
+        listener,
+        limits,
+        clients,
+        event_loop,
+        connection_permits,
+        linger_permits,
+        closing,
+        log_throttle,
+        tasks,
+    }
+    .run()
+    .await
 }
 
 /// The accept loop and the state that it shares with each connection.
@@ -52,7 +62,7 @@
     clients: Arc<ClientConnections>,
     event_loop: mpsc::Sender<Event>,
     /// One permit for each accepted connection whose descriptor is open and that does not linger.
-    slots: Arc<Semaphore>,
+    connection_permits: Arc<Semaphore>,
     /// One permit for each closed connection that is still read from.
     linger_permits: Arc<Semaphore>,
     closing: watch::Receiver<bool>,
@@ -88,9 +98,9 @@
     async fn run(mut self) -> JoinSet<()> {
         let mut next_number = 0;
         loop {
-            let slot = self.acquire_slot().await;
+            let connection_permit = self.acquire_connection_permit().await;
             match self.next_connection().await {
-                AcceptOutcome::Stream(accepted) => self.serve(next_number, accepted, slot),
+                AcceptOutcome::Stream(accepted) => self.serve(next_number, accepted, connection_permit),
                 AcceptOutcome::Failed(error) => self.accept_failed(&error).await,
                 AcceptOutcome::Closed => return self.tasks,
             }
@@ -98,18 +108,20 @@
         }
     }
 
-    /// Waits for a slot for another connection, and evicts one if all slots are in use.
+    /// Waits for the permit of another connection, and evicts a connection if no permit is left.
     ///
-    /// An evicted connection holds its slot until its descriptor is closed. Never returns `None` because the
-    /// semaphore is not closed.
-    async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
+    /// An evicted connection holds its permit until its descriptor is closed or the connection lingers.
+    /// Never returns `None` because the semaphore is not closed.
+    async fn acquire_connection_permit(&self) -> Option<OwnedSemaphorePermit> {
         loop {
-            if let Ok(slot) = self.slots.clone().try_acquire_owned() {
-                return Some(slot);
+            if let Ok(connection_permit) = self.connection_permits.clone().try_acquire_owned() {
+                return Some(connection_permit);
             }
             self.clients.evict_one();
-            if let Ok(slot) = timeout(ACCEPT_RETRY_DELAY, self.slots.clone().acquire_owned()).await {
-                return slot.ok();
+            if let Ok(connection_permit) =
+                timeout(ACCEPT_RETRY_DELAY, self.connection_permits.clone().acquire_owned()).await
+            {
+                return connection_permit.ok();
             }
         }
     }
@@ -147,7 +159,12 @@
     }
 
     /// Starts the task that serves a connection. The connection is registered until the task ends.
-    fn serve(&mut self, number: u64, accepted: AcceptedStream, slot: Option<OwnedSemaphorePermit>) {
+    fn serve(
+        &mut self,
+        number: u64,
+        accepted: AcceptedStream,
+        connection_permit: Option<OwnedSemaphorePermit>,
+    ) {
         let AcceptedStream { stream, client } = accepted;
         // Disables Nagle's algorithm, which delays a small response until earlier data is acknowledged.
         let _ = stream.set_nodelay(true);
@@ -161,8 +178,13 @@
             capacity,
             keep_alive_limit: self.limits.keep_alive_clients,
         };
-        let served =
-            ServedConnection { stream, client, service, slot, linger_permits: self.linger_permits.clone() };
+        let served = ServedConnection {
+            stream,
+            client,
+            service,
+            connection_permit,
+            linger_permits: self.linger_permits.clone(),
+        };
         let clients = self.clients.clone();
         self.tasks.spawn(async move {
             served.run().await;
--- a/crates/forwarder/src/ingress/serving.rs
+++ b/crates/forwarder/src/ingress/serving.rs
@@ -41,8 +41,9 @@
     pub(super) stream: TcpStream,
     pub(super) client: SocketAddr,
     pub(super) service: IngressService,
-    /// The permit of the connection. Released when its descriptor is closed or when it starts to linger.
-    pub(super) slot: Option<OwnedSemaphorePermit>,
+    /// The permit to keep an accepted connection open. Released when the descriptor is closed, or when
+    /// [`linger`] begins to discard the data that the client still sends.
+    pub(super) connection_permit: Option<OwnedSemaphorePermit>,
     /// One permit for each closed connection that may linger. Without a permit, a connection is dropped
     /// immediately.
     pub(super) linger_permits: Arc<Semaphore>,
@@ -67,11 +68,11 @@
         // A connection without a request has no response in flight.
         let linger_permit = self.linger_permits.try_acquire_owned();
         if linger_permit.is_ok() && connection.has_received_request() {
-            drop(self.slot);
+            drop(self.connection_permit);
             linger(http.into_parts().io.into_inner()).await;
         } else {
             drop(http);
-            drop(self.slot);
+            drop(self.connection_permit);
         }
     }
 }
--- a/crates/forwarder/src/watch_schedule.rs
+++ b/crates/forwarder/src/watch_schedule.rs
@@ -7,8 +7,8 @@
 //! limited to half of the request interval.
 //!
 //! The first failures of a connection are followed by quick retries. Afterwards each forwarder sends one
-//! request per interval, at its own phase, so that the requests of a fleet are spread and do not overload
-//! discovery.
+//! request per interval, at its own point in the interval, so that the requests of a fleet are spread and do
+//! not overload discovery.
 
 use std::time::Duration;
 
@@ -122,7 +122,8 @@
     Lines,
 }
 
-/// The time window in which a request starts. The forwarder's phase selects the time within the window.
+/// The time window in which a request starts. Each forwarder selects its own time in the window, so that the
+/// requests of a fleet are spread.
 #[derive(Clone, Copy, Debug)]
 struct TimeWindow {
     start: Duration,
@@ -145,7 +146,8 @@
 }
 
 impl WatchSchedule {
-    /// Returns a schedule whose first request starts immediately. The seed selects the forwarder's phase.
+    /// Returns a schedule whose first request starts immediately. The seed selects the point in the
+    /// request interval at which this forwarder sends its requests.
     pub fn new(timings: WatchTimings, seed: u64) -> WatchSchedule {
         WatchSchedule {
             timings,
@@ -278,7 +280,7 @@
         start + width.mul_f64(1.0 - skipped_fraction.min(1.0))
     }
 
-    /// Returns the next time of this forwarder's phase after `after`.
+    /// Returns the next time after `after` at which the request interval reaches this forwarder's `phase`.
     fn next_phase_time(&self, after: Duration) -> Duration {
         let interval = self.timings.request_interval();
         let offset = interval.mul_f64(self.phase);
--- a/crates/forwarder/tests/loopback/watch.rs
+++ b/crates/forwarder/tests/loopback/watch.rs
@@ -19,9 +19,9 @@
 const EMPTY_LINE_INTERVAL: Duration = ms(50);
 /// The generation of the change that the first watch does not receive.
 const MISSED_GENERATION: u64 = 2;
-/// The number of seeds with which each script runs. The seed selects the forwarder's phase in the request
-/// interval.
-const SEEDS: u64 = 6;
+/// The number of seeds with which each script runs. The seed selects the point in the request
+/// interval at which the forwarder sends its requests.
+const SEED_COUNT: u64 = 6;
 
 /// Returns timings that are shorter than the defaults, so that the tests take less time.
 const fn short_timings() -> WatchTimings {
@@ -163,7 +163,7 @@
 /// Runs each script concurrently with several seeds. Checks that the change is received in time and without
 /// unnecessary requests.
 async fn check_change_is_received_in_time(scripts: &[&[Behaviour]]) {
-    let runs = scripts.iter().flat_map(|script| (0..SEEDS).map(move |seed| (*script, seed)));
+    let runs = scripts.iter().flat_map(|script| (0..SEED_COUNT).map(move |seed| (*script, seed)));
     let runs = runs.map(|(script, seed)| async move {
         let discovery = ScriptedDiscovery::start(script).await;
         wait_until_received(&discovery, seed).await;
@@ -210,7 +210,7 @@
 fn change_is_received_in_time_after_discovery_recovers() {
     let failures =
         [Behaviour::Refuses, Behaviour::RefusesWithRetryAfter, Behaviour::DoesNotRespond, Behaviour::Closes];
-    let runs = failures.into_iter().flat_map(|failure| (0..SEEDS).map(move |seed| (failure, seed)));
+    let runs = failures.into_iter().flat_map(|failure| (0..SEED_COUNT).map(move |seed| (failure, seed)));
     let runs = runs.map(|(failure, seed)| async move {
         let discovery = ScriptedDiscovery::start(&[failure]).await;
         let recovers = async {
--- a/crates/forwarder/tests/watch_schedule.rs
+++ b/crates/forwarder/tests/watch_schedule.rs
@@ -140,13 +140,13 @@
 
 #[test]
 fn next_request_meets_staleness_limit_after_any_sequence_of_losses() {
-    const REQUESTS: u32 = 5;
-    for number in 0..OUTCOMES.len().pow(REQUESTS) {
-        // The forwarder has another phase in each sequence, and starts at another point in the request
-        // interval.
+    const REQUEST_COUNT: u32 = 5;
+    for number in 0..OUTCOMES.len().pow(REQUEST_COUNT) {
+        // The seed, and thus the point in the request interval at which the forwarder sends its requests,
+        // differs in each sequence, as does the start of the watch.
         let seed = number as u64;
         let mut watch = SimulatedWatch::new(seed, Duration::from_millis(seed * 37 % 10_000));
-        for request in 0..REQUESTS {
+        for request in 0..REQUEST_COUNT {
             watch.request(OUTCOMES[number / OUTCOMES.len().pow(request) % OUTCOMES.len()]);
         }
     }
@@ -242,13 +242,13 @@
 /// Returns the start times of a fleet's requests after a common loss. Each of these requests has the outcome
 /// `following`.
 fn request_times_after(
-    fleet: u64,
+    forwarder_count: u64,
     common: RequestOutcome,
     following: RequestOutcome,
     span: Duration,
 ) -> Vec<Duration> {
     let mut requests: Vec<Duration> = Vec::new();
-    for seed in 0..fleet {
+    for seed in 0..forwarder_count {
         let mut watch = SimulatedWatch::new(seed, Duration::from_secs(100));
         watch.request(common);
         while watch.now < Duration::from_secs(100) + span {
@@ -269,10 +269,10 @@
 
 #[test]
 fn fleet_requests_after_common_loss_are_spread_over_request_interval() {
-    const FLEET: u64 = 300;
+    const FORWARDER_COUNT: u64 = 300;
     const WINDOW: Duration = Duration::from_millis(500);
     // The mean of a fleet in which each forwarder sends one request in 5 s.
-    let mean = FLEET as f64 * WINDOW.as_secs_f64() / 5.0;
+    let mean = FORWARDER_COUNT as f64 * WINDOW.as_secs_f64() / 5.0;
     // The third value is the maximum ratio of requests in one window to the mean.
     let open_for = Duration::from_secs(20);
     for (common, following, max_ratio) in [
@@ -284,7 +284,7 @@
         // Each forwarder sends two requests within the 2 s that remain of the 6 s.
         (RequestOutcome::IdleAfter(open_for), RequestOutcome::Rejected, 6.0),
     ] {
-        let requests = request_times_after(FLEET, common, following, Duration::from_secs(60));
+        let requests = request_times_after(FORWARDER_COUNT, common, following, Duration::from_secs(60));
         let ratio = max_requests_within(WINDOW, &requests) as f64 / mean;
         assert!(ratio <= max_ratio, "after {common:?}, {following:?}: {ratio} times the mean");
         let later: Vec<Duration> = requests.into_iter().filter(|at| *at > Duration::from_secs(130)).collect();
@@ -296,9 +296,9 @@
 /// Returns how long after a common loss each forwarder has another watch. Discovery serves
 /// `served_per_second` requests, and rejected requests count too. Forwarders without a watch after two
 /// minutes are left out.
-fn recovery_times(fleet: u64, served_per_second: usize) -> Vec<Duration> {
+fn recovery_times(forwarder_count: u64, served_per_second: usize) -> Vec<Duration> {
     let lost_at = Duration::from_secs(20);
-    let mut without_watch: Vec<(Duration, WatchSchedule)> = (0..fleet)
+    let mut without_watch: Vec<(Duration, WatchSchedule)> = (0..forwarder_count)
         .map(|seed| {
             let mut schedule = WatchSchedule::new(WatchTimings::default(), seed);
             schedule.request_started(Duration::ZERO);
