--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -1,5 +1,5 @@
-//! Delivery policy under load, for the benchmarks. Messages stay queued for destinations that sent a Retry-After,
-//! while other destinations receive messages.
+//! Delivery policy under load, for the benchmarks. Messages stay queued for destinations that sent a
+//! Retry-After, while other destinations receive messages.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -13,9 +13,10 @@
 const WARM_UP_RUNS: usize = 4;
 /// Time between two runs of due work.
 const RUN_INTERVAL: Duration = Duration::from_millis(5);
-/// Long enough that no message expires during a benchmark.
+/// Deadline of each message, long enough that no message expires during a benchmark.
 const DEADLINE: Duration = Duration::from_secs(100_000);
-/// Longer than any benchmark, and shorter than the latency objective.
+/// Retry-After of destinations with queued messages; longer than any benchmark, and shorter than the latency
+/// objective.
 const RETRY_AFTER: Duration = Duration::from_secs(25_000);
 
 /// Size of the load.
@@ -38,7 +39,7 @@
 #[derive(Default)]
 struct AttemptRecorder {
     in_flight: VecDeque<AttemptInFlight>,
-    /// Number of attempts of each message that has none finished yet.
+    /// Number of attempts of each message without a finished attempt.
     attempts: HashMap<Arc<str>, u32>,
 }
 
@@ -121,16 +122,17 @@
         self.policy.finish_endpoint_list();
     }
 
-    /// Returns the number of destinations that send a Retry-After: half of them, or at most one per queued message.
-    fn waiting(&self) -> u64 {
+    /// Returns the number of destinations that send a Retry-After: half of all destinations, or at most one
+    /// per queued message.
+    fn retry_after_destinations(&self) -> u64 {
         (self.size.destinations - self.served).min(self.size.queued as u64).max(1)
     }
 
-    /// Reports a Retry-After of the waiting destinations and submits the messages that stay queued for them. The
-    /// Retry-After takes effect without a run of due work.
+    /// Reports a Retry-After of some destinations, and submits the messages that stay queued for these
+    /// destinations. The Retry-After takes effect without a run of due work.
     pub fn queue_messages(&mut self) {
-        let waiting = self.waiting();
-        for n in 0..waiting {
+        let retry_after_destinations = self.retry_after_destinations();
+        for n in 0..retry_after_destinations {
             let endpoint = endpoint_of(self.served + n);
             // The load report, which has no limit, creates the circuit breaker.
             self.policy
@@ -138,7 +140,7 @@
             self.policy.retry_after_received(self.now, endpoint, RETRY_AFTER);
         }
         for n in 0..self.size.queued as u64 {
-            self.submit(self.served + n % waiting);
+            self.submit(self.served + n % retry_after_destinations);
         }
     }
 
--- a/benches/memory.rs
+++ b/benches/memory.rs
@@ -1,5 +1,5 @@
-//! Memory of the delivery policy per listed endpoint and per queued message, measured as resident memory (Linux only)
-//! of a separate process for each size. The memory of a message includes its id of 36 bytes.
+//! Memory of the delivery policy per listed endpoint and per queued message, measured as resident memory
+//! (Linux only) of a separate process for each size. The memory of a message includes its id of 36 bytes.
 
 mod load;
 
@@ -87,7 +87,9 @@
         Ok(row)
     } else {
         let status = output.status;
-        Err(io::Error::other(format!("{queued} queued, {destinations} destinations: {status}")))
+        Err(io::Error::other(format!(
+            "measuring {queued} queued messages and {destinations} destinations: {status}"
+        )))
     }
 }
 
--- a/benches/turns.rs
+++ b/benches/turns.rs
@@ -1,6 +1,6 @@
-//! Duration of one run of due work, by the number of queued messages, of destinations and of requests in flight.
-//! Benchmark names keep the older terms *turn* (run of due work), *held* (queued) and *slots* (maximum number of
-//! requests in flight), so that results stay comparable.
+//! Duration of one run of due work, by the number of queued messages, of destinations and of requests in
+//! flight. Benchmark names keep the older terms *turn* (run of due work), *held* (queued) and *slots*
+//! (maximum number of requests in flight), so that results stay comparable.
 //!
 //! Messages stay queued for destinations that sent a Retry-After, while others receive messages. In each run,
 //! sixteen attempts finish and sixteen messages are submitted.
@@ -49,7 +49,8 @@
 fn turns(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("turn");
     group.sample_size(10).warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(1));
-    // Flat sampling uses the same number of runs in each sample; a growing number takes minutes for slow sizes.
+    // Flat sampling uses the same number of runs in each sample; a growing number takes minutes for slow
+    // sizes.
     group.sampling_mode(SamplingMode::Flat);
     group.throughput(Throughput::Elements(MESSAGES_PER_RUN as u64));
     for size in SIZES {
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -25,7 +25,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The experiment has no runs, or more than one command may have.
+    /// The number of runs of the experiment is 0 or over the maximum of one command; holds the number.
     #[error("{0} runs: expected 1 seed or more, and at most {MAX_RUNS} runs")]
     RunCount(u64),
     /// The number of seeds or event streams to record is 0 or too large.
@@ -33,7 +33,7 @@
     RecordingCount {
         /// The option on the command line.
         option: &'static str,
-        /// Its value.
+        /// The value of the option.
         count: u64,
     },
     /// A numeric option outside its range.
@@ -41,7 +41,7 @@
     OptionRange {
         /// The option on the command line.
         option: &'static str,
-        /// Its value.
+        /// The value of the option.
         value: f64,
         /// The minimum accepted value.
         low: f64,
@@ -63,14 +63,14 @@
     /// The command `record` got no scenarios, streams or folders to compare.
     #[error("nothing to record: expected scenarios, --streams COUNT or --compare A B")]
     NothingToRecord,
-    /// Two scenario files have the same name, so that their recordings would too.
+    /// Two scenario files have the same name, so that their recordings would have the same name.
     #[error("{}: named twice: expected scenarios of different names", .0.display())]
     DuplicateScenario(PathBuf),
     /// A folder of recordings can't be read or compared.
     #[error("{}", one_line(.0))]
     RecordingComparison(#[from] CompareError),
     /// The scenario to replay was not written by a search.
-    #[error("{}: holds no [found] with a seed: expected a file that a search wrote", .0.display())]
+    #[error("{}: has no section [found]: expected a file that a search wrote", .0.display())]
     NoFinding(PathBuf),
     /// The folder for `report` has no result files.
     #[error("{}: holds no results: expected files that --out wrote", .0.display())]
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -25,7 +25,7 @@
     /// Print results as JSON; progress goes to standard error.
     #[arg(long, global = true)]
     json: bool,
-    /// Number of threads; one for each core by default. Results do not depend on it.
+    /// Number of threads; one for each core by default. Results do not depend on this number.
     #[arg(long, global = true, value_name = "N")]
     threads: Option<usize>,
     #[command(subcommand)]
--- a/crates/experiments/src/random_scenario.rs
+++ b/crates/experiments/src/random_scenario.rs
@@ -29,7 +29,7 @@
     baseline_per_s: f64,
 }
 
-/// The parts of a scenario that a fault may name.
+/// The parts of a scenario that a fault can name.
 struct NamedParts {
     classes: Vec<ClassSpec>,
     programs: Vec<Program>,
--- a/crates/experiments/src/recovery_study.rs
+++ b/crates/experiments/src/recovery_study.rs
@@ -42,13 +42,13 @@
     /// Median of `load_ratio`.
     #[serde(rename = "ratio_median")]
     pub load_ratio_median: f64,
-    /// N in the worst window of each recovery.
+    /// Requests that the settings allow in the worst window of each recovery (N).
     #[serde(rename = "allowed")]
     pub allowed_requests: Statistics,
     /// Requests in the worst window of each recovery.
     #[serde(rename = "sum")]
     pub requests: Statistics,
-    /// Share of these requests that came from forwarders that knew of the outage.
+    /// Share of the requests in the worst window that came from forwarders that knew of the outage.
     #[serde(rename = "known")]
     pub informed_share: Statistics,
     /// Number of runs in which an endpoint was overloaded and failed again.
--- a/crates/experiments/src/results.rs
+++ b/crates/experiments/src/results.rs
@@ -1,5 +1,8 @@
 //! Results of experiments, and their JSON form, which is printed for scripts and saved in a folder for plots.
 //!
+//! Credit is the priority weight that a delivered message earns, in full until its latency objective and in
+//! part until its deadline. Shares of credit are from 0 to 1.
+//!
 //! The keys of the JSON form must not change; a field with another name in the code has a serde `rename`.
 
 use std::fs;
@@ -199,7 +202,8 @@
         /// Number of scenarios in which the delivery policy broke an invariant.
         #[serde(rename = "with_broken_rules")]
         with_violations: usize,
-        /// Number of scenarios in which the delivery policy earned clearly less than one attempt per message.
+        /// Number of scenarios in which the delivery policy earned clearly less credit than the baseline
+        /// that attempts each message once.
         #[serde(rename = "under_one_try")]
         under_one_attempt: usize,
         /// The scenarios that were saved.
@@ -270,7 +274,8 @@
     }
 }
 
-/// Replaces characters that a file name may not contain on every operating system with `_`.
+/// Replaces all characters but ASCII letters, digits and `-` with `_`, so that the text can be part of a file
+/// name on every operating system.
 fn file_stem(name: &str) -> String {
     name.replace(|character: char| !character.is_ascii_alphanumeric() && character != '-', "_")
 }
--- a/crates/experiments/src/search.rs
+++ b/crates/experiments/src/search.rs
@@ -24,8 +24,8 @@
 /// Maximum number of scenarios that are shrunk for each invariant, because further ones mostly show the same
 /// fault.
 const MAX_FINDINGS_PER_INVARIANT: usize = 3;
-/// Minimum gap in credit for a scenario to count as one in which the delivery policy earned less than one
-/// attempt per message. Excludes random differences.
+/// Minimum difference in credit at which the delivery policy counts as worse than the baseline with one
+/// attempt per message; smaller differences can be random.
 const ONE_ATTEMPT_MARGIN: f64 = 0.01;
 /// Number of low bits of a scenario's seed that one search varies, so that searches with different seeds run
 /// different scenarios.
--- a/crates/experiments/src/sharing_study.rs
+++ b/crates/experiments/src/sharing_study.rs
@@ -37,7 +37,7 @@
     pub down_share: f64,
     /// Duration of each outage, in seconds.
     pub outage_s: f64,
-    /// Maximum number of forwarders times simulated destinations.
+    /// Maximum product of the number of forwarders and the number of simulated destinations.
     pub max_forwarder_destination_pairs: u64,
     /// Number of destinations in production, to which rates are scaled up.
     pub production_destinations: u64,
--- a/crates/experiments/src/shrink.rs
+++ b/crates/experiments/src/shrink.rs
@@ -126,7 +126,7 @@
     scenario.traffic.baseline_per_s = Amount::clamped(scenario.traffic.baseline_per_s.get() * factor);
 }
 
-/// Returns the positions of parts that may be removed; a single part may not be.
+/// Returns the positions of parts that can be removed; none if there is only one part, which must stay.
 fn removable(length: usize) -> std::ops::Range<usize> {
     0..if length > 1 { length } else { 0 }
 }
--- a/crates/experiments/src/study_arguments.rs
+++ b/crates/experiments/src/study_arguments.rs
@@ -55,7 +55,7 @@
     /// Duration of each outage, in seconds.
     #[arg(long = "outage", value_name = "SECONDS", default_value_t = 180.0)]
     outage_s: f64,
-    /// Maximum number of forwarders times simulated destinations.
+    /// Maximum product of the number of forwarders and the number of simulated destinations.
     #[arg(long = "cells", value_name = "COUNT", default_value_t = 100_000)]
     max_forwarder_destination_pairs: u64,
     /// Number of destinations in production, to which rates are scaled up.
--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -44,8 +44,8 @@
 fn random_scenarios_stay_the_same_when_written_and_read() {
     for seed in 0..400 {
         let generated = random_scenario(seed);
-        let read =
-            Scenario::parse("drawn", &generated.to_text(), &[]).unwrap_or_else(|e| panic!("{seed}: {e}"));
+        let read = Scenario::parse("drawn", &generated.to_text(), &[])
+            .unwrap_or_else(|e| panic!("the written scenario of seed {seed} must be readable: {e}"));
         assert_eq!(read, generated, "seed {seed}");
     }
 }
@@ -85,7 +85,7 @@
                     - run(&generated, *seed, BuiltInPolicy::DeliveryPolicy).credit
                     > 0.03
         })
-        .expect("no random scenario has a credit gap over 0.03");
+        .expect("expected a small random scenario in which the upper bound earns over 0.03 more credit than the delivery policy");
     let generated = random_scenario(seed);
     let gap = run(&generated, seed, BuiltInPolicy::UpperBound).credit
         - run(&generated, seed, BuiltInPolicy::DeliveryPolicy).credit;
--- a/crates/experiments/tests/output_keys.rs
+++ b/crates/experiments/tests/output_keys.rs
@@ -142,7 +142,7 @@
     let printed = printed_json(&["compare", file.to_str().unwrap(), "--seeds", "1"]);
     let expected =
         json!({"kind": "comparison", "scenario": "a", "rows": [summary()], "first_days": [report()]});
-    // Policies may break no invariant in this run, so that keys of violations may be missing.
+    // Keys of violations are ignored, because they are missing if no policy breaks an invariant in this run.
     let without_violations = |value: &Value| {
         let mut paths = key_paths(value);
         paths.retain(|path| !path.starts_with("first_days[].broken[]"));
--- a/crates/recorder/src/compare.rs
+++ b/crates/recorder/src/compare.rs
@@ -76,8 +76,8 @@
     Empty,
     /// The folder contains no file with the extension of a recording.
     #[error(
-        "holds no recordings: expected files in .{}",
-        RecordingFormat::ALL.map(RecordingFormat::extension).join(" or .")
+        "holds no recordings: expected files named *.{}",
+        RecordingFormat::ALL.map(RecordingFormat::extension).join(" or *.")
     )]
     NoRecordings,
 }
--- a/crates/recorder/src/streams/driver.rs
+++ b/crates/recorder/src/streams/driver.rs
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Draws a load report and passes it to the policy.
+    /// Draws a random load report of an endpoint, and passes the report to the policy.
     fn report_load(&mut self, endpoint: EndpointId) {
         let remaining_share = self.random.random_range(0.0..1.1);
         let limit_per_second = if self.one_in(5) { 0.0 } else { self.random.random_range(0.5..80.0) };
--- a/crates/recorder/src/streams/rule_model/checks.rs
+++ b/crates/recorder/src/streams/rule_model/checks.rs
@@ -34,7 +34,7 @@
         checks.into_iter().filter(|check| !check.holds).map(|check| check.violation).collect()
     }
 
-    /// Checks that the message may have another attempt, and that the attempt starts and ends in time.
+    /// Checks that another attempt of the message is allowed, and that the attempt starts and ends in time.
     fn check_message(
         &self,
         pending: &PendingMessage,
@@ -58,10 +58,10 @@
             RuleCheck::new(response_within <= until_deadline, "the response timeout ends after the deadline"),
             RuleCheck::new(
                 start_within <= response_within.min(until_shutdown),
-                "the attempt may start after its response timeout or the shutdown",
+                "the attempt can start after its response timeout or the shutdown",
             ),
-            RuleCheck::new(is_safe_to_repeat, "a message that is not idempotent may be executed twice"),
-            RuleCheck::new(is_key_valid, "the idempotency key may expire before the attempt starts"),
+            RuleCheck::new(is_safe_to_repeat, "a message that is not idempotent can be executed twice"),
+            RuleCheck::new(is_key_valid, "the idempotency key can expire before the attempt starts"),
             RuleCheck::new(
                 self.recognizes_key(pending, endpoint),
                 "the endpoint is in a zone that doesn't recognize the idempotency key",
@@ -87,17 +87,20 @@
         let is_earlier = |other: &PendingMessage| {
             pending.ordering_key.is_some()
                 && other.ordering_key == pending.ordering_key
-                && other.number < pending.number
+                && other.submission_number < pending.submission_number
         };
         let hold_off = pending.ordering_key.and_then(|key| self.hold_offs.get(&key));
-        let is_key_free =
-            hold_off.is_none_or(|held| self.now >= held.until || held.message_number == pending.number);
+        let is_key_free = hold_off
+            .is_none_or(|held| self.now >= held.until || held.message_number == pending.submission_number);
         [
             RuleCheck::new(
                 !self.pending.values().any(is_earlier),
                 "an earlier message with the same ordering key is not finished",
             ),
-            RuleCheck::new(is_key_free, "the ordering key is held after an attempt of another message"),
+            RuleCheck::new(
+                is_key_free,
+                "the ordering key's hold-off after an attempt of another message has not expired",
+            ),
         ]
     }
 
--- a/crates/recorder/src/streams/rule_model/mod.rs
+++ b/crates/recorder/src/streams/rule_model/mod.rs
@@ -127,7 +127,7 @@
         self.submitted += 1;
         let class = self.rules.classes.get(&message.class).copied().unwrap_or(ClassRules::UNKNOWN);
         let pending = PendingMessage {
-            number: self.submitted,
+            submission_number: self.submitted,
             idempotency: class.idempotency,
             ordering_key: message.ordering_key.map(|key| key.0).filter(|_| class.ordered),
             destination: message.destination,
@@ -152,7 +152,7 @@
             endpoint: attempt.endpoint,
         });
         if let Some(key) = pending.ordering_key.filter(|_| pending.possibly_executed.is_some()) {
-            self.hold_offs.insert(key, HoldOff { until, message_number: pending.number });
+            self.hold_offs.insert(key, HoldOff { until, message_number: pending.submission_number });
         }
     }
 
@@ -175,7 +175,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         );
         if let Some(key) = pending.ordering_key.filter(|_| may_still_run) {
-            self.hold_offs.insert(key, HoldOff { until, message_number: pending.number });
+            self.hold_offs.insert(key, HoldOff { until, message_number: pending.submission_number });
         }
         self.remove_if_done(id);
         let Some(endpoint) = self.endpoints.get_mut(&sent.endpoint) else { return };
@@ -297,13 +297,14 @@
         let is_timer_set = first_deadline.is_none_or(|deadline| {
             first_timer.is_some_and(|timer| timer <= deadline.max(now) + MIN_TIMER_DURATION)
         });
-        let is_within_capacity = unfinished < self.rules.capacity.max(2) || deadlines.is_empty();
+        let has_room_for_messages =
+            unfinished < self.rules.max_pending_messages.max(2) || deadlines.is_empty();
         self.check(expired == 0, || format!("{expired} messages are queued past their deadline"));
         self.check(is_timer_set, || {
             format!("first timer {first_timer:?}, expected by first queued deadline {first_deadline:?}")
         });
-        self.check(is_within_capacity, || {
-            format!("{unfinished} messages are pending, expected fewer than the capacity")
+        self.check(has_room_for_messages, || {
+            format!("{unfinished} messages are pending, expected fewer than the maximum")
         });
     }
 }
--- a/crates/recorder/src/streams/rule_model/records.rs
+++ b/crates/recorder/src/streams/rule_model/records.rs
@@ -26,7 +26,7 @@
     /// Rules by class name.
     pub classes: BTreeMap<String, ClassRules>,
     pub max_in_flight: u64,
-    pub capacity: u64,
+    pub max_pending_messages: u64,
     pub max_attempts: u64,
     pub ordering_hold_off: Duration,
 }
@@ -43,16 +43,16 @@
 /// Summary of a message's attempts that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
-    /// Start of the first such attempt.
+    /// Start of the first attempt that may have been executed.
     pub(super) first_started_at: Duration,
-    /// Endpoint of the most recently reported such attempt.
+    /// Endpoint of the attempt that was reported last among those that may have been executed.
     pub(super) endpoint: EndpointId,
 }
 
 /// A message without a final answer or with an attempt in flight.
 pub(super) struct PendingMessage {
     /// Number of the message in the order of submission, starting at 1.
-    pub(super) number: u64,
+    pub(super) submission_number: u64,
     pub(super) idempotency: Idempotency,
     /// Ordering key of the message; `None` if its class isn't ordered.
     pub(super) ordering_key: Option<u64>,
@@ -71,7 +71,7 @@
     }
 
     /// Returns the end of the window in which destinations recognize the idempotency key; `None` if the class
-    /// has no such key or no attempt may have been executed.
+    /// has no idempotency keys or no attempt may have been executed.
     pub(super) fn key_valid_until(&self) -> Option<Duration> {
         match (self.idempotency, self.possibly_executed) {
             (Idempotency::WithKey { window, .. }, Some(executed)) => Some(executed.first_started_at + window),
--- a/crates/recorder/src/streams/setup.rs
+++ b/crates/recorder/src/streams/setup.rs
@@ -49,7 +49,7 @@
     /// Names of the tenants in the settings.
     pub tenants: Vec<String>,
     pub max_in_flight: u64,
-    pub capacity: u64,
+    pub max_pending_messages: u64,
     pub max_attempts: u64,
     pub ordering_hold_off: Duration,
     pub responses_carry_load_reports: bool,
@@ -179,8 +179,8 @@
     }
 }
 
-/// Draws the number of forwarders: few, or more than the maximum of requests in flight, as the policy makes
-/// other decisions in so large a fleet.
+/// Draws the number of forwarders: few, or more than the maximum of requests in flight, because the policy
+/// decides differently in large fleets.
 fn draw_forwarder_count(random: &mut Pcg32, max_in_flight: u64) -> u64 {
     if random.random_bool(0.5) {
         return random.random_range(1..=max_in_flight.min(3));
@@ -188,8 +188,8 @@
     max_in_flight + pick(random, &[1, 10, 100, 1_000]).unwrap_or(1)
 }
 
-/// Draws a capacity that a burst exhausts, one that a longer fault exhausts, or none.
-fn draw_capacity(random: &mut Pcg32, max_messages_per_step: u64) -> Option<u64> {
+/// Draws a maximum of pending messages: one that a burst reaches, one that a longer fault reaches, or none.
+fn draw_max_pending_messages(random: &mut Pcg32, max_messages_per_step: u64) -> Option<u64> {
     match random.random_range(0..3_u32) {
         0 => Some(random.random_range(2..=max_messages_per_step * 4)),
         1 => Some(random.random_range(max_messages_per_step * 4..=max_messages_per_step * 60)),
@@ -226,7 +226,7 @@
         Rules {
             classes: self.classes.iter().map(class).collect(),
             max_in_flight: self.max_in_flight,
-            capacity: self.capacity,
+            max_pending_messages: self.max_pending_messages,
             max_attempts: self.max_attempts,
             ordering_hold_off: self.ordering_hold_off,
         }
@@ -255,7 +255,7 @@
             kinds: kinds.into_iter().map(|kind| kind.name).collect(),
             tenants: tenants.into_iter().map(|quota| quota.tenant).collect(),
             max_in_flight,
-            capacity: settings.max_pending_messages.unwrap_or(u64::MAX),
+            max_pending_messages: settings.max_pending_messages.unwrap_or(u64::MAX),
             max_attempts: settings.max_attempts.unwrap_or(u64::MAX),
             ordering_hold_off: settings.ordering_hold_off.unwrap_or_default(),
             responses_carry_load_reports: settings.responses_carry_load_reports,
@@ -287,7 +287,7 @@
         over_quota_weight: draw_optional(random, |random| random.random_range(0.0..1.0)),
         late_decay: if random.random_bool(0.5) { LateDecay::Exponential } else { LateDecay::Linear },
         max_in_flight: Some(max_in_flight),
-        max_pending_messages: draw_capacity(random, u64::from(max_messages_per_step)),
+        max_pending_messages: draw_max_pending_messages(random, u64::from(max_messages_per_step)),
         max_attempts: random.random_bool(0.8).then(|| random.random_range(1..=6)),
         hedging_allowed: random.random_bool(0.3),
         max_retry_after: draw_optional(random, |random| draw_millis(random, 100, 10_000)),
--- a/crates/recorder/tests/recordings.rs
+++ b/crates/recorder/tests/recordings.rs
@@ -178,14 +178,18 @@
     write_recording(left.path(), "d.recording", &text);
     let files = compare(left.path(), right.path()).unwrap();
 
-    let ComparisonResult::Differs(first) = &files[0].result else { panic!("{:?}", files[0].result) };
+    let ComparisonResult::Differs(first) = &files[0].result else {
+        panic!("the changed file must be reported as different, found {:?}", files[0].result)
+    };
     assert_eq!((first.line_number, first.forwarder.as_str()), (at as u64 + 1, "2"));
     assert_eq!((first.left[0].as_str(), first.right[0].as_str()), (lines[at], changed.as_str()));
     assert!(first.before.len() == 6 && first.before.iter().all(|l| l.starts_with("2 ")), "{first:?}");
     assert_eq!(first.left[1], first.right[1], "the lines after the difference are shown for both sides");
 
     assert_eq!(files[1].result, ComparisonResult::Equal { lines: lines.len() as u64 });
-    let ComparisonResult::Differs(cut) = &files[2].result else { panic!("{:?}", files[2].result) };
+    let ComparisonResult::Differs(cut) = &files[2].result else {
+        panic!("the shortened file must be reported as different, found {:?}", files[2].result)
+    };
     assert_eq!((cut.line_number, cut.right.len()), (lines.len() as u64, 0));
     assert_eq!(files[3].result, ComparisonResult::OnlyLeft);
 }
--- a/crates/recorder/tests/rules.rs
+++ b/crates/recorder/tests/rules.rs
@@ -19,6 +19,6 @@
     #[test]
     fn delivery_policy_breaks_no_rule_in_random_streams(seed in 0_u64..u64::MAX, steps in 1..=MAX_STEPS) {
         let violations = streams::find_violations(seed, steps);
-        prop_assert!(violations.is_empty(), "{:#?}", &violations[..violations.len().min(5)]);
+        prop_assert!(violations.is_empty(), "the delivery policy broke rules; first violations: {:#?}", &violations[..violations.len().min(5)]);
     }
 }
--- a/crates/scale-test/src/endpoint_list.rs
+++ b/crates/scale-test/src/endpoint_list.rs
@@ -14,8 +14,8 @@
 
 /// Maximum number of retained changes. A watch that is further behind is sent a full list.
 const RETAINED_CHANGES: usize = 4_096;
-/// Maximum number of changes since a full list was serialized for which the serialized list is reused. The
-/// changes are sent after it.
+/// Maximum number of changes since the full list was last serialized. After more changes, the full list is
+/// serialized again; up to this number, the changes are sent after the earlier full list.
 const FULL_LIST_REUSE_LIMIT: u64 = 512;
 /// Size at which a chunk of a full list is complete, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
--- a/crates/scale-test/src/hollow_state.rs
+++ b/crates/scale-test/src/hollow_state.rs
@@ -109,7 +109,7 @@
     full: bool,
     /// Number of entries received so far.
     entries: u64,
-    /// Whether a full list contains each index; empty for a line with changes.
+    /// Whether the full list contains the endpoint, by index; empty for a line with changes.
     listed_indices: Vec<bool>,
 }
 
--- a/crates/scale-test/src/latency_results.rs
+++ b/crates/scale-test/src/latency_results.rs
@@ -36,7 +36,7 @@
         let mut histograms: BTreeMap<(Component, OperatingCondition), LatencyHistogram> = BTreeMap::new();
         for start in lock(&self.start_records).iter() {
             histograms
-                .entry((Component::RealForwarders, start.occasion))
+                .entry((Component::RealForwarders, start.condition))
                 .or_default()
                 .record(start.list_latency);
         }
--- a/crates/scale-test/src/list_decoder.rs
+++ b/crates/scale-test/src/list_decoder.rs
@@ -7,7 +7,7 @@
 
 use crate::endpoint_list::instance_index;
 
-/// Maximum size of one entry, and of the head of a line, in bytes.
+/// Maximum size of one entry, and of the header of a line, in bytes.
 const MAX_PART_BYTES: usize = 16 * 1024;
 
 /// An event of the decoder.
@@ -24,7 +24,7 @@
     Entry(Entry),
     /// The current line is complete.
     LineFinished,
-    /// An empty line, sent as a append-alive.
+    /// An empty line, sent as a keep-alive.
     EmptyLine,
 }
 
@@ -42,20 +42,20 @@
 /// Why a line can't be decoded.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// An entry or the head of a line exceeds the size limit.
-    #[error("an entry or the head of a line exceeds {MAX_PART_BYTES} bytes")]
+    /// An entry or the header of a line exceeds the size limit.
+    #[error("a list entry, or the part of a line before its entries, exceeds {MAX_PART_BYTES} bytes")]
     TooLong,
-    /// The head, which is the text before the entries, is invalid; with the reason.
-    #[error("invalid head of a line: {0}")]
-    Head(String),
-    /// An entry is invalid; with the reason.
-    #[error("invalid entry: {0}")]
+    /// The header of a line, which is the part before the entries, is invalid; holds the reason.
+    #[error("invalid part of a line before its list entries: {0}")]
+    Header(String),
+    /// An entry is invalid; holds the reason.
+    #[error("invalid list entry: {0}")]
     Entry(String),
 }
 
-/// The head of a line: its fields before the entries.
+/// The header of a line: its fields before the entries.
 #[derive(Deserialize)]
-struct Head {
+struct LineHeader {
     generation: u64,
     #[serde(default)]
     reset: bool,
@@ -87,9 +87,9 @@
     in_string: bool,
     /// Whether the next byte of a string is escaped by a backslash.
     escaped: bool,
-    /// Whether the head of the current line is decoded.
+    /// Whether the header of the current line is decoded.
     line_started: bool,
-    /// The bytes received so far of the current head or entry.
+    /// The bytes received so far of the current header or entry.
     part: Vec<u8>,
 }
 
@@ -130,7 +130,7 @@
             b'{' | b'[' => {
                 self.depth += 1;
                 if self.depth == ENTRIES_DEPTH && byte == b'[' {
-                    on_event(self.finish_head()?);
+                    on_event(self.finish_header()?);
                     return Ok(());
                 }
                 self.append(&[byte])
@@ -156,7 +156,7 @@
 
     fn finish_line(&mut self, on_event: &mut impl FnMut(ListEvent)) -> Result<(), DecodeError> {
         if !self.part.trim_ascii().is_empty() {
-            return Err(DecodeError::Head(
+            return Err(DecodeError::Header(
                 "expected an array of entries before the end of the line".to_owned(),
             ));
         }
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// Appends bytes to the current head or entry, and ignores bytes after the array of entries.
+    /// Appends bytes to the current header or entry, and ignores bytes after the array of entries.
     fn append(&mut self, bytes: &[u8]) -> Result<(), DecodeError> {
         if self.part.len() + bytes.len() > MAX_PART_BYTES {
             return Err(DecodeError::TooLong);
@@ -178,14 +178,15 @@
         Ok(())
     }
 
-    /// Decodes the head of a line. A number in place of the array of entries makes the head a complete JSON
-    /// object.
-    fn finish_head(&mut self) -> Result<ListEvent, DecodeError> {
-        let mut head = std::mem::take(&mut self.part);
-        head.extend_from_slice(b"0}");
-        let head: Head = serde_json::from_slice(&head).map_err(|e| DecodeError::Head(e.to_string()))?;
+    /// Decodes the header of a line. A number in place of the array of entries makes the header a complete
+    /// JSON object.
+    fn finish_header(&mut self) -> Result<ListEvent, DecodeError> {
+        let mut header = std::mem::take(&mut self.part);
+        header.extend_from_slice(b"0}");
+        let header: LineHeader =
+            serde_json::from_slice(&header).map_err(|e| DecodeError::Header(e.to_string()))?;
         self.line_started = true;
-        Ok(ListEvent::LineStarted { generation: head.generation, full: head.reset })
+        Ok(ListEvent::LineStarted { generation: header.generation, full: header.reset })
     }
 }
 
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -43,7 +43,7 @@
     forwarder: Option<PathBuf>,
 }
 
-/// Threads of the runtime for clients and for tasks without a dedicated thread.
+/// Number of threads that run clients and all tasks without a dedicated thread.
 const CLIENT_THREADS: usize = 2;
 /// Time limit for remaining tasks to end after a run.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/scale-test/src/metered_stream.rs
+++ b/crates/scale-test/src/metered_stream.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Counters of the traffic of one role, measured at its own end of the connections.
+/// Counters of the traffic of one component, measured at the component's end of the connections.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficCounters {
     received_bytes: AtomicU64,
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -39,7 +39,7 @@
     /// The latency from a start of a forwarder until its full endpoint list was in effect.
     #[serde(rename = "list_in_force")]
     ListInEffect {
-        /// The kind of forwarders.
+        /// The forwarders that were measured: the real or the hollow ones.
         #[serde(rename = "role")]
         component: Component,
         /// The reason for which the forwarders were started.
@@ -52,7 +52,7 @@
     /// The latency from an endpoint list change until the change was in effect.
     #[serde(rename = "change_in_force")]
     ChangeInEffect {
-        /// The kind of forwarders.
+        /// The forwarders that were measured: the real or the hollow ones.
         #[serde(rename = "role")]
         component: Component,
         /// Normal operation, or the fault to which the latencies are attributed.
--- a/crates/scale-test/src/resource_budget.rs
+++ b/crates/scale-test/src/resource_budget.rs
@@ -40,8 +40,8 @@
         if self.memory_bytes > memory_limit {
             return Err(ScaleTestError::InsufficientResources {
                 place: "fleet and list".to_owned(),
-                needed: format!("about {} MB of memory", self.memory_bytes >> 20),
-                limit: format!("half of the machine's memory is {} MB", memory_limit >> 20),
+                needed: format!("about {} MiB of memory", self.memory_bytes >> 20),
+                limit: format!("half of the machine's memory is {} MiB", memory_limit >> 20),
             });
         }
         let limits = Process::myself().and_then(|me| me.limits());
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -33,13 +33,13 @@
 
 /// A change that added a destination. Each real forwarder is probed for this destination.
 #[derive(Clone, Copy)]
-struct ProbeOrder {
+struct AddedDestination {
     generation: u64,
     target: ProbeTarget,
 }
 
-/// Runs a scenario and returns its results. All processes and forwarders are stopped before it returns, even
-/// on an error.
+/// Runs a scenario and returns its results. All processes and forwarders are stopped before the function
+/// returns, even on an error.
 pub async fn run(scenario: Scenario, options: Options) -> Result<Results, ScaleTestError> {
     ResourceBudget::needed_by(&scenario).check_against_machine()?;
     let limit = Duration::from_secs_f64(scenario.time_limit_s);
@@ -142,7 +142,7 @@
     pub(crate) async fn wait_for_list(
         &self,
         forwarder: &tokio::sync::Mutex<RealForwarder>,
-        occasion: OperatingCondition,
+        condition: OperatingCondition,
     ) {
         let (address, started_at, number) = {
             let forwarder = forwarder.lock().await;
@@ -154,7 +154,7 @@
         let mut client = probe_client(address);
         let result = probe_until_delivered(&mut client, &self.endpoints, &id, target).await;
         let list_latency = result.arrived_at.duration_since(started_at);
-        lock(&self.start_records).push(StartRecord { occasion, list_latency });
+        lock(&self.start_records).push(StartRecord { condition, list_latency });
     }
 
     /// Changes the list, sends probes, injects faults and samples usage, until all changes and faults are
@@ -178,17 +178,18 @@
         }
     }
 
-    /// Starts one probe task for each real forwarder, and returns the channels for their probe orders.
-    async fn start_probes(self: &Arc<TestBed>) -> Vec<mpsc::UnboundedSender<ProbeOrder>> {
+    /// Starts one probe task for each real forwarder, and returns the channels on which the tasks receive
+    /// added destinations.
+    async fn start_probes(self: &Arc<TestBed>) -> Vec<mpsc::UnboundedSender<AddedDestination>> {
         let mut senders = Vec::new();
         for forwarder in &self.real_forwarders {
             let (address, number) = {
                 let forwarder = forwarder.lock().await;
                 (forwarder.address(), forwarder.number())
             };
-            let (sender, orders) = mpsc::unbounded_channel();
+            let (sender, added_destinations) = mpsc::unbounded_channel();
             senders.push(sender);
-            tokio::spawn(self.clone().run_probes(number, probe_client(address), orders));
+            tokio::spawn(self.clone().run_probes(number, probe_client(address), added_destinations));
         }
         senders
     }
@@ -205,9 +206,8 @@
         }
     }
 
-    /// Makes all changes of the scenario, and sends a probe order for each added destination to all probe
-    /// tasks.
-    async fn make_changes(self: Arc<TestBed>, probes: Vec<mpsc::UnboundedSender<ProbeOrder>>) {
+    /// Makes all changes of the scenario, and sends each added destination to all probe tasks.
+    async fn make_changes(self: Arc<TestBed>, probes: Vec<mpsc::UnboundedSender<AddedDestination>>) {
         let changes = &self.scenario.changes;
         let mut rng = Pcg32::seed_from_u64(self.scenario.seed);
         let mut tick = interval(Duration::from_secs_f64(changes.interval_s));
@@ -226,21 +226,22 @@
             listed += 1;
             let generation = self.list.put(target.destination, target.address);
             for probe in &probes {
-                // Sending fails if the probe task has ended, which a check at the end detects.
-                let _ = probe.send(ProbeOrder { generation, target });
+                // Sending fails if the probe task has ended. A check at the end of the run reports missing
+                // probes.
+                let _ = probe.send(AddedDestination { generation, target });
             }
         }
         tick.tick().await;
     }
 
-    /// Carries out the probe orders for one real forwarder in order, until probing ends.
+    /// Probes one real forwarder for each added destination, one after the other, until probing ends.
     async fn run_probes(
         self: Arc<TestBed>,
         forwarder: u32,
         mut client: Client,
-        mut orders: mpsc::UnboundedReceiver<ProbeOrder>,
+        mut added_destinations: mpsc::UnboundedReceiver<AddedDestination>,
     ) {
-        while let Some(ProbeOrder { generation, target }) = orders.recv().await {
+        while let Some(AddedDestination { generation, target }) = added_destinations.recv().await {
             let id = format!("probe-{forwarder}-{generation}");
             tokio::select! {
                 result = probe_until_delivered(&mut client, &self.endpoints, &id, target) => {
--- a/crates/scale-test/src/runtime_thread.rs
+++ b/crates/scale-test/src/runtime_thread.rs
@@ -48,7 +48,7 @@
         self.handle
             .spawn(task)
             .await
-            .map_err(|e| ScaleTestError::aborted("a task on a thread of the run", e))?
+            .map_err(|e| ScaleTestError::aborted("running a task on a dedicated thread", e))?
     }
 }
 
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -127,7 +127,7 @@
     pub messages_per_forwarder_per_s: f64,
 }
 
-/// A fault to inject. Its `at_s` is the time at which it begins, in seconds after the end of the startup
+/// A fault to inject. `at_s` is the time at which the fault begins, in seconds after the end of the startup
 /// phase.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields, rename = "Trouble")]
@@ -159,9 +159,9 @@
     /// Kills and restarts all forwarders of a zone simultaneously.
     #[serde(rename = "zone")]
     ZoneOutage {
-        /// When they are killed.
+        /// When the forwarders are killed.
         at_s: f64,
-        /// How long they are down, in seconds.
+        /// How long the forwarders are down, in seconds.
         down_s: f64,
         /// The number of the zone, from 0.
         zone: u32,
@@ -169,9 +169,9 @@
     /// Kills and restarts some forwarders of a zone simultaneously.
     #[serde(rename = "rack")]
     RackOutage {
-        /// When they are killed.
+        /// When the forwarders are killed.
         at_s: f64,
-        /// How long they are down, in seconds.
+        /// How long the forwarders are down, in seconds.
         down_s: f64,
         /// The number of the zone of the rack, from 0.
         zone: u32,
--- a/crates/scale-test/src/test_bed.rs
+++ b/crates/scale-test/src/test_bed.rs
@@ -71,10 +71,10 @@
     pub(crate) result: ProbeResult,
 }
 
-/// One start of a real forwarder and its duration.
+/// One start of a real forwarder, and the time until the forwarder had the endpoint list.
 pub(crate) struct StartRecord {
     /// Why the forwarder was started.
-    pub(crate) occasion: OperatingCondition,
+    pub(crate) condition: OperatingCondition,
     /// Time from the start of the process until the endpoint list was in effect.
     pub(crate) list_latency: Duration,
 }
--- a/crates/scale-test/tests/endpoint_list.rs
+++ b/crates/scale-test/tests/endpoint_list.rs
@@ -77,11 +77,11 @@
 
 #[test]
 fn invalid_lines_are_rejected() {
-    let is_head_error = |text: &[u8]| matches!(decode(text, 9), Err(DecodeError::Head(_)));
+    let is_header_error = |text: &[u8]| matches!(decode(text, 9), Err(DecodeError::Header(_)));
     assert!(
-        is_head_error(b"nonsense\n")
-            && is_head_error(b"{\"generation\":1}\n")
-            && is_head_error(b"{\"reset\":true,\"instances\":[")
+        is_header_error(b"nonsense\n")
+            && is_header_error(b"{\"generation\":1}\n")
+            && is_header_error(b"{\"reset\":true,\"instances\":[")
     );
     let line = |entry: &str| format!("{{\"generation\":1,\"instances\":[{entry}]}}\n");
     for entry in [
--- a/crates/scale-test/tests/ports.rs
+++ b/crates/scale-test/tests/ports.rs
@@ -13,7 +13,8 @@
     let ports: Vec<u16> = (0..300).map(|_| free_address().unwrap().port()).collect();
     let distinct: BTreeSet<u16> = ports.iter().copied().collect();
     assert_eq!(distinct.len(), 300);
-    // The first port of a block is in use by the claim; the other ports can be bound.
+    // The listener that claims a block uses the block's first port, which is never returned. Returned ports
+    // can be bound.
     let claimed = distinct.iter().filter(|port| (*port - 16_000) % 128 == 0);
     assert_eq!(claimed.count(), 0);
     assert!(TcpListener::bind(("127.0.0.1", ports[0])).is_ok());
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -22,7 +22,7 @@
     StubEndpoint { name: "t-1", address: "127.0.0.1:9101" },
     StubEndpoint { name: "t-2", address: "127.0.0.1:9102" },
 ];
-const PLATFORM: &str = "127.0.0.1:8500";
+const PLATFORM_ADDRESS: &str = "127.0.0.1:8500";
 /// Delay of an endpoint before each response.
 const RESPONSE_LATENCY: Duration = Duration::from_millis(100);
 /// Time for which an endpoint that hangs keeps a connection open without a response.
@@ -91,9 +91,9 @@
         let behavior = behavior.clone();
         listen(endpoint.address, move |stream| serve_endpoint(endpoint.name, stream, &behavior))?;
     }
-    listen(PLATFORM, serve_platform)?;
+    listen(PLATFORM_ADDRESS, serve_platform)?;
     let [first, second] = ENDPOINTS.map(|endpoint| endpoint.address);
-    println!("endpoints on {first} and {second}, platform on {PLATFORM}\n{HELP}");
+    println!("endpoints on {first} and {second}, platform on {PLATFORM_ADDRESS}\n{HELP}");
     for line in io::stdin().lock().lines() {
         match line?.trim() {
             "quit" => break,
