--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -9,7 +9,7 @@
 
 /// Deadline of a class without one in the settings.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// Shortest latency objective if the settings have no class.
+/// Latency objective that is assumed if the settings define no message class.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(2);
 /// Share of its capacity that a destination has directly after an outage, unless the settings define the
 /// share.
@@ -24,7 +24,7 @@
 /// Minimum of the load above which a destination fails, as a multiple of its current capacity; prevents a
 /// slow start budget of zero.
 const MIN_OVERLOAD_CAPACITY_MULTIPLE: f64 = 0.1;
-/// Duration of overload after which a destination fails, unless the settings define the duration.
+/// Time that a destination withstands an overload before it fails, unless the settings define the time.
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 /// Minimum time from the opening of a circuit to its half-open trial, for classes with a very short latency
 /// objective.
--- a/src/queue/destination_queue.rs
+++ b/src/queue/destination_queue.rs
@@ -5,7 +5,7 @@
 
 use super::indices::{IndexEntries, ObjectiveRange};
 use super::position::{
-    ClassEntries, Due, ObjectiveOrder, PriorityClass, QueueClass, QueuePosition, QueuedMessage,
+    ClassEntries, ObjectiveOrder, PriorityClass, QueueClass, QueuePosition, QueuedMessage, TimeIndexEntry,
 };
 use super::segment::QueueSegment;
 use super::wake_schedule::WakeState;
@@ -16,9 +16,9 @@
 pub(crate) struct DestinationQueue {
     pub(super) classes: BTreeMap<QueueClass, ClassEntries>,
     /// All messages by deadline.
-    pub(super) deadlines: BTreeSet<Due<MessageKey>>,
+    pub(super) deadlines: BTreeSet<TimeIndexEntry<MessageKey>>,
     /// Messages that may only be retried while their idempotency key is valid, by expiry of the key.
-    pub(super) key_expiries: BTreeSet<Due<MessageKey>>,
+    pub(super) key_expiries: BTreeSet<TimeIndexEntry<MessageKey>>,
     pub(super) len: usize,
     pub(super) wake_state: WakeState,
     /// Entries of this queue in the indices, as of the last update.
@@ -26,7 +26,8 @@
 }
 
 impl DestinationQueue {
-    /// Returns the first latency objective that ends after `now` of each queue class that has one.
+    /// Returns, for each queue class, the end of the first latency objective that ends after `now`. Classes
+    /// without one are left out.
     pub fn next_objectives(&self, now: Duration) -> impl Iterator<Item = (&QueueClass, Duration)> {
         self.classes.iter().filter_map(move |(queue_class, entries)| {
             let after_now = ObjectiveOrder::end_of(now);
@@ -38,9 +39,9 @@
     pub(super) fn insert(&mut self, key: MessageKey, position: &QueuePosition) {
         let entries = self.classes.entry(position.queue_class).or_default();
         entries.insert(position.objective_order(), key);
-        self.deadlines.insert(Due::new(position.deadline, key));
+        self.deadlines.insert(TimeIndexEntry::new(position.deadline, key));
         if let Some(until) = position.key_valid_until {
-            self.key_expiries.insert(Due::new(until, key));
+            self.key_expiries.insert(TimeIndexEntry::new(until, key));
         }
         self.len += 1;
     }
@@ -52,15 +53,15 @@
                 self.classes.remove(&position.queue_class);
             }
         }
-        self.deadlines.remove(&Due::new(position.deadline, key));
+        self.deadlines.remove(&TimeIndexEntry::new(position.deadline, key));
         if let Some(until) = position.key_valid_until {
-            self.key_expiries.remove(&Due::new(until, key));
+            self.key_expiries.remove(&TimeIndexEntry::new(until, key));
         }
         self.len -= 1;
     }
 
-    /// Returns the messages in segments, without those that are blocked by a message with the same ordering
-    /// key.
+    /// Returns the messages in segments, without those that wait for an earlier message with the same
+    /// ordering key.
     pub(super) fn segments(&self, now: Duration) -> impl Iterator<Item = QueueSegment<'_>> {
         let unblocked = self.classes.iter().filter(|(queue_class, _)| !queue_class.blocked);
         unblocked.flat_map(move |(queue_class, entries)| {
@@ -69,20 +70,26 @@
     }
 
     /// Returns the messages whose deadline is at or before `last`.
-    pub(super) fn deadlines_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
-        subjects_due_by(&self.deadlines, last)
+    pub(super) fn messages_with_deadline_up_to(
+        &self,
+        last: Duration,
+    ) -> impl Iterator<Item = MessageKey> + '_ {
+        items_up_to(&self.deadlines, last)
     }
 
     /// Returns the messages whose idempotency key expires at or before `last`.
-    pub(super) fn key_expiries_up_to(&self, last: Duration) -> impl Iterator<Item = MessageKey> + '_ {
-        subjects_due_by(&self.key_expiries, last)
+    pub(super) fn messages_with_key_expiry_up_to(
+        &self,
+        last: Duration,
+    ) -> impl Iterator<Item = MessageKey> + '_ {
+        items_up_to(&self.key_expiries, last)
     }
 
     /// Returns the current entries of this queue for the indices. `available_at` is the time at which the
     /// first endpoint of the destination may receive a request.
     pub(super) fn index_entries(&self, available_at: Duration) -> IndexEntries {
-        let deadline = self.deadlines.first().map(|due| due.at);
-        let key_expiry = self.key_expiries.first().map(|due| due.at);
+        let deadline = self.deadlines.first().map(|entry| entry.at);
+        let key_expiry = self.key_expiries.first().map(|entry| entry.at);
         let time_left_when_available = match key_expiry {
             Some(until) if until <= available_at => Some(Duration::ZERO),
             _ => deadline.map(|at| at.saturating_sub(available_at)),
@@ -97,7 +104,7 @@
         }
     }
 
-    /// Returns the first and the last message of each priority class, by latency objective.
+    /// Returns the messages with the first and the last latency objective of each priority class.
     fn objective_ranges(&self) -> Vec<ObjectiveRange> {
         let mut ranges: BTreeMap<PriorityClass, ObjectiveRange> = BTreeMap::new();
         for (queue_class, entries) in &self.classes {
@@ -115,9 +122,9 @@
     }
 }
 
-fn subjects_due_by(
-    dues: &BTreeSet<Due<MessageKey>>,
+fn items_up_to(
+    entries: &BTreeSet<TimeIndexEntry<MessageKey>>,
     last: Duration,
 ) -> impl Iterator<Item = MessageKey> + '_ {
-    dues.iter().take_while(move |due| due.at <= last).map(|due| due.subject)
+    entries.iter().take_while(move |entry| entry.at <= last).map(|entry| entry.item)
 }
