--- a/benches/turns.rs
+++ b/benches/turns.rs
@@ -49,7 +49,8 @@
 fn turns(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("turn");
     group.sample_size(10).warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(1));
-    // Flat sampling uses the same number of runs in each sample; a growing number takes minutes for slow sizes.
+    // Flat sampling uses the same number of runs in each sample; a growing number takes minutes for slow
+    // sizes.
     group.sampling_mode(SamplingMode::Flat);
     group.throughput(Throughput::Elements(MESSAGES_PER_RUN as u64));
     for size in SIZES {
