--- a/crates/experiments/tests/output_keys.rs
+++ b/crates/experiments/tests/output_keys.rs
@@ -3,12 +3,15 @@
 
 #[path = "support/full_scenario.rs"]
 mod full_scenario;
+#[path = "support/outside_names.rs"]
+mod outside_names;
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 use full_scenario::{FULL_SCENARIO, SCENARIO_KEYS};
+use outside_names::{help_names, key_paths};
 use reeddock_experiments::ExperimentResult;
 use reeddock_simulation::Scenario;
 use serde_json::{json, Value};
@@ -16,29 +19,6 @@
 /// Keys of statistics in JSON.
 const STATISTICS: [&str; 4] = ["deviation", "least", "mean", "most"];
 
-/// Returns the paths of all keys in a value; `[]` stands for the items of a list.
-fn key_paths(value: &Value) -> BTreeSet<String> {
-    let mut paths = BTreeSet::new();
-    collect_key_paths(value, "", &mut paths);
-    paths
-}
-
-fn collect_key_paths(value: &Value, prefix: &str, paths: &mut BTreeSet<String>) {
-    match value {
-        Value::Object(fields) => {
-            for (key, field) in fields {
-                let path = if prefix.is_empty() { key.clone() } else { format!("{prefix}.{key}") };
-                collect_key_paths(field, &path, paths);
-                paths.insert(path);
-            }
-        }
-        Value::Array(items) => {
-            items.iter().for_each(|item| collect_key_paths(item, &format!("{prefix}[]"), paths));
-        }
-        _ => {}
-    }
-}
-
 fn scenario_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
 }
@@ -235,22 +215,6 @@
     assert_eq!(serde_json::to_value(&scenario).unwrap()["list"]["weights"], "none");
 }
 
-/// Returns the names below a heading of a help text, without the values that options take.
-fn help_names(help: &str, heading: &str) -> Vec<String> {
-    let lines_below = help.lines().skip_while(|line| *line != heading).skip(1);
-    let lines = lines_below.take_while(|line| line.is_empty() || line.starts_with(' '));
-    let name = |line: &str| match heading {
-        "Options:" => {
-            let long = line.trim_start().starts_with('-').then(|| line.find("--")).flatten()?;
-            line[long..].split_whitespace().next().map(str::to_owned)
-        }
-        _ => line.split_whitespace().next().map(str::to_owned),
-    };
-    let mut names: Vec<String> = lines.filter_map(name).collect();
-    names.sort_unstable();
-    names
-}
-
 #[test]
 fn program_has_these_subcommands() {
     let help = printed_text(&["--help"]);
--- a/crates/scale-test/tests/output_keys.rs
+++ b/crates/scale-test/tests/output_keys.rs
@@ -1,9 +1,13 @@
 //! Renames in the code must not change the names that operators and scripts use: keys and labels of JSON
 //! lines, keys of scenario files, and command line options.
 
+#[path = "../../experiments/tests/support/outside_names.rs"]
+mod outside_names;
+
 use std::collections::BTreeSet;
 use std::process::Command;
 
+use outside_names::{help_names, key_paths};
 use reeddock_scale_test::fit::{least_squares, FittedMetric};
 use reeddock_scale_test::report::{
     Component, ForwarderUsage, LatencyStart, LatencySummary, OperatingCondition, ResultLine, RunPhase,
@@ -122,29 +126,6 @@
     "version",
 ];
 
-/// Returns the paths of all keys in a value; `[]` stands for the items of a list.
-fn key_paths(value: &Value) -> BTreeSet<String> {
-    let mut paths = BTreeSet::new();
-    collect_key_paths(value, "", &mut paths);
-    paths
-}
-
-fn collect_key_paths(value: &Value, parent: &str, paths: &mut BTreeSet<String>) {
-    match value {
-        Value::Object(fields) => {
-            for (key, field) in fields {
-                let path = if parent.is_empty() { key.clone() } else { format!("{parent}.{key}") };
-                collect_key_paths(field, &path, paths);
-                paths.insert(path);
-            }
-        }
-        Value::Array(items) => {
-            items.iter().for_each(|item| collect_key_paths(item, &format!("{parent}[]"), paths));
-        }
-        _ => {}
-    }
-}
-
 fn to_json(value: impl Serialize) -> Value {
     serde_json::to_value(value).unwrap()
 }
@@ -355,23 +336,6 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// Returns the names of the options, without their values, or of the subcommands below a heading of a help
-/// text.
-fn help_names(help: &str, heading: &str) -> Vec<String> {
-    let lines_below = help.lines().skip_while(|line| *line != heading).skip(1);
-    let lines = lines_below.take_while(|line| line.is_empty() || line.starts_with(' '));
-    let name = |line: &str| match heading {
-        "Options:" => {
-            let long = line.trim_start().starts_with('-').then(|| line.find("--")).flatten()?;
-            line[long..].split_whitespace().next().map(str::to_owned)
-        }
-        _ => line.split_whitespace().next().map(str::to_owned),
-    };
-    let mut names: Vec<String> = lines.filter_map(name).collect();
-    names.sort_unstable();
-    names
-}
-
 #[test]
 fn program_keeps_its_subcommands_and_options() {
     let main_help = help(&[]);
