--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -19,9 +19,9 @@
     /// The file is valid JSON, but not a configuration; the source names the place and what was expected.
     #[error("{}: {source}", file.display())]
     Malformed { file: PathBuf, source: serde_json::Error },
-    /// A required key is absent, or its value is invalid. `expected` names the key and the expected value.
-    #[error("{}: missing or malformed key {expected}", file.display())]
-    InvalidKey { file: PathBuf, expected: &'static str },
+    /// A required key is absent, or its value is invalid.
+    #[error("{}: missing or malformed key {key}: expected {expected}", file.display())]
+    InvalidKey { file: PathBuf, key: &'static str, expected: &'static str },
     /// A value of the section `settings` is invalid; the source names its key and what was expected.
     #[error("{}: settings.{source}", file.display())]
     Settings { file: PathBuf, source: SettingsError },
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -39,6 +39,9 @@
 const MAX_DISK_BYTES: f64 = 1e15;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
+/// Expected form of an address in the configuration.
+const ADDRESS_FORM: &str = "IP:PORT";
+
 /// A validated configuration, with the options of the forwarder.
 pub struct StartConfig {
     pub options: ForwarderOptions,
@@ -184,7 +187,7 @@
 
 impl<'c> SectionReader<'c> {
     fn settings(&self) -> Result<&'c Map<String, Value>, ConfigError> {
-        self.sections.settings.as_object().ok_or_else(|| self.invalid_key("settings: expected an object"))
+        self.sections.settings.as_object().ok_or_else(|| self.invalid_key("settings", "an object"))
     }
 
     fn shape(&self, settings: &Map<String, Value>) -> Result<DeploymentShape, ConfigError> {
@@ -193,27 +196,24 @@
     }
 
     fn listen(&self) -> Result<SocketAddr, ConfigError> {
-        parse_address(&self.sections.listen).ok_or_else(|| self.invalid_key("listen: expected IP:PORT"))
+        parse_address(&self.sections.listen).ok_or_else(|| self.invalid_key("listen", ADDRESS_FORM))
     }
 
     fn discovery(&self) -> Result<SocketAddr, ConfigError> {
-        parse_address(&self.sections.discovery).ok_or_else(|| self.invalid_key("discovery: expected IP:PORT"))
+        parse_address(&self.sections.discovery).ok_or_else(|| self.invalid_key("discovery", ADDRESS_FORM))
     }
 
     /// Parses the seed of the policy's random numbers, which is hexadecimal.
     fn seed(&self) -> Result<u64, ConfigError> {
         let text = self.sections.seed.as_str();
         let seed = text.and_then(|text| u64::from_str_radix(text, 16).ok());
-        seed.ok_or_else(|| self.invalid_key("seed: expected a string with a hexadecimal number of 64 bits"))
+        seed.ok_or_else(|| self.invalid_key("seed", "a string with a hexadecimal number of 64 bits"))
     }
 
     fn resource_limits(&self) -> Result<ResourceLimits, ConfigError> {
-        let memory_bytes = self.limit("memory_mb", "limits.memory_mb: expected a number of at least 0")?
-            * BYTES_PER_MEGABYTE;
-        let descriptors =
-            self.limit("sockets", "limits.sockets: expected a number of at least 0")?.min(MAX_DESCRIPTORS);
-        let disk_bytes =
-            self.limit("disk_mb", "limits.disk_mb: expected a number of at least 0")? * BYTES_PER_MEGABYTE;
+        let memory_bytes = self.limit("memory_mb", "limits.memory_mb")? * BYTES_PER_MEGABYTE;
+        let descriptors = self.limit("sockets", "limits.sockets")?.min(MAX_DESCRIPTORS);
+        let disk_bytes = self.limit("disk_mb", "limits.disk_mb")? * BYTES_PER_MEGABYTE;
         Ok(ResourceLimits {
             memory_bytes: memory_bytes as u64,
             descriptors: descriptors as usize,
@@ -221,15 +221,15 @@
         })
     }
 
-    /// Parses a limit that is not negative and may have decimals.
-    fn limit(&self, name: &str, expected: &'static str) -> Result<f64, ConfigError> {
+    /// Parses the limit `name`, which is not negative and may have decimals. `key` is its path in the file.
+    fn limit(&self, name: &str, key: &'static str) -> Result<f64, ConfigError> {
         let limit = self.sections.limits.get(name).and_then(Value::as_f64);
         let limit = limit.filter(|limit| limit.is_finite() && *limit >= 0.0);
-        limit.ok_or_else(|| self.invalid_key(expected))
+        limit.ok_or_else(|| self.invalid_key(key, "a number of at least 0"))
     }
 
-    fn invalid_key(&self, expected: &'static str) -> ConfigError {
-        ConfigError::InvalidKey { file: self.file.to_owned(), expected }
+    fn invalid_key(&self, key: &'static str, expected: &'static str) -> ConfigError {
+        ConfigError::InvalidKey { file: self.file.to_owned(), key, expected }
     }
 }
 
--- a/crates/forwarder/src/serve.rs
+++ b/crates/forwarder/src/serve.rs
@@ -50,11 +50,7 @@
     let (events, event_queue) = mpsc::channel(limits.queued_events);
     let (list_events, list_queue) = mpsc::channel(MAX_QUEUED_LIST_CHUNKS);
     let (notices, notice_queue) = mpsc::unbounded_channel();
-    let connections = ConnectionPool::new(
-        limits.endpoint_connections,
-        options.connect_timeout,
-        options.endpoint_idle_timeout,
-    );
+    let connections = new_connection_pool(&limits, &options);
     let list_status = ListStatus::default();
     let schedule = WatchSchedule::new(WatchTimings::default(), options.settings.seed);
     let cached_generation = options.cached_list.generation;
@@ -103,6 +99,10 @@
     }
 }
 
+fn new_connection_pool(limits: &Limits, options: &ForwarderOptions) -> ConnectionPool {
+    ConnectionPool::new(limits.endpoint_connections, options.connect_timeout, options.endpoint_idle_timeout)
+}
+
 /// Opens the write-ahead log in the state folder.
 fn open_log(options: &ForwarderOptions) -> Result<WriteAheadLog, ForwarderError> {
     let opened = WriteAheadLog::open(&options.state_folder, options.resources.disk_bytes, options.sync);
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,11 +1,12 @@
 //! Errors of decoding input. Clients receive the `Display` text in the body of a 400 response, and operators
 //! find it in the log.
 
+use std::borrow::Cow;
 use std::fmt;
 
 use thiserror::Error;
 
-use crate::headers::{ORDERING_KEY, TIME_LEFT};
+use crate::headers::{MAX_ID_BYTES, ORDERING_KEY, TIME_LEFT};
 
 /// The reason why a client's request is not a valid submission.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -34,11 +35,11 @@
 }
 
 /// Returns a description of the valid values of a header, for error messages.
-fn expected_value(header: &str) -> &'static str {
+fn expected_value(header: &str) -> Cow<'static, str> {
     match header {
-        TIME_LEFT => "seconds, 0 or more",
-        ORDERING_KEY => "a whole number, with or without NAME= before it",
-        _ => "1 to 128 visible ASCII characters",
+        TIME_LEFT => "seconds, 0 or more".into(),
+        ORDERING_KEY => "a whole number, with or without NAME= before it".into(),
+        _ => format!("1 to {MAX_ID_BYTES} visible ASCII characters").into(),
     }
 }
 
--- a/crates/protocol/src/headers.rs
+++ b/crates/protocol/src/headers.rs
@@ -21,6 +21,8 @@
 pub(crate) const EGRESS_FULL: &str = "x-egress-full";
 pub(crate) const LOAD_REPORT: &str = "x-load-report";
 
+/// Maximum length of a message id or an idempotency key, in bytes.
+pub(crate) const MAX_ID_BYTES: usize = 128;
 /// Upper limit for parsed times, in seconds. Larger values are reduced to it so that adding times cannot
 /// overflow.
 const MAX_SECONDS: f64 = 1e9;
--- a/crates/protocol/src/submission.rs
+++ b/crates/protocol/src/submission.rs
@@ -8,14 +8,11 @@
 use reeddock::{DestinationId, MessageId, OrderingKey};
 
 use crate::headers::{
-    header_text, parse_seconds, DESTINATION, IDEMPOTENCY_KEY, MESSAGE_CLASS, MESSAGE_ID, ORDERING_KEY,
-    TENANT, TIME_LEFT,
+    header_text, parse_seconds, DESTINATION, IDEMPOTENCY_KEY, MAX_ID_BYTES, MESSAGE_CLASS, MESSAGE_ID,
+    ORDERING_KEY, TENANT, TIME_LEFT,
 };
 use crate::SubmissionError;
 
-/// Maximum length of a message id or an idempotency key, in bytes.
-const MAX_ID_BYTES: usize = 128;
-
 /// A message that a client submits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
--- a/crates/protocol/tests/requests.rs
+++ b/crates/protocol/tests/requests.rs
@@ -4,7 +4,9 @@
 
 use http_body::Body;
 use reeddock::MessageId;
-use reeddock_protocol::{batch_request, single_request, split_into_batches, OutgoingMessage, MAX_BODY_BYTES};
+use reeddock_protocol::{
+    batch_request, single_request, split_into_batches, OutgoingMessage, SubmissionError, MAX_BODY_BYTES,
+};
 
 fn message(body_bytes: usize) -> OutgoingMessage {
     OutgoingMessage { id: MessageId("a".into()), idempotency_key: None, body: vec![0; body_bytes].into() }
@@ -44,3 +46,16 @@
         assert_eq!(fits, split_into_batches(&messages, 10) == [2]);
     }
 }
+
+#[test]
+fn error_of_a_malformed_header_names_the_expected_value() {
+    for (header, expected) in [
+        ("x-budget", "seconds, 0 or more"),
+        ("x-route-hash", "a whole number, with or without NAME= before it"),
+        ("x-call-id", "1 to 128 visible ASCII characters"),
+        ("idempotency-key", "1 to 128 visible ASCII characters"),
+    ] {
+        let error = SubmissionError::MalformedHeader { header };
+        assert_eq!(error.to_string(), format!("header {header} is malformed: expected {expected}"));
+    }
+}
